--- a/src/standin_users/log.c
+++ b/src/standin_users/log.c
@@ -144,8 +144,8 @@
 /*
  * Append one record, and answer the reads that waited for it.
  */
-void standin_log_put(struct standin_log *log, const char *name, const char *key,
-		     const char *value, size_t length)
+void standin_log_append(struct standin_log *log, const char *name,
+			const char *key, const char *value, size_t length)
 {
 	struct standin_topic *topic = topic_of(log, name);
 	struct standin_record *record = g_new0(struct standin_record, 1);
@@ -229,9 +229,9 @@
 		at += LENGTH_BYTES;
 		key_length = (uint8_t)body->data[at];
 		key = g_strndup(body->data + at + 1, key_length);
-		standin_log_put(log, name, key,
-				body->data + at + 1 + key_length,
-				size - 1 - key_length);
+		standin_log_append(log, name, key,
+				   body->data + at + 1 + key_length,
+				   size - 1 - key_length);
 		g_free(key);
 		at += size;
 	}
@@ -284,7 +284,7 @@
 	producer->has_appended = true;
 	put_body(log, name, &exchange->body);
 	producer->end = topic->records->len;
-	if (log->mode == STANDIN_LOSE)
+	if (log->mode == STANDIN_MODE_LOSE_ANSWER)
 		rj_http_exchange_abort(exchange);
 	else
 		answer_append(exchange, 200, producer->end, "");
@@ -295,10 +295,10 @@
 			struct rj_http_exchange *exchange)
 {
 	static const char *const words[] = {
-		[STANDIN_OK] = "ok",
-		[STANDIN_REFUSE] = "refuse",
-		[STANDIN_SILENT] = "silent",
-		[STANDIN_LOSE] = "lose",
+		[STANDIN_MODE_OK] = "ok",
+		[STANDIN_MODE_REFUSE] = "refuse",
+		[STANDIN_MODE_NO_ANSWER] = "silent",
+		[STANDIN_MODE_LOSE_ANSWER] = "lose",
 	};
 
 	for (int i = 0; i < (int)G_N_ELEMENTS(words); i++)
@@ -313,11 +313,12 @@
 {
 	bool appends = !strcmp(exchange->path, "/-/log-append");
 
-	if (log->mode == STANDIN_REFUSE)
+	if (log->mode == STANDIN_MODE_REFUSE)
 		rj_http_exchange_error(exchange, 503, "refused, as asked");
 	/* A silent call is left open; its client gives up. */
-	return log->mode == STANDIN_REFUSE || log->mode == STANDIN_SILENT ||
-	       (log->mode == STANDIN_LOSE && !appends &&
+	return log->mode == STANDIN_MODE_REFUSE ||
+	       log->mode == STANDIN_MODE_NO_ANSWER ||
+	       (log->mode == STANDIN_MODE_LOSE_ANSWER && !appends &&
 		g_random_int_range(0, 3) == 0);
 }
 
@@ -341,8 +342,8 @@
 	} else if (!strcmp(exchange->path, "/-/log-newest")) {
 		handle_newest(log, exchange);
 	} else if (!strcmp(exchange->path, "/standin/config")) {
-		standin_log_put(log, "keyed.op", "config", exchange->body.data,
-				exchange->body.length);
+		standin_log_append(log, "keyed.op", "config",
+				   exchange->body.data, exchange->body.length);
 		rj_http_exchange_answer(exchange, 200, "{}", 2);
 	} else {
 		rj_http_exchange_error(exchange, 404, "no such call");
--- a/src/standin_users/main.c
+++ b/src/standin_users/main.c
@@ -27,7 +27,7 @@
 	struct fleet *fleet = private_data;
 
 	for (uint32_t i = 0; i < fleet->count; i++)
-		standin_worker_step(&fleet->workers[i]);
+		standin_worker_advance(&fleet->workers[i]);
 	timer = tevent_add_timer(ev, fleet, rj_clock_timeval_in(STEP_US), step,
 				 fleet);
 	assert(timer);
@@ -40,7 +40,7 @@
 	struct fleet *fleet = private_data;
 
 	for (uint32_t i = 0; i < fleet->count; i++)
-		standin_worker_beat(&fleet->workers[i]);
+		standin_worker_heartbeat(&fleet->workers[i]);
 	timer = tevent_add_timer(ev, fleet, rj_clock_timeval_in(HEARTBEAT_US),
 				 beat, fleet);
 	assert(timer);
--- a/src/standin_users/standin.h
+++ b/src/standin_users/standin.h
@@ -27,10 +27,10 @@
 
 /* How the log treats calls, until it is told otherwise. */
 enum standin_mode {
-	STANDIN_OK,
-	STANDIN_REFUSE, /* nothing is done, and said so */
-	STANDIN_SILENT, /* nothing is done, and nothing said */
-	STANDIN_LOSE, /* appends are done, and nothing said */
+	STANDIN_MODE_OK,
+	STANDIN_MODE_REFUSE, /* nothing is done, and said so */
+	STANDIN_MODE_NO_ANSWER, /* nothing is done, and nothing said */
+	STANDIN_MODE_LOSE_ANSWER, /* appends are done, and nothing said */
 };
 
 struct standin_log {
@@ -75,12 +75,12 @@
 uint64_t standin_now_ms(void);
 int standin_log_init(struct standin_log *log, void *mem,
 		     struct tevent_context *ev, struct rj_error *err);
-void standin_log_put(struct standin_log *log, const char *topic,
-		     const char *key, const char *value, size_t length);
+void standin_log_append(struct standin_log *log, const char *topic,
+			const char *key, const char *value, size_t length);
 int standin_worker_init(struct standin_worker *worker, void *mem,
 			struct standin_log *log, uint32_t number,
 			struct rj_error *err);
-void standin_worker_step(struct standin_worker *worker);
-void standin_worker_beat(struct standin_worker *worker);
+void standin_worker_advance(struct standin_worker *worker);
+void standin_worker_heartbeat(struct standin_worker *worker);
 
 #endif
--- a/src/standin_users/worker.c
+++ b/src/standin_users/worker.c
@@ -142,7 +142,7 @@
 /*
  * Work on: runs end, leases lapse, polls have waited long enough.
  */
-void standin_worker_step(struct standin_worker *worker)
+void standin_worker_advance(struct standin_worker *worker)
 {
 	uint64_t now_ms = standin_now_ms();
 	const char *how = worker->faults.fails ? "failed" : "done";
@@ -327,7 +327,7 @@
 			  sizeof(worker->published));
 	if (json_is_true(json_object_get(body, "crash")))
 		crash(worker);
-	standin_worker_beat(worker);
+	standin_worker_heartbeat(worker);
 	answer(exchange, 200, json_object());
 }
 
@@ -356,7 +356,7 @@
 /*
  * Show in the log that the worker lives.
  */
-void standin_worker_beat(struct standin_worker *worker)
+void standin_worker_heartbeat(struct standin_worker *worker)
 {
 	char rack[16];
 	json_t *entry;
@@ -371,8 +371,8 @@
 		"Cpu", 64000, "MemMb", 65536, "Gpu", 8, "Labels", "a", rack,
 		"born", (json_int_t)worker->born_ms);
 	text = json_dumps(entry, JSON_COMPACT);
-	standin_log_put(worker->log, "keyed.servers", worker->id, text,
-			strlen(text));
+	standin_log_append(worker->log, "keyed.servers", worker->id, text,
+			   strlen(text));
 	free(text);
 	json_decref(entry);
 }
--- a/src/test_libradishjunction/test_platform_calls.c
+++ b/src/test_libradishjunction/test_platform_calls.c
@@ -58,7 +58,7 @@
 
 static void setup(struct fixture *f, const void *data)
 {
-	const struct platform_sink sink = { after, f };
+	const struct platform_event_hook sink = { after, f };
 	struct rj_http_server_options options = {
 		.address = { .ip = "127.0.0.1" },
 		.connections_max = 32,
