--- a/src/standin_users/log.c
+++ b/src/standin_users/log.c
@@ -27,7 +27,7 @@
 	struct rj_http_exchange *exchange;
 	struct standin_topic *topic;
 	uint64_t from;
-	struct waiting_read **hook; /* freed with the exchange */
+	struct waiting_read **disconnect_hook; /* freed with the exchange */
 };
 
 /* A topic, made on its first use. */
@@ -57,9 +57,9 @@
 			const struct standin_topic *topic, uint64_t from)
 {
 	GByteArray *body = g_byte_array_new();
-	uint64_t head[2] = { htobe64(topic->records->len), 0 };
+	uint64_t header[2] = { htobe64(topic->records->len), 0 };
 
-	g_byte_array_append(body, (const guint8 *)head, sizeof(head));
+	g_byte_array_append(body, (const guint8 *)header, sizeof(header));
 	for (uint64_t i = from; i < topic->records->len; i++) {
 		const struct standin_record *record = topic->records->pdata[i];
 		uint8_t key_length = (uint8_t)strlen(record->key);
@@ -80,22 +80,23 @@
 }
 
 /* End a read that waits. */
-static void end_waiting(struct waiting_read *read)
+static void answer_waiting_read(struct waiting_read *read)
 {
 	struct rj_http_exchange *exchange = read->exchange;
 
-	g_ptr_array_remove(read->log->waiting, read);
-	*read->hook = NULL;
+	g_ptr_array_remove(read->log->waiting_reads, read);
+	*read->disconnect_hook = NULL;
 	answer_read(exchange, read->topic, read->from);
 	g_free(read);
 }
 
 /* The client of a waiting read has gone. */
-static int hook_destructor(struct waiting_read **hook)
+static int detach_read(struct waiting_read **disconnect_hook)
 {
-	if (*hook) {
-		g_ptr_array_remove((*hook)->log->waiting, *hook);
-		g_free(*hook);
+	if (*disconnect_hook) {
+		g_ptr_array_remove((*disconnect_hook)->log->waiting_reads,
+				   *disconnect_hook);
+		g_free(*disconnect_hook);
 	}
 	return 0;
 }
@@ -104,10 +105,10 @@
 static void waited(struct tevent_context *ev, struct tevent_timer *timer,
 		   struct timeval now, void *private_data)
 {
-	struct waiting_read **hook = private_data;
+	struct waiting_read **disconnect_hook = private_data;
 
-	if (*hook)
-		end_waiting(*hook);
+	if (*disconnect_hook)
+		answer_waiting_read(*disconnect_hook);
 }
 
 /* A read: at once, or when there is a record. */
@@ -130,13 +131,13 @@
 	read->exchange = exchange;
 	read->topic = topic;
 	read->from = from;
-	read->hook = talloc(exchange, struct waiting_read *);
-	*read->hook = read;
-	talloc_set_destructor(read->hook, hook_destructor);
-	g_ptr_array_add(log->waiting, read);
-	timer = tevent_add_timer(log->ev, read->hook,
+	read->disconnect_hook = talloc(exchange, struct waiting_read *);
+	*read->disconnect_hook = read;
+	talloc_set_destructor(read->disconnect_hook, detach_read);
+	g_ptr_array_add(log->waiting_reads, read);
+	timer = tevent_add_timer(log->ev, read->disconnect_hook,
 				 rj_clock_timeval_in(wait_ms * RJ_US_PER_MS),
-				 waited, read->hook);
+				 waited, read->disconnect_hook);
 	assert(timer);
 	(void)timer;
 }
@@ -144,8 +145,8 @@
 /*
  * Append one record, and answer the reads that waited for it.
  */
-void standin_log_put(struct standin_log *log, const char *name, const char *key,
-		     const char *value, size_t length)
+void standin_log_append(struct standin_log *log, const char *name,
+			const char *key, const char *value, size_t length)
 {
 	struct standin_topic *topic = topic_of(log, name);
 	struct standin_record *record = g_new0(struct standin_record, 1);
@@ -154,11 +155,11 @@
 	record->value = length ? g_memdup2(value, length) : NULL;
 	record->length = length;
 	g_ptr_array_add(topic->records, record);
-	for (guint i = log->waiting->len; i > 0; i--) {
-		struct waiting_read *read = log->waiting->pdata[i - 1];
+	for (guint i = log->waiting_reads->len; i > 0; i--) {
+		struct waiting_read *read = log->waiting_reads->pdata[i - 1];
 
 		if (read->topic == topic)
-			end_waiting(read);
+			answer_waiting_read(read);
 	}
 }
 
@@ -214,34 +215,35 @@
 }
 
 /* Add the records of a body. */
-static void put_body(struct standin_log *log, const char *name,
-		     const struct rj_buffer *body)
+static void append_body(struct standin_log *log, const char *name,
+			const struct rj_buffer *body)
 {
-	size_t at = 0;
+	size_t position = 0;
 
-	while (at + LENGTH_BYTES < body->length) {
+	while (position + LENGTH_BYTES < body->length) {
 		uint32_t size;
 		uint8_t key_length;
 		char *key;
 
-		memcpy(&size, body->data + at, sizeof(size));
+		memcpy(&size, body->data + position, sizeof(size));
 		size = ntohl(size);
-		at += LENGTH_BYTES;
-		key_length = (uint8_t)body->data[at];
-		key = g_strndup(body->data + at + 1, key_length);
-		standin_log_put(log, name, key,
-				body->data + at + 1 + key_length,
-				size - 1 - key_length);
+		position += LENGTH_BYTES;
+		key_length = (uint8_t)body->data[position];
+		key = g_strndup(body->data + position + 1, key_length);
+		standin_log_append(log, name, key,
+				   body->data + position + 1 + key_length,
+				   size - 1 - key_length);
 		g_free(key);
-		at += size;
+		position += size;
 	}
 }
 
 /* The producer of a name in one topic, made when it is new. */
 static struct producer *obtain_producer(struct standin_log *log,
-					const char *topic, const char *who)
+					const char *topic,
+					const char *producer_id)
 {
-	char *key = g_strdup_printf("%s %s", topic, who);
+	char *key = g_strdup_printf("%s %s", topic, producer_id);
 	struct producer *producer = g_hash_table_lookup(log->producers, key);
 
 	if (producer) {
@@ -258,12 +260,13 @@
 			  struct rj_http_exchange *exchange)
 {
 	const char *name = rj_http_exchange_argument(exchange, "Topic");
-	const char *who = rj_http_exchange_argument(exchange, "ProducerId");
+	const char *producer_id =
+		rj_http_exchange_argument(exchange, "ProducerId");
 	uint64_t epoch = query_number(exchange, "epoch");
 	uint64_t sequence = query_number(exchange, "Sequence");
 	struct standin_topic *topic = topic_of(log, name ? name : "");
-	struct producer *producer =
-		obtain_producer(log, name ? name : "", who ? who : "");
+	struct producer *producer = obtain_producer(
+		log, name ? name : "", producer_id ? producer_id : "");
 
 	if (epoch < producer->epoch) {
 		answer_append(exchange, 409, topic->records->len, "fenced");
@@ -282,9 +285,9 @@
 	producer->epoch = epoch;
 	producer->sequence = sequence;
 	producer->has_appended = true;
-	put_body(log, name, &exchange->body);
+	append_body(log, name, &exchange->body);
 	producer->end = topic->records->len;
-	if (log->mode == STANDIN_LOSE)
+	if (log->mode == STANDIN_MODE_LOSE_ANSWER)
 		rj_http_exchange_abort(exchange);
 	else
 		answer_append(exchange, 200, producer->end, "");
@@ -294,30 +297,31 @@
 static void handle_mode(struct standin_log *log,
 			struct rj_http_exchange *exchange)
 {
-	static const char *const words[] = {
-		[STANDIN_OK] = "ok",
-		[STANDIN_REFUSE] = "refuse",
-		[STANDIN_SILENT] = "silent",
-		[STANDIN_LOSE] = "lose",
+	static const char *const names[] = {
+		[STANDIN_MODE_OK] = "ok",
+		[STANDIN_MODE_REFUSE] = "refuse",
+		[STANDIN_MODE_NO_ANSWER] = "silent",
+		[STANDIN_MODE_LOSE_ANSWER] = "lose",
 	};
 
-	for (int i = 0; i < (int)G_N_ELEMENTS(words); i++)
-		if (!strcmp(words[i], exchange->body.data))
+	for (int i = 0; i < (int)G_N_ELEMENTS(names); i++)
+		if (!strcmp(names[i], exchange->body.data))
 			log->mode = (enum standin_mode)i;
 	rj_http_exchange_answer(exchange, 200, "{}", 2);
 }
 
 /* Whether a call meets trouble that was asked for. */
-static bool meets_trouble(struct standin_log *log,
-			  struct rj_http_exchange *exchange)
+static bool inject_fault(struct standin_log *log,
+			 struct rj_http_exchange *exchange)
 {
 	bool appends = !strcmp(exchange->path, "/-/log-append");
 
-	if (log->mode == STANDIN_REFUSE)
+	if (log->mode == STANDIN_MODE_REFUSE)
 		rj_http_exchange_error(exchange, 503, "refused, as asked");
 	/* A silent call is left open; its client gives up. */
-	return log->mode == STANDIN_REFUSE || log->mode == STANDIN_SILENT ||
-	       (log->mode == STANDIN_LOSE && !appends &&
+	return log->mode == STANDIN_MODE_REFUSE ||
+	       log->mode == STANDIN_MODE_NO_ANSWER ||
+	       (log->mode == STANDIN_MODE_LOSE_ANSWER && !appends &&
 		g_random_int_range(0, 3) == 0);
 }
 
@@ -332,7 +336,7 @@
 		return;
 	}
 	if (g_str_has_prefix(exchange->path, "/-/") &&
-	    meets_trouble(log, exchange))
+	    inject_fault(log, exchange))
 		return;
 	if (!strcmp(exchange->path, "/-/log-append")) {
 		handle_append(log, exchange);
@@ -341,8 +345,8 @@
 	} else if (!strcmp(exchange->path, "/-/log-newest")) {
 		handle_newest(log, exchange);
 	} else if (!strcmp(exchange->path, "/standin/config")) {
-		standin_log_put(log, "keyed.op", "config", exchange->body.data,
-				exchange->body.length);
+		standin_log_append(log, "keyed.op", "config",
+				   exchange->body.data, exchange->body.length);
 		rj_http_exchange_answer(exchange, 200, "{}", 2);
 	} else {
 		rj_http_exchange_error(exchange, 404, "no such call");
@@ -366,6 +370,6 @@
 	log->ev = ev;
 	log->topics = g_hash_table_new(g_str_hash, g_str_equal);
 	log->producers = g_hash_table_new(g_str_hash, g_str_equal);
-	log->waiting = g_ptr_array_new();
+	log->waiting_reads = g_ptr_array_new();
 	return rj_http_server_init(&log->server, mem, ev, &options, err);
 }
--- a/src/standin_users/main.c
+++ b/src/standin_users/main.c
@@ -27,7 +27,7 @@
 	struct fleet *fleet = private_data;
 
 	for (uint32_t i = 0; i < fleet->count; i++)
-		standin_worker_step(&fleet->workers[i]);
+		standin_worker_advance(&fleet->workers[i]);
 	timer = tevent_add_timer(ev, fleet, rj_clock_timeval_in(STEP_US), step,
 				 fleet);
 	assert(timer);
@@ -40,7 +40,7 @@
 	struct fleet *fleet = private_data;
 
 	for (uint32_t i = 0; i < fleet->count; i++)
-		standin_worker_beat(&fleet->workers[i]);
+		standin_worker_heartbeat(&fleet->workers[i]);
 	timer = tevent_add_timer(ev, fleet, rj_clock_timeval_in(HEARTBEAT_US),
 				 beat, fleet);
 	assert(timer);
@@ -65,15 +65,15 @@
 		arg_int0(NULL, "workers", "N", "workers, 4 by default");
 	struct arg_lit *events =
 		arg_lit0(NULL, "events", "tell what the workers do");
-	struct arg_end *end = arg_end(ERRORS_MAX);
-	void *table[] = { workers, events, end };
+	struct arg_end *errors = arg_end(ERRORS_MAX);
+	void *table[] = { workers, events, errors };
 	struct tevent_context *ev = tevent_context_init(NULL);
 	struct standin_log *log = talloc_zero(ev, struct standin_log);
 	struct fleet *fleet = talloc_zero(ev, struct fleet);
 	struct rj_error err;
 
 	if (arg_nullcheck(table) || arg_parse(argc, argv, table)) {
-		arg_print_errors(stderr, end, "rj-standin-users");
+		arg_print_errors(stderr, errors, "rj-standin-users");
 		return 2;
 	}
 	fleet->count = workers->count ? (uint32_t)workers->ival[0] : 4;
@@ -84,7 +84,7 @@
 	for (uint32_t i = 0; i < fleet->count; i++) {
 		if (standin_worker_init(&fleet->workers[i], ev, log, i, &err))
 			goto fail;
-		fleet->workers[i].tells = events->count > 0;
+		fleet->workers[i].prints_events = events->count > 0;
 	}
 	step(ev, NULL, tevent_timeval_zero(), fleet);
 	beat(ev, NULL, tevent_timeval_zero(), fleet);
--- a/src/standin_users/standin.h
+++ b/src/standin_users/standin.h
@@ -27,10 +27,10 @@
 
 /* How the log treats calls, until it is told otherwise. */
 enum standin_mode {
-	STANDIN_OK,
-	STANDIN_REFUSE, /* nothing is done, and said so */
-	STANDIN_SILENT, /* nothing is done, and nothing said */
-	STANDIN_LOSE, /* appends are done, and nothing said */
+	STANDIN_MODE_OK,
+	STANDIN_MODE_REFUSE, /* nothing is done, and said so */
+	STANDIN_MODE_NO_ANSWER, /* nothing is done, and nothing said */
+	STANDIN_MODE_LOSE_ANSWER, /* appends are done, and nothing said */
 };
 
 struct standin_log {
@@ -39,15 +39,15 @@
 	struct rj_http_server server;
 	GHashTable *topics; /* name -> struct standin_topic */
 	GHashTable *producers; /* name -> struct producer */
-	GPtrArray *waiting; /* struct waiting_read */
+	GPtrArray *waiting_reads; /* struct waiting_read */
 };
 
 /* What a worker does with what it is told. */
 struct standin_faults {
-	bool fails; /* all that it starts */
-	bool stands_still;
-	bool sick; /* it turns starts away */
-	bool leaving; /* it says so; it serves on */
+	bool fail_runs; /* all that it starts */
+	bool stall_runs;
+	bool refuse_starts; /* it turns starts away */
+	bool draining; /* it says so; it serves on */
 };
 
 /* One worker; it remembers every task that it has run, for the verdict. */
@@ -56,31 +56,32 @@
 	struct rj_http_server server;
 	char id[RJ_NAME_BYTES];
 	uint32_t number;
-	char published[RJ_IP_BYTES + 8]; /* where callers are sent */
+	char published_address[RJ_IP_BYTES + 8]; /* where callers are sent */
 	struct standin_faults faults;
-	bool tells; /* what it does, on standard output */
-	uint64_t born_ms;
+	bool prints_events; /* what it does, on standard output */
+	uint64_t incarnation;
 	uint64_t token;
-	uint64_t lease_ms;
+	uint64_t lease_until_ms;
 	json_t *running; /* name -> { run, until_ms } */
 	json_t *finished; /* rows */
-	json_t *barred; /* name -> run */
-	uint64_t ends;
-	uint64_t lapsed_ms; /* when its lease was last found to have lapsed */
-	GArray *ended_ms; /* uint64_t: of each row of finished */
-	GPtrArray *waiting; /* struct waiting_poll */
-	json_t *done; /* name -> how often it has ended well */
+	json_t *closed_runs; /* name -> run */
+	uint64_t completion_count;
+	uint64_t
+		lease_expired_ms; /* when its lease was last found to have lapsed */
+	GArray *completed_ms; /* uint64_t: of each row of finished */
+	GPtrArray *waiting_polls; /* struct waiting_poll */
+	json_t *completed_counts; /* name -> how often it has ended well */
 };
 
 uint64_t standin_now_ms(void);
 int standin_log_init(struct standin_log *log, void *mem,
 		     struct tevent_context *ev, struct rj_error *err);
-void standin_log_put(struct standin_log *log, const char *topic,
-		     const char *key, const char *value, size_t length);
+void standin_log_append(struct standin_log *log, const char *topic,
+			const char *key, const char *value, size_t length);
 int standin_worker_init(struct standin_worker *worker, void *mem,
 			struct standin_log *log, uint32_t number,
 			struct rj_error *err);
-void standin_worker_step(struct standin_worker *worker);
-void standin_worker_beat(struct standin_worker *worker);
+void standin_worker_advance(struct standin_worker *worker);
+void standin_worker_heartbeat(struct standin_worker *worker);
 
 #endif
--- a/src/standin_users/worker.c
+++ b/src/standin_users/worker.c
@@ -13,14 +13,14 @@
 #define LEASE_MAX_MS 6000
 #define RACK_WORKERS 4
 /* What stands still does not get beyond this. */
-#define STILL_PERCENT 60
+#define STALLED_PERCENT_MAX 60
 
 /* A poll that waits for an end. */
 struct waiting_poll {
 	struct standin_worker *worker;
 	struct rj_http_exchange *exchange;
 	uint64_t until_ms;
-	struct waiting_poll **hook; /* freed with the exchange */
+	struct waiting_poll **disconnect_hook; /* freed with the exchange */
 };
 
 /*
@@ -32,14 +32,14 @@
 }
 
 /* Tell a test what happens to a run. */
-static void tell(const struct standin_worker *worker, const char *event,
-		 const char *name, json_int_t run, const char *how)
+static void print_event(const struct standin_worker *worker, const char *event,
+			const char *name, json_int_t run, const char *outcome)
 {
-	if (!worker->tells)
+	if (!worker->prints_events)
 		return;
 	printf("{\"event\":\"%s\",\"worker\":\"%s\",\"task\":\"%s\","
 	       "\"run\":%" JSON_INTEGER_FORMAT ",\"how\":\"%s\"}\n",
-	       event, worker->id, name, run, how);
+	       event, worker->id, name, run, outcome);
 	fflush(stdout);
 }
 
@@ -57,7 +57,7 @@
 }
 
 /* Turn an order away. */
-static void refuse(struct rj_http_exchange *exchange, const char *reason)
+static void reject_order(struct rj_http_exchange *exchange, const char *reason)
 {
 	answer(exchange, 409, json_pack("{s:s}", "Reason", reason));
 }
@@ -67,7 +67,8 @@
 			struct rj_http_exchange *exchange)
 {
 	json_t *rows = json_array();
-	json_int_t most = worker->faults.stands_still ? STILL_PERCENT : 100;
+	json_int_t percent_max =
+		worker->faults.stall_runs ? STALLED_PERCENT_MAX : 100;
 	const char *name;
 	json_t *run;
 
@@ -81,44 +82,46 @@
 		json_int_t percent = ((json_int_t)now_ms - from) * 100 /
 				     MAX(until - from, 1);
 
-		json_array_append_new(rows,
-				      json_pack("[s,O,s,I,i]", name,
-						json_object_get(run, "run"), "",
-						CLAMP(percent, 0, most), 0));
+		json_array_append_new(
+			rows, json_pack("[s,O,s,I,i]", name,
+					json_object_get(run, "run"), "",
+					CLAMP(percent, 0, percent_max), 0));
 	}
 	answer(exchange, 200,
-	       json_pack("{s:I,s:o,s:O}", "born", (json_int_t)worker->born_ms,
-			 "Running", rows, "Finished", worker->finished));
+	       json_pack("{s:I,s:o,s:O}", "born",
+			 (json_int_t)worker->incarnation, "Running", rows,
+			 "Finished", worker->finished));
 }
 
 /* The client of a waiting poll has gone. */
-static int hook_destructor(struct waiting_poll **hook)
+static int detach_poll(struct waiting_poll **disconnect_hook)
 {
-	if (*hook) {
-		g_ptr_array_remove((*hook)->worker->waiting, *hook);
-		g_free(*hook);
+	if (*disconnect_hook) {
+		g_ptr_array_remove((*disconnect_hook)->worker->waiting_polls,
+				   *disconnect_hook);
+		g_free(*disconnect_hook);
 	}
 	return 0;
 }
 
 /* End the polls that have waited long enough, or all. */
-static void end_polls(struct standin_worker *worker, bool all)
+static void answer_waiting_polls(struct standin_worker *worker, bool all)
 {
-	for (guint i = worker->waiting->len; i > 0; i--) {
-		struct waiting_poll *poll = worker->waiting->pdata[i - 1];
+	for (guint i = worker->waiting_polls->len; i > 0; i--) {
+		struct waiting_poll *poll = worker->waiting_polls->pdata[i - 1];
 
 		if (!all && standin_now_ms() < poll->until_ms)
 			continue;
-		g_ptr_array_remove_index(worker->waiting, i - 1);
-		*poll->hook = NULL;
+		g_ptr_array_remove_index(worker->waiting_polls, i - 1);
+		*poll->disconnect_hook = NULL;
 		answer_poll(worker, poll->exchange);
 		g_free(poll);
 	}
 }
 
 /* A run ends: it is listed until it is seen. */
-static void end_run(struct standin_worker *worker, const char *name,
-		    const char *how)
+static void complete_run(struct standin_worker *worker, const char *name,
+			 const char *outcome)
 {
 	json_t *run = json_object_get(worker->running, name);
 	json_t *number = json_object_get(run, "run");
@@ -126,66 +129,69 @@
 
 	json_array_append_new(worker->finished,
 			      json_pack("[I,s,O,s,s]",
-					(json_int_t)++worker->ends, name,
-					number, how, ""));
-	g_array_append_val(worker->ended_ms, now_ms);
-	json_object_set(worker->barred, name, number);
-	tell(worker, "end", name, json_integer_value(number), how);
-	if (!strcmp(how, "done"))
+					(json_int_t)++worker->completion_count,
+					name, number, outcome, ""));
+	g_array_append_val(worker->completed_ms, now_ms);
+	json_object_set(worker->closed_runs, name, number);
+	print_event(worker, "end", name, json_integer_value(number), outcome);
+	if (!strcmp(outcome, "done"))
 		json_object_set_new(
-			worker->done, name,
-			json_integer(1 + json_integer_value(json_object_get(
-						 worker->done, name))));
+			worker->completed_counts, name,
+			json_integer(1 +
+				     json_integer_value(json_object_get(
+					     worker->completed_counts, name))));
 	json_object_del(worker->running, name);
 }
 
 /*
  * Work on: runs end, leases lapse, polls have waited long enough.
  */
-void standin_worker_step(struct standin_worker *worker)
+void standin_worker_advance(struct standin_worker *worker)
 {
 	uint64_t now_ms = standin_now_ms();
-	const char *how = worker->faults.fails ? "failed" : "done";
-	bool ended = false;
+	const char *outcome = worker->faults.fail_runs ? "failed" : "done";
+	bool completed = false;
 	const char *name;
 	json_t *run;
 	void *next;
 
-	if (now_ms > worker->lease_ms)
-		worker->lapsed_ms = now_ms;
+	if (now_ms > worker->lease_until_ms)
+		worker->lease_expired_ms = now_ms;
 
 	json_object_foreach_safe(worker->running, next, name, run)
 	{
 		uint64_t until_ms = (uint64_t)json_integer_value(
 			json_object_get(run, "until_ms"));
 
-		if (now_ms <= worker->lease_ms &&
-		    (now_ms < until_ms || worker->faults.stands_still))
+		if (now_ms <= worker->lease_until_ms &&
+		    (now_ms < until_ms || worker->faults.stall_runs))
 			continue;
-		end_run(worker, name,
-			now_ms > worker->lease_ms ? "lapsed" : how);
-		ended = true;
+		complete_run(worker, name,
+			     now_ms > worker->lease_until_ms ? "lapsed" :
+							       outcome);
+		completed = true;
 	}
-	end_polls(worker, ended);
+	answer_waiting_polls(worker, completed);
 }
 
 /* The fields that all orders have in common; false when the order has been
  * turned away. */
-static bool take_order(struct standin_worker *worker,
-		       struct rj_http_exchange *exchange, const json_t *body)
+static bool accept_order(struct standin_worker *worker,
+			 struct rj_http_exchange *exchange, const json_t *body)
 {
 	uint64_t token = (uint64_t)json_integer_value(
 		json_object_get(body, "FencingToken"));
 	uint64_t deadline_ms = (uint64_t)json_integer_value(
 		json_object_get(body, "DeadlineMs"));
-	uint64_t longest_ms = standin_now_ms() + LEASE_MAX_MS;
+	uint64_t deadline_max_ms = standin_now_ms() + LEASE_MAX_MS;
 
 	if (token < worker->token) {
-		refuse(exchange, "fence");
+		reject_order(exchange, "fence");
 		return false;
 	}
 	worker->token = token;
-	worker->lease_ms = MAX(worker->lease_ms, MIN(deadline_ms, longest_ms));
+	worker->lease_until_ms =
+		MAX(worker->lease_until_ms, MIN(deadline_ms, deadline_max_ms));
 	return true;
 }
 
@@ -197,26 +203,26 @@
 	const char *spec = json_string_value(json_object_get(body, "Spec"));
 	json_t *number = json_object_get(body, "RunId");
 	json_t *run = json_object_get(worker->running, name);
-	json_int_t barred =
-		json_integer_value(json_object_get(worker->barred, name));
+	json_int_t closed_runs =
+		json_integer_value(json_object_get(worker->closed_runs, name));
 	uint64_t now_ms = standin_now_ms();
 	uint64_t until_ms = now_ms + g_ascii_strtoull(spec, NULL, 10);
 
-	if (worker->faults.sick) {
+	if (worker->faults.refuse_starts) {
 		rj_http_exchange_error(exchange, 503, "not well, as asked");
 		return;
 	}
-	if (!take_order(worker, exchange, body))
+	if (!accept_order(worker, exchange, body))
 		return;
 	if (run && json_equal(json_object_get(run, "run"), number)) {
 		answer(exchange, 200, json_object());
 		return;
 	}
-	if (run || json_integer_value(number) <= barred) {
-		refuse(exchange, "old");
+	if (run || json_integer_value(number) <= closed_runs) {
+		reject_order(exchange, "old");
 		return;
 	}
-	tell(worker, "begin", name, json_integer_value(number), spec);
+	print_event(worker, "begin", name, json_integer_value(number), spec);
 	json_object_set_new(worker->running, name,
 			    json_pack("{s:O,s:I,s:I}", "run", number, "from_ms",
 				      (json_int_t)now_ms, "until_ms",
@@ -230,19 +236,20 @@
 {
 	const char *name = json_string_value(json_object_get(body, "Task"));
 
-	if (!take_order(worker, exchange, body))
+	if (!accept_order(worker, exchange, body))
 		return;
 	if (json_object_get(worker->running, name))
-		end_run(worker, name, "stopped");
+		complete_run(worker, name, "stopped");
 	else
-		json_object_set(worker->barred, name,
+		json_object_set(worker->closed_runs, name,
 				json_object_get(body, "RunId"));
 	answer(exchange, 200, json_object());
-	end_polls(worker, true);
+	answer_waiting_polls(worker, true);
 }
 
 /* Ends up to a number have been taken note of. */
-static void forget_ends(struct standin_worker *worker, json_int_t seen)
+static void remove_seen_completions(struct standin_worker *worker,
+				    json_int_t seen)
 {
 	while (json_array_size(worker->finished)) {
 		const json_t *row = json_array_get(worker->finished, 0);
@@ -250,16 +257,16 @@
 		if (json_integer_value(json_array_get(row, 0)) > seen)
 			break;
 		/* What ended before a lease lapsed is not noted by this. */
-		tell(worker,
-		     g_array_index(worker->ended_ms, uint64_t, 0) >
-				     worker->lapsed_ms ?
-			     "noted" :
-			     "forgotten",
-		     json_string_value(json_array_get(row, 1)),
-		     json_integer_value(json_array_get(row, 2)),
-		     json_string_value(json_array_get(row, 3)));
+		print_event(worker,
+			    g_array_index(worker->completed_ms, uint64_t, 0) >
+					    worker->lease_expired_ms ?
+				    "noted" :
+				    "forgotten",
+			    json_string_value(json_array_get(row, 1)),
+			    json_integer_value(json_array_get(row, 2)),
+			    json_string_value(json_array_get(row, 3)));
 		json_array_remove(worker->finished, 0);
-		g_array_remove_index(worker->ended_ms, 0);
+		g_array_remove_index(worker->completed_ms, 0);
 	}
 }
 
@@ -272,9 +279,9 @@
 		json_integer_value(json_object_get(body, "WaitMs"));
 	struct waiting_poll *poll;
 
-	if (!take_order(worker, exchange, body))
+	if (!accept_order(worker, exchange, body))
 		return;
-	forget_ends(worker, seen);
+	remove_seen_completions(worker, seen);
 	if (!wait_ms || json_array_size(worker->finished)) {
 		answer_poll(worker, exchange);
 		return;
@@ -283,10 +290,10 @@
 	poll->worker = worker;
 	poll->exchange = exchange;
 	poll->until_ms = standin_now_ms() + (uint64_t)wait_ms;
-	poll->hook = talloc(exchange, struct waiting_poll *);
-	*poll->hook = poll;
-	talloc_set_destructor(poll->hook, hook_destructor);
-	g_ptr_array_add(worker->waiting, poll);
+	poll->disconnect_hook = talloc(exchange, struct waiting_poll *);
+	*poll->disconnect_hook = poll;
+	talloc_set_destructor(poll->disconnect_hook, detach_poll);
+	g_ptr_array_add(worker->waiting_polls, poll);
 }
 
 /* The worker crashes, and starts again under its id: it holds nothing. */
@@ -295,18 +302,18 @@
 	const char *name;
 	json_t *run;
 
-	json_object_foreach(worker->running, name, run)
-		tell(worker, "end", name,
-		     json_integer_value(json_object_get(run, "run")), "gone");
+	json_object_foreach(worker->running, name, run) print_event(
+		worker, "end", name,
+		json_integer_value(json_object_get(run, "run")), "gone");
 	json_object_clear(worker->running);
 	json_array_clear(worker->finished);
-	g_array_set_size(worker->ended_ms, 0);
-	json_object_clear(worker->barred);
-	worker->ends = 0;
+	g_array_set_size(worker->completed_ms, 0);
+	json_object_clear(worker->closed_runs);
+	worker->completion_count = 0;
 	worker->token = 0;
-	worker->lease_ms = 0;
-	worker->born_ms = standin_now_ms();
-	end_polls(worker, true);
+	worker->lease_until_ms = 0;
+	worker->incarnation = standin_now_ms();
+	answer_waiting_polls(worker, true);
 }
 
 /* The test says what the worker does from now on, and where it is. */
@@ -314,20 +321,20 @@
 			 struct rj_http_exchange *exchange, const json_t *body)
 {
 	struct standin_faults *faults = &worker->faults;
-	const char *published =
+	const char *published_address =
 		json_string_value(json_object_get(body, "published"));
 
-	faults->fails = json_is_true(json_object_get(body, "fails"));
-	faults->stands_still =
+	faults->fail_runs = json_is_true(json_object_get(body, "fails"));
+	faults->stall_runs =
 		json_is_true(json_object_get(body, "stands_still"));
-	faults->sick = json_is_true(json_object_get(body, "sick"));
-	faults->leaving = json_is_true(json_object_get(body, "leaving"));
-	if (published)
-		g_strlcpy(worker->published, published,
-			  sizeof(worker->published));
+	faults->refuse_starts = json_is_true(json_object_get(body, "sick"));
+	faults->draining = json_is_true(json_object_get(body, "leaving"));
+	if (published_address)
+		g_strlcpy(worker->published_address, published_address,
+			  sizeof(worker->published_address));
 	if (json_is_true(json_object_get(body, "crash")))
 		crash(worker);
-	standin_worker_beat(worker);
+	standin_worker_heartbeat(worker);
 	answer(exchange, 200, json_object());
 }
 
@@ -347,7 +354,7 @@
 	else if (!strcmp(exchange->path, "/standin/fault"))
 		handle_fault(worker, exchange, body);
 	else if (!strcmp(exchange->path, "/standin/done"))
-		answer(exchange, 200, json_deep_copy(worker->done));
+		answer(exchange, 200, json_deep_copy(worker->completed_counts));
 	else
 		rj_http_exchange_error(exchange, 404, "no such call");
 	json_decref(body);
@@ -356,7 +363,7 @@
 /*
  * Show in the log that the worker lives.
  */
-void standin_worker_beat(struct standin_worker *worker)
+void standin_worker_heartbeat(struct standin_worker *worker)
 {
 	char rack[16];
 	json_t *entry;
@@ -366,13 +373,13 @@
 			 worker->number / RACK_WORKERS);
 	entry = json_pack(
 		"{s:s,s:s,s:s,s:s,s:{s:i,s:i,s:i},s:[s,s],s:I}", "Service",
-		"render", "Address", worker->published, "Zone", "z", "State",
-		worker->faults.leaving ? "draining" : "ready", "Capacity",
-		"Cpu", 64000, "MemMb", 65536, "Gpu", 8, "Labels", "a", rack,
-		"born", (json_int_t)worker->born_ms);
+		"render", "Address", worker->published_address, "Zone", "z",
+		"State", worker->faults.draining ? "draining" : "ready",
+		"Capacity", "Cpu", 64000, "MemMb", 65536, "Gpu", 8, "Labels",
+		"a", rack, "born", (json_int_t)worker->incarnation);
 	text = json_dumps(entry, JSON_COMPACT);
-	standin_log_put(worker->log, "keyed.servers", worker->id, text,
-			strlen(text));
+	standin_log_append(worker->log, "keyed.servers", worker->id, text,
+			   strlen(text));
 	free(text);
 	json_decref(entry);
 }
@@ -395,17 +402,18 @@
 	memset(worker, 0, sizeof(*worker));
 	worker->log = log;
 	worker->number = number;
-	worker->born_ms = standin_now_ms();
+	worker->incarnation = standin_now_ms();
 	worker->running = json_object();
 	worker->finished = json_array();
-	worker->ended_ms = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	worker->barred = json_object();
-	worker->done = json_object();
-	worker->waiting = g_ptr_array_new();
+	worker->completed_ms = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	worker->closed_runs = json_object();
+	worker->completed_counts = json_object();
+	worker->waiting_polls = g_ptr_array_new();
 	(void)g_snprintf(worker->id, sizeof(worker->id), "w%u", number);
 	if (rj_http_server_init(&worker->server, mem, log->ev, &options, err))
 		return -1;
-	(void)g_snprintf(worker->published, sizeof(worker->published), "%s:%u",
+	(void)g_snprintf(worker->published_address,
+			 sizeof(worker->published_address), "%s:%u",
 			 worker->server.address.ip,
 			 worker->server.address.port);
 	return 0;
--- a/src/test_libradishjunction/support/fuzz_targets.c
+++ b/src/test_libradishjunction/support/fuzz_targets.c
@@ -185,7 +185,7 @@
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error err;
-	struct rj_cell_def *def = platform_wire_job(
+	struct rj_cell_def *def = platform_wire_decode_job(
 		mem, (struct rj_bytes){ data, (uint32_t)length }, &err);
 	struct rj_cell_def *back;
 
@@ -208,9 +208,9 @@
 	struct rj_cell_heartbeat heartbeat;
 	struct rj_error err;
 
-	if (!platform_wire_worker(text, &heartbeat, &err))
+	if (!platform_wire_decode_worker(text, &heartbeat, &err))
 		assert(heartbeat.address.port && heartbeat.service[0]);
-	platform_wire_config(mem, text, &err);
+	platform_wire_decode_config(mem, text, &err);
 	talloc_free(mem);
 }
 
@@ -224,11 +224,12 @@
 	struct rj_cell_order_reply order = { 0 };
 	char reason[RJ_NAME_BYTES];
 
-	if (!platform_wire_records(mem, (const char *)data, length, 0, &reply))
+	if (!platform_wire_decode_records(mem, (const char *)data, length, 0,
+					  &reply))
 		assert(reply.next == reply.count);
-	platform_wire_newest(mem, (const char *)data, length, &reply);
-	platform_wire_order_reply(mem, (const char *)data, length, &order,
-				  reason);
+	platform_wire_decode_newest(mem, (const char *)data, length, &reply);
+	platform_wire_decode_order_reply(mem, (const char *)data, length,
+					 &order, reason);
 	talloc_free(mem);
 }
 
--- a/src/test_libradishjunction/test_platform_calls.c
+++ b/src/test_libradishjunction/test_platform_calls.c
@@ -52,13 +52,13 @@
 }
 
 /* Nothing else is due after an event. */
-static void after(void *private_data)
+static void after_event(void *private_data)
 {
 }
 
 static void setup(struct fixture *f, const void *data)
 {
-	const struct platform_sink sink = { after, f };
+	const struct platform_event_hook hook = { after_event, f };
 	struct rj_http_server_options options = {
 		.address = { .ip = "127.0.0.1" },
 		.connections_max = 32,
@@ -76,9 +76,9 @@
 					   &options, &err));
 	settings.store = f->server.address;
 	g_assert_false(platform_store_init(&f->store, f->loop, f->loop,
-					   &settings, &sink, &err));
+					   &settings, &hook, &err));
 	g_assert_false(platform_workers_init(&f->workers, f->loop, f->loop,
-					     &settings, &sink, &err));
+					     &settings, &hook, &err));
 }
 
 static void teardown(struct fixture *f, const void *data)
--- a/src/test_libradishjunction/test_platform_wire.c
+++ b/src/test_libradishjunction/test_platform_wire.c
@@ -20,7 +20,7 @@
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error err;
-	struct rj_cell_def *def = platform_wire_job(
+	struct rj_cell_def *def = platform_wire_decode_job(
 		mem,
 		bytes_of("{\"Spec\":\"x\",\"RepeatCount\":3,\"FirstRunMs\":5,"
 			 "\"IntervalMs\":7,\"New\":1,\"Steps\":[{\"Count\":4,"
@@ -81,8 +81,8 @@
 		void *mem = talloc_new(NULL);
 		struct rj_error err = { .message = "" };
 
-		g_assert_null(
-			platform_wire_job(mem, bytes_of(cases[i].body), &err));
+		g_assert_null(platform_wire_decode_job(
+			mem, bytes_of(cases[i].body), &err));
 		if (!strstr(err.message, cases[i].fault))
 			g_error("%s: %s", cases[i].body, err.message);
 		talloc_free(mem);
@@ -94,7 +94,7 @@
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error err;
-	struct rj_cell_config *config = platform_wire_config(
+	struct rj_cell_config *config = platform_wire_decode_config(
 		mem,
 		bytes_of("{\"Version\":7,\"Routes\":[{\"Name\":\"r\","
 			 "\"Host\":\"h.example\",\"PathPrefix\":\"/p/\","
@@ -125,16 +125,16 @@
 {
 	const char *name = NULL;
 
-	g_assert_cmpint(platform_wire_published("config", &name), ==,
+	g_assert_cmpint(platform_wire_classify_key("config", &name), ==,
 			RJ_CELL_PUBLISHED_CONFIG);
-	g_assert_cmpint(platform_wire_published("evacuate/z-1", &name), ==,
+	g_assert_cmpint(platform_wire_classify_key("evacuate/z-1", &name), ==,
 			RJ_CELL_PUBLISHED_CORDON);
 	g_assert_cmpstr(name, ==, "z-1");
-	g_assert_cmpint(platform_wire_published("wave/1", &name), ==,
+	g_assert_cmpint(platform_wire_classify_key("wave/1", &name), ==,
 			RJ_CELL_PUBLISHED_UNKNOWN);
-	g_assert_cmpint(platform_wire_published("evacuate", &name), ==,
+	g_assert_cmpint(platform_wire_classify_key("evacuate", &name), ==,
 			RJ_CELL_PUBLISHED_UNKNOWN);
-	g_assert_cmpint(platform_wire_published("configs", &name), ==,
+	g_assert_cmpint(platform_wire_classify_key("configs", &name), ==,
 			RJ_CELL_PUBLISHED_UNKNOWN);
 }
 
@@ -144,7 +144,7 @@
 	void *mem = talloc_new(NULL);
 	struct rj_error err = { .kind = RJ_ERR_NONE };
 
-	g_assert_null(platform_wire_config(mem, bytes_of("{"), &err));
+	g_assert_null(platform_wire_decode_config(mem, bytes_of("{"), &err));
 	g_assert_cmpint(err.kind, ==, RJ_ERR_MALFORMED);
 	talloc_free(mem);
 }
@@ -179,15 +179,16 @@
 	struct rj_cell_heartbeat heartbeat;
 	struct rj_error err;
 
-	g_assert_false(platform_wire_worker(bytes_of(good), &heartbeat, &err));
+	g_assert_false(
+		platform_wire_decode_worker(bytes_of(good), &heartbeat, &err));
 	g_assert_true(heartbeat.draining);
 	g_assert_cmpuint(heartbeat.drain_left_ms, ==, 1500);
 	g_assert_cmpuint(heartbeat.incarnation, ==, 1700000000123);
 	g_assert_cmpuint(heartbeat.address.port, ==, 8080);
 	g_assert_cmpstr(heartbeat.rack, ==, "r1");
 	for (guint i = 0; i < G_N_ELEMENTS(bad); i++)
-		g_assert_true(platform_wire_worker(bytes_of(bad[i]), &heartbeat,
-						   &err));
+		g_assert_true(platform_wire_decode_worker(bytes_of(bad[i]),
+							  &heartbeat, &err));
 }
 
 /* What is appended is read back; a record that is cut off is an error, and
@@ -200,7 +201,7 @@
 		{ .key = "s1", .value = { NULL, 0 } },
 	};
 	const struct rj_cell_append append = { .records = records, .count = 2 };
-	struct rj_bytes body = platform_wire_append(mem, &append);
+	struct rj_bytes body = platform_wire_encode_append(mem, &append);
 	GString *read = g_string_new(NULL);
 	struct rj_cell_store_reply reply = { 0 };
 	static const char head[16] = { 0, 0, 0, 0, 0, 0, 0, 9,
@@ -208,8 +209,8 @@
 
 	g_string_append_len(read, head, sizeof(head));
 	g_string_append_len(read, (const char *)body.data, body.length);
-	g_assert_false(
-		platform_wire_records(mem, read->str, read->len, 7, &reply));
+	g_assert_false(platform_wire_decode_records(mem, read->str, read->len,
+						    7, &reply));
 	g_assert_cmpuint(reply.count, ==, 2);
 	g_assert_cmpuint(reply.end, ==, 9);
 	g_assert_cmpuint(reply.next, ==, 9);
@@ -221,8 +222,8 @@
 		bool whole = length == sizeof(head) ||
 			     length == sizeof(head) + 4 + 1 + 2 + 2;
 
-		g_assert_cmpint(!platform_wire_records(mem, read->str, length,
-						       7, &reply),
+		g_assert_cmpint(!platform_wire_decode_records(
+					mem, read->str, length, 7, &reply),
 				==, whole);
 	}
 	g_string_free(read, TRUE);
@@ -238,13 +239,14 @@
 		"\"HasMore\":true,\"EndOffset\":6}";
 	struct rj_cell_store_reply reply = { 0 };
 
-	g_assert_false(platform_wire_newest(mem, page, strlen(page), &reply));
+	g_assert_false(
+		platform_wire_decode_newest(mem, page, strlen(page), &reply));
 	g_assert_true(reply.more);
 	g_assert_cmpuint(reply.end, ==, 6);
 	g_assert_cmpuint(reply.records[0].offset, ==, 4);
 	g_assert_cmpmem(reply.records[0].value.data,
 			reply.records[0].value.length, "ab", 2);
-	g_assert_true(platform_wire_newest(mem, "{", 1, &reply));
+	g_assert_true(platform_wire_decode_newest(mem, "{", 1, &reply));
 	talloc_free(mem);
 }
 
@@ -260,8 +262,8 @@
 	struct rj_cell_order_reply reply = { 0 };
 	char reason[RJ_NAME_BYTES];
 
-	g_assert_false(platform_wire_order_reply(mem, body, strlen(body),
-						 &reply, reason));
+	g_assert_false(platform_wire_decode_order_reply(mem, body, strlen(body),
+							&reply, reason));
 	g_assert_cmpuint(reply.clock_ms, ==, 482113);
 	g_assert_cmpuint(reply.incarnation, ==, 17);
 	g_assert_cmpuint(reply.row_count, ==, 3);
@@ -270,8 +272,8 @@
 	g_assert_cmpstr(reply.rows[1].saved, ==, "");
 	g_assert_cmpint(reply.ends[0].end, ==, RJ_CELL_END_DONE);
 	g_assert_cmpint(reply.ends[1].end, ==, RJ_CELL_END_LOST);
-	g_assert_true(
-		platform_wire_order_reply(mem, "<html>", 6, &reply, reason));
+	g_assert_true(platform_wire_decode_order_reply(mem, "<html>", 6, &reply,
+						       reason));
 	talloc_free(mem);
 }
 
@@ -289,17 +291,19 @@
 	struct rj_cell_advice_reply reply;
 	void *mem = talloc_new(NULL);
 
-	g_assert_cmpstr(platform_wire_question(mem, "j.0.1", workers, 2), ==,
-			"{\"Step\":\"j.0.1\",\"Workers\":[\"i-1\",\"i-2\"]}");
-	g_assert_cmpint(platform_wire_advice(mem, good, strlen(good), &reply),
+	g_assert_cmpstr(
+		platform_wire_encode_advice_request(mem, "j.0.1", workers, 2),
+		==, "{\"Step\":\"j.0.1\",\"Workers\":[\"i-1\",\"i-2\"]}");
+	g_assert_cmpint(platform_wire_decode_advice_reply(mem, good,
+							  strlen(good), &reply),
 			==, 0);
 	g_assert_cmpuint(reply.count, ==, 1);
 	g_assert_cmpuint(reply.valid_ms, ==, 3000);
 	g_assert_cmpstr(reply.tickets[0].worker, ==, "i-2");
 	g_assert_cmpstr(reply.tickets[0].ticket, ==, "t2");
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++)
-		g_assert_cmpint(platform_wire_advice(mem, bad[i],
-						     strlen(bad[i]), &reply),
+		g_assert_cmpint(platform_wire_decode_advice_reply(
+					mem, bad[i], strlen(bad[i]), &reply),
 				==, -1);
 	talloc_free(mem);
 }
