--- a/src/standin_users/log.c
+++ b/src/standin_users/log.c
@@ -13,7 +13,7 @@
 #define CONNECTIONS_MAX 256
 #define LENGTH_BYTES 4
 
-/* What is known of one producer. */
+/* The appends of a producer. */
 struct producer {
 	uint64_t epoch;
 	bool has_appended;
@@ -21,7 +21,7 @@
 	uint64_t end; /* after the last append */
 };
 
-/* A read that waits for a record. */
+/* A long poll that waits for a record. */
 struct waiting_read {
 	struct standin_log *log;
 	struct rj_http_exchange *exchange;
@@ -30,7 +30,7 @@
 	struct waiting_read **disconnect_hook; /* freed with the exchange */
 };
 
-/* A topic, made on its first use. */
+/* Returns a topic, and creates it on its first use. */
 static struct standin_topic *topic_of(struct standin_log *log, const char *name)
 {
 	struct standin_topic *topic = g_hash_table_lookup(log->topics, name);
@@ -43,7 +43,7 @@
 	return topic;
 }
 
-/* A number out of the query. */
+/* Returns a number from the query, or 0. */
 static uint64_t query_number(struct rj_http_exchange *exchange,
 			     const char *name)
 {
@@ -52,7 +52,7 @@
 	return text ? g_ascii_strtoull(text, NULL, 10) : 0;
 }
 
-/* Answer a read with all records from an offset on. */
+/* Answers a read with all records from an offset on. */
 static void answer_read(struct rj_http_exchange *exchange,
 			const struct standin_topic *topic, uint64_t from)
 {
@@ -79,7 +79,7 @@
 	g_byte_array_free(body, TRUE);
 }
 
-/* End a read that waits. */
+/* Answers a waiting read and frees it. */
 static void answer_waiting_read(struct waiting_read *read)
 {
 	struct rj_http_exchange *exchange = read->exchange;
@@ -90,7 +90,7 @@
 	g_free(read);
 }
 
-/* The client of a waiting read has gone. */
+/* Drops a waiting read whose client has disconnected. */
 static int detach_read(struct waiting_read **disconnect_hook)
 {
 	if (*disconnect_hook) {
@@ -101,7 +101,7 @@
 	return 0;
 }
 
-/* A read has waited for as long as it asked to. */
+/* The wait time of a read has passed. */
 static void waited(struct tevent_context *ev, struct tevent_timer *timer,
 		   struct timeval now, void *private_data)
 {
@@ -111,7 +111,7 @@
 		answer_waiting_read(*disconnect_hook);
 }
 
-/* A read: at once, or when there is a record. */
+/* Answers a read at once or, as a long poll, when a record is appended. */
 static void handle_read(struct standin_log *log,
 			struct rj_http_exchange *exchange)
 {
@@ -143,7 +143,7 @@
 }
 
 /*
- * Append one record, and answer the reads that waited for it.
+ * Appends a copy of a record, and answers the reads that wait for it.
  */
 void standin_log_append(struct standin_log *log, const char *name,
 			const char *key, const char *value, size_t length)
@@ -163,7 +163,7 @@
 	}
 }
 
-/* The newest record of each key. */
+/* Answers with the newest record of each key. */
 static void handle_newest(struct standin_log *log,
 			  struct rj_http_exchange *exchange)
 {
@@ -202,7 +202,6 @@
 	g_hash_table_destroy(newest);
 }
 
-/* Answer an append. */
 static void answer_append(struct rj_http_exchange *exchange,
 			  unsigned int status, uint64_t end, const char *reason)
 {
@@ -214,7 +213,7 @@
 	rj_http_exchange_answer(exchange, status, text, strlen(text));
 }
 
-/* Add the records of a body. */
+/* Appends the records in the body of an append. */
 static void append_body(struct standin_log *log, const char *name,
 			const struct rj_buffer *body)
 {
@@ -238,7 +237,7 @@
 	}
 }
 
-/* The producer of a name in one topic, made when it is new. */
+/* Returns the producer of a name in one topic, and creates a new one. */
 static struct producer *obtain_producer(struct standin_log *log,
 					const char *topic,
 					const char *producer_id)
@@ -255,7 +254,8 @@
 	return producer;
 }
 
-/* An append, under the rules of producers. */
+/* Appends once per sequence number; rejects older epochs and gaps in the
+ * sequence. */
 static void handle_append(struct standin_log *log,
 			  struct rj_http_exchange *exchange)
 {
@@ -293,7 +293,7 @@
 		answer_append(exchange, 200, producer->end, "");
 }
 
-/* The test says how calls are treated from now on. */
+/* Sets how calls are treated from now on. */
 static void handle_mode(struct standin_log *log,
 			struct rj_http_exchange *exchange)
 {
@@ -310,23 +310,23 @@
 	rj_http_exchange_answer(exchange, 200, "{}", 2);
 }
 
-/* Whether a call meets trouble that was asked for. */
+/* Injects the fault of the current mode. Returns whether the call is done. */
 static bool inject_fault(struct standin_log *log,
 			 struct rj_http_exchange *exchange)
 {
 	bool appends = !strcmp(exchange->path, "/-/log-append");
 
 	if (log->mode == STANDIN_MODE_REFUSE)
-		rj_http_exchange_error(exchange, 503, "refused, as asked");
-	/* A silent call is left open; its client gives up. */
+		rj_http_exchange_error(exchange, 503, "refused, as requested");
+	/* A call without an answer stays open until its client times out. */
 	return log->mode == STANDIN_MODE_REFUSE ||
 	       log->mode == STANDIN_MODE_NO_ANSWER ||
 	       (log->mode == STANDIN_MODE_LOSE_ANSWER && !appends &&
 		g_random_int_range(0, 3) == 0);
 }
 
-/* A call of an instance, or of the test: its own calls put a configuration
- * and bring trouble. */
+/* Handles a call of an instance, or of a test, which publishes a configuration
+ * or sets a fault. */
 static void handle(void *private_data, struct rj_http_exchange *exchange)
 {
 	struct standin_log *log = private_data;
@@ -354,7 +354,7 @@
 }
 
 /*
- * Serve the log on any free port of loopback. Returns 0, or -1 with `err`.
+ * Serves the log on a free port of 127.0.0.1. Returns 0, or -1 with `err`.
  */
 int standin_log_init(struct standin_log *log, void *mem,
 		     struct tevent_context *ev, struct rj_error *err)
--- a/src/standin_users/main.c
+++ b/src/standin_users/main.c
@@ -1,5 +1,5 @@
 /*
- * rj-standin-users: a log and some workers that speak the users' protocol.
+ * rj-standin-users: a log and workers that implement the users' protocol.
  */
 #include <argtable2.h>
 #include <assert.h>
@@ -20,7 +20,7 @@
 	uint32_t count;
 };
 
-/* All workers work on. */
+/* Advances the runs of all workers. */
 static void step(struct tevent_context *ev, struct tevent_timer *timer,
 		 struct timeval now, void *private_data)
 {
@@ -33,7 +33,7 @@
 	assert(timer);
 }
 
-/* All workers show that they live. */
+/* Sends the heartbeats of all workers. */
 static void beat(struct tevent_context *ev, struct tevent_timer *timer,
 		 struct timeval now, void *private_data)
 {
@@ -46,7 +46,7 @@
 	assert(timer);
 }
 
-/* Tell where everything listens. */
+/* Prints the listen addresses, one JSON object on one line. */
 static void print_listening(const struct standin_log *log,
 			    const struct fleet *fleet)
 {
@@ -64,7 +64,7 @@
 	struct arg_int *workers =
 		arg_int0(NULL, "workers", "N", "workers, 4 by default");
 	struct arg_lit *events =
-		arg_lit0(NULL, "events", "tell what the workers do");
+		arg_lit0(NULL, "events", "print the events of runs");
 	struct arg_end *errors = arg_end(ERRORS_MAX);
 	void *table[] = { workers, events, errors };
 	struct tevent_context *ev = tevent_context_init(NULL);
--- a/src/standin_users/standin.h
+++ b/src/standin_users/standin.h
@@ -1,9 +1,9 @@
 /*
- * A small stand-in of the users' platform: its log, and workers that run
- * what they are told, by the users' published protocol. For process tests.
+ * A small stand-in for the users' platform in process tests: its log, and
+ * workers that execute orders by the users' published protocol.
  *
  * Life cycle: `standin_log_init`, then `standin_worker_init` for each worker;
- * all live until the process ends.
+ * all live until the process exits.
  */
 #ifndef STANDIN_USERS_STANDIN_H
 #define STANDIN_USERS_STANDIN_H
@@ -14,10 +14,10 @@
 
 #include "http_server.h"
 
-/* One record of a log of one partition. */
+/* A record of a topic; each topic has one partition. */
 struct standin_record {
 	char *key;
-	char *value; /* NULL: the key is dropped */
+	char *value; /* NULL: deletes the key */
 	size_t length;
 };
 
@@ -25,12 +25,12 @@
 	GPtrArray *records; /* struct standin_record */
 };
 
-/* How the log treats calls, until it is told otherwise. */
+/* How the log treats calls; set by a test. */
 enum standin_mode {
 	STANDIN_MODE_OK,
-	STANDIN_MODE_REFUSE, /* nothing is done, and said so */
-	STANDIN_MODE_NO_ANSWER, /* nothing is done, and nothing said */
-	STANDIN_MODE_LOSE_ANSWER, /* appends are done, and nothing said */
+	STANDIN_MODE_REFUSE, /* does nothing and answers with an error */
+	STANDIN_MODE_NO_ANSWER, /* does nothing and does not answer */
+	STANDIN_MODE_LOSE_ANSWER, /* carries out appends without an answer */
 };
 
 struct standin_log {
@@ -42,35 +42,34 @@
 	GPtrArray *waiting_reads; /* struct waiting_read */
 };
 
-/* What a worker does with what it is told. */
+/* Faults of a worker; set by a test. */
 struct standin_faults {
-	bool fail_runs; /* all that it starts */
-	bool stall_runs;
-	bool refuse_starts; /* it turns starts away */
-	bool draining; /* it says so; it serves on */
+	bool fail_runs; /* every run fails */
+	bool stall_runs; /* no run progresses to its end */
+	bool refuse_starts; /* answers starts with an error */
+	bool draining; /* reports this state, and serves on */
 };
 
-/* One worker; it remembers every task that it has run, for the verdict. */
+/* A worker; it counts the completions of every task for the test's checks. */
 struct standin_worker {
 	struct standin_log *log;
 	struct rj_http_server server;
 	char id[RJ_NAME_BYTES];
 	uint32_t number;
-	char published_address[RJ_IP_BYTES + 8]; /* where callers are sent */
+	char published_address[RJ_IP_BYTES + 8]; /* address in its heartbeats */
 	struct standin_faults faults;
-	bool prints_events; /* what it does, on standard output */
+	bool prints_events; /* of runs, to standard output */
 	uint64_t incarnation;
-	uint64_t token;
-	uint64_t lease_until_ms;
-	json_t *running; /* name -> { run, until_ms } */
-	json_t *finished; /* rows */
-	json_t *closed_runs; /* name -> run */
+	uint64_t token; /* highest fencing token */
+	uint64_t lease_until_ms; /* of all runs */
+	json_t *running; /* name -> { run, from_ms, until_ms } */
+	json_t *finished; /* rows of unseen completions */
+	json_t *closed_runs; /* name -> last run that ended or was stopped */
 	uint64_t completion_count;
-	uint64_t
-		lease_expired_ms; /* when its lease was last found to have lapsed */
-	GArray *completed_ms; /* uint64_t: of each row of finished */
+	uint64_t lease_expired_ms; /* last time its lease was found expired */
+	GArray *completed_ms; /* uint64_t for each row of `finished` */
 	GPtrArray *waiting_polls; /* struct waiting_poll */
-	json_t *completed_counts; /* name -> how often it has ended well */
+	json_t *completed_counts; /* name -> number of successful runs */
 };
 
 uint64_t standin_now_ms(void);
--- a/src/standin_users/worker.c
+++ b/src/standin_users/worker.c
@@ -12,10 +12,10 @@
 #define CONNECTIONS_MAX 64
 #define LEASE_MAX_MS 6000
 #define RACK_WORKERS 4
-/* What stands still does not get beyond this. */
+/* A stalled run reports at most this progress. */
 #define STALLED_PERCENT_MAX 60
 
-/* A poll that waits for an end. */
+/* A long poll that waits for a completion. */
 struct waiting_poll {
 	struct standin_worker *worker;
 	struct rj_http_exchange *exchange;
@@ -24,14 +24,14 @@
 };
 
 /*
- * Milliseconds of the clock that all workers here share.
+ * Returns the time in milliseconds by the clock that all workers share.
  */
 uint64_t standin_now_ms(void)
 {
 	return rj_clock_now_us() / RJ_US_PER_MS;
 }
 
-/* Tell a test what happens to a run. */
+/* Prints an event of a run for a test to read. */
 static void print_event(const struct standin_worker *worker, const char *event,
 			const char *name, json_int_t run, const char *outcome)
 {
@@ -43,7 +43,7 @@
 	fflush(stdout);
 }
 
-/* Send an answer; takes `body`. */
+/* Sends an answer with the worker's clock; takes `body`. */
 static void answer(struct rj_http_exchange *exchange, unsigned int status,
 		   json_t *body)
 {
@@ -56,13 +56,13 @@
 	json_decref(body);
 }
 
-/* Turn an order away. */
+/* Rejects an order. */
 static void reject_order(struct rj_http_exchange *exchange, const char *reason)
 {
 	answer(exchange, 409, json_pack("{s:s}", "Reason", reason));
 }
 
-/* Answer a poll with both lists. */
+/* Answers a poll with the lists of runs and completions. */
 static void answer_poll(struct standin_worker *worker,
 			struct rj_http_exchange *exchange)
 {
@@ -93,7 +93,7 @@
 			 "Finished", worker->finished));
 }
 
-/* The client of a waiting poll has gone. */
+/* Drops a waiting poll whose client has disconnected. */
 static int detach_poll(struct waiting_poll **disconnect_hook)
 {
 	if (*disconnect_hook) {
@@ -104,7 +104,7 @@
 	return 0;
 }
 
-/* End the polls that have waited long enough, or all. */
+/* Answers the polls whose wait time has passed, or all. */
 static void answer_waiting_polls(struct standin_worker *worker, bool all)
 {
 	for (guint i = worker->waiting_polls->len; i > 0; i--) {
@@ -119,7 +119,7 @@
 	}
 }
 
-/* A run ends: it is listed until it is seen. */
+/* Completes a run; it stays listed until a poll has acknowledged it. */
 static void complete_run(struct standin_worker *worker, const char *name,
 			 const char *outcome)
 {
@@ -144,7 +144,8 @@
 }
 
 /*
- * Work on: runs end, leases lapse, polls have waited long enough.
+ * Completes the runs that are due or whose lease has expired, and answers
+ * waiting polls.
  */
 void standin_worker_advance(struct standin_worker *worker)
 {
@@ -174,8 +175,8 @@
 	answer_waiting_polls(worker, completed);
 }
 
-/* The fields that all orders have in common; false when the order has been
- * turned away. */
+/* Handles the fencing token and the lease that all orders carry. Returns false
+ * when it has rejected the order. */
 static bool accept_order(struct standin_worker *worker,
 			 struct rj_http_exchange *exchange, const json_t *body)
 {
@@ -195,7 +196,7 @@
 	return true;
 }
 
-/* A start: the spec says how many milliseconds the task takes. */
+/* Starts a run; the spec is its duration in milliseconds. */
 static void handle_start(struct standin_worker *worker,
 			 struct rj_http_exchange *exchange, const json_t *body)
 {
@@ -203,13 +204,14 @@
 	const char *spec = json_string_value(json_object_get(body, "Spec"));
 	json_t *number = json_object_get(body, "RunId");
 	json_t *run = json_object_get(worker->running, name);
-	json_int_t closed_runs =
+	json_int_t last_closed =
 		json_integer_value(json_object_get(worker->closed_runs, name));
 	uint64_t now_ms = standin_now_ms();
 	uint64_t until_ms = now_ms + g_ascii_strtoull(spec, NULL, 10);
 
 	if (worker->faults.refuse_starts) {
-		rj_http_exchange_error(exchange, 503, "not well, as asked");
+		rj_http_exchange_error(exchange, 503,
+				       "unhealthy, as requested");
 		return;
 	}
 	if (!accept_order(worker, exchange, body))
@@ -218,7 +220,7 @@
 		answer(exchange, 200, json_object());
 		return;
 	}
-	if (run || json_integer_value(number) <= closed_runs) {
+	if (run || json_integer_value(number) <= last_closed) {
 		reject_order(exchange, "old");
 		return;
 	}
@@ -230,7 +232,7 @@
 	answer(exchange, 200, json_object());
 }
 
-/* A stop, also of what has not come yet. */
+/* Stops a run, or rejects it in advance if its start has not arrived yet. */
 static void handle_stop(struct standin_worker *worker,
 			struct rj_http_exchange *exchange, const json_t *body)
 {
@@ -247,7 +249,7 @@
 	answer_waiting_polls(worker, true);
 }
 
-/* Ends up to a number have been taken note of. */
+/* Drops the completions up to the position that a poll has acknowledged. */
 static void remove_seen_completions(struct standin_worker *worker,
 				    json_int_t seen)
 {
@@ -256,7 +258,8 @@
 
 		if (json_integer_value(json_array_get(row, 0)) > seen)
 			break;
-		/* What ended before a lease lapsed is not noted by this. */
+		/* A completion from before the lease expired does not count as
+		 * acknowledged. */
 		print_event(worker,
 			    g_array_index(worker->completed_ms, uint64_t, 0) >
 					    worker->lease_expired_ms ?
@@ -270,7 +273,7 @@
 	}
 }
 
-/* A poll: ends that were seen are forgotten. */
+/* Answers a poll, at once if there are completions to list. */
 static void handle_poll(struct standin_worker *worker,
 			struct rj_http_exchange *exchange, const json_t *body)
 {
@@ -296,7 +299,7 @@
 	g_ptr_array_add(worker->waiting_polls, poll);
 }
 
-/* The worker crashes, and starts again under its id: it holds nothing. */
+/* Simulates a crash and restart under the same id: all runs are lost. */
 static void crash(struct standin_worker *worker)
 {
 	const char *name;
@@ -316,7 +319,7 @@
 	answer_waiting_polls(worker, true);
 }
 
-/* The test says what the worker does from now on, and where it is. */
+/* Sets the worker's faults and its published address. */
 static void handle_fault(struct standin_worker *worker,
 			 struct rj_http_exchange *exchange, const json_t *body)
 {
@@ -338,7 +341,7 @@
 	answer(exchange, 200, json_object());
 }
 
-/* An order of an instance, or the test's question what has been done. */
+/* Handles an order of an instance, or a call of a test. */
 static void handle(void *private_data, struct rj_http_exchange *exchange)
 {
 	struct standin_worker *worker = private_data;
@@ -361,7 +364,7 @@
 }
 
 /*
- * Show in the log that the worker lives.
+ * Appends the worker's heartbeat to the log.
  */
 void standin_worker_heartbeat(struct standin_worker *worker)
 {
@@ -385,7 +388,7 @@
 }
 
 /*
- * Serve one worker on any free port of loopback. Returns 0, or -1 with `err`.
+ * Serves a worker on a free port of 127.0.0.1. Returns 0, or -1 with `err`.
  */
 int standin_worker_init(struct standin_worker *worker, void *mem,
 			struct standin_log *log, uint32_t number,
--- a/src/test_libradishjunction/test_platform_calls.c
+++ b/src/test_libradishjunction/test_platform_calls.c
@@ -1,6 +1,6 @@
 /*
- * The adapters of the users' platform over loopback, against a server that
- * answers as each test says: what each answer, or none, is taken for.
+ * The store and worker adapters against a scripted HTTP server on loopback:
+ * the status that each answer, or a missing answer, is mapped to.
  */
 #include <curl/curl.h>
 #include <glib.h>
@@ -9,7 +9,7 @@
 
 #include "adapters.h"
 
-/* What the stand-in answers next; status 0 closes the connection. */
+/* The next answer of the server; status 0 closes the connection. */
 struct script {
 	unsigned int status;
 	const char *body;
@@ -19,8 +19,8 @@
 	struct tevent_context *loop;
 	struct rj_http_server server;
 	struct script script;
-	char path[512]; /* of the last call */
-	char target[64]; /* its header that names a worker */
+	char path[512]; /* of the last request, with its main arguments */
+	char target[64]; /* its Target-Instance header */
 	char body[512];
 	struct platform_store store;
 	struct platform_workers workers;
@@ -29,7 +29,7 @@
 	struct rj_cell_order_reply order;
 };
 
-/* Answer one call as the script says. */
+/* Records a request and answers it by the script. */
 static void handle(void *private_data, struct rj_http_exchange *exchange)
 {
 	struct fixture *f = private_data;
@@ -51,7 +51,7 @@
 					f->script.body, strlen(f->script.body));
 }
 
-/* Nothing else is due after an event. */
+/* These tests have no node to run after an event. */
 static void after_event(void *private_data)
 {
 }
@@ -89,7 +89,6 @@
 	talloc_free(f->loop);
 }
 
-/* The store has answered. */
 static void store_done(void *private_data,
 		       const struct rj_cell_store_reply *reply)
 {
@@ -99,7 +98,6 @@
 	f->done = true;
 }
 
-/* A worker has answered. */
 static void order_done(void *private_data,
 		       const struct rj_cell_order_reply *reply)
 {
@@ -109,7 +107,7 @@
 	f->done = true;
 }
 
-/* Run the loop until the call has ended. */
+/* Runs the event loop until the call has completed. */
 static void wait_done(struct fixture *f)
 {
 	while (!f->done)
@@ -117,29 +115,30 @@
 	f->done = false;
 }
 
-/* Append once, with an answer. */
+/* Appends a record; the server answers with `status` and `body`. */
 static enum rj_cell_store_status append(struct fixture *f, unsigned int status,
 					const char *body)
 {
 	const struct rj_cell_record record = {
 		.key = "o", .value = { (const uint8_t *)"v", 1 }
 	};
-	const struct rj_cell_append what = { .producer = "owner",
-					     .epoch = 8,
-					     .sequence = 3,
-					     .records = &record,
-					     .count = 1 };
+	const struct rj_cell_append request = { .producer = "owner",
+						.epoch = 8,
+						.sequence = 3,
+						.records = &record,
+						.count = 1 };
 
 	f->script = (struct script){ status, body };
 	f->store.store.ops->append(
-		&f->store.store, &what,
+		&f->store.store, &request,
 		(struct rj_cell_store_done){ store_done, f });
 	wait_done(f);
 	return f->reply.status;
 }
 
-/* Each answer to an append means what the protocol says. */
-static void test_answers_to_an_append(struct fixture *f, const void *data)
+/* Each answer to an append is mapped to the protocol's meaning; a refusal that
+ * counts as lost, or the reverse, would drop or repeat records. */
+static void test_append_answers(struct fixture *f, const void *data)
 {
 	g_assert_cmpint(append(f, 200, "{\"Offset\":7,\"EndOffset\":8}"), ==,
 			RJ_CELL_STORE_OK);
@@ -158,24 +157,23 @@
 }
 
 /*
- * A job that was refused runs all the same.
- * The store carried its append out and the connection broke before the
- * answer: that is no refusal.
+ * An append whose connection breaks before the answer may have been carried
+ * out. If it counted as refused, a job that the client was told is refused
+ * would still run.
  */
-static void test_a_broken_append_is_no_refusal(struct fixture *f,
-					       const void *data)
+static void test_append_connection_lost(struct fixture *f, const void *data)
 {
 	g_assert_cmpint(append(f, 0, ""), ==, RJ_CELL_STORE_LOST);
 }
 
-/* Nobody listens: nothing can have been done. */
-static void test_an_append_that_never_left(struct fixture *f, const void *data)
+/* No server listens, so the append cannot have been carried out. */
+static void test_append_not_sent(struct fixture *f, const void *data)
 {
 	rj_http_server_finish(&f->server);
 	g_assert_cmpint(append(f, 200, ""), ==, RJ_CELL_STORE_REFUSED);
 }
 
-/* Read once, with an answer. */
+/* Reads from offset 5; the server answers with `status` and no body. */
 static enum rj_cell_store_status read_once(struct fixture *f,
 					   unsigned int status)
 {
@@ -186,8 +184,9 @@
 	return f->reply.status;
 }
 
-/* Expired records, a log that nobody has written, a body that is cut off. */
-static void test_answers_to_a_read(struct fixture *f, const void *data)
+/* Expired records, a topic that does not exist yet, an overloaded store and a
+ * truncated body. */
+static void test_read_answers(struct fixture *f, const void *data)
 {
 	g_assert_cmpint(read_once(f, 410), ==, RJ_CELL_STORE_GONE);
 	g_assert_cmpstr(f->path, ==, "/-/log-read keyed.op - -");
@@ -197,30 +196,31 @@
 	g_assert_cmpint(read_once(f, 200), ==, RJ_CELL_STORE_BAD);
 }
 
-/* Order one start, with an answer. */
+/* Orders a start; the worker answers with `status` and `body`. */
 static enum rj_cell_order_status start(struct fixture *f, unsigned int status,
 				       const char *body)
 {
 	struct rj_cell_worker worker = { .id = "i-1" };
-	const struct rj_cell_start what = { .name = "a.0.0.0",
-					    .number = 2,
-					    .spec = "say \"hi\"",
-					    .checkpoint = "",
-					    .ticket = "t-9",
-					    .deadline_ms = 10,
-					    .token = 3 };
+	const struct rj_cell_start request = { .name = "a.0.0.0",
+					       .number = 2,
+					       .spec = "say \"hi\"",
+					       .checkpoint = "",
+					       .ticket = "t-9",
+					       .deadline_ms = 10,
+					       .token = 3 };
 
 	worker.said.address = f->server.address;
 	f->script = (struct script){ status, body };
 	f->workers.workers.ops->start(
-		&f->workers.workers, &worker, &what,
+		&f->workers.workers, &worker, &request,
 		(struct rj_cell_order_done){ order_done, f });
 	wait_done(f);
 	return f->order.status;
 }
 
-/* Each answer of a worker means what the protocol says. */
-static void test_answers_of_a_worker(struct fixture *f, const void *data)
+/* Each answer of a worker is mapped to the protocol's meaning, and the order
+ * names its worker and omits an empty checkpoint. */
+static void test_worker_answers(struct fixture *f, const void *data)
 {
 	g_assert_cmpint(start(f, 200, "{\"ClockMs\":7}"), ==, RJ_CELL_ORDER_OK);
 	g_assert_cmpuint(f->order.clock_ms, ==, 7);
@@ -256,10 +256,10 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	ADD("append", test_answers_to_an_append);
-	ADD("broken", test_a_broken_append_is_no_refusal);
-	ADD("unsent", test_an_append_that_never_left);
-	ADD("read", test_answers_to_a_read);
-	ADD("worker", test_answers_of_a_worker);
+	ADD("append", test_append_answers);
+	ADD("broken", test_append_connection_lost);
+	ADD("unsent", test_append_not_sent);
+	ADD("read", test_read_answers);
+	ADD("worker", test_worker_answers);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_platform_settings.c
+++ b/src/test_libradishjunction/test_platform_settings.c
@@ -1,14 +1,14 @@
 /*
- * The settings file that the platform makes of our template: figures may be
- * fractions, and a deployment need not have all of them.
+ * The settings file that the platform renders from the template: numbers may
+ * be fractions, and a deployment need not define all of them.
  */
 #include <glib.h>
 #include <glib/gstdio.h>
 
 #include "adapters.h"
 
-/* Load a file that ends with these lines. */
-static int load(const char *figures, struct platform_settings *settings,
+/* Loads a settings file that ends with `numbers`, fields in JSON. */
+static int load(const char *numbers, struct platform_settings *settings,
 		struct rj_error *err)
 {
 	char *path = NULL;
@@ -17,7 +17,7 @@
 		"{\"name\":\"n1\",\"domain\":\"z\",\"callers\":\"127.0.0.1:1\","
 		"\"ready\":\"127.0.0.1:2\",\"metrics\":\"127.0.0.1:3\","
 		"\"store\":\"127.0.0.1:4\",\"advice\":\"\",\"orders\":\"rpc\",%s}",
-		figures);
+		numbers);
 	int result;
 
 	g_assert_cmpint(fd, >=, 0);
@@ -31,12 +31,11 @@
 }
 
 /*
- * No process of a deployment starts.
- * Its bounds have fractions, or lack a figure that belongs to a part of the
- * rules that is not in force there.
- * Cause: the template joined figures with digits, and left gaps.
+ * Guards against a deployment in which no process starts, because the rendered
+ * template has a fraction, or an empty value for a rule that is not in force
+ * there.
  */
-static void test_fractions_and_gaps(void)
+static void test_fractions_and_empty_values(void)
 {
 	struct platform_settings settings;
 	struct rj_error err;
@@ -64,8 +63,8 @@
 	g_assert_cmpuint(settings.terms.entry_life_ms, ==, 4500);
 }
 
-/* A figure that is none is named, with the remedy. */
-static void test_bad_figure(void)
+/* The error for an invalid number names the field and the remedy. */
+static void test_invalid_number(void)
 {
 	struct platform_settings settings;
 	struct rj_error err;
@@ -87,7 +86,7 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/platform_settings/fractions",
-			test_fractions_and_gaps);
-	g_test_add_func("/platform_settings/bad", test_bad_figure);
+			test_fractions_and_empty_values);
+	g_test_add_func("/platform_settings/bad", test_invalid_number);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_platform_wire.c
+++ b/src/test_libradishjunction/test_platform_wire.c
@@ -1,6 +1,6 @@
 /*
- * The codecs of the users' platform: what they read, and what they make of
- * input that is not as its protocol says.
+ * The codecs of the users' platform, with valid input and with input that
+ * violates its protocol.
  */
 #include <glib.h>
 #include <string.h>
@@ -8,19 +8,18 @@
 
 #include "wire.h"
 
-/* A text as bytes. */
 static struct rj_bytes bytes_of(const char *text)
 {
 	return (struct rj_bytes){ (const uint8_t *)text,
 				  (uint32_t)strlen(text) };
 }
 
-/* Every field of a job and of its steps is read. */
-static void test_a_job_is_read(void)
+/* Every field of a job and of its steps is decoded. */
+static void test_job(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error err;
-	struct rj_cell_def *def = platform_wire_decode_job(
+	struct rj_cell_def *job_spec = platform_wire_decode_job(
 		mem,
 		bytes_of("{\"Spec\":\"x\",\"RepeatCount\":3,\"FirstRunMs\":5,"
 			 "\"IntervalMs\":7,\"New\":1,\"Steps\":[{\"Count\":4,"
@@ -34,28 +33,30 @@
 			 "\"Image\":\"i\",\"Speculative\":true}]}"),
 		&err);
 
-	g_assert_nonnull(def);
-	g_assert_cmpuint(def->step_count, ==, 2);
-	g_assert_cmpuint(def->task_count, ==, 24);
-	g_assert_cmpuint(def->repeats, ==, 3);
-	g_assert_cmpuint(def->first_run_ms, ==, 5);
-	g_assert_cmpuint(def->interval_ms, ==, 7);
-	g_assert_cmpuint(def->steps[0].each.accelerators, ==, 2);
-	g_assert_cmpuint(def->steps[0].each.cpu_milli, ==, 500);
-	g_assert_cmpstr(def->steps[0].rack, ==, "r1-3");
-	g_assert_cmpuint(def->steps[1].after[0], ==, 0);
-	g_assert_true(def->steps[1].gang && def->steps[1].one_rack &&
-		      def->steps[1].checkpoints && def->steps[1].perpetual &&
-		      def->steps[1].scavenges && def->steps[1].speculative);
-	g_assert_cmpstr(def->steps[1].label, ==, "a");
-	g_assert_cmpuint(def->steps[1].per_worker_max, ==, 2);
-	g_assert_cmpuint(def->steps[1].may_miss, ==, 1);
-	g_assert_cmpuint(def->steps[1].target_ms, ==, 40);
+	g_assert_nonnull(job_spec);
+	g_assert_cmpuint(job_spec->step_count, ==, 2);
+	g_assert_cmpuint(job_spec->task_count, ==, 24);
+	g_assert_cmpuint(job_spec->repeats, ==, 3);
+	g_assert_cmpuint(job_spec->first_run_ms, ==, 5);
+	g_assert_cmpuint(job_spec->interval_ms, ==, 7);
+	g_assert_cmpuint(job_spec->steps[0].each.accelerators, ==, 2);
+	g_assert_cmpuint(job_spec->steps[0].each.cpu_milli, ==, 500);
+	g_assert_cmpstr(job_spec->steps[0].rack, ==, "r1-3");
+	g_assert_cmpuint(job_spec->steps[1].after[0], ==, 0);
+	g_assert_true(job_spec->steps[1].gang && job_spec->steps[1].one_rack &&
+		      job_spec->steps[1].checkpoints &&
+		      job_spec->steps[1].perpetual &&
+		      job_spec->steps[1].scavenges &&
+		      job_spec->steps[1].speculative);
+	g_assert_cmpstr(job_spec->steps[1].label, ==, "a");
+	g_assert_cmpuint(job_spec->steps[1].per_worker_max, ==, 2);
+	g_assert_cmpuint(job_spec->steps[1].may_miss, ==, 1);
+	g_assert_cmpuint(job_spec->steps[1].target_ms, ==, 40);
 	talloc_free(mem);
 }
 
-/* A body that cannot run is refused with the field at fault. */
-static void test_bad_jobs_are_refused(void)
+/* An invalid job is rejected, and the message names the invalid field. */
+static void test_invalid_jobs(void)
 {
 	static const struct {
 		const char *body;
@@ -89,8 +90,8 @@
 	}
 }
 
-/* Queues, keys and guarantees of one version. */
-static void test_a_configuration_is_read(void)
+/* Queues, services, API keys and guarantees of a configuration are decoded. */
+static void test_config(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error err;
@@ -119,9 +120,9 @@
 	talloc_free(mem);
 }
 
-/* A wave of upkeep, or a name that only resembles one that is known, is taken
- * for a configuration or a cordon. */
-static void test_operator_records_are_told_apart(void)
+/* Guards against taking a maintenance wave, or a key that only resembles a
+ * known one, for a configuration or a cordon. */
+static void test_classify_key(void)
 {
 	const char *name = NULL;
 
@@ -138,8 +139,8 @@
 			RJ_CELL_PUBLISHED_UNKNOWN);
 }
 
-/* A configuration that cannot be read is taken for an empty one. */
-static void test_a_broken_configuration(void)
+/* Guards against taking an invalid configuration for an empty one. */
+static void test_invalid_config(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error err = { .kind = RJ_ERR_NONE };
@@ -150,11 +151,11 @@
 }
 
 /*
- * Work is sent to a worker that does not exist.
- * Another writer has put an entry among those of the workers, with fields
- * missing, of another type, or unreadable. Such an entry names no worker.
+ * Guards against sending tasks to a worker that does not exist: another writer
+ * may append entries to the workers' topic whose fields are missing, of another
+ * type or unreadable. Such entries are rejected.
  */
-static void test_entries_of_other_writers(void)
+static void test_worker_entries(void)
 {
 	static const char good[] =
 		"{\"Service\":\"s\",\"Address\":\"10.1.0.9:8080\","
@@ -191,9 +192,9 @@
 							  &heartbeat, &err));
 }
 
-/* What is appended is read back; a record that is cut off is an error, and
- * none of another writer's is passed over unseen. */
-static void test_records_go_there_and_back(void)
+/* Records are encoded and decoded unchanged, and a body that is truncated
+ * within a record is rejected at every length. */
+static void test_records_round_trip(void)
 {
 	void *mem = talloc_new(NULL);
 	const struct rj_cell_record records[] = {
@@ -219,19 +220,19 @@
 	g_assert_cmpuint(reply.records[0].value.length, ==, 2);
 	g_assert_cmpuint(reply.records[1].value.length, ==, 0);
 	for (gsize length = 0; length < read->len; length++) {
-		bool whole = length == sizeof(head) ||
-			     length == sizeof(head) + 4 + 1 + 2 + 2;
+		bool complete = length == sizeof(head) ||
+				length == sizeof(head) + 4 + 1 + 2 + 2;
 
 		g_assert_cmpint(!platform_wire_decode_records(
 					mem, read->str, length, 7, &reply),
-				==, whole);
+				==, complete);
 	}
 	g_string_free(read, TRUE);
 	talloc_free(mem);
 }
 
-/* A page of newest records. */
-static void test_newest_records_are_read(void)
+/* A page of newest records is decoded; a truncated one is rejected. */
+static void test_newest_records(void)
 {
 	void *mem = talloc_new(NULL);
 	static const char page[] =
@@ -250,8 +251,9 @@
 	talloc_free(mem);
 }
 
-/* A worker's lists, with rows that are short or of other types. */
-static void test_lists_of_a_worker_are_read(void)
+/* A worker's lists are decoded, also with rows that are short or of other
+ * types, and with an unknown outcome. */
+static void test_worker_lists(void)
 {
 	void *mem = talloc_new(NULL);
 	static const char body[] =
@@ -277,7 +279,7 @@
 	talloc_free(mem);
 }
 
-/* A question to the policy service, and its answers, good and bad. */
+/* A request to the policy service, and its valid and invalid answers. */
 static void test_advice(void)
 {
 	static const char *const workers[] = { "i-1", "i-2" };
@@ -311,20 +313,15 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/platform_wire/job", test_a_job_is_read);
-	g_test_add_func("/platform_wire/bad_jobs", test_bad_jobs_are_refused);
-	g_test_add_func("/platform_wire/config", test_a_configuration_is_read);
-	g_test_add_func("/platform_wire/published",
-			test_operator_records_are_told_apart);
-	g_test_add_func("/platform_wire/broken_config",
-			test_a_broken_configuration);
-	g_test_add_func("/platform_wire/entries",
-			test_entries_of_other_writers);
-	g_test_add_func("/platform_wire/records",
-			test_records_go_there_and_back);
-	g_test_add_func("/platform_wire/newest", test_newest_records_are_read);
-	g_test_add_func("/platform_wire/lists",
-			test_lists_of_a_worker_are_read);
+	g_test_add_func("/platform_wire/job", test_job);
+	g_test_add_func("/platform_wire/bad_jobs", test_invalid_jobs);
+	g_test_add_func("/platform_wire/config", test_config);
+	g_test_add_func("/platform_wire/published", test_classify_key);
+	g_test_add_func("/platform_wire/broken_config", test_invalid_config);
+	g_test_add_func("/platform_wire/entries", test_worker_entries);
+	g_test_add_func("/platform_wire/records", test_records_round_trip);
+	g_test_add_func("/platform_wire/newest", test_newest_records);
+	g_test_add_func("/platform_wire/lists", test_worker_lists);
 	g_test_add_func("/platform_wire/advice", test_advice);
 	return g_test_run();
 }
