--- a/src/test_libradishjunction/test_platform_calls.c
+++ b/src/test_libradishjunction/test_platform_calls.c
@@ -136,8 +136,7 @@
 	return f->reply.status;
 }
 
-/* Each answer to an append is mapped to the protocol's meaning; a refusal that
- * counts as lost, or the reverse, would drop or repeat records. */
+/* Each answer to an append is mapped to its status in the protocol. */
 static void test_append_answers(struct fixture *f, const void *data)
 {
 	g_assert_cmpint(append(f, 200, "{\"Offset\":7,\"EndOffset\":8}"), ==,
@@ -218,7 +217,7 @@
 	return f->order.status;
 }
 
-/* Each answer of a worker is mapped to the protocol's meaning, and the order
+/* Each answer of a worker is mapped to its status in the protocol; the order
  * names its worker and omits an empty checkpoint. */
 static void test_worker_answers(struct fixture *f, const void *data)
 {
