--- a/src/standin_users/standin.h
+++ b/src/standin_users/standin.h
@@ -59,7 +59,7 @@
 	char published_address[RJ_IP_BYTES + 8]; /* address in its heartbeats */
 	struct standin_faults faults;
 	bool prints_events; /* of runs, to standard output */
-	uint64_t incarnation;
+	uint64_t incarnation; /* start time in ms */
 	uint64_t token; /* highest fencing token */
 	uint64_t lease_until_ms; /* of all runs */
 	json_t *running; /* name -> { run, from_ms, until_ms } */
--- a/src/standin_users/worker.c
+++ b/src/standin_users/worker.c
@@ -33,19 +33,19 @@
 
 /* Prints an event of a run for a test to read. */
 static void print_event(const struct standin_worker *worker, const char *event,
-			const char *name, json_int_t run, const char *outcome)
+			const char *name, json_int_t run, const char *detail)
 {
 	if (!worker->prints_events)
 		return;
 	printf("{\"event\":\"%s\",\"worker\":\"%s\",\"task\":\"%s\","
 	       "\"run\":%" JSON_INTEGER_FORMAT ",\"how\":\"%s\"}\n",
-	       event, worker->id, name, run, outcome);
+	       event, worker->id, name, run, detail);
 	fflush(stdout);
 }
 
 /* Sends an answer with the worker's clock; takes `body`. */
-static void answer(struct rj_http_exchange *exchange, unsigned int status,
-		   json_t *body)
+static void send_answer(struct rj_http_exchange *exchange, unsigned int status,
+			json_t *body)
 {
 	char *text;
 
@@ -59,7 +59,7 @@
 /* Rejects an order. */
 static void reject_order(struct rj_http_exchange *exchange, const char *reason)
 {
-	answer(exchange, 409, json_pack("{s:s}", "Reason", reason));
+	send_answer(exchange, 409, json_pack("{s:s}", "Reason", reason));
 }
 
 /* Answers a poll with the lists of runs and completions. */
@@ -87,10 +87,10 @@
 					json_object_get(run, "run"), "",
 					CLAMP(percent, 0, percent_max), 0));
 	}
-	answer(exchange, 200,
-	       json_pack("{s:I,s:o,s:O}", "born",
-			 (json_int_t)worker->incarnation, "Running", rows,
-			 "Finished", worker->finished));
+	send_answer(exchange, 200,
+		    json_pack("{s:I,s:o,s:O}", "born",
+			      (json_int_t)worker->incarnation, "Running", rows,
+			      "Finished", worker->finished));
 }
 
 /* Drops a waiting poll whose client has disconnected. */
@@ -217,7 +217,7 @@
 	if (!accept_order(worker, exchange, body))
 		return;
 	if (run && json_equal(json_object_get(run, "run"), number)) {
-		answer(exchange, 200, json_object());
+		send_answer(exchange, 200, json_object());
 		return;
 	}
 	if (run || json_integer_value(number) <= last_closed) {
@@ -229,7 +229,7 @@
 			    json_pack("{s:O,s:I,s:I}", "run", number, "from_ms",
 				      (json_int_t)now_ms, "until_ms",
 				      (json_int_t)until_ms));
-	answer(exchange, 200, json_object());
+	send_answer(exchange, 200, json_object());
 }
 
 /* Stops a run, or rejects it in advance if its start has not arrived yet. */
@@ -245,7 +245,7 @@
 	else
 		json_object_set(worker->closed_runs, name,
 				json_object_get(body, "RunId"));
-	answer(exchange, 200, json_object());
+	send_answer(exchange, 200, json_object());
 	answer_waiting_polls(worker, true);
 }
 
@@ -338,7 +338,7 @@
 	if (json_is_true(json_object_get(body, "crash")))
 		crash(worker);
 	standin_worker_heartbeat(worker);
-	answer(exchange, 200, json_object());
+	send_answer(exchange, 200, json_object());
 }
 
 /* Handles an order of an instance, or a call of a test. */
@@ -357,7 +357,8 @@
 	else if (!strcmp(exchange->path, "/standin/fault"))
 		handle_fault(worker, exchange, body);
 	else if (!strcmp(exchange->path, "/standin/done"))
-		answer(exchange, 200, json_deep_copy(worker->completed_counts));
+		send_answer(exchange, 200,
+			    json_deep_copy(worker->completed_counts));
 	else
 		rj_http_exchange_error(exchange, 404, "no such call");
 	json_decref(body);
