--- a/src/standin_users/main.c
+++ b/src/standin_users/main.c
@@ -1,5 +1,5 @@
 /*
- * rj-standin-users: a log and some workers that speak the users' protocol.
+ * rj-standin-users: a log and workers that implement the users' protocol.
  */
 #include <argtable2.h>
 #include <assert.h>
@@ -20,7 +20,7 @@
 	uint32_t count;
 };
 
-/* All workers work on. */
+/* Advances the runs of all workers. */
 static void step(struct tevent_context *ev, struct tevent_timer *timer,
 		 struct timeval now, void *private_data)
 {
@@ -33,7 +33,7 @@
 	assert(timer);
 }
 
-/* All workers show that they live. */
+/* Sends the heartbeats of all workers. */
 static void beat(struct tevent_context *ev, struct tevent_timer *timer,
 		 struct timeval now, void *private_data)
 {
@@ -46,7 +46,7 @@
 	assert(timer);
 }
 
-/* Tell where everything listens. */
+/* Prints the listen addresses, one JSON object on one line. */
 static void print_listening(const struct standin_log *log,
 			    const struct fleet *fleet)
 {
@@ -64,16 +64,16 @@
 	struct arg_int *workers =
 		arg_int0(NULL, "workers", "N", "workers, 4 by default");
 	struct arg_lit *events =
-		arg_lit0(NULL, "events", "tell what the workers do");
-	struct arg_end *end = arg_end(ERRORS_MAX);
-	void *table[] = { workers, events, end };
+		arg_lit0(NULL, "events", "print the events of runs");
+	struct arg_end *errors = arg_end(ERRORS_MAX);
+	void *table[] = { workers, events, errors };
 	struct tevent_context *ev = tevent_context_init(NULL);
 	struct standin_log *log = talloc_zero(ev, struct standin_log);
 	struct fleet *fleet = talloc_zero(ev, struct fleet);
 	struct rj_error err;
 
 	if (arg_nullcheck(table) || arg_parse(argc, argv, table)) {
-		arg_print_errors(stderr, end, "rj-standin-users");
+		arg_print_errors(stderr, errors, "rj-standin-users");
 		return 2;
 	}
 	fleet->count = workers->count ? (uint32_t)workers->ival[0] : 4;
@@ -84,7 +84,7 @@
 	for (uint32_t i = 0; i < fleet->count; i++) {
 		if (standin_worker_init(&fleet->workers[i], ev, log, i, &err))
 			goto fail;
-		fleet->workers[i].tells = events->count > 0;
+		fleet->workers[i].prints_events = events->count > 0;
 	}
 	step(ev, NULL, tevent_timeval_zero(), fleet);
 	beat(ev, NULL, tevent_timeval_zero(), fleet);
