--- a/src/libradishjunction/cell/cell_work.c
+++ b/src/libradishjunction/cell/cell_active_job.c
@@ -1,4 +1,4 @@
-#include "private/cell_work.h"
+#include "private/cell_active_job.h"
 
 #include <assert.h>
 #include <glib.h>
@@ -19,7 +19,7 @@
 	[RJ_CELL_RUN_INTENDED] = "intended",
 	[RJ_CELL_RUN_STARTING] = "starting",
 	[RJ_CELL_RUN_PLACED] = "placed",
-	[RJ_CELL_RUN_SEEN] = "seen",
+	[RJ_CELL_RUN_LISTED] = "seen",
 	[RJ_CELL_RUN_STOPPING] = "stopping",
 };
 
@@ -29,9 +29,9 @@
 	rj_cell_run_free(run);
 }
 
-static int work_destructor(struct rj_cell_work *work)
+static int work_destructor(struct rj_cell_job *work)
 {
-	rj_cell_work_each_run(work, drop_run, NULL);
+	rj_cell_job_each_run(work, drop_run, NULL);
 	rj_list_remove(&work->link);
 	rj_list_remove(&work->in_dirty);
 	return 0;
@@ -40,15 +40,16 @@
 /*
  * The work of one job, with no occurrence begun; a talloc child of `mem`.
  */
-struct rj_cell_work *rj_cell_work_new(void *mem, const struct rj_cell_def *def)
+struct rj_cell_job *rj_cell_job_new(void *mem,
+				    const struct rj_cell_job_spec *job_spec)
 {
-	struct rj_cell_work *work = talloc_zero(mem, struct rj_cell_work);
+	struct rj_cell_job *work = talloc_zero(mem, struct rj_cell_job);
 
 	assert(work);
-	work->def = def;
+	work->job_spec = job_spec;
 	rj_list_init(&work->link);
 	rj_list_init(&work->in_dirty);
-	rj_list_init(&work->rounds);
+	rj_list_init(&work->occurrences);
 	talloc_set_destructor(work, work_destructor);
 	return work;
 }
@@ -56,33 +57,34 @@
 /*
  * The place of a job among the priorities that are counted apart.
  */
-uint32_t rj_cell_work_class(const struct rj_cell_work *work)
+uint32_t rj_cell_job_priority_class(const struct rj_cell_job *work)
 {
-	return MIN(work->def->priority, RJ_CELL_PRIORITIES - 1);
+	return MIN(work->job_spec->priority, RJ_CELL_PRIORITY_CLASSES - 1);
 }
 
 /*
  * Begin an occurrence: all its tasks wait.
  */
-struct rj_cell_round *rj_cell_work_begin_round(struct rj_cell_work *work,
-					       uint32_t number)
+struct rj_cell_occurrence *
+rj_cell_job_begin_occurrence(struct rj_cell_job *work, uint32_t number)
 {
-	const struct rj_cell_def *def = work->def;
-	struct rj_cell_round *round = talloc_zero(work, struct rj_cell_round);
+	const struct rj_cell_job_spec *job_spec = work->job_spec;
+	struct rj_cell_occurrence *round =
+		talloc_zero(work, struct rj_cell_occurrence);
 	struct rj_cell_task *task;
 
 	assert(round);
 	round->work = work;
 	round->number = number;
-	round->steps_left = def->step_count;
-	round->tasks =
-		talloc_zero_array(round, struct rj_cell_task, def->task_count);
-	round->left = talloc_array(round, uint32_t, def->step_count);
+	round->steps_left = job_spec->step_count;
+	round->tasks = talloc_zero_array(round, struct rj_cell_task,
+					 job_spec->task_count);
+	round->left = talloc_array(round, uint32_t, job_spec->step_count);
 	assert(round->tasks && round->left);
 	task = round->tasks;
-	for (uint32_t i = 0; i < def->step_count; i++) {
-		round->left[i] = def->steps[i].task_count;
-		for (uint32_t j = 0; j < def->steps[i].task_count; j++) {
+	for (uint32_t i = 0; i < job_spec->step_count; i++) {
+		round->left[i] = job_spec->steps[i].task_count;
+		for (uint32_t j = 0; j < job_spec->steps[i].task_count; j++) {
 			task->round = round;
 			task->step = i;
 			task->index = j;
@@ -90,31 +92,33 @@
 			task++;
 		}
 	}
-	rj_list_append(&work->rounds, &round->link);
-	if (number >= work->rounds_begun)
-		work->rounds_begun = number + 1;
+	rj_list_append(&work->occurrences, &round->link);
+	if (number >= work->occurrences_begun)
+		work->occurrences_begun = number + 1;
 	return round;
 }
 
 /*
  * How long after its job was accepted an occurrence is due, in microseconds.
  */
-uint64_t rj_cell_round_due_after_us(const struct rj_cell_round *round)
+uint64_t rj_cell_occurrence_due_after_us(const struct rj_cell_occurrence *round)
 {
-	const struct rj_cell_def *def = round->work->def;
-	uint64_t due_ms = def->first_run_ms + round->number * def->interval_ms;
+	const struct rj_cell_job_spec *job_spec = round->work->job_spec;
+	uint64_t due_ms =
+		job_spec->first_run_ms + round->number * job_spec->interval_ms;
 
-	if (!def->repeats)
+	if (!job_spec->repeats)
 		return 0;
-	return (due_ms - MIN(due_ms, def->accepted_ms)) * RJ_US_PER_MS;
+	return (due_ms - MIN(due_ms, job_spec->accepted_ms)) * RJ_US_PER_MS;
 }
 
 /*
  * Whether the turn of a step has come: all steps before it have ended.
  */
-bool rj_cell_round_ready(const struct rj_cell_round *round, uint32_t step)
+bool rj_cell_occurrence_step_ready(const struct rj_cell_occurrence *round,
+				   uint32_t step)
 {
-	const struct rj_cell_step *wanted = &round->work->def->steps[step];
+	const struct rj_cell_step *wanted = &round->work->job_spec->steps[step];
 
 	for (uint32_t i = 0; i < wanted->after_count; i++)
 		if (round->left[wanted->after[i]])
@@ -125,9 +129,9 @@
 /*
  * A task has ended well, for good.
  */
-void rj_cell_round_task_done(struct rj_cell_task *task)
+void rj_cell_task_complete(struct rj_cell_task *task)
 {
-	struct rj_cell_round *round = task->round;
+	struct rj_cell_occurrence *round = task->round;
 
 	assert(!task->done && round->left[task->step]);
 	task->done = true;
@@ -140,7 +144,7 @@
  */
 const struct rj_cell_step *rj_cell_task_step(const struct rj_cell_task *task)
 {
-	return &task->round->work->def->steps[task->step];
+	return &task->round->work->job_spec->steps[task->step];
 }
 
 /*
@@ -157,30 +161,31 @@
  */
 void rj_cell_task_name(const struct rj_cell_task *task, char *name, size_t size)
 {
-	(void)g_snprintf(name, size, "%s.%u.%u.%u", task->round->work->def->id,
-			 task->round->number, task->step, task->index);
+	(void)g_snprintf(name, size, "%s.%u.%u.%u",
+			 task->round->work->job_spec->id, task->round->number,
+			 task->step, task->index);
 }
 
 /*
  * A task by its numbers, or NULL when its occurrence is not under way.
  */
-struct rj_cell_task *rj_cell_work_find(struct rj_cell_work *work,
-				       uint32_t round, uint32_t step,
-				       uint32_t index)
+struct rj_cell_task *rj_cell_job_find_task(struct rj_cell_job *work,
+					   uint32_t round, uint32_t step,
+					   uint32_t index)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	if (step >= work->def->step_count ||
-	    index >= work->def->steps[step].task_count)
+	if (step >= work->job_spec->step_count ||
+	    index >= work->job_spec->steps[step].task_count)
 		return NULL;
-	RJ_FOR_EACH (at, next, &work->rounds) {
-		struct rj_cell_round *candidate =
-			RJ_CONTAINER(at, struct rj_cell_round, link);
+	RJ_FOR_EACH (at, next, &work->occurrences) {
+		struct rj_cell_occurrence *candidate =
+			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
 		if (candidate->number == round)
-			return &candidate->tasks[rj_cell_def_first_task(
-							 work->def, step) +
+			return &candidate->tasks[rj_cell_job_spec_first_task(
+							 work->job_spec, step) +
 						 index];
 	}
 	return NULL;
@@ -199,12 +204,12 @@
 	run->worker = worker;
 	run->task = task;
 	run->number = number;
-	run->held = rj_cell_step_counted(rj_cell_task_step(task));
+	run->held = rj_cell_step_demand(rj_cell_task_step(task));
 	rj_cell_task_name(task, name, sizeof(name));
 	run->name = talloc_strdup(run, name);
 	memcpy(run->checkpoint, task->checkpoint, sizeof(run->checkpoint));
 	rj_list_append(&task->runs, &run->in_task);
-	rj_cell_run_hold(run);
+	rj_cell_run_allocate(run);
 	return run;
 }
 
@@ -212,53 +217,54 @@
  * Whether a run serves users of its own within a bound of its step; what
  * fills the room beside it may slow it down.
  */
-bool rj_cell_run_serves(const struct rj_cell_run *run)
+bool rj_cell_run_has_latency_target(const struct rj_cell_run *run)
 {
 	return run->task && rj_cell_task_step(run->task)->target_ms;
 }
 
 /* The worker's sum over runs of this run's priority; its job is known. */
-static struct rj_cell_demand *held_by(const struct rj_cell_run *run)
+static struct rj_cell_demand *allocated_by_class(const struct rj_cell_run *run)
 {
-	uint32_t class = rj_cell_work_class(run->task->round->work);
+	uint32_t class = rj_cell_job_priority_class(run->task->round->work);
 
-	return &run->worker->held_by[class];
+	return &run->worker->allocated_by_class[class];
 }
 
 /* The worker's count of runs of this kind. */
 static uint32_t *count_of(const struct rj_cell_run *run)
 {
-	return rj_cell_run_serves(run) ? &run->worker->serving :
-					 &run->worker->filling;
+	return rj_cell_run_has_latency_target(run) ? &run->worker->serving :
+						     &run->worker->filling;
 }
 
 /*
  * The next order of a run, a start or a stop by its state, is to be sent at
  * `due_us`.
  */
-void rj_cell_run_order(struct rj_cell_run *run, uint64_t due_us)
+void rj_cell_run_schedule_order(struct rj_cell_run *run, uint64_t due_us)
 {
 	struct rj_cell_worker *worker = run->worker;
 
 	run->order_due_us = due_us;
-	if (worker->in_ordered.next == &worker->in_ordered)
-		rj_list_append(&worker->fleet->ordered, &worker->in_ordered);
+	if (worker->in_order_queue.next == &worker->in_order_queue)
+		rj_list_append(&worker->fleet->order_queue,
+			       &worker->in_order_queue);
 }
 
 /*
  * Count a run at its worker: it takes room there, and is looked after.
  */
-void rj_cell_run_hold(struct rj_cell_run *run)
+void rj_cell_run_allocate(struct rj_cell_run *run)
 {
 	struct rj_cell_worker *worker = run->worker;
 
 	rj_list_append(&worker->runs, &run->in_worker);
-	rj_cell_demand_give(&worker->held, &run->held);
+	rj_cell_demand_add(&worker->held, &run->held);
 	(*count_of(run))++;
 	if (run->task)
-		rj_cell_demand_give(held_by(run), &run->held);
-	if (worker->watch != RJ_CELL_WATCH_BUSY)
-		rj_cell_worker_watch(worker, RJ_CELL_WATCH_BUSY);
+		rj_cell_demand_add(allocated_by_class(run), &run->held);
+	if (worker->watch != RJ_CELL_POLL_STATE_BUSY)
+		rj_cell_worker_set_poll_state(worker, RJ_CELL_POLL_STATE_BUSY);
 }
 
 /*
@@ -268,10 +274,10 @@
 {
 	struct rj_cell_worker *worker = run->worker;
 
-	rj_cell_demand_take(&worker->held, &run->held);
+	rj_cell_demand_subtract(&worker->held, &run->held);
 	(*count_of(run))--;
 	if (run->task)
-		rj_cell_demand_take(held_by(run), &run->held);
+		rj_cell_demand_subtract(allocated_by_class(run), &run->held);
 	rj_list_remove(&run->in_worker);
 	rj_list_remove(&run->in_task);
 	talloc_free(run);
@@ -280,19 +286,19 @@
 /*
  * Call `call` with each run of a job; it may free that run.
  */
-void rj_cell_work_each_run(const struct rj_cell_work *work,
-			   void (*call)(struct rj_cell_run *run,
-					void *private_data),
-			   void *private_data)
+void rj_cell_job_each_run(const struct rj_cell_job *work,
+			  void (*call)(struct rj_cell_run *run,
+				       void *private_data),
+			  void *private_data)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	RJ_FOR_EACH (at, next, &work->rounds) {
-		struct rj_cell_round *round =
-			RJ_CONTAINER(at, struct rj_cell_round, link);
+	RJ_FOR_EACH (at, next, &work->occurrences) {
+		struct rj_cell_occurrence *round =
+			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
-		for (uint32_t i = 0; i < work->def->task_count; i++) {
+		for (uint32_t i = 0; i < work->job_spec->task_count; i++) {
 			struct rj_list *run_at;
 			struct rj_list *run_next;
 
@@ -313,10 +319,10 @@
 /*
  * Whether nothing of the job runs or is being stopped.
  */
-bool rj_cell_work_idle(const struct rj_cell_work *work)
+bool rj_cell_job_is_idle(const struct rj_cell_job *work)
 {
 	bool busy = false;
 
-	rj_cell_work_each_run(work, note_busy, &busy);
+	rj_cell_job_each_run(work, note_busy, &busy);
 	return !busy;
 }
--- a/src/libradishjunction/cell/cell_record.c
+++ b/src/libradishjunction/cell/cell_record.c
@@ -17,9 +17,9 @@
 
 /* The first character of a key. */
 static const char kind_letter[RJ_CELL_RECORD_KIND_COUNT] = {
-	[RJ_CELL_RECORD_DEFINITION] = 'j', [RJ_CELL_RECORD_PROGRESS] = 's',
-	[RJ_CELL_RECORD_STATE] = 't',	   [RJ_CELL_RECORD_CANCEL] = 'c',
-	[RJ_CELL_RECORD_OWNER] = 'o',	   [RJ_CELL_RECORD_BEAT] = 'b',
+	[RJ_CELL_RECORD_JOB_SPEC] = 'j', [RJ_CELL_RECORD_PROGRESS] = 's',
+	[RJ_CELL_RECORD_STATE] = 't',	 [RJ_CELL_RECORD_CANCEL] = 'c',
+	[RJ_CELL_RECORD_OWNER] = 'o',	 [RJ_CELL_RECORD_HEARTBEAT] = 'b',
 };
 
 /* How much of a task is written. */
@@ -125,21 +125,23 @@
 }
 
 /* The occurrences under way. */
-static void write_rounds(struct rj_packer *out, const struct rj_cell_work *work,
+static void write_rounds(struct rj_packer *out, const struct rj_cell_job *work,
 			 const struct worker_table *table)
 {
 	const struct rj_list *at;
 	uint32_t count = 0;
 
-	for (at = work->rounds.next; at != &work->rounds; at = at->next)
+	for (at = work->occurrences.next; at != &work->occurrences;
+	     at = at->next)
 		count++;
 	rj_pack_number(out, count);
-	for (at = work->rounds.next; at != &work->rounds; at = at->next) {
-		const struct rj_cell_round *round =
-			RJ_CONTAINER(at, struct rj_cell_round, link);
+	for (at = work->occurrences.next; at != &work->occurrences;
+	     at = at->next) {
+		const struct rj_cell_occurrence *round =
+			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
 		rj_pack_number(out, round->number);
-		for (uint32_t i = 0; i < work->def->task_count; i++)
+		for (uint32_t i = 0; i < work->job_spec->task_count; i++)
 			write_task(out, &round->tasks[i], table);
 	}
 }
@@ -148,15 +150,16 @@
  * What nobody has listed of gangs, behind all else up to the end of the
  * record, a row for each gang: earlier versions do not read that far.
  */
-static void write_unseen(struct rj_packer *out, const struct rj_cell_work *work)
+static void write_unseen(struct rj_packer *out, const struct rj_cell_job *work)
 {
 	const struct rj_list *at;
 
-	for (at = work->rounds.next; at != &work->rounds; at = at->next) {
-		const struct rj_cell_round *round =
-			RJ_CONTAINER(at, struct rj_cell_round, link);
+	for (at = work->occurrences.next; at != &work->occurrences;
+	     at = at->next) {
+		const struct rj_cell_occurrence *round =
+			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
-		for (uint32_t i = 0; i < work->def->task_count; i++) {
+		for (uint32_t i = 0; i < work->job_spec->task_count; i++) {
 			const struct rj_cell_task *task = &round->tasks[i];
 
 			if (!task->unseen || task->done)
@@ -165,7 +168,7 @@
 			rj_pack_number(out, i);
 			rj_pack_number(out, task->failed_run);
 			rj_pack_number(out, task->unseen);
-			rj_pack_number(out, task->unseen_run);
+			rj_pack_number(out, task->unreported_run);
 		}
 	}
 }
@@ -174,7 +177,7 @@
  * The progress of a job, as it is kept in the log; a talloc child of `mem`.
  */
 struct rj_bytes rj_cell_progress_encode(void *mem,
-					const struct rj_cell_work *work)
+					const struct rj_cell_job *work)
 {
 	struct worker_table table = { g_ptr_array_new(),
 				      g_hash_table_new(NULL, NULL) };
@@ -184,10 +187,10 @@
 	rj_pack_number(&out, PROGRESS_FORMAT);
 	rj_pack_number(&out, work->state);
 	rj_pack_bool(&out, work->started);
-	rj_pack_number(&out, work->rounds_begun);
-	rj_pack_number(&out, work->rounds_done);
+	rj_pack_number(&out, work->occurrences_begun);
+	rj_pack_number(&out, work->occurrences_done);
 	if (!has_ended(work->state)) {
-		rj_cell_work_each_run(work, table_add, &table);
+		rj_cell_job_each_run(work, table_add, &table);
 		rj_pack_number(&out, table.workers->len);
 		for (uint32_t i = 0; i < table.workers->len; i++) {
 			const struct rj_cell_worker *worker =
@@ -291,7 +294,7 @@
 {
 	switch (rj_unpack_number(in, "task", TASK_DETAILS)) {
 	case TASK_DONE:
-		rj_cell_round_task_done(task);
+		rj_cell_task_complete(task);
 		break;
 	case TASK_DETAILS:
 		task->run = (uint32_t)rj_unpack_number(in, "run", UINT32_MAX);
@@ -307,7 +310,7 @@
 }
 
 /* The occurrences under way. */
-static void read_rounds(struct rj_unpacker *in, struct rj_cell_work *work,
+static void read_rounds(struct rj_unpacker *in, struct rj_cell_job *work,
 			GPtrArray *workers, uint64_t now_us)
 {
 	uint32_t count = (uint32_t)rj_unpack_number(in, "rounds", UINT16_MAX);
@@ -315,25 +318,28 @@
 	for (uint32_t i = 0; i < count && !in->bad; i++) {
 		uint32_t number =
 			(uint32_t)rj_unpack_number(in, "round", UINT32_MAX - 1);
-		struct rj_cell_round *round =
-			rj_cell_work_begin_round(work, number);
+		struct rj_cell_occurrence *round =
+			rj_cell_job_begin_occurrence(work, number);
 
-		for (uint32_t j = 0; j < work->def->task_count && !in->bad; j++)
+		for (uint32_t j = 0; j < work->job_spec->task_count && !in->bad;
+		     j++)
 			read_task(in, &round->tasks[j], workers, now_us);
 	}
 }
 
 /* A task of an occurrence under way, by its place in the job; or NULL. */
-static struct rj_cell_task *task_at(const struct rj_cell_work *work,
+static struct rj_cell_task *task_at(const struct rj_cell_job *work,
 				    uint32_t number, uint32_t place)
 {
 	const struct rj_list *at;
 
-	for (at = work->rounds.next; at != &work->rounds; at = at->next) {
-		struct rj_cell_round *round =
-			RJ_CONTAINER(at, struct rj_cell_round, link);
+	for (at = work->occurrences.next; at != &work->occurrences;
+	     at = at->next) {
+		struct rj_cell_occurrence *round =
+			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
-		if (round->number == number && place < work->def->task_count)
+		if (round->number == number &&
+		    place < work->job_spec->task_count)
 			return &round->tasks[place];
 	}
 	return NULL;
@@ -341,7 +347,7 @@
 
 /* What write_unseen wrote. Until when it counts is for the owner to say, who
  * knows how long leases last. */
-static void read_unseen(struct rj_unpacker *in, struct rj_cell_work *work)
+static void read_unseen(struct rj_unpacker *in, struct rj_cell_job *work)
 {
 	while (!in->bad && in->offset < in->length) {
 		uint32_t round = (uint32_t)rj_unpack_number(in, "unseen_round",
@@ -358,9 +364,9 @@
 							      UINT32_MAX);
 		task->unseen =
 			(uint32_t)rj_unpack_number(in, "unseen", UINT32_MAX);
-		task->unseen_run = (uint32_t)rj_unpack_number(in, "unseen_run",
-							      UINT32_MAX);
-		task->unseen_until_us = RJ_NEVER_US;
+		task->unreported_run = (uint32_t)rj_unpack_number(
+			in, "unseen_run", UINT32_MAX);
+		task->unreported_until_us = RJ_NEVER_US;
 	}
 }
 
@@ -369,7 +375,7 @@
  * yet. Its runs are noted at their workers, as taken but not seen there.
  * Returns 0, or -1 with `err`; `work` may then hold a part.
  */
-int rj_cell_progress_decode(struct rj_bytes bytes, struct rj_cell_work *work,
+int rj_cell_progress_decode(struct rj_bytes bytes, struct rj_cell_job *work,
 			    struct rj_cell_fleet *fleet, uint64_t now_us,
 			    struct rj_error *err)
 {
@@ -383,7 +389,8 @@
 	work->state = summary.state;
 	work->started = summary.started;
 	begun = (uint32_t)rj_unpack_number(&in, "begun", UINT32_MAX);
-	work->rounds_done = (uint32_t)rj_unpack_number(&in, "done", UINT32_MAX);
+	work->occurrences_done =
+		(uint32_t)rj_unpack_number(&in, "done", UINT32_MAX);
 	if (!has_ended(work->state) && !in.bad) {
 		uint32_t count =
 			(uint32_t)rj_unpack_number(&in, "workers", UINT16_MAX);
@@ -398,7 +405,7 @@
 		read_rounds(&in, work, workers, now_us);
 		read_unseen(&in, work);
 	}
-	work->rounds_begun = begun;
+	work->occurrences_begun = begun;
 	g_ptr_array_free(workers, TRUE);
 	return rj_unpack_finish(&in, err);
 }
@@ -453,7 +460,9 @@
 /*
  * A heartbeat of the owner; a talloc child of `mem`.
  */
-struct rj_bytes rj_cell_beat_encode(void *mem, const struct rj_cell_beat *beat)
+struct rj_bytes
+rj_cell_owner_heartbeat_encode(void *mem,
+			       const struct rj_cell_owner_heartbeat *beat)
 {
 	struct rj_packer out;
 
@@ -463,7 +472,7 @@
 	rj_pack_number(&out, beat->number);
 	rj_pack_number(&out, beat->share_count);
 	for (uint32_t i = 0; i < beat->share_count; i++) {
-		const struct rj_cell_share *share = &beat->shares[i];
+		const struct rj_cell_queue_load *share = &beat->shares[i];
 
 		rj_pack_text(&out, share->queue);
 		rj_pack_number(&out, share->mean_ms);
@@ -474,10 +483,11 @@
 }
 
 /*
- * What rj_cell_beat_encode wrote. Returns 0, or -1 with `err`.
+ * What rj_cell_owner_heartbeat_encode wrote. Returns 0, or -1 with `err`.
  */
-int rj_cell_beat_decode(struct rj_bytes bytes, struct rj_cell_beat *beat,
-			struct rj_error *err)
+int rj_cell_owner_heartbeat_decode(struct rj_bytes bytes,
+				   struct rj_cell_owner_heartbeat *beat,
+				   struct rj_error *err)
 {
 	struct rj_unpacker in;
 
@@ -487,10 +497,10 @@
 		rj_unpack_fail(&in, "format");
 	beat->incarnation = rj_unpack_number(&in, "incarnation", UINT64_MAX);
 	beat->number = (uint32_t)rj_unpack_number(&in, "number", UINT32_MAX);
-	beat->share_count =
-		(uint32_t)rj_unpack_number(&in, "shares", RJ_CELL_SHARES_MAX);
+	beat->share_count = (uint32_t)rj_unpack_number(&in, "shares",
+						       RJ_CELL_QUEUE_LOADS_MAX);
 	for (uint32_t i = 0; i < beat->share_count; i++) {
-		struct rj_cell_share *share = &beat->shares[i];
+		struct rj_cell_queue_load *share = &beat->shares[i];
 
 		rj_unpack_text(&in, "queue", share->queue,
 			       sizeof(share->queue));
--- a/src/test_libradishjunction/support/cell_fake.h
+++ b/src/test_libradishjunction/support/cell_fake.h
@@ -38,7 +38,7 @@
 	uint64_t position;
 	char name[64];
 	uint32_t number;
-	enum rj_cell_end end;
+	enum rj_cell_completion end;
 	char saved[RJ_CELL_CHECKPOINT_BYTES];
 	uint64_t ended_us;
 };
--- a/src/test_libradishjunction/test_platform_wire.c
+++ b/src/test_libradishjunction/test_platform_wire.c
@@ -19,7 +19,7 @@
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error err;
-	struct rj_cell_def *job_spec = platform_wire_decode_job(
+	struct rj_cell_job_spec *job_spec = platform_wire_decode_job(
 		mem,
 		bytes_of("{\"Spec\":\"x\",\"RepeatCount\":3,\"FirstRunMs\":5,"
 			 "\"IntervalMs\":7,\"New\":1,\"Steps\":[{\"Count\":4,"
@@ -116,7 +116,7 @@
 	g_assert_nonnull(rj_cell_config_key(config, "k"));
 	g_assert_null(rj_cell_config_key(config, "K"));
 	g_assert_cmpuint(config->accounts[0].guaranteed_accelerators, ==, 72);
-	g_assert_true(rj_cell_config_guarded(config, "s"));
+	g_assert_true(rj_cell_config_enforces_limits(config, "s"));
 	talloc_free(mem);
 }
 
@@ -270,10 +270,10 @@
 	g_assert_cmpuint(reply.incarnation, ==, 17);
 	g_assert_cmpuint(reply.row_count, ==, 3);
 	g_assert_cmpuint(reply.rows[0].percent, ==, 41);
-	g_assert_cmpuint(reply.rows[0].figure, ==, 7);
+	g_assert_cmpuint(reply.rows[0].measurement, ==, 7);
 	g_assert_cmpstr(reply.rows[1].saved, ==, "");
-	g_assert_cmpint(reply.ends[0].end, ==, RJ_CELL_END_DONE);
-	g_assert_cmpint(reply.ends[1].end, ==, RJ_CELL_END_LOST);
+	g_assert_cmpint(reply.completions[0].end, ==, RJ_CELL_COMPLETION_DONE);
+	g_assert_cmpint(reply.completions[1].end, ==, RJ_CELL_COMPLETION_LOST);
 	g_assert_true(platform_wire_decode_order_reply(mem, "<html>", 6, &reply,
 						       reason));
 	talloc_free(mem);
