--- /dev/null
+++ b/src/libradishjunction/cell/cell_active_job.c
@@ -0,0 +1,333 @@
+#include "private/cell_active_job.h"
+
+#include <assert.h>
+#include <glib.h>
+#include <string.h>
+#include <talloc.h>
+
+#include "private/cell_fleet.h"
+
+const char *const rj_cell_job_state_string[RJ_CELL_JOB_STATE_COUNT] = {
+	[RJ_CELL_JOB_QUEUED] = "queued",
+	[RJ_CELL_JOB_RUNNING] = "running",
+	[RJ_CELL_JOB_COMPLETED] = "completed",
+	[RJ_CELL_JOB_FAILED] = "failed",
+	[RJ_CELL_JOB_CANCELLED] = "cancelled",
+};
+
+const char *const rj_cell_run_state_string[RJ_CELL_RUN_STATE_COUNT] = {
+	[RJ_CELL_RUN_INTENDED] = "intended",
+	[RJ_CELL_RUN_STARTING] = "starting",
+	[RJ_CELL_RUN_PLACED] = "placed",
+	[RJ_CELL_RUN_LISTED] = "seen",
+	[RJ_CELL_RUN_STOPPING] = "stopping",
+};
+
+/* A run ends with the work that it belongs to. */
+static void drop_run(struct rj_cell_run *run, void *unused)
+{
+	rj_cell_run_free(run);
+}
+
+static int work_destructor(struct rj_cell_job *job)
+{
+	rj_cell_job_each_run(job, drop_run, NULL);
+	rj_list_remove(&job->link);
+	rj_list_remove(&job->in_dirty);
+	return 0;
+}
+
+/*
+ * The work of one job, with no occurrence begun; a talloc child of `mem`.
+ */
+struct rj_cell_job *rj_cell_job_new(void *mem,
+				    const struct rj_cell_job_spec *job_spec)
+{
+	struct rj_cell_job *job = talloc_zero(mem, struct rj_cell_job);
+
+	assert(job);
+	job->job_spec = job_spec;
+	rj_list_init(&job->link);
+	rj_list_init(&job->in_dirty);
+	rj_list_init(&job->occurrences);
+	talloc_set_destructor(job, work_destructor);
+	return job;
+}
+
+/*
+ * The place of a job among the priorities that are counted apart.
+ */
+uint32_t rj_cell_job_priority_class(const struct rj_cell_job *job)
+{
+	return MIN(job->job_spec->priority, RJ_CELL_PRIORITY_CLASSES - 1);
+}
+
+/*
+ * Begin an occurrence: all its tasks wait.
+ */
+struct rj_cell_occurrence *rj_cell_job_begin_occurrence(struct rj_cell_job *job,
+							uint32_t number)
+{
+	const struct rj_cell_job_spec *job_spec = job->job_spec;
+	struct rj_cell_occurrence *occurrence =
+		talloc_zero(job, struct rj_cell_occurrence);
+	struct rj_cell_task *task;
+
+	assert(occurrence);
+	occurrence->job = job;
+	occurrence->number = number;
+	occurrence->steps_left = job_spec->step_count;
+	occurrence->tasks = talloc_zero_array(occurrence, struct rj_cell_task,
+					      job_spec->task_count);
+	occurrence->left =
+		talloc_array(occurrence, uint32_t, job_spec->step_count);
+	assert(occurrence->tasks && occurrence->left);
+	task = occurrence->tasks;
+	for (uint32_t i = 0; i < job_spec->step_count; i++) {
+		occurrence->left[i] = job_spec->steps[i].task_count;
+		for (uint32_t j = 0; j < job_spec->steps[i].task_count; j++) {
+			task->occurrence = occurrence;
+			task->step = i;
+			task->index = j;
+			rj_list_init(&task->runs);
+			task++;
+		}
+	}
+	rj_list_append(&job->occurrences, &occurrence->link);
+	if (number >= job->occurrences_begun)
+		job->occurrences_begun = number + 1;
+	return occurrence;
+}
+
+/*
+ * How long after its job was accepted an occurrence is due, in microseconds.
+ */
+uint64_t
+rj_cell_occurrence_due_after_us(const struct rj_cell_occurrence *occurrence)
+{
+	const struct rj_cell_job_spec *job_spec = occurrence->job->job_spec;
+	uint64_t due_ms = job_spec->first_run_ms +
+			  occurrence->number * job_spec->interval_ms;
+
+	if (!job_spec->repeats)
+		return 0;
+	return (due_ms - MIN(due_ms, job_spec->accepted_ms)) * RJ_US_PER_MS;
+}
+
+/*
+ * Whether the turn of a step has come: all steps before it have ended.
+ */
+bool rj_cell_occurrence_step_ready(const struct rj_cell_occurrence *occurrence,
+				   uint32_t step)
+{
+	const struct rj_cell_step *wanted =
+		&occurrence->job->job_spec->steps[step];
+
+	for (uint32_t i = 0; i < wanted->after_count; i++)
+		if (occurrence->left[wanted->after[i]])
+			return false;
+	return true;
+}
+
+/*
+ * A task has ended well, for good.
+ */
+void rj_cell_task_complete(struct rj_cell_task *task)
+{
+	struct rj_cell_occurrence *occurrence = task->occurrence;
+
+	assert(!task->done && occurrence->left[task->step]);
+	task->done = true;
+	if (!--occurrence->left[task->step])
+		occurrence->steps_left--;
+}
+
+/*
+ * The step that a task belongs to.
+ */
+const struct rj_cell_step *rj_cell_task_step(const struct rj_cell_task *task)
+{
+	return &task->occurrence->job->job_spec->steps[task->step];
+}
+
+/*
+ * The task that stands for `task` where failures are counted: of a gang, its
+ * first member.
+ */
+struct rj_cell_task *rj_cell_task_head(struct rj_cell_task *task)
+{
+	return rj_cell_task_step(task)->gang ? task - task->index : task;
+}
+
+/*
+ * How workers list a task: job, occurrence, step and index.
+ */
+void rj_cell_task_name(const struct rj_cell_task *task, char *name, size_t size)
+{
+	(void)g_snprintf(name, size, "%s.%u.%u.%u",
+			 task->occurrence->job->job_spec->id,
+			 task->occurrence->number, task->step, task->index);
+}
+
+/*
+ * A task by its numbers, or NULL when its occurrence is not under way.
+ */
+struct rj_cell_task *rj_cell_job_find_task(struct rj_cell_job *job,
+					   uint32_t occurrence, uint32_t step,
+					   uint32_t index)
+{
+	struct rj_list *at;
+	struct rj_list *next;
+
+	if (step >= job->job_spec->step_count ||
+	    index >= job->job_spec->steps[step].task_count)
+		return NULL;
+	RJ_FOR_EACH (at, next, &job->occurrences) {
+		struct rj_cell_occurrence *candidate =
+			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
+
+		if (candidate->number == occurrence)
+			return &candidate->tasks[rj_cell_job_spec_first_task(
+							 job->job_spec, step) +
+						 index];
+	}
+	return NULL;
+}
+
+/*
+ * Note a run of a task on a worker; its room is taken from now on.
+ */
+struct rj_cell_run *rj_cell_run_new(struct rj_cell_worker *worker,
+				    struct rj_cell_task *task, uint32_t number)
+{
+	struct rj_cell_run *run = talloc_zero(NULL, struct rj_cell_run);
+	char name[RJ_NAME_BYTES * 2];
+
+	assert(run);
+	run->worker = worker;
+	run->task = task;
+	run->number = number;
+	run->allocated = rj_cell_step_demand(rj_cell_task_step(task));
+	rj_cell_task_name(task, name, sizeof(name));
+	run->name = talloc_strdup(run, name);
+	memcpy(run->checkpoint, task->checkpoint, sizeof(run->checkpoint));
+	rj_list_append(&task->runs, &run->in_task);
+	rj_cell_run_allocate(run);
+	return run;
+}
+
+/*
+ * Whether a run serves users of its own within a bound of its step; what
+ * fills the room beside it may slow it down.
+ */
+bool rj_cell_run_has_latency_target(const struct rj_cell_run *run)
+{
+	return run->task && rj_cell_task_step(run->task)->target_ms;
+}
+
+/* The worker's sum over runs of this run's priority; its job is known. */
+static struct rj_cell_demand *allocated_by_class(const struct rj_cell_run *run)
+{
+	uint32_t class = rj_cell_job_priority_class(run->task->occurrence->job);
+
+	return &run->worker->allocated_by_class[class];
+}
+
+/* The worker's count of runs of this kind. */
+static uint32_t *count_of(const struct rj_cell_run *run)
+{
+	return rj_cell_run_has_latency_target(run) ?
+		       &run->worker->latency_runs :
+		       &run->worker->other_runs;
+}
+
+/*
+ * The next order of a run, a start or a stop by its state, is to be sent at
+ * `due_us`.
+ */
+void rj_cell_run_schedule_order(struct rj_cell_run *run, uint64_t due_us)
+{
+	struct rj_cell_worker *worker = run->worker;
+
+	run->order_due_us = due_us;
+	if (worker->in_ordered.next == &worker->in_ordered)
+		rj_list_append(&worker->fleet->ordered, &worker->in_ordered);
+}
+
+/*
+ * Count a run at its worker: it takes room there, and is looked after.
+ */
+void rj_cell_run_allocate(struct rj_cell_run *run)
+{
+	struct rj_cell_worker *worker = run->worker;
+
+	rj_list_append(&worker->runs, &run->in_worker);
+	rj_cell_demand_add(&worker->allocated, &run->allocated);
+	(*count_of(run))++;
+	if (run->task)
+		rj_cell_demand_add(allocated_by_class(run), &run->allocated);
+	if (worker->poll_state != RJ_CELL_POLL_STATE_BUSY)
+		rj_cell_worker_set_poll_state(worker, RJ_CELL_POLL_STATE_BUSY);
+}
+
+/*
+ * The run is no more: its room is free.
+ */
+void rj_cell_run_free(struct rj_cell_run *run)
+{
+	struct rj_cell_worker *worker = run->worker;
+
+	rj_cell_demand_subtract(&worker->allocated, &run->allocated);
+	(*count_of(run))--;
+	if (run->task)
+		rj_cell_demand_subtract(allocated_by_class(run),
+					&run->allocated);
+	rj_list_remove(&run->in_worker);
+	rj_list_remove(&run->in_task);
+	talloc_free(run);
+}
+
+/*
+ * Call `call` with each run of a job; it may free that run.
+ */
+void rj_cell_job_each_run(const struct rj_cell_job *job,
+			  void (*call)(struct rj_cell_run *run,
+				       void *private_data),
+			  void *private_data)
+{
+	struct rj_list *at;
+	struct rj_list *next;
+
+	RJ_FOR_EACH (at, next, &job->occurrences) {
+		struct rj_cell_occurrence *occurrence =
+			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
+
+		for (uint32_t i = 0; i < job->job_spec->task_count; i++) {
+			struct rj_list *run_at;
+			struct rj_list *run_next;
+
+			RJ_FOR_EACH (run_at, run_next,
+				     &occurrence->tasks[i].runs)
+				call(RJ_CONTAINER(run_at, struct rj_cell_run,
+						  in_task),
+				     private_data);
+		}
+	}
+}
+
+/* There is a run. */
+static void note_busy(struct rj_cell_run *run, void *private_data)
+{
+	*(bool *)private_data = true;
+}
+
+/*
+ * Whether nothing of the job runs or is being stopped.
+ */
+bool rj_cell_job_is_idle(const struct rj_cell_job *job)
+{
+	bool busy = false;
+
+	rj_cell_job_each_run(job, note_busy, &busy);
+	return !busy;
+}
--- a/src/libradishjunction/cell/cell_admit.c
+++ b/src/libradishjunction/cell/cell_admit.c
@@ -34,21 +34,23 @@
 
 /* What is left to be done of one job, in room times milliseconds. */
 static void add_work(struct load *load, const struct rj_cell_owner *owner,
-		     const struct rj_cell_work *work)
+		     const struct rj_cell_job *job)
 {
-	const struct rj_cell_def *def = work->def;
+	const struct rj_cell_job_spec *job_spec = job->job_spec;
 	const struct rj_list *at;
 
-	for (at = work->rounds.next; at != &work->rounds; at = at->next) {
-		const struct rj_cell_round *round =
-			RJ_CONTAINER(at, struct rj_cell_round, link);
+	for (at = job->occurrences.next; at != &job->occurrences;
+	     at = at->next) {
+		const struct rj_cell_occurrence *occurrence =
+			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
-		for (uint32_t i = 0; i < def->step_count; i++)
-			if (!def->steps[i].perpetual)
-				add(load, &def->steps[i].each,
-				    (double)round->left[i] *
+		for (uint32_t i = 0; i < job_spec->step_count; i++)
+			if (!job_spec->steps[i].perpetual)
+				add(load, &job_spec->steps[i].each,
+				    (double)occurrence->left[i] *
 					    (double)rj_cell_forecast_task_ms(
-						    &owner->forecast, def, i));
+						    &owner->forecast, job_spec,
+						    i));
 	}
 }
 
@@ -60,13 +62,13 @@
 	struct load load = { 0, 0, 0 };
 
 	for (at = owner->works.next; at != &owner->works; at = at->next) {
-		const struct rj_cell_work *work =
-			RJ_CONTAINER(at, struct rj_cell_work, link);
+		const struct rj_cell_job *job =
+			RJ_CONTAINER(at, struct rj_cell_job, link);
 
-		if (work->def->priority <= priority && !work->cancelled &&
-		    work->state < RJ_CELL_JOB_COMPLETED &&
-		    owner->now_us <= work->late_us)
-			add_work(&load, owner, work);
+		if (job->job_spec->priority <= priority && !job->cancelled &&
+		    job->state < RJ_CELL_JOB_COMPLETED &&
+		    owner->now_us <= job->late_us)
+			add_work(&load, owner, job);
 	}
 	return load;
 }
@@ -92,16 +94,16 @@
 			RJ_CONTAINER(at, struct rj_cell_worker, link);
 
 		if (!worker->listed ||
-		    strcmp(worker->said.service, service) != 0)
+		    strcmp(worker->heartbeat.service, service) != 0)
 			continue;
 		capacity->cordoned += rj_cell_worker_cordoned(worker);
-		if (!rj_cell_worker_stays(worker))
+		if (!rj_cell_worker_schedulable(worker))
 			continue;
 		capacity->staying++;
 		if (!rj_cell_worker_usable(worker, owner->now_us))
 			continue;
 		capacity->usable++;
-		add(&capacity->room, &worker->said.capacity, 1);
+		add(&capacity->room, &worker->heartbeat.capacity, 1);
 	}
 }
 
@@ -113,10 +115,10 @@
 }
 
 /* Send clients of a queue away. */
-static void refuse(struct rj_cell_share *share, uint32_t come_back_ms)
+static void refuse(struct rj_cell_queue_load *share, uint32_t retry_after_ms)
 {
 	share->refuse = true;
-	share->come_back_ms = come_back_ms;
+	share->retry_after_ms = retry_after_ms;
 }
 
 /* A load over a room, in milliseconds. */
@@ -156,7 +158,7 @@
  */
 static void judge(const struct rj_cell_owner *owner,
 		  const struct rj_cell_queue *queue,
-		  struct rj_cell_share *share)
+		  struct rj_cell_queue_load *share)
 {
 	struct capacity capacity;
 	double late_ms = RJ_CELL_LATE_FACTOR *
@@ -181,15 +183,17 @@
  * been done for.
  */
 void rj_cell_admit_shares(const struct rj_cell_owner *owner,
-			  struct rj_cell_beat *beat)
+			  struct rj_cell_owner_heartbeat *heartbeat)
 {
 	const struct rj_cell_config *config = owner->config;
 
-	beat->share_count = 0;
-	for (uint32_t i = 0; config && i < config->queue_count &&
-			     beat->share_count < RJ_CELL_SHARES_MAX;
+	heartbeat->queue_load_count = 0;
+	for (uint32_t i = 0;
+	     config && i < config->queue_count &&
+	     heartbeat->queue_load_count < RJ_CELL_QUEUE_LOADS_MAX;
 	     i++) {
-		struct rj_cell_share *share = &beat->shares[beat->share_count];
+		struct rj_cell_queue_load *share =
+			&heartbeat->queue_loads[heartbeat->queue_load_count];
 
 		memset(share, 0, sizeof(*share));
 		share->mean_ms = rj_cell_forecast_mean_ms(
@@ -199,6 +203,6 @@
 		memcpy(share->queue, config->queues[i].name,
 		       sizeof(share->queue));
 		judge(owner, &config->queues[i], share);
-		beat->share_count++;
+		heartbeat->queue_load_count++;
 	}
 }
--- a/src/libradishjunction/cell/cell_advice.c
+++ b/src/libradishjunction/cell/cell_advice.c
@@ -30,7 +30,7 @@
 	uint32_t generation;
 	uint64_t sent_us;
 	char job[RJ_CELL_ID_BYTES];
-	uint32_t round;
+	uint32_t occurrence;
 	uint32_t step;
 	uint32_t count;
 	char workers[RJ_CELL_ADVICE_WORKERS][RJ_NAME_BYTES];
@@ -38,15 +38,17 @@
 };
 
 /* The opinion of a worker that still holds for its present life, or NULL. */
-static struct opinion *opinion_of(const struct rj_cell_round *round,
+static struct opinion *opinion_of(const struct rj_cell_occurrence *occurrence,
 				  uint32_t step,
 				  const struct rj_cell_worker *worker)
 {
 	struct opinion *opinion;
 
-	if (!round->opinions || !round->opinions[step])
+	if (!occurrence->policy_decisions ||
+	    !occurrence->policy_decisions[step])
 		return NULL;
-	opinion = g_hash_table_lookup(round->opinions[step], worker->id);
+	opinion = g_hash_table_lookup(occurrence->policy_decisions[step],
+				      worker->id);
 	return opinion && opinion->incarnation == worker->incarnation ?
 		       opinion :
 		       NULL;
@@ -55,12 +57,12 @@
 /*
  * The ticket with which a worker may run a step now, or NULL.
  */
-const char *rj_cell_advice_ticket(const struct rj_cell_round *round,
+const char *rj_cell_advice_ticket(const struct rj_cell_occurrence *occurrence,
 				  uint32_t step,
 				  const struct rj_cell_worker *worker,
 				  uint64_t now_us)
 {
-	const struct opinion *opinion = opinion_of(round, step, worker);
+	const struct opinion *opinion = opinion_of(occurrence, step, worker);
 
 	return opinion && opinion->allowed &&
 			       now_us + TICKET_MARGIN_US <
@@ -72,56 +74,58 @@
 /*
  * A worker has turned the ticket of a task's step away: ask for another.
  */
-void rj_cell_advice_void(struct rj_cell_task *task,
-			 const struct rj_cell_worker *worker)
+void rj_cell_advice_invalidate(struct rj_cell_task *task,
+			       const struct rj_cell_worker *worker)
 {
-	struct opinion *opinion = opinion_of(task->round, task->step, worker);
+	struct opinion *opinion =
+		opinion_of(task->occurrence, task->step, worker);
 
 	if (opinion)
 		opinion->good_until_us = 0;
 }
 
 /* Free all opinions of an occurrence. */
-static int free_opinions(GHashTable ***opinions)
+static int free_opinions(GHashTable ***policy_decisions)
 {
-	size_t steps = talloc_array_length(*opinions);
+	size_t steps = talloc_array_length(*policy_decisions);
 
 	for (size_t i = 0; i < steps; i++)
-		if ((*opinions)[i])
-			g_hash_table_destroy((*opinions)[i]);
+		if ((*policy_decisions)[i])
+			g_hash_table_destroy((*policy_decisions)[i]);
 	return 0;
 }
 
 /* The opinions on a step, made when they are the first. */
-static GHashTable *obtain(struct rj_cell_round *round, uint32_t step)
+static GHashTable *obtain(struct rj_cell_occurrence *occurrence, uint32_t step)
 {
-	if (!round->opinions) {
-		GHashTable ***holder = talloc(round, GHashTable **);
-
-		round->opinions = talloc_zero_array(
-			holder, GHashTable *, round->work->def->step_count);
-		assert(holder && round->opinions);
-		*holder = round->opinions;
+	if (!occurrence->policy_decisions) {
+		GHashTable ***holder = talloc(occurrence, GHashTable **);
+
+		occurrence->policy_decisions = talloc_zero_array(
+			holder, GHashTable *,
+			occurrence->job->job_spec->step_count);
+		assert(holder && occurrence->policy_decisions);
+		*holder = occurrence->policy_decisions;
 		talloc_set_destructor(holder, free_opinions);
 	}
-	if (!round->opinions[step])
-		round->opinions[step] = g_hash_table_new_full(
+	if (!occurrence->policy_decisions[step])
+		occurrence->policy_decisions[step] = g_hash_table_new_full(
 			g_str_hash, g_str_equal, g_free, g_free);
-	return round->opinions[step];
+	return occurrence->policy_decisions[step];
 }
 
 /* The occurrence that a question is about, or NULL when it has gone. */
-static struct rj_cell_round *round_of(const struct question *question)
+static struct rj_cell_occurrence *round_of(const struct question *question)
 {
-	struct rj_cell_entry *entry =
+	struct rj_cell_view_entry *entry =
 		rj_cell_view_find(question->owner->view, question->job);
 	struct rj_cell_task *task =
-		entry && entry->work ?
-			rj_cell_work_find(entry->work, question->round,
-					  question->step, 0) :
+		entry && entry->job ?
+			rj_cell_job_find_task(entry->job, question->occurrence,
+					      question->step, 0) :
 			NULL;
 
-	return task ? task->round : NULL;
+	return task ? task->occurrence : NULL;
 }
 
 /* The ticket for a worker in an answer, or NULL when it may not run. */
@@ -136,10 +140,10 @@
 
 /* Note what was said of each worker that was asked about. */
 static void take_reply(const struct question *question,
-		       struct rj_cell_round *round,
+		       struct rj_cell_occurrence *occurrence,
 		       const struct rj_cell_advice_reply *reply)
 {
-	GHashTable *opinions = obtain(round, question->step);
+	GHashTable *policy_decisions = obtain(occurrence, question->step);
 
 	for (uint32_t i = 0; i < question->count; i++) {
 		struct opinion *opinion = g_new0(struct opinion, 1);
@@ -151,8 +155,8 @@
 			question->sent_us + reply->valid_ms * RJ_US_PER_MS;
 		g_strlcpy(opinion->ticket, ticket ? ticket : "",
 			  sizeof(opinion->ticket));
-		g_hash_table_insert(opinions, g_strdup(question->workers[i]),
-				    opinion);
+		g_hash_table_insert(policy_decisions,
+				    g_strdup(question->workers[i]), opinion);
 	}
 }
 
@@ -162,7 +166,7 @@
 {
 	struct question *question = private_data;
 	struct rj_cell_owner *owner = question->owner;
-	struct rj_cell_round *round;
+	struct rj_cell_occurrence *occurrence;
 
 	if (question->generation != owner->generation || !owner->active) {
 		talloc_free(question);
@@ -170,7 +174,7 @@
 	}
 	owner->now_us = reply->now_us;
 	owner->advice_open = false;
-	round = round_of(question);
+	occurrence = round_of(question);
 	rj_note("advice", RJ_NOTE_TEXT("job", question->job),
 		RJ_NOTE_NUMBER("step", question->step),
 		RJ_NOTE_NUMBER("asked", question->count),
@@ -179,8 +183,8 @@
 		RJ_NOTE_AGE_MS("took_ms", reply->now_us - question->sent_us));
 	if (!reply->answered)
 		owner->advice_due_us = owner->now_us + RETRY_US;
-	else if (round)
-		take_reply(question, round, reply);
+	else if (occurrence)
+		take_reply(question, occurrence, reply);
 	owner->plan_wanted = true;
 	talloc_free(question);
 }
@@ -207,19 +211,20 @@
 		      const struct rj_cell_unit *unit,
 		      const struct rj_cell_room *room, enum choice choice)
 {
-	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
-	struct rj_cell_demand want = rj_cell_step_counted(step);
+	const struct rj_cell_step *step =
+		&unit->job->job_spec->steps[unit->step];
+	struct rj_cell_demand want = rj_cell_step_demand(step);
 	const struct opinion *opinion =
-		opinion_of(unit->round, unit->step, room->worker);
+		opinion_of(unit->occurrence, unit->step, room->worker);
 	bool fits = rj_cell_demand_fits(&want, &room->now);
 
-	if (strcmp(room->worker->said.service, unit->service) != 0 ||
-	    !rj_cell_demand_fits(&want, &room->worker->said.capacity))
+	if (strcmp(room->worker->heartbeat.service, unit->service) != 0 ||
+	    !rj_cell_demand_fits(&want, &room->worker->heartbeat.capacity))
 		return false;
 	switch (choice) {
 	case CHOICE_RENEW:
 		return fits && opinion && opinion->allowed &&
-		       !rj_cell_advice_ticket(unit->round, unit->step,
+		       !rj_cell_advice_ticket(unit->occurrence, unit->step,
 					      room->worker, plan->now_us);
 	case CHOICE_FREE:
 		return fits && !opinion;
@@ -235,7 +240,7 @@
 {
 	/* Each job begins at another worker, so that they do not all ask for
 	 * the same ones. */
-	uint64_t start = rj_hash64_string(unit->work->def->id, unit->step);
+	uint64_t start = rj_hash64_string(unit->job->job_spec->id, unit->step);
 
 	for (int choice = 0; choice < CHOICE_COUNT; choice++)
 		for (uint32_t i = 0; i < plan->room_count; i++) {
@@ -266,13 +271,13 @@
 	question->owner = owner;
 	question->generation = owner->generation;
 	question->sent_us = owner->now_us;
-	memcpy(question->job, unit->work->def->id, sizeof(question->job));
-	question->round = unit->round->number;
+	memcpy(question->job, unit->job->job_spec->id, sizeof(question->job));
+	question->occurrence = unit->occurrence->number;
 	question->step = unit->step;
 	for (uint32_t i = 0; i < question->count; i++)
 		workers[i] = question->workers[i];
 	(void)g_snprintf(step, sizeof(step), "%s.%u.%u", question->job,
-			 question->round, question->step);
+			 question->occurrence, question->step);
 	owner->advice_open = true;
 	owner->advisor->ops->ask(
 		owner->advisor, step, workers, question->count,
@@ -283,12 +288,12 @@
 /* Whether some task of a unit has found no place in the plan. */
 static bool still_waits(const struct rj_cell_unit *unit)
 {
-	const struct rj_cell_def *def = unit->work->def;
-	uint32_t first = rj_cell_def_first_task(def, unit->step);
+	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
+	uint32_t first = rj_cell_job_spec_first_task(job_spec, unit->step);
 
-	for (uint32_t i = 0; i < def->steps[unit->step].task_count; i++) {
+	for (uint32_t i = 0; i < job_spec->steps[unit->step].task_count; i++) {
 		const struct rj_cell_task *task =
-			&unit->round->tasks[first + i];
+			&unit->occurrence->tasks[first + i];
 
 		if (!task->done && task->runs.next == &task->runs)
 			return true;
--- a/src/libradishjunction/cell/cell_backlog.c
+++ b/src/libradishjunction/cell/cell_backlog.c
@@ -11,7 +11,7 @@
 		     const struct rj_cell_unit *unit)
 {
 	struct rj_cell_backlog_class *class =
-		&backlog->classes[rj_cell_work_class(unit->work)];
+		&backlog->classes[rj_cell_job_priority_class(unit->job)];
 
 	if (unit->started >= unit->waiting)
 		return;
@@ -26,7 +26,7 @@
 static void add_room(struct rj_cell_backlog *backlog,
 		     const struct rj_cell_room *room)
 {
-	uint32_t accelerators = room->worker->said.capacity.accelerators;
+	uint32_t accelerators = room->worker->heartbeat.capacity.accelerators;
 
 	backlog->promised += room->promised.accelerators;
 	if (!room->reserved)
@@ -49,8 +49,8 @@
 			 &g_array_index(plan->units, struct rj_cell_unit, i));
 	for (uint32_t i = 0; i < plan->room_count; i++)
 		add_room(backlog, &plan->rooms[i]);
-	for (uint32_t i = 0; i < RJ_CELL_PRIORITIES; i++)
-		backlog->classes[i].held = plan->held[i].accelerators;
+	for (uint32_t i = 0; i < RJ_CELL_PRIORITY_CLASSES; i++)
+		backlog->classes[i].allocated = plan->allocated[i].accelerators;
 	backlog->usage = plan->usage;
 	backlog->workers = plan->room_count;
 	backlog->urgent =
@@ -73,9 +73,9 @@
 		RJ_NOTE_AGE_MS("urgent_oldest_ms", urgent->oldest_us),
 		RJ_NOTE_AGE_MS("normal_oldest_ms", normal->oldest_us),
 		RJ_NOTE_AGE_MS("batch_oldest_ms", batch->oldest_us),
-		RJ_NOTE_NUMBER("urgent_held", urgent->held),
-		RJ_NOTE_NUMBER("normal_held", normal->held),
-		RJ_NOTE_NUMBER("batch_held", batch->held),
+		RJ_NOTE_NUMBER("urgent_held", urgent->allocated),
+		RJ_NOTE_NUMBER("normal_held", normal->allocated),
+		RJ_NOTE_NUMBER("batch_held", batch->allocated),
 		RJ_NOTE_NUMBER("late_tasks", urgent->late_tasks +
 						     normal->late_tasks +
 						     batch->late_tasks),
--- a/src/libradishjunction/cell/cell_calls.c
+++ b/src/libradishjunction/cell/cell_calls.c
@@ -8,13 +8,13 @@
 const char *const rj_cell_order_status_string[RJ_CELL_ORDER_STATUS_COUNT] = {
 	[RJ_CELL_ORDER_OK] = "ok",
 	[RJ_CELL_ORDER_FENCED] = "fenced",
-	[RJ_CELL_ORDER_OLD] = "old",
-	[RJ_CELL_ORDER_LATE] = "late",
-	[RJ_CELL_ORDER_FULL] = "full",
-	[RJ_CELL_ORDER_TICKET] = "ticket",
-	[RJ_CELL_ORDER_BAD] = "bad",
-	[RJ_CELL_ORDER_SICK] = "sick",
-	[RJ_CELL_ORDER_OTHER] = "other_life",
+	[RJ_CELL_ORDER_STALE] = "old",
+	[RJ_CELL_ORDER_DEADLINE_PASSED] = "late",
+	[RJ_CELL_ORDER_NO_CAPACITY] = "full",
+	[RJ_CELL_ORDER_TICKET_INVALID] = "ticket",
+	[RJ_CELL_ORDER_MALFORMED] = "bad",
+	[RJ_CELL_ORDER_UNHEALTHY] = "sick",
+	[RJ_CELL_ORDER_OTHER_INCARNATION] = "other_life",
 	[RJ_CELL_ORDER_UNSENT] = "unsent",
 	[RJ_CELL_ORDER_LOST] = "lost",
 };
@@ -83,7 +83,7 @@
 		return 0;
 	deadline_ms = rj_cell_worker_clock_ms(worker, owner->now_us) +
 		      owner->terms.lease_max_ms;
-	rj_cell_worker_note_lease(worker, deadline_ms);
+	rj_cell_worker_extend_lease(worker, deadline_ms);
 	return deadline_ms;
 }
 
@@ -99,7 +99,7 @@
 			worker->runs.next, struct rj_cell_run, in_worker);
 
 		run->why = why;
-		rj_cell_ends_run(owner, run, RJ_CELL_END_LOST, NULL);
+		rj_cell_ends_run(owner, run, RJ_CELL_COMPLETION_LOST, NULL);
 	}
 }
 
@@ -136,11 +136,11 @@
 	owner->now_us = reply->now_us;
 	worker = rj_cell_fleet_find(&owner->fleet, call->worker);
 	if (worker)
-		rj_cell_worker_heard(worker, call->sent_us,
-				     reply->status != RJ_CELL_ORDER_LOST &&
-					     reply->status !=
-						     RJ_CELL_ORDER_UNSENT,
-				     reply->now_us);
+		rj_cell_worker_record_contact(
+			worker, call->sent_us,
+			reply->status != RJ_CELL_ORDER_LOST &&
+				reply->status != RJ_CELL_ORDER_UNSENT,
+			reply->now_us);
 	return worker;
 }
 
@@ -150,6 +150,7 @@
 void rj_cell_call_other_life(struct rj_cell_owner *owner,
 			     struct rj_cell_worker *worker)
 {
-	rj_cell_call_answers(owner, worker, false, RJ_CELL_ORDER_OTHER);
+	rj_cell_call_answers(owner, worker, false,
+			     RJ_CELL_ORDER_OTHER_INCARNATION);
 	rj_cell_call_lose_runs(owner, worker, "worker_reborn");
 }
--- a/src/libradishjunction/cell/cell_config.c
+++ b/src/libradishjunction/cell/cell_config.c
@@ -79,11 +79,11 @@
 /*
  * Whether the workers of a service refuse what does not fit.
  */
-bool rj_cell_config_guarded(const struct rj_cell_config *config,
-			    const char *service)
+bool rj_cell_config_enforces_limits(const struct rj_cell_config *config,
+				    const char *service)
 {
 	for (uint32_t i = 0; i < config->service_count; i++)
 		if (!strcmp(config->services[i].name, service))
-			return config->services[i].guarded;
+			return config->services[i].enforces_limits;
 	return false;
 }
--- a/src/libradishjunction/cell/cell_ends.c
+++ b/src/libradishjunction/cell/cell_ends.c
@@ -6,11 +6,14 @@
 #include "private/cell_owner.h"
 #include "private/note.h"
 
-const char *const rj_cell_end_string[RJ_CELL_END_COUNT] = {
-	[RJ_CELL_END_DONE] = "done",	   [RJ_CELL_END_FAILED] = "failed",
-	[RJ_CELL_END_STOPPED] = "stopped", [RJ_CELL_END_LAPSED] = "lapsed",
-	[RJ_CELL_END_BROKEN] = "broken",   [RJ_CELL_END_ALONE] = "alone",
-	[RJ_CELL_END_LOST] = "lost",
+const char *const rj_cell_completion_string[RJ_CELL_COMPLETION_COUNT] = {
+	[RJ_CELL_COMPLETION_DONE] = "done",
+	[RJ_CELL_COMPLETION_FAILED] = "failed",
+	[RJ_CELL_COMPLETION_STOPPED] = "stopped",
+	[RJ_CELL_COMPLETION_EXPIRED] = "lapsed",
+	[RJ_CELL_COMPLETION_GANG_BROKEN] = "broken",
+	[RJ_CELL_COMPLETION_GANG_INCOMPLETE] = "alone",
+	[RJ_CELL_COMPLETION_LOST] = "lost",
 };
 
 /* A task that failed starts again after this, times its failures: a worker
@@ -41,7 +44,7 @@
 		return;
 	/* Nobody has been told of it: there is nothing to stop. */
 	if (run->state == RJ_CELL_RUN_INTENDED) {
-		rj_cell_owner_dirty(owner, run->task->round->work);
+		rj_cell_owner_dirty(owner, run->task->occurrence->job);
 		rj_cell_run_free(run);
 		return;
 	}
@@ -49,7 +52,7 @@
 	run->why = why;
 	run->settled_us = 0;
 	run->order_tries = 0;
-	rj_cell_run_order(run, owner->now_us);
+	rj_cell_run_schedule_order(run, owner->now_us);
 }
 
 /* Stop all runs of one task. */
@@ -83,68 +86,69 @@
  * Stop all that runs of a job.
  */
 void rj_cell_ends_stop_work(struct rj_cell_owner *owner,
-			    struct rj_cell_work *work, const char *why)
+			    struct rj_cell_job *job, const char *why)
 {
 	struct job_stop stop = { owner, why };
 
-	rj_cell_work_each_run(work, stop_for_job, &stop);
+	rj_cell_job_each_run(job, stop_for_job, &stop);
 }
 
 /*
  * A job has ended as `state`: what still runs of it is stopped.
  */
-void rj_cell_ends_close(struct rj_cell_owner *owner, struct rj_cell_work *work,
+void rj_cell_ends_close(struct rj_cell_owner *owner, struct rj_cell_job *job,
 			enum rj_cell_job_state state)
 {
-	if (work->state >= RJ_CELL_JOB_COMPLETED)
+	if (job->state >= RJ_CELL_JOB_COMPLETED)
 		return;
-	work->state = state;
+	job->state = state;
 	if (state == RJ_CELL_JOB_COMPLETED)
 		owner->counters.completed++;
 	if (state == RJ_CELL_JOB_FAILED)
 		owner->counters.failed++;
-	rj_note("job_end", RJ_NOTE_TEXT("job", work->def->id),
-		RJ_NOTE_TEXT("account", work->def->account),
+	rj_note("job_end", RJ_NOTE_TEXT("job", job->job_spec->id),
+		RJ_NOTE_TEXT("account", job->job_spec->account),
 		RJ_NOTE_TEXT("state", rj_cell_job_state_string[state]),
-		RJ_NOTE_AGE_MS("after_ms", owner->now_us - work->accepted_us),
+		RJ_NOTE_AGE_MS("after_ms", owner->now_us - job->accepted_us),
 		RJ_NOTE_AGE_MS("objective_ms",
-			       work->objective_us - work->accepted_us),
+			       job->objective_us - job->accepted_us),
 		RJ_NOTE_AGE_MS("began_ms",
-			       work->began_us ?
-				       work->began_us - work->accepted_us :
+			       job->first_start_us ?
+				       job->first_start_us - job->accepted_us :
 				       RJ_NEVER_US),
-		RJ_NOTE_NUMBER("runs_lost", work->runs_lost),
-		RJ_NOTE_NUMBER("split", work->split));
+		RJ_NOTE_NUMBER("runs_lost", job->runs_lost),
+		RJ_NOTE_NUMBER("split", job->split));
 	if (state != RJ_CELL_JOB_COMPLETED)
-		rj_cell_ends_stop_work(owner, work,
+		rj_cell_ends_stop_work(owner, job,
 				       rj_cell_job_state_string[state]);
-	rj_cell_owner_dirty(owner, work);
+	rj_cell_owner_dirty(owner, job);
 }
 
 /*
  * Begin the occurrences of a job whose time has come.
  */
 void rj_cell_ends_begin_rounds(struct rj_cell_owner *owner,
-			       struct rj_cell_work *work)
+			       struct rj_cell_job *job)
 {
-	const struct rj_cell_def *def = work->def;
-	uint32_t rounds = def->repeats ? def->repeats : 1;
-
-	while (work->rounds_begun < rounds &&
-	       (!def->repeats ||
-		owner->wall_ms >=
-			def->first_run_ms +
-				work->rounds_begun * def->interval_ms)) {
-		rj_cell_work_begin_round(work, work->rounds_begun);
+	const struct rj_cell_job_spec *job_spec = job->job_spec;
+	uint32_t occurrences = job_spec->repeats ? job_spec->repeats : 1;
+
+	while (job->occurrences_begun < occurrences &&
+	       (!job_spec->repeats ||
+		owner->wall_ms >= job_spec->first_run_ms +
+					  job->occurrences_begun *
+						  job_spec->interval_ms)) {
+		rj_cell_job_begin_occurrence(job, job->occurrences_begun);
 		owner->plan_wanted = true;
 	}
 }
 
 /* Whether nothing of an occurrence is listed by a worker any more. */
-static bool is_idle(const struct rj_cell_round *round)
+static bool is_idle(const struct rj_cell_occurrence *occurrence)
 {
-	for (uint32_t i = 0; i < round->work->def->task_count; i++)
-		if (round->tasks[i].runs.next != &round->tasks[i].runs)
+	for (uint32_t i = 0; i < occurrence->job->job_spec->task_count; i++)
+		if (occurrence->tasks[i].runs.next !=
+		    &occurrence->tasks[i].runs)
 			return false;
 	return true;
 }
@@ -154,20 +158,22 @@
  * that are still listed, members of a gang whose end is not seen yet, keep
  * the occurrence in memory.
  */
-static void end_round(struct rj_cell_owner *owner, struct rj_cell_round *round)
+static void end_round(struct rj_cell_owner *owner,
+		      struct rj_cell_occurrence *occurrence)
 {
-	struct rj_cell_work *work = round->work;
-	uint32_t rounds = work->def->repeats ? work->def->repeats : 1;
-
-	if (!round->closed) {
-		round->closed = true;
-		work->rounds_done++;
-		if (work->rounds_done >= rounds)
-			rj_cell_ends_close(owner, work, RJ_CELL_JOB_COMPLETED);
+	struct rj_cell_job *job = occurrence->job;
+	uint32_t occurrences =
+		job->job_spec->repeats ? job->job_spec->repeats : 1;
+
+	if (!occurrence->closed) {
+		occurrence->closed = true;
+		job->occurrences_done++;
+		if (job->occurrences_done >= occurrences)
+			rj_cell_ends_close(owner, job, RJ_CELL_JOB_COMPLETED);
 	}
-	if (is_idle(round)) {
-		rj_list_remove(&round->link);
-		talloc_free(round);
+	if (is_idle(occurrence)) {
+		rj_list_remove(&occurrence->link);
+		talloc_free(occurrence);
 	}
 }
 
@@ -182,7 +188,7 @@
 		return;
 	for (uint32_t i = 0; i < count; i++)
 		if (!first[i].done)
-			rj_cell_round_task_done(&first[i]);
+			rj_cell_task_complete(&first[i]);
 	/* Members of a gang end by themselves; copies have to be stopped. */
 	if (!step->gang)
 		stop_task(owner, task, "copy_done");
@@ -221,7 +227,7 @@
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
 	struct rj_cell_task *head = rj_cell_task_head(task);
-	struct rj_cell_work *work = task->round->work;
+	struct rj_cell_job *job = task->occurrence->job;
 
 	/* Members that fail in the same run are one failure of the gang. */
 	if (head->failed_run != run->number)
@@ -229,21 +235,22 @@
 	head->failed_run = run->number;
 	rj_cell_ends_avoid(owner, task, run->worker);
 	task->not_before_us = owner->now_us + FAILURE_PAUSE_US * head->failures;
-	if (!step->perpetual && head->failures >= work->def->attempts_max)
-		rj_cell_ends_close(owner, work, RJ_CELL_JOB_FAILED);
+	if (!step->perpetual && head->failures >= job->job_spec->attempts_max)
+		rj_cell_ends_close(owner, job, RJ_CELL_JOB_FAILED);
 }
 
 /* Judge a worker by what has become of a run there. */
 static void judge_worker(struct rj_cell_owner *owner,
-			 const struct rj_cell_run *run, enum rj_cell_end end)
+			 const struct rj_cell_run *run,
+			 enum rj_cell_completion end)
 {
 	struct rj_cell_worker *worker = run->worker;
-	bool early = run->begun_us && !run->adopted &&
-		     rj_cell_failure_is_early(owner->now_us - run->begun_us);
+	bool early = run->placed_us && !run->adopted &&
+		     rj_cell_failure_is_early(owner->now_us - run->placed_us);
 
-	if (end == RJ_CELL_END_DONE)
+	if (end == RJ_CELL_COMPLETION_DONE)
 		worker->bad_streak = 0;
-	if (end != RJ_CELL_END_FAILED)
+	if (end != RJ_CELL_COMPLETION_FAILED)
 		return;
 	worker->bad_streak++;
 	if (early)
@@ -274,7 +281,7 @@
  * still arrive at its worker. */
 static bool has_begun(const struct rj_cell_run *run)
 {
-	return run->begun_us && (!run->adopted || run->listed_us);
+	return run->placed_us && (!run->adopted || run->listed_us);
 }
 
 /*
@@ -282,9 +289,10 @@
  * that we stopped does not: a gang that is not complete yet does not end with
  * its first member.
  */
-static bool ends_gang(enum rj_cell_end end)
+static bool ends_gang(enum rj_cell_completion end)
 {
-	return end == RJ_CELL_END_BROKEN || end == RJ_CELL_END_FAILED;
+	return end == RJ_CELL_COMPLETION_GANG_BROKEN ||
+	       end == RJ_CELL_COMPLETION_FAILED;
 }
 
 /*
@@ -295,8 +303,8 @@
 static bool has_attempts(const struct rj_cell_task *head)
 {
 	return rj_cell_task_step(head)->perpetual ||
-	       head->failures + head->unseen + 1 <
-		       head->round->work->def->attempts_max;
+	       head->failures + head->unreported + 1 <
+		       head->occurrence->job->job_spec->attempts_max;
 }
 
 /*
@@ -323,8 +331,9 @@
 			struct rj_cell_run *run =
 				RJ_CONTAINER(at, struct rj_cell_run, in_task);
 
-			if (has_begun(run) && !run->over_us)
-				run->over_us = owner->now_us + members_end_us;
+			if (has_begun(run) && !run->ended_by_us)
+				run->ended_by_us =
+					owner->now_us + members_end_us;
 		}
 	}
 }
@@ -335,13 +344,14 @@
 	struct rj_cell_task *head = rj_cell_task_head(run->task);
 
 	/* Members of one run are one failure at most. */
-	if (head->unseen_run != run->number && head->failed_run != run->number)
-		head->unseen++;
-	head->unseen_run = run->number;
-	head->unseen_until_us =
-		MAX(head->unseen_until_us, run->worker->lapsed_us);
+	if (head->unreported_run != run->number &&
+	    head->failed_run != run->number)
+		head->unreported++;
+	head->unreported_run = run->number;
+	head->unreported_until_us =
+		MAX(head->unreported_until_us, run->worker->lease_expired_us);
 	run->why = "gang_over";
-	rj_cell_ends_run(owner, run, RJ_CELL_END_LOST, NULL);
+	rj_cell_ends_run(owner, run, RJ_CELL_COMPLETION_LOST, NULL);
 }
 
 /*
@@ -357,7 +367,7 @@
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
 
 		at = at->next;
-		if (!run->over_us || owner->now_us < run->over_us)
+		if (!run->ended_by_us || owner->now_us < run->ended_by_us)
 			continue;
 		end_over(owner, run);
 		/* Others of its gang may have gone with it. */
@@ -370,23 +380,23 @@
  * What changes must be stored before the worker forgets the end.
  */
 void rj_cell_ends_run(struct rj_cell_owner *owner, struct rj_cell_run *run,
-		      enum rj_cell_end end, const char *saved)
+		      enum rj_cell_completion end, const char *saved)
 {
 	struct rj_cell_task *task = run->task;
 	struct rj_cell_worker *worker = run->worker;
-	struct rj_cell_work *work;
-	struct rj_cell_round *round;
+	struct rj_cell_job *job;
+	struct rj_cell_occurrence *occurrence;
 
-	owner->counters.ends[end]++;
+	owner->counters.completions[end]++;
 	owner->plan_wanted = true;
 	rj_note("run_end", RJ_NOTE_TEXT("task", run->name),
 		RJ_NOTE_NUMBER("run", run->number),
 		RJ_NOTE_TEXT("worker", worker->id),
-		RJ_NOTE_TEXT("end", rj_cell_end_string[end]),
+		RJ_NOTE_TEXT("end", rj_cell_completion_string[end]),
 		RJ_NOTE_TEXT("why", run->why),
-		RJ_NOTE_AGE_MS("ran_ms", run->begun_us ?
-						 owner->now_us - run->begun_us :
-						 0));
+		RJ_NOTE_AGE_MS("ran_ms",
+			       run->placed_us ? owner->now_us - run->placed_us :
+						0));
 	if (!task) {
 		rj_cell_run_free(run);
 		return;
@@ -399,63 +409,63 @@
 	 */
 	run->state = RJ_CELL_RUN_STOPPING;
 	judge_worker(owner, run, end);
-	round = task->round;
-	work = round->work;
-	work->runs_lost += end != RJ_CELL_END_DONE;
+	occurrence = task->occurrence;
+	job = occurrence->job;
+	job->runs_lost += end != RJ_CELL_COMPLETION_DONE;
 	note_saved(task, saved && saved[0] ? saved : run->saved);
-	if (end == RJ_CELL_END_DONE && run->begun_us && !run->adopted &&
+	if (end == RJ_CELL_COMPLETION_DONE && run->placed_us && !run->adopted &&
 	    !run->checkpoint[0])
-		rj_cell_forecast_learn(&owner->forecast, work->def->queue,
-				       owner->now_us - run->begun_us);
-	if (work->state < RJ_CELL_JOB_COMPLETED && !task->done) {
-		if (end == RJ_CELL_END_DONE)
+		rj_cell_forecast_learn(&owner->forecast, job->job_spec->queue,
+				       owner->now_us - run->placed_us);
+	if (job->state < RJ_CELL_JOB_COMPLETED && !task->done) {
+		if (end == RJ_CELL_COMPLETION_DONE)
 			note_done(owner, task);
-		else if (end == RJ_CELL_END_FAILED)
+		else if (end == RJ_CELL_COMPLETION_FAILED)
 			note_failed(owner, task, run);
 		else
 			task->losses++;
 		task->waiting_us = 0;
 	}
 	rj_cell_run_free(run);
-	if (end != RJ_CELL_END_DONE && rj_cell_task_step(task)->gang &&
+	if (end != RJ_CELL_COMPLETION_DONE && rj_cell_task_step(task)->gang &&
 	    !task->done) {
 		break_gang(owner, task);
 		if (ends_gang(end))
 			note_members_over(owner, task);
 	}
-	rj_cell_owner_dirty(owner, work);
-	if (!round->steps_left)
-		end_round(owner, round);
+	rj_cell_owner_dirty(owner, job);
+	if (!occurrence->steps_left)
+		end_round(owner, occurrence);
 }
 
 /* Whether a task is done by a run that was given up before: it ended well
  * while its worker was out of reach, and the task has run anew since. */
 static bool was_done_before(const struct rj_cell_task *task,
-			    const struct rj_cell_end_row *row)
+			    const struct rj_cell_completion_report *row)
 {
-	return task && row->end == RJ_CELL_END_DONE && !task->done &&
+	return task && row->end == RJ_CELL_COMPLETION_DONE && !task->done &&
 	       row->number <= task->run &&
 	       !rj_cell_task_step(task)->perpetual &&
-	       task->round->work->state < RJ_CELL_JOB_COMPLETED;
+	       task->occurrence->job->state < RJ_CELL_JOB_COMPLETED;
 }
 
 /* A failure of a run that was taken to have ended with its gang. */
 static void count_unseen(struct rj_cell_owner *owner, struct rj_cell_task *task,
-			 const struct rj_cell_end_row *row)
+			 const struct rj_cell_completion_report *row)
 {
 	struct rj_cell_task *head = task ? rj_cell_task_head(task) : NULL;
-	struct rj_cell_work *work;
+	struct rj_cell_job *job;
 
-	if (!head || row->end != RJ_CELL_END_FAILED || !head->unseen ||
-	    head->failed_run == row->number)
+	if (!head || row->end != RJ_CELL_COMPLETION_FAILED ||
+	    !head->unreported || head->failed_run == row->number)
 		return;
-	head->unseen--;
+	head->unreported--;
 	head->failures++;
-	work = head->round->work;
+	job = head->occurrence->job;
 	if (!rj_cell_task_step(head)->perpetual &&
-	    head->failures >= work->def->attempts_max)
-		rj_cell_ends_close(owner, work, RJ_CELL_JOB_FAILED);
-	rj_cell_owner_dirty(owner, work);
+	    head->failures >= job->job_spec->attempts_max)
+		rj_cell_ends_close(owner, job, RJ_CELL_JOB_FAILED);
+	rj_cell_owner_dirty(owner, job);
 }
 
 /*
@@ -466,23 +476,23 @@
  */
 void rj_cell_ends_orphan(struct rj_cell_owner *owner,
 			 struct rj_cell_worker *worker,
-			 const struct rj_cell_end_row *row)
+			 const struct rj_cell_completion_report *row)
 {
 	struct rj_cell_task *task = rj_cell_owner_task(owner, row->name, NULL);
-	struct rj_cell_round *round;
+	struct rj_cell_occurrence *occurrence;
 
 	rj_note("orphan_end", RJ_NOTE_TEXT("task", row->name),
 		RJ_NOTE_NUMBER("run", row->number),
 		RJ_NOTE_TEXT("worker", worker->id),
-		RJ_NOTE_TEXT("end", rj_cell_end_string[row->end]));
+		RJ_NOTE_TEXT("end", rj_cell_completion_string[row->end]));
 	count_unseen(owner, task, row);
 	if (!was_done_before(task, row))
 		return;
-	round = task->round;
+	occurrence = task->occurrence;
 	note_done(owner, task);
 	if (rj_cell_task_step(task)->gang)
 		break_gang(owner, task);
-	rj_cell_owner_dirty(owner, round->work);
-	if (!round->steps_left)
-		end_round(owner, round);
+	rj_cell_owner_dirty(owner, occurrence->job);
+	if (!occurrence->steps_left)
+		end_round(owner, occurrence);
 }
--- a/src/libradishjunction/cell/cell_evacuate.c
+++ b/src/libradishjunction/cell/cell_evacuate.c
@@ -8,7 +8,7 @@
 #define FORECAST_ERROR_US (500 * RJ_US_PER_MS)
 
 /*
- * Whether a run on a worker that may leave from `leaves_us` on is to be
+ * Whether a run on a worker that may leave from `departure_us` on is to be
  * stopped at `now_us`; it would end by itself in `left_us`.
  *
  * Load that it answers: workers that are taken away at short notice by the
@@ -18,13 +18,13 @@
  * to win by going on.
  */
 bool rj_cell_evacuate_now(const struct rj_cell_step *step, uint64_t left_us,
-			  uint64_t now_us, uint64_t leaves_us)
+			  uint64_t now_us, uint64_t departure_us)
 {
 	if (step->perpetual)
-		return now_us + STOP_LEAD_US >= leaves_us;
-	if (now_us + left_us <= leaves_us + FORECAST_ERROR_US)
+		return now_us + STOP_LEAD_US >= departure_us;
+	if (now_us + left_us <= departure_us + FORECAST_ERROR_US)
 		return false;
-	return !step->checkpoints || now_us + STOP_LEAD_US >= leaves_us;
+	return !step->checkpoints || now_us + STOP_LEAD_US >= departure_us;
 }
 
 /*
@@ -47,7 +47,7 @@
 			    rj_cell_task_step(run->task),
 			    rj_cell_forecast_left_us(&owner->forecast, run,
 						     owner->now_us),
-			    owner->now_us, worker->leaves_us))
+			    owner->now_us, worker->departure_us))
 			rj_cell_ends_stop_run(owner, run, RJ_CELL_WHY_LEAVES);
 	}
 }
--- a/src/libradishjunction/cell/cell_failure.c
+++ b/src/libradishjunction/cell/cell_failure.c
@@ -60,11 +60,11 @@
 }
 
 /*
- * Whether what a worker started at `sound_us`, and did not fail, shows that it
+ * Whether what a worker started at `healthy_us`, and did not fail, shows that it
  * is none of those that have begun to fail.
  */
 bool rj_cell_failure_is_sound(const struct rj_cell_failure_burst *burst,
-			      uint64_t sound_us)
+			      uint64_t healthy_us)
 {
-	return sound_us >= burst->since_us;
+	return healthy_us >= burst->since_us;
 }
--- a/src/libradishjunction/cell/cell_fleet.c
+++ b/src/libradishjunction/cell/cell_fleet.c
@@ -20,8 +20,8 @@
 	fleet->mem = talloc_named_const(mem, 0, "cell fleet");
 	fleet->by_id = g_hash_table_new(g_str_hash, g_str_equal);
 	rj_list_init(&fleet->workers);
-	for (int i = 0; i < RJ_CELL_WATCH_COUNT; i++)
-		rj_list_init(&fleet->watched[i]);
+	for (int i = 0; i < RJ_CELL_POLL_STATE_COUNT; i++)
+		rj_list_init(&fleet->by_poll_state[i]);
 	rj_list_init(&fleet->ordered);
 	rj_list_init(&fleet->unstored);
 	fleet->racks = g_ptr_array_new();
@@ -72,12 +72,12 @@
 	g_strlcpy(worker->id, id, sizeof(worker->id));
 	worker->fleet = fleet;
 	rj_list_init(&worker->runs);
-	rj_list_init(&worker->in_watch);
+	rj_list_init(&worker->in_poll_state);
 	rj_list_init(&worker->in_ordered);
 	rj_list_init(&worker->in_unstored);
 	rj_list_init(&worker->in_rack);
 	rj_list_append(&fleet->workers, &worker->link);
-	rj_cell_worker_watch(worker, RJ_CELL_WATCH_IDLE);
+	rj_cell_worker_set_poll_state(worker, RJ_CELL_POLL_STATE_IDLE);
 	g_hash_table_insert(fleet->by_id, worker->id, worker);
 	fleet->count++;
 	return worker;
@@ -93,7 +93,7 @@
 		rj_cell_run_free(RJ_CONTAINER(worker->runs.next,
 					      struct rj_cell_run, in_worker));
 	rj_list_remove(&worker->link);
-	rj_list_remove(&worker->in_watch);
+	rj_list_remove(&worker->in_poll_state);
 	rj_list_remove(&worker->in_ordered);
 	rj_list_remove(&worker->in_unstored);
 	rj_list_remove(&worker->in_rack);
@@ -203,8 +203,9 @@
 /*
  * A call to a worker that was sent at `sent_us` has been answered, or lost.
  */
-void rj_cell_worker_heard(struct rj_cell_worker *worker, uint64_t sent_us,
-			  bool answered, uint64_t now_us)
+void rj_cell_worker_record_contact(struct rj_cell_worker *worker,
+				   uint64_t sent_us, bool answered,
+				   uint64_t now_us)
 {
 	struct rj_cell_domain *domain = worker->domain;
 
@@ -214,25 +215,25 @@
 		return;
 	if (answered)
 		domain->answered_us = now_us;
-	else if (sent_us > domain->missed_us)
-		domain->missed_us = sent_us;
+	else if (sent_us > domain->lost_call_us)
+		domain->lost_call_us = sent_us;
 }
 
 /* Whether nothing has been heard from a failure domain since a call to it was
  * lost. */
 static bool is_silent(const struct rj_cell_domain *domain)
 {
-	return domain && domain->missed_us > domain->answered_us;
+	return domain && domain->lost_call_us > domain->answered_us;
 }
 
 /*
  * Take note of what a worker says of itself.
  */
-void rj_cell_worker_say(struct rj_cell_worker *worker,
-			const struct rj_cell_heartbeat *heartbeat)
+void rj_cell_worker_apply_heartbeat(struct rj_cell_worker *worker,
+				    const struct rj_cell_heartbeat *heartbeat)
 {
 	bool moved = !worker->rack ||
-		     strcmp(worker->said.rack, heartbeat->rack) != 0;
+		     strcmp(worker->heartbeat.rack, heartbeat->rack) != 0;
 
 	if (!worker->domain ||
 	    strcmp(worker->domain->name, heartbeat->domain) != 0)
@@ -241,7 +242,7 @@
 	if (!worker->service ||
 	    strcmp(worker->service, heartbeat->service) != 0)
 		worker->service = g_intern_string(heartbeat->service);
-	worker->said = *heartbeat;
+	worker->heartbeat = *heartbeat;
 	if (!moved)
 		return;
 	rj_list_remove(&worker->in_rack);
@@ -252,12 +253,13 @@
 /*
  * Watch a worker in another way; it goes to the end of that list.
  */
-void rj_cell_worker_watch(struct rj_cell_worker *worker,
-			  enum rj_cell_watch watch)
+void rj_cell_worker_set_poll_state(struct rj_cell_worker *worker,
+				   enum rj_cell_poll_state poll_state)
 {
-	rj_list_remove(&worker->in_watch);
-	worker->watch = watch;
-	rj_list_append(&worker->fleet->watched[watch], &worker->in_watch);
+	rj_list_remove(&worker->in_poll_state);
+	worker->poll_state = poll_state;
+	rj_list_append(&worker->fleet->by_poll_state[poll_state],
+		       &worker->in_poll_state);
 }
 
 /*
@@ -273,7 +275,7 @@
 /*
  * How long a lease of `lease_us` by a worker's clock may last by ours.
  */
-uint64_t rj_cell_lease_longest_us(uint64_t lease_us)
+uint64_t rj_cell_lease_max_us(uint64_t lease_us)
 {
 	return lease_us * (100 + CLOCK_SLOW_PERCENT) / 100;
 }
@@ -282,19 +284,19 @@
  * An order with this deadline goes to the worker: what runs there may go on
  * until its own clock shows it, which can be a little later by ours.
  */
-void rj_cell_worker_note_lease(struct rj_cell_worker *worker,
-			       uint64_t deadline_ms)
+void rj_cell_worker_extend_lease(struct rj_cell_worker *worker,
+				 uint64_t deadline_ms)
 {
 	uint64_t left_us;
-	uint64_t lapsed_us;
+	uint64_t lease_expired_us;
 
 	if (deadline_ms > worker->lease_ms)
 		worker->lease_ms = deadline_ms;
 	left_us = (worker->lease_ms - worker->clock_ms) * RJ_US_PER_MS;
-	lapsed_us = worker->clock_at_us + ANSWER_SLACK_US +
-		    rj_cell_lease_longest_us(left_us);
-	if (lapsed_us > worker->lapsed_us)
-		worker->lapsed_us = lapsed_us;
+	lease_expired_us = worker->clock_at_us + ANSWER_SLACK_US +
+			   rj_cell_lease_max_us(left_us);
+	if (lease_expired_us > worker->lease_expired_us)
+		worker->lease_expired_us = lease_expired_us;
 }
 
 /*
@@ -309,9 +311,9 @@
  * Whether anything may still start on a worker: it is listed, does not drain,
  * and its failure domain is not cordoned.
  */
-bool rj_cell_worker_stays(const struct rj_cell_worker *worker)
+bool rj_cell_worker_schedulable(const struct rj_cell_worker *worker)
 {
-	return worker->listed && !worker->said.draining &&
+	return worker->listed && !worker->heartbeat.draining &&
 	       !rj_cell_worker_cordoned(worker);
 }
 
@@ -321,7 +323,7 @@
  */
 bool rj_cell_worker_usable(const struct rj_cell_worker *worker, uint64_t now_us)
 {
-	return rj_cell_worker_stays(worker) && worker->answers &&
+	return rj_cell_worker_schedulable(worker) && worker->answers &&
 	       worker->clock_ms && now_us >= worker->suspect_until_us &&
 	       !is_silent(worker->domain);
 }
--- a/src/libradishjunction/cell/cell_flush.c
+++ b/src/libradishjunction/cell/cell_flush.c
@@ -24,16 +24,16 @@
 };
 
 /* Forget the work of a job that has ended and runs nowhere. */
-static void free_ended(struct rj_cell_owner *owner, struct rj_cell_work *work)
+static void free_ended(struct rj_cell_owner *owner, struct rj_cell_job *job)
 {
-	struct rj_cell_entry *entry = work->entry;
+	struct rj_cell_view_entry *entry = job->entry;
 
-	if (work->dirty || work->state < RJ_CELL_JOB_COMPLETED ||
-	    entry->told.state < RJ_CELL_JOB_COMPLETED ||
-	    !rj_cell_work_idle(work))
+	if (job->dirty || job->state < RJ_CELL_JOB_COMPLETED ||
+	    entry->summary.state < RJ_CELL_JOB_COMPLETED ||
+	    !rj_cell_job_is_idle(job))
 		return;
-	entry->work = NULL;
-	talloc_free(work);
+	entry->job = NULL;
+	talloc_free(job);
 	g_ptr_array_add(owner->ended, g_strdup(entry->id));
 }
 
@@ -47,7 +47,7 @@
 	run->recording = false;
 	run->state = RJ_CELL_RUN_STARTING;
 	run->order_tries = 0;
-	rj_cell_run_order(run, owner->now_us);
+	rj_cell_run_schedule_order(run, owner->now_us);
 }
 
 /* All that was flushed together is stored: workers may forget these ends. */
@@ -60,11 +60,11 @@
 		struct rj_cell_worker *worker =
 			RJ_CONTAINER(at, struct rj_cell_worker, in_unstored);
 
-		if (worker->seen_storing > worker->seen) {
-			worker->seen = worker->seen_storing;
+		if (worker->storing_position > worker->stored_position) {
+			worker->stored_position = worker->storing_position;
 			worker->poll_due_us = owner->now_us;
 		}
-		if (worker->seen >= worker->seen_taken)
+		if (worker->stored_position >= worker->applied_position)
 			rj_list_remove(at);
 	}
 }
@@ -72,12 +72,12 @@
 /* A record about a job is in the log. */
 static void take_effect(struct rj_cell_owner *owner,
 			const struct owner_write *write,
-			struct rj_cell_entry *entry)
+			struct rj_cell_view_entry *entry)
 {
 	if (write->kind == RJ_CELL_RECORD_STATE)
-		rj_cell_view_tell(entry, &write->summary, owner->now_us);
-	else if (write->kind == RJ_CELL_RECORD_PROGRESS && entry->work)
-		rj_cell_work_each_run(entry->work, release_run, owner);
+		rj_cell_view_set_summary(entry, &write->summary, owner->now_us);
+	else if (write->kind == RJ_CELL_RECORD_PROGRESS && entry->job)
+		rj_cell_job_each_run(entry->job, release_run, owner);
 }
 
 /* One record of a flush has ended. */
@@ -85,7 +85,7 @@
 {
 	struct owner_write *write = private_data;
 	struct rj_cell_owner *owner = write->owner;
-	struct rj_cell_entry *entry;
+	struct rj_cell_view_entry *entry;
 
 	if (write->generation != owner->generation) {
 		talloc_free(write);
@@ -98,16 +98,16 @@
 		take_effect(owner, write, entry);
 	} else if (outcome == RJ_CELL_WRITE_NOT_STORED) {
 		owner->write_failed = true;
-		if (entry && entry->work)
-			rj_cell_owner_dirty(owner, entry->work);
+		if (entry && entry->job)
+			rj_cell_owner_dirty(owner, entry->job);
 		owner->beat_due_us = owner->now_us;
 	} else if (outcome != RJ_CELL_WRITE_STORED) {
 		owner->lost = true;
 	}
 	if (!owner->writes_open && !owner->lost && !owner->write_failed)
 		ends_stored(owner);
-	if (entry && entry->work)
-		free_ended(owner, entry->work);
+	if (entry && entry->job)
+		free_ended(owner, entry->job);
 	talloc_free(write);
 }
 
@@ -153,13 +153,15 @@
 /* Add the owner's heartbeat, with what it tells of the load. */
 static void add_beat(struct rj_cell_owner *owner)
 {
-	struct rj_cell_beat beat = { .incarnation = owner->incarnation,
-				     .number = owner->beat_number++ };
+	struct rj_cell_owner_heartbeat heartbeat = {
+		.incarnation = owner->incarnation,
+		.number = owner->beat_number++
+	};
 	struct rj_bytes value;
 
-	rj_cell_admit_shares(owner, &beat);
-	value = rj_cell_beat_encode(owner->mem, &beat);
-	add_write(owner, RJ_CELL_RECORD_BEAT, "", value, NULL);
+	rj_cell_admit_shares(owner, &heartbeat);
+	value = rj_cell_owner_heartbeat_encode(owner->mem, &heartbeat);
+	add_write(owner, RJ_CELL_RECORD_HEARTBEAT, "", value, NULL);
 	talloc_free((void *)value.data);
 	owner->beat_due_us = owner->now_us + BEAT_US;
 }
@@ -181,21 +183,23 @@
 
 /* Add what has changed of a job; its state only where callers are told more
  * by it. */
-static void add_work(struct rj_cell_owner *owner, struct rj_cell_work *work)
+static void add_work(struct rj_cell_owner *owner, struct rj_cell_job *job)
 {
-	const struct rj_cell_entry *entry = work->entry;
-	struct rj_cell_summary summary = { work->state, work->started };
+	const struct rj_cell_view_entry *entry = job->entry;
+	struct rj_cell_summary summary = { job->state, job->started };
 	struct rj_bytes value;
 
-	rj_cell_work_each_run(work, mark_recording, NULL);
-	value = rj_cell_progress_encode(owner->mem, work);
-	add_write(owner, RJ_CELL_RECORD_PROGRESS, work->def->id, value, NULL);
+	rj_cell_job_each_run(job, mark_recording, NULL);
+	value = rj_cell_progress_encode(owner->mem, job);
+	add_write(owner, RJ_CELL_RECORD_PROGRESS, job->job_spec->id, value,
+		  NULL);
 	talloc_free((void *)value.data);
-	if (summary.state <= entry->told.state &&
-	    summary.started == entry->told.started)
+	if (summary.state <= entry->summary.state &&
+	    summary.started == entry->summary.started)
 		return;
 	value = rj_cell_summary_encode(owner->mem, &summary);
-	add_write(owner, RJ_CELL_RECORD_STATE, work->def->id, value, &summary);
+	add_write(owner, RJ_CELL_RECORD_STATE, job->job_spec->id, value,
+		  &summary);
 	talloc_free((void *)value.data);
 }
 
@@ -212,7 +216,7 @@
 		const char *id = owner->ended->pdata[i];
 
 		add_drop(owner, RJ_CELL_RECORD_PROGRESS, id);
-		add_drop(owner, RJ_CELL_RECORD_DEFINITION, id);
+		add_drop(owner, RJ_CELL_RECORD_JOB_SPEC, id);
 	}
 	g_ptr_array_set_size(owner->ended, 0);
 }
@@ -247,12 +251,12 @@
 	}
 	owner->write_failed = false;
 	RJ_FOR_EACH (at, next, &owner->dirty) {
-		struct rj_cell_work *work =
-			RJ_CONTAINER(at, struct rj_cell_work, in_dirty);
+		struct rj_cell_job *job =
+			RJ_CONTAINER(at, struct rj_cell_job, in_dirty);
 
-		work->dirty = false;
-		rj_list_remove(&work->in_dirty);
-		add_work(owner, work);
+		job->dirty = false;
+		rj_list_remove(&job->in_dirty);
+		add_work(owner, job);
 	}
 	if (owner->now_us >= owner->beat_due_us) {
 		add_beat(owner);
@@ -264,7 +268,7 @@
 		struct rj_cell_worker *worker =
 			RJ_CONTAINER(at, struct rj_cell_worker, in_unstored);
 
-		worker->seen_storing = worker->seen_taken;
+		worker->storing_position = worker->applied_position;
 	}
 	if (!owner->writes_open) {
 		ends_stored(owner);
@@ -286,14 +290,14 @@
 		return;
 	owner->drop_due_us = owner->now_us + DROP_CHECK_US;
 	RJ_FOR_EACH (at, next, &owner->view->entries) {
-		struct rj_cell_entry *entry =
-			RJ_CONTAINER(at, struct rj_cell_entry, link);
+		struct rj_cell_view_entry *entry =
+			RJ_CONTAINER(at, struct rj_cell_view_entry, link);
 		uint64_t keep_us = owner->terms.status_ms * RJ_US_PER_MS;
 
-		if (entry->work || !entry->ended_us ||
+		if (entry->job || !entry->ended_us ||
 		    owner->now_us < entry->ended_us + keep_us)
 			continue;
-		for (int kind = RJ_CELL_RECORD_DEFINITION;
+		for (int kind = RJ_CELL_RECORD_JOB_SPEC;
 		     kind <= RJ_CELL_RECORD_CANCEL; kind++)
 			add_drop(owner, (enum rj_cell_record_kind)kind,
 				 entry->id);
--- a/src/libradishjunction/cell/cell_forecast.c
+++ b/src/libradishjunction/cell/cell_forecast.c
@@ -98,31 +98,32 @@
  * How long a task of a step will run, in milliseconds.
  */
 uint64_t rj_cell_forecast_task_ms(const struct rj_cell_forecast *forecast,
-				  const struct rj_cell_def *def, uint32_t step)
+				  const struct rj_cell_job_spec *job_spec,
+				  uint32_t step)
 {
-	uint32_t mean_ms = rj_cell_forecast_mean_ms(forecast, def->queue);
+	uint32_t mean_ms = rj_cell_forecast_mean_ms(forecast, job_spec->queue);
 
-	return mean_ms ? mean_ms : def->steps[step].estimate_ms;
+	return mean_ms ? mean_ms : job_spec->steps[step].estimate_ms;
 }
 
 /*
  * The longest chain of steps, by what was learnt, in milliseconds.
  */
 uint64_t rj_cell_forecast_chain_ms(const struct rj_cell_forecast *forecast,
-				   const struct rj_cell_def *def)
+				   const struct rj_cell_job_spec *job_spec)
 {
 	uint64_t ends_ms[RJ_CELL_STEPS_MAX];
 	uint64_t longest_ms = 0;
 
-	for (uint32_t i = 0; i < def->step_count; i++) {
-		const struct rj_cell_step *step = &def->steps[i];
+	for (uint32_t i = 0; i < job_spec->step_count; i++) {
+		const struct rj_cell_step *step = &job_spec->steps[i];
 		uint64_t begin_ms = 0;
 
 		for (uint32_t j = 0; j < step->after_count; j++)
 			if (ends_ms[step->after[j]] > begin_ms)
 				begin_ms = ends_ms[step->after[j]];
-		ends_ms[i] =
-			begin_ms + rj_cell_forecast_task_ms(forecast, def, i);
+		ends_ms[i] = begin_ms +
+			     rj_cell_forecast_task_ms(forecast, job_spec, i);
 		if (ends_ms[i] > longest_ms)
 			longest_ms = ends_ms[i];
 	}
@@ -136,9 +137,9 @@
 {
 	uint64_t whole_us;
 
-	if (run->percent < PERCENT_MIN || run->listed_us <= run->begun_us)
+	if (run->percent < PERCENT_MIN || run->listed_us <= run->placed_us)
 		return false;
-	whole_us = (run->listed_us - run->begun_us) * 100 / run->percent;
+	whole_us = (run->listed_us - run->placed_us) * 100 / run->percent;
 	*left_us = whole_us > ran_us ? whole_us - ran_us : 0;
 	return true;
 }
@@ -158,15 +159,16 @@
 	const struct rj_cell_task *task = run->task;
 	uint64_t whole_us;
 	uint64_t left_us;
-	uint64_t ran_us = run->begun_us && now_us > run->begun_us ?
-				  now_us - run->begun_us :
+	uint64_t ran_us = run->placed_us && now_us > run->placed_us ?
+				  now_us - run->placed_us :
 				  0;
 
 	if (!task)
 		return 0;
 	if (left_by_progress(run, ran_us, &left_us) && left_us)
 		return left_us;
-	whole_us = rj_cell_forecast_task_ms(forecast, task->round->work->def,
+	whole_us = rj_cell_forecast_task_ms(forecast,
+					    task->occurrence->job->job_spec,
 					    task->step) *
 		   RJ_US_PER_MS;
 	return whole_us > ran_us ? whole_us - ran_us : whole_us / 2;
@@ -186,14 +188,16 @@
  * An urgent job has come: it asks for accelerators for as long as it runs.
  */
 void rj_cell_forecast_demand(struct rj_cell_forecast *forecast,
-			     const struct rj_cell_def *def, uint64_t now_us)
+			     const struct rj_cell_job_spec *job_spec,
+			     uint64_t now_us)
 {
 	double need = 0;
 
-	for (uint32_t i = 0; i < def->step_count; i++)
-		need += (double)def->steps[i].task_count *
-			def->steps[i].each.accelerators *
-			(double)rj_cell_forecast_task_ms(forecast, def, i) *
+	for (uint32_t i = 0; i < job_spec->step_count; i++)
+		need += (double)job_spec->steps[i].task_count *
+			job_spec->steps[i].each.accelerators *
+			(double)rj_cell_forecast_task_ms(forecast, job_spec,
+							 i) *
 			RJ_US_PER_MS;
 	forecast->urgent_load =
 		decayed(forecast, now_us) + need / (double)URGENT_DECAY_US;
--- a/src/libradishjunction/cell/cell_front.c
+++ b/src/libradishjunction/cell/cell_frontend.c
@@ -1,4 +1,4 @@
-#include "private/cell_front.h"
+#include "private/cell_frontend.h"
 
 #include <assert.h>
 #include <ctype.h>
@@ -33,7 +33,7 @@
 
 const char *const rj_cell_verb_string[RJ_CELL_VERB_COUNT] = {
 	[RJ_CELL_VERB_SUBMIT] = "submit",
-	[RJ_CELL_VERB_ASK] = "ask",
+	[RJ_CELL_VERB_QUERY] = "ask",
 	[RJ_CELL_VERB_CANCEL] = "cancel",
 };
 
@@ -47,18 +47,18 @@
 	[RJ_CELL_VERDICT_BAD_KEY] = "bad_key",
 	[RJ_CELL_VERDICT_MALFORMED] = "malformed",
 	[RJ_CELL_VERDICT_BUSY] = "busy",
-	[RJ_CELL_VERDICT_AWAY] = "away",
+	[RJ_CELL_VERDICT_UNAVAILABLE] = "away",
 	[RJ_CELL_VERDICT_UNKNOWN] = "unknown",
 };
 
 /* A call that waits for the log. */
 struct request {
 	struct rj_list link;
-	struct rj_cell_front *front;
+	struct rj_cell_frontend *front;
 	struct rj_cell_call *call;
 	char id[RJ_CELL_ID_BYTES];
 	char account[RJ_NAME_BYTES];
-	uint64_t begun_us;
+	uint64_t received_us;
 	uint64_t due_us; /* the last answer leaves then */
 	bool answered;
 	bool writing; /* a write refers to it */
@@ -69,11 +69,13 @@
 /*
  * Prepare to answer clients. The writer must be open before a call comes.
  */
-void rj_cell_front_init(struct rj_cell_front *front, void *mem,
-			struct rj_cell_view *view, struct rj_cell_follow *jobs,
-			struct rj_cell_follow *configs,
-			struct rj_cell_writer *writer,
-			const struct rj_cell_codec *codec, uint32_t revoke_ms)
+void rj_cell_frontend_init(struct rj_cell_frontend *front, void *mem,
+			   struct rj_cell_view *view,
+			   struct rj_cell_log_reader *jobs,
+			   struct rj_cell_log_reader *configs,
+			   struct rj_cell_writer *writer,
+			   const struct rj_cell_codec *codec,
+			   uint32_t revoke_ms)
 {
 	memset(front, 0, sizeof(*front));
 	front->mem = mem;
@@ -91,14 +93,14 @@
  * later than operators were promised, however long this instance has been
  * cut off or asleep.
  */
-bool rj_cell_front_keys_fresh(const struct rj_cell_front *front,
-			      uint64_t now_us)
+bool rj_cell_frontend_keys_fresh(const struct rj_cell_frontend *front,
+				 uint64_t now_us)
 {
 	uint64_t limit_us = (uint64_t)front->revoke_ms * RJ_US_PER_MS *
 			    KEY_FRESH_PERCENT / 100;
 
 	return front->config &&
-	       rj_cell_follow_age_us(front->configs, now_us) < limit_us;
+	       rj_cell_log_reader_age_us(front->configs, now_us) < limit_us;
 }
 
 /* Free a request that nothing refers to any more. */
@@ -111,7 +113,7 @@
 /* Answer a request, once. */
 static void answer(struct request *request, const struct rj_cell_answer *what)
 {
-	struct rj_cell_front *front = request->front;
+	struct rj_cell_frontend *front = request->front;
 
 	if (request->answered)
 		return;
@@ -120,8 +122,8 @@
 	rj_list_remove(&request->link);
 	front->open--;
 	rj_latency_add(&front->counters.answers[what->verdict],
-		       front->now_us - request->begun_us);
-	if (request->call->verb != RJ_CELL_VERB_ASK ||
+		       front->now_us - request->received_us);
+	if (request->call->verb != RJ_CELL_VERB_QUERY ||
 	    what->verdict >= RJ_CELL_VERDICT_NO_QUEUE)
 		rj_note("answer", RJ_NOTE_TEXT("job", request->id),
 			RJ_NOTE_TEXT("account", request->account),
@@ -130,18 +132,18 @@
 			RJ_NOTE_TEXT("verdict",
 				     rj_cell_verdict_string[what->verdict]),
 			RJ_NOTE_TEXT("why", what->why),
-			RJ_NOTE_NUMBER("come_back_ms", what->come_back_ms),
+			RJ_NOTE_NUMBER("come_back_ms", what->retry_after_ms),
 			RJ_NOTE_AGE_MS("took_ms",
-				       front->now_us - request->begun_us),
+				       front->now_us - request->received_us),
 			RJ_NOTE_NUMBER("config",
 				       front->config ? front->config->version :
 						       0),
 			RJ_NOTE_AGE_MS("config_ms",
-				       rj_cell_follow_age_us(front->configs,
-							     front->now_us)),
+				       rj_cell_log_reader_age_us(
+					       front->configs, front->now_us)),
 			RJ_NOTE_AGE_MS("jobs_ms",
-				       rj_cell_follow_age_us(front->jobs,
-							     front->now_us)));
+				       rj_cell_log_reader_age_us(
+					       front->jobs, front->now_us)));
 	request->call->answer(request->call, what);
 	request->call = NULL;
 	release(request);
@@ -149,11 +151,11 @@
 
 /* An answer that carries nothing but its verdict. */
 static void answer_plain(struct request *request, enum rj_cell_verdict verdict,
-			 const char *why, uint32_t come_back_ms)
+			 const char *why, uint32_t retry_after_ms)
 {
 	const struct rj_cell_answer what = { .verdict = verdict,
 					     .why = why,
-					     .come_back_ms = come_back_ms };
+					     .retry_after_ms = retry_after_ms };
 
 	answer(request, &what);
 }
@@ -161,7 +163,7 @@
 /* Nothing can be done without the log, or has been. */
 static void answer_away(struct request *request, const char *why)
 {
-	answer_plain(request, RJ_CELL_VERDICT_AWAY, why,
+	answer_plain(request, RJ_CELL_VERDICT_UNAVAILABLE, why,
 		     rj_cell_contact_come_back_ms(&request->front->contact,
 						  request->front->now_us));
 }
@@ -180,24 +182,24 @@
 
 /* A job's state, as callers may be told it. */
 static void answer_state(struct request *request,
-			 const struct rj_cell_entry *entry)
+			 const struct rj_cell_view_entry *entry)
 {
 	struct rj_cell_answer what = { .verdict = RJ_CELL_VERDICT_STATE,
-				       .state = entry->told.state,
+				       .state = entry->summary.state,
 				       .why = "known" };
 
-	if (entry->cancelled && entry->told.state < RJ_CELL_JOB_COMPLETED)
+	if (entry->cancelled && entry->summary.state < RJ_CELL_JOB_COMPLETED)
 		what.state = RJ_CELL_JOB_CANCELLED;
 	answer(request, &what);
 }
 
 /* Whether a job is known here. */
-static struct rj_cell_entry *known(const struct request *request)
+static struct rj_cell_view_entry *known(const struct request *request)
 {
-	struct rj_cell_entry *entry =
+	struct rj_cell_view_entry *entry =
 		rj_cell_view_find(request->front->view, request->id);
 
-	return rj_cell_view_knows(entry) ? entry : NULL;
+	return rj_cell_view_is_accepted(entry) ? entry : NULL;
 }
 
 /* What was to be stored is, or is not. */
@@ -239,11 +241,12 @@
 }
 
 /* A wish to cancel a job that is known. */
-static void cancel_known(struct request *request, struct rj_cell_entry *entry)
+static void cancel_known(struct request *request,
+			 struct rj_cell_view_entry *entry)
 {
 	struct rj_bytes mark = { (const uint8_t *)"\xc0", 1 };
 
-	if (entry->cancelled || entry->told.state >= RJ_CELL_JOB_COMPLETED) {
+	if (entry->cancelled || entry->summary.state >= RJ_CELL_JOB_COMPLETED) {
 		answer_plain(request, RJ_CELL_VERDICT_CANCELLED, "ended", 0);
 		return;
 	}
@@ -260,18 +263,20 @@
  * Guards against a state that goes back: a client that was told that its job
  * has ended asks again, at an instance that has been cut off since before.
  */
-static bool is_current(const struct rj_cell_front *front,
-		       const struct rj_cell_entry *entry, uint64_t age_max_us)
+static bool is_current(const struct rj_cell_frontend *front,
+		       const struct rj_cell_view_entry *entry,
+		       uint64_t age_max_us)
 {
-	return entry->told.state >= RJ_CELL_JOB_COMPLETED ||
-	       rj_cell_follow_age_us(front->jobs, front->now_us) < age_max_us;
+	return entry->summary.state >= RJ_CELL_JOB_COMPLETED ||
+	       rj_cell_log_reader_age_us(front->jobs, front->now_us) <
+		       age_max_us;
 }
 
 /* The log could not be read: a state may still be told, if it is not old. */
 static void answer_unread(struct request *request,
-			  const struct rj_cell_entry *entry)
+			  const struct rj_cell_view_entry *entry)
 {
-	if (entry && request->call->verb == RJ_CELL_VERB_ASK &&
+	if (entry && request->call->verb == RJ_CELL_VERB_QUERY &&
 	    is_current(request->front, entry, STATE_AGE_MAX_US))
 		answer_state(request, entry);
 	else
@@ -282,7 +287,7 @@
 static void sync_done(struct rj_cell_sync *sync, bool reached)
 {
 	struct request *request = RJ_CONTAINER(sync, struct request, sync);
-	struct rj_cell_entry *entry;
+	struct rj_cell_view_entry *entry;
 
 	request->syncing = false;
 	request->front->now_us = request->front->jobs->now_us;
@@ -310,32 +315,34 @@
 		return;
 	}
 	request->syncing = true;
-	rj_cell_follow_sync(request->front->jobs, &request->sync,
-			    request->front->now_us);
+	rj_cell_log_reader_sync(request->front->jobs, &request->sync,
+				request->front->now_us);
 }
 
 /* Fill in the terms of the queue. */
-static void set_terms(struct rj_cell_def *def, const struct request *request,
+static void set_terms(struct rj_cell_job_spec *job_spec,
+		      const struct request *request,
 		      const struct rj_cell_queue *queue)
 {
-	memcpy(def->id, request->id, sizeof(def->id));
-	memcpy(def->queue, queue->name, sizeof(def->queue));
-	memcpy(def->service, queue->service, sizeof(def->service));
-	memcpy(def->account, request->account, sizeof(def->account));
-	def->priority = queue->priority;
-	def->attempts_max = queue->attempts_max;
-	def->stretch_milli = queue->stretch_milli;
-	def->latency_ms = queue->latency_ms;
-	def->accepted_ms = request->call->wall_ms;
+	memcpy(job_spec->id, request->id, sizeof(job_spec->id));
+	memcpy(job_spec->queue, queue->name, sizeof(job_spec->queue));
+	memcpy(job_spec->service, queue->service, sizeof(job_spec->service));
+	memcpy(job_spec->account, request->account, sizeof(job_spec->account));
+	job_spec->priority = queue->priority;
+	job_spec->attempts_max = queue->attempts_max;
+	job_spec->stretch_milli = queue->stretch_milli;
+	job_spec->latency_ms = queue->latency_ms;
+	job_spec->accepted_ms = request->call->wall_ms;
 }
 
 /* The share of a queue in the owner's newest heartbeat, or NULL. */
-static struct rj_cell_share *share_of(struct rj_cell_front *front,
-				      const struct rj_cell_queue *queue)
+static struct rj_cell_queue_load *share_of(struct rj_cell_frontend *front,
+					   const struct rj_cell_queue *queue)
 {
-	for (uint32_t i = 0; front->beat_us && i < front->beat.share_count; i++)
-		if (!strcmp(front->beat.shares[i].queue, queue->name))
-			return &front->beat.shares[i];
+	for (uint32_t i = 0;
+	     front->heartbeat_us && i < front->heartbeat.queue_load_count; i++)
+		if (!strcmp(front->heartbeat.queue_loads[i].queue, queue->name))
+			return &front->heartbeat.queue_loads[i];
 	return NULL;
 }
 
@@ -346,18 +353,18 @@
  * Guards against a crowd that returns as one: those who were refused
  * together would be refused together again.
  */
-static uint32_t spread(const char *id, uint32_t come_back_ms)
+static uint32_t spread(const char *id, uint32_t retry_after_ms)
 {
-	return come_back_ms +
-	       (uint32_t)(rj_hash64_string(id, 0) % (come_back_ms / 2 + 1));
+	return retry_after_ms +
+	       (uint32_t)(rj_hash64_string(id, 0) % (retry_after_ms / 2 + 1));
 }
 
 /* A new job: refused at once when it would not be served in time. */
 static void submit(struct request *request, const struct rj_cell_queue *queue)
 {
-	struct rj_cell_front *front = request->front;
-	const struct rj_cell_share *share = share_of(front, queue);
-	struct rj_cell_def *def;
+	struct rj_cell_frontend *front = request->front;
+	const struct rj_cell_queue_load *share = share_of(front, queue);
+	struct rj_cell_job_spec *job_spec;
 	struct rj_bytes value;
 	struct rj_error err;
 
@@ -369,21 +376,21 @@
 		answer_away(request, "log_away");
 		return;
 	}
-	def = front->codec->decode_job(request, request->call->body, &err);
-	if (!def) {
+	job_spec = front->codec->decode_job(request, request->call->body, &err);
+	if (!job_spec) {
 		answer_plain(request, RJ_CELL_VERDICT_MALFORMED, err.message,
 			     0);
 		return;
 	}
 	if (share && share->refuse &&
-	    front->now_us <= front->beat_us + BEAT_AGE_MAX_US) {
+	    front->now_us <= front->heartbeat_us + BEAT_AGE_MAX_US) {
 		answer_plain(request, RJ_CELL_VERDICT_BUSY, "backlog",
-			     spread(request->id, share->come_back_ms));
+			     spread(request->id, share->retry_after_ms));
 		return;
 	}
-	set_terms(def, request, queue);
-	value = rj_cell_def_encode(request, def);
-	store(request, RJ_CELL_RECORD_DEFINITION, value);
+	set_terms(job_spec, request, queue);
+	value = rj_cell_job_spec_encode(request, job_spec);
+	store(request, RJ_CELL_RECORD_JOB_SPEC, value);
 }
 
 /* A call for a queue as a whole. */
@@ -402,19 +409,19 @@
 /* The call is allowed: do what it asks. */
 static void serve(struct request *request, const struct rj_cell_queue *queue)
 {
-	struct rj_cell_front *front = request->front;
+	struct rj_cell_frontend *front = request->front;
 	const struct rj_cell_call *call = request->call;
 	const char *rest = call->path + strlen(queue->prefix);
 	uint64_t age_max_us = call->verb == RJ_CELL_VERB_CANCEL ?
 				      STATE_AGE_MAX_US :
 				      STATE_FRESH_US;
-	struct rj_cell_entry *entry;
+	struct rj_cell_view_entry *entry;
 
 	if (!front->jobs->caught_up) {
 		answer_away(request, "jobs_unread");
 		return;
 	}
-	if (!*rest && call->verb == RJ_CELL_VERB_ASK) {
+	if (!*rest && call->verb == RJ_CELL_VERB_QUERY) {
 		ask_queue(request, queue);
 		return;
 	}
@@ -437,12 +444,12 @@
 static bool admit_key(struct request *request,
 		      const struct rj_cell_queue *queue)
 {
-	struct rj_cell_front *front = request->front;
+	struct rj_cell_frontend *front = request->front;
 	const struct rj_cell_account *account;
 
 	if (queue->open)
 		return true;
-	if (!rj_cell_front_keys_fresh(front, front->now_us)) {
+	if (!rj_cell_frontend_keys_fresh(front, front->now_us)) {
 		answer_away(request, "keys_too_old");
 		return false;
 	}
@@ -462,7 +469,8 @@
  * Take one call. It is answered at once where that is possible, else when
  * the log has answered or shortly before the client gives up.
  */
-void rj_cell_front_take(struct rj_cell_front *front, struct rj_cell_call *call)
+void rj_cell_frontend_handle(struct rj_cell_frontend *front,
+			     struct rj_cell_call *call)
 {
 	struct request *request = talloc_zero(front->mem, struct request);
 	const struct rj_cell_queue *queue;
@@ -474,7 +482,7 @@
 	front->open++;
 	request->front = front;
 	request->call = call;
-	request->begun_us = call->now_us;
+	request->received_us = call->now_us;
 	request->due_us =
 		call->now_us + (wait_ms - MIN(ANSWER_MARGIN_MS,
 					      wait_ms / ANSWER_MARGIN_PART)) *
@@ -506,7 +514,7 @@
 }
 
 /* See whether the log can be reached. */
-static void watch_log(struct rj_cell_front *front)
+static void watch_log(struct rj_cell_frontend *front)
 {
 	uint64_t answered_us =
 		MAX(MAX(front->jobs->answered_us, front->configs->answered_us),
@@ -526,7 +534,7 @@
  * Answer the calls whose clients are about to give up, and all that wait for
  * a log that is out of reach.
  */
-void rj_cell_front_tick(struct rj_cell_front *front, uint64_t now_us)
+void rj_cell_frontend_tick(struct rj_cell_frontend *front, uint64_t now_us)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -547,7 +555,7 @@
 /*
  * Answer all that is open.
  */
-void rj_cell_front_finish(struct rj_cell_front *front)
+void rj_cell_frontend_finish(struct rj_cell_frontend *front)
 {
 	while (front->requests.next != &front->requests) {
 		struct request *request = RJ_CONTAINER(front->requests.next,
--- a/src/libradishjunction/cell/cell_health.c
+++ b/src/libradishjunction/cell/cell_health.c
@@ -29,7 +29,7 @@
 	if (!run->task)
 		return owner->now_us;
 	ran_us = rj_cell_forecast_task_ms(&owner->forecast,
-					  run->task->round->work->def,
+					  run->task->occurrence->job->job_spec,
 					  run->task->step) *
 		 RJ_US_PER_MS * percent / RJ_CELL_PERCENT_ALL;
 	return owner->now_us > ran_us ? owner->now_us - ran_us : 0;
@@ -40,27 +40,27 @@
  */
 void rj_cell_health_progress(struct rj_cell_owner *owner,
 			     struct rj_cell_run *run,
-			     const struct rj_cell_row *row)
+			     const struct rj_cell_run_report *row)
 {
 	if (run->state == RJ_CELL_RUN_PLACED ||
 	    run->state == RJ_CELL_RUN_STARTING) {
-		run->state = RJ_CELL_RUN_SEEN;
+		run->state = RJ_CELL_RUN_LISTED;
 		run->progress_us = owner->now_us;
-		if (!run->begun_us)
-			run->begun_us = owner->now_us;
+		if (!run->placed_us)
+			run->placed_us = owner->now_us;
 		if (run->adopted)
-			run->begun_us =
+			run->placed_us =
 				begun_by_progress(owner, run, row->percent);
 	}
 	if (row->percent != run->percent || !run->progress_us)
 		run->progress_us = owner->now_us;
-	if (!run->adopted && run->begun_us > run->worker->sound_us &&
-	    !rj_cell_failure_is_early(owner->now_us - run->begun_us))
-		run->worker->sound_us = run->begun_us;
+	if (!run->adopted && run->placed_us > run->worker->healthy_us &&
+	    !rj_cell_failure_is_early(owner->now_us - run->placed_us))
+		run->worker->healthy_us = run->placed_us;
 	run->percent = row->percent;
 	run->listed_us = owner->now_us;
-	if (!rj_cell_run_serves(run) ||
-	    row->figure <= rj_cell_task_step(run->task)->target_ms)
+	if (!rj_cell_run_has_latency_target(run) ||
+	    row->measurement <= rj_cell_task_step(run->task)->target_ms)
 		run->slow_us = 0;
 	else if (!run->slow_us)
 		run->slow_us = owner->now_us;
@@ -88,7 +88,7 @@
 		struct rj_cell_run *run =
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
 
-		if (run->state != RJ_CELL_RUN_SEEN || !run->task ||
+		if (run->state != RJ_CELL_RUN_LISTED || !run->task ||
 		    may_stand(run) ||
 		    owner->now_us - run->progress_us < STALL_US)
 			continue;
@@ -108,12 +108,12 @@
 	struct rj_list *at;
 	struct rj_list *next;
 
-	worker->harmed_until_us = owner->now_us + HARMED_US;
+	worker->exclusive_until_us = owner->now_us + HARMED_US;
 	RJ_FOR_EACH (at, next, &worker->runs) {
 		struct rj_cell_run *run =
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
 
-		if (!rj_cell_run_serves(run))
+		if (!rj_cell_run_has_latency_target(run))
 			rj_cell_ends_stop_run(owner, run, "slows_others");
 	}
 }
@@ -131,7 +131,7 @@
 	struct rj_list *at;
 	struct rj_list *next;
 
-	if (!worker->serving || !worker->filling)
+	if (!worker->latency_runs || !worker->other_runs)
 		return;
 	RJ_FOR_EACH (at, next, &worker->runs) {
 		struct rj_cell_run *run =
@@ -141,7 +141,7 @@
 			continue;
 		rj_note("bound_missed", RJ_NOTE_TEXT("task", run->name),
 			RJ_NOTE_TEXT("worker", worker->id),
-			RJ_NOTE_NUMBER("beside", worker->filling));
+			RJ_NOTE_NUMBER("beside", worker->other_runs));
 		stop_filling(owner, worker);
 		return;
 	}
--- a/src/libradishjunction/cell/cell_job.c
+++ b/src/libradishjunction/cell/cell_job_spec.c
@@ -1,4 +1,4 @@
-#include "private/cell_job.h"
+#include "private/cell_job_spec.h"
 
 #include <assert.h>
 #include <string.h>
@@ -10,10 +10,10 @@
 #define DEF_FORMAT 1
 
 /* One step: sane numbers, and only earlier steps before it. */
-static int check_step(const struct rj_cell_def *def, uint32_t number,
+static int check_step(const struct rj_cell_job_spec *job_spec, uint32_t number,
 		      struct rj_error *err)
 {
-	const struct rj_cell_step *step = &def->steps[number];
+	const struct rj_cell_step *step = &job_spec->steps[number];
 
 	if (!step->task_count)
 		return rj_error_set(err, RJ_ERR_INVALID,
@@ -33,24 +33,25 @@
  * Check a definition and count its tasks. Returns 0, or -1 with `err` when
  * it could never run as it is.
  */
-int rj_cell_def_check(struct rj_cell_def *def, struct rj_error *err)
+int rj_cell_job_spec_check(struct rj_cell_job_spec *job_spec,
+			   struct rj_error *err)
 {
 	uint64_t tasks = 0;
 
-	if (!def->step_count || def->step_count > RJ_CELL_STEPS_MAX)
+	if (!job_spec->step_count || job_spec->step_count > RJ_CELL_STEPS_MAX)
 		return rj_error_set(err, RJ_ERR_INVALID,
-				    "steps: %u; give 1 to %u", def->step_count,
-				    RJ_CELL_STEPS_MAX);
-	for (uint32_t i = 0; i < def->step_count; i++) {
-		if (check_step(def, i, err))
+				    "steps: %u; give 1 to %u",
+				    job_spec->step_count, RJ_CELL_STEPS_MAX);
+	for (uint32_t i = 0; i < job_spec->step_count; i++) {
+		if (check_step(job_spec, i, err))
 			return -1;
-		tasks += def->steps[i].task_count;
+		tasks += job_spec->steps[i].task_count;
 	}
 	if (tasks > RJ_CELL_TASKS_MAX)
 		return rj_error_set(err, RJ_ERR_TOO_LARGE,
 				    "steps: more than %u tasks; split the job",
 				    RJ_CELL_TASKS_MAX);
-	def->task_count = (uint32_t)tasks;
+	job_spec->task_count = (uint32_t)tasks;
 	return 0;
 }
 
@@ -118,93 +119,102 @@
 /*
  * The definition as it is kept in the log; a talloc child of `mem`.
  */
-struct rj_bytes rj_cell_def_encode(void *mem, const struct rj_cell_def *def)
+struct rj_bytes rj_cell_job_spec_encode(void *mem,
+					const struct rj_cell_job_spec *job_spec)
 {
 	struct rj_packer out;
 
 	rj_pack_init(&out);
 	rj_pack_number(&out, DEF_FORMAT);
-	rj_pack_text(&out, def->id);
-	rj_pack_text(&out, def->queue);
-	rj_pack_text(&out, def->service);
-	rj_pack_text(&out, def->account);
-	rj_pack_data(&out, def->spec, strlen(def->spec));
-	rj_pack_number(&out, def->priority);
-	rj_pack_number(&out, def->attempts_max);
-	rj_pack_number(&out, def->stretch_milli);
-	rj_pack_number(&out, def->latency_ms);
-	rj_pack_number(&out, def->accepted_ms);
-	rj_pack_number(&out, def->first_run_ms);
-	rj_pack_number(&out, def->interval_ms);
-	rj_pack_number(&out, def->repeats);
-	rj_pack_number(&out, def->step_count);
-	for (uint32_t i = 0; i < def->step_count; i++)
-		write_step(&out, &def->steps[i]);
+	rj_pack_text(&out, job_spec->id);
+	rj_pack_text(&out, job_spec->queue);
+	rj_pack_text(&out, job_spec->service);
+	rj_pack_text(&out, job_spec->account);
+	rj_pack_data(&out, job_spec->spec, strlen(job_spec->spec));
+	rj_pack_number(&out, job_spec->priority);
+	rj_pack_number(&out, job_spec->attempts_max);
+	rj_pack_number(&out, job_spec->stretch_milli);
+	rj_pack_number(&out, job_spec->latency_ms);
+	rj_pack_number(&out, job_spec->accepted_ms);
+	rj_pack_number(&out, job_spec->first_run_ms);
+	rj_pack_number(&out, job_spec->interval_ms);
+	rj_pack_number(&out, job_spec->repeats);
+	rj_pack_number(&out, job_spec->step_count);
+	for (uint32_t i = 0; i < job_spec->step_count; i++)
+		write_step(&out, &job_spec->steps[i]);
 	return rj_pack_finish(&out, mem);
 }
 
 /* The fields before the steps. */
-static void read_terms(struct rj_unpacker *in, struct rj_cell_def *def)
+static void read_terms(struct rj_unpacker *in,
+		       struct rj_cell_job_spec *job_spec)
 {
 	struct rj_bytes spec;
 
 	if (rj_unpack_number(in, "format", UINT32_MAX) != DEF_FORMAT)
 		rj_unpack_fail(in, "format");
-	rj_unpack_text(in, "id", def->id, RJ_CELL_ID_BYTES);
-	rj_unpack_text(in, "queue", def->queue, RJ_NAME_BYTES);
-	rj_unpack_text(in, "service", def->service, RJ_NAME_BYTES);
-	rj_unpack_text(in, "account", def->account, RJ_NAME_BYTES);
+	rj_unpack_text(in, "id", job_spec->id, RJ_CELL_ID_BYTES);
+	rj_unpack_text(in, "queue", job_spec->queue, RJ_NAME_BYTES);
+	rj_unpack_text(in, "service", job_spec->service, RJ_NAME_BYTES);
+	rj_unpack_text(in, "account", job_spec->account, RJ_NAME_BYTES);
 	spec = rj_unpack_data(in, "spec", RJ_CELL_SPEC_MAX_BYTES);
-	def->spec = talloc_strndup(
-		def, spec.data ? (const char *)spec.data : "", spec.length);
-	def->priority = (uint32_t)rj_unpack_number(in, "priority", UINT32_MAX);
-	def->attempts_max =
+	job_spec->spec = talloc_strndup(
+		job_spec, spec.data ? (const char *)spec.data : "",
+		spec.length);
+	job_spec->priority =
+		(uint32_t)rj_unpack_number(in, "priority", UINT32_MAX);
+	job_spec->attempts_max =
 		(uint32_t)rj_unpack_number(in, "attempts_max", UINT32_MAX);
-	def->stretch_milli =
+	job_spec->stretch_milli =
 		(uint32_t)rj_unpack_number(in, "stretch_milli", UINT32_MAX);
-	def->latency_ms =
+	job_spec->latency_ms =
 		(uint32_t)rj_unpack_number(in, "latency_ms", UINT32_MAX);
-	def->accepted_ms = rj_unpack_number(in, "accepted_ms", UINT64_MAX);
-	def->first_run_ms = rj_unpack_number(in, "first_run_ms", UINT64_MAX);
-	def->interval_ms = rj_unpack_number(in, "interval_ms", UINT64_MAX);
-	def->repeats = (uint32_t)rj_unpack_number(in, "repeats", UINT32_MAX);
+	job_spec->accepted_ms = rj_unpack_number(in, "accepted_ms", UINT64_MAX);
+	job_spec->first_run_ms =
+		rj_unpack_number(in, "first_run_ms", UINT64_MAX);
+	job_spec->interval_ms = rj_unpack_number(in, "interval_ms", UINT64_MAX);
+	job_spec->repeats =
+		(uint32_t)rj_unpack_number(in, "repeats", UINT32_MAX);
 }
 
 /*
  * A definition out of the log, or NULL with `err` when it was not written by
- * rj_cell_def_encode.
+ * rj_cell_job_spec_encode.
  */
-struct rj_cell_def *rj_cell_def_decode(void *mem, struct rj_bytes bytes,
-				       struct rj_error *err)
+struct rj_cell_job_spec *
+rj_cell_job_spec_decode(void *mem, struct rj_bytes bytes, struct rj_error *err)
 {
-	struct rj_cell_def *def = talloc_zero(mem, struct rj_cell_def);
+	struct rj_cell_job_spec *job_spec =
+		talloc_zero(mem, struct rj_cell_job_spec);
 	struct rj_unpacker in;
 
-	assert(def);
+	assert(job_spec);
 	rj_unpack_init(&in, bytes);
-	read_terms(&in, def);
-	def->step_count = (uint32_t)rj_unpack_number(&in, "step_count",
-						     RJ_CELL_STEPS_MAX);
-	def->steps =
-		talloc_zero_array(def, struct rj_cell_step, def->step_count);
-	for (uint32_t i = 0; i < def->step_count; i++)
-		read_step(&in, def, &def->steps[i]);
-	if (rj_unpack_finish(&in, err) || rj_cell_def_check(def, err)) {
-		talloc_free(def);
+	read_terms(&in, job_spec);
+	job_spec->step_count = (uint32_t)rj_unpack_number(&in, "step_count",
+							  RJ_CELL_STEPS_MAX);
+	job_spec->steps = talloc_zero_array(job_spec, struct rj_cell_step,
+					    job_spec->step_count);
+	for (uint32_t i = 0; i < job_spec->step_count; i++)
+		read_step(&in, job_spec, &job_spec->steps[i]);
+	if (rj_unpack_finish(&in, err) ||
+	    rj_cell_job_spec_check(job_spec, err)) {
+		talloc_free(job_spec);
 		return NULL;
 	}
-	return def;
+	return job_spec;
 }
 
 /*
  * The index of a step's first task among the tasks of all steps.
  */
-uint32_t rj_cell_def_first_task(const struct rj_cell_def *def, uint32_t step)
+uint32_t rj_cell_job_spec_first_task(const struct rj_cell_job_spec *job_spec,
+				     uint32_t step)
 {
 	uint32_t first = 0;
 
-	assert(step < def->step_count);
+	assert(step < job_spec->step_count);
 	for (uint32_t i = 0; i < step; i++)
-		first += def->steps[i].task_count;
+		first += job_spec->steps[i].task_count;
 	return first;
 }
--- a/src/libradishjunction/cell/cell_follow.c
+++ b/src/libradishjunction/cell/cell_log_reader.c
@@ -1,4 +1,4 @@
-#include "private/cell_follow.h"
+#include "private/cell_log_reader.h"
 
 #include <assert.h>
 #include <string.h>
@@ -23,9 +23,9 @@
 	[RJ_CELL_STORE_REFUSED] = "refused",
 	[RJ_CELL_STORE_FENCED] = "fenced",
 	[RJ_CELL_STORE_SEQUENCE] = "sequence",
-	[RJ_CELL_STORE_GONE] = "gone",
+	[RJ_CELL_STORE_EXPIRED] = "gone",
 	[RJ_CELL_STORE_LOST] = "lost",
-	[RJ_CELL_STORE_BAD] = "bad",
+	[RJ_CELL_STORE_MALFORMED] = "bad",
 };
 
 /* A long poll brings what was appended within a round trip; what is known to
@@ -34,23 +34,24 @@
 
 /* What one call remembers until its answer. */
 struct call {
-	struct rj_cell_follow *follow;
+	struct rj_cell_log_reader *follow;
 	uint32_t generation;
 	uint64_t sent_us;
 	uint64_t from;
 	bool quick;
 };
 
-static void send_read(struct rj_cell_follow *follow, bool quick);
-static void send_newest(struct rj_cell_follow *follow);
+static void send_read(struct rj_cell_log_reader *follow, bool quick);
+static void send_newest(struct rj_cell_log_reader *follow);
 
 /*
- * Prepare to follow a log. Nothing is read before rj_cell_follow_start.
+ * Prepare to follow a log. Nothing is read before rj_cell_log_reader_start.
  */
-void rj_cell_follow_init(struct rj_cell_follow *follow, void *mem,
-			 struct rj_cell_store *store, enum rj_cell_topic topic,
-			 const struct rj_cell_follow_ops *ops,
-			 void *private_data)
+void rj_cell_log_reader_init(struct rj_cell_log_reader *follow, void *mem,
+			     struct rj_cell_store *store,
+			     enum rj_cell_topic topic,
+			     const struct rj_cell_log_reader_ops *ops,
+			     void *private_data)
 {
 	memset(follow, 0, sizeof(*follow));
 	follow->mem = mem;
@@ -62,7 +63,7 @@
 }
 
 /* Remember one call. */
-static struct call *call_new(struct rj_cell_follow *follow, bool quick)
+static struct call *call_new(struct rj_cell_log_reader *follow, bool quick)
 {
 	struct call *call = talloc_zero(follow->mem, struct call);
 
@@ -76,7 +77,7 @@
 }
 
 /* End the syncs that a read sent at `sent_us` speaks for. */
-static void end_syncs(struct rj_cell_follow *follow, uint64_t sent_us,
+static void end_syncs(struct rj_cell_log_reader *follow, uint64_t sent_us,
 		      bool reached)
 {
 	struct rj_list *at;
@@ -94,7 +95,7 @@
 }
 
 /* A read has failed: come back later, and say so once. */
-static void note_failure(struct rj_cell_follow *follow,
+static void note_failure(struct rj_cell_log_reader *follow,
 			 enum rj_cell_store_status status)
 {
 	uint64_t delay_us = RETRY_US
@@ -107,9 +108,9 @@
 			RJ_NOTE_TEXT("why",
 				     rj_cell_store_status_string[status]),
 			RJ_NOTE_NUMBER("from", follow->next),
-			RJ_NOTE_AGE_MS(
-				"confirmed_ms",
-				rj_cell_follow_age_us(follow, follow->now_us)));
+			RJ_NOTE_AGE_MS("confirmed_ms",
+				       rj_cell_log_reader_age_us(
+					       follow, follow->now_us)));
 	follow->failures++;
 	if (delay_us > RETRY_MAX_US)
 		delay_us = RETRY_MAX_US;
@@ -117,7 +118,7 @@
 }
 
 /* A read has succeeded after failures. */
-static void note_success(struct rj_cell_follow *follow)
+static void note_success(struct rj_cell_log_reader *follow)
 {
 	if (follow->failures)
 		rj_note("log_regained",
@@ -130,7 +131,7 @@
 
 /* Hand on the records of a read that the follower has not seen yet; a long
  * poll and a quick read may bring the same ones. */
-static void take_records(struct rj_cell_follow *follow,
+static void take_records(struct rj_cell_log_reader *follow,
 			 const struct rj_cell_store_reply *reply)
 {
 	for (uint32_t i = 0; i < reply->count; i++) {
@@ -144,12 +145,12 @@
 }
 
 /* Load anew: the records from here on have expired. */
-static void reload(struct rj_cell_follow *follow)
+static void reload(struct rj_cell_log_reader *follow)
 {
 	rj_note("log_reload",
 		RJ_NOTE_TEXT("log", rj_cell_topic_string[follow->topic]),
 		RJ_NOTE_NUMBER("from", follow->next));
-	rj_cell_follow_start(follow, follow->now_us);
+	rj_cell_log_reader_start(follow, follow->now_us);
 }
 
 /* The answer to a read. */
@@ -157,7 +158,7 @@
 		      const struct rj_cell_store_reply *reply)
 {
 	struct call *call = private_data;
-	struct rj_cell_follow *follow = call->follow;
+	struct rj_cell_log_reader *follow = call->follow;
 	bool reached;
 
 	if (call->generation != follow->generation) {
@@ -166,10 +167,10 @@
 	}
 	follow->now_us = reply->now_us;
 	if (call->quick)
-		follow->quick_open = false;
+		follow->quick_in_flight = false;
 	else
-		follow->poll_open = false;
-	if (reply->status == RJ_CELL_STORE_GONE) {
+		follow->poll_in_flight = false;
+	if (reply->status == RJ_CELL_STORE_EXPIRED) {
 		reload(follow);
 	} else if (reply->status != RJ_CELL_STORE_OK) {
 		note_failure(follow, reply->status);
@@ -191,8 +192,8 @@
 	}
 	follow->ops->progress(follow->private_data, follow);
 	/* Syncs that came while the quick read was on its way need another. */
-	if (call->quick && follow->state == RJ_CELL_FOLLOW_READING &&
-	    !follow->quick_open && follow->syncs.next != &follow->syncs)
+	if (call->quick && follow->state == RJ_CELL_LOG_READER_READING &&
+	    !follow->quick_in_flight && follow->syncs.next != &follow->syncs)
 		send_read(follow, true);
 	talloc_free(call);
 }
@@ -202,14 +203,14 @@
 			const struct rj_cell_store_reply *reply)
 {
 	struct call *call = private_data;
-	struct rj_cell_follow *follow = call->follow;
+	struct rj_cell_log_reader *follow = call->follow;
 
 	if (call->generation != follow->generation) {
 		talloc_free(call);
 		return;
 	}
 	follow->now_us = reply->now_us;
-	follow->poll_open = false;
+	follow->poll_in_flight = false;
 	if (reply->status != RJ_CELL_STORE_OK) {
 		note_failure(follow, reply->status);
 		end_syncs(follow, call->sent_us, false);
@@ -231,36 +232,36 @@
 				      reply->records[reply->count - 1].key) :
 			NULL;
 	if (!reply->more || !reply->count) {
-		follow->state = RJ_CELL_FOLLOW_READING;
+		follow->state = RJ_CELL_LOG_READER_READING;
 		if (follow->ops->load_end)
 			follow->ops->load_end(follow->private_data);
 	}
 	follow->due_us = follow->now_us;
 	talloc_free(call);
-	rj_cell_follow_tick(follow, follow->now_us);
+	rj_cell_log_reader_tick(follow, follow->now_us);
 }
 
 /* Ask for the next page of newest records. */
-static void send_newest(struct rj_cell_follow *follow)
+static void send_newest(struct rj_cell_log_reader *follow)
 {
 	struct rj_cell_store_done done = { newest_done,
 					   call_new(follow, false) };
 
-	follow->poll_open = true;
+	follow->poll_in_flight = true;
 	follow->store->ops->newest(follow->store, follow->topic, follow->after,
 				   done);
 }
 
 /* Ask for what follows; a quick read does not wait for records. */
-static void send_read(struct rj_cell_follow *follow, bool quick)
+static void send_read(struct rj_cell_log_reader *follow, bool quick)
 {
 	struct rj_cell_store_done done = { read_done, call_new(follow, quick) };
 	uint32_t wait_ms = quick || !follow->caught_up ? 0 : follow->wait_ms;
 
 	if (quick)
-		follow->quick_open = true;
+		follow->quick_in_flight = true;
 	else
-		follow->poll_open = true;
+		follow->poll_in_flight = true;
 	follow->store->ops->read(follow->store, follow->topic, follow->next,
 				 wait_ms, done);
 }
@@ -268,27 +269,28 @@
 /*
  * Begin, or begin anew, with the newest record of each key.
  */
-void rj_cell_follow_start(struct rj_cell_follow *follow, uint64_t now_us)
+void rj_cell_log_reader_start(struct rj_cell_log_reader *follow,
+			      uint64_t now_us)
 {
-	rj_cell_follow_stop(follow);
-	follow->state = RJ_CELL_FOLLOW_LOADING;
+	rj_cell_log_reader_stop(follow);
+	follow->state = RJ_CELL_LOG_READER_LOADING;
 	if (follow->ops->load_begin)
 		follow->ops->load_begin(follow->private_data);
-	rj_cell_follow_tick(follow, now_us);
+	rj_cell_log_reader_tick(follow, now_us);
 }
 
 /*
  * Stop reading. Answers still on their way are dropped, and waiting syncs
  * end without success.
  */
-void rj_cell_follow_stop(struct rj_cell_follow *follow)
+void rj_cell_log_reader_stop(struct rj_cell_log_reader *follow)
 {
-	follow->state = RJ_CELL_FOLLOW_IDLE;
+	follow->state = RJ_CELL_LOG_READER_IDLE;
 	follow->generation++;
 	follow->caught_up = false;
 	follow->loaded_once = false;
-	follow->poll_open = false;
-	follow->quick_open = false;
+	follow->poll_in_flight = false;
+	follow->quick_in_flight = false;
 	follow->due_us = 0;
 	TALLOC_FREE(follow->after);
 	end_syncs(follow, RJ_NEVER_US, false);
@@ -297,8 +299,8 @@
 /*
  * The log is known to end at `end` or later, from the answer to an append.
  */
-void rj_cell_follow_expect(struct rj_cell_follow *follow, uint64_t end,
-			   uint64_t now_us)
+void rj_cell_log_reader_expect(struct rj_cell_log_reader *follow, uint64_t end,
+			       uint64_t now_us)
 {
 	if (end <= follow->known_end)
 		return;
@@ -312,10 +314,10 @@
  * Load that it answers: a store that wakes no long poll for a second while it
  * drops its history.
  */
-static void catch_up(struct rj_cell_follow *follow)
+static void catch_up(struct rj_cell_log_reader *follow)
 {
-	if (follow->state != RJ_CELL_FOLLOW_READING || follow->quick_open ||
-	    follow->next >= follow->known_end ||
+	if (follow->state != RJ_CELL_LOG_READER_READING ||
+	    follow->quick_in_flight || follow->next >= follow->known_end ||
 	    follow->now_us < follow->known_us + LAG_US)
 		return;
 	follow->known_us = follow->now_us;
@@ -325,15 +327,15 @@
 /*
  * Send what is due.
  */
-void rj_cell_follow_tick(struct rj_cell_follow *follow, uint64_t now_us)
+void rj_cell_log_reader_tick(struct rj_cell_log_reader *follow, uint64_t now_us)
 {
 	follow->now_us = now_us;
 	catch_up(follow);
-	if (follow->state == RJ_CELL_FOLLOW_IDLE || now_us < follow->due_us)
+	if (follow->state == RJ_CELL_LOG_READER_IDLE || now_us < follow->due_us)
 		return;
-	if (follow->poll_open)
+	if (follow->poll_in_flight)
 		return;
-	if (follow->state == RJ_CELL_FOLLOW_LOADING)
+	if (follow->state == RJ_CELL_LOG_READER_LOADING)
 		send_newest(follow);
 	else
 		send_read(follow, false);
@@ -343,14 +345,15 @@
  * Call sync->done once all that had been appended by now is known. The
  * caller keeps `sync` until then, or removes its link from the list.
  */
-void rj_cell_follow_sync(struct rj_cell_follow *follow,
-			 struct rj_cell_sync *sync, uint64_t now_us)
+void rj_cell_log_reader_sync(struct rj_cell_log_reader *follow,
+			     struct rj_cell_sync *sync, uint64_t now_us)
 {
 	follow->now_us = now_us;
 	sync->since_us = now_us;
 	rj_list_init(&sync->link);
 	rj_list_append(&follow->syncs, &sync->link);
-	if (follow->state == RJ_CELL_FOLLOW_READING && !follow->quick_open)
+	if (follow->state == RJ_CELL_LOG_READER_READING &&
+	    !follow->quick_in_flight)
 		send_read(follow, true);
 }
 
@@ -358,8 +361,8 @@
  * How old the knowledge of the log is: all that was appended longer ago has
  * been handed on. RJ_NEVER_US when nothing is known.
  */
-uint64_t rj_cell_follow_age_us(const struct rj_cell_follow *follow,
-			       uint64_t now_us)
+uint64_t rj_cell_log_reader_age_us(const struct rj_cell_log_reader *follow,
+				   uint64_t now_us)
 {
 	if (!follow->confirmed_us)
 		return RJ_NEVER_US;
--- a/src/libradishjunction/cell/cell_metrics.c
+++ b/src/libradishjunction/cell/cell_metrics.c
@@ -22,10 +22,10 @@
 }
 
 /* How old the knowledge of a log is, in milliseconds. */
-static void age(GString *text, const struct rj_cell_follow *follow,
+static void age(GString *text, const struct rj_cell_log_reader *follow,
 		uint64_t now_us)
 {
-	uint64_t age_us = rj_cell_follow_age_us(follow, now_us);
+	uint64_t age_us = rj_cell_log_reader_age_us(follow, now_us);
 	int64_t age_ms = age_us == RJ_NEVER_US ?
 				 UNKNOWN_AGE :
 				 (int64_t)(age_us / RJ_US_PER_MS);
@@ -36,7 +36,7 @@
 }
 
 /* What clients were answered. */
-static void write_front(GString *text, const struct rj_cell_front *front)
+static void write_front(GString *text, const struct rj_cell_frontend *front)
 {
 	number(text, "requests_open", front->open);
 	for (int i = 0; i < RJ_CELL_VERB_COUNT; i++)
@@ -84,8 +84,9 @@
 static void write_owner(GString *text, const struct rj_cell_owner *owner,
 			uint64_t now_us)
 {
-	static const char *const priorities[RJ_CELL_PRIORITIES] = { "0", "1",
-								    "2+" };
+	static const char *const priorities[RJ_CELL_PRIORITY_CLASSES] = {
+		"0", "1", "2+"
+	};
 	const struct rj_cell_owner_counters *counters = &owner->counters;
 
 	number(text, "owner", owner->active);
@@ -99,10 +100,10 @@
 	number(text, "plan_effort_max", counters->plan_effort_max);
 	number(text, "jobs_completed", counters->completed);
 	number(text, "jobs_failed", counters->failed);
-	for (int i = 0; i < RJ_CELL_END_COUNT; i++)
-		labelled(text, "run_ends", "end", rj_cell_end_string[i],
-			 counters->ends[i]);
-	for (int i = 0; i < RJ_CELL_PRIORITIES; i++)
+	for (int i = 0; i < RJ_CELL_COMPLETION_COUNT; i++)
+		labelled(text, "run_ends", "end", rj_cell_completion_string[i],
+			 counters->completions[i]);
+	for (int i = 0; i < RJ_CELL_PRIORITY_CLASSES; i++)
 		rj_latency_write(&counters->waits[i],
 				 "radishjunction_first_start_ms", "priority",
 				 priorities[i], text);
@@ -110,7 +111,7 @@
 			 "start", text);
 	if (!owner->active)
 		return;
-	for (int i = 0; i < RJ_CELL_PRIORITIES; i++) {
+	for (int i = 0; i < RJ_CELL_PRIORITY_CLASSES; i++) {
 		const struct rj_cell_backlog_class *waiting =
 			&owner->backlog.classes[i];
 
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -57,7 +57,7 @@
 	struct rj_cell_heartbeat heartbeat;
 	struct rj_error err = { .message = "the worker's name is too long" };
 	/* A load shows entries of any age. */
-	uint64_t written_us = node->fleet.state == RJ_CELL_FOLLOW_READING ?
+	uint64_t written_us = node->fleet.state == RJ_CELL_LOG_READER_READING ?
 				      node->fleet.confirmed_us :
 				      0;
 
@@ -79,7 +79,7 @@
 }
 
 /* Nothing more to do when a read has ended. */
-static void no_progress(void *private_data, struct rj_cell_follow *follow)
+static void no_progress(void *private_data, struct rj_cell_log_reader *follow)
 {
 }
 
@@ -94,7 +94,7 @@
 	rj_cell_polls_loaded(&node->owner);
 }
 
-static const struct rj_cell_follow_ops fleet_ops = {
+static const struct rj_cell_log_reader_ops fleet_ops = {
 	.record = fleet_record,
 	.progress = no_progress,
 	.load_end = fleet_load_end,
@@ -187,7 +187,7 @@
 	rj_cell_cordons_load_end(&node->cordons);
 }
 
-static const struct rj_cell_follow_ops operators_ops = {
+static const struct rj_cell_log_reader_ops operators_ops = {
 	operators_record,
 	no_progress,
 	operators_load_begin,
@@ -206,16 +206,17 @@
 			RJ_NOTE_TEXT("error", err.message));
 		return;
 	}
-	if (node->tenure.known && record->offset + 1 <= node->tenure.token)
+	if (node->ownership.known &&
+	    record->offset + 1 <= node->ownership.token)
 		return;
-	if (node->tenure.known)
-		node->former = node->tenure.record;
-	node->tenure.known = true;
-	node->tenure.record = owner;
-	node->tenure.token = record->offset + 1;
-	node->tenure.seen_us = node->jobs.now_us;
+	if (node->ownership.known)
+		node->former = node->ownership.record;
+	node->ownership.known = true;
+	node->ownership.record = owner;
+	node->ownership.token = record->offset + 1;
+	node->ownership.seen_us = node->jobs.now_us;
 	rj_note("owner_seen", RJ_NOTE_TEXT("instance", owner.name),
-		RJ_NOTE_NUMBER("token", node->tenure.token),
+		RJ_NOTE_NUMBER("token", node->ownership.token),
 		RJ_NOTE_NUMBER("leaving", owner.leaving));
 }
 
@@ -223,16 +224,16 @@
 static void beat_record(struct rj_cell_node *node,
 			const struct rj_cell_record *record)
 {
-	struct rj_cell_beat beat;
+	struct rj_cell_owner_heartbeat heartbeat;
 	struct rj_error err;
 
-	if (rj_cell_beat_decode(record->value, &beat, &err)) {
+	if (rj_cell_owner_heartbeat_decode(record->value, &heartbeat, &err)) {
 		rj_note("record_bad", RJ_NOTE_TEXT("key", record->key),
 			RJ_NOTE_TEXT("error", err.message));
 		return;
 	}
-	node->front.beat = beat;
-	node->front.beat_us = node->jobs.now_us;
+	node->front.heartbeat = heartbeat;
+	node->front.heartbeat_us = node->jobs.now_us;
 }
 
 /* One record of the jobs' log. */
@@ -240,7 +241,7 @@
 {
 	struct rj_cell_node *node = private_data;
 	enum rj_cell_record_kind kind;
-	struct rj_cell_entry *entry;
+	struct rj_cell_view_entry *entry;
 	const char *id;
 
 	if (rj_cell_record_kind(record->key, &kind, &id)) {
@@ -248,14 +249,14 @@
 			RJ_NOTE_TEXT("error", "a key that we did not write"));
 		return;
 	}
-	if (kind == RJ_CELL_RECORD_STATE || kind == RJ_CELL_RECORD_BEAT ||
+	if (kind == RJ_CELL_RECORD_STATE || kind == RJ_CELL_RECORD_HEARTBEAT ||
 	    kind == RJ_CELL_RECORD_OWNER)
-		node->tenure.seen_us = node->jobs.now_us;
+		node->ownership.seen_us = node->jobs.now_us;
 	if (kind == RJ_CELL_RECORD_OWNER) {
 		owner_record(node, record);
 		return;
 	}
-	if (kind == RJ_CELL_RECORD_BEAT) {
+	if (kind == RJ_CELL_RECORD_HEARTBEAT) {
 		beat_record(node, record);
 		return;
 	}
@@ -270,10 +271,11 @@
 static bool is_ours(const struct rj_cell_node *node)
 {
 	/* A fenced owner may not have read yet who has taken over. */
-	return node->tenure.known && !node->tenure.record.leaving &&
-	       node->tenure.token > node->fenced_token &&
-	       node->tenure.record.incarnation == node->options.incarnation &&
-	       !strcmp(node->tenure.record.name, node->options.name);
+	return node->ownership.known && !node->ownership.record.leaving &&
+	       node->ownership.token > node->fenced_token &&
+	       node->ownership.record.incarnation ==
+		       node->options.incarnation &&
+	       !strcmp(node->ownership.record.name, node->options.name);
 }
 
 /* Whether this instance owns the cell, or is taking it over. */
@@ -288,7 +290,7 @@
 	node->fenced_token = node->owner.token;
 	rj_cell_takeover_stop(&node->takeover);
 	rj_cell_owner_resign(&node->owner, why);
-	rj_cell_follow_stop(&node->fleet);
+	rj_cell_log_reader_stop(&node->fleet);
 	node->jobs.pause_us = JOBS_PAUSE_US;
 	node->acquire_due_us = node->now_us + ACQUIRE_PAUSE_US;
 }
@@ -321,13 +323,15 @@
 /* Begin to take the cell: the log up to our own record has been read. */
 static void begin_takeover(struct rj_cell_node *node)
 {
-	for (uint32_t i = 0;
-	     node->front.beat_us && i < node->front.beat.share_count; i++)
-		rj_cell_forecast_set(&node->owner.forecast,
-				     node->front.beat.shares[i].queue,
-				     node->front.beat.shares[i].mean_ms);
-	rj_cell_takeover_begin(&node->takeover, node->tenure.token,
-			       node->tenure.record.epoch, node->now_us,
+	for (uint32_t i = 0; node->front.heartbeat_us &&
+			     i < node->front.heartbeat.queue_load_count;
+	     i++)
+		rj_cell_forecast_set(
+			&node->owner.forecast,
+			node->front.heartbeat.queue_loads[i].queue,
+			node->front.heartbeat.queue_loads[i].mean_ms);
+	rj_cell_takeover_begin(&node->takeover, node->ownership.token,
+			       node->ownership.record.epoch, node->now_us,
 			       node->wall_ms);
 	node->jobs.pause_us = OWNER_JOBS_PAUSE_US;
 }
@@ -338,24 +342,25 @@
 	rj_cell_takeover_stop(&node->takeover);
 	rj_cell_owner_take(&node->owner, renewals_us(node), node->now_us,
 			   node->wall_ms);
-	rj_cell_follow_start(&node->fleet, node->now_us);
+	rj_cell_log_reader_start(&node->fleet, node->now_us);
 }
 
 /* A read of the jobs has ended: see who owns the cell now. */
-static void jobs_progress(void *private_data, struct rj_cell_follow *follow)
+static void jobs_progress(void *private_data, struct rj_cell_log_reader *follow)
 {
 	struct rj_cell_node *node = private_data;
 
 	node->now_us = follow->now_us;
-	if (is_owner(node) && node->owner.token != node->tenure.token)
+	if (is_owner(node) && node->owner.token != node->ownership.token)
 		step_down(node, "superseded");
 	else if (!is_owner(node) && follow->caught_up && is_ours(node) &&
 		 !node->draining)
 		begin_takeover(node);
 }
 
-static const struct rj_cell_follow_ops jobs_ops = { .record = jobs_record,
-						    .progress = jobs_progress };
+static const struct rj_cell_log_reader_ops jobs_ops = { .record = jobs_record,
+							.progress =
+								jobs_progress };
 
 /* How long a poll may wait where what it brings has to be known within a
  * bound (0: none). */
@@ -379,12 +384,12 @@
 	node->stagger_us = (uint32_t)(place * STAGGER_STEP_US);
 	rj_cell_cordons_init(&node->cordons);
 	rj_cell_view_init(&node->view, mem);
-	rj_cell_follow_init(&node->jobs, mem, options->store,
-			    RJ_CELL_TOPIC_JOBS, &jobs_ops, node);
-	rj_cell_follow_init(&node->configs, mem, options->store,
-			    RJ_CELL_TOPIC_CONFIG, &operators_ops, node);
-	rj_cell_follow_init(&node->fleet, mem, options->store,
-			    RJ_CELL_TOPIC_WORKERS, &fleet_ops, node);
+	rj_cell_log_reader_init(&node->jobs, mem, options->store,
+				RJ_CELL_TOPIC_JOBS, &jobs_ops, node);
+	rj_cell_log_reader_init(&node->configs, mem, options->store,
+				RJ_CELL_TOPIC_CONFIG, &operators_ops, node);
+	rj_cell_log_reader_init(&node->fleet, mem, options->store,
+				RJ_CELL_TOPIC_WORKERS, &fleet_ops, node);
 	node->jobs.wait_ms = JOBS_WAIT_MS;
 	node->jobs.pause_us = JOBS_PAUSE_US;
 	node->configs.wait_ms = wait_within(
@@ -398,9 +403,9 @@
 			 options->incarnation);
 	rj_cell_writer_init(&node->writer, mem, options->store,
 			    RJ_CELL_TOPIC_JOBS, producer);
-	rj_cell_front_init(&node->front, mem, &node->view, &node->jobs,
-			   &node->configs, &node->writer, options->codec,
-			   options->terms.revoke_ms);
+	rj_cell_frontend_init(&node->front, mem, &node->view, &node->jobs,
+			      &node->configs, &node->writer, options->codec,
+			      options->terms.revoke_ms);
 	rj_cell_owner_init(&node->owner, mem, options->name,
 			   options->incarnation, &node->view, options->store,
 			   options->workers, &options->terms);
@@ -424,8 +429,8 @@
 	node->started_us = now_us;
 	node->probe.done = probed;
 	rj_cell_writer_open(&node->writer, 1, 0, now_us);
-	rj_cell_follow_start(&node->configs, now_us);
-	rj_cell_follow_start(&node->jobs, now_us);
+	rj_cell_log_reader_start(&node->configs, now_us);
+	rj_cell_log_reader_start(&node->jobs, now_us);
 }
 
 /* The answer says little: whether the cell was acquired is read in the log. */
@@ -494,16 +499,17 @@
 /* How long the owner may be silent before this instance steps in. */
 static uint64_t patience_us(const struct rj_cell_node *node)
 {
-	const struct rj_cell_owner_record *record = &node->tenure.record;
+	const struct rj_cell_owner_record *record = &node->ownership.record;
 	uint64_t patience_us = OWNER_SILENT_US + node->stagger_us;
 
 	/* The owner was this process, in a life that has ended. */
-	if (node->tenure.known && !strcmp(record->name, node->options.name) &&
+	if (node->ownership.known &&
+	    !strcmp(record->name, node->options.name) &&
 	    record->incarnation != node->options.incarnation)
 		return 0;
-	if (!node->tenure.known || record->leaving)
+	if (!node->ownership.known || record->leaving)
 		patience_us = node->stagger_us / 4;
-	if (node->tenure.known &&
+	if (node->ownership.known &&
 	    is_weaker(node->options.strength, record->strength))
 		patience_us += WEAK_WAIT_US;
 	return patience_us;
@@ -512,10 +518,11 @@
 /* Whether the owner has been silent for too long, or is too weak. */
 static bool should_acquire(const struct rj_cell_node *node)
 {
-	uint64_t silent_us = node->now_us - node->tenure.seen_us;
+	uint64_t silent_us = node->now_us - node->ownership.seen_us;
 
-	if (node->tenure.known &&
-	    is_weaker(node->tenure.record.strength, node->options.strength) &&
+	if (node->ownership.known &&
+	    is_weaker(node->ownership.record.strength,
+		      node->options.strength) &&
 	    node->now_us >=
 		    node->started_us + STRONG_WAIT_US + node->stagger_us)
 		return true;
@@ -539,11 +546,11 @@
 	    !should_acquire(node))
 		return;
 	rj_note("owner_silent",
-		RJ_NOTE_TEXT("instance", node->tenure.record.name),
-		RJ_NOTE_NUMBER("token", node->tenure.token),
-		RJ_NOTE_NUMBER("strength", node->tenure.record.strength),
+		RJ_NOTE_TEXT("instance", node->ownership.record.name),
+		RJ_NOTE_NUMBER("token", node->ownership.token),
+		RJ_NOTE_NUMBER("strength", node->ownership.record.strength),
 		RJ_NOTE_AGE_MS("silent_ms",
-			       node->now_us - node->tenure.seen_us));
+			       node->now_us - node->ownership.seen_us));
 	write_owner(node);
 }
 
@@ -561,7 +568,7 @@
 	    node->now_us < node->acquire_due_us || !should_acquire(node))
 		return;
 	node->probing = true;
-	rj_cell_follow_sync(&node->jobs, &node->probe, node->now_us);
+	rj_cell_log_reader_sync(&node->jobs, &node->probe, node->now_us);
 }
 
 /*
@@ -573,14 +580,14 @@
 	node->now_us = now_us;
 	node->wall_ms = wall_ms;
 	if (node->owner.active)
-		rj_cell_follow_expect(
+		rj_cell_log_reader_expect(
 			&node->jobs,
 			MAX(node->owner.writer.end, node->writer.end), now_us);
-	rj_cell_follow_tick(&node->configs, now_us);
-	rj_cell_follow_tick(&node->jobs, now_us);
-	rj_cell_follow_tick(&node->fleet, now_us);
+	rj_cell_log_reader_tick(&node->configs, now_us);
+	rj_cell_log_reader_tick(&node->jobs, now_us);
+	rj_cell_log_reader_tick(&node->fleet, now_us);
 	rj_cell_writer_tick(&node->writer, now_us);
-	rj_cell_front_tick(&node->front, now_us);
+	rj_cell_frontend_tick(&node->front, now_us);
 	node->owner.read_us = node->jobs.confirmed_us;
 	node->owner.workers_read_us = node->fleet.confirmed_us;
 	node->owner.operators_read_us = node->configs.confirmed_us;
@@ -601,7 +608,7 @@
 {
 	return !node->draining && node->jobs.caught_up &&
 	       !node->front.contact.away_us &&
-	       rj_cell_front_keys_fresh(&node->front, now_us);
+	       rj_cell_frontend_keys_fresh(&node->front, now_us);
 }
 
 /*
@@ -632,13 +639,13 @@
  */
 void rj_cell_node_finish(struct rj_cell_node *node)
 {
-	rj_cell_front_finish(&node->front);
+	rj_cell_frontend_finish(&node->front);
 	rj_cell_takeover_stop(&node->takeover);
 	rj_cell_owner_finish(&node->owner);
 	rj_cell_writer_close(&node->writer);
-	rj_cell_follow_stop(&node->jobs);
-	rj_cell_follow_stop(&node->configs);
-	rj_cell_follow_stop(&node->fleet);
+	rj_cell_log_reader_stop(&node->jobs);
+	rj_cell_log_reader_stop(&node->configs);
+	rj_cell_log_reader_stop(&node->fleet);
 	rj_cell_view_finish(&node->view);
 	rj_cell_cordons_finish(&node->cordons);
 }
--- a/src/libradishjunction/cell/cell_orders.c
+++ b/src/libradishjunction/cell/cell_orders.c
@@ -30,11 +30,11 @@
 static uint64_t refusal_pause_us(enum rj_cell_order_status status)
 {
 	switch (status) {
-	case RJ_CELL_ORDER_BAD:
-	case RJ_CELL_ORDER_TICKET:
+	case RJ_CELL_ORDER_MALFORMED:
+	case RJ_CELL_ORDER_TICKET_INVALID:
 		return BAD_PAUSE_US;
-	case RJ_CELL_ORDER_OLD:
-	case RJ_CELL_ORDER_LATE:
+	case RJ_CELL_ORDER_STALE:
+	case RJ_CELL_ORDER_DEADLINE_PASSED:
 		return OLD_PAUSE_US;
 	default:
 		return 0;
@@ -56,7 +56,7 @@
 	if (run->task)
 		run->task->not_before_us =
 			owner->now_us + refusal_pause_us(status);
-	rj_cell_ends_run(owner, run, RJ_CELL_END_LOST, NULL);
+	rj_cell_ends_run(owner, run, RJ_CELL_COMPLETION_LOST, NULL);
 }
 
 /* What a refused start says of its worker. */
@@ -66,9 +66,10 @@
 {
 	uint64_t pause_us = 0;
 
-	if (status == RJ_CELL_ORDER_SICK)
+	if (status == RJ_CELL_ORDER_UNHEALTHY)
 		pause_us = SICK_PAUSE_US;
-	if (status == RJ_CELL_ORDER_FULL || status == RJ_CELL_ORDER_LATE)
+	if (status == RJ_CELL_ORDER_NO_CAPACITY ||
+	    status == RJ_CELL_ORDER_DEADLINE_PASSED)
 		pause_us = FULL_PAUSE_US;
 	if (owner->now_us + pause_us > worker->suspect_until_us)
 		worker->suspect_until_us = owner->now_us + pause_us;
@@ -99,7 +100,7 @@
 	talloc_free(call);
 	if (!run)
 		return;
-	run->start_open = false;
+	run->start_in_flight = false;
 	rj_cell_call_clock(worker, reply);
 	if (reply->status == RJ_CELL_ORDER_FENCED) {
 		owner->lost = true;
@@ -112,16 +113,16 @@
 		rj_latency_add(&owner->counters.orders,
 			       owner->now_us - sent_us);
 		run->state = RJ_CELL_RUN_PLACED;
-		run->begun_us = owner->now_us;
+		run->placed_us = owner->now_us;
 		run->progress_us = owner->now_us;
 		run->settled_us = owner->now_us;
 		break;
 	case RJ_CELL_ORDER_LOST:
-		rj_cell_run_order(run, owner->now_us + ORDER_RETRY_US);
+		rj_cell_run_schedule_order(run, owner->now_us + ORDER_RETRY_US);
 		if (run->order_tries >= START_TRIES_MAX)
 			rj_cell_ends_stop_run(owner, run, "no_answer");
 		break;
-	case RJ_CELL_ORDER_OTHER:
+	case RJ_CELL_ORDER_OTHER_INCARNATION:
 		rj_cell_call_other_life(owner, worker);
 		break;
 	case RJ_CELL_ORDER_UNSENT:
@@ -135,8 +136,8 @@
 		break;
 	default:
 		rest_worker(owner, worker, reply->status);
-		if (reply->status == RJ_CELL_ORDER_TICKET)
-			rj_cell_advice_void(run->task, worker);
+		if (reply->status == RJ_CELL_ORDER_TICKET_INVALID)
+			rj_cell_advice_invalidate(run->task, worker);
 		if (run->order_tries > 1)
 			rj_cell_ends_stop_run(owner, run, "no_answer");
 		else
@@ -148,10 +149,11 @@
 static void send_start(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
 	struct rj_cell_worker *worker = run->worker;
-	const struct rj_cell_def *def = run->task->round->work->def;
+	const struct rj_cell_job_spec *job_spec =
+		run->task->occurrence->job->job_spec;
 	struct rj_cell_start start = { .name = run->name,
 				       .number = run->number,
-				       .spec = def->spec,
+				       .spec = job_spec->spec,
 				       .checkpoint = run->checkpoint,
 				       .ticket = run->ticket ? run->ticket : "",
 				       .token = owner->token };
@@ -162,7 +164,7 @@
 		return;
 	done.call = start_done;
 	done.private_data = rj_cell_call_new(owner, worker, run);
-	run->start_open = true;
+	run->start_in_flight = true;
 	run->order_tries++;
 	owner->counters.starts++;
 	owner->workers->ops->start(owner->workers, worker, &start, done);
@@ -180,7 +182,7 @@
 	talloc_free(call);
 	if (!run)
 		return;
-	run->stop_open = false;
+	run->stop_in_flight = false;
 	rj_cell_call_clock(worker, reply);
 	switch (reply->status) {
 	case RJ_CELL_ORDER_OK:
@@ -189,12 +191,12 @@
 	case RJ_CELL_ORDER_FENCED:
 		owner->lost = true;
 		break;
-	case RJ_CELL_ORDER_OTHER:
+	case RJ_CELL_ORDER_OTHER_INCARNATION:
 		rj_cell_call_other_life(owner, worker);
 		break;
 	default:
-		rj_cell_run_order(run, owner->now_us + ORDER_RETRY_US);
-		if (run->over_us)
+		rj_cell_run_schedule_order(run, owner->now_us + ORDER_RETRY_US);
+		if (run->ended_by_us)
 			rj_cell_call_answers(owner, worker, false,
 					     reply->status);
 	}
@@ -212,7 +214,7 @@
 			RJ_NOTE_TEXT("why", run->why));
 	done.call = stop_done;
 	done.private_data = rj_cell_call_new(owner, run->worker, run);
-	run->stop_open = true;
+	run->stop_in_flight = true;
 	run->order_tries++;
 	owner->counters.stops++;
 	owner->workers->ops->stop(owner->workers, run->worker, run->name,
@@ -223,8 +225,8 @@
 static bool needs_order(const struct rj_cell_run *run)
 {
 	if (run->state == RJ_CELL_RUN_STARTING)
-		return !run->start_open;
-	return run->state == RJ_CELL_RUN_STOPPING && !run->stop_open &&
+		return !run->start_in_flight;
+	return run->state == RJ_CELL_RUN_STOPPING && !run->stop_in_flight &&
 	       !run->settled_us;
 }
 
@@ -243,7 +245,7 @@
 		return;
 	}
 	run->why = why;
-	rj_cell_ends_run(owner, run, RJ_CELL_END_LOST, NULL);
+	rj_cell_ends_run(owner, run, RJ_CELL_COMPLETION_LOST, NULL);
 }
 
 /*
@@ -262,7 +264,7 @@
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
 
 		at = at->next;
-		if (run->state != RJ_CELL_RUN_STARTING || run->start_open)
+		if (run->state != RJ_CELL_RUN_STARTING || run->start_in_flight)
 			continue;
 		call_off(owner, run);
 		/* Others of its gang may have gone with it. */
@@ -288,7 +290,7 @@
 	struct rj_list *at;
 	struct rj_list *next;
 
-	if (!rj_cell_worker_stays(worker))
+	if (!rj_cell_worker_schedulable(worker))
 		call_off_starts(owner, worker);
 	RJ_FOR_EACH (at, next, &worker->runs) {
 		struct rj_cell_run *run =
@@ -297,7 +299,7 @@
 		if (!needs_order(run))
 			continue;
 		if (owner->now_us >= run->order_due_us &&
-		    worker->said.address.port)
+		    worker->heartbeat.address.port)
 			send_order(owner, run);
 		more |= needs_order(run);
 	}
@@ -312,12 +314,12 @@
 			struct rj_cell_worker *worker)
 {
 	if (worker->answers || worker->runs.next == &worker->runs ||
-	    owner->now_us <= worker->lapsed_us)
+	    owner->now_us <= worker->lease_expired_us)
 		return;
 	rj_note("worker_lapsed", RJ_NOTE_TEXT("worker", worker->id),
 		RJ_NOTE_AGE_MS("answered_ms",
 			       owner->now_us - worker->answered_us));
-	worker->given_up_us = owner->now_us;
+	worker->abandoned_us = owner->now_us;
 	rj_cell_call_lose_runs(owner, worker, "lease_lapsed");
 }
 
@@ -350,14 +352,15 @@
 	if (owner->now_us < owner->watch_due_us)
 		return;
 	owner->watch_due_us = owner->now_us + WATCH_PAUSE_US;
-	RJ_FOR_EACH (at, next, &owner->fleet.watched[RJ_CELL_WATCH_BUSY]) {
+	RJ_FOR_EACH (at, next,
+		     &owner->fleet.by_poll_state[RJ_CELL_POLL_STATE_BUSY]) {
 		struct rj_cell_worker *worker =
-			RJ_CONTAINER(at, struct rj_cell_worker, in_watch);
+			RJ_CONTAINER(at, struct rj_cell_worker, in_poll_state);
 
 		check_lapse(owner, worker);
 		if (!worker->answers)
 			rj_cell_ends_over(owner, worker);
-		if (worker->leaves_us)
+		if (worker->departure_us)
 			rj_cell_evacuate(owner, worker);
 		rj_cell_polls_busy(owner, worker);
 	}
--- a/src/libradishjunction/cell/cell_owner.c
+++ b/src/libradishjunction/cell/cell_owner.c
@@ -71,11 +71,11 @@
 /*
  * A job's progress has changed and is to be stored.
  */
-void rj_cell_owner_dirty(struct rj_cell_owner *owner, struct rj_cell_work *work)
+void rj_cell_owner_dirty(struct rj_cell_owner *owner, struct rj_cell_job *job)
 {
-	if (!work->dirty)
-		rj_list_append(&owner->dirty, &work->in_dirty);
-	work->dirty = true;
+	if (!job->dirty)
+		rj_list_append(&owner->dirty, &job->in_dirty);
+	job->dirty = true;
 	owner->plan_wanted = true;
 }
 
@@ -85,82 +85,83 @@
  */
 struct rj_cell_task *rj_cell_owner_task(struct rj_cell_owner *owner,
 					const char *name,
-					struct rj_cell_entry **entry)
+					struct rj_cell_view_entry **entry)
 {
-	struct rj_cell_entry *found;
+	struct rj_cell_view_entry *found;
 	char id[RJ_CELL_ID_BYTES];
-	unsigned int round;
+	unsigned int occurrence;
 	unsigned int step;
 	unsigned int index;
 
-	if (sscanf(name, "%16[0-9a-fA-F].%u.%u.%u", id, &round, &step,
+	if (sscanf(name, "%16[0-9a-fA-F].%u.%u.%u", id, &occurrence, &step,
 		   &index) != 4)
 		return NULL;
 	found = rj_cell_view_find(owner->view, id);
 	if (entry)
 		*entry = found;
-	if (!found || !found->work)
+	if (!found || !found->job)
 		return NULL;
-	return rj_cell_work_find(found->work, round, step, index);
+	return rj_cell_job_find_task(found->job, occurrence, step, index);
 }
 
 /* Until when a job is of use, by this node's clock. */
-static void set_times(struct rj_cell_owner *owner, struct rj_cell_work *work)
+static void set_times(struct rj_cell_owner *owner, struct rj_cell_job *job)
 {
-	const struct rj_cell_def *def = work->def;
-	uint64_t age_ms = owner->wall_ms > def->accepted_ms ?
-				  owner->wall_ms - def->accepted_ms :
+	const struct rj_cell_job_spec *job_spec = job->job_spec;
+	uint64_t age_ms = owner->wall_ms > job_spec->accepted_ms ?
+				  owner->wall_ms - job_spec->accepted_ms :
 				  0;
-	uint64_t chain_ms = rj_cell_forecast_chain_ms(&owner->forecast, def);
-	uint64_t objective_us =
-		(chain_ms * def->stretch_milli / 1000 + def->latency_ms) *
-		RJ_US_PER_MS;
-
-	work->accepted_us = owner->now_us > age_ms * RJ_US_PER_MS ?
-				    owner->now_us - age_ms * RJ_US_PER_MS :
-				    0;
-	work->objective_us = work->accepted_us + objective_us;
-	work->late_us = work->accepted_us + RJ_CELL_LATE_FACTOR * objective_us;
+	uint64_t chain_ms =
+		rj_cell_forecast_chain_ms(&owner->forecast, job_spec);
+	uint64_t objective_us = (chain_ms * job_spec->stretch_milli / 1000 +
+				 job_spec->latency_ms) *
+				RJ_US_PER_MS;
+
+	job->accepted_us = owner->now_us > age_ms * RJ_US_PER_MS ?
+				   owner->now_us - age_ms * RJ_US_PER_MS :
+				   0;
+	job->objective_us = job->accepted_us + objective_us;
+	job->late_us = job->accepted_us + RJ_CELL_LATE_FACTOR * objective_us;
 }
 
 /* Take up a job that has not ended, with what its progress says. */
-static void adopt(struct rj_cell_owner *owner, struct rj_cell_entry *entry)
+static void adopt(struct rj_cell_owner *owner, struct rj_cell_view_entry *entry)
 {
-	struct rj_cell_work *work = rj_cell_work_new(owner->mem, entry->def);
+	struct rj_cell_job *job = rj_cell_job_new(owner->mem, entry->job_spec);
 	struct rj_error err;
 
-	work->entry = entry;
-	entry->work = work;
-	rj_list_append(&owner->works, &work->link);
-	set_times(owner, work);
+	job->entry = entry;
+	entry->job = job;
+	rj_list_append(&owner->works, &job->link);
+	set_times(owner, job);
 	if (entry->progress.length &&
-	    rj_cell_progress_decode(entry->progress, work, &owner->fleet,
+	    rj_cell_progress_decode(entry->progress, job, &owner->fleet,
 				    owner->now_us, &err))
 		rj_note("record_bad", RJ_NOTE_TEXT("job", entry->id),
 			RJ_NOTE_TEXT("error", err.message));
 	/* It has ended and nobody was told, or it was stored by the version
 	 * before. */
-	if (entry->progress.length && !entry->moved)
-		rj_cell_owner_dirty(owner, work);
-	entry->moved = true;
-	if (work->state >= RJ_CELL_JOB_COMPLETED)
-		rj_cell_owner_dirty(owner, work);
+	if (entry->progress.length && !entry->in_progress_log)
+		rj_cell_owner_dirty(owner, job);
+	entry->in_progress_log = true;
+	if (job->state >= RJ_CELL_JOB_COMPLETED)
+		rj_cell_owner_dirty(owner, job);
 	else
-		rj_cell_ends_begin_rounds(owner, work);
+		rj_cell_ends_begin_rounds(owner, job);
 }
 
 /* Say what has come, with the figures that decide on its first step. */
-static void note_taken(const struct rj_cell_entry *entry)
+static void note_taken(const struct rj_cell_view_entry *entry)
 {
-	const struct rj_cell_def *def = entry->def;
-	const struct rj_cell_step *step = &def->steps[0];
+	const struct rj_cell_job_spec *job_spec = entry->job_spec;
+	const struct rj_cell_step *step = &job_spec->steps[0];
 
 	rj_note("job_taken", RJ_NOTE_TEXT("job", entry->id),
-		RJ_NOTE_TEXT("account", def->account),
-		RJ_NOTE_TEXT("queue", def->queue),
-		RJ_NOTE_NUMBER("priority", def->priority),
-		RJ_NOTE_NUMBER("steps", def->step_count),
-		RJ_NOTE_NUMBER("tasks", def->task_count),
+		RJ_NOTE_TEXT("account", job_spec->account),
+		RJ_NOTE_TEXT("queue", job_spec->queue),
+		RJ_NOTE_NUMBER("priority", job_spec->priority),
+		RJ_NOTE_NUMBER("steps", job_spec->step_count),
+		RJ_NOTE_NUMBER("tasks", job_spec->task_count),
 		RJ_NOTE_NUMBER("cpu_milli", step->each.cpu_milli),
 		RJ_NOTE_NUMBER("memory_mb", step->each.memory_mb),
 		RJ_NOTE_NUMBER("accelerators", step->each.accelerators),
@@ -176,28 +177,28 @@
 		RJ_NOTE_NUMBER("per_worker_max", step->per_worker_max),
 		RJ_NOTE_NUMBER("may_miss", step->may_miss),
 		RJ_NOTE_NUMBER("target_ms", step->target_ms),
-		RJ_NOTE_NUMBER("repeats", def->repeats));
+		RJ_NOTE_NUMBER("repeats", job_spec->repeats));
 }
 
 /*
  * A job's definition or a wish to cancel it has come.
  */
 void rj_cell_owner_entry(struct rj_cell_owner *owner,
-			 struct rj_cell_entry *entry)
+			 struct rj_cell_view_entry *entry)
 {
-	if (!owner->active || !entry->def ||
-	    entry->told.state >= RJ_CELL_JOB_COMPLETED)
+	if (!owner->active || !entry->job_spec ||
+	    entry->summary.state >= RJ_CELL_JOB_COMPLETED)
 		return;
-	if (!entry->work) {
+	if (!entry->job) {
 		adopt(owner, entry);
-		if (!entry->def->priority)
-			rj_cell_forecast_demand(&owner->forecast, entry->def,
-						owner->now_us);
+		if (!entry->job_spec->priority)
+			rj_cell_forecast_demand(&owner->forecast,
+						entry->job_spec, owner->now_us);
 		note_taken(entry);
 	}
-	if (entry->cancelled && !entry->work->cancelled) {
-		entry->work->cancelled = true;
-		rj_cell_ends_close(owner, entry->work, RJ_CELL_JOB_CANCELLED);
+	if (entry->cancelled && !entry->job->cancelled) {
+		entry->job->cancelled = true;
+		rj_cell_ends_close(owner, entry->job, RJ_CELL_JOB_CANCELLED);
 	}
 	owner->plan_wanted = true;
 }
@@ -209,7 +210,7 @@
 static bool has_deregistered(const struct rj_cell_owner *owner,
 			     const struct rj_cell_worker *worker)
 {
-	return worker->said.draining && worker->written_us &&
+	return worker->heartbeat.draining && worker->written_us &&
 	       owner->now_us < worker->written_us + owner->terms.entry_life_ms *
 							    RJ_US_PER_MS;
 }
@@ -219,12 +220,12 @@
 {
 	worker->listed = false;
 	if (has_deregistered(owner, worker)) {
-		worker->left_us = owner->now_us;
+		worker->deregistered_us = owner->now_us;
 		worker->poll_due_us = owner->now_us;
 	}
 	rj_note("worker_unlisted", RJ_NOTE_TEXT("worker", worker->id),
-		RJ_NOTE_NUMBER("holds", worker->held.memory_mb),
-		RJ_NOTE_NUMBER("left", worker->left_us != 0));
+		RJ_NOTE_NUMBER("holds", worker->allocated.memory_mb),
+		RJ_NOTE_NUMBER("left", worker->deregistered_us != 0));
 	owner->plan_wanted = true;
 }
 
@@ -245,22 +246,23 @@
 		return;
 	}
 	worker = rj_cell_fleet_obtain(&owner->fleet, id);
-	was_draining = worker->said.draining;
+	was_draining = worker->heartbeat.draining;
 	/* Another life: nothing is sent there until it has answered. */
 	if (worker->incarnation && heartbeat->incarnation &&
 	    worker->incarnation != heartbeat->incarnation) {
 		worker->answers = false;
 		rj_cell_polls_soon(owner, worker);
 	}
-	rj_cell_worker_say(worker, heartbeat);
+	rj_cell_worker_apply_heartbeat(worker, heartbeat);
 	worker->written_us = written_us;
-	worker->leaves_us = 0;
+	worker->departure_us = 0;
 	worker->cold_until_us =
 		owner->now_us + heartbeat->cold_left_ms * RJ_US_PER_MS;
 	if (heartbeat->draining && heartbeat->drain_left_ms)
-		worker->leaves_us = (written_us ? written_us : owner->now_us) +
-				    heartbeat->drain_left_ms * RJ_US_PER_MS;
-	worker->left_us = 0;
+		worker->departure_us =
+			(written_us ? written_us : owner->now_us) +
+			heartbeat->drain_left_ms * RJ_US_PER_MS;
+	worker->deregistered_us = 0;
 	rj_cell_polls_trust(owner, worker);
 	if (!worker->listed || was_draining != heartbeat->draining) {
 		rj_note("worker_listed", RJ_NOTE_TEXT("worker", id),
@@ -275,19 +277,22 @@
 	worker->listed = true;
 }
 
-/* Ends that a former owner did not see count no longer than until `lapsed_us`,
+/* Ends that a former owner did not see count no longer than until `lease_expired_us`,
  * when every lease that it gave has lapsed. */
-static void bound_unseen(const struct rj_cell_work *work, uint64_t lapsed_us)
+static void bound_unseen(const struct rj_cell_job *job,
+			 uint64_t lease_expired_us)
 {
 	const struct rj_list *at;
 
-	for (at = work->rounds.next; at != &work->rounds; at = at->next) {
-		struct rj_cell_round *round =
-			RJ_CONTAINER(at, struct rj_cell_round, link);
+	for (at = job->occurrences.next; at != &job->occurrences;
+	     at = at->next) {
+		struct rj_cell_occurrence *occurrence =
+			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
-		for (uint32_t i = 0; i < work->def->task_count; i++)
-			round->tasks[i].unseen_until_us =
-				MIN(round->tasks[i].unseen_until_us, lapsed_us);
+		for (uint32_t i = 0; i < job->job_spec->task_count; i++)
+			occurrence->tasks[i].unreported_until_us =
+				MIN(occurrence->tasks[i].unreported_until_us,
+				    lease_expired_us);
 	}
 }
 
@@ -297,18 +302,18 @@
  */
 static void bound_leases(struct rj_cell_owner *owner, uint64_t renewals_us)
 {
-	uint64_t lease_us = rj_cell_lease_longest_us(owner->terms.lease_max_ms *
-						     RJ_US_PER_MS);
-	uint64_t lapsed_us = owner->now_us + renewals_us + lease_us;
+	uint64_t lease_us =
+		rj_cell_lease_max_us(owner->terms.lease_max_ms * RJ_US_PER_MS);
+	uint64_t lease_expired_us = owner->now_us + renewals_us + lease_us;
 	struct rj_list *at;
 	struct rj_list *next;
 
 	RJ_FOR_EACH (at, next, &owner->fleet.workers)
-		RJ_CONTAINER(at, struct rj_cell_worker, link)->lapsed_us =
-			lapsed_us;
+		RJ_CONTAINER(at, struct rj_cell_worker, link)
+			->lease_expired_us = lease_expired_us;
 	RJ_FOR_EACH (at, next, &owner->works)
-		bound_unseen(RJ_CONTAINER(at, struct rj_cell_work, link),
-			     lapsed_us);
+		bound_unseen(RJ_CONTAINER(at, struct rj_cell_job, link),
+			     lease_expired_us);
 }
 
 /*
@@ -358,10 +363,11 @@
 	rj_cell_polls_begin(owner);
 	owner->counters.takeovers++;
 	RJ_FOR_EACH (at, next, &owner->view->entries) {
-		struct rj_cell_entry *entry =
-			RJ_CONTAINER(at, struct rj_cell_entry, link);
+		struct rj_cell_view_entry *entry =
+			RJ_CONTAINER(at, struct rj_cell_view_entry, link);
 
-		if (entry->def && entry->told.state < RJ_CELL_JOB_COMPLETED)
+		if (entry->job_spec &&
+		    entry->summary.state < RJ_CELL_JOB_COMPLETED)
 			jobs++;
 		rj_cell_owner_entry(owner, entry);
 	}
@@ -399,11 +405,11 @@
 	rj_cell_view_drop_progress(owner->view);
 	g_ptr_array_set_size(owner->ended, 0);
 	RJ_FOR_EACH (at, next, &owner->works) {
-		struct rj_cell_work *work =
-			RJ_CONTAINER(at, struct rj_cell_work, link);
+		struct rj_cell_job *job =
+			RJ_CONTAINER(at, struct rj_cell_job, link);
 
-		((struct rj_cell_entry *)work->entry)->work = NULL;
-		talloc_free(work);
+		((struct rj_cell_view_entry *)job->entry)->job = NULL;
+		talloc_free(job);
 	}
 	rj_cell_fleet_finish(&owner->fleet);
 }
@@ -492,11 +498,12 @@
 		return;
 	owner->rounds_due_us = owner->now_us + ROUNDS_CHECK_US;
 	RJ_FOR_EACH (at, next, &owner->works) {
-		struct rj_cell_work *work =
-			RJ_CONTAINER(at, struct rj_cell_work, link);
+		struct rj_cell_job *job =
+			RJ_CONTAINER(at, struct rj_cell_job, link);
 
-		if (work->def->repeats && work->state < RJ_CELL_JOB_COMPLETED)
-			rj_cell_ends_begin_rounds(owner, work);
+		if (job->job_spec->repeats &&
+		    job->state < RJ_CELL_JOB_COMPLETED)
+			rj_cell_ends_begin_rounds(owner, job);
 	}
 }
 
--- a/src/libradishjunction/cell/cell_place.c
+++ b/src/libradishjunction/cell/cell_place.c
@@ -31,10 +31,10 @@
 void rj_cell_place_count_siblings(struct rj_cell_plan *plan,
 				  const struct rj_cell_unit *unit)
 {
-	const struct rj_cell_def *def = unit->work->def;
-	uint32_t first = rj_cell_def_first_task(def, unit->step);
+	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
+	uint32_t first = rj_cell_job_spec_first_task(job_spec, unit->step);
 
-	if (!def->steps[unit->step].per_worker_max)
+	if (!job_spec->steps[unit->step].per_worker_max)
 		return;
 	for (uint32_t i = 0; i < plan->room_count; i++)
 		plan->rooms[i].siblings = 0;
@@ -42,13 +42,13 @@
 		const struct rj_cell_choice *choice =
 			&g_array_index(plan->starts, struct rj_cell_choice, i);
 
-		if (choice->task->round == unit->round &&
+		if (choice->task->occurrence == unit->occurrence &&
 		    choice->task->step == unit->step)
 			choice->worker->room->siblings++;
 	}
-	for (uint32_t i = 0; i < def->steps[unit->step].task_count; i++) {
+	for (uint32_t i = 0; i < job_spec->steps[unit->step].task_count; i++) {
 		const struct rj_list *runs =
-			&unit->round->tasks[first + i].runs;
+			&unit->occurrence->tasks[first + i].runs;
 		const struct rj_list *at;
 
 		for (at = runs->next; at != runs; at = at->next)
@@ -70,7 +70,8 @@
 	const struct rj_cell_task *head = rj_cell_task_head(task);
 
 	return head->failures && !rj_cell_task_step(task)->perpetual &&
-	       head->failures + 1 >= task->round->work->def->attempts_max;
+	       head->failures + 1 >=
+		       task->occurrence->job->job_spec->attempts_max;
 }
 
 /*
@@ -94,7 +95,8 @@
 	    !is_last_attempt(task))
 		return false;
 	return worker->bad_streak ||
-	       (!rj_cell_failure_is_sound(&plan->failures, worker->sound_us) &&
+	       (!rj_cell_failure_is_sound(&plan->failures,
+					  worker->healthy_us) &&
 		rj_cell_place_wants_sound(plan, task));
 }
 
@@ -117,21 +119,23 @@
 		return false;
 	if (worker->service != unit->service)
 		return false;
-	if (step->label[0] && strcmp(step->label, worker->said.kind) != 0 &&
-	    strcmp(step->label, worker->said.rack) != 0)
+	if (step->label[0] &&
+	    strcmp(step->label, worker->heartbeat.kind) != 0 &&
+	    strcmp(step->label, worker->heartbeat.rack) != 0)
 		return false;
 	if (step->rack[0] && !unit->far &&
-	    strcmp(step->rack, worker->said.rack) != 0)
+	    strcmp(step->rack, worker->heartbeat.rack) != 0)
 		return false;
 	if (plan->now_us < task->avoid_until_us &&
 	    !strcmp(task->avoid, worker->id))
 		return false;
-	if (unit->advised && !rj_cell_advice_ticket(task->round, task->step,
-						    worker, plan->now_us))
+	if (unit->advised &&
+	    !rj_cell_advice_ticket(task->occurrence, task->step, worker,
+				   plan->now_us))
 		return false;
 	if (is_too_risky(plan, worker, task))
 		return false;
-	if (!step->target_ms && plan->now_us < worker->harmed_until_us)
+	if (!step->target_ms && plan->now_us < worker->exclusive_until_us)
 		return false;
 	return !has_all_siblings(room, step);
 }
@@ -242,7 +246,7 @@
 		return true;
 	return (failed_before || rj_cell_task_step(task)->gang) &&
 	       rj_cell_failure_is_burst(&plan->failures, plan->now_us) &&
-	       !rj_cell_failure_is_sound(&plan->failures, worker->sound_us);
+	       !rj_cell_failure_is_sound(&plan->failures, worker->healthy_us);
 }
 
 /*
@@ -265,11 +269,12 @@
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
 	uint64_t left = have->accelerators - step->each.accelerators;
-	bool far = step->rack[0] && strcmp(step->rack, room->worker->said.rack);
+	bool far = step->rack[0] &&
+		   strcmp(step->rack, room->worker->heartbeat.rack);
 	bool unproven = is_unproven(plan, room->worker, task);
-	bool wrong_side = room->reserved != !unit->work->def->priority;
+	bool wrong_side = room->reserved != !unit->job->job_spec->priority;
 	bool cold = plan->now_us < room->worker->cold_until_us;
-	bool mixed = step->target_ms ? room->filling : room->serving;
+	bool mixed = step->target_ms ? room->other_runs : room->latency_runs;
 
 	return ((uint64_t)mixed << COST_MIXED_BIT) |
 	       ((uint64_t)unproven << COST_UNPROVEN_BIT) |
@@ -287,7 +292,7 @@
 				     const struct rj_cell_way *way)
 {
 	struct rj_cell_demand want =
-		rj_cell_step_counted(rj_cell_task_step(task));
+		rj_cell_step_demand(rj_cell_task_step(task));
 	struct rj_cell_room *best = NULL;
 	struct rj_cell_room *room;
 	struct rj_cell_walk walk;
@@ -324,10 +329,10 @@
 	const struct rj_cell_releases *releases;
 	uint64_t ready_us = 0;
 
-	rj_cell_demand_give(&need, &room->promised);
+	rj_cell_demand_add(&need, &room->promised);
 	if (rj_cell_demand_fits(&need, &have))
 		return 0;
-	if (!rj_cell_demand_fits(&need, &room->worker->said.capacity))
+	if (!rj_cell_demand_fits(&need, &room->worker->heartbeat.capacity))
 		return RJ_NEVER_US;
 	releases = rj_cell_releases_of(plan, room);
 	for (uint32_t i = 0;
@@ -337,7 +342,7 @@
 		/* The room of a victim is counted as free already. */
 		if (release->run->victim || release->run->why)
 			continue;
-		rj_cell_demand_give(&have, &release->run->held);
+		rj_cell_demand_add(&have, &release->run->allocated);
 		ready_us = release->left_us;
 	}
 	return rj_cell_demand_fits(&need, &have) ? ready_us : RJ_NEVER_US;
@@ -351,7 +356,7 @@
 					const struct rj_cell_way *way)
 {
 	struct rj_cell_demand want =
-		rj_cell_step_counted(rj_cell_task_step(task));
+		rj_cell_step_demand(rj_cell_task_step(task));
 	struct rj_cell_room *best = NULL;
 	struct rj_cell_room *room;
 	struct rj_cell_walk walk;
@@ -378,18 +383,18 @@
 static void take_room(struct rj_cell_room *room,
 		      const struct rj_cell_step *step, enum rj_cell_when when)
 {
-	struct rj_cell_demand want = rj_cell_step_counted(step);
+	struct rj_cell_demand want = rj_cell_step_demand(step);
 
 	if (when == RJ_CELL_LATER)
-		rj_cell_demand_give(&room->promised, &want);
+		rj_cell_demand_add(&room->promised, &want);
 	else
-		rj_cell_demand_take(&room->soon, &want);
-	rj_cell_demand_take(&room->now, &want);
+		rj_cell_demand_subtract(&room->soon, &want);
+	rj_cell_demand_subtract(&room->now, &want);
 	room->siblings++;
 	if (step->target_ms)
-		room->serving++;
+		room->latency_runs++;
 	else
-		room->filling++;
+		room->other_runs++;
 }
 
 /*
@@ -489,7 +494,7 @@
 			     const struct rj_cell_way *way)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(tasks[0]);
-	struct rj_cell_demand want = rj_cell_step_counted(step);
+	struct rj_cell_demand want = rj_cell_step_demand(step);
 	struct rj_cell_candidates candidates;
 	struct rj_cell_walk walk;
 	struct rj_cell_room *room;
@@ -535,7 +540,7 @@
 			 const struct rj_cell_way *way)
 {
 	struct rj_cell_demand want =
-		rj_cell_step_counted(rj_cell_task_step(tasks[0]));
+		rj_cell_step_demand(rj_cell_task_step(tasks[0]));
 
 	if (!rj_cell_place_may_hold(plan, way, &want, count))
 		return false;
--- a/src/libradishjunction/cell/cell_plan.c
+++ b/src/libradishjunction/cell/cell_plan.c
@@ -70,13 +70,13 @@
 {
 	struct rj_cell_choice choice = { task, worker };
 	struct rj_cell_demand used =
-		rj_cell_step_counted(rj_cell_task_step(task));
+		rj_cell_step_demand(rj_cell_task_step(task));
 
 	g_array_append_val(plan->starts, choice);
 	task->planned = true;
 	rj_cell_usage_add(&plan->usage, &used);
-	rj_cell_plan_hold(plan, task->round->work, &used);
-	if (worker->domain && !task->round->work->def->priority)
+	rj_cell_plan_hold(plan, task->occurrence->job, &used);
+	if (worker->domain && !task->occurrence->job->job_spec->priority)
 		worker->domain->urgent +=
 			rj_cell_task_step(task)->each.accelerators;
 }
@@ -180,7 +180,7 @@
 	struct rj_cell_trial trial;
 	bool placed;
 
-	if (!unit->work->def->priority && way->when == RJ_CELL_NOW)
+	if (!unit->job->job_spec->priority && way->when == RJ_CELL_NOW)
 		chosen.domain = best_domain(plan, unit, tasks, count, way);
 	rj_cell_trial_init(&trial, plan);
 	placed = try_group(plan, unit, tasks, count, &chosen, &trial);
@@ -199,7 +199,7 @@
 {
 	if (unit->guaranteed &&
 	    plan->now_us <=
-		    unit->work->accepted_us + plan->reclaim_ms * RJ_US_PER_MS)
+		    unit->job->accepted_us + plan->reclaim_ms * RJ_US_PER_MS)
 		return UINT64_MAX;
 	return LOSS_FACTOR * rj_cell_reclaim_own_milli(plan, unit, count);
 }
@@ -250,12 +250,12 @@
 					 .loss_max_milli = loss_max_milli };
 
 	if (plan->futile >= FUTILE_MAX ||
-	    plan->now_us < tasks[0]->search_due_us)
+	    plan->now_us < tasks[0]->preemption_due_us)
 		return false;
 	if (attempt(plan, unit, tasks, count, &way))
 		return true;
 	plan->futile++;
-	tasks[0]->search_due_us = plan->now_us + FUTILE_PAUSE_US;
+	tasks[0]->preemption_due_us = plan->now_us + FUTILE_PAUSE_US;
 	return false;
 }
 
@@ -316,7 +316,7 @@
 {
 	if (attempt_free(plan, unit, tasks, count, RJ_CELL_NOW))
 		return true;
-	if (unit->work->def->priority)
+	if (unit->job->job_spec->priority)
 		find_other(plan, unit, tasks, count);
 	else
 		find_urgent(plan, unit, tasks, count);
@@ -331,7 +331,7 @@
 {
 	uint32_t plain = 0;
 
-	if (!unit->work->def->priority)
+	if (!unit->job->job_spec->priority)
 		return 0;
 	while (plain < count && are_plain(plan, &tasks[plain], 1))
 		plain++;
@@ -371,14 +371,14 @@
 				const struct rj_cell_unit *unit,
 				struct rj_cell_task **tasks)
 {
-	const struct rj_cell_def *def = unit->work->def;
-	uint32_t first = rj_cell_def_first_task(def, unit->step);
+	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
+	uint32_t first = rj_cell_job_spec_first_task(job_spec, unit->step);
 	uint32_t count = 0;
 
-	for (uint32_t i = first; i < first + def->steps[unit->step].task_count;
-	     i++)
-		if (rj_cell_unit_waits(plan, &unit->round->tasks[i]))
-			tasks[count++] = &unit->round->tasks[i];
+	for (uint32_t i = first;
+	     i < first + job_spec->steps[unit->step].task_count; i++)
+		if (rj_cell_unit_waits(plan, &unit->occurrence->tasks[i]))
+			tasks[count++] = &unit->occurrence->tasks[i];
 	return count;
 }
 
@@ -410,7 +410,7 @@
 			continue;
 		}
 		plan->waiting += count - i;
-		if (unit->work->def->priority)
+		if (unit->job->job_spec->priority)
 			break;
 	}
 }
@@ -418,13 +418,13 @@
 /* Place the waiting tasks of a step. */
 static void place_unit(struct rj_cell_plan *plan, struct rj_cell_unit *unit)
 {
-	const struct rj_cell_def *def = unit->work->def;
-	const struct rj_cell_step *step = &def->steps[unit->step];
+	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
+	const struct rj_cell_step *step = &job_spec->steps[unit->step];
 	struct rj_cell_task **tasks;
 	uint32_t count;
 
 	rj_cell_unit_set_reserved(plan, unit);
-	if (def->priority &&
+	if (job_spec->priority &&
 	    rj_cell_shortage_is_known(plan, unit, 1, RJ_CELL_NOW)) {
 		plan->waiting += unit->waiting - unit->started;
 		return;
@@ -465,7 +465,8 @@
 static bool place_in_share(struct rj_cell_plan *plan, struct rj_cell_unit *unit,
 			   uint32_t tasks_max)
 {
-	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
+	const struct rj_cell_step *step =
+		&unit->job->job_spec->steps[unit->step];
 	struct rj_cell_task **tasks;
 	uint32_t count;
 
@@ -495,7 +496,8 @@
 		struct rj_cell_unit *unit =
 			&g_array_index(plan->units, struct rj_cell_unit, i);
 		uint32_t tasks_max = rj_cell_share_tasks(
-			plan, &unit->work->def->steps[unit->step], unit->work);
+			plan, &unit->job->job_spec->steps[unit->step],
+			unit->job);
 
 		rj_cell_unit_set_reserved(plan, unit);
 		if (unit->overdue && tasks_max &&
@@ -529,7 +531,7 @@
 		struct rj_cell_unit *unit =
 			&g_array_index(plan->units, struct rj_cell_unit, i);
 
-		if (unit->work->def->priority && !shared) {
+		if (unit->job->job_spec->priority && !shared) {
 			place_shares(plan, i);
 			shared = true;
 		}
--- a/src/libradishjunction/cell/cell_polls.c
+++ b/src/libradishjunction/cell/cell_polls.c
@@ -41,9 +41,9 @@
 /* A listed run that is not ours: stop it, and count its room meanwhile. */
 static void stop_orphan(struct rj_cell_owner *owner,
 			struct rj_cell_worker *worker,
-			const struct rj_cell_row *row)
+			const struct rj_cell_run_report *row)
 {
-	struct rj_cell_entry *entry = NULL;
+	struct rj_cell_view_entry *entry = NULL;
 	struct rj_cell_run *run = talloc_zero(NULL, struct rj_cell_run);
 	unsigned int step = 0;
 
@@ -54,16 +54,16 @@
 	run->number = row->number;
 	run->state = RJ_CELL_RUN_STOPPING;
 	run->why = "orphaned";
-	run->begun_us = owner->now_us;
-	if (entry && entry->def &&
+	run->placed_us = owner->now_us;
+	if (entry && entry->job_spec &&
 	    sscanf(row->name, "%*[^.].%*u.%u", &step) == 1 &&
-	    step < entry->def->step_count)
-		run->held = entry->def->steps[step].each;
+	    step < entry->job_spec->step_count)
+		run->allocated = entry->job_spec->steps[step].each;
 	else
-		run->held = worker->said.capacity;
+		run->allocated = worker->heartbeat.capacity;
 	rj_list_init(&run->in_task);
-	rj_cell_run_hold(run);
-	rj_cell_run_order(run, owner->now_us);
+	rj_cell_run_allocate(run);
+	rj_cell_run_schedule_order(run, owner->now_us);
 }
 
 /* Mark the runs that the worker lists. */
@@ -72,7 +72,7 @@
 		      const struct rj_cell_order_reply *reply)
 {
 	for (uint32_t i = 0; i < reply->row_count; i++) {
-		const struct rj_cell_row *row = &reply->rows[i];
+		const struct rj_cell_run_report *row = &reply->rows[i];
 		struct rj_cell_run *run =
 			rj_cell_call_run(worker, row->name, row->number);
 
@@ -105,18 +105,18 @@
 static bool order_again(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
 	if (!run->adopted || run->state != RJ_CELL_RUN_PLACED || !run->task ||
-	    !rj_cell_worker_stays(run->worker))
+	    !rj_cell_worker_schedulable(run->worker))
 		return false;
 	/* A gang's end speaks for members whose worker was reborn since. */
 	if (run->task->done ||
-	    run->task->round->work->state >= RJ_CELL_JOB_COMPLETED)
+	    run->task->occurrence->job->state >= RJ_CELL_JOB_COMPLETED)
 		return false;
 	run->adopted = false;
-	run->begun_us = 0;
+	run->placed_us = 0;
 	run->settled_us = 0;
 	run->state = RJ_CELL_RUN_STARTING;
 	run->order_tries = 0;
-	rj_cell_run_order(run, owner->now_us);
+	rj_cell_run_schedule_order(run, owner->now_us);
 	rj_note("start_again", RJ_NOTE_TEXT("task", run->name),
 		RJ_NOTE_NUMBER("run", run->number),
 		RJ_NOTE_TEXT("worker", run->worker->id));
@@ -150,8 +150,8 @@
 			run->why = "not_listed";
 		rj_cell_ends_run(owner, run,
 				 run->state == RJ_CELL_RUN_STOPPING ?
-					 RJ_CELL_END_STOPPED :
-					 RJ_CELL_END_LOST,
+					 RJ_CELL_COMPLETION_STOPPED :
+					 RJ_CELL_COMPLETION_LOST,
 				 NULL);
 		next = worker->runs.next;
 	}
@@ -162,20 +162,21 @@
 		      struct rj_cell_worker *worker,
 		      const struct rj_cell_order_reply *reply)
 {
-	for (uint32_t i = 0; i < reply->end_count; i++) {
-		const struct rj_cell_end_row *row = &reply->ends[i];
+	for (uint32_t i = 0; i < reply->completion_count; i++) {
+		const struct rj_cell_completion_report *row =
+			&reply->completions[i];
 		struct rj_cell_run *run;
 
-		if (row->position <= worker->seen_taken)
+		if (row->position <= worker->applied_position)
 			continue;
-		worker->seen_taken = row->position;
+		worker->applied_position = row->position;
 		run = rj_cell_call_run(worker, row->name, row->number);
 		if (run)
 			rj_cell_ends_run(owner, run, row->end, row->saved);
 		else
 			rj_cell_ends_orphan(owner, worker, row);
 	}
-	if (worker->seen_taken > worker->seen &&
+	if (worker->applied_position > worker->stored_position &&
 	    worker->in_unstored.next == &worker->in_unstored)
 		rj_list_append(&owner->fleet.unstored, &worker->in_unstored);
 }
@@ -194,15 +195,15 @@
 		RJ_NOTE_NUMBER("before", worker->incarnation),
 		RJ_NOTE_NUMBER("rows", reply->row_count));
 	worker->incarnation = reply->incarnation;
-	worker->seen = 0;
-	worker->seen_taken = 0;
-	worker->seen_storing = 0;
-	worker->seen_told = 0;
+	worker->stored_position = 0;
+	worker->applied_position = 0;
+	worker->storing_position = 0;
+	worker->acknowledged_position = 0;
 	worker->bad_streak = 0;
 	/* From here on only our orders count, so that no lease is longer. */
 	worker->lease_ms = worker->clock_ms + owner->terms.lease_max_ms;
-	worker->lapsed_us = 0;
-	rj_cell_worker_note_lease(worker, worker->lease_ms);
+	worker->lease_expired_us = 0;
+	rj_cell_worker_extend_lease(worker, worker->lease_ms);
 	owner->plan_wanted = true;
 }
 
@@ -213,8 +214,8 @@
 static bool may_list_more(const struct rj_cell_owner *owner,
 			  const struct rj_cell_worker *worker)
 {
-	return worker->given_up_us &&
-	       owner->now_us < worker->given_up_us + GIVEN_UP_POLL_US;
+	return worker->abandoned_us &&
+	       owner->now_us < worker->abandoned_us + GIVEN_UP_POLL_US;
 }
 
 /* Whether a worker is polled as long as it is silent. */
@@ -230,7 +231,7 @@
 		    const struct rj_cell_worker *worker)
 {
 	return !is_wanted(owner, worker) &&
-	       worker->seen_told >= worker->seen_taken;
+	       worker->acknowledged_position >= worker->applied_position;
 }
 
 /* A worker's lists have come. */
@@ -241,19 +242,19 @@
 {
 	rj_cell_call_clock(worker, reply);
 	worker->poll_failures = 0;
-	worker->left_us = 0;
-	worker->given_up_us = 0;
+	worker->deregistered_us = 0;
+	worker->abandoned_us = 0;
 	rj_cell_call_answers(owner, worker, true, reply->status);
 	if (worker->incarnation != reply->incarnation)
 		meet(owner, worker, reply);
 	else
-		worker->seen_told = call->seen;
+		worker->acknowledged_position = call->stored_position;
 	take_ends(owner, worker, reply);
 	take_rows(owner, worker, reply);
 	drop_missing(owner, worker, call->sent_us, reply);
 	rj_cell_health_check(owner, worker);
 	worker->poll_due_us = owner->now_us;
-	if (worker->seen_taken > worker->seen)
+	if (worker->applied_position > worker->stored_position)
 		worker->poll_due_us += POLL_UNSTORED_US;
 }
 
@@ -269,9 +270,9 @@
 {
 	uint64_t delay_us = POLL_RETRY_US;
 
-	if (worker->left_us && sent_us >= worker->left_us)
+	if (worker->deregistered_us && sent_us >= worker->deregistered_us)
 		rj_cell_call_lose_runs(owner, worker, "worker_left");
-	if (status == RJ_CELL_ORDER_OTHER)
+	if (status == RJ_CELL_ORDER_OTHER_INCARNATION)
 		rj_cell_call_other_life(owner, worker);
 	else
 		rj_cell_call_answers(owner, worker, false, status);
@@ -291,7 +292,7 @@
 
 	if (!worker)
 		goto free_call;
-	worker->poll_open = false;
+	worker->poll_in_flight = false;
 	if (reply->status == RJ_CELL_ORDER_FENCED) {
 		owner->lost = true;
 		goto free_call;
@@ -301,11 +302,12 @@
 	else
 		note_failure(owner, worker, call->sent_us, reply->status);
 	if (!is_idle(owner, worker))
-		rj_cell_worker_watch(worker, RJ_CELL_WATCH_BUSY);
+		rj_cell_worker_set_poll_state(worker, RJ_CELL_POLL_STATE_BUSY);
 	else if (worker->answers)
-		rj_cell_worker_watch(worker, RJ_CELL_WATCH_IDLE);
+		rj_cell_worker_set_poll_state(worker, RJ_CELL_POLL_STATE_IDLE);
 	else
-		rj_cell_worker_watch(worker, RJ_CELL_WATCH_SILENT);
+		rj_cell_worker_set_poll_state(worker,
+					      RJ_CELL_POLL_STATE_UNREACHABLE);
 free_call:
 	talloc_free(call);
 }
@@ -328,7 +330,7 @@
 	 * one again. Until it has answered, nothing counts as seen.
 	 */
 	if (worker->answers)
-		poll.seen = worker->seen;
+		poll.stored_position = worker->stored_position;
 	if (worker->incarnation && worker->answers)
 		poll.wait_ms = MIN(POLL_WAIT_MS, owner->terms.lease_max_ms /
 							 POLL_WAIT_LEASE_PART);
@@ -341,10 +343,10 @@
 	    worker->runs.next != &worker->runs)
 		poll.deadline_ms = rj_cell_call_deadline(owner, worker);
 	call = rj_cell_call_new(owner, worker, NULL);
-	call->seen = poll.seen;
+	call->stored_position = poll.stored_position;
 	done.call = poll_done;
 	done.private_data = call;
-	worker->poll_open = true;
+	worker->poll_in_flight = true;
 	owner->counters.polls++;
 	owner->workers->ops->poll(owner->workers, worker, &poll, done);
 }
@@ -393,10 +395,10 @@
 			 struct rj_cell_worker *worker)
 {
 	if (owner->fleet.count <= KNOWN_CLOSELY_MAX || worker->incarnation ||
-	    worker->poll_failures || !worker->said.clock_ms)
+	    worker->poll_failures || !worker->heartbeat.clock_ms)
 		return;
 	worker->answers = true;
-	worker->clock_ms = worker->said.clock_ms;
+	worker->clock_ms = worker->heartbeat.clock_ms;
 	worker->clock_at_us = owner->now_us;
 }
 
@@ -434,8 +436,8 @@
 			struct rj_cell_worker *worker)
 {
 	worker->poll_due_us = owner->now_us;
-	if (worker->watch != RJ_CELL_WATCH_CALLED)
-		rj_cell_worker_watch(worker, RJ_CELL_WATCH_BUSY);
+	if (worker->poll_state != RJ_CELL_POLL_STATE_POLLING)
+		rj_cell_worker_set_poll_state(worker, RJ_CELL_POLL_STATE_BUSY);
 }
 
 /*
@@ -444,25 +446,27 @@
 void rj_cell_polls_busy(struct rj_cell_owner *owner,
 			struct rj_cell_worker *worker)
 {
-	if (worker->poll_open || owner->now_us < worker->poll_due_us)
+	if (worker->poll_in_flight || owner->now_us < worker->poll_due_us)
 		return;
 	if (worker->poll_failures && !take_one(&owner->retried_polls))
 		return;
-	if (worker->said.address.port &&
+	if (worker->heartbeat.address.port &&
 	    (worker->listed || is_wanted(owner, worker)))
 		send_poll(owner, worker);
 	else if (!is_wanted(owner, worker))
-		rj_cell_worker_watch(worker, RJ_CELL_WATCH_IDLE); /* to go */
+		rj_cell_worker_set_poll_state(
+			worker, RJ_CELL_POLL_STATE_IDLE); /* to go */
 }
 
 /* Poll idle workers in their order, as far as the allowance goes. */
-static void poll_idle(struct rj_cell_owner *owner, enum rj_cell_watch watch)
+static void poll_idle(struct rj_cell_owner *owner,
+		      enum rj_cell_poll_state poll_state)
 {
-	struct rj_list *list = &owner->fleet.watched[watch];
+	struct rj_list *list = &owner->fleet.by_poll_state[poll_state];
 
 	while (owner->idle_polls.calls >= 1 && list->next != list) {
 		struct rj_cell_worker *worker = RJ_CONTAINER(
-			list->next, struct rj_cell_worker, in_watch);
+			list->next, struct rj_cell_worker, in_poll_state);
 
 		/* Its entry is gone for good, and it holds nothing. */
 		if (!worker->listed) {
@@ -472,7 +476,8 @@
 		if (owner->now_us < worker->poll_due_us)
 			break;
 		(void)take_one(&owner->idle_polls);
-		rj_cell_worker_watch(worker, RJ_CELL_WATCH_CALLED);
+		rj_cell_worker_set_poll_state(worker,
+					      RJ_CELL_POLL_STATE_POLLING);
 		send_poll(owner, worker);
 	}
 }
@@ -493,6 +498,6 @@
 	refill(&owner->idle_polls, owner->now_us, per_s, IDLE_POLLS_AT_ONCE);
 	refill(&owner->retried_polls, owner->now_us, POLL_RETRIES_PER_S,
 	       POLL_RETRIES_AT_ONCE);
-	poll_idle(owner, RJ_CELL_WATCH_IDLE);
-	poll_idle(owner, RJ_CELL_WATCH_SILENT);
+	poll_idle(owner, RJ_CELL_POLL_STATE_IDLE);
+	poll_idle(owner, RJ_CELL_POLL_STATE_UNREACHABLE);
 }
--- a/src/libradishjunction/cell/cell_reach.c
+++ b/src/libradishjunction/cell/cell_reach.c
@@ -52,7 +52,7 @@
 	talloc_free(call);
 	if (!worker)
 		return;
-	worker->probe_open = false;
+	worker->probe_in_flight = false;
 	owner->plan_wanted = true;
 	if (reply->status == RJ_CELL_ORDER_FENCED) {
 		owner->lost = true;
@@ -75,13 +75,13 @@
 			 struct rj_cell_worker *worker)
 {
 	struct rj_cell_poll poll = { .token = owner->token,
-				     .seen = worker->seen,
+				     .stored_position = worker->stored_position,
 				     .timeout_ms = PROBE_TIMEOUT_MS };
 	struct rj_cell_order_done done = { probe_done, NULL };
 
-	if (worker->probe_open)
+	if (worker->probe_in_flight)
 		return;
-	worker->probe_open = true;
+	worker->probe_in_flight = true;
 	done.private_data = rj_cell_call_new(owner, worker, NULL);
 	owner->workers->ops->poll(owner->workers, worker, &poll, done);
 }
--- a/src/libradishjunction/cell/cell_reclaim.c
+++ b/src/libradishjunction/cell/cell_reclaim.c
@@ -31,10 +31,11 @@
 				   const struct rj_cell_unit *unit,
 				   uint32_t count)
 {
-	const struct rj_cell_def *def = unit->work->def;
+	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
 
-	return count * cores_milli(&def->steps[unit->step]) *
-	       rj_cell_forecast_task_ms(plan->forecast, def, unit->step) / 1000;
+	return count * cores_milli(&job_spec->steps[unit->step]) *
+	       rj_cell_forecast_task_ms(plan->forecast, job_spec, unit->step) /
+	       1000;
 }
 
 /* Core-milliseconds of work that stopping one run throws away. */
@@ -42,7 +43,7 @@
 			const struct rj_cell_run *run)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(run->task);
-	uint64_t lost_ms = (plan->now_us - MIN(plan->now_us, run->begun_us)) /
+	uint64_t lost_ms = (plan->now_us - MIN(plan->now_us, run->placed_us)) /
 			   RJ_US_PER_MS;
 
 	if (step->checkpoints && lost_ms > RESTORE_LOSS_MS)
@@ -54,13 +55,13 @@
  * for the share that only urgent work may stop; and to guaranteed work also
  * what others have beyond their guarantees. */
 static bool gives_way(const struct rj_cell_plan *plan,
-		      const struct rj_cell_work *work,
+		      const struct rj_cell_job *job,
 		      const struct rj_cell_unit *unit)
 {
-	if (work->def->priority > unit->work->def->priority)
-		return !unit->work->def->priority ||
-		       !rj_cell_share_protects(plan, work);
-	return unit->guaranteed && !work->guaranteed;
+	if (job->job_spec->priority > unit->job->job_spec->priority)
+		return !unit->job->job_spec->priority ||
+		       !rj_cell_share_protects(plan, job);
+	return unit->guaranteed && !job->guaranteed;
 }
 
 /* Whether a run may be stopped for the work of a unit. */
@@ -71,7 +72,7 @@
 	return run->task && !run->why && run->state != RJ_CELL_RUN_STOPPING &&
 	       run->state != RJ_CELL_RUN_INTENDED &&
 	       run->state != RJ_CELL_RUN_STARTING &&
-	       gives_way(plan, run->task->round->work, unit) &&
+	       gives_way(plan, run->task->occurrence->job, unit) &&
 	       !rj_cell_task_step(run->task)->perpetual;
 }
 
@@ -91,8 +92,9 @@
 	step = rj_cell_task_step(run->task);
 	loss = loss_of(plan, run) * (step->gang ? step->task_count : 1);
 	loss *= 1 + run->task->losses;
-	return run->task->round->work->def->priority ? loss :
-						       loss * URGENT_WEIGHT;
+	return run->task->occurrence->job->job_spec->priority ?
+		       loss :
+		       loss * URGENT_WEIGHT;
 }
 
 /* Whether a run may be stopped for a unit, and is not going to be. */
@@ -124,13 +126,13 @@
 	for (at = releases->by_time; at < end && at->left_us < ENDS_SOON_US;
 	     at++)
 		if (is_candidate(plan, at, unit))
-			rj_cell_demand_give(&have, &at->run->held);
+			rj_cell_demand_add(&have, &at->run->allocated);
 	end = releases->by_loss + releases->count;
 	for (at = releases->by_loss;
 	     at < end && !rj_cell_demand_fits(want, &have); at++) {
 		if (at->left_us < ENDS_SOON_US || !is_candidate(plan, at, unit))
 			continue;
-		rj_cell_demand_give(&have, &at->run->held);
+		rj_cell_demand_add(&have, &at->run->allocated);
 		loss_milli += at->loss_milli;
 		if (chosen)
 			g_ptr_array_add(chosen, at->run);
@@ -149,16 +151,16 @@
 	if (!room)
 		return;
 	rj_cell_trial_change(trial, room);
-	rj_cell_demand_give(&room->soon, &run->held);
+	rj_cell_demand_add(&room->soon, &run->allocated);
 	rj_cell_plan_note_freed(trial->plan, room);
 }
 
 /* Note one victim and, with it, the other members of its gang. */
 static void add_victim(struct rj_cell_trial *trial, struct rj_cell_run *run)
 {
-	const struct rj_cell_round *round = run->task->round;
+	const struct rj_cell_occurrence *occurrence = run->task->occurrence;
 	const struct rj_cell_step *step = rj_cell_task_step(run->task);
-	uint32_t first = (uint32_t)(run->task - round->tasks);
+	uint32_t first = (uint32_t)(run->task - occurrence->tasks);
 	uint32_t count = 1;
 
 	if (step->gang) {
@@ -169,7 +171,7 @@
 		struct rj_list *at;
 		struct rj_list *next;
 
-		RJ_FOR_EACH (at, next, &round->tasks[i].runs) {
+		RJ_FOR_EACH (at, next, &occurrence->tasks[i].runs) {
 			struct rj_cell_run *member =
 				RJ_CONTAINER(at, struct rj_cell_run, in_task);
 
@@ -189,12 +191,13 @@
 			 const struct rj_cell_unit *unit, uint32_t want)
 {
 	uint32_t sum = room->soon.accelerators;
-	uint32_t from = unit->guaranteed ? 0 : unit->work->def->priority + 1;
+	uint32_t from =
+		unit->guaranteed ? 0 : unit->job->job_spec->priority + 1;
 
 	/* The last sum is of several priorities. */
-	for (uint32_t i = MIN(from, RJ_CELL_PRIORITIES - 1);
-	     i < RJ_CELL_PRIORITIES; i++)
-		sum += room->worker->held_by[i].accelerators;
+	for (uint32_t i = MIN(from, RJ_CELL_PRIORITY_CLASSES - 1);
+	     i < RJ_CELL_PRIORITY_CLASSES; i++)
+		sum += room->worker->allocated_by_class[i].accelerators;
 	return sum >= want;
 }
 
@@ -209,7 +212,7 @@
 					  const struct rj_cell_way *way)
 {
 	struct rj_cell_demand want =
-		rj_cell_step_counted(rj_cell_task_step(task));
+		rj_cell_step_demand(rj_cell_task_step(task));
 	struct rj_cell_room *best = NULL;
 	struct rj_cell_room *room;
 	struct rj_cell_walk walk;
@@ -222,7 +225,8 @@
 		uint64_t loss;
 
 		if (!may_give_way(room, unit, want.accelerators) ||
-		    !rj_cell_demand_fits(&want, &room->worker->said.capacity) ||
+		    !rj_cell_demand_fits(&want,
+					 &room->worker->heartbeat.capacity) ||
 		    !rj_cell_place_may_run(plan, room, unit, task, way))
 			continue;
 		plan->effort += VICTIMS_EFFORT;
--- a/src/libradishjunction/cell/cell_record.c
+++ b/src/libradishjunction/cell/cell_record.c
@@ -17,9 +17,9 @@
 
 /* The first character of a key. */
 static const char kind_letter[RJ_CELL_RECORD_KIND_COUNT] = {
-	[RJ_CELL_RECORD_DEFINITION] = 'j', [RJ_CELL_RECORD_PROGRESS] = 's',
-	[RJ_CELL_RECORD_STATE] = 't',	   [RJ_CELL_RECORD_CANCEL] = 'c',
-	[RJ_CELL_RECORD_OWNER] = 'o',	   [RJ_CELL_RECORD_BEAT] = 'b',
+	[RJ_CELL_RECORD_JOB_SPEC] = 'j', [RJ_CELL_RECORD_PROGRESS] = 's',
+	[RJ_CELL_RECORD_STATE] = 't',	 [RJ_CELL_RECORD_CANCEL] = 'c',
+	[RJ_CELL_RECORD_OWNER] = 'o',	 [RJ_CELL_RECORD_HEARTBEAT] = 'b',
 };
 
 /* How much of a task is written. */
@@ -125,22 +125,23 @@
 }
 
 /* The occurrences under way. */
-static void write_rounds(struct rj_packer *out, const struct rj_cell_work *work,
+static void write_rounds(struct rj_packer *out, const struct rj_cell_job *job,
 			 const struct worker_table *table)
 {
 	const struct rj_list *at;
 	uint32_t count = 0;
 
-	for (at = work->rounds.next; at != &work->rounds; at = at->next)
+	for (at = job->occurrences.next; at != &job->occurrences; at = at->next)
 		count++;
 	rj_pack_number(out, count);
-	for (at = work->rounds.next; at != &work->rounds; at = at->next) {
-		const struct rj_cell_round *round =
-			RJ_CONTAINER(at, struct rj_cell_round, link);
-
-		rj_pack_number(out, round->number);
-		for (uint32_t i = 0; i < work->def->task_count; i++)
-			write_task(out, &round->tasks[i], table);
+	for (at = job->occurrences.next; at != &job->occurrences;
+	     at = at->next) {
+		const struct rj_cell_occurrence *occurrence =
+			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
+
+		rj_pack_number(out, occurrence->number);
+		for (uint32_t i = 0; i < job->job_spec->task_count; i++)
+			write_task(out, &occurrence->tasks[i], table);
 	}
 }
 
@@ -148,24 +149,25 @@
  * What nobody has listed of gangs, behind all else up to the end of the
  * record, a row for each gang: earlier versions do not read that far.
  */
-static void write_unseen(struct rj_packer *out, const struct rj_cell_work *work)
+static void write_unseen(struct rj_packer *out, const struct rj_cell_job *job)
 {
 	const struct rj_list *at;
 
-	for (at = work->rounds.next; at != &work->rounds; at = at->next) {
-		const struct rj_cell_round *round =
-			RJ_CONTAINER(at, struct rj_cell_round, link);
+	for (at = job->occurrences.next; at != &job->occurrences;
+	     at = at->next) {
+		const struct rj_cell_occurrence *occurrence =
+			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
-		for (uint32_t i = 0; i < work->def->task_count; i++) {
-			const struct rj_cell_task *task = &round->tasks[i];
+		for (uint32_t i = 0; i < job->job_spec->task_count; i++) {
+			const struct rj_cell_task *task = &occurrence->tasks[i];
 
-			if (!task->unseen || task->done)
+			if (!task->unreported || task->done)
 				continue;
-			rj_pack_number(out, round->number);
+			rj_pack_number(out, occurrence->number);
 			rj_pack_number(out, i);
 			rj_pack_number(out, task->failed_run);
-			rj_pack_number(out, task->unseen);
-			rj_pack_number(out, task->unseen_run);
+			rj_pack_number(out, task->unreported);
+			rj_pack_number(out, task->unreported_run);
 		}
 	}
 }
@@ -174,7 +176,7 @@
  * The progress of a job, as it is kept in the log; a talloc child of `mem`.
  */
 struct rj_bytes rj_cell_progress_encode(void *mem,
-					const struct rj_cell_work *work)
+					const struct rj_cell_job *job)
 {
 	struct worker_table table = { g_ptr_array_new(),
 				      g_hash_table_new(NULL, NULL) };
@@ -182,12 +184,12 @@
 
 	rj_pack_init(&out);
 	rj_pack_number(&out, PROGRESS_FORMAT);
-	rj_pack_number(&out, work->state);
-	rj_pack_bool(&out, work->started);
-	rj_pack_number(&out, work->rounds_begun);
-	rj_pack_number(&out, work->rounds_done);
-	if (!has_ended(work->state)) {
-		rj_cell_work_each_run(work, table_add, &table);
+	rj_pack_number(&out, job->state);
+	rj_pack_bool(&out, job->started);
+	rj_pack_number(&out, job->occurrences_begun);
+	rj_pack_number(&out, job->occurrences_done);
+	if (!has_ended(job->state)) {
+		rj_cell_job_each_run(job, table_add, &table);
 		rj_pack_number(&out, table.workers->len);
 		for (uint32_t i = 0; i < table.workers->len; i++) {
 			const struct rj_cell_worker *worker =
@@ -195,8 +197,8 @@
 
 			rj_pack_text(&out, worker->id);
 		}
-		write_rounds(&out, work, &table);
-		write_unseen(&out, work);
+		write_rounds(&out, job, &table);
+		write_unseen(&out, job);
 	}
 	g_ptr_array_free(table.workers, TRUE);
 	g_hash_table_destroy(table.index);
@@ -281,7 +283,7 @@
 		 * from now on will never come. */
 		run->settled_us = 1;
 		run->adopted = true;
-		run->begun_us = now_us;
+		run->placed_us = now_us;
 	}
 }
 
@@ -291,7 +293,7 @@
 {
 	switch (rj_unpack_number(in, "task", TASK_DETAILS)) {
 	case TASK_DONE:
-		rj_cell_round_task_done(task);
+		rj_cell_task_complete(task);
 		break;
 	case TASK_DETAILS:
 		task->run = (uint32_t)rj_unpack_number(in, "run", UINT32_MAX);
@@ -307,7 +309,7 @@
 }
 
 /* The occurrences under way. */
-static void read_rounds(struct rj_unpacker *in, struct rj_cell_work *work,
+static void read_rounds(struct rj_unpacker *in, struct rj_cell_job *job,
 			GPtrArray *workers, uint64_t now_us)
 {
 	uint32_t count = (uint32_t)rj_unpack_number(in, "rounds", UINT16_MAX);
@@ -315,40 +317,43 @@
 	for (uint32_t i = 0; i < count && !in->bad; i++) {
 		uint32_t number =
 			(uint32_t)rj_unpack_number(in, "round", UINT32_MAX - 1);
-		struct rj_cell_round *round =
-			rj_cell_work_begin_round(work, number);
+		struct rj_cell_occurrence *occurrence =
+			rj_cell_job_begin_occurrence(job, number);
 
-		for (uint32_t j = 0; j < work->def->task_count && !in->bad; j++)
-			read_task(in, &round->tasks[j], workers, now_us);
+		for (uint32_t j = 0; j < job->job_spec->task_count && !in->bad;
+		     j++)
+			read_task(in, &occurrence->tasks[j], workers, now_us);
 	}
 }
 
 /* A task of an occurrence under way, by its place in the job; or NULL. */
-static struct rj_cell_task *task_at(const struct rj_cell_work *work,
+static struct rj_cell_task *task_at(const struct rj_cell_job *job,
 				    uint32_t number, uint32_t place)
 {
 	const struct rj_list *at;
 
-	for (at = work->rounds.next; at != &work->rounds; at = at->next) {
-		struct rj_cell_round *round =
-			RJ_CONTAINER(at, struct rj_cell_round, link);
+	for (at = job->occurrences.next; at != &job->occurrences;
+	     at = at->next) {
+		struct rj_cell_occurrence *occurrence =
+			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
-		if (round->number == number && place < work->def->task_count)
-			return &round->tasks[place];
+		if (occurrence->number == number &&
+		    place < job->job_spec->task_count)
+			return &occurrence->tasks[place];
 	}
 	return NULL;
 }
 
 /* What write_unseen wrote. Until when it counts is for the owner to say, who
  * knows how long leases last. */
-static void read_unseen(struct rj_unpacker *in, struct rj_cell_work *work)
+static void read_unseen(struct rj_unpacker *in, struct rj_cell_job *job)
 {
 	while (!in->bad && in->offset < in->length) {
-		uint32_t round = (uint32_t)rj_unpack_number(in, "unseen_round",
-							    UINT32_MAX);
+		uint32_t occurrence = (uint32_t)rj_unpack_number(
+			in, "unseen_round", UINT32_MAX);
 		uint32_t place = (uint32_t)rj_unpack_number(in, "unseen_task",
 							    UINT32_MAX);
-		struct rj_cell_task *task = task_at(work, round, place);
+		struct rj_cell_task *task = task_at(job, occurrence, place);
 
 		if (!task) {
 			rj_unpack_fail(in, "unseen_task");
@@ -356,11 +361,11 @@
 		}
 		task->failed_run = (uint32_t)rj_unpack_number(in, "failed_run",
 							      UINT32_MAX);
-		task->unseen =
+		task->unreported =
 			(uint32_t)rj_unpack_number(in, "unseen", UINT32_MAX);
-		task->unseen_run = (uint32_t)rj_unpack_number(in, "unseen_run",
-							      UINT32_MAX);
-		task->unseen_until_us = RJ_NEVER_US;
+		task->unreported_run = (uint32_t)rj_unpack_number(
+			in, "unseen_run", UINT32_MAX);
+		task->unreported_until_us = RJ_NEVER_US;
 	}
 }
 
@@ -369,7 +374,7 @@
  * yet. Its runs are noted at their workers, as taken but not seen there.
  * Returns 0, or -1 with `err`; `work` may then hold a part.
  */
-int rj_cell_progress_decode(struct rj_bytes bytes, struct rj_cell_work *work,
+int rj_cell_progress_decode(struct rj_bytes bytes, struct rj_cell_job *job,
 			    struct rj_cell_fleet *fleet, uint64_t now_us,
 			    struct rj_error *err)
 {
@@ -380,11 +385,12 @@
 
 	rj_unpack_init(&in, bytes);
 	read_summary(&in, PROGRESS_FORMAT, &summary);
-	work->state = summary.state;
-	work->started = summary.started;
+	job->state = summary.state;
+	job->started = summary.started;
 	begun = (uint32_t)rj_unpack_number(&in, "begun", UINT32_MAX);
-	work->rounds_done = (uint32_t)rj_unpack_number(&in, "done", UINT32_MAX);
-	if (!has_ended(work->state) && !in.bad) {
+	job->occurrences_done =
+		(uint32_t)rj_unpack_number(&in, "done", UINT32_MAX);
+	if (!has_ended(job->state) && !in.bad) {
 		uint32_t count =
 			(uint32_t)rj_unpack_number(&in, "workers", UINT16_MAX);
 
@@ -395,10 +401,10 @@
 			g_ptr_array_add(workers,
 					rj_cell_fleet_obtain(fleet, id));
 		}
-		read_rounds(&in, work, workers, now_us);
-		read_unseen(&in, work);
+		read_rounds(&in, job, workers, now_us);
+		read_unseen(&in, job);
 	}
-	work->rounds_begun = begun;
+	job->occurrences_begun = begun;
 	g_ptr_array_free(workers, TRUE);
 	return rj_unpack_finish(&in, err);
 }
@@ -453,51 +459,57 @@
 /*
  * A heartbeat of the owner; a talloc child of `mem`.
  */
-struct rj_bytes rj_cell_beat_encode(void *mem, const struct rj_cell_beat *beat)
+struct rj_bytes
+rj_cell_owner_heartbeat_encode(void *mem,
+			       const struct rj_cell_owner_heartbeat *heartbeat)
 {
 	struct rj_packer out;
 
 	rj_pack_init(&out);
 	rj_pack_number(&out, BEAT_FORMAT);
-	rj_pack_number(&out, beat->incarnation);
-	rj_pack_number(&out, beat->number);
-	rj_pack_number(&out, beat->share_count);
-	for (uint32_t i = 0; i < beat->share_count; i++) {
-		const struct rj_cell_share *share = &beat->shares[i];
+	rj_pack_number(&out, heartbeat->incarnation);
+	rj_pack_number(&out, heartbeat->number);
+	rj_pack_number(&out, heartbeat->queue_load_count);
+	for (uint32_t i = 0; i < heartbeat->queue_load_count; i++) {
+		const struct rj_cell_queue_load *share =
+			&heartbeat->queue_loads[i];
 
 		rj_pack_text(&out, share->queue);
 		rj_pack_number(&out, share->mean_ms);
 		rj_pack_bool(&out, share->refuse);
-		rj_pack_number(&out, share->come_back_ms);
+		rj_pack_number(&out, share->retry_after_ms);
 	}
 	return rj_pack_finish(&out, mem);
 }
 
 /*
- * What rj_cell_beat_encode wrote. Returns 0, or -1 with `err`.
+ * What rj_cell_owner_heartbeat_encode wrote. Returns 0, or -1 with `err`.
  */
-int rj_cell_beat_decode(struct rj_bytes bytes, struct rj_cell_beat *beat,
-			struct rj_error *err)
+int rj_cell_owner_heartbeat_decode(struct rj_bytes bytes,
+				   struct rj_cell_owner_heartbeat *heartbeat,
+				   struct rj_error *err)
 {
 	struct rj_unpacker in;
 
-	memset(beat, 0, sizeof(*beat));
+	memset(heartbeat, 0, sizeof(*heartbeat));
 	rj_unpack_init(&in, bytes);
 	if (rj_unpack_number(&in, "format", UINT32_MAX) != BEAT_FORMAT)
 		rj_unpack_fail(&in, "format");
-	beat->incarnation = rj_unpack_number(&in, "incarnation", UINT64_MAX);
-	beat->number = (uint32_t)rj_unpack_number(&in, "number", UINT32_MAX);
-	beat->share_count =
-		(uint32_t)rj_unpack_number(&in, "shares", RJ_CELL_SHARES_MAX);
-	for (uint32_t i = 0; i < beat->share_count; i++) {
-		struct rj_cell_share *share = &beat->shares[i];
+	heartbeat->incarnation =
+		rj_unpack_number(&in, "incarnation", UINT64_MAX);
+	heartbeat->number =
+		(uint32_t)rj_unpack_number(&in, "number", UINT32_MAX);
+	heartbeat->queue_load_count = (uint32_t)rj_unpack_number(
+		&in, "shares", RJ_CELL_QUEUE_LOADS_MAX);
+	for (uint32_t i = 0; i < heartbeat->queue_load_count; i++) {
+		struct rj_cell_queue_load *share = &heartbeat->queue_loads[i];
 
 		rj_unpack_text(&in, "queue", share->queue,
 			       sizeof(share->queue));
 		share->mean_ms =
 			(uint32_t)rj_unpack_number(&in, "mean_ms", UINT32_MAX);
 		share->refuse = rj_unpack_bool(&in, "refuse");
-		share->come_back_ms = (uint32_t)rj_unpack_number(
+		share->retry_after_ms = (uint32_t)rj_unpack_number(
 			&in, "come_back_ms", UINT32_MAX);
 	}
 	return rj_unpack_finish(&in, err);
--- a/src/libradishjunction/cell/cell_release.c
+++ b/src/libradishjunction/cell/cell_release.c
@@ -38,7 +38,7 @@
 		      struct rj_cell_releases *releases,
 		      const struct rj_cell_worker *worker)
 {
-	uint32_t most = worker->serving + worker->filling;
+	uint32_t most = worker->latency_runs + worker->other_runs;
 	const struct rj_list *at;
 
 	releases->listed = true;
--- a/src/libradishjunction/cell/cell_rooms.c
+++ b/src/libradishjunction/cell/cell_rooms.c
@@ -25,31 +25,32 @@
 #define GATHER_EFFORT 4
 
 /* Add what some runs hold. */
-static void hold(struct rj_cell_held *held, const struct rj_cell_demand *demand)
+static void hold(struct rj_cell_held *allocated,
+		 const struct rj_cell_demand *demand)
 {
-	held->cpu_milli += demand->cpu_milli;
-	held->memory_mb += demand->memory_mb;
-	held->accelerators += demand->accelerators;
+	allocated->cpu_milli += demand->cpu_milli;
+	allocated->memory_mb += demand->memory_mb;
+	allocated->accelerators += demand->accelerators;
 }
 
 /*
  * A task of a job is started.
  */
-void rj_cell_plan_hold(struct rj_cell_plan *plan,
-		       const struct rj_cell_work *work,
+void rj_cell_plan_hold(struct rj_cell_plan *plan, const struct rj_cell_job *job,
 		       const struct rj_cell_demand *demand)
 {
-	hold(&plan->held[rj_cell_work_class(work)], demand);
+	hold(&plan->allocated[rj_cell_job_priority_class(job)], demand);
 }
 
 /* What the priority of a run holds, or NULL: it is not on one of the plan's
  * rooms, or its job is not known. */
-static struct rj_cell_held *held_by(struct rj_cell_plan *plan,
-				    const struct rj_cell_run *run)
+static struct rj_cell_held *allocated_by_class(struct rj_cell_plan *plan,
+					       const struct rj_cell_run *run)
 {
 	if (!run->task || !run->worker->room)
 		return NULL;
-	return &plan->held[rj_cell_work_class(run->task->round->work)];
+	return &plan->allocated[rj_cell_job_priority_class(
+		run->task->occurrence->job)];
 }
 
 /*
@@ -58,10 +59,10 @@
 void rj_cell_plan_retain(struct rj_cell_plan *plan,
 			 const struct rj_cell_run *run)
 {
-	struct rj_cell_held *held = held_by(plan, run);
+	struct rj_cell_held *allocated = allocated_by_class(plan, run);
 
-	if (held)
-		hold(held, &run->held);
+	if (allocated)
+		hold(allocated, &run->allocated);
 }
 
 /*
@@ -70,21 +71,21 @@
 void rj_cell_plan_release(struct rj_cell_plan *plan,
 			  const struct rj_cell_run *run)
 {
-	struct rj_cell_held *held = held_by(plan, run);
+	struct rj_cell_held *allocated = allocated_by_class(plan, run);
 
-	if (!held)
+	if (!allocated)
 		return;
-	held->cpu_milli -= run->held.cpu_milli;
-	held->memory_mb -= run->held.memory_mb;
-	held->accelerators -= run->held.accelerators;
+	allocated->cpu_milli -= run->allocated.cpu_milli;
+	allocated->memory_mb -= run->allocated.memory_mb;
+	allocated->accelerators -= run->allocated.accelerators;
 }
 
 /* What is left of a capacity. */
 static struct rj_cell_demand room_of(const struct rj_cell_worker *worker)
 {
-	struct rj_cell_demand left = worker->said.capacity;
+	struct rj_cell_demand left = worker->heartbeat.capacity;
 
-	rj_cell_demand_take(&left, &worker->held);
+	rj_cell_demand_subtract(&left, &worker->allocated);
 	return left;
 }
 
@@ -100,7 +101,7 @@
 
 		if (run->state != RJ_CELL_RUN_STOPPING)
 			continue;
-		rj_cell_demand_give(&room->soon, &run->held);
+		rj_cell_demand_add(&room->soon, &run->allocated);
 		rj_cell_plan_release(plan, run);
 	}
 }
@@ -120,9 +121,9 @@
 static void add_worker(struct rj_cell_usage *usage,
 		       const struct rj_cell_worker *worker)
 {
-	const struct rj_cell_demand *all = &worker->said.capacity;
+	const struct rj_cell_demand *all = &worker->heartbeat.capacity;
 
-	rj_cell_usage_add(usage, &worker->held);
+	rj_cell_usage_add(usage, &worker->allocated);
 	usage->cpu.all += all->cpu_milli;
 	usage->memory.all += all->memory_mb;
 	usage->accelerators.all += all->accelerators;
@@ -155,7 +156,7 @@
 
 		room->reserved = true;
 		room->exclusive = exclusive;
-		accelerators += room->worker->said.capacity.accelerators;
+		accelerators += room->worker->heartbeat.capacity.accelerators;
 	}
 	return accelerators;
 }
@@ -179,9 +180,10 @@
 	if (!plan->forecast->urgent_us)
 		return;
 	if (plan->misses_objective) {
-		need = MIN(need,
-			   (double)plan->held[0].accelerators + RESERVED_EXTRA);
-		exclusive = MIN(exclusive, (double)plan->held[0].accelerators);
+		need = MIN(need, (double)plan->allocated[0].accelerators +
+					 RESERVED_EXTRA);
+		exclusive =
+			MIN(exclusive, (double)plan->allocated[0].accelerators);
 	}
 	for (guint i = 0; i < count && need > 0; i++) {
 		double reserved = reserve_rack(
@@ -258,7 +260,8 @@
 		&g_array_index(plan->ranges, struct rj_cell_range, room->rack);
 
 	raise_bound(&range->soon.most, &room->soon);
-	range->soon.accelerators += room->worker->said.capacity.accelerators;
+	range->soon.accelerators +=
+		room->worker->heartbeat.capacity.accelerators;
 }
 
 /* Add the room of one worker, if it may get work. */
@@ -272,14 +275,15 @@
 	worker->room = room;
 	room->worker = worker;
 	room->now = room_of(worker);
-	room->serving = worker->serving;
-	room->filling = worker->filling;
+	room->latency_runs = worker->latency_runs;
+	room->other_runs = worker->other_runs;
 	room->soon = room->now;
 	if (worker->domain)
-		worker->domain->urgent += worker->held_by[0].accelerators;
+		worker->domain->urgent +=
+			worker->allocated_by_class[0].accelerators;
 	add_worker(&plan->usage, worker);
-	for (uint32_t i = 0; i < RJ_CELL_PRIORITIES; i++)
-		hold(&plan->held[i], &worker->held_by[i]);
+	for (uint32_t i = 0; i < RJ_CELL_PRIORITY_CLASSES; i++)
+		hold(&plan->allocated[i], &worker->allocated_by_class[i]);
 	add_stopping(plan, room);
 	plan->room_count++;
 }
--- a/src/libradishjunction/cell/cell_shortage.c
+++ b/src/libradishjunction/cell/cell_shortage.c
@@ -5,7 +5,8 @@
 /* Whether a group has to be placed within one rack. */
 static bool is_confined(const struct rj_cell_unit *unit, uint32_t count)
 {
-	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
+	const struct rj_cell_step *step =
+		&unit->job->job_spec->steps[unit->step];
 
 	return step->one_rack && count > 1 && !unit->far;
 }
@@ -14,7 +15,8 @@
 static bool covers(const struct rj_cell_shortage *shortage,
 		   const struct rj_cell_unit *unit)
 {
-	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
+	const struct rj_cell_step *step =
+		&unit->job->job_spec->steps[unit->step];
 	const struct rj_cell_step *other = shortage->step;
 
 	return step->scavenges == other->scavenges &&
@@ -39,7 +41,7 @@
 			       enum rj_cell_when when)
 {
 	const struct rj_cell_demand *want =
-		&unit->work->def->steps[unit->step].each;
+		&unit->job->job_spec->steps[unit->step].each;
 	bool confined = is_confined(unit, count);
 
 	for (guint i = 0; i < plan->shortages->len; i++) {
@@ -63,7 +65,8 @@
 			   const struct rj_cell_unit *unit, uint32_t count,
 			   enum rj_cell_when when)
 {
-	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
+	const struct rj_cell_step *step =
+		&unit->job->job_spec->steps[unit->step];
 	struct rj_cell_shortage shortage = {
 		.step = step,
 		.service = unit->service,
--- a/src/libradishjunction/cell/cell_starts.c
+++ b/src/libradishjunction/cell/cell_starts.c
@@ -24,24 +24,25 @@
 		      const struct rj_cell_choice *choice)
 {
 	struct rj_cell_task *task = choice->task;
-	struct rj_cell_work *work = task->round->work;
+	struct rj_cell_job *job = task->occurrence->job;
 	struct rj_cell_run *run =
 		rj_cell_run_new(choice->worker, task, task->run + 1);
 
 	task->run = run->number;
 	run->ticket = talloc_strdup(
-		run, rj_cell_advice_ticket(task->round, task->step,
+		run, rj_cell_advice_ticket(task->occurrence, task->step,
 					   choice->worker, owner->now_us));
-	if (!work->started)
-		rj_latency_add(&owner->counters.waits[rj_cell_work_class(work)],
-			       owner->now_us - work->accepted_us);
-	work->started = true;
-	if (!work->began_us)
-		work->began_us = owner->now_us;
-	work->split |= is_split(task, choice->worker);
-	if (work->state == RJ_CELL_JOB_QUEUED)
-		work->state = RJ_CELL_JOB_RUNNING;
-	rj_cell_owner_dirty(owner, work);
+	if (!job->started)
+		rj_latency_add(
+			&owner->counters.waits[rj_cell_job_priority_class(job)],
+			owner->now_us - job->accepted_us);
+	job->started = true;
+	if (!job->first_start_us)
+		job->first_start_us = owner->now_us;
+	job->split |= is_split(task, choice->worker);
+	if (job->state == RJ_CELL_JOB_QUEUED)
+		job->state = RJ_CELL_JOB_RUNNING;
+	rj_cell_owner_dirty(owner, job);
 	rj_note("place", RJ_NOTE_TEXT("task", run->name),
 		RJ_NOTE_NUMBER("run", run->number),
 		RJ_NOTE_TEXT("worker", choice->worker->id),
--- a/src/libradishjunction/cell/cell_takeover.c
+++ b/src/libradishjunction/cell/cell_takeover.c
@@ -21,17 +21,17 @@
 
 /* A read of the progress log has ended. Behind the fence nobody else writes
  * there, so that its end is reached once. */
-static void progress_read(void *private_data, struct rj_cell_follow *follow)
+static void progress_read(void *private_data, struct rj_cell_log_reader *follow)
 {
 	struct rj_cell_takeover *takeover = private_data;
 
 	if (!follow->caught_up)
 		return;
-	rj_cell_follow_stop(follow);
+	rj_cell_log_reader_stop(follow);
 	takeover->state = RJ_CELL_TAKEOVER_LOADED;
 }
 
-static const struct rj_cell_follow_ops progress_ops = {
+static const struct rj_cell_log_reader_ops progress_ops = {
 	.record = progress_record,
 	.progress = progress_read,
 };
@@ -45,8 +45,9 @@
 {
 	memset(takeover, 0, sizeof(*takeover));
 	takeover->owner = owner;
-	rj_cell_follow_init(&takeover->progress, mem, store,
-			    RJ_CELL_TOPIC_PROGRESS, &progress_ops, takeover);
+	rj_cell_log_reader_init(&takeover->progress, mem, store,
+				RJ_CELL_TOPIC_PROGRESS, &progress_ops,
+				takeover);
 }
 
 /* The outcome of the fence. */
@@ -63,7 +64,7 @@
 	switch (outcome) {
 	case RJ_CELL_WRITE_STORED:
 		takeover->state = RJ_CELL_TAKEOVER_LOADING;
-		rj_cell_follow_start(&takeover->progress, now_us);
+		rj_cell_log_reader_start(&takeover->progress, now_us);
 		break;
 	case RJ_CELL_WRITE_NOT_STORED:
 		takeover->fence_due_us = now_us + FENCE_RETRY_US;
@@ -114,7 +115,7 @@
 	if (takeover->state == RJ_CELL_TAKEOVER_FENCING &&
 	    !takeover->fence_open && now_us >= takeover->fence_due_us)
 		send_fence(takeover, now_us);
-	rj_cell_follow_tick(&takeover->progress, now_us);
+	rj_cell_log_reader_tick(&takeover->progress, now_us);
 }
 
 /*
@@ -132,5 +133,5 @@
 void rj_cell_takeover_stop(struct rj_cell_takeover *takeover)
 {
 	takeover->state = RJ_CELL_TAKEOVER_IDLE;
-	rj_cell_follow_stop(&takeover->progress);
+	rj_cell_log_reader_stop(&takeover->progress);
 }
--- a/src/libradishjunction/cell/cell_units.c
+++ b/src/libradishjunction/cell/cell_units.c
@@ -50,21 +50,22 @@
 /* Note since when the waiting tasks of a step wait. Returns their number;
  * 0 for a gang of which a member still runs or may not start yet. */
 static uint32_t count_waiting(struct rj_cell_plan *plan,
-			      struct rj_cell_round *round, uint32_t step,
-			      uint64_t *since_us)
+			      struct rj_cell_occurrence *occurrence,
+			      uint32_t step, uint64_t *since_us)
 {
-	const struct rj_cell_def *def = round->work->def;
-	uint32_t first = rj_cell_def_first_task(def, step);
+	const struct rj_cell_job_spec *job_spec = occurrence->job->job_spec;
+	uint32_t first = rj_cell_job_spec_first_task(job_spec, step);
 	uint32_t waiting = 0;
 
 	*since_us = plan->now_us;
-	for (uint32_t i = first; i < first + def->steps[step].task_count; i++) {
-		struct rj_cell_task *task = &round->tasks[i];
+	for (uint32_t i = first; i < first + job_spec->steps[step].task_count;
+	     i++) {
+		struct rj_cell_task *task = &occurrence->tasks[i];
 
 		if (plan->now_us < task->not_before_us)
 			plan->next_us = MIN(plan->next_us, task->not_before_us);
 		if (!rj_cell_unit_waits(plan, task)) {
-			if (def->steps[step].gang)
+			if (job_spec->steps[step].gang)
 				return 0;
 			continue;
 		}
@@ -93,10 +94,10 @@
 }
 
 /* Whether a job is urgent and has not ended. */
-static bool is_urgent(const struct rj_cell_work *work)
+static bool is_urgent(const struct rj_cell_job *job)
 {
-	return !work->def->priority && !work->cancelled &&
-	       work->state < RJ_CELL_JOB_COMPLETED;
+	return !job->job_spec->priority && !job->cancelled &&
+	       job->state < RJ_CELL_JOB_COMPLETED;
 }
 
 /* Add up the accelerators that the urgent jobs of each account need. */
@@ -105,19 +106,19 @@
 	const struct rj_list *at;
 
 	for (at = plan->works->next; at != plan->works; at = at->next) {
-		const struct rj_cell_work *work =
-			RJ_CONTAINER(at, struct rj_cell_work, link);
-		const struct rj_cell_def *def = work->def;
+		const struct rj_cell_job *job =
+			RJ_CONTAINER(at, struct rj_cell_job, link);
+		const struct rj_cell_job_spec *job_spec = job->job_spec;
 		guint need;
 
-		if (!is_urgent(work))
+		if (!is_urgent(job))
 			continue;
 		need = GPOINTER_TO_UINT(
-			g_hash_table_lookup(plan->needs, def->account));
-		for (uint32_t i = 0; i < def->step_count; i++)
-			need += def->steps[i].task_count *
-				def->steps[i].each.accelerators;
-		g_hash_table_insert(plan->needs, (gpointer)def->account,
+			g_hash_table_lookup(plan->needs, job_spec->account));
+		for (uint32_t i = 0; i < job_spec->step_count; i++)
+			need += job_spec->steps[i].task_count *
+				job_spec->steps[i].each.accelerators;
+		g_hash_table_insert(plan->needs, (gpointer)job_spec->account,
 				    GUINT_TO_POINTER(need));
 	}
 }
@@ -125,14 +126,14 @@
 /* Whether a job has a right to its room at once: the urgent jobs of its
  * account need no more than is guaranteed to it. */
 static bool is_guaranteed(const struct rj_cell_plan *plan,
-			  const struct rj_cell_work *work)
+			  const struct rj_cell_job *job)
 {
 	const struct rj_cell_account *account =
 		plan->config ? rj_cell_config_account(plan->config,
-						      work->def->account) :
+						      job->job_spec->account) :
 			       NULL;
 
-	return is_urgent(work) && account &&
+	return is_urgent(job) && account &&
 	       GPOINTER_TO_UINT(
 		       g_hash_table_lookup(plan->needs, account->name)) <=
 		       account->guaranteed_accelerators;
@@ -153,7 +154,7 @@
 /* Whether only some workers may run a step, however much room others have. */
 static bool is_confined(const struct rj_cell_unit *unit)
 {
-	return unit->work->def->steps[unit->step].label[0] || unit->advised;
+	return unit->job->job_spec->steps[unit->step].label[0] || unit->advised;
 }
 
 /*
@@ -164,10 +165,10 @@
 void rj_cell_unit_set_reserved(const struct rj_cell_plan *plan,
 			       struct rj_cell_unit *unit)
 {
-	const struct rj_cell_def *def = unit->work->def;
-	const struct rj_cell_step *step = &def->steps[unit->step];
+	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
+	const struct rj_cell_step *step = &job_spec->steps[unit->step];
 
-	unit->into_exclusive = !def->priority || is_idle(plan, unit) ||
+	unit->into_exclusive = !job_spec->priority || is_idle(plan, unit) ||
 			       (unit->overdue && is_confined(unit));
 	unit->into_reserved =
 		unit->into_exclusive || (step->checkpoints && !step->perpetual);
@@ -180,15 +181,16 @@
  * is listed once the worker is back.
  */
 static bool may_be_used_up(const struct rj_cell_plan *plan,
-			   const struct rj_cell_round *round, uint32_t step)
+			   const struct rj_cell_occurrence *occurrence,
+			   uint32_t step)
 {
-	const struct rj_cell_def *def = round->work->def;
+	const struct rj_cell_job_spec *job_spec = occurrence->job->job_spec;
 	const struct rj_cell_task *head =
-		&round->tasks[rj_cell_def_first_task(def, step)];
+		&occurrence->tasks[rj_cell_job_spec_first_task(job_spec, step)];
 
-	return def->steps[step].gang && !def->steps[step].perpetual &&
-	       head->unseen && plan->now_us < head->unseen_until_us &&
-	       head->failures + head->unseen >= def->attempts_max;
+	return job_spec->steps[step].gang && !job_spec->steps[step].perpetual &&
+	       head->unreported && plan->now_us < head->unreported_until_us &&
+	       head->failures + head->unreported >= job_spec->attempts_max;
 }
 
 /*
@@ -198,11 +200,11 @@
 static uint64_t age_of(const struct rj_cell_plan *plan,
 		       const struct rj_cell_unit *unit)
 {
-	const struct rj_cell_work *work = unit->work;
-	uint64_t due_us =
-		work->accepted_us + rj_cell_round_due_after_us(unit->round);
+	const struct rj_cell_job *job = unit->job;
+	uint64_t due_us = job->accepted_us +
+			  rj_cell_occurrence_due_after_us(unit->occurrence);
 
-	if (work->def->steps[unit->step].perpetual)
+	if (job->job_spec->steps[unit->step].perpetual)
 		due_us = unit->waiting_us;
 	return plan->now_us - MIN(plan->now_us, due_us);
 }
@@ -210,12 +212,12 @@
 /* In which tier a step of a job goes. */
 static enum tier tier_of(const struct rj_cell_unit *unit, uint64_t age_us)
 {
-	const struct rj_cell_work *work = unit->work;
+	const struct rj_cell_job *job = unit->job;
 
 	if (unit->guaranteed)
 		return TIER_GUARANTEED;
-	if (!work->def->steps[unit->step].perpetual &&
-	    age_us > work->late_us - work->accepted_us)
+	if (!job->job_spec->steps[unit->step].perpetual &&
+	    age_us > job->late_us - job->accepted_us)
 		return TIER_HOPELESS;
 	return TIER_USEFUL;
 }
@@ -229,17 +231,17 @@
 static void set_standing(struct rj_cell_plan *plan, struct rj_cell_unit *unit,
 			 uint64_t age_us)
 {
-	const struct rj_cell_work *work = unit->work;
+	const struct rj_cell_job *job = unit->job;
 	uint64_t chain_us =
-		rj_cell_forecast_chain_ms(plan->forecast, work->def) *
+		rj_cell_forecast_chain_ms(plan->forecast, job->job_spec) *
 		RJ_US_PER_MS;
-	uint64_t objective_us = work->objective_us - work->accepted_us;
+	uint64_t objective_us = job->objective_us - job->accepted_us;
 	uint64_t slack_us = objective_us - MIN(objective_us, chain_us);
-	uint64_t late_us = work->late_us - work->accepted_us;
+	uint64_t late_us = job->late_us - job->accepted_us;
 
-	if (!work->def->priority)
+	if (!job->job_spec->priority)
 		return;
-	if (work->started || age_us * 100 >= late_us * LAST_CHANCE_PERCENT)
+	if (job->started || age_us * 100 >= late_us * LAST_CHANCE_PERCENT)
 		unit->standing = STANDING_FIRST;
 	else if (age_us <= slack_us)
 		unit->standing = STANDING_IN_TIME;
@@ -254,32 +256,33 @@
 }
 
 /* Note the waiting tasks of one step. */
-static void add_unit(struct rj_cell_plan *plan, struct rj_cell_round *round,
-		     uint32_t step)
+static void add_unit(struct rj_cell_plan *plan,
+		     struct rj_cell_occurrence *occurrence, uint32_t step)
 {
-	struct rj_cell_work *work = round->work;
+	struct rj_cell_job *job = occurrence->job;
 	const struct rj_cell_queue *queue =
-		plan->config ?
-			rj_cell_config_queue(plan->config, work->def->queue) :
-			NULL;
-	struct rj_cell_unit unit = { .work = work,
-				     .round = round,
+		plan->config ? rj_cell_config_queue(plan->config,
+						    job->job_spec->queue) :
+			       NULL;
+	struct rj_cell_unit unit = { .job = job,
+				     .occurrence = occurrence,
 				     .step = step };
 	uint64_t age_us;
 
-	unit.waiting = count_waiting(plan, round, step, &unit.waiting_us);
-	if (!unit.waiting || may_be_used_up(plan, round, step))
+	unit.waiting = count_waiting(plan, occurrence, step, &unit.waiting_us);
+	if (!unit.waiting || may_be_used_up(plan, occurrence, step))
 		return;
 	/* A queue that has gone leaves its jobs where it last sent them. */
-	unit.service =
-		g_intern_string(queue ? queue->service : work->def->service);
+	unit.service = g_intern_string(queue ? queue->service :
+					       job->job_spec->service);
 	unit.advised = queue && queue->advised;
-	unit.far = may_be_far(plan, &work->def->steps[step], unit.waiting_us);
-	unit.guaranteed = work->guaranteed;
+	unit.far =
+		may_be_far(plan, &job->job_spec->steps[step], unit.waiting_us);
+	unit.guaranteed = job->guaranteed;
 	age_us = age_of(plan, &unit);
 	unit.tier = tier_of(&unit, age_us);
 	unit.too_late = unit.tier == TIER_HOPELESS;
-	unit.order_us = work->accepted_us;
+	unit.order_us = job->accepted_us;
 	set_standing(plan, &unit, age_us);
 	g_array_append_val(plan->units, unit);
 }
@@ -291,22 +294,23 @@
 	struct rj_list *next;
 
 	RJ_FOR_EACH (at, next, plan->works) {
-		struct rj_cell_work *work =
-			RJ_CONTAINER(at, struct rj_cell_work, link);
+		struct rj_cell_job *job =
+			RJ_CONTAINER(at, struct rj_cell_job, link);
 		struct rj_list *round_at;
 		struct rj_list *round_next;
 
-		if (work->state >= RJ_CELL_JOB_COMPLETED || work->cancelled)
+		if (job->state >= RJ_CELL_JOB_COMPLETED || job->cancelled)
 			continue;
-		work->guaranteed = is_guaranteed(plan, work);
-		RJ_FOR_EACH (round_at, round_next, &work->rounds) {
-			struct rj_cell_round *round = RJ_CONTAINER(
-				round_at, struct rj_cell_round, link);
-
-			for (uint32_t i = 0; i < work->def->step_count; i++)
-				if (round->left[i] &&
-				    rj_cell_round_ready(round, i))
-					add_unit(plan, round, i);
+		job->guaranteed = is_guaranteed(plan, job);
+		RJ_FOR_EACH (round_at, round_next, &job->occurrences) {
+			struct rj_cell_occurrence *occurrence = RJ_CONTAINER(
+				round_at, struct rj_cell_occurrence, link);
+
+			for (uint32_t i = 0; i < job->job_spec->step_count; i++)
+				if (occurrence->left[i] &&
+				    rj_cell_occurrence_step_ready(occurrence,
+								  i))
+					add_unit(plan, occurrence, i);
 		}
 	}
 }
@@ -320,15 +324,16 @@
 
 	if (left->tier != right->tier)
 		return left->tier < right->tier ? -1 : 1;
-	if (left->work->def->priority != right->work->def->priority)
-		return left->work->def->priority < right->work->def->priority ?
+	if (left->job->job_spec->priority != right->job->job_spec->priority)
+		return left->job->job_spec->priority <
+				       right->job->job_spec->priority ?
 			       -1 :
 			       1;
 	if (left->standing != right->standing)
 		return left->standing < right->standing ? -1 : 1;
 	if (left->order_us != right->order_us)
 		return left->order_us < right->order_us ? -1 : 1;
-	return strcmp(left->work->def->id, right->work->def->id);
+	return strcmp(left->job->job_spec->id, right->job->job_spec->id);
 }
 
 /*
