--- a/src/libradishjunction/cell/cell_view.c
+++ b/src/libradishjunction/cell/cell_view.c
@@ -32,20 +32,21 @@
 /*
  * What is known of a job, or NULL. Its definition may still be missing.
  */
-struct rj_cell_entry *rj_cell_view_find(const struct rj_cell_view *view,
-					const char *id)
+struct rj_cell_view_entry *rj_cell_view_find(const struct rj_cell_view *view,
+					     const char *id)
 {
 	return g_hash_table_lookup(view->by_id, id);
 }
 
 /* The entry of a job, made when it is missing. */
-static struct rj_cell_entry *obtain(struct rj_cell_view *view, const char *id)
+static struct rj_cell_view_entry *obtain(struct rj_cell_view *view,
+					 const char *id)
 {
-	struct rj_cell_entry *entry = rj_cell_view_find(view, id);
+	struct rj_cell_view_entry *entry = rj_cell_view_find(view, id);
 
 	if (entry)
 		return entry;
-	entry = talloc_zero(view->mem, struct rj_cell_entry);
+	entry = talloc_zero(view->mem, struct rj_cell_view_entry);
 	assert(entry);
 	g_strlcpy(entry->id, id, sizeof(entry->id));
 	rj_list_append(&view->entries, &entry->link);
@@ -57,9 +58,10 @@
 /*
  * Forget a job; its work must be gone.
  */
-void rj_cell_view_drop(struct rj_cell_view *view, struct rj_cell_entry *entry)
+void rj_cell_view_drop(struct rj_cell_view *view,
+		       struct rj_cell_view_entry *entry)
 {
-	assert(!entry->work);
+	assert(!entry->job);
 	rj_list_remove(&entry->link);
 	g_hash_table_remove(view->by_id, entry->id);
 	view->count--;
@@ -67,16 +69,16 @@
 }
 
 /* A submission; that of a job that is known changes nothing. */
-static void apply_definition(struct rj_cell_entry *entry,
+static void apply_definition(struct rj_cell_view_entry *entry,
 			     const struct rj_cell_record *record,
 			     uint64_t now_us)
 {
 	struct rj_error err;
 
-	if (entry->def)
+	if (entry->job_spec)
 		return;
-	entry->def = rj_cell_def_decode(entry, record->value, &err);
-	if (!entry->def)
+	entry->job_spec = rj_cell_job_spec_decode(entry, record->value, &err);
+	if (!entry->job_spec)
 		rj_note("record_bad", RJ_NOTE_TEXT("job", entry->id),
 			RJ_NOTE_TEXT("error", err.message));
 	entry->seen_us = now_us;
@@ -86,19 +88,20 @@
  * Let callers see a new state of a job. States only move on: one that was
  * shown is not taken back by a record that is read late.
  */
-void rj_cell_view_tell(struct rj_cell_entry *entry,
-		       const struct rj_cell_summary *summary, uint64_t now_us)
+void rj_cell_view_set_summary(struct rj_cell_view_entry *entry,
+			      const struct rj_cell_summary *summary,
+			      uint64_t now_us)
 {
-	if (summary->state < entry->told.state ||
-	    entry->told.state >= RJ_CELL_JOB_COMPLETED)
+	if (summary->state < entry->summary.state ||
+	    entry->summary.state >= RJ_CELL_JOB_COMPLETED)
 		return;
-	entry->told = *summary;
+	entry->summary = *summary;
 	if (summary->state >= RJ_CELL_JOB_COMPLETED && !entry->ended_us)
 		entry->ended_us = now_us;
 }
 
 /* What the owner lets callers know of a job. */
-static void apply_state(struct rj_cell_entry *entry,
+static void apply_state(struct rj_cell_view_entry *entry,
 			const struct rj_cell_record *record, uint64_t now_us)
 {
 	struct rj_cell_summary summary;
@@ -109,7 +112,7 @@
 			RJ_NOTE_TEXT("error", err.message));
 		return;
 	}
-	rj_cell_view_tell(entry, &summary, now_us);
+	rj_cell_view_set_summary(entry, &summary, now_us);
 }
 
 /* A key of a job was dropped: its definition once it has ended, and its state
@@ -117,18 +120,19 @@
 static void apply_drop(struct rj_cell_view *view, const char *id,
 		       enum rj_cell_record_kind kind)
 {
-	struct rj_cell_entry *entry = rj_cell_view_find(view, id);
+	struct rj_cell_view_entry *entry = rj_cell_view_find(view, id);
 
-	if (!entry || entry->work)
+	if (!entry || entry->job)
 		return;
 	if (kind == RJ_CELL_RECORD_STATE)
 		rj_cell_view_drop(view, entry);
-	else if (kind == RJ_CELL_RECORD_DEFINITION)
-		TALLOC_FREE(entry->def);
+	else if (kind == RJ_CELL_RECORD_JOB_SPEC)
+		TALLOC_FREE(entry->job_spec);
 }
 
 /* Keep what an owner has stored of a job, for the one that takes over. */
-static void keep_progress(struct rj_cell_entry *entry, struct rj_bytes value)
+static void keep_progress(struct rj_cell_view_entry *entry,
+			  struct rj_bytes value)
 {
 	talloc_free((void *)entry->progress.data);
 	entry->progress.data = talloc_memdup(entry, value.data, value.length);
@@ -141,16 +145,16 @@
 void rj_cell_view_keep_progress(struct rj_cell_view *view, const char *id,
 				struct rj_bytes value)
 {
-	struct rj_cell_entry *entry = rj_cell_view_find(view, id);
+	struct rj_cell_view_entry *entry = rj_cell_view_find(view, id);
 
-	if (!entry || !entry->def)
+	if (!entry || !entry->job_spec)
 		return;
 	keep_progress(entry, value);
-	entry->moved = true;
+	entry->in_progress_log = true;
 }
 
 /* Progress in the jobs' log was written by the version before. */
-static void apply_former_progress(struct rj_cell_entry *entry,
+static void apply_former_progress(struct rj_cell_view_entry *entry,
 				  const struct rj_cell_record *record,
 				  uint64_t now_us)
 {
@@ -162,8 +166,8 @@
 			RJ_NOTE_TEXT("error", err.message));
 		return;
 	}
-	rj_cell_view_tell(entry, &summary, now_us);
-	if (!entry->moved)
+	rj_cell_view_set_summary(entry, &summary, now_us);
+	if (!entry->in_progress_log)
 		keep_progress(entry, record->value);
 }
 
@@ -171,12 +175,12 @@
  * Take one record of a job in. Returns its entry, or NULL when the record
  * is of no job, or has dropped the job.
  */
-struct rj_cell_entry *rj_cell_view_apply(struct rj_cell_view *view,
-					 const struct rj_cell_record *record,
-					 uint64_t now_us)
+struct rj_cell_view_entry *
+rj_cell_view_apply(struct rj_cell_view *view,
+		   const struct rj_cell_record *record, uint64_t now_us)
 {
 	enum rj_cell_record_kind kind;
-	struct rj_cell_entry *entry;
+	struct rj_cell_view_entry *entry;
 	const char *id;
 
 	if (rj_cell_record_kind(record->key, &kind, &id) ||
@@ -187,7 +191,7 @@
 		return NULL;
 	}
 	entry = obtain(view, id);
-	if (kind == RJ_CELL_RECORD_DEFINITION)
+	if (kind == RJ_CELL_RECORD_JOB_SPEC)
 		apply_definition(entry, record, now_us);
 	else if (kind == RJ_CELL_RECORD_STATE)
 		apply_state(entry, record, now_us);
@@ -201,10 +205,10 @@
 /*
  * Whether a job has been accepted; its definition is gone once it has ended.
  */
-bool rj_cell_view_knows(const struct rj_cell_entry *entry)
+bool rj_cell_view_is_accepted(const struct rj_cell_view_entry *entry)
 {
-	return entry &&
-	       (entry->def || entry->told.state >= RJ_CELL_JOB_COMPLETED);
+	return entry && (entry->job_spec ||
+			 entry->summary.state >= RJ_CELL_JOB_COMPLETED);
 }
 
 /*
@@ -216,8 +220,8 @@
 	struct rj_list *next;
 
 	RJ_FOR_EACH (at, next, &view->entries) {
-		struct rj_cell_entry *entry =
-			RJ_CONTAINER(at, struct rj_cell_entry, link);
+		struct rj_cell_view_entry *entry =
+			RJ_CONTAINER(at, struct rj_cell_view_entry, link);
 
 		talloc_free((void *)entry->progress.data);
 		entry->progress = (struct rj_bytes){ NULL, 0 };
@@ -235,12 +239,14 @@
 	uint32_t count = 0;
 
 	for (at = view->entries.next; at != &view->entries; at = at->next) {
-		const struct rj_cell_entry *entry =
-			RJ_CONTAINER(at, struct rj_cell_entry, link);
-
-		if (entry->def && !entry->told.started && !entry->cancelled &&
-		    entry->told.state == RJ_CELL_JOB_QUEUED &&
-		    !entry->def->repeats && !strcmp(entry->def->queue, queue))
+		const struct rj_cell_view_entry *entry =
+			RJ_CONTAINER(at, struct rj_cell_view_entry, link);
+
+		if (entry->job_spec && !entry->summary.started &&
+		    !entry->cancelled &&
+		    entry->summary.state == RJ_CELL_JOB_QUEUED &&
+		    !entry->job_spec->repeats &&
+		    !strcmp(entry->job_spec->queue, queue))
 			count++;
 	}
 	return count;
--- a/src/libradishjunction/cell/cell_writer.c
+++ b/src/libradishjunction/cell/cell_writer.c
@@ -190,7 +190,8 @@
 static bool is_answer(enum rj_cell_store_status status)
 {
 	return status != RJ_CELL_STORE_REFUSED &&
-	       status != RJ_CELL_STORE_LOST && status != RJ_CELL_STORE_BAD;
+	       status != RJ_CELL_STORE_LOST &&
+	       status != RJ_CELL_STORE_MALFORMED;
 }
 
 /*
--- a/src/libradishjunction/include/private/cell_admit.h
+++ b/src/libradishjunction/include/private/cell_admit.h
@@ -11,6 +11,6 @@
 #include "private/cell_owner.h"
 
 void rj_cell_admit_shares(const struct rj_cell_owner *owner,
-			  struct rj_cell_beat *beat);
+			  struct rj_cell_owner_heartbeat *heartbeat);
 
 #endif
--- a/src/libradishjunction/include/private/cell_advice.h
+++ b/src/libradishjunction/include/private/cell_advice.h
@@ -56,12 +56,12 @@
 struct rj_cell_owner;
 struct rj_cell_plan;
 
-const char *rj_cell_advice_ticket(const struct rj_cell_round *round,
+const char *rj_cell_advice_ticket(const struct rj_cell_occurrence *occurrence,
 				  uint32_t step,
 				  const struct rj_cell_worker *worker,
 				  uint64_t now_us);
-void rj_cell_advice_void(struct rj_cell_task *task,
-			 const struct rj_cell_worker *worker);
+void rj_cell_advice_invalidate(struct rj_cell_task *task,
+			       const struct rj_cell_worker *worker);
 void rj_cell_advice_ask(struct rj_cell_owner *owner,
 			const struct rj_cell_plan *plan);
 
--- a/src/libradishjunction/include/private/cell_backlog.h
+++ b/src/libradishjunction/include/private/cell_backlog.h
@@ -16,11 +16,11 @@
 	uint32_t tasks;
 	uint32_t late_tasks; /* of jobs whose callers have given up on them */
 	uint64_t oldest_us; /* the longest wait */
-	uint64_t held; /* accelerators that tasks of this priority use */
+	uint64_t allocated; /* accelerators that tasks of this priority use */
 };
 
 struct rj_cell_backlog {
-	struct rj_cell_backlog_class classes[RJ_CELL_PRIORITIES];
+	struct rj_cell_backlog_class classes[RJ_CELL_PRIORITY_CLASSES];
 	struct rj_cell_usage usage; /* of workers that may get work */
 	uint32_t workers; /* of these */
 	/* Accelerators of racks that are reserved for urgent work, and of
--- a/src/libradishjunction/include/private/cell_calls.h
+++ b/src/libradishjunction/include/private/cell_calls.h
@@ -20,7 +20,7 @@
 	char worker[RJ_NAME_BYTES];
 	char *name; /* of the run; NULL for polls */
 	uint32_t number;
-	uint64_t seen; /* polls: ends that the worker may forget */
+	uint64_t stored_position; /* polls: ends that the worker may forget */
 };
 
 struct rj_cell_call_note *rj_cell_call_new(struct rj_cell_owner *owner,
--- a/src/libradishjunction/include/private/cell_config.h
+++ b/src/libradishjunction/include/private/cell_config.h
@@ -27,7 +27,7 @@
 
 struct rj_cell_service {
 	char name[RJ_NAME_BYTES];
-	bool guarded; /* its workers refuse what does not fit */
+	bool enforces_limits; /* its workers refuse what does not fit */
 };
 
 struct rj_cell_account {
@@ -57,7 +57,7 @@
 rj_cell_config_key(const struct rj_cell_config *config, const char *key);
 const struct rj_cell_account *
 rj_cell_config_account(const struct rj_cell_config *config, const char *name);
-bool rj_cell_config_guarded(const struct rj_cell_config *config,
-			    const char *service);
+bool rj_cell_config_enforces_limits(const struct rj_cell_config *config,
+				    const char *service);
 
 #endif
--- a/src/libradishjunction/include/private/cell_failure.h
+++ b/src/libradishjunction/include/private/cell_failure.h
@@ -24,6 +24,6 @@
 bool rj_cell_failure_wants_sound(const struct rj_cell_failure_burst *burst,
 				 uint64_t waiting_us, uint64_t now_us);
 bool rj_cell_failure_is_sound(const struct rj_cell_failure_burst *burst,
-			      uint64_t sound_us);
+			      uint64_t healthy_us);
 
 #endif
--- a/src/libradishjunction/include/private/cell_fleet.h
+++ b/src/libradishjunction/include/private/cell_fleet.h
@@ -13,7 +13,7 @@
 
 #include "private/cell_config.h"
 #include "private/cell_cordon.h"
-#include "private/cell_work.h"
+#include "private/cell_active_job.h"
 
 /* What a worker says of itself in the workers' log. */
 struct rj_cell_heartbeat {
@@ -31,12 +31,12 @@
 };
 
 /* How an owner keeps an eye on a worker; see rj_cell_polls_tick. */
-enum rj_cell_watch {
-	RJ_CELL_WATCH_BUSY, /* it holds runs, or ends that are not stored */
-	RJ_CELL_WATCH_IDLE, /* it waits for its turn to be polled */
-	RJ_CELL_WATCH_SILENT, /* idle, and its last poll was not answered */
-	RJ_CELL_WATCH_CALLED, /* a poll at an idle worker is on its way */
-	RJ_CELL_WATCH_COUNT
+enum rj_cell_poll_state {
+	RJ_CELL_POLL_STATE_BUSY, /* it holds runs, or ends that are not stored */
+	RJ_CELL_POLL_STATE_IDLE, /* it waits for its turn to be polled */
+	RJ_CELL_POLL_STATE_UNREACHABLE, /* idle, and its last poll was not answered */
+	RJ_CELL_POLL_STATE_POLLING, /* a poll at an idle worker is on its way */
+	RJ_CELL_POLL_STATE_COUNT
 };
 
 struct rj_cell_fleet;
@@ -53,7 +53,7 @@
 	char name[RJ_NAME_BYTES];
 	bool cordoned; /* by operators: nothing starts there */
 	uint64_t answered_us; /* when a worker there last answered */
-	uint64_t missed_us; /* when the last call that was lost was sent */
+	uint64_t lost_call_us; /* when the last call that was lost was sent */
 	/* In the present plan. */
 	uint32_t urgent; /* accelerators of urgent work */
 	uint32_t racks; /* with workers that may get work */
@@ -65,49 +65,54 @@
 	struct rj_cell_rack *rack; /* NULL until it has said which */
 	struct rj_list in_rack;
 	struct rj_cell_room *room; /* in the plan that is being made */
-	enum rj_cell_watch watch;
-	struct rj_list in_watch; /* in the fleet's list of its watch */
+	enum rj_cell_poll_state poll_state;
+	struct rj_list in_poll_state; /* in the fleet's list of its watch */
 	struct rj_list in_ordered; /* in the fleet's list, if an order is due */
 	struct rj_list in_unstored; /* ... if ends are not stored */
 	char id[RJ_NAME_BYTES];
-	struct rj_cell_heartbeat said;
+	struct rj_cell_heartbeat heartbeat;
 	const char *service; /* that it named, interned */
 	bool listed; /* its entry stands in the log */
 	uint64_t written_us; /* the entry was written after this; 0: unknown */
-	uint64_t leaves_us; /* it may leave from then on; 0: not said */
+	uint64_t departure_us; /* it may leave from then on; 0: not said */
 	uint64_t cold_until_us; /* it is slow until then */
-	uint64_t left_us; /* it deregistered before this; 0: it has not */
+	uint64_t
+		deregistered_us; /* it deregistered before this; 0: it has not */
 	uint64_t incarnation; /* that answered last; 0: none yet */
 	bool answers; /* the last call to it was answered */
 	uint64_t answered_us; /* any call */
 	struct rj_cell_domain *domain; /* NULL until it has said which */
-	bool probe_open; /* a call that tests the path is on its way */
+	bool probe_in_flight; /* a call that tests the path is on its way */
 	/* Its clock, as read from the last answer. */
 	uint64_t clock_ms;
 	uint64_t clock_at_us;
 	/* The latest deadline that was sent, by its clock; what runs there
 	 * ends then, unless it is renewed. */
 	uint64_t lease_ms;
-	uint64_t lapsed_us; /* nothing runs there after this, if silent */
-	uint64_t given_up_us; /* when its runs were, as that passed; or 0 */
-	bool poll_open; /* a call for its lists is on its way */
+	uint64_t
+		lease_expired_us; /* nothing runs there after this, if silent */
+	uint64_t abandoned_us; /* when its runs were, as that passed; or 0 */
+	bool poll_in_flight; /* a call for its lists is on its way */
 	uint64_t poll_due_us;
 	uint32_t poll_failures;
-	uint64_t seen; /* ends up to this number are stored */
-	uint64_t seen_taken; /* ... are noted in memory */
-	uint64_t seen_storing; /* ... are in the append on its way */
-	uint64_t seen_told; /* ... may have been forgotten by the worker */
+	uint64_t stored_position; /* ends up to this number are stored */
+	uint64_t applied_position; /* ... are noted in memory */
+	uint64_t storing_position; /* ... are in the append on its way */
+	uint64_t
+		acknowledged_position; /* ... may have been forgotten by the worker */
 	struct rj_list runs;
-	struct rj_cell_demand held; /* by all runs */
+	struct rj_cell_demand allocated; /* by all runs */
 	/* By runs of jobs, by their priority. */
-	struct rj_cell_demand held_by[RJ_CELL_PRIORITIES];
-	uint32_t serving; /* runs that serve users of their own, with a bound */
-	uint32_t filling; /* all others */
-	uint64_t harmed_until_us; /* nothing is put beside what serves there */
+	struct rj_cell_demand allocated_by_class[RJ_CELL_PRIORITY_CLASSES];
+	uint32_t
+		latency_runs; /* runs that serve users of their own, with a bound */
+	uint32_t other_runs; /* all others */
+	uint64_t
+		exclusive_until_us; /* nothing is put beside what serves there */
 	/* Health, from what happened there. */
 	uint32_t bad_streak; /* runs in a row that failed or stood still */
 	uint64_t suspect_until_us;
-	uint64_t sound_us; /* what was started then did not fail early */
+	uint64_t healthy_us; /* what was started then did not fail early */
 };
 
 struct rj_cell_fleet {
@@ -117,7 +122,7 @@
 	uint32_t count;
 	/* Each worker is in one; those of idle and silent in the order in
 	 * which they are to be polled. */
-	struct rj_list watched[RJ_CELL_WATCH_COUNT];
+	struct rj_list by_poll_state[RJ_CELL_POLL_STATE_COUNT];
 	struct rj_list ordered; /* workers with orders to be sent */
 	struct rj_list unstored; /* workers with ends that are not stored */
 	GPtrArray *racks; /* struct rj_cell_rack, by name */
@@ -140,19 +145,20 @@
 bool rj_cell_fleet_apply_cordons(struct rj_cell_fleet *fleet);
 bool rj_cell_fleet_rack_cordoned(const struct rj_cell_fleet *fleet,
 				 const char *name);
-void rj_cell_worker_say(struct rj_cell_worker *worker,
-			const struct rj_cell_heartbeat *heartbeat);
-void rj_cell_worker_watch(struct rj_cell_worker *worker,
-			  enum rj_cell_watch watch);
+void rj_cell_worker_apply_heartbeat(struct rj_cell_worker *worker,
+				    const struct rj_cell_heartbeat *heartbeat);
+void rj_cell_worker_set_poll_state(struct rj_cell_worker *worker,
+				   enum rj_cell_poll_state poll_state);
 uint64_t rj_cell_worker_clock_ms(const struct rj_cell_worker *worker,
 				 uint64_t now_us);
-uint64_t rj_cell_lease_longest_us(uint64_t lease_us);
-void rj_cell_worker_note_lease(struct rj_cell_worker *worker,
-			       uint64_t deadline_ms);
-void rj_cell_worker_heard(struct rj_cell_worker *worker, uint64_t sent_us,
-			  bool answered, uint64_t now_us);
+uint64_t rj_cell_lease_max_us(uint64_t lease_us);
+void rj_cell_worker_extend_lease(struct rj_cell_worker *worker,
+				 uint64_t deadline_ms);
+void rj_cell_worker_record_contact(struct rj_cell_worker *worker,
+				   uint64_t sent_us, bool answered,
+				   uint64_t now_us);
 bool rj_cell_worker_cordoned(const struct rj_cell_worker *worker);
-bool rj_cell_worker_stays(const struct rj_cell_worker *worker);
+bool rj_cell_worker_schedulable(const struct rj_cell_worker *worker);
 bool rj_cell_worker_usable(const struct rj_cell_worker *worker,
 			   uint64_t now_us);
 
--- a/src/libradishjunction/include/private/cell_forecast.h
+++ b/src/libradishjunction/include/private/cell_forecast.h
@@ -12,7 +12,7 @@
 
 #include <glib.h>
 
-#include "private/cell_work.h"
+#include "private/cell_active_job.h"
 
 struct rj_cell_forecast {
 	GHashTable *means; /* name of a queue -> struct mean */
@@ -29,14 +29,16 @@
 uint32_t rj_cell_forecast_mean_ms(const struct rj_cell_forecast *forecast,
 				  const char *queue);
 uint64_t rj_cell_forecast_task_ms(const struct rj_cell_forecast *forecast,
-				  const struct rj_cell_def *def, uint32_t step);
+				  const struct rj_cell_job_spec *job_spec,
+				  uint32_t step);
 uint64_t rj_cell_forecast_chain_ms(const struct rj_cell_forecast *forecast,
-				   const struct rj_cell_def *def);
+				   const struct rj_cell_job_spec *job_spec);
 uint64_t rj_cell_forecast_left_us(const struct rj_cell_forecast *forecast,
 				  const struct rj_cell_run *run,
 				  uint64_t now_us);
 void rj_cell_forecast_demand(struct rj_cell_forecast *forecast,
-			     const struct rj_cell_def *def, uint64_t now_us);
+			     const struct rj_cell_job_spec *job_spec,
+			     uint64_t now_us);
 double rj_cell_forecast_urgent(const struct rj_cell_forecast *forecast,
 			       uint64_t now_us);
 
--- a/src/libradishjunction/include/private/cell_health.h
+++ b/src/libradishjunction/include/private/cell_health.h
@@ -9,7 +9,7 @@
 
 void rj_cell_health_progress(struct rj_cell_owner *owner,
 			     struct rj_cell_run *run,
-			     const struct rj_cell_row *row);
+			     const struct rj_cell_run_report *row);
 void rj_cell_health_check(struct rj_cell_owner *owner,
 			  struct rj_cell_worker *worker);
 
--- a/src/libradishjunction/include/private/cell_job.h
+++ b/src/libradishjunction/include/private/cell_job_spec.h
@@ -3,7 +3,7 @@
  * task needs, and the terms of the queue that it came through.
  *
  * A definition never changes once it is accepted. It is a talloc tree, made
- * by an adapter or by `rj_cell_def_decode`, and freed with its parent.
+ * by an adapter or by `rj_cell_job_spec_decode`, and freed with its parent.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_JOB_H
 #define RADISHJUNCTION_PRIVATE_CELL_JOB_H
@@ -45,7 +45,7 @@
 	uint32_t target_ms; /* perpetual: bound of the tail; 0: none */
 };
 
-struct rj_cell_def {
+struct rj_cell_job_spec {
 	char id[RJ_CELL_ID_BYTES];
 	char queue[RJ_NAME_BYTES];
 	char service[RJ_NAME_BYTES]; /* whose workers run it */
@@ -66,15 +66,18 @@
 
 bool rj_cell_demand_fits(const struct rj_cell_demand *want,
 			 const struct rj_cell_demand *have);
-void rj_cell_demand_take(struct rj_cell_demand *from,
-			 const struct rj_cell_demand *part);
-void rj_cell_demand_give(struct rj_cell_demand *to,
-			 const struct rj_cell_demand *part);
-struct rj_cell_demand rj_cell_step_counted(const struct rj_cell_step *step);
-int rj_cell_def_check(struct rj_cell_def *def, struct rj_error *err);
-struct rj_bytes rj_cell_def_encode(void *mem, const struct rj_cell_def *def);
-struct rj_cell_def *rj_cell_def_decode(void *mem, struct rj_bytes bytes,
-				       struct rj_error *err);
-uint32_t rj_cell_def_first_task(const struct rj_cell_def *def, uint32_t step);
+void rj_cell_demand_subtract(struct rj_cell_demand *from,
+			     const struct rj_cell_demand *part);
+void rj_cell_demand_add(struct rj_cell_demand *to,
+			const struct rj_cell_demand *part);
+struct rj_cell_demand rj_cell_step_demand(const struct rj_cell_step *step);
+int rj_cell_job_spec_check(struct rj_cell_job_spec *job_spec,
+			   struct rj_error *err);
+struct rj_bytes
+rj_cell_job_spec_encode(void *mem, const struct rj_cell_job_spec *job_spec);
+struct rj_cell_job_spec *
+rj_cell_job_spec_decode(void *mem, struct rj_bytes bytes, struct rj_error *err);
+uint32_t rj_cell_job_spec_first_task(const struct rj_cell_job_spec *job_spec,
+				     uint32_t step);
 
 #endif
--- a/src/libradishjunction/include/private/cell_node.h
+++ b/src/libradishjunction/include/private/cell_node.h
@@ -10,7 +10,7 @@
 #ifndef RADISHJUNCTION_PRIVATE_CELL_NODE_H
 #define RADISHJUNCTION_PRIVATE_CELL_NODE_H
 
-#include "private/cell_front.h"
+#include "private/cell_frontend.h"
 #include "private/cell_takeover.h"
 
 struct rj_cell_node_options {
@@ -25,7 +25,7 @@
 };
 
 /* The ownership of the cell, as the log shows it. */
-struct rj_cell_tenure {
+struct rj_cell_ownership {
 	bool known; /* some record has been read */
 	struct rj_cell_owner_record record;
 	uint64_t token; /* offset of the record, plus one */
@@ -38,14 +38,14 @@
 	struct rj_cell_config *config;
 	struct rj_cell_cordons cordons;
 	struct rj_cell_view view;
-	struct rj_cell_follow jobs;
-	struct rj_cell_follow configs;
-	struct rj_cell_follow fleet; /* read by the owner alone */
+	struct rj_cell_log_reader jobs;
+	struct rj_cell_log_reader configs;
+	struct rj_cell_log_reader fleet; /* read by the owner alone */
 	struct rj_cell_writer writer; /* of what clients ask for */
-	struct rj_cell_front front;
+	struct rj_cell_frontend front;
 	struct rj_cell_owner owner;
 	struct rj_cell_takeover takeover;
-	struct rj_cell_tenure tenure;
+	struct rj_cell_ownership ownership;
 	struct rj_cell_owner_record former; /* of the tenure before */
 	uint64_t fenced_token; /* the last that was taken from us */
 	bool probing; /* reading the log to its end before it acquires */
--- a/src/libradishjunction/include/private/cell_owner.h
+++ b/src/libradishjunction/include/private/cell_owner.h
@@ -38,12 +38,13 @@
 };
 
 struct rj_cell_owner_counters {
-	struct rj_latency waits[RJ_CELL_PRIORITIES]; /* until the first start */
+	struct rj_latency
+		waits[RJ_CELL_PRIORITY_CLASSES]; /* until the first start */
 	struct rj_latency orders; /* starts that were taken */
 	uint64_t starts;
 	uint64_t stops;
 	uint64_t polls;
-	uint64_t ends[RJ_CELL_END_COUNT];
+	uint64_t completions[RJ_CELL_COMPLETION_COUNT];
 	uint64_t completed;
 	uint64_t failed;
 	uint64_t takeovers;
@@ -130,7 +131,7 @@
 void rj_cell_owner_finish(struct rj_cell_owner *owner);
 void rj_cell_owner_leave(struct rj_cell_owner *owner, uint64_t now_us);
 void rj_cell_owner_entry(struct rj_cell_owner *owner,
-			 struct rj_cell_entry *entry);
+			 struct rj_cell_view_entry *entry);
 void rj_cell_owner_worker(struct rj_cell_owner *owner, const char *id,
 			  const struct rj_cell_heartbeat *heartbeat,
 			  uint64_t written_us);
@@ -138,8 +139,7 @@
 			   uint64_t wall_ms);
 
 /* Between the files of the owner. */
-void rj_cell_owner_dirty(struct rj_cell_owner *owner,
-			 struct rj_cell_work *work);
+void rj_cell_owner_dirty(struct rj_cell_owner *owner, struct rj_cell_job *job);
 bool rj_cell_owner_may_start(const struct rj_cell_owner *owner);
 bool rj_cell_owner_blind(const struct rj_cell_owner *owner);
 void rj_cell_orders_tick(struct rj_cell_owner *owner);
@@ -152,22 +152,22 @@
 void rj_cell_ends_over(struct rj_cell_owner *owner,
 		       struct rj_cell_worker *worker);
 void rj_cell_ends_run(struct rj_cell_owner *owner, struct rj_cell_run *run,
-		      enum rj_cell_end end, const char *saved);
+		      enum rj_cell_completion end, const char *saved);
 void rj_cell_ends_orphan(struct rj_cell_owner *owner,
 			 struct rj_cell_worker *worker,
-			 const struct rj_cell_end_row *row);
+			 const struct rj_cell_completion_report *row);
 void rj_cell_ends_stop_work(struct rj_cell_owner *owner,
-			    struct rj_cell_work *work, const char *why);
+			    struct rj_cell_job *job, const char *why);
 void rj_cell_ends_stop_run(struct rj_cell_owner *owner, struct rj_cell_run *run,
 			   const char *why);
 void rj_cell_ends_avoid(struct rj_cell_owner *owner, struct rj_cell_task *task,
 			const struct rj_cell_worker *worker);
-void rj_cell_ends_close(struct rj_cell_owner *owner, struct rj_cell_work *work,
+void rj_cell_ends_close(struct rj_cell_owner *owner, struct rj_cell_job *job,
 			enum rj_cell_job_state state);
 void rj_cell_ends_begin_rounds(struct rj_cell_owner *owner,
-			       struct rj_cell_work *work);
+			       struct rj_cell_job *job);
 struct rj_cell_task *rj_cell_owner_task(struct rj_cell_owner *owner,
 					const char *name,
-					struct rj_cell_entry **entry);
+					struct rj_cell_view_entry **entry);
 
 #endif
--- a/src/libradishjunction/include/private/cell_place.h
+++ b/src/libradishjunction/include/private/cell_place.h
@@ -10,8 +10,8 @@
 
 /* Tasks of one step of one occurrence that wait for room. */
 struct rj_cell_unit {
-	struct rj_cell_work *work;
-	struct rj_cell_round *round;
+	struct rj_cell_job *job;
+	struct rj_cell_occurrence *occurrence;
 	uint32_t step;
 	uint32_t tier; /* lower tiers go first */
 	uint32_t standing; /* within its priority; lower ones go first */
--- a/src/libradishjunction/include/private/cell_plan.h
+++ b/src/libradishjunction/include/private/cell_plan.h
@@ -29,8 +29,8 @@
 	struct rj_cell_demand promised; /* of what will come free later */
 	/* Runs there of the step that is being placed, if that has a limit. */
 	uint32_t siblings;
-	uint32_t serving; /* runs there, as the worker counts them */
-	uint32_t filling;
+	uint32_t latency_runs; /* runs there, as the worker counts them */
+	uint32_t other_runs;
 };
 
 /* At most so much is free in a rack: the most on one worker, of each kind of
@@ -89,7 +89,7 @@
 struct rj_cell_plan {
 	/* inputs */
 	struct rj_cell_fleet *fleet;
-	struct rj_list *works; /* struct rj_cell_work */
+	struct rj_list *works; /* struct rj_cell_job */
 	const struct rj_cell_config *config;
 	const struct rj_cell_forecast *forecast;
 	struct rj_cell_failure_burst failures;
@@ -109,7 +109,7 @@
 	struct rj_cell_usage usage; /* with what this plan starts */
 	/* By each priority on the plan's rooms, with what this plan starts and
 	 * without what is stopping. */
-	struct rj_cell_held held[RJ_CELL_PRIORITIES];
+	struct rj_cell_held allocated[RJ_CELL_PRIORITY_CLASSES];
 	/* Some work that is not urgent, that any worker may run and that has
 	 * waited for room cannot meet its objective any more. */
 	bool misses_objective;
@@ -127,8 +127,7 @@
 void rj_cell_plan_gather_rooms(struct rj_cell_plan *plan);
 void rj_cell_plan_note_freed(struct rj_cell_plan *plan,
 			     const struct rj_cell_room *room);
-void rj_cell_plan_hold(struct rj_cell_plan *plan,
-		       const struct rj_cell_work *work,
+void rj_cell_plan_hold(struct rj_cell_plan *plan, const struct rj_cell_job *job,
 		       const struct rj_cell_demand *demand);
 void rj_cell_plan_retain(struct rj_cell_plan *plan,
 			 const struct rj_cell_run *run);
--- a/src/libradishjunction/include/private/cell_record.h
+++ b/src/libradishjunction/include/private/cell_record.h
@@ -10,18 +10,18 @@
 #define RADISHJUNCTION_PRIVATE_CELL_RECORD_H
 
 #include "private/cell_fleet.h"
-#include "private/cell_work.h"
+#include "private/cell_active_job.h"
 
 #define RJ_CELL_KEY_BYTES (RJ_CELL_ID_BYTES + 1)
-#define RJ_CELL_SHARES_MAX 32
+#define RJ_CELL_QUEUE_LOADS_MAX 32
 
 enum rj_cell_record_kind {
-	RJ_CELL_RECORD_DEFINITION,
+	RJ_CELL_RECORD_JOB_SPEC,
 	RJ_CELL_RECORD_PROGRESS, /* in a log of its own */
 	RJ_CELL_RECORD_STATE, /* the part of it that callers are told */
 	RJ_CELL_RECORD_CANCEL,
 	RJ_CELL_RECORD_OWNER, /* its offset is the fencing token */
-	RJ_CELL_RECORD_BEAT, /* the owner lives, and how loaded the cell is */
+	RJ_CELL_RECORD_HEARTBEAT, /* the owner lives, and how loaded the cell is */
 	RJ_CELL_RECORD_KIND_COUNT
 };
 
@@ -36,18 +36,18 @@
 };
 
 /* What the owner tells the entries about the load of one queue. */
-struct rj_cell_share {
+struct rj_cell_queue_load {
 	char queue[RJ_NAME_BYTES];
 	uint32_t mean_ms; /* run time of its tasks, as learnt; 0: unknown */
 	bool refuse; /* new jobs would not be served in time */
-	uint32_t come_back_ms; /* when room is likely */
+	uint32_t retry_after_ms; /* when room is likely */
 };
 
-struct rj_cell_beat {
+struct rj_cell_owner_heartbeat {
 	uint64_t incarnation; /* of the owner */
 	uint32_t number; /* rises by one */
-	uint32_t share_count;
-	struct rj_cell_share shares[RJ_CELL_SHARES_MAX];
+	uint32_t queue_load_count;
+	struct rj_cell_queue_load queue_loads[RJ_CELL_QUEUE_LOADS_MAX];
 };
 
 /* The part of a job's progress that callers are told. */
@@ -61,7 +61,7 @@
 int rj_cell_record_kind(const char *key, enum rj_cell_record_kind *kind,
 			const char **id);
 struct rj_bytes rj_cell_progress_encode(void *mem,
-					const struct rj_cell_work *work);
+					const struct rj_cell_job *job);
 int rj_cell_progress_summary(struct rj_bytes bytes,
 			     struct rj_cell_summary *summary,
 			     struct rj_error *err);
@@ -70,7 +70,7 @@
 int rj_cell_summary_decode(struct rj_bytes bytes,
 			   struct rj_cell_summary *summary,
 			   struct rj_error *err);
-int rj_cell_progress_decode(struct rj_bytes bytes, struct rj_cell_work *work,
+int rj_cell_progress_decode(struct rj_bytes bytes, struct rj_cell_job *job,
 			    struct rj_cell_fleet *fleet, uint64_t now_us,
 			    struct rj_error *err);
 struct rj_bytes rj_cell_owner_encode(void *mem,
@@ -78,8 +78,11 @@
 int rj_cell_owner_decode(struct rj_bytes bytes,
 			 struct rj_cell_owner_record *owner,
 			 struct rj_error *err);
-struct rj_bytes rj_cell_beat_encode(void *mem, const struct rj_cell_beat *beat);
-int rj_cell_beat_decode(struct rj_bytes bytes, struct rj_cell_beat *beat,
-			struct rj_error *err);
+struct rj_bytes
+rj_cell_owner_heartbeat_encode(void *mem,
+			       const struct rj_cell_owner_heartbeat *heartbeat);
+int rj_cell_owner_heartbeat_decode(struct rj_bytes bytes,
+				   struct rj_cell_owner_heartbeat *heartbeat,
+				   struct rj_error *err);
 
 #endif
--- a/src/libradishjunction/include/private/cell_store.h
+++ b/src/libradishjunction/include/private/cell_store.h
@@ -31,9 +31,9 @@
 	RJ_CELL_STORE_REFUSED, /* nothing was done: overloaded or away */
 	RJ_CELL_STORE_FENCED, /* a producer of a higher epoch has written */
 	RJ_CELL_STORE_SEQUENCE, /* not the next append of this producer */
-	RJ_CELL_STORE_GONE, /* the records asked for have expired */
+	RJ_CELL_STORE_EXPIRED, /* the records asked for have expired */
 	RJ_CELL_STORE_LOST, /* no answer: it may have been done, or will be */
-	RJ_CELL_STORE_BAD, /* an answer that cannot be understood */
+	RJ_CELL_STORE_MALFORMED, /* an answer that cannot be understood */
 	RJ_CELL_STORE_STATUS_COUNT
 };
 
--- a/src/libradishjunction/include/private/cell_takeover.h
+++ b/src/libradishjunction/include/private/cell_takeover.h
@@ -9,7 +9,7 @@
 #ifndef RADISHJUNCTION_PRIVATE_CELL_TAKEOVER_H
 #define RADISHJUNCTION_PRIVATE_CELL_TAKEOVER_H
 
-#include "private/cell_follow.h"
+#include "private/cell_log_reader.h"
 #include "private/cell_owner.h"
 
 enum rj_cell_takeover_state {
@@ -25,7 +25,7 @@
 	uint32_t generation; /* of the owner, when the fence was sent */
 	bool fence_open; /* on its way */
 	uint64_t fence_due_us;
-	struct rj_cell_follow progress;
+	struct rj_cell_log_reader progress;
 };
 
 void rj_cell_takeover_init(struct rj_cell_takeover *takeover, void *mem,
--- a/src/libradishjunction/include/private/cell_workers.h
+++ b/src/libradishjunction/include/private/cell_workers.h
@@ -12,13 +12,13 @@
 enum rj_cell_order_status {
 	RJ_CELL_ORDER_OK,
 	RJ_CELL_ORDER_FENCED, /* a higher fencing token was there before */
-	RJ_CELL_ORDER_OLD, /* the run has been stopped or has ended */
-	RJ_CELL_ORDER_LATE, /* its deadline has passed */
-	RJ_CELL_ORDER_FULL, /* it does not fit */
-	RJ_CELL_ORDER_TICKET, /* the ticket is missing or no longer good */
-	RJ_CELL_ORDER_BAD, /* not understood */
-	RJ_CELL_ORDER_SICK, /* the worker is not well; nothing was done */
-	RJ_CELL_ORDER_OTHER, /* another life of the worker answers there */
+	RJ_CELL_ORDER_STALE, /* the run has been stopped or has ended */
+	RJ_CELL_ORDER_DEADLINE_PASSED, /* its deadline has passed */
+	RJ_CELL_ORDER_NO_CAPACITY, /* it does not fit */
+	RJ_CELL_ORDER_TICKET_INVALID, /* the ticket is missing or no longer good */
+	RJ_CELL_ORDER_MALFORMED, /* not understood */
+	RJ_CELL_ORDER_UNHEALTHY, /* the worker is not well; nothing was done */
+	RJ_CELL_ORDER_OTHER_INCARNATION, /* another life of the worker answers there */
 	RJ_CELL_ORDER_UNSENT, /* no connection: nothing was done */
 	RJ_CELL_ORDER_LOST, /* no answer: it may be done, even later */
 	RJ_CELL_ORDER_STATUS_COUNT
@@ -27,34 +27,34 @@
 extern const char
 	*const rj_cell_order_status_string[RJ_CELL_ORDER_STATUS_COUNT];
 
-enum rj_cell_end {
-	RJ_CELL_END_DONE,
-	RJ_CELL_END_FAILED, /* by its own fault or the worker's */
-	RJ_CELL_END_STOPPED,
-	RJ_CELL_END_LAPSED, /* its lease was not renewed */
-	RJ_CELL_END_BROKEN, /* another member of its gang ended */
-	RJ_CELL_END_ALONE, /* the others of its gang did not come */
-	RJ_CELL_END_LOST, /* with its worker; no worker says this */
-	RJ_CELL_END_COUNT
+enum rj_cell_completion {
+	RJ_CELL_COMPLETION_DONE,
+	RJ_CELL_COMPLETION_FAILED, /* by its own fault or the worker's */
+	RJ_CELL_COMPLETION_STOPPED,
+	RJ_CELL_COMPLETION_EXPIRED, /* its lease was not renewed */
+	RJ_CELL_COMPLETION_GANG_BROKEN, /* another member of its gang ended */
+	RJ_CELL_COMPLETION_GANG_INCOMPLETE, /* the others of its gang did not come */
+	RJ_CELL_COMPLETION_LOST, /* with its worker; no worker says this */
+	RJ_CELL_COMPLETION_COUNT
 };
 
-extern const char *const rj_cell_end_string[RJ_CELL_END_COUNT];
+extern const char *const rj_cell_completion_string[RJ_CELL_COMPLETION_COUNT];
 
 /* A run that the worker lists. */
-struct rj_cell_row {
+struct rj_cell_run_report {
 	const char *name;
 	uint32_t number;
 	const char *saved; /* checkpoint, or "" */
 	uint32_t percent;
-	uint32_t figure; /* tail in ms, or thousandths of cores in use */
+	uint32_t measurement; /* tail in ms, or thousandths of cores in use */
 };
 
 /* An end that the worker lists. */
-struct rj_cell_end_row {
+struct rj_cell_completion_report {
 	uint64_t position; /* rises from 1 in each life of the worker */
 	const char *name;
 	uint32_t number;
-	enum rj_cell_end end;
+	enum rj_cell_completion end;
 	const char *saved;
 };
 
@@ -63,10 +63,10 @@
 	uint64_t now_us; /* when the answer came, by the node's clock */
 	uint64_t clock_ms; /* of the worker; 0 when it was not said */
 	uint64_t incarnation; /* polls: of the worker */
-	const struct rj_cell_row *rows;
+	const struct rj_cell_run_report *rows;
 	uint32_t row_count;
-	const struct rj_cell_end_row *ends;
-	uint32_t end_count;
+	const struct rj_cell_completion_report *completions;
+	uint32_t completion_count;
 };
 
 /* What is called once a call has ended. */
@@ -88,7 +88,7 @@
 
 struct rj_cell_poll {
 	uint64_t token;
-	uint64_t seen; /* ends up to here may be forgotten */
+	uint64_t stored_position; /* ends up to here may be forgotten */
 	uint64_t deadline_ms; /* 0: the leases stay as they are */
 	uint32_t wait_ms; /* for an end */
 	uint32_t timeout_ms; /* beyond that, until it counts as lost */
--- a/src/test_libradishjunction/support/cell_check.c
+++ b/src/test_libradishjunction/support/cell_check.c
@@ -59,8 +59,8 @@
 	if (sscanf(name, "%16[0-9a-f].%u.%u.%u", id, &round, step, index) != 4)
 		return NULL;
 	job = g_hash_table_lookup(world->jobs, id);
-	if (!job || *step >= job->def->step_count ||
-	    *index >= job->def->steps[*step].task_count)
+	if (!job || *step >= job->job_spec->step_count ||
+	    *index >= job->job_spec->steps[*step].task_count)
 		return NULL;
 	return job;
 }
@@ -99,13 +99,13 @@
 	unsigned int round = 0;
 
 	sscanf(dot + 1, "%u", &round);
-	for (uint32_t i = 0; i < job->def->steps[step].task_count; i++) {
+	for (uint32_t i = 0; i < job->job_spec->steps[step].task_count; i++) {
 		char *other =
 			g_strdup_printf("%s.%u.%u.%u", job->id, round, step, i);
 		bool done = task_log(job, other)->done;
 
 		g_free(other);
-		if (done && job->def->steps[step].gang)
+		if (done && job->job_spec->steps[step].gang)
 			return true;
 		if (!done)
 			return false;
@@ -116,7 +116,7 @@
 /* Whether the tasks of the first step have all begun. */
 static void note_begun(struct cell_world *world, struct cell_client_job *job)
 {
-	const struct rj_cell_step *step = &job->def->steps[0];
+	const struct rj_cell_step *step = &job->job_spec->steps[0];
 
 	if (job->begun_us)
 		return;
@@ -156,14 +156,14 @@
 		       struct cell_fake_worker *worker,
 		       const struct rj_cell_step *step, const char *name)
 {
-	struct rj_cell_demand sum = rj_cell_step_counted(step);
+	struct rj_cell_demand sum = rj_cell_step_demand(step);
 
 	for (guint i = 0; i < worker->runs->len; i++) {
 		struct rj_cell_demand held = cell_fake_row_at(worker, i).held;
 
-		rj_cell_demand_give(&sum, &held);
+		rj_cell_demand_add(&sum, &held);
 	}
-	if (!rj_cell_demand_fits(&sum, &worker->said.capacity))
+	if (!rj_cell_demand_fits(&sum, &worker->heartbeat.capacity))
 		cell_world_violation(world, "capacity: %s on %s", name,
 				     worker->id);
 }
@@ -174,11 +174,11 @@
 			 const char *name, uint64_t sent_us)
 {
 	const uint64_t *since_us =
-		g_hash_table_lookup(world->cordons, worker->said.domain);
+		g_hash_table_lookup(world->cordons, worker->heartbeat.domain);
 
 	if (since_us && sent_us > *since_us + CORDON_US)
 		cell_world_violation(world, "cordon: %s on %s in %s", name,
-				     worker->id, worker->said.domain);
+				     worker->id, worker->heartbeat.domain);
 }
 
 /* Whether a worker has been draining for too long. */
@@ -186,7 +186,8 @@
 			const struct cell_fake_worker *worker, const char *name,
 			uint64_t sent_us)
 {
-	if (worker->said.draining && sent_us > worker->drained_us + DRAIN_US)
+	if (worker->heartbeat.draining &&
+	    sent_us > worker->drained_us + DRAIN_US)
 		cell_world_violation(world, "drain: %s on %s", name,
 				     worker->id);
 }
@@ -211,7 +212,7 @@
 		cell_world_violation(world, "unasked: %s", start->name);
 		return;
 	}
-	of = &job->def->steps[step];
+	of = &job->job_spec->steps[step];
 	log = task_log(job, start->name);
 	log->starts++;
 	job->starts++;
@@ -222,7 +223,7 @@
 	if (log->done_seen && !of->perpetual)
 		cell_world_violation(world, "twice: %s run %u after its end",
 				     start->name, start->number);
-	if (log->failures >= job->def->attempts_max && !of->perpetual)
+	if (log->failures >= job->job_spec->attempts_max && !of->perpetual)
 		cell_world_violation(world, "attempts: %s run %u", start->name,
 				     start->number);
 	if (job->cancelled && sent_us > job->cancelled_us + CANCEL_US)
@@ -249,7 +250,7 @@
  * A run has ended at its worker.
  */
 void cell_check_end(struct cell_world *world, struct cell_fake_worker *worker,
-		    const char *name, uint32_t run, enum rj_cell_end end)
+		    const char *name, uint32_t run, enum rj_cell_completion end)
 {
 	uint32_t step = 0;
 	struct cell_client_job *job;
@@ -259,9 +260,9 @@
 		return;
 	if (log->running)
 		log->running--;
-	if (end == RJ_CELL_END_DONE)
+	if (end == RJ_CELL_COMPLETION_DONE)
 		log->done = true;
-	if (end == RJ_CELL_END_FAILED)
+	if (end == RJ_CELL_COMPLETION_FAILED)
 		log->failed_ends++;
 }
 
@@ -269,7 +270,8 @@
  * The owner has noted an end.
  */
 void cell_check_seen(struct cell_world *world, struct cell_fake_worker *worker,
-		     const char *name, uint32_t run, enum rj_cell_end end)
+		     const char *name, uint32_t run,
+		     enum rj_cell_completion end)
 {
 	uint32_t step = 0;
 	struct cell_client_job *job;
@@ -277,24 +279,24 @@
 
 	if (!log)
 		return;
-	if (end == RJ_CELL_END_DONE) {
+	if (end == RJ_CELL_COMPLETION_DONE) {
 		log->done_seen = true;
-		if (log->running && !job->def->steps[step].speculative &&
-		    !job->def->steps[step].perpetual)
+		if (log->running && !job->job_spec->steps[step].speculative &&
+		    !job->job_spec->steps[step].perpetual)
 			cell_world_violation(world,
 					     "twice: %s run %u noted done "
 					     "while it runs",
 					     name, run);
 	}
-	if (end == RJ_CELL_END_FAILED)
+	if (end == RJ_CELL_COMPLETION_FAILED)
 		log->failures++;
 }
 
 /* Whether some task, or some gang, has failed as often as it may. */
 static bool has_cause(struct cell_client_job *job)
 {
-	for (uint32_t i = 0; i < job->def->step_count; i++) {
-		const struct rj_cell_step *step = &job->def->steps[i];
+	for (uint32_t i = 0; i < job->job_spec->step_count; i++) {
+		const struct rj_cell_step *step = &job->job_spec->steps[i];
 		uint32_t sum = 0;
 
 		for (uint32_t j = 0; j < step->task_count; j++) {
@@ -305,7 +307,7 @@
 			g_free(name);
 			sum = step->gang ? sum + failures : MAX(sum, failures);
 		}
-		if (sum >= job->def->attempts_max)
+		if (sum >= job->job_spec->attempts_max)
 			return true;
 	}
 	return false;
@@ -361,7 +363,7 @@
 			cell_world_violation(world, "lost: %s is cancelled",
 					     job->id);
 		for (uint32_t j = 0; job->shown == RJ_CELL_JOB_COMPLETED &&
-				     j < job->def->step_count;
+				     j < job->job_spec->step_count;
 		     j++) {
 			char *name = g_strdup_printf("%s.0.%u.0", job->id, j);
 
--- a/src/test_libradishjunction/support/cell_fake_log.c
+++ b/src/test_libradishjunction/support/cell_fake_log.c
@@ -167,7 +167,7 @@
 		return;
 	}
 	if (call->from < world->log.first_kept[call->topic]) {
-		answer(call, RJ_CELL_STORE_GONE);
+		answer(call, RJ_CELL_STORE_EXPIRED);
 		return;
 	}
 	if ((call->from >= log->len ||
--- a/src/test_libradishjunction/support/cell_fake_orders.c
+++ b/src/test_libradishjunction/support/cell_fake_orders.c
@@ -94,8 +94,8 @@
 static void list_runs(struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
-	struct rj_cell_row *rows =
-		talloc_zero_array(order, struct rj_cell_row, worker->runs->len);
+	struct rj_cell_run_report *rows = talloc_zero_array(
+		order, struct rj_cell_run_report, worker->runs->len);
 
 	for (guint i = 0; i < worker->runs->len; i++) {
 		struct cell_fake_run *run = worker->runs->pdata[i];
@@ -105,7 +105,7 @@
 		rows[i].saved = talloc_strdup(order, run->saved);
 		rows[i].percent =
 			(uint32_t)MIN(100, run->done_us * 100 / run->work_us);
-		rows[i].figure = cell_fake_tail_ms(worker, run);
+		rows[i].measurement = cell_fake_tail_ms(worker, run);
 	}
 	order->reply.rows = rows;
 	order->reply.row_count = worker->runs->len;
@@ -115,21 +115,22 @@
 static void list_ends(struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
-	struct rj_cell_end_row *ends = talloc_zero_array(
-		order, struct rj_cell_end_row, worker->ends->len);
-
-	for (guint i = 0; i < worker->ends->len; i++) {
-		struct cell_fake_end *end =
-			&g_array_index(worker->ends, struct cell_fake_end, i);
-
-		ends[i].position = end->position;
-		ends[i].name = talloc_strdup(order, end->name);
-		ends[i].number = end->number;
-		ends[i].end = end->end;
-		ends[i].saved = talloc_strdup(order, end->saved);
+	struct rj_cell_completion_report *completions =
+		talloc_zero_array(order, struct rj_cell_completion_report,
+				  worker->completions->len);
+
+	for (guint i = 0; i < worker->completions->len; i++) {
+		struct cell_fake_end *end = &g_array_index(
+			worker->completions, struct cell_fake_end, i);
+
+		completions[i].position = end->position;
+		completions[i].name = talloc_strdup(order, end->name);
+		completions[i].number = end->number;
+		completions[i].end = end->end;
+		completions[i].saved = talloc_strdup(order, end->saved);
 	}
-	order->reply.ends = ends;
-	order->reply.end_count = worker->ends->len;
+	order->reply.completions = completions;
+	order->reply.completion_count = worker->completions->len;
 }
 
 /* Answer a poll with both lists. */
@@ -194,7 +195,7 @@
 	const struct cell_client_job *job =
 		cell_check_job(world, start->name, &step, &index);
 
-	return job && !strcmp(job->def->queue, "advised") &&
+	return job && !strcmp(job->job_spec->queue, "advised") &&
 	       !cell_advice_accepts(world, worker, start);
 }
 
@@ -209,16 +210,16 @@
 		cell_fake_clock_ms(world, worker) + world->plan.lease_max_ms;
 
 	if (worker->refuses)
-		return RJ_CELL_ORDER_SICK;
+		return RJ_CELL_ORDER_UNHEALTHY;
 	if (worker->wants_ticket || wants_ticket(world, worker, start)) {
 		world->refused_starts++;
-		return RJ_CELL_ORDER_TICKET;
+		return RJ_CELL_ORDER_TICKET_INVALID;
 	}
 	if (start->token < worker->token)
 		return RJ_CELL_ORDER_FENCED;
 	worker->token = start->token;
 	if (cell_fake_clock_ms(world, worker) > start->deadline_ms)
-		return RJ_CELL_ORDER_LATE;
+		return RJ_CELL_ORDER_DEADLINE_PASSED;
 	worker->lease_ms =
 		MAX(worker->lease_ms, MIN(start->deadline_ms, longest_ms));
 	if (run && run->number == start->number)
@@ -226,9 +227,9 @@
 	if (GPOINTER_TO_UINT(g_hash_table_lookup(
 		    worker->barred, start->name)) >= start->number ||
 	    run)
-		return RJ_CELL_ORDER_OLD;
+		return RJ_CELL_ORDER_STALE;
 	if (cell_fake_is_full(world, worker, start->name))
-		return RJ_CELL_ORDER_FULL;
+		return RJ_CELL_ORDER_NO_CAPACITY;
 	cell_check_start(world, worker, start, order->sent_us);
 	cell_fake_begin(world, worker, start);
 	return RJ_CELL_ORDER_OK;
@@ -266,8 +267,8 @@
 	if (poll->deadline_ms)
 		worker->lease_ms = MAX(worker->lease_ms,
 				       MIN(poll->deadline_ms, longest_ms));
-	cell_fake_forget(world, worker, poll->seen);
-	if (!poll->wait_ms || worker->ends->len || order->late) {
+	cell_fake_forget(world, worker, poll->stored_position);
+	if (!poll->wait_ms || worker->completions->len || order->late) {
 		answer_poll(order);
 		return;
 	}
@@ -302,7 +303,7 @@
 		return;
 	}
 	if (order->incarnation && order->incarnation != worker->incarnation) {
-		answer(order, RJ_CELL_ORDER_OTHER);
+		answer(order, RJ_CELL_ORDER_OTHER_INCARNATION);
 		return;
 	}
 	if (order->kind == ORDER_START)
--- a/src/test_libradishjunction/support/cell_fake_workers.c
+++ b/src/test_libradishjunction/support/cell_fake_workers.c
@@ -92,7 +92,7 @@
 
 /* A run ends: it is listed until it is seen. */
 static void end_run(struct cell_world *world, struct cell_fake_worker *worker,
-		    struct cell_fake_run *run, enum rj_cell_end how)
+		    struct cell_fake_run *run, enum rj_cell_completion how)
 {
 	struct cell_fake_end end = { .position = ++worker->ends_count,
 				     .number = run->number,
@@ -100,13 +100,13 @@
 				     .ended_us = world->now_us };
 
 	g_strlcpy(end.name, run->name, sizeof(end.name));
-	if (how == RJ_CELL_END_STOPPED && run->saves)
+	if (how == RJ_CELL_COMPLETION_STOPPED && run->saves)
 		(void)g_snprintf(run->saved, sizeof(run->saved),
 				 "%016" G_GINT64_MODIFIER "x", run->done_us);
 	g_strlcpy(end.saved, run->saved, sizeof(end.saved));
-	g_array_append_val(worker->ends, end);
+	g_array_append_val(worker->completions, end);
 	cell_fake_bar(worker, run->name, run->number);
-	if (how != RJ_CELL_END_DONE)
+	if (how != RJ_CELL_COMPLETION_DONE)
 		world->wasted_us += run->done_us;
 	cell_check_end(world, worker, run->name, run->number, how);
 	g_ptr_array_remove(worker->runs, run);
@@ -154,7 +154,7 @@
 
 		if (!world->plan.break_us)
 			end_run(world, workers->pdata[i], run,
-				RJ_CELL_END_BROKEN);
+				RJ_CELL_COMPLETION_GANG_BROKEN);
 		else if (!run->broken_us)
 			run->broken_us = world->now_us + world->plan.break_us;
 	}
@@ -165,12 +165,13 @@
 /* A run ends, and with it its gang, unless that is through. */
 static void end_with_gang(struct cell_world *world,
 			  struct cell_fake_worker *worker,
-			  struct cell_fake_run *run, enum rj_cell_end how)
+			  struct cell_fake_run *run,
+			  enum rj_cell_completion how)
 {
 	char *gang = g_strdup(run->gang);
 
 	end_run(world, worker, run, how);
-	if (gang && how != RJ_CELL_END_DONE)
+	if (gang && how != RJ_CELL_COMPLETION_DONE)
 		break_gang(world, gang);
 	g_free(gang);
 }
@@ -205,7 +206,7 @@
 
 	for (guint i = 0; i < runs->len; i++)
 		end_run(world, workers->pdata[i], runs->pdata[i],
-			RJ_CELL_END_DONE);
+			RJ_CELL_COMPLETION_DONE);
 	g_ptr_array_free(runs, TRUE);
 	g_ptr_array_free(workers, TRUE);
 }
@@ -219,21 +220,22 @@
 	if (run->broken_us) {
 		if (world->now_us < run->broken_us)
 			return true;
-		end_run(world, worker, run, RJ_CELL_END_BROKEN);
+		end_run(world, worker, run, RJ_CELL_COMPLETION_GANG_BROKEN);
 		return false;
 	}
 	if (run->stopped_us && world->now_us >= run->stopped_us) {
-		end_with_gang(world, worker, run, RJ_CELL_END_STOPPED);
+		end_with_gang(world, worker, run, RJ_CELL_COMPLETION_STOPPED);
 		return false;
 	}
 	if (cell_fake_clock_ms(world, worker) > worker->lease_ms) {
-		end_with_gang(world, worker, run, RJ_CELL_END_LAPSED);
+		end_with_gang(world, worker, run, RJ_CELL_COMPLETION_EXPIRED);
 		return false;
 	}
 	if (!is_complete(world, run, &all_through)) {
 		if (world->now_us - run->placed_us < GANG_WAIT_US)
 			return true;
-		end_with_gang(world, worker, run, RJ_CELL_END_ALONE);
+		end_with_gang(world, worker, run,
+			      RJ_CELL_COMPLETION_GANG_INCOMPLETE);
 		return false;
 	}
 	run->slow_us = cell_fake_tail_ms(worker, run) > run->target_ms ?
@@ -248,7 +250,7 @@
 				 (uint64_t)(run->done_us / SAVE_EVERY_US *
 					    SAVE_EVERY_US));
 	if (run->fails_at_us && run->done_us >= run->fails_at_us) {
-		end_with_gang(world, worker, run, RJ_CELL_END_FAILED);
+		end_with_gang(world, worker, run, RJ_CELL_COMPLETION_FAILED);
 		return false;
 	}
 	if (run->done_us < run->work_us || worker->never_ends)
@@ -258,7 +260,7 @@
 	if (run->gang)
 		end_gang(world, run);
 	else
-		end_run(world, worker, run, RJ_CELL_END_DONE);
+		end_run(world, worker, run, RJ_CELL_COMPLETION_DONE);
 	return false;
 }
 
@@ -298,9 +300,9 @@
 	if (worker->up && !worker->cut_from_log) {
 		worker->listed = true;
 		worker->beats_missed = 0;
-		worker->said.clock_ms = cell_fake_clock_ms(world, worker);
+		worker->heartbeat.clock_ms = cell_fake_clock_ms(world, worker);
 		cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id,
-			     &worker->said, sizeof(worker->said));
+			     &worker->heartbeat, sizeof(worker->heartbeat));
 	} else if (worker->listed && !worker->wrote &&
 		   ++worker->beats_missed >= CELL_WORLD_ENTRY_BEATS) {
 		worker->listed = false;
@@ -341,7 +343,7 @@
 	job = cell_check_job(world, start->name, &step_number, &index);
 	run->work_us = job ? job->work_us : S;
 	if (job) {
-		step = &job->def->steps[step_number];
+		step = &job->job_spec->steps[step_number];
 		run->held = step->each;
 		run->saves = step->checkpoints;
 		run->target_ms = step->target_ms;
@@ -371,19 +373,19 @@
 bool cell_fake_is_full(struct cell_world *world,
 		       struct cell_fake_worker *worker, const char *name)
 {
-	struct rj_cell_demand left = worker->said.capacity;
+	struct rj_cell_demand left = worker->heartbeat.capacity;
 	struct cell_client_job *job;
 	uint32_t step = 0;
 	uint32_t index = 0;
 
 	job = cell_check_job(world, name, &step, &index);
-	if (!world->plan.guarded || !job)
+	if (!world->plan.enforces_limits || !job)
 		return false;
 	for (guint i = 0; i < worker->runs->len; i++)
-		rj_cell_demand_take(
+		rj_cell_demand_subtract(
 			&left, &((struct cell_fake_run *)worker->runs->pdata[i])
 					->held);
-	return !rj_cell_demand_fits(&job->def->steps[step].each, &left);
+	return !rj_cell_demand_fits(&job->job_spec->steps[step].each, &left);
 }
 
 /*
@@ -392,9 +394,9 @@
 void cell_fake_forget(struct cell_world *world, struct cell_fake_worker *worker,
 		      uint64_t seen)
 {
-	while (worker->ends->len) {
-		struct cell_fake_end *end =
-			&g_array_index(worker->ends, struct cell_fake_end, 0);
+	while (worker->completions->len) {
+		struct cell_fake_end *end = &g_array_index(
+			worker->completions, struct cell_fake_end, 0);
 
 		if (end->position > seen)
 			break;
@@ -402,7 +404,7 @@
 		if (worker->lapsed_us < end->ended_us)
 			cell_check_seen(world, worker, end->name, end->number,
 					end->end);
-		g_array_remove_index(worker->ends, 0);
+		g_array_remove_index(worker->completions, 0);
 	}
 }
 
@@ -412,7 +414,7 @@
 	worker->up = true;
 	worker->born_us = world->now_us;
 	worker->incarnation = 1000 + world->now_us + worker->index;
-	worker->said.incarnation = worker->incarnation;
+	worker->heartbeat.incarnation = worker->incarnation;
 	worker->token = 0;
 	worker->lease_ms = 0;
 	worker->ends_count = 0;
@@ -430,18 +432,18 @@
 
 		worker->index = i;
 		(void)g_snprintf(worker->id, sizeof(worker->id), "w%02u", i);
-		g_strlcpy(worker->said.service, "render", RJ_NAME_BYTES);
-		g_strlcpy(worker->said.kind, "a", RJ_NAME_BYTES);
-		(void)g_snprintf(worker->said.rack, RJ_NAME_BYTES, "r%u",
+		g_strlcpy(worker->heartbeat.service, "render", RJ_NAME_BYTES);
+		g_strlcpy(worker->heartbeat.kind, "a", RJ_NAME_BYTES);
+		(void)g_snprintf(worker->heartbeat.rack, RJ_NAME_BYTES, "r%u",
 				 i / world->plan.rack_workers);
-		(void)g_snprintf(worker->said.domain, RJ_NAME_BYTES, "d%u",
+		(void)g_snprintf(worker->heartbeat.domain, RJ_NAME_BYTES, "d%u",
 				 i / world->plan.rack_workers % DOMAINS);
-		worker->said.address.port = (uint16_t)(1000 + i);
-		worker->said.capacity = world->plan.capacity;
+		worker->heartbeat.address.port = (uint16_t)(1000 + i);
+		worker->heartbeat.capacity = world->plan.capacity;
 		worker->speed = speeds[i % G_N_ELEMENTS(speeds)];
 		worker->clock_rate = i % 2 ? 1.0 : 0.98;
 		worker->runs = g_ptr_array_new();
-		worker->ends =
+		worker->completions =
 			g_array_new(FALSE, FALSE, sizeof(struct cell_fake_end));
 		worker->barred = g_hash_table_new_full(g_str_hash, g_str_equal,
 						       g_free, NULL);
@@ -460,7 +462,7 @@
 		char *gang = g_strdup(run->gang);
 
 		cell_check_end(world, worker, run->name, run->number,
-			       RJ_CELL_END_LOST);
+			       RJ_CELL_COMPLETION_LOST);
 		world->wasted_us += run->done_us;
 		g_ptr_array_remove_index(worker->runs, 0);
 		run_free(world, run);
@@ -468,7 +470,7 @@
 			break_gang(world, gang);
 		g_free(gang);
 	}
-	g_array_set_size(worker->ends, 0);
+	g_array_set_size(worker->completions, 0);
 	g_hash_table_remove_all(worker->barred);
 }
 
@@ -514,9 +516,9 @@
 {
 	struct cell_fake_worker *worker = &world->workers[index];
 
-	worker->said.draining = true;
-	cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id, &worker->said,
-		     sizeof(worker->said));
+	worker->heartbeat.draining = true;
+	cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id,
+		     &worker->heartbeat, sizeof(worker->heartbeat));
 	cell_world_worker_kill(world, index);
 	worker->listed = false;
 	cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id, NULL, 0);
@@ -543,14 +545,14 @@
 {
 	struct cell_fake_worker *worker = &world->workers[index];
 
-	if (!worker->said.draining)
+	if (!worker->heartbeat.draining)
 		worker->drained_us = world->now_us;
-	worker->said.draining = true;
-	worker->said.drain_left_ms = left_ms;
+	worker->heartbeat.draining = true;
+	worker->heartbeat.drain_left_ms = left_ms;
 	worker->wrote = true;
 	worker->beats_missed = 0;
-	cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id, &worker->said,
-		     sizeof(worker->said));
+	cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id,
+		     &worker->heartbeat, sizeof(worker->heartbeat));
 }
 
 /*
@@ -566,7 +568,7 @@
 			g_ptr_array_remove_index(worker->runs, 0);
 		}
 		g_ptr_array_free(worker->runs, TRUE);
-		g_array_free(worker->ends, TRUE);
+		g_array_free(worker->completions, TRUE);
 		g_hash_table_destroy(worker->barred);
 		g_ptr_array_free(worker->polls, TRUE);
 	}
--- a/src/test_libradishjunction/support/cell_faults.c
+++ b/src/test_libradishjunction/support/cell_faults.c
@@ -210,7 +210,7 @@
 {
 	struct strike *strike = data;
 
-	strike->world->workers[strike->target].said.draining = false;
+	strike->world->workers[strike->target].heartbeat.draining = false;
 	cell_world_worker_start(strike->world, strike->target);
 	g_free(strike);
 }
@@ -235,7 +235,7 @@
 	uint32_t target = cell_world_random(world, world->plan.workers);
 	struct cell_fake_worker *worker = &world->workers[target];
 
-	if (!worker->up || worker->said.draining)
+	if (!worker->up || worker->heartbeat.draining)
 		return;
 	cell_world_worker_drain(world, target, 0);
 	if (cell_world_random(world, 2))
@@ -257,9 +257,9 @@
 {
 	struct strike *strike = data;
 
-	cell_world_cordon(strike->world,
-			  strike->world->workers[strike->target].said.domain,
-			  false);
+	cell_world_cordon(
+		strike->world,
+		strike->world->workers[strike->target].heartbeat.domain, false);
 	g_free(strike);
 }
 
@@ -268,7 +268,7 @@
 {
 	uint32_t target = cell_world_random(world, world->plan.workers);
 
-	cell_world_cordon(world, world->workers[target].said.domain, true);
+	cell_world_cordon(world, world->workers[target].heartbeat.domain, true);
 	cell_world_at(world, (500 + cell_world_random(world, 12000)) * MS,
 		      give_back, strike_new(world, target));
 }
@@ -380,7 +380,7 @@
 	bool cordons;
 
 	seeded.seed = seed;
-	seeded.guarded = seed % 3 == 0;
+	seeded.enforces_limits = seed % 3 == 0;
 	cordons = seed % CORDONS_ONE_IN == 1;
 	seeded.break_us = cordons ? BREAK_US : 0;
 	memset(result, 0, sizeof(*result));
--- a/src/test_libradishjunction/support/cell_load.c
+++ b/src/test_libradishjunction/support/cell_load.c
@@ -99,7 +99,7 @@
 	const struct rj_cell_node *node =
 		&world->nodes[cell_world_owner(world)].node;
 	const struct rj_cell_queue *queue =
-		rj_cell_config_queue(node->config, job->def->queue);
+		rj_cell_config_queue(node->config, job->job_spec->queue);
 
 	return job->work_us * queue->stretch_milli / 1000 +
 	       queue->latency_ms * MS;
@@ -131,7 +131,7 @@
 	for (guint i = 0; i < world->job_list->len; i++) {
 		const struct cell_client_job *job = world->job_list->pdata[i];
 
-		if (strcmp(job->def->queue, queue) != 0 ||
+		if (strcmp(job->job_spec->queue, queue) != 0 ||
 		    job->sent_us >= sent_before_us)
 			continue;
 		owed++;
--- a/src/test_libradishjunction/support/cell_world.c
+++ b/src/test_libradishjunction/support/cell_world.c
@@ -121,10 +121,10 @@
 }
 
 /* A job out of a body, which is a definition as the log has it. */
-static struct rj_cell_def *decode_job(void *mem, struct rj_bytes body,
-				      struct rj_error *err)
+static struct rj_cell_job_spec *decode_job(void *mem, struct rj_bytes body,
+					   struct rj_error *err)
 {
-	return rj_cell_def_decode(mem, body, err);
+	return rj_cell_job_spec_decode(mem, body, err);
 }
 
 /* A worker's entry is the struct itself. */
@@ -507,23 +507,25 @@
 {
 	struct cell_client_job *job =
 		talloc_zero(world->mem, struct cell_client_job);
-	struct rj_cell_def *def = talloc_zero(job, struct rj_cell_def);
+	struct rj_cell_job_spec *job_spec =
+		talloc_zero(job, struct rj_cell_job_spec);
 	struct rj_error err;
 
 	(void)g_snprintf(job->id, sizeof(job->id), "%016x", ++world->job_count);
-	memcpy(def->id, job->id, sizeof(def->id));
-	g_strlcpy(def->queue, queue, RJ_NAME_BYTES);
-	g_strlcpy(def->account, account, RJ_NAME_BYTES);
-	def->spec = talloc_strdup(def, "spec");
-	def->attempts_max = world->plan.attempts_max;
-	def->steps = talloc_memdup(def, steps, sizeof(*steps) * step_count);
-	def->step_count = step_count;
+	memcpy(job_spec->id, job->id, sizeof(job_spec->id));
+	g_strlcpy(job_spec->queue, queue, RJ_NAME_BYTES);
+	g_strlcpy(job_spec->account, account, RJ_NAME_BYTES);
+	job_spec->spec = talloc_strdup(job_spec, "spec");
+	job_spec->attempts_max = world->plan.attempts_max;
+	job_spec->steps =
+		talloc_memdup(job_spec, steps, sizeof(*steps) * step_count);
+	job_spec->step_count = step_count;
 	for (uint32_t i = 0; i < step_count; i++)
-		def->steps[i].after =
-			talloc_memdup(def, steps[i].after,
+		job_spec->steps[i].after =
+			talloc_memdup(job_spec, steps[i].after,
 				      sizeof(uint32_t) * steps[i].after_count);
-	g_assert_false(rj_cell_def_check(def, &err));
-	job->def = def;
+	g_assert_false(rj_cell_job_spec_check(job_spec, &err));
+	job->job_spec = job_spec;
 	job->work_us = work_us;
 	job->tasks =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -566,7 +568,7 @@
 		job->accepted = true;
 		break;
 	case RJ_CELL_VERDICT_BUSY:
-	case RJ_CELL_VERDICT_AWAY:
+	case RJ_CELL_VERDICT_UNAVAILABLE:
 		if (base->verb == RJ_CELL_VERB_SUBMIT)
 			job->refusals++;
 		break;
@@ -594,7 +596,7 @@
 			job->ended_us = world->now_us;
 		break;
 	case RJ_CELL_VERDICT_NO_JOB:
-		if (job->accepted && base->verb == RJ_CELL_VERB_ASK)
+		if (job->accepted && base->verb == RJ_CELL_VERB_QUERY)
 			job->gone = true;
 		break;
 	default:
@@ -616,7 +618,7 @@
 		return;
 	call = talloc_zero(world->mem, struct client_call);
 	for (uint32_t i = 0; i < G_N_ELEMENTS(queues); i++)
-		if (!strcmp(queues[i].name, job->def->queue))
+		if (!strcmp(queues[i].name, job->job_spec->queue))
 			prefix = queues[i].prefix;
 	(void)g_snprintf(call->path, sizeof(call->path), "%s%s", prefix,
 			 job->id);
@@ -626,7 +628,7 @@
 				world->removed_us + world->plan.revoke_ms * MS;
 	}
 	(void)g_snprintf(call->key, sizeof(call->key), "%s-%s", key,
-			 job->def->account);
+			 job->job_spec->account);
 	call->world = world;
 	call->node = node;
 	call->life = node->life;
@@ -640,9 +642,9 @@
 	call->call.wall_ms = cell_world_wall_ms(world);
 	call->call.answer = answered;
 	if (verb == RJ_CELL_VERB_SUBMIT)
-		call->call.body = rj_cell_def_encode(call, job->def);
+		call->call.body = rj_cell_job_spec_encode(call, job->job_spec);
 	cell_world_enter(node);
-	rj_cell_front_take(&node->node.front, &call->call);
+	rj_cell_frontend_handle(&node->node.front, &call->call);
 	cell_world_leave(node);
 }
 
@@ -664,7 +666,7 @@
 void cell_world_ask(struct cell_world *world, uint32_t node,
 		    struct cell_client_job *job)
 {
-	send_call(world, node, job, RJ_CELL_VERB_ASK);
+	send_call(world, node, job, RJ_CELL_VERB_QUERY);
 }
 
 /*
--- a/src/test_libradishjunction/support/cell_world.h
+++ b/src/test_libradishjunction/support/cell_world.h
@@ -27,7 +27,7 @@
 /* What a client was told last of a job it has handed in. */
 struct cell_client_job {
 	char id[RJ_CELL_ID_BYTES];
-	struct rj_cell_def *def;
+	struct rj_cell_job_spec *job_spec;
 	uint32_t tries;
 	uint32_t refusals; /* answers that say "not accepted" */
 	uint32_t starts; /* of its tasks, on workers */
@@ -87,7 +87,7 @@
 struct cell_fake_worker {
 	uint32_t index;
 	char id[RJ_NAME_BYTES];
-	struct rj_cell_heartbeat said;
+	struct rj_cell_heartbeat heartbeat;
 	bool up;
 	bool listed;
 	bool cut[CELL_WORLD_NODES_MAX]; /* its calls get no answer */
@@ -109,7 +109,7 @@
 	bool wrote; /* something else since its last heartbeat was due */
 	uint32_t beats_missed; /* in a row; its entry expires after three */
 	GPtrArray *runs; /* struct cell_fake_run */
-	GArray *ends; /* struct cell_fake_end */
+	GArray *completions; /* struct cell_fake_end */
 	uint64_t ends_count;
 	GHashTable *barred; /* name -> highest run that ended or was stopped */
 	GPtrArray *polls; /* struct cell_fake_poll that wait */
@@ -135,7 +135,7 @@
 	uint32_t workers;
 	uint32_t rack_workers;
 	struct rj_cell_demand capacity;
-	bool guarded;
+	bool enforces_limits;
 	uint32_t guaranteed; /* accelerators of each account */
 	uint32_t lease_max_ms; /* 0: 6,000 */
 	uint32_t attempts_max; /* 0: 4 */
@@ -242,9 +242,11 @@
 void cell_check_start(struct cell_world *world, struct cell_fake_worker *worker,
 		      const struct rj_cell_start *start, uint64_t sent_us);
 void cell_check_end(struct cell_world *world, struct cell_fake_worker *worker,
-		    const char *name, uint32_t run, enum rj_cell_end end);
+		    const char *name, uint32_t run,
+		    enum rj_cell_completion end);
 void cell_check_seen(struct cell_world *world, struct cell_fake_worker *worker,
-		     const char *name, uint32_t run, enum rj_cell_end end);
+		     const char *name, uint32_t run,
+		     enum rj_cell_completion end);
 struct cell_client_job *cell_check_job(struct cell_world *world,
 				       const char *name, uint32_t *step,
 				       uint32_t *index);
--- a/src/test_libradishjunction/support/fuzz_targets.c
+++ b/src/test_libradishjunction/support/fuzz_targets.c
@@ -185,15 +185,15 @@
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error err;
-	struct rj_cell_def *def = platform_wire_job(
+	struct rj_cell_job_spec *job_spec = platform_wire_job(
 		mem, (struct rj_bytes){ data, (uint32_t)length }, &err);
-	struct rj_cell_def *back;
+	struct rj_cell_job_spec *back;
 
-	if (def) {
-		back = rj_cell_def_decode(mem, rj_cell_def_encode(mem, def),
-					  &err);
-		assert(back && back->task_count == def->task_count &&
-		       !strcmp(back->spec, def->spec));
+	if (job_spec) {
+		back = rj_cell_job_spec_decode(
+			mem, rj_cell_job_spec_encode(mem, job_spec), &err);
+		assert(back && back->task_count == job_spec->task_count &&
+		       !strcmp(back->spec, job_spec->spec));
 	}
 	talloc_free(mem);
 }
@@ -241,13 +241,13 @@
 	struct rj_bytes bytes = { data, (uint32_t)length };
 	struct rj_cell_owner_record owner;
 	struct rj_cell_summary summary;
-	struct rj_cell_beat beat;
+	struct rj_cell_owner_heartbeat heartbeat;
 	struct rj_error err;
 
-	rj_cell_def_decode(mem, bytes, &err);
+	rj_cell_job_spec_decode(mem, bytes, &err);
 	rj_cell_summary_decode(bytes, &summary, &err);
 	rj_cell_owner_decode(bytes, &owner, &err);
-	rj_cell_beat_decode(bytes, &beat, &err);
+	rj_cell_owner_heartbeat_decode(bytes, &heartbeat, &err);
 	talloc_free(mem);
 }
 
--- a/src/test_libradishjunction/test_cell_cordon.c
+++ b/src/test_libradishjunction/test_cell_cordon.c
@@ -28,7 +28,7 @@
 	guint runs = 0;
 
 	for (uint32_t i = 0; i < world->plan.workers; i++)
-		if (!strcmp(world->workers[i].said.domain, domain))
+		if (!strcmp(world->workers[i].heartbeat.domain, domain))
 			runs += world->workers[i].runs->len;
 	return runs;
 }
@@ -63,8 +63,8 @@
 		const struct rj_cell_worker *worker =
 			RJ_CONTAINER(at, struct rj_cell_worker, link);
 
-		if (!strcmp(worker->said.domain, domain))
-			sum += worker->held.accelerators;
+		if (!strcmp(worker->heartbeat.domain, domain))
+			sum += worker->allocated.accelerators;
 	}
 	return sum;
 }
@@ -333,8 +333,10 @@
 	struct rj_cell_step step = cell_world_step(2, 4, 4000);
 	struct cell_client_job *job;
 
-	g_strlcpy(step.rack, f->world.workers[0].said.rack, sizeof(step.rack));
-	cell_world_cordon(&f->world, f->world.workers[0].said.domain, true);
+	g_strlcpy(step.rack, f->world.workers[0].heartbeat.rack,
+		  sizeof(step.rack));
+	cell_world_cordon(&f->world, f->world.workers[0].heartbeat.domain,
+			  true);
 	cell_world_run(&f->world, 50 * MS);
 	job = hand_in(&f->world, "normal", &step, 2 * S);
 	cell_world_run(&f->world, 200 * MS);
@@ -391,7 +393,8 @@
 
 	cell_world_worker_kill(&f->world, 4);
 	cell_world_run(&f->world, 6 * S);
-	cell_world_cordon(&f->world, f->world.workers[4].said.domain, true);
+	cell_world_cordon(&f->world, f->world.workers[4].heartbeat.domain,
+			  true);
 	cell_world_run(&f->world, 100 * MS);
 	cell_world_worker_start(&f->world, 4);
 	cell_world_run(&f->world, 2 * S);
@@ -409,8 +412,8 @@
 	struct cell_client_job *job;
 
 	for (uint32_t i = 0; i < site.workers; i++)
-		if (!strcmp(f->world.workers[i].said.domain, "d0"))
-			f->world.workers[i].said.cold_left_ms = 10000;
+		if (!strcmp(f->world.workers[i].heartbeat.domain, "d0"))
+			f->world.workers[i].heartbeat.cold_left_ms = 10000;
 	cell_world_run(&f->world, 2 * S);
 	job = hand_in(&f->world, "normal", &step, 3 * S);
 	cell_world_run(&f->world, 300 * MS);
--- a/src/test_libradishjunction/test_cell_load.c
+++ b/src/test_libradishjunction/test_cell_load.c
@@ -56,7 +56,7 @@
 	g_assert_cmpuint(backlog->workers, ==, site.workers);
 	g_assert_cmpuint(backlog->usage.accelerators.used, ==,
 			 backlog->usage.accelerators.all);
-	g_assert_cmpuint(backlog->classes[2].held, ==,
+	g_assert_cmpuint(backlog->classes[2].allocated, ==,
 			 backlog->usage.accelerators.all);
 	g_assert_cmpuint(backlog->classes[2].tasks, ==, 2 * 24);
 	g_assert_cmpuint(backlog->classes[2].oldest_us, >, S);
@@ -110,8 +110,9 @@
 		const struct cell_client_job *job = f->world.job_list->pdata[i];
 
 		g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
-		if (!job->def->steps[0].checkpoints)
-			g_assert_cmpuint(job->starts, ==, job->def->task_count);
+		if (!job->job_spec->steps[0].checkpoints)
+			g_assert_cmpuint(job->starts, ==,
+					 job->job_spec->task_count);
 	}
 }
 
--- a/src/test_libradishjunction/test_cell_path.c
+++ b/src/test_libradishjunction/test_cell_path.c
@@ -183,9 +183,9 @@
 	struct cell_client_job *job =
 		cell_world_job(&f->world, "normal", "a", &step, 1, 300 * MS);
 
-	job->def->repeats = 3;
-	job->def->first_run_ms = cell_world_wall_ms(&f->world) + 2000;
-	job->def->interval_ms = 1500;
+	job->job_spec->repeats = 3;
+	job->job_spec->first_run_ms = cell_world_wall_ms(&f->world) + 2000;
+	job->job_spec->interval_ms = 1500;
 	cell_world_submit(&f->world, 0, job);
 	cell_world_run(&f->world, 1900 * MS);
 	g_assert_cmpuint(job->starts, ==, 0);
@@ -209,7 +209,7 @@
 	struct rj_cell_step step = cell_world_step(1, 1, 500);
 	struct cell_client_job *job;
 
-	g_strlcpy(step.label, f->world.workers[0].said.rack,
+	g_strlcpy(step.label, f->world.workers[0].heartbeat.rack,
 		  sizeof(step.label));
 	for (uint32_t i = 1; i < small.rack_workers; i++)
 		cell_world_worker_kill(&f->world, i);
@@ -294,7 +294,7 @@
 		worker++;
 	cell_world_worker_cut(&f->world, worker, true);
 	follow(&f->world, 2 * S);
-	g_assert_cmpuint(f->world.workers[worker].ends->len, ==, 1);
+	g_assert_cmpuint(f->world.workers[worker].completions->len, ==, 1);
 	cell_world_worker_cut(&f->world, worker, false);
 	cell_world_worker_leave(&f->world, worker);
 	follow(&f->world, 2 * S);
@@ -349,9 +349,10 @@
 {
 	char key[RJ_CELL_KEY_BYTES];
 	struct rj_packer out;
-	struct rj_bytes bytes = rj_cell_def_encode(world->mem, job->def);
+	struct rj_bytes bytes =
+		rj_cell_job_spec_encode(world->mem, job->job_spec);
 
-	rj_cell_record_key(key, RJ_CELL_RECORD_DEFINITION, job->id);
+	rj_cell_record_key(key, RJ_CELL_RECORD_JOB_SPEC, job->id);
 	cell_log_put(world, RJ_CELL_TOPIC_JOBS, key, bytes.data, bytes.length);
 	rj_pack_init(&out);
 	rj_pack_number(&out, 1); /* format */
--- a/src/test_libradishjunction/test_cell_reach.c
+++ b/src/test_libradishjunction/test_cell_reach.c
@@ -25,7 +25,7 @@
 static void cut_domain(struct cell_world *world, const char *domain, bool cut)
 {
 	for (uint32_t i = 0; i < world->plan.workers; i++)
-		if (!strcmp(world->workers[i].said.domain, domain))
+		if (!strcmp(world->workers[i].heartbeat.domain, domain))
 			cell_world_worker_cut(world, i, cut);
 }
 
@@ -35,7 +35,7 @@
 	guint runs = 0;
 
 	for (uint32_t i = 0; i < world->plan.workers; i++)
-		if (!strcmp(world->workers[i].said.domain, domain))
+		if (!strcmp(world->workers[i].heartbeat.domain, domain))
 			runs += world->workers[i].runs->len;
 	return runs;
 }
@@ -350,13 +350,13 @@
 	step.gang = true;
 	job = hand_in(&f->world, 0, &step);
 	cell_world_run(&f->world, 300 * MS);
-	tasks = rj_cell_work_find(rj_cell_view_find(owner->view, job->id)->work,
-				  0, 0, 0);
+	tasks = rj_cell_job_find_task(
+		rj_cell_view_find(owner->view, job->id)->job, 0, 0, 0);
 	for (uint32_t i = 0; i < 2; i++)
 		runs[i] = RJ_CONTAINER(tasks[i].runs.next, struct rj_cell_run,
 				       in_task);
 	runs[0]->worker->answers = false;
-	rj_cell_ends_run(owner, runs[1], RJ_CELL_END_STOPPED, NULL);
+	rj_cell_ends_run(owner, runs[1], RJ_CELL_COMPLETION_STOPPED, NULL);
 	g_assert_true(tasks[0].runs.next == &runs[0]->in_task);
 }
 
--- a/src/test_libradishjunction/test_cell_starvation.c
+++ b/src/test_libradishjunction/test_cell_starvation.c
@@ -112,7 +112,8 @@
 
 	if (backlog->classes[1].oldest_us > NORMAL_SLACK_US)
 		g_assert_cmpuint(backlog->reserved, <=,
-				 backlog->classes[0].held + RESERVED_SPARE);
+				 backlog->classes[0].allocated +
+					 RESERVED_SPARE);
 }
 
 /*
@@ -220,7 +221,7 @@
 	job = cell_load_hand_in(&f->world, "bulk", "b", &step, 6 * S);
 	cell_load_play(&f->world, &normal, 1, 40 * S, NULL);
 	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
-	g_assert_cmpuint(job->starts, ==, job->def->task_count);
+	g_assert_cmpuint(job->starts, ==, job->job_spec->task_count);
 }
 
 /*
@@ -259,9 +260,9 @@
 	struct cell_client_job *job =
 		cell_world_job(&f->world, "bulk", "b", &step, 1, 2 * S);
 
-	job->def->repeats = 1;
-	job->def->first_run_ms = cell_world_wall_ms(&f->world) + 45000;
-	job->def->interval_ms = 1000;
+	job->job_spec->repeats = 1;
+	job->job_spec->first_run_ms = cell_world_wall_ms(&f->world) + 45000;
+	job->job_spec->interval_ms = 1000;
 	cell_world_submit(&f->world, 0, job);
 	cell_load_play(&f->world, overload(), 1, 75 * S, NULL);
 	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
@@ -313,7 +314,7 @@
 
 	(void)cell_load_hand_in(&f->world, "urgent", "a", &urgent, 500 * MS);
 	cell_load_play(&f->world, overload(), 1, 10 * S, NULL);
-	g_strlcpy(step.label, f->world.workers[0].said.rack,
+	g_strlcpy(step.label, f->world.workers[0].heartbeat.rack,
 		  sizeof(step.label));
 	job = cell_load_hand_in(&f->world, "bulk", "b", &step, 6 * S);
 	cell_load_play(&f->world, overload(), 1, 25 * S, NULL);
--- a/src/test_libradishjunction/test_platform_calls.c
+++ b/src/test_libradishjunction/test_platform_calls.c
@@ -146,7 +146,7 @@
 	g_assert_cmpstr(f->path, ==, "/-/log-append keyed.jobs 8 3");
 	g_assert_cmpuint(f->reply.end, ==, 8);
 	g_assert_cmpint(append(f, 412, "{\"EndOffset\":9}"), ==,
-			RJ_CELL_STORE_BAD);
+			RJ_CELL_STORE_MALFORMED);
 	g_assert_cmpint(append(f, 409, "{\"Reason\":\"fenced\"}"), ==,
 			RJ_CELL_STORE_FENCED);
 	g_assert_cmpint(append(f, 409, "{\"Reason\":\"seq\"}"), ==,
@@ -154,7 +154,7 @@
 	g_assert_cmpint(append(f, 503, ""), ==, RJ_CELL_STORE_REFUSED);
 	g_assert_cmpint(append(f, 429, ""), ==, RJ_CELL_STORE_REFUSED);
 	g_assert_cmpint(append(f, 507, ""), ==, RJ_CELL_STORE_REFUSED);
-	g_assert_cmpint(append(f, 400, ""), ==, RJ_CELL_STORE_BAD);
+	g_assert_cmpint(append(f, 400, ""), ==, RJ_CELL_STORE_MALFORMED);
 }
 
 /*
@@ -189,12 +189,12 @@
 /* Expired records, a log that nobody has written, a body that is cut off. */
 static void test_answers_to_a_read(struct fixture *f, const void *data)
 {
-	g_assert_cmpint(read_once(f, 410), ==, RJ_CELL_STORE_GONE);
+	g_assert_cmpint(read_once(f, 410), ==, RJ_CELL_STORE_EXPIRED);
 	g_assert_cmpstr(f->path, ==, "/-/log-read keyed.op - -");
 	g_assert_cmpint(read_once(f, 404), ==, RJ_CELL_STORE_OK);
 	g_assert_cmpuint(f->reply.next, ==, 5);
 	g_assert_cmpint(read_once(f, 503), ==, RJ_CELL_STORE_REFUSED);
-	g_assert_cmpint(read_once(f, 200), ==, RJ_CELL_STORE_BAD);
+	g_assert_cmpint(read_once(f, 200), ==, RJ_CELL_STORE_MALFORMED);
 }
 
 /* Order one start, with an answer. */
@@ -210,7 +210,7 @@
 					    .deadline_ms = 10,
 					    .token = 3 };
 
-	worker.said.address = f->server.address;
+	worker.heartbeat.address = f->server.address;
 	f->script = (struct script){ status, body };
 	f->workers.workers.ops->start(
 		&f->workers.workers, &worker, &what,
@@ -231,18 +231,18 @@
 	g_assert_cmpint(start(f, 409, "{\"Reason\":\"fence\"}"), ==,
 			RJ_CELL_ORDER_FENCED);
 	g_assert_cmpint(start(f, 409, "{\"Reason\":\"old\"}"), ==,
-			RJ_CELL_ORDER_OLD);
+			RJ_CELL_ORDER_STALE);
 	g_assert_cmpint(start(f, 409, "{\"Reason\":\"late\"}"), ==,
-			RJ_CELL_ORDER_LATE);
+			RJ_CELL_ORDER_DEADLINE_PASSED);
 	g_assert_cmpint(start(f, 409, "{\"Reason\":\"room\"}"), ==,
-			RJ_CELL_ORDER_FULL);
+			RJ_CELL_ORDER_NO_CAPACITY);
 	g_assert_cmpint(start(f, 409, "{\"Reason\":\"ticket\"}"), ==,
-			RJ_CELL_ORDER_TICKET);
-	g_assert_cmpint(start(f, 421, ""), ==, RJ_CELL_ORDER_OTHER);
-	g_assert_cmpint(start(f, 503, ""), ==, RJ_CELL_ORDER_SICK);
-	g_assert_cmpint(start(f, 429, ""), ==, RJ_CELL_ORDER_SICK);
-	g_assert_cmpint(start(f, 400, "{}"), ==, RJ_CELL_ORDER_BAD);
-	g_assert_cmpint(start(f, 200, "<html>"), ==, RJ_CELL_ORDER_BAD);
+			RJ_CELL_ORDER_TICKET_INVALID);
+	g_assert_cmpint(start(f, 421, ""), ==, RJ_CELL_ORDER_OTHER_INCARNATION);
+	g_assert_cmpint(start(f, 503, ""), ==, RJ_CELL_ORDER_UNHEALTHY);
+	g_assert_cmpint(start(f, 429, ""), ==, RJ_CELL_ORDER_UNHEALTHY);
+	g_assert_cmpint(start(f, 400, "{}"), ==, RJ_CELL_ORDER_MALFORMED);
+	g_assert_cmpint(start(f, 200, "<html>"), ==, RJ_CELL_ORDER_MALFORMED);
 	g_assert_cmpint(start(f, 0, ""), ==, RJ_CELL_ORDER_LOST);
 	rj_http_server_finish(&f->server);
 	g_assert_cmpint(start(f, 200, "{}"), ==, RJ_CELL_ORDER_UNSENT);
--- a/src/test_libradishjunction/test_platform_wire.c
+++ b/src/test_libradishjunction/test_platform_wire.c
@@ -20,7 +20,7 @@
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error err;
-	struct rj_cell_def *def = platform_wire_job(
+	struct rj_cell_job_spec *job_spec = platform_wire_job(
 		mem,
 		bytes_of("{\"Spec\":\"x\",\"RepeatCount\":3,\"FirstRunMs\":5,"
 			 "\"IntervalMs\":7,\"New\":1,\"Steps\":[{\"Count\":4,"
@@ -34,23 +34,25 @@
 			 "\"Image\":\"i\",\"Speculative\":true}]}"),
 		&err);
 
-	g_assert_nonnull(def);
-	g_assert_cmpuint(def->step_count, ==, 2);
-	g_assert_cmpuint(def->task_count, ==, 24);
-	g_assert_cmpuint(def->repeats, ==, 3);
-	g_assert_cmpuint(def->first_run_ms, ==, 5);
-	g_assert_cmpuint(def->interval_ms, ==, 7);
-	g_assert_cmpuint(def->steps[0].each.accelerators, ==, 2);
-	g_assert_cmpuint(def->steps[0].each.cpu_milli, ==, 500);
-	g_assert_cmpstr(def->steps[0].rack, ==, "r1-3");
-	g_assert_cmpuint(def->steps[1].after[0], ==, 0);
-	g_assert_true(def->steps[1].gang && def->steps[1].one_rack &&
-		      def->steps[1].checkpoints && def->steps[1].perpetual &&
-		      def->steps[1].scavenges && def->steps[1].speculative);
-	g_assert_cmpstr(def->steps[1].label, ==, "a");
-	g_assert_cmpuint(def->steps[1].per_worker_max, ==, 2);
-	g_assert_cmpuint(def->steps[1].may_miss, ==, 1);
-	g_assert_cmpuint(def->steps[1].target_ms, ==, 40);
+	g_assert_nonnull(job_spec);
+	g_assert_cmpuint(job_spec->step_count, ==, 2);
+	g_assert_cmpuint(job_spec->task_count, ==, 24);
+	g_assert_cmpuint(job_spec->repeats, ==, 3);
+	g_assert_cmpuint(job_spec->first_run_ms, ==, 5);
+	g_assert_cmpuint(job_spec->interval_ms, ==, 7);
+	g_assert_cmpuint(job_spec->steps[0].each.accelerators, ==, 2);
+	g_assert_cmpuint(job_spec->steps[0].each.cpu_milli, ==, 500);
+	g_assert_cmpstr(job_spec->steps[0].rack, ==, "r1-3");
+	g_assert_cmpuint(job_spec->steps[1].after[0], ==, 0);
+	g_assert_true(job_spec->steps[1].gang && job_spec->steps[1].one_rack &&
+		      job_spec->steps[1].checkpoints &&
+		      job_spec->steps[1].perpetual &&
+		      job_spec->steps[1].scavenges &&
+		      job_spec->steps[1].speculative);
+	g_assert_cmpstr(job_spec->steps[1].label, ==, "a");
+	g_assert_cmpuint(job_spec->steps[1].per_worker_max, ==, 2);
+	g_assert_cmpuint(job_spec->steps[1].may_miss, ==, 1);
+	g_assert_cmpuint(job_spec->steps[1].target_ms, ==, 40);
 	talloc_free(mem);
 }
 
@@ -115,7 +117,7 @@
 	g_assert_nonnull(rj_cell_config_key(config, "k"));
 	g_assert_null(rj_cell_config_key(config, "K"));
 	g_assert_cmpuint(config->accounts[0].guaranteed_accelerators, ==, 72);
-	g_assert_true(rj_cell_config_guarded(config, "s"));
+	g_assert_true(rj_cell_config_enforces_limits(config, "s"));
 	talloc_free(mem);
 }
 
@@ -266,10 +268,10 @@
 	g_assert_cmpuint(reply.incarnation, ==, 17);
 	g_assert_cmpuint(reply.row_count, ==, 3);
 	g_assert_cmpuint(reply.rows[0].percent, ==, 41);
-	g_assert_cmpuint(reply.rows[0].figure, ==, 7);
+	g_assert_cmpuint(reply.rows[0].measurement, ==, 7);
 	g_assert_cmpstr(reply.rows[1].saved, ==, "");
-	g_assert_cmpint(reply.ends[0].end, ==, RJ_CELL_END_DONE);
-	g_assert_cmpint(reply.ends[1].end, ==, RJ_CELL_END_LOST);
+	g_assert_cmpint(reply.completions[0].end, ==, RJ_CELL_COMPLETION_DONE);
+	g_assert_cmpint(reply.completions[1].end, ==, RJ_CELL_COMPLETION_LOST);
 	g_assert_true(
 		platform_wire_order_reply(mem, "<html>", 6, &reply, reason));
 	talloc_free(mem);
