--- a/src/libradishjunction/cell/cell_log_reader.c
+++ b/src/libradishjunction/cell/cell_log_reader.c
@@ -34,56 +34,56 @@
 
 /* What one call remembers until its answer. */
 struct call {
-	struct rj_cell_log_reader *follow;
+	struct rj_cell_log_reader *reader;
 	uint32_t generation;
 	uint64_t sent_us;
 	uint64_t from;
 	bool quick;
 };
 
-static void send_read(struct rj_cell_log_reader *follow, bool quick);
-static void send_newest(struct rj_cell_log_reader *follow);
+static void send_read(struct rj_cell_log_reader *reader, bool quick);
+static void send_newest(struct rj_cell_log_reader *reader);
 
 /*
  * Prepare to follow a log. Nothing is read before rj_cell_log_reader_start.
  */
-void rj_cell_log_reader_init(struct rj_cell_log_reader *follow, void *mem,
+void rj_cell_log_reader_init(struct rj_cell_log_reader *reader, void *mem,
 			     struct rj_cell_store *store,
 			     enum rj_cell_topic topic,
 			     const struct rj_cell_log_reader_ops *ops,
 			     void *private_data)
 {
-	memset(follow, 0, sizeof(*follow));
-	follow->mem = mem;
-	follow->store = store;
-	follow->topic = topic;
-	follow->ops = ops;
-	follow->private_data = private_data;
-	rj_list_init(&follow->syncs);
+	memset(reader, 0, sizeof(*reader));
+	reader->mem = mem;
+	reader->store = store;
+	reader->topic = topic;
+	reader->ops = ops;
+	reader->private_data = private_data;
+	rj_list_init(&reader->syncs);
 }
 
 /* Remember one call. */
-static struct call *call_new(struct rj_cell_log_reader *follow, bool quick)
+static struct call *call_new(struct rj_cell_log_reader *reader, bool quick)
 {
-	struct call *call = talloc_zero(follow->mem, struct call);
+	struct call *call = talloc_zero(reader->mem, struct call);
 
 	assert(call);
-	call->follow = follow;
-	call->generation = follow->generation;
-	call->sent_us = follow->now_us;
-	call->from = follow->next;
+	call->reader = reader;
+	call->generation = reader->generation;
+	call->sent_us = reader->now_us;
+	call->from = reader->next;
 	call->quick = quick;
 	return call;
 }
 
 /* End the syncs that a read sent at `sent_us` speaks for. */
-static void end_syncs(struct rj_cell_log_reader *follow, uint64_t sent_us,
+static void end_syncs(struct rj_cell_log_reader *reader, uint64_t sent_us,
 		      bool reached)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	RJ_FOR_EACH (at, next, &follow->syncs) {
+	RJ_FOR_EACH (at, next, &reader->syncs) {
 		struct rj_cell_sync *sync =
 			RJ_CONTAINER(at, struct rj_cell_sync, link);
 
@@ -95,62 +95,62 @@
 }
 
 /* A read has failed: come back later, and say so once. */
-static void note_failure(struct rj_cell_log_reader *follow,
+static void note_failure(struct rj_cell_log_reader *reader,
 			 enum rj_cell_store_status status)
 {
 	uint64_t delay_us = RETRY_US
-			    << (follow->failures < 3 ? follow->failures : 3);
+			    << (reader->failures < 3 ? reader->failures : 3);
 
-	if (!follow->failures)
+	if (!reader->failures)
 		rj_note("log_lost",
 			RJ_NOTE_TEXT("log",
-				     rj_cell_topic_string[follow->topic]),
+				     rj_cell_topic_string[reader->topic]),
 			RJ_NOTE_TEXT("why",
 				     rj_cell_store_status_string[status]),
-			RJ_NOTE_NUMBER("from", follow->next),
+			RJ_NOTE_NUMBER("from", reader->next),
 			RJ_NOTE_AGE_MS("confirmed_ms",
 				       rj_cell_log_reader_age_us(
-					       follow, follow->now_us)));
-	follow->failures++;
+					       reader, reader->now_us)));
+	reader->failures++;
 	if (delay_us > RETRY_MAX_US)
 		delay_us = RETRY_MAX_US;
-	follow->due_us = follow->now_us + delay_us;
+	reader->due_us = reader->now_us + delay_us;
 }
 
 /* A read has succeeded after failures. */
-static void note_success(struct rj_cell_log_reader *follow)
+static void note_success(struct rj_cell_log_reader *reader)
 {
-	if (follow->failures)
+	if (reader->failures)
 		rj_note("log_regained",
 			RJ_NOTE_TEXT("log",
-				     rj_cell_topic_string[follow->topic]),
-			RJ_NOTE_NUMBER("failures", follow->failures));
-	follow->failures = 0;
-	follow->answered_us = follow->now_us;
+				     rj_cell_topic_string[reader->topic]),
+			RJ_NOTE_NUMBER("failures", reader->failures));
+	reader->failures = 0;
+	reader->answered_us = reader->now_us;
 }
 
 /* Hand on the records of a read that the follower has not seen yet; a long
  * poll and a quick read may bring the same ones. */
-static void take_records(struct rj_cell_log_reader *follow,
+static void take_records(struct rj_cell_log_reader *reader,
 			 const struct rj_cell_store_reply *reply)
 {
 	for (uint32_t i = 0; i < reply->count; i++) {
-		if (reply->records[i].offset < follow->next)
+		if (reply->records[i].offset < reader->next)
 			continue;
-		follow->next = reply->records[i].offset + 1;
-		follow->ops->record(follow->private_data, &reply->records[i]);
+		reader->next = reply->records[i].offset + 1;
+		reader->ops->record(reader->private_data, &reply->records[i]);
 	}
-	if (reply->next > follow->next)
-		follow->next = reply->next;
+	if (reply->next > reader->next)
+		reader->next = reply->next;
 }
 
 /* Load anew: the records from here on have expired. */
-static void reload(struct rj_cell_log_reader *follow)
+static void reload(struct rj_cell_log_reader *reader)
 {
 	rj_note("log_reload",
-		RJ_NOTE_TEXT("log", rj_cell_topic_string[follow->topic]),
-		RJ_NOTE_NUMBER("from", follow->next));
-	rj_cell_log_reader_start(follow, follow->now_us);
+		RJ_NOTE_TEXT("log", rj_cell_topic_string[reader->topic]),
+		RJ_NOTE_NUMBER("from", reader->next));
+	rj_cell_log_reader_start(reader, reader->now_us);
 }
 
 /* The answer to a read. */
@@ -158,43 +158,43 @@
 		      const struct rj_cell_store_reply *reply)
 {
 	struct call *call = private_data;
-	struct rj_cell_log_reader *follow = call->follow;
+	struct rj_cell_log_reader *reader = call->reader;
 	bool reached;
 
-	if (call->generation != follow->generation) {
+	if (call->generation != reader->generation) {
 		talloc_free(call);
 		return;
 	}
-	follow->now_us = reply->now_us;
+	reader->now_us = reply->now_us;
 	if (call->quick)
-		follow->quick_in_flight = false;
+		reader->quick_in_flight = false;
 	else
-		follow->poll_in_flight = false;
+		reader->poll_in_flight = false;
 	if (reply->status == RJ_CELL_STORE_EXPIRED) {
-		reload(follow);
+		reload(reader);
 	} else if (reply->status != RJ_CELL_STORE_OK) {
-		note_failure(follow, reply->status);
-		end_syncs(follow, call->sent_us, false);
+		note_failure(reader, reply->status);
+		end_syncs(reader, call->sent_us, false);
 	} else {
-		note_success(follow);
-		take_records(follow, reply);
-		reached = follow->next >= reply->end;
-		if (reached && call->sent_us > follow->confirmed_us)
-			follow->confirmed_us = call->sent_us;
+		note_success(reader);
+		take_records(reader, reply);
+		reached = reader->next >= reply->end;
+		if (reached && call->sent_us > reader->confirmed_us)
+			reader->confirmed_us = call->sent_us;
 		if (reached)
-			follow->caught_up = true;
+			reader->caught_up = true;
 		if (!call->quick)
-			follow->due_us =
-				reached ? follow->now_us + follow->pause_us :
-					  follow->now_us;
+			reader->due_us =
+				reached ? reader->now_us + reader->pause_us :
+					  reader->now_us;
 		if (reached)
-			end_syncs(follow, call->sent_us, true);
+			end_syncs(reader, call->sent_us, true);
 	}
-	follow->ops->progress(follow->private_data, follow);
+	reader->ops->progress(reader->private_data, reader);
 	/* Syncs that came while the quick read was on its way need another. */
-	if (call->quick && follow->state == RJ_CELL_LOG_READER_READING &&
-	    !follow->quick_in_flight && follow->syncs.next != &follow->syncs)
-		send_read(follow, true);
+	if (call->quick && reader->state == RJ_CELL_LOG_READER_READING &&
+	    !reader->quick_in_flight && reader->syncs.next != &reader->syncs)
+		send_read(reader, true);
 	talloc_free(call);
 }
 
@@ -203,109 +203,109 @@
 			const struct rj_cell_store_reply *reply)
 {
 	struct call *call = private_data;
-	struct rj_cell_log_reader *follow = call->follow;
+	struct rj_cell_log_reader *reader = call->reader;
 
-	if (call->generation != follow->generation) {
+	if (call->generation != reader->generation) {
 		talloc_free(call);
 		return;
 	}
-	follow->now_us = reply->now_us;
-	follow->poll_in_flight = false;
+	reader->now_us = reply->now_us;
+	reader->poll_in_flight = false;
 	if (reply->status != RJ_CELL_STORE_OK) {
-		note_failure(follow, reply->status);
-		end_syncs(follow, call->sent_us, false);
+		note_failure(reader, reply->status);
+		end_syncs(reader, call->sent_us, false);
 		talloc_free(call);
 		return;
 	}
-	note_success(follow);
+	note_success(reader);
 	/* Pages are read one after the other, while records are appended:
 	 * what the first page did not see is read from its end on. */
-	if (!follow->loaded_once)
-		follow->next = reply->end;
-	follow->loaded_once = true;
+	if (!reader->loaded_once)
+		reader->next = reply->end;
+	reader->loaded_once = true;
 	for (uint32_t i = 0; i < reply->count; i++)
-		follow->ops->record(follow->private_data, &reply->records[i]);
-	talloc_free(follow->after);
-	follow->after =
+		reader->ops->record(reader->private_data, &reply->records[i]);
+	talloc_free(reader->after);
+	reader->after =
 		reply->count ?
-			talloc_strdup(follow->mem,
+			talloc_strdup(reader->mem,
 				      reply->records[reply->count - 1].key) :
 			NULL;
 	if (!reply->more || !reply->count) {
-		follow->state = RJ_CELL_LOG_READER_READING;
-		if (follow->ops->load_end)
-			follow->ops->load_end(follow->private_data);
+		reader->state = RJ_CELL_LOG_READER_READING;
+		if (reader->ops->load_end)
+			reader->ops->load_end(reader->private_data);
 	}
-	follow->due_us = follow->now_us;
+	reader->due_us = reader->now_us;
 	talloc_free(call);
-	rj_cell_log_reader_tick(follow, follow->now_us);
+	rj_cell_log_reader_tick(reader, reader->now_us);
 }
 
 /* Ask for the next page of newest records. */
-static void send_newest(struct rj_cell_log_reader *follow)
+static void send_newest(struct rj_cell_log_reader *reader)
 {
 	struct rj_cell_store_done done = { newest_done,
-					   call_new(follow, false) };
+					   call_new(reader, false) };
 
-	follow->poll_in_flight = true;
-	follow->store->ops->newest(follow->store, follow->topic, follow->after,
+	reader->poll_in_flight = true;
+	reader->store->ops->newest(reader->store, reader->topic, reader->after,
 				   done);
 }
 
 /* Ask for what follows; a quick read does not wait for records. */
-static void send_read(struct rj_cell_log_reader *follow, bool quick)
+static void send_read(struct rj_cell_log_reader *reader, bool quick)
 {
-	struct rj_cell_store_done done = { read_done, call_new(follow, quick) };
-	uint32_t wait_ms = quick || !follow->caught_up ? 0 : follow->wait_ms;
+	struct rj_cell_store_done done = { read_done, call_new(reader, quick) };
+	uint32_t wait_ms = quick || !reader->caught_up ? 0 : reader->wait_ms;
 
 	if (quick)
-		follow->quick_in_flight = true;
+		reader->quick_in_flight = true;
 	else
-		follow->poll_in_flight = true;
-	follow->store->ops->read(follow->store, follow->topic, follow->next,
+		reader->poll_in_flight = true;
+	reader->store->ops->read(reader->store, reader->topic, reader->next,
 				 wait_ms, done);
 }
 
 /*
  * Begin, or begin anew, with the newest record of each key.
  */
-void rj_cell_log_reader_start(struct rj_cell_log_reader *follow,
+void rj_cell_log_reader_start(struct rj_cell_log_reader *reader,
 			      uint64_t now_us)
 {
-	rj_cell_log_reader_stop(follow);
-	follow->state = RJ_CELL_LOG_READER_LOADING;
-	if (follow->ops->load_begin)
-		follow->ops->load_begin(follow->private_data);
-	rj_cell_log_reader_tick(follow, now_us);
+	rj_cell_log_reader_stop(reader);
+	reader->state = RJ_CELL_LOG_READER_LOADING;
+	if (reader->ops->load_begin)
+		reader->ops->load_begin(reader->private_data);
+	rj_cell_log_reader_tick(reader, now_us);
 }
 
 /*
  * Stop reading. Answers still on their way are dropped, and waiting syncs
  * end without success.
  */
-void rj_cell_log_reader_stop(struct rj_cell_log_reader *follow)
+void rj_cell_log_reader_stop(struct rj_cell_log_reader *reader)
 {
-	follow->state = RJ_CELL_LOG_READER_IDLE;
-	follow->generation++;
-	follow->caught_up = false;
-	follow->loaded_once = false;
-	follow->poll_in_flight = false;
-	follow->quick_in_flight = false;
-	follow->due_us = 0;
-	TALLOC_FREE(follow->after);
-	end_syncs(follow, RJ_NEVER_US, false);
+	reader->state = RJ_CELL_LOG_READER_IDLE;
+	reader->generation++;
+	reader->caught_up = false;
+	reader->loaded_once = false;
+	reader->poll_in_flight = false;
+	reader->quick_in_flight = false;
+	reader->due_us = 0;
+	TALLOC_FREE(reader->after);
+	end_syncs(reader, RJ_NEVER_US, false);
 }
 
 /*
  * The log is known to end at `end` or later, from the answer to an append.
  */
-void rj_cell_log_reader_expect(struct rj_cell_log_reader *follow, uint64_t end,
+void rj_cell_log_reader_expect(struct rj_cell_log_reader *reader, uint64_t end,
 			       uint64_t now_us)
 {
-	if (end <= follow->known_end)
+	if (end <= reader->known_end)
 		return;
-	follow->known_end = end;
-	follow->known_us = now_us;
+	reader->known_end = end;
+	reader->known_us = now_us;
 }
 
 /*
@@ -314,58 +314,58 @@
  * Load that it answers: a store that wakes no long poll for a second while it
  * drops its history.
  */
-static void catch_up(struct rj_cell_log_reader *follow)
+static void catch_up(struct rj_cell_log_reader *reader)
 {
-	if (follow->state != RJ_CELL_LOG_READER_READING ||
-	    follow->quick_in_flight || follow->next >= follow->known_end ||
-	    follow->now_us < follow->known_us + LAG_US)
+	if (reader->state != RJ_CELL_LOG_READER_READING ||
+	    reader->quick_in_flight || reader->next >= reader->known_end ||
+	    reader->now_us < reader->known_us + LAG_US)
 		return;
-	follow->known_us = follow->now_us;
-	send_read(follow, true);
+	reader->known_us = reader->now_us;
+	send_read(reader, true);
 }
 
 /*
  * Send what is due.
  */
-void rj_cell_log_reader_tick(struct rj_cell_log_reader *follow, uint64_t now_us)
+void rj_cell_log_reader_tick(struct rj_cell_log_reader *reader, uint64_t now_us)
 {
-	follow->now_us = now_us;
-	catch_up(follow);
-	if (follow->state == RJ_CELL_LOG_READER_IDLE || now_us < follow->due_us)
+	reader->now_us = now_us;
+	catch_up(reader);
+	if (reader->state == RJ_CELL_LOG_READER_IDLE || now_us < reader->due_us)
 		return;
-	if (follow->poll_in_flight)
+	if (reader->poll_in_flight)
 		return;
-	if (follow->state == RJ_CELL_LOG_READER_LOADING)
-		send_newest(follow);
+	if (reader->state == RJ_CELL_LOG_READER_LOADING)
+		send_newest(reader);
 	else
-		send_read(follow, false);
+		send_read(reader, false);
 }
 
 /*
  * Call sync->done once all that had been appended by now is known. The
  * caller keeps `sync` until then, or removes its link from the list.
  */
-void rj_cell_log_reader_sync(struct rj_cell_log_reader *follow,
+void rj_cell_log_reader_sync(struct rj_cell_log_reader *reader,
 			     struct rj_cell_sync *sync, uint64_t now_us)
 {
-	follow->now_us = now_us;
+	reader->now_us = now_us;
 	sync->since_us = now_us;
 	rj_list_init(&sync->link);
-	rj_list_append(&follow->syncs, &sync->link);
-	if (follow->state == RJ_CELL_LOG_READER_READING &&
-	    !follow->quick_in_flight)
-		send_read(follow, true);
+	rj_list_append(&reader->syncs, &sync->link);
+	if (reader->state == RJ_CELL_LOG_READER_READING &&
+	    !reader->quick_in_flight)
+		send_read(reader, true);
 }
 
 /*
  * How old the knowledge of the log is: all that was appended longer ago has
  * been handed on. RJ_NEVER_US when nothing is known.
  */
-uint64_t rj_cell_log_reader_age_us(const struct rj_cell_log_reader *follow,
+uint64_t rj_cell_log_reader_age_us(const struct rj_cell_log_reader *reader,
 				   uint64_t now_us)
 {
-	if (!follow->confirmed_us)
+	if (!reader->confirmed_us)
 		return RJ_NEVER_US;
-	return now_us > follow->confirmed_us ? now_us - follow->confirmed_us :
+	return now_us > reader->confirmed_us ? now_us - reader->confirmed_us :
 					       0;
 }
--- a/src/libradishjunction/cell/cell_metrics.c
+++ b/src/libradishjunction/cell/cell_metrics.c
@@ -22,17 +22,17 @@
 }
 
 /* How old the knowledge of a log is, in milliseconds. */
-static void age(GString *text, const struct rj_cell_log_reader *follow,
+static void age(GString *text, const struct rj_cell_log_reader *reader,
 		uint64_t now_us)
 {
-	uint64_t age_us = rj_cell_log_reader_age_us(follow, now_us);
+	uint64_t age_us = rj_cell_log_reader_age_us(reader, now_us);
 	int64_t age_ms = age_us == RJ_NEVER_US ?
 				 UNKNOWN_AGE :
 				 (int64_t)(age_us / RJ_US_PER_MS);
 
 	g_string_append_printf(
 		text, "radishjunction_log_age_ms{log=\"%s\"} %" PRId64 "\n",
-		rj_cell_topic_string[follow->topic], age_ms);
+		rj_cell_topic_string[reader->topic], age_ms);
 }
 
 /* What clients were answered. */
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -79,7 +79,7 @@
 }
 
 /* Nothing more to do when a read has ended. */
-static void no_progress(void *private_data, struct rj_cell_log_reader *follow)
+static void no_progress(void *private_data, struct rj_cell_log_reader *reader)
 {
 }
 
@@ -346,14 +346,14 @@
 }
 
 /* A read of the jobs has ended: see who owns the cell now. */
-static void jobs_progress(void *private_data, struct rj_cell_log_reader *follow)
+static void jobs_progress(void *private_data, struct rj_cell_log_reader *reader)
 {
 	struct rj_cell_node *node = private_data;
 
-	node->now_us = follow->now_us;
+	node->now_us = reader->now_us;
 	if (is_owner(node) && node->owner.token != node->ownership.token)
 		step_down(node, "superseded");
-	else if (!is_owner(node) && follow->caught_up && is_ours(node) &&
+	else if (!is_owner(node) && reader->caught_up && is_ours(node) &&
 		 !node->draining)
 		begin_takeover(node);
 }
--- a/src/libradishjunction/include/private/cell_active_job.h
+++ b/src/libradishjunction/include/private/cell_active_job.h
@@ -1,24 +1,24 @@
 /*
- * The work of a cell as its owner knows it: jobs, their occurrences, tasks,
- * and the runs of tasks on workers.
+ * Active jobs of a cell as its owner keeps them: jobs, their occurrences and
+ * tasks, and the runs of tasks on workers.
  *
- * A job's work is a talloc tree below its own context. Whoever frees a run
- * takes it out of its worker's and its task's list first, with
- * `rj_cell_run_free`. The owner alone writes any of this.
+ * Occurrences and tasks are talloc children of their job. Runs are freed with
+ * `rj_cell_run_free`, which unlinks them from the worker and the task. Only the
+ * owner modifies these objects.
  */
-#ifndef RADISHJUNCTION_PRIVATE_CELL_WORK_H
-#define RADISHJUNCTION_PRIVATE_CELL_WORK_H
+#ifndef RADISHJUNCTION_PRIVATE_CELL_ACTIVE_JOB_H
+#define RADISHJUNCTION_PRIVATE_CELL_ACTIVE_JOB_H
 
 #include <glib.h>
 
 #include "private/cell_job_spec.h"
 #include "private/list.h"
 
-/* Long enough for what workers name a saved state, with the zero. */
-#define RJ_CELL_CHECKPOINT_NAME_BYTES 40
+/* Longest checkpoint name that a worker reports, with the terminating zero. */
+#define RJ_CELL_CHECKPOINT_BYTES 40
 
 enum rj_cell_job_state {
-	RJ_CELL_JOB_QUEUED, /* accepted, nothing has started */
+	RJ_CELL_JOB_QUEUED, /* accepted, no task has started */
 	RJ_CELL_JOB_RUNNING,
 	RJ_CELL_JOB_COMPLETED,
 	RJ_CELL_JOB_FAILED,
@@ -30,20 +30,20 @@
 
 enum rj_cell_run_state {
 	RJ_CELL_RUN_INTENDED, /* its record is not stored yet */
-	RJ_CELL_RUN_STARTING, /* the order is on its way */
-	RJ_CELL_RUN_PLACED, /* the worker has taken the order */
-	RJ_CELL_RUN_LISTED, /* the worker has listed it */
-	RJ_CELL_RUN_STOPPING, /* to be stopped; its room is still taken */
+	RJ_CELL_RUN_STARTING, /* the start order is in flight */
+	RJ_CELL_RUN_PLACED, /* the worker accepted the order */
+	RJ_CELL_RUN_LISTED, /* the worker reported it in a poll */
+	RJ_CELL_RUN_STOPPING, /* to be stopped; its resources stay allocated */
 	RJ_CELL_RUN_STATE_COUNT
 };
 
-/* Up to so many times its objective a job is late; after that its caller has
- * no use for it. */
+/* A job is late up to this multiple of its objective; a later result is of no
+ * use to the caller. */
 #define RJ_CELL_LATE_FACTOR 3
 
 extern const char *const rj_cell_run_state_string[RJ_CELL_RUN_STATE_COUNT];
 
-/* Priorities are counted apart up to this; the rest together. */
+/* Priorities from the last class on are counted together. */
 #define RJ_CELL_PRIORITY_CLASSES 3
 
 struct rj_cell_worker;
@@ -54,94 +54,96 @@
 	struct rj_list in_worker;
 	struct rj_list in_task;
 	struct rj_cell_worker *worker;
-	struct rj_cell_task *task; /* NULL: of a job that is not known */
-	char *name; /* as the worker lists it */
+	struct rj_cell_task *task; /* NULL: its job is unknown */
+	char *name; /* as the worker reports it */
 	uint32_t number; /* rises with each start of the task */
 	enum rj_cell_run_state state;
 	struct rj_cell_demand allocated;
-	bool adopted; /* begun by a former owner, nobody here knows when */
-	bool recording; /* its record is on its way into the log */
-	/* When the last order was answered for good: a list that was asked for
-	 * later tells whether the run is there. 0: not yet. */
+	bool adopted; /* started by an earlier owner at an unknown time */
+	bool recording; /* its record is being appended */
+	/* When the last order got its final answer; polls sent later show
+	 * whether the run exists. 0: not yet. */
 	uint64_t settled_us;
-	bool start_in_flight; /* a call to start it is on its way */
+	bool start_in_flight;
 	bool stop_in_flight;
 	uint32_t order_tries;
-	uint64_t
-		order_due_us; /* when to send the next; rj_cell_run_schedule_order */
-	uint64_t placed_us; /* when it was placed */
+	/* When to send the next order, see rj_cell_run_schedule_order */
+	uint64_t order_due_us;
+	uint64_t placed_us; /* when the worker accepted it */
 	uint32_t percent;
-	uint64_t listed_us; /* when the worker said so */
-	uint64_t progress_us; /* when the percentage last rose */
-	uint64_t slow_us; /* since when it has been over its bound, or 0 */
-	char checkpoint
-		[RJ_CELL_CHECKPOINT_NAME_BYTES]; /* it started from this */
-	char saved[RJ_CELL_CHECKPOINT_NAME_BYTES]; /* what it has saved since */
-	uint64_t
-		ended_by_us; /* its gang has ended, and by then so has it; 0: no */
-	bool victim; /* in the trial that is being made, it would be stopped */
-	const char *why; /* it is being stopped, for the log */
-	char *ticket; /* of an outside policy, or NULL */
+	uint64_t listed_us; /* of the last progress report */
+	uint64_t progress_us; /* when `percent` last rose */
+	uint64_t slow_us; /* over its latency target since then; 0: it is not */
+	char checkpoint[RJ_CELL_CHECKPOINT_BYTES]; /* restored at its start */
+	char saved[RJ_CELL_CHECKPOINT_BYTES]; /* last one saved by this run */
+	/* After its gang ended: this run has ended by then; 0: not set */
+	uint64_t ended_by_us;
+	bool victim; /* preempted in the current tentative placement */
+	const char *why; /* reason for the stop, for the log */
+	char *ticket; /* from the placement policy, or NULL */
 };
 
-/* One task of one occurrence. */
 struct rj_cell_task {
 	struct rj_cell_occurrence *occurrence;
 	uint32_t step;
 	uint32_t index; /* within the step */
 	bool done;
-	uint32_t run; /* the highest run number that was used */
-	uint32_t failures; /* runs that ended failed; a gang's: of its head */
-	uint32_t unreported; /* runs of a gang whose ends nobody has listed */
-	uint32_t unreported_run; /* the last of them */
-	uint64_t unreported_until_us; /* then they count no more */
-	uint32_t failed_run; /* the last of them */
-	uint32_t losses; /* runs that ended for other causes */
-	char checkpoint[RJ_CELL_CHECKPOINT_NAME_BYTES];
+	uint32_t run; /* highest run number used */
+	uint32_t failures; /* failed runs; for a gang, kept on its first task */
+	/* gang: failed runs whose completions no worker has reported yet */
+	uint32_t unreported;
+	uint32_t unreported_run; /* last such run */
+	uint64_t unreported_until_us; /* not counted after this */
+	uint32_t failed_run; /* last failed run */
+	uint32_t losses; /* runs that ended for other reasons */
+	char checkpoint[RJ_CELL_CHECKPOINT_BYTES];
 	struct rj_list runs;
-	uint64_t waiting_us; /* since when it waits, once its turn has come */
+	uint64_t waiting_us; /* ready to run, but not running, since then */
 	uint64_t not_before_us;
-	bool planned; /* the plan that is being made starts it */
-	uint64_t preemption_due_us; /* of work to stop for it; of its gang */
-	char avoid[RJ_NAME_BYTES]; /* the worker of its last failure, */
-	uint64_t avoid_until_us; /* for a while */
+	bool planned; /* the current plan starts it */
+	/* Next search for runs to preempt for it or its gang */
+	uint64_t preemption_due_us;
+	char avoid[RJ_NAME_BYTES]; /* worker of its last failure */
+	uint64_t avoid_until_us; /* `avoid` applies until then */
 };
 
 struct rj_cell_occurrence {
 	struct rj_list link; /* in the job */
 	struct rj_cell_job *job;
-	uint32_t number; /* the occurrence, from 0 */
-	struct rj_cell_task *tasks; /* of all steps, in their order */
-	uint32_t *left; /* of each step: tasks that are not done */
+	uint32_t number; /* index of the occurrence, from 0 */
+	struct rj_cell_task *tasks; /* of all steps, in order */
+	uint32_t *left; /* per step: tasks that are not done */
 	uint32_t steps_left;
-	/* Of each step, what an outside policy has said of workers; NULL where
-	 * it was not asked. See cell_advice.h. */
+	/* Per step, the placement policy's answers by worker; NULL if it was
+	 * not asked. See cell_advice.h. */
 	GHashTable **policy_decisions;
-	bool closed; /* all its tasks are done; runs may still be listed */
+	bool closed; /* all tasks are done; runs may still be reported */
 };
 
-/* One job that has not ended. */
+/* A job that has not ended. */
 struct rj_cell_job {
 	struct rj_list link; /* in the owner's list */
-	const struct rj_cell_job_spec *job_spec; /* owned by the job's entry */
+	/* Owned by the job's view entry */
+	const struct rj_cell_job_spec *job_spec;
 	enum rj_cell_job_state state;
-	bool cancelled; /* asked for; its runs are being stopped */
+	bool cancelled; /* cancellation requested; its runs are being stopped */
 	bool dirty; /* has changes that are not stored */
-	struct rj_list in_dirty; /* in the owner's list of these */
-	bool started; /* some task has begun */
-	bool guaranteed; /* its account has a right to the room, as planned */
+	struct rj_list in_dirty; /* in the owner's list of dirty jobs */
+	bool started; /* a task has started */
+	/* Within its account's guarantee, according to the plan */
+	bool guaranteed;
 	uint32_t occurrences_begun;
 	uint32_t occurrences_done;
-	struct rj_list occurrences; /* begun and not done */
-	uint64_t accepted_us; /* by this node's clock, about */
-	uint64_t objective_us; /* when it should have ended */
-	uint64_t late_us; /* when it is of no use any more */
-	/* What its end is explained by. */
-	uint64_t
-		first_start_us; /* its first start; 0: not yet, or by a former owner */
-	uint32_t runs_lost; /* that ended otherwise than done */
-	bool split; /* a gang that had better be in one rack was not */
-	void *entry; /* of the view */
+	struct rj_list occurrences; /* started and not done */
+	uint64_t accepted_us; /* by this node's clock, approximate */
+	uint64_t objective_us; /* when it should complete */
+	uint64_t late_us; /* its result is of no use after this */
+	/* Reported in the log when the job ends. */
+	/* 0: not started, or started by an earlier owner */
+	uint64_t first_start_us;
+	uint32_t runs_lost; /* runs that ended without completing their task */
+	bool split; /* a gang that prefers one rack was placed on several */
+	void *entry; /* its view entry */
 };
 
 struct rj_cell_job *rj_cell_job_new(void *mem,
--- a/src/libradishjunction/include/private/cell_advice.h
+++ b/src/libradishjunction/include/private/cell_advice.h
@@ -1,12 +1,12 @@
 /*
- * Which workers an outside policy allows to run the steps of a queue, and the
- * tickets that it gives for them.
+ * Placement policy: an external service that decides which workers may run the
+ * steps of some queues, and issues tickets for them.
  *
- * The policy's answer for a worker and a step does not change while that
- * worker lives; a ticket is good for a while and is asked for again. An owner
- * has one question open at a time, as the policy answers each instance in
- * turn. Life cycle: opinions belong to an occurrence and go with it; a new
- * owner asks anew.
+ * A decision for a worker and a step holds for that incarnation of the worker;
+ * a ticket expires and is requested again. An owner has one request in flight,
+ * because the policy serves the requests of an instance one at a time.
+ * Decisions belong to an occurrence and are freed with it; a new owner requests
+ * them again.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_ADVICE_H
 #define RADISHJUNCTION_PRIVATE_CELL_ADVICE_H
@@ -15,23 +15,23 @@
 
 #include "private/cell_fleet.h"
 
-/* Long enough for what the policy calls a ticket, with the zero. */
+/* Longest ticket of the policy, with the terminating zero. */
 #define RJ_CELL_TICKET_BYTES 64
-/* Workers in one question: users reckon a job's objective with so many. */
+/* Workers in one request: the number on which users base a job's objective. */
 #define RJ_CELL_ADVICE_WORKERS 30
 
-/* One worker that may run the step. */
+/* A worker that may run the step, and its ticket. */
 struct rj_cell_ticket {
 	const char *worker;
 	const char *ticket;
 };
 
 struct rj_cell_advice_reply {
-	bool answered; /* false: nothing is known; ask again later */
-	uint64_t now_us; /* when the answer came, by the node's clock */
+	bool answered; /* false: nothing is known; retry later */
+	uint64_t now_us; /* when the answer arrived, by the node's clock */
 	const struct rj_cell_ticket *tickets;
 	uint32_t count;
-	uint32_t valid_ms; /* of the tickets */
+	uint32_t valid_ms; /* lifetime of the tickets */
 };
 
 struct rj_cell_advice_done {
@@ -43,14 +43,14 @@
 struct rj_cell_advisor;
 
 struct rj_cell_advisor_ops {
-	/* Ends in exactly one call of `done`, never before it has returned. */
+	/* Calls `done` exactly once, and not before it has returned. */
 	void (*ask)(struct rj_cell_advisor *advisor, const char *step,
 		    const char *const *workers, uint32_t count,
 		    struct rj_cell_advice_done done);
 };
 
 struct rj_cell_advisor {
-	const struct rj_cell_advisor_ops *ops; /* first member, always */
+	const struct rj_cell_advisor_ops *ops; /* must be the first member */
 };
 
 struct rj_cell_owner;
--- a/src/libradishjunction/include/private/cell_config.h
+++ b/src/libradishjunction/include/private/cell_config.h
@@ -1,10 +1,8 @@
 /*
- * The configuration that operators publish, as the cells use it: queues,
- * services and client accounts.
+ * Configuration published by operators: queues, services and client accounts.
  *
- * An adapter makes one whole value for each version, a talloc tree; the node
- * replaces the former by it and frees that. Versions only rise in one run of
- * a process.
+ * An adapter creates one talloc tree per version; the node replaces and frees
+ * the previous one. Versions only rise while a process runs.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_CONFIG_H
 #define RADISHJUNCTION_PRIVATE_CELL_CONFIG_H
@@ -20,14 +18,15 @@
 	uint32_t attempts_max;
 	uint32_t stretch_milli;
 	uint32_t latency_ms;
-	uint32_t timeout_ms; /* a caller's call, at most */
+	uint32_t timeout_ms; /* upper limit for a caller's wait */
 	bool open; /* needs no key */
-	bool advised; /* an outside policy says which workers may run it */
+	/* A placement policy decides which workers may run its jobs */
+	bool advised;
 };
 
 struct rj_cell_service {
 	char name[RJ_NAME_BYTES];
-	bool enforces_limits; /* its workers refuse what does not fit */
+	bool enforces_limits; /* its workers reject tasks that do not fit */
 };
 
 struct rj_cell_account {
--- a/src/libradishjunction/include/private/cell_fleet.h
+++ b/src/libradishjunction/include/private/cell_fleet.h
@@ -1,10 +1,10 @@
 /*
- * The workers of a cell as its owner knows them: who they are, what they
- * have, what runs on them and until when they may go on without us.
+ * Workers of a cell as its owner tracks them: identity, capacity, runs, and the
+ * time until which they may run without contact to the owner.
  *
- * Life cycle: `rj_cell_fleet_init`; workers come from the workers' log or
- * from the record of a run, and stay until they are gone and hold nothing.
- * `rj_cell_fleet_finish` frees all.
+ * Workers are created from the workers' log or from the record of a run, and
+ * stay until they are deregistered and have no runs. `rj_cell_fleet_finish`
+ * frees all of them.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_FLEET_H
 #define RADISHJUNCTION_PRIVATE_CELL_FLEET_H
@@ -15,104 +15,110 @@
 #include "private/cell_cordon.h"
 #include "private/cell_active_job.h"
 
-/* What a worker says of itself in the workers' log. */
+/* What a worker reports about itself in the workers' log. */
 struct rj_cell_heartbeat {
 	char service[RJ_NAME_BYTES];
 	struct rj_address address;
 	char domain[RJ_NAME_BYTES]; /* failure domain */
 	bool draining;
-	uint32_t drain_left_ms; /* it stays for so long at least; 0: unknown */
-	uint32_t cold_left_ms; /* it stays slow for so long after its start */
+	uint32_t drain_left_ms; /* minimum time until it leaves; 0: unknown */
+	/* It runs slowly for this long after its start */
+	uint32_t cold_left_ms;
 	struct rj_cell_demand capacity;
-	char kind[RJ_NAME_BYTES]; /* a label that steps may ask for */
+	char kind[RJ_NAME_BYTES]; /* label that steps may require */
 	char rack[RJ_NAME_BYTES];
-	uint64_t incarnation; /* differs in each life of the worker */
-	uint64_t clock_ms; /* its clock when it said so; 0: not said */
+	uint64_t incarnation; /* differs after each restart of the worker */
+	uint64_t clock_ms; /* its clock when it wrote this; 0: not reported */
 };
 
-/* How an owner keeps an eye on a worker; see rj_cell_polls_tick. */
+/* Polling state of a worker; see rj_cell_polls_tick. */
 enum rj_cell_poll_state {
-	RJ_CELL_POLL_STATE_BUSY, /* it holds runs, or ends that are not stored */
-	RJ_CELL_POLL_STATE_IDLE, /* it waits for its turn to be polled */
-	RJ_CELL_POLL_STATE_UNREACHABLE, /* idle, and its last poll was not answered */
-	RJ_CELL_POLL_STATE_POLLING, /* a poll at an idle worker is on its way */
+	/* Has runs, or completions that are not stored */
+	RJ_CELL_POLL_STATE_BUSY,
+	RJ_CELL_POLL_STATE_IDLE, /* waits for its next poll */
+	/* idle, and its last poll was not answered */
+	RJ_CELL_POLL_STATE_UNREACHABLE,
+	RJ_CELL_POLL_STATE_POLLING, /* idle, with a poll in flight */
 	RJ_CELL_POLL_STATE_COUNT
 };
 
 struct rj_cell_fleet;
 struct rj_cell_room;
 
-/* The workers of one rack that have said so. */
+/* A rack and the workers that reported it. */
 struct rj_cell_rack {
 	char name[RJ_NAME_BYTES];
 	struct rj_list workers;
 };
 
-/* The failure domain of some workers. */
+/* A failure domain. */
 struct rj_cell_domain {
 	char name[RJ_NAME_BYTES];
-	bool cordoned; /* by operators: nothing starts there */
-	uint64_t answered_us; /* when a worker there last answered */
-	uint64_t lost_call_us; /* when the last call that was lost was sent */
-	/* In the present plan. */
-	uint32_t urgent; /* accelerators of urgent work */
-	uint32_t racks; /* with workers that may get work */
+	bool cordoned; /* by operators: no task starts there */
+	uint64_t answered_us; /* last answer of any of its workers */
+	uint64_t lost_call_us; /* when the latest lost call was sent */
+	/* For the current plan: */
+	uint32_t urgent; /* accelerators of urgent jobs */
+	uint32_t racks; /* racks with workers that may get tasks */
 };
 
 struct rj_cell_worker {
 	struct rj_list link; /* in the fleet */
 	struct rj_cell_fleet *fleet;
-	struct rj_cell_rack *rack; /* NULL until it has said which */
+	struct rj_cell_rack *rack; /* NULL until it is reported */
 	struct rj_list in_rack;
-	struct rj_cell_room *room; /* in the plan that is being made */
+	struct rj_cell_room *room; /* in the current plan */
 	enum rj_cell_poll_state poll_state;
-	struct rj_list in_poll_state; /* in the fleet's list of its watch */
+	/* In the fleet's list for its poll state */
+	struct rj_list in_poll_state;
 	struct rj_list in_ordered; /* in the fleet's list, if an order is due */
-	struct rj_list in_unstored; /* ... if ends are not stored */
+	struct rj_list in_unstored; /* ... if completions are not stored */
 	char id[RJ_NAME_BYTES];
 	struct rj_cell_heartbeat heartbeat;
-	const char *service; /* that it named, interned */
-	bool listed; /* its entry stands in the log */
+	const char *service; /* from its heartbeat, interned */
+	bool listed; /* its log entry exists */
 	uint64_t written_us; /* the entry was written after this; 0: unknown */
-	uint64_t departure_us; /* it may leave from then on; 0: not said */
-	uint64_t cold_until_us; /* it is slow until then */
-	uint64_t
-		deregistered_us; /* it deregistered before this; 0: it has not */
+	uint64_t departure_us; /* it may leave from then on; 0: not announced */
+	uint64_t cold_until_us; /* it runs slowly until then */
+	/* It deregistered before this; 0: it has not */
+	uint64_t deregistered_us;
 	uint64_t incarnation; /* that answered last; 0: none yet */
 	bool answers; /* the last call to it was answered */
-	uint64_t answered_us; /* any call */
-	struct rj_cell_domain *domain; /* NULL until it has said which */
-	bool probe_in_flight; /* a call that tests the path is on its way */
-	/* Its clock, as read from the last answer. */
+	uint64_t answered_us; /* last answer to any call */
+	struct rj_cell_domain *domain; /* NULL until it is reported */
+	/* A call that tests the network path is in flight */
+	bool probe_in_flight;
+	/* The worker's clock, as of its last answer. */
 	uint64_t clock_ms;
 	uint64_t clock_at_us;
-	/* The latest deadline that was sent, by its clock; what runs there
-	 * ends then, unless it is renewed. */
+	/* Latest deadline sent, by the worker's clock; its runs end then unless
+	 * the lease is renewed. */
 	uint64_t lease_ms;
-	uint64_t
-		lease_expired_us; /* nothing runs there after this, if silent */
-	uint64_t abandoned_us; /* when its runs were, as that passed; or 0 */
-	bool poll_in_flight; /* a call for its lists is on its way */
+	/* If unreachable, no run remains there after this */
+	uint64_t lease_expired_us;
+	/* When its runs were abandoned after lease_expired_us; 0: never */
+	uint64_t abandoned_us;
+	bool poll_in_flight;
 	uint64_t poll_due_us;
 	uint32_t poll_failures;
-	uint64_t stored_position; /* ends up to this number are stored */
-	uint64_t applied_position; /* ... are noted in memory */
-	uint64_t storing_position; /* ... are in the append on its way */
-	uint64_t
-		acknowledged_position; /* ... may have been forgotten by the worker */
+	/* Completions up to this position are stored */
+	uint64_t stored_position;
+	uint64_t applied_position; /* ... are applied in memory */
+	uint64_t storing_position; /* ... are in the append in flight */
+	/* ... may have been discarded by the worker */
+	uint64_t acknowledged_position;
 	struct rj_list runs;
 	struct rj_cell_demand allocated; /* by all runs */
-	/* By runs of jobs, by their priority. */
+	/* By runs of known jobs, per priority class. */
 	struct rj_cell_demand allocated_by_class[RJ_CELL_PRIORITY_CLASSES];
-	uint32_t
-		latency_runs; /* runs that serve users of their own, with a bound */
-	uint32_t other_runs; /* all others */
-	uint64_t
-		exclusive_until_us; /* nothing is put beside what serves there */
-	/* Health, from what happened there. */
-	uint32_t bad_streak; /* runs in a row that failed or stood still */
+	uint32_t latency_runs; /* runs with a latency target */
+	uint32_t other_runs; /* all other runs */
+	/* No run is placed next to its latency-bound runs until then */
+	uint64_t exclusive_until_us;
+	/* Health, derived from the runs on it. */
+	uint32_t bad_streak; /* consecutive runs that failed or stalled */
 	uint64_t suspect_until_us;
-	uint64_t healthy_us; /* what was started then did not fail early */
+	uint64_t healthy_us; /* a run started then did not fail early */
 };
 
 struct rj_cell_fleet {
@@ -120,17 +126,19 @@
 	GHashTable *by_id;
 	struct rj_list workers;
 	uint32_t count;
-	/* Each worker is in one; those of idle and silent in the order in
-	 * which they are to be polled. */
+	/* Each worker is in one list; idle and unreachable workers are in the
+	 * order in which they are polled. */
 	struct rj_list by_poll_state[RJ_CELL_POLL_STATE_COUNT];
-	struct rj_list ordered; /* workers with orders to be sent */
-	struct rj_list unstored; /* workers with ends that are not stored */
-	GPtrArray *racks; /* struct rj_cell_rack, by name */
+	struct rj_list ordered; /* workers with orders to send */
+	/* Workers with completions that are not stored */
+	struct rj_list unstored;
+	GPtrArray *racks; /* struct rj_cell_rack, sorted by name */
 	GPtrArray *domains; /* struct rj_cell_domain */
-	/* Of the operators, or NULL; the domains show its state as of the
-	 * last rj_cell_fleet_apply_cordons. */
+	/* Set by operators, or NULL; copied to the domains by
+	 * rj_cell_fleet_apply_cordons. */
 	const struct rj_cell_cordons *cordons;
-	uint64_t cordon_changes; /* of which the domains know */
+	/* Version of `cordons` that the domains have */
+	uint64_t cordon_changes;
 };
 
 void rj_cell_fleet_init(struct rj_cell_fleet *fleet, void *mem,
--- a/src/libradishjunction/include/private/cell_frontend.h
+++ b/src/libradishjunction/include/private/cell_frontend.h
@@ -1,14 +1,14 @@
 /*
- * Answers clients: a chain of filters decides on each call, from the
- * configuration and the view of the jobs, and what must last is stored
- * before it is acknowledged.
+ * Answers calls of clients from the configuration and the view of the jobs.
+ * Submissions and cancellations are stored in the log before they are
+ * acknowledged.
  *
- * Life cycle: `rj_cell_frontend_init`; `rj_cell_frontend_handle` for each call, which
- * ends in exactly one answer; a tick every few milliseconds;
- * `rj_cell_frontend_finish` answers what is open as unavailable.
+ * Each call passed to `rj_cell_frontend_handle` gets exactly one answer. Call
+ * `rj_cell_frontend_tick` every few milliseconds; `rj_cell_frontend_finish`
+ * answers all open calls as unavailable, or as unknown if a write is in flight.
  */
-#ifndef RADISHJUNCTION_PRIVATE_CELL_FRONT_H
-#define RADISHJUNCTION_PRIVATE_CELL_FRONT_H
+#ifndef RADISHJUNCTION_PRIVATE_CELL_FRONTEND_H
+#define RADISHJUNCTION_PRIVATE_CELL_FRONTEND_H
 
 #include "private/cell_config.h"
 #include "private/cell_contact.h"
@@ -19,7 +19,7 @@
 
 enum rj_cell_verb {
 	RJ_CELL_VERB_SUBMIT,
-	RJ_CELL_VERB_QUERY, /* for a job's state, or a queue's count */
+	RJ_CELL_VERB_QUERY, /* a job's state, or a queue's count */
 	RJ_CELL_VERB_CANCEL,
 	RJ_CELL_VERB_COUNT
 };
@@ -30,14 +30,15 @@
 	RJ_CELL_VERDICT_ACCEPTED, /* stored */
 	RJ_CELL_VERDICT_STATE,
 	RJ_CELL_VERDICT_PENDING,
-	RJ_CELL_VERDICT_CANCELLED, /* the wish is stored */
+	RJ_CELL_VERDICT_CANCELLED, /* the request is stored */
 	RJ_CELL_VERDICT_NO_QUEUE,
 	RJ_CELL_VERDICT_NO_JOB,
 	RJ_CELL_VERDICT_BAD_KEY,
 	RJ_CELL_VERDICT_MALFORMED,
-	RJ_CELL_VERDICT_BUSY, /* not accepted; come back later */
-	RJ_CELL_VERDICT_UNAVAILABLE, /* not accepted: something is out of reach */
-	RJ_CELL_VERDICT_UNKNOWN, /* it may have been accepted; ask again */
+	RJ_CELL_VERDICT_BUSY, /* not accepted; retry after the given delay */
+	/* Not accepted: a dependency is unavailable */
+	RJ_CELL_VERDICT_UNAVAILABLE,
+	RJ_CELL_VERDICT_UNKNOWN, /* may have been accepted; retry */
 	RJ_CELL_VERDICT_COUNT
 };
 
@@ -48,43 +49,44 @@
 	enum rj_cell_job_state state;
 	uint32_t pending;
 	uint32_t retry_after_ms;
-	const char *why; /* for the log and a person; never NULL */
+	const char *why; /* reason, for the log and for people; never NULL */
 };
 
-/* One call of a client. The adapter owns it until it has been answered. */
+/* A call of a client, owned by the adapter until it is answered. */
 struct rj_cell_call {
 	enum rj_cell_verb verb;
 	const char *host;
 	const char *path;
 	const char *key; /* or NULL */
 	struct rj_bytes body;
-	uint32_t wait_ms; /* so long the client waits; 0: not said */
+	uint32_t wait_ms; /* how long the client waits; 0: unknown */
 	uint64_t now_us;
 	uint64_t wall_ms;
 	void (*answer)(struct rj_cell_call *call,
 		       const struct rj_cell_answer *answer);
 };
 
-/* What stands under a key of the operators' log. */
+/* What a key of the operators' log stands for. */
 enum rj_cell_published {
 	RJ_CELL_PUBLISHED_CONFIG,
-	RJ_CELL_PUBLISHED_CORDON, /* of the failure domain that it names */
+	RJ_CELL_PUBLISHED_CORDON, /* of the failure domain in the key */
 	RJ_CELL_PUBLISHED_UNKNOWN,
 };
 
-/* What an adapter decodes for the front. */
+/* Decoders that an adapter provides. */
 struct rj_cell_codec {
-	/* What a key of the operators' log is for; of a cordon, `name` is the
-	 * failure domain, as a part of `key`. */
+	/* Classifies a key of the operators' log. For a cordon, `name` is set
+	 * to the failure domain, which points into `key`. */
 	enum rj_cell_published (*classify)(const char *key, const char **name);
-	/* A job out of a client's body, a talloc child of `mem`, with id and
-	 * terms left out; NULL with `err`. */
+	/* Decodes the body of a submission to a talloc child of `mem` without
+	 * id and queue terms. Returns NULL with `err` if it is malformed. */
 	struct rj_cell_job_spec *(*decode_job)(void *mem, struct rj_bytes body,
 					       struct rj_error *err);
-	/* A configuration, or NULL with `err`. */
+	/* Decodes a configuration. Returns NULL with `err` if it is
+	 * malformed. */
 	struct rj_cell_config *(*decode_config)(void *mem, struct rj_bytes text,
 						struct rj_error *err);
-	/* What a worker says of itself. Returns 0, or -1 with `err`. */
+	/* Decodes a worker's log entry. Returns 0, or -1 with `err`. */
 	int (*decode_worker)(struct rj_bytes text,
 			     struct rj_cell_heartbeat *heartbeat,
 			     struct rj_error *err);
@@ -102,10 +104,10 @@
 	struct rj_cell_log_reader *configs;
 	struct rj_cell_writer *writer;
 	const struct rj_cell_codec *codec;
-	const struct rj_cell_config *config; /* replaced by the node */
-	struct rj_cell_owner_heartbeat heartbeat; /* the newest of the owner */
-	uint64_t heartbeat_us; /* when it came; 0: none */
-	uint32_t revoke_ms; /* a key is good so long after its removal */
+	const struct rj_cell_config *config; /* set by the node */
+	struct rj_cell_owner_heartbeat heartbeat; /* newest one of the owner */
+	uint64_t heartbeat_us; /* when it was read; 0: none yet */
+	uint32_t revoke_ms; /* a removed key may be accepted for this long */
 	struct rj_cell_contact contact; /* with the log */
 	struct rj_list requests;
 	uint32_t open;
--- a/src/libradishjunction/include/private/cell_job_spec.h
+++ b/src/libradishjunction/include/private/cell_job_spec.h
@@ -1,24 +1,25 @@
 /*
- * A submitted job as the cells work on it: steps of equal tasks, what each
- * task needs, and the terms of the queue that it came through.
+ * Specification of a submitted job: steps of identical tasks, the resources of
+ * each task, and the terms of the queue that accepted it.
  *
- * A definition never changes once it is accepted. It is a talloc tree, made
- * by an adapter or by `rj_cell_job_spec_decode`, and freed with its parent.
+ * A spec does not change after its job is accepted. It is a talloc tree,
+ * created by an adapter or by `rj_cell_job_spec_decode`, and freed with its
+ * parent.
  */
-#ifndef RADISHJUNCTION_PRIVATE_CELL_JOB_H
-#define RADISHJUNCTION_PRIVATE_CELL_JOB_H
+#ifndef RADISHJUNCTION_PRIVATE_CELL_JOB_SPEC_H
+#define RADISHJUNCTION_PRIVATE_CELL_JOB_SPEC_H
 
 #include "radishjunction/error.h"
 #include "radishjunction/types.h"
 
-#define RJ_CELL_ID_BYTES 17 /* 16 hexadecimal digits and the zero */
-/* Bounds of one job; a job beyond them is refused as malformed. The widest
- * job of the users has 94 tasks a step and up to 4 steps. */
+#define RJ_CELL_ID_BYTES 17 /* 16 hexadecimal digits and the terminating zero */
+/* Limits of one job; a larger one is rejected as malformed. Jobs in use have up
+ * to 94 tasks a step and 4 steps. */
 #define RJ_CELL_STEPS_MAX 64
 #define RJ_CELL_TASKS_MAX 8192
 #define RJ_CELL_SPEC_MAX_BYTES 65536
 
-/* What one task takes of its worker. */
+/* Resources that one task takes on its worker. */
 struct rj_cell_demand {
 	uint32_t cpu_milli; /* thousandths of a core */
 	uint32_t memory_mb;
@@ -28,21 +29,22 @@
 struct rj_cell_step {
 	uint32_t task_count;
 	struct rj_cell_demand each;
-	uint32_t estimate_ms; /* the caller's guess of one task's run time */
-	uint32_t *after; /* earlier steps that must have ended */
+	uint32_t estimate_ms; /* the caller's estimate of a task's run time */
+	uint32_t *after; /* earlier steps that must complete first */
 	uint32_t after_count;
-	bool checkpoints; /* tasks save their progress */
-	bool gang; /* tasks run only all together */
-	bool one_rack; /* slower by a factor when on more than one rack */
-	bool speculative; /* copies may run side by side */
-	bool perpetual; /* runs until cancelled, restarted at each end */
-	bool scavenges; /* its cores are what others leave unused */
-	char label[RJ_NAME_BYTES]; /* that the worker must have, or "" */
-	char rack[RJ_NAME_BYTES]; /* where its data is, or "" */
-	uint32_t per_worker_max; /* tasks of the step on one worker; 0: any */
-	uint32_t may_miss; /* perpetual: how many may be away at once */
-	char image[RJ_NAME_BYTES]; /* what the tasks run, or "" */
-	uint32_t target_ms; /* perpetual: bound of the tail; 0: none */
+	bool checkpoints; /* tasks save checkpoints */
+	bool gang; /* all tasks run at the same time or none does */
+	bool one_rack; /* runs slower when spread over several racks */
+	bool speculative; /* a second copy of a task may run in parallel */
+	bool perpetual; /* runs until cancelled; restarted whenever it ends */
+	bool scavenges; /* uses only cores that other tasks leave idle */
+	char label[RJ_NAME_BYTES]; /* required label of the worker, or "" */
+	char rack[RJ_NAME_BYTES]; /* rack of its input data, or "" */
+	/* Tasks of this step on one worker; 0: no limit */
+	uint32_t per_worker_max;
+	uint32_t may_miss; /* perpetual: tasks that may be down at once */
+	char image[RJ_NAME_BYTES]; /* image that the tasks run, or "" */
+	uint32_t target_ms; /* perpetual: tail latency target; 0: none */
 };
 
 struct rj_cell_job_spec {
@@ -50,13 +52,15 @@
 	char queue[RJ_NAME_BYTES];
 	char service[RJ_NAME_BYTES]; /* whose workers run it */
 	char account[RJ_NAME_BYTES]; /* client account, or "" */
-	char *spec; /* handed to the workers as it came */
-	uint32_t priority; /* 0 comes first and may stop others */
-	uint32_t attempts_max; /* failed runs of one task */
-	uint32_t stretch_milli; /* objective, in thousandths of the chain */
+	char *spec; /* passed to the workers unchanged */
+	uint32_t priority; /* 0 is the highest and may preempt others */
+	uint32_t attempts_max; /* failed runs allowed per task */
+	/* objective, in thousandths of the critical path's duration */
+	uint32_t stretch_milli;
 	uint32_t latency_ms; /* added to the objective */
-	uint64_t accepted_ms; /* since 1970, by the clock of its entry */
-	uint64_t first_run_ms; /* since 1970; 0: at once */
+	/* Unix time, by the clock of the accepting instance */
+	uint64_t accepted_ms;
+	uint64_t first_run_ms; /* Unix time; 0: at once */
 	uint64_t interval_ms;
 	uint32_t repeats; /* occurrences; 0: runs once, at once */
 	struct rj_cell_step *steps;
--- a/src/libradishjunction/include/private/cell_metrics.h
+++ b/src/libradishjunction/include/private/cell_metrics.h
@@ -1,5 +1,5 @@
 /*
- * Counters, gauges and latency histograms of one node, as lines of text.
+ * Text exposition of one node's counters, gauges and latency histograms.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_METRICS_H
 #define RADISHJUNCTION_PRIVATE_CELL_METRICS_H
--- a/src/libradishjunction/include/private/cell_node.h
+++ b/src/libradishjunction/include/private/cell_node.h
@@ -1,11 +1,11 @@
 /*
- * One instance on a platform whose log keeps what must last: it follows the
- * configuration and the jobs, answers clients, and owns the cell when it is
- * its turn.
+ * One instance of the scheduler. It reads the configuration and the jobs from
+ * the platform's log, answers clients, and owns the cell when it has acquired
+ * it. All durable state is in the log.
  *
- * Life cycle: `rj_cell_node_init` with the adapters, `rj_cell_node_start`, a
- * tick every few milliseconds and `rj_cell_node_advance` after each other
- * event; `rj_cell_node_drain` when it is to stop; `rj_cell_node_finish`.
+ * After `rj_cell_node_init` and `rj_cell_node_start`, call
+ * `rj_cell_node_advance` every few milliseconds and after each other event;
+ * `rj_cell_node_drain` before a shutdown.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_NODE_H
 #define RADISHJUNCTION_PRIVATE_CELL_NODE_H
@@ -15,21 +15,22 @@
 
 struct rj_cell_node_options {
 	char name[RJ_NAME_BYTES];
-	uint64_t incarnation; /* differs in each life of the process */
-	uint32_t strength; /* hundredths of a core; the strongest own */
+	uint64_t incarnation; /* differs after each restart of the process */
+	/* Hundredths of a core; stronger instances are preferred as owner */
+	uint32_t strength;
 	struct rj_cell_terms terms;
 	struct rj_cell_store *store;
 	struct rj_cell_workers *workers;
-	struct rj_cell_advisor *advisor; /* NULL: there is none */
+	struct rj_cell_advisor *advisor; /* NULL: no placement policy */
 	const struct rj_cell_codec *codec;
 };
 
-/* The ownership of the cell, as the log shows it. */
+/* Ownership of the cell according to the log. */
 struct rj_cell_ownership {
-	bool known; /* some record has been read */
+	bool known; /* an ownership record has been read */
 	struct rj_cell_owner_record record;
 	uint64_t token; /* offset of the record, plus one */
-	uint64_t seen_us; /* when the owner was last seen to write */
+	uint64_t seen_us; /* last record written by the owner */
 };
 
 struct rj_cell_node {
@@ -40,20 +41,22 @@
 	struct rj_cell_view view;
 	struct rj_cell_log_reader jobs;
 	struct rj_cell_log_reader configs;
-	struct rj_cell_log_reader fleet; /* read by the owner alone */
-	struct rj_cell_writer writer; /* of what clients ask for */
+	/* Read only while this instance owns the cell */
+	struct rj_cell_log_reader fleet;
+	struct rj_cell_writer writer; /* of clients' requests */
 	struct rj_cell_frontend front;
 	struct rj_cell_owner owner;
 	struct rj_cell_takeover takeover;
 	struct rj_cell_ownership ownership;
-	struct rj_cell_owner_record former; /* of the tenure before */
-	uint64_t fenced_token; /* the last that was taken from us */
-	bool probing; /* reading the log to its end before it acquires */
+	struct rj_cell_owner_record former; /* previous ownership record */
+	uint64_t fenced_token; /* last token that this instance lost */
+	bool probing; /* reading the log to its end before acquiring the cell */
 	struct rj_cell_sync probe;
 	uint64_t started_us;
-	bool acquiring; /* an ownership record is on its way */
+	bool acquiring; /* an ownership record is being appended */
 	uint64_t acquire_due_us;
-	uint32_t stagger_us; /* this instance waits so much longer */
+	/* Added to this instance's delays before acquiring */
+	uint32_t stagger_us;
 	bool draining;
 	uint64_t now_us;
 	uint64_t wall_ms;
--- a/src/libradishjunction/include/private/cell_record.h
+++ b/src/libradishjunction/include/private/cell_record.h
@@ -1,10 +1,10 @@
 /*
- * What stands in our logs: for each job its definition, its state, a wish to
- * cancel it and, in a log that only owners read, its progress, each under a
- * key of its own, so that a repeated submission cannot reset the progress; and
- * who owns the cell.
+ * Records in the cell's own logs: per job its spec, its state, a cancellation
+ * request and, in a log that only owners read, its progress; and the ownership
+ * of the cell. Each kind has its own key, so that a repeated submission cannot
+ * reset the progress.
  *
- * All functions are pure. Decoded texts and bytes are copies.
+ * All functions are pure. Decoded strings and bytes are copies.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_RECORD_H
 #define RADISHJUNCTION_PRIVATE_CELL_RECORD_H
@@ -17,11 +17,13 @@
 
 enum rj_cell_record_kind {
 	RJ_CELL_RECORD_JOB_SPEC,
-	RJ_CELL_RECORD_PROGRESS, /* in a log of its own */
-	RJ_CELL_RECORD_STATE, /* the part of it that callers are told */
+	RJ_CELL_RECORD_PROGRESS, /* in a separate log */
+	/* The part of the progress that callers may see */
+	RJ_CELL_RECORD_STATE,
 	RJ_CELL_RECORD_CANCEL,
 	RJ_CELL_RECORD_OWNER, /* its offset is the fencing token */
-	RJ_CELL_RECORD_HEARTBEAT, /* the owner lives, and how loaded the cell is */
+	/* Shows that the owner is alive, and the cell's load */
+	RJ_CELL_RECORD_HEARTBEAT,
 	RJ_CELL_RECORD_KIND_COUNT
 };
 
@@ -29,18 +31,21 @@
 	char name[RJ_NAME_BYTES]; /* of the instance */
 	uint64_t incarnation;
 	uint32_t strength; /* hundredths of a core */
-	bool leaving; /* the cell is free: whoever is first may take it */
+	bool leaving; /* resigned: any instance may acquire the cell */
 	uint64_t
-		since_ms; /* 1970, by its clock, when it wrote this; 0: not said */
-	uint64_t epoch; /* under which it writes the log; 0: not said */
+		/* Unix time by the owner's clock when it wrote this; 0: not
+		 * recorded */
+		since_ms;
+	uint64_t epoch; /* of its appends to the log; 0: not recorded */
 };
 
-/* What the owner tells the entries about the load of one queue. */
+/* Load of one queue, as the owner reports it to the instances that take
+ * calls. */
 struct rj_cell_queue_load {
 	char queue[RJ_NAME_BYTES];
-	uint32_t mean_ms; /* run time of its tasks, as learnt; 0: unknown */
+	uint32_t mean_ms; /* learned run time of its tasks; 0: unknown */
 	bool refuse; /* new jobs would not be served in time */
-	uint32_t retry_after_ms; /* when room is likely */
+	uint32_t retry_after_ms; /* when capacity is expected to be free */
 };
 
 struct rj_cell_owner_heartbeat {
@@ -50,7 +55,7 @@
 	struct rj_cell_queue_load queue_loads[RJ_CELL_QUEUE_LOADS_MAX];
 };
 
-/* The part of a job's progress that callers are told. */
+/* The part of a job's progress that callers may see. */
 struct rj_cell_summary {
 	enum rj_cell_job_state state;
 	bool started;
--- a/src/libradishjunction/include/private/cell_store.h
+++ b/src/libradishjunction/include/private/cell_store.h
@@ -1,20 +1,20 @@
 /*
- * What the cells ask of the platform's log. An adapter fills the vtable.
+ * Interface to the platform's log. An adapter provides the operations.
  *
- * Every call ends in exactly one call of `done`, never before the call has
- * returned; what the reply points to lives until `done` returns.
+ * Every operation calls `done` exactly once, and not before it has returned.
+ * The reply and all it points to are valid until `done` returns.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_STORE_H
 #define RADISHJUNCTION_PRIVATE_CELL_STORE_H
 
 #include "radishjunction/types.h"
 
-/* The logs that a node follows. Each keeps the newest record of a key. */
+/* Logs that a node reads. Each is compacted to the newest record per key. */
 enum rj_cell_topic {
-	RJ_CELL_TOPIC_JOBS, /* ours: jobs, their states, ownership */
-	RJ_CELL_TOPIC_PROGRESS, /* ours: tasks and runs, for owners alone */
-	RJ_CELL_TOPIC_CONFIG, /* what operators publish */
-	RJ_CELL_TOPIC_WORKERS, /* the workers' heartbeats */
+	RJ_CELL_TOPIC_JOBS, /* own: jobs, their states, ownership */
+	RJ_CELL_TOPIC_PROGRESS, /* own: tasks and runs, read by owners only */
+	RJ_CELL_TOPIC_CONFIG, /* published by operators */
+	RJ_CELL_TOPIC_WORKERS, /* heartbeats of the workers */
 	RJ_CELL_TOPIC_COUNT
 };
 
@@ -22,18 +22,19 @@
 
 struct rj_cell_record {
 	const char *key;
-	struct rj_bytes value; /* empty: the key is dropped */
-	uint64_t offset; /* of records that were read */
+	struct rj_bytes value; /* empty: deletes the key */
+	uint64_t offset; /* set for records that were read */
 };
 
 enum rj_cell_store_status {
 	RJ_CELL_STORE_OK,
-	RJ_CELL_STORE_REFUSED, /* nothing was done: overloaded or away */
-	RJ_CELL_STORE_FENCED, /* a producer of a higher epoch has written */
-	RJ_CELL_STORE_SEQUENCE, /* not the next append of this producer */
-	RJ_CELL_STORE_EXPIRED, /* the records asked for have expired */
-	RJ_CELL_STORE_LOST, /* no answer: it may have been done, or will be */
-	RJ_CELL_STORE_MALFORMED, /* an answer that cannot be understood */
+	RJ_CELL_STORE_REFUSED, /* nothing was done: overloaded or unavailable */
+	RJ_CELL_STORE_FENCED, /* a producer with a higher epoch has written */
+	/* Not the next sequence number of this producer */
+	RJ_CELL_STORE_SEQUENCE,
+	RJ_CELL_STORE_EXPIRED, /* the requested records have expired */
+	RJ_CELL_STORE_LOST, /* no answer; it may be carried out, even later */
+	RJ_CELL_STORE_MALFORMED, /* the answer could not be parsed */
 	RJ_CELL_STORE_STATUS_COUNT
 };
 
@@ -41,25 +42,25 @@
 	*const rj_cell_store_status_string[RJ_CELL_STORE_STATUS_COUNT];
 
 struct rj_cell_append {
-	enum rj_cell_topic topic; /* one of ours */
+	enum rj_cell_topic topic; /* one of the own logs */
 	const char *producer;
 	uint64_t epoch;
-	uint64_t sequence; /* one more than that of the append before */
+	uint64_t sequence; /* one more than in the previous append */
 	const struct rj_cell_record *records;
 	uint32_t count;
 };
 
 struct rj_cell_store_reply {
 	enum rj_cell_store_status status;
-	uint64_t now_us; /* when the answer came, by the node's clock */
+	uint64_t now_us; /* when the answer arrived, by the node's clock */
 	uint64_t end; /* offset after the last record of the log */
 	uint64_t next; /* reads: offset after the last record returned */
 	const struct rj_cell_record *records;
 	uint32_t count;
-	bool more; /* newest: there are more keys */
+	bool more; /* newest: more keys follow */
 };
 
-/* What is called once a call has ended. */
+/* Completion callback of an operation. */
 struct rj_cell_store_done {
 	void (*call)(void *private_data,
 		     const struct rj_cell_store_reply *reply);
@@ -72,17 +73,19 @@
 	void (*append)(struct rj_cell_store *store,
 		       const struct rj_cell_append *append,
 		       struct rj_cell_store_done done);
-	/* Records from an offset on; waits up to wait_ms for the first. */
+	/* Reads records from an offset on; waits up to wait_ms for the
+	 * first. */
 	void (*read)(struct rj_cell_store *store, enum rj_cell_topic topic,
 		     uint64_t from, uint32_t wait_ms,
 		     struct rj_cell_store_done done);
-	/* The newest record of each key after `after` (NULL: of all). */
+	/* Reads the newest record of each key after `after` (NULL: of all
+	 * keys). */
 	void (*newest)(struct rj_cell_store *store, enum rj_cell_topic topic,
 		       const char *after, struct rj_cell_store_done done);
 };
 
 struct rj_cell_store {
-	const struct rj_cell_store_ops *ops; /* first member, always */
+	const struct rj_cell_store_ops *ops; /* must be the first member */
 };
 
 #endif
--- a/src/libradishjunction/include/private/cell_view.h
+++ b/src/libradishjunction/include/private/cell_view.h
@@ -1,10 +1,8 @@
 /*
- * What an instance knows of the jobs of a cell from the jobs' log: every
- * instance has one, whether it owns the cell or not.
+ * Jobs of a cell as read from the jobs' log. Every instance keeps a view,
+ * whether it owns the cell or not.
  *
- * Life cycle: `rj_cell_view_init`, `rj_cell_view_apply` for each record in
- * the order of the log, `rj_cell_view_finish`. Entries stay until their keys
- * are dropped.
+ * Records are applied in log order. Entries stay until their keys are deleted.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_VIEW_H
 #define RADISHJUNCTION_PRIVATE_CELL_VIEW_H
@@ -15,16 +13,16 @@
 #include "private/cell_store.h"
 
 struct rj_cell_view_entry {
-	struct rj_list link; /* in the view, in the order of discovery */
+	struct rj_list link; /* in the view, in the order of the first record */
 	char id[RJ_CELL_ID_BYTES];
-	struct rj_cell_job_spec
-		*job_spec; /* NULL until seen, and once it has ended */
-	bool cancelled; /* a wish to cancel it stands in the log */
-	struct rj_cell_summary summary; /* what callers may be told */
-	struct rj_bytes progress; /* while a takeover is under way */
-	bool in_progress_log; /* its progress stands in the progress log */
-	uint64_t seen_us; /* when its definition was seen here */
-	uint64_t ended_us; /* when it was seen to have ended, or 0 */
+	/* NULL until it is read, and after the job has ended */
+	struct rj_cell_job_spec *job_spec;
+	bool cancelled; /* a cancellation request is in the log */
+	struct rj_cell_summary summary; /* what callers may see */
+	struct rj_bytes progress; /* set only during a takeover */
+	bool in_progress_log; /* its progress is in the progress log */
+	uint64_t seen_us; /* when its spec was read */
+	uint64_t ended_us; /* when its end was read, or 0 */
 	struct rj_cell_job *job; /* of the owner, or NULL */
 };
 
--- a/src/libradishjunction/include/private/cell_workers.h
+++ b/src/libradishjunction/include/private/cell_workers.h
@@ -1,8 +1,9 @@
 /*
- * What an owner asks of workers. An adapter fills the vtable.
+ * Interface to the workers, as an owner calls them. An adapter provides the
+ * operations.
  *
- * Every call ends in exactly one call of `done`, never before the call has
- * returned; what the reply points to lives until `done` returns.
+ * Every operation calls `done` exactly once, and not before it has returned.
+ * The reply and all it points to are valid until `done` returns.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_WORKERS_H
 #define RADISHJUNCTION_PRIVATE_CELL_WORKERS_H
@@ -11,16 +12,17 @@
 
 enum rj_cell_order_status {
 	RJ_CELL_ORDER_OK,
-	RJ_CELL_ORDER_FENCED, /* a higher fencing token was there before */
-	RJ_CELL_ORDER_STALE, /* the run has been stopped or has ended */
-	RJ_CELL_ORDER_DEADLINE_PASSED, /* its deadline has passed */
-	RJ_CELL_ORDER_NO_CAPACITY, /* it does not fit */
-	RJ_CELL_ORDER_TICKET_INVALID, /* the ticket is missing or no longer good */
-	RJ_CELL_ORDER_MALFORMED, /* not understood */
-	RJ_CELL_ORDER_UNHEALTHY, /* the worker is not well; nothing was done */
-	RJ_CELL_ORDER_OTHER_INCARNATION, /* another life of the worker answers there */
-	RJ_CELL_ORDER_UNSENT, /* no connection: nothing was done */
-	RJ_CELL_ORDER_LOST, /* no answer: it may be done, even later */
+	RJ_CELL_ORDER_FENCED, /* the worker has seen a higher fencing token */
+	RJ_CELL_ORDER_STALE, /* the run was stopped or has ended */
+	RJ_CELL_ORDER_DEADLINE_PASSED,
+	RJ_CELL_ORDER_NO_CAPACITY, /* it does not fit on the worker */
+	RJ_CELL_ORDER_TICKET_INVALID, /* the ticket is missing or expired */
+	RJ_CELL_ORDER_MALFORMED, /* the worker could not parse the order */
+	RJ_CELL_ORDER_UNHEALTHY, /* the worker is unhealthy; nothing was done */
+	/* Another incarnation of the worker answered */
+	RJ_CELL_ORDER_OTHER_INCARNATION,
+	RJ_CELL_ORDER_UNSENT, /* no connection; nothing was done */
+	RJ_CELL_ORDER_LOST, /* no answer; it may be carried out, even later */
 	RJ_CELL_ORDER_STATUS_COUNT
 };
 
@@ -29,29 +31,32 @@
 
 enum rj_cell_completion {
 	RJ_CELL_COMPLETION_DONE,
-	RJ_CELL_COMPLETION_FAILED, /* by its own fault or the worker's */
+	RJ_CELL_COMPLETION_FAILED, /* by a fault of the task or of the worker */
 	RJ_CELL_COMPLETION_STOPPED,
 	RJ_CELL_COMPLETION_EXPIRED, /* its lease was not renewed */
 	RJ_CELL_COMPLETION_GANG_BROKEN, /* another member of its gang ended */
-	RJ_CELL_COMPLETION_GANG_INCOMPLETE, /* the others of its gang did not come */
-	RJ_CELL_COMPLETION_LOST, /* with its worker; no worker says this */
+	/* Other members of its gang did not start */
+	RJ_CELL_COMPLETION_GANG_INCOMPLETE,
+	/* Lost with its worker; never reported by a worker */
+	RJ_CELL_COMPLETION_LOST,
 	RJ_CELL_COMPLETION_COUNT
 };
 
 extern const char *const rj_cell_completion_string[RJ_CELL_COMPLETION_COUNT];
 
-/* A run that the worker lists. */
+/* A run that the worker reports. */
 struct rj_cell_run_report {
 	const char *name;
 	uint32_t number;
 	const char *saved; /* checkpoint, or "" */
 	uint32_t percent;
-	uint32_t measurement; /* tail in ms, or thousandths of cores in use */
+	/* Tail latency in ms, or thousandths of cores in use */
+	uint32_t measurement;
 };
 
-/* An end that the worker lists. */
+/* A run completion that the worker reports. */
 struct rj_cell_completion_report {
-	uint64_t position; /* rises from 1 in each life of the worker */
+	uint64_t position; /* rises from 1 in each incarnation of the worker */
 	const char *name;
 	uint32_t number;
 	enum rj_cell_completion end;
@@ -60,8 +65,8 @@
 
 struct rj_cell_order_reply {
 	enum rj_cell_order_status status;
-	uint64_t now_us; /* when the answer came, by the node's clock */
-	uint64_t clock_ms; /* of the worker; 0 when it was not said */
+	uint64_t now_us; /* when the answer arrived, by the node's clock */
+	uint64_t clock_ms; /* the worker's clock; 0: not reported */
 	uint64_t incarnation; /* polls: of the worker */
 	const struct rj_cell_run_report *rows;
 	uint32_t row_count;
@@ -69,7 +74,7 @@
 	uint32_t completion_count;
 };
 
-/* What is called once a call has ended. */
+/* Completion callback of an operation. */
 struct rj_cell_order_done {
 	void (*call)(void *private_data,
 		     const struct rj_cell_order_reply *reply);
@@ -81,17 +86,20 @@
 	uint32_t number;
 	const char *spec;
 	const char *checkpoint; /* or "" */
-	const char *ticket; /* of an outside policy, or "" */
+	const char *ticket; /* from the placement policy, or "" */
 	uint64_t deadline_ms; /* by the worker's clock */
 	uint64_t token;
 };
 
 struct rj_cell_poll {
 	uint64_t token;
-	uint64_t stored_position; /* ends up to here may be forgotten */
-	uint64_t deadline_ms; /* 0: the leases stay as they are */
-	uint32_t wait_ms; /* for an end */
-	uint32_t timeout_ms; /* beyond that, until it counts as lost */
+	/* The worker may discard completions up to here */
+	uint64_t stored_position;
+	/* New lease deadline; 0: leases are not renewed */
+	uint64_t deadline_ms;
+	uint32_t wait_ms; /* how long the worker waits for a completion */
+	/* Added to wait_ms before the poll counts as lost */
+	uint32_t timeout_ms;
 };
 
 struct rj_cell_workers;
@@ -112,7 +120,7 @@
 };
 
 struct rj_cell_workers {
-	const struct rj_cell_workers_ops *ops; /* first member, always */
+	const struct rj_cell_workers_ops *ops; /* must be the first member */
 };
 
 #endif
--- a/src/libradishjunction/include/private/cell_writer.h
+++ b/src/libradishjunction/include/private/cell_writer.h
@@ -1,14 +1,14 @@
 /*
- * Appends records to one of our logs, one call at a time: what comes while a
- * call is on its way goes together with the next one.
+ * Appends records to one of the own logs, with one append in flight: records
+ * added meanwhile go into the next append.
  *
- * A call whose answer is lost is repeated under the same sequence number,
- * which the log carries out once, until its outcome is known.
+ * An append whose answer was lost is repeated with the same sequence number,
+ * which the log deduplicates, until its outcome is known.
  *
- * Life cycle: `rj_cell_writer_init` with the producer's name, `_open` with an
- * epoch; `_add` any number of records, each of which ends in one call of
- * `done`; a tick every few milliseconds; `_close` ends what is open as
- * unknown.
+ * `rj_cell_writer_open` sets the epoch; `rj_cell_writer_add` takes any number
+ * of records, each of which ends in one call of `done`; call
+ * `rj_cell_writer_tick` every few milliseconds; `rj_cell_writer_close` ends all
+ * open records.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_WRITER_H
 #define RADISHJUNCTION_PRIVATE_CELL_WRITER_H
@@ -20,13 +20,13 @@
 enum rj_cell_write_outcome {
 	RJ_CELL_WRITE_STORED,
 	RJ_CELL_WRITE_NOT_STORED, /* and never will be */
-	RJ_CELL_WRITE_UNKNOWN, /* given up; it may be in the log */
-	RJ_CELL_WRITE_FENCED, /* not stored: another producer took over */
+	RJ_CELL_WRITE_UNKNOWN, /* abandoned; it may be in the log */
+	RJ_CELL_WRITE_FENCED, /* not stored: another producer has taken over */
 };
 
 struct rj_cell_writer;
 
-/* Called once; `private_data` is whatever was given with the record. */
+/* Called once per record, with the `private_data` given for it. */
 struct rj_cell_write_done {
 	void (*call)(void *private_data, enum rj_cell_write_outcome outcome);
 	void *private_data;
@@ -39,21 +39,23 @@
 	char producer[RJ_NAME_BYTES * 2];
 	uint64_t epoch;
 	uint64_t sequence; /* of the next append */
-	uint32_t generation; /* answers to an earlier one are late */
+	uint32_t generation; /* answers to an earlier generation are ignored */
 	bool open;
-	struct rj_list waiting; /* struct write, not yet sent */
-	struct rj_list sent; /* of the call on its way */
+	struct rj_list waiting; /* struct write, not sent yet */
+	struct rj_list sent; /* struct write, in the current batch */
 	bool in_flight;
-	bool uncertain; /* an answer of the sent batch was lost */
-	uint32_t tries; /* of the batch */
-	uint64_t retry_us; /* when to send the batch again */
-	uint64_t end; /* of the log, after the last append that went in */
-	uint64_t took_us; /* the last append that went in */
-	uint64_t answered_us; /* when the store last took or judged an append */
-	uint64_t stored_us; /* when the last append that succeeded was sent */
+	bool uncertain; /* an answer to the current batch was lost */
+	uint32_t tries; /* of the current batch */
+	uint64_t retry_us; /* when to send the current batch again */
+	/* End offset of the log after the last successful append */
+	uint64_t end;
+	uint64_t took_us; /* duration of the last successful append */
+	/* Last answer other than a refusal or a malformed one */
+	uint64_t answered_us;
+	uint64_t stored_us; /* when the last successful append was sent */
 	uint64_t sent_us;
 	uint64_t now_us;
-	struct rj_latency appends; /* of those that were answered */
+	struct rj_latency appends; /* latency of successful appends */
 	uint64_t lost;
 	uint64_t refused;
 };
--- a/src/test_libradishjunction/support/cell_fake.h
+++ b/src/test_libradishjunction/support/cell_fake.h
@@ -23,7 +23,7 @@
 	uint64_t done_us;
 	uint64_t fails_at_us; /* of done_us; 0: never */
 	bool saves;
-	char saved[RJ_CELL_CHECKPOINT_NAME_BYTES];
+	char saved[RJ_CELL_CHECKPOINT_BYTES];
 	uint64_t placed_us;
 	uint64_t stopped_us; /* when it is to be gone; 0: not stopped */
 	uint64_t broken_us; /* ... as another member of its gang has ended */
@@ -39,7 +39,7 @@
 	char name[64];
 	uint32_t number;
 	enum rj_cell_completion end;
-	char saved[RJ_CELL_CHECKPOINT_NAME_BYTES];
+	char saved[RJ_CELL_CHECKPOINT_BYTES];
 	uint64_t ended_us;
 };
 
