--- a/src/libradishjunction/cell/cell_active_job.c
+++ b/src/libradishjunction/cell/cell_active_job.c
@@ -24,14 +24,14 @@
 };
 
 /* A run ends with the work that it belongs to. */
-static void drop_run(struct rj_cell_run *run, void *unused)
+static void free_run(struct rj_cell_run *run, void *unused)
 {
 	rj_cell_run_free(run);
 }
 
-static int work_destructor(struct rj_cell_job *job)
+static int job_destructor(struct rj_cell_job *job)
 {
-	rj_cell_job_each_run(job, drop_run, NULL);
+	rj_cell_job_each_run(job, free_run, NULL);
 	rj_list_remove(&job->link);
 	rj_list_remove(&job->in_dirty);
 	return 0;
@@ -50,7 +50,7 @@
 	rj_list_init(&job->link);
 	rj_list_init(&job->in_dirty);
 	rj_list_init(&job->occurrences);
-	talloc_set_destructor(job, work_destructor);
+	talloc_set_destructor(job, job_destructor);
 	return job;
 }
 
@@ -226,7 +226,7 @@
 }
 
 /* The worker's sum over runs of this run's priority; its job is known. */
-static struct rj_cell_demand *allocated_by_class(const struct rj_cell_run *run)
+static struct rj_cell_demand *class_allocation(const struct rj_cell_run *run)
 {
 	uint32_t class = rj_cell_job_priority_class(run->task->occurrence->job);
 
@@ -234,7 +234,7 @@
 }
 
 /* The worker's count of runs of this kind. */
-static uint32_t *count_of(const struct rj_cell_run *run)
+static uint32_t *run_counter(const struct rj_cell_run *run)
 {
 	return rj_cell_run_has_latency_target(run) ?
 		       &run->worker->latency_runs :
@@ -263,9 +263,9 @@
 
 	rj_list_append(&worker->runs, &run->in_worker);
 	rj_cell_demand_add(&worker->allocated, &run->allocated);
-	(*count_of(run))++;
+	(*run_counter(run))++;
 	if (run->task)
-		rj_cell_demand_add(allocated_by_class(run), &run->allocated);
+		rj_cell_demand_add(class_allocation(run), &run->allocated);
 	if (worker->poll_state != RJ_CELL_POLL_STATE_BUSY)
 		rj_cell_worker_set_poll_state(worker, RJ_CELL_POLL_STATE_BUSY);
 }
@@ -278,10 +278,9 @@
 	struct rj_cell_worker *worker = run->worker;
 
 	rj_cell_demand_subtract(&worker->allocated, &run->allocated);
-	(*count_of(run))--;
+	(*run_counter(run))--;
 	if (run->task)
-		rj_cell_demand_subtract(allocated_by_class(run),
-					&run->allocated);
+		rj_cell_demand_subtract(class_allocation(run), &run->allocated);
 	rj_list_remove(&run->in_worker);
 	rj_list_remove(&run->in_task);
 	talloc_free(run);
@@ -316,7 +315,7 @@
 }
 
 /* There is a run. */
-static void note_busy(struct rj_cell_run *run, void *private_data)
+static void set_busy(struct rj_cell_run *run, void *private_data)
 {
 	*(bool *)private_data = true;
 }
@@ -328,6 +327,6 @@
 {
 	bool busy = false;
 
-	rj_cell_job_each_run(job, note_busy, &busy);
+	rj_cell_job_each_run(job, set_busy, &busy);
 	return !busy;
 }
--- a/src/libradishjunction/cell/cell_advice.c
+++ b/src/libradishjunction/cell/cell_advice.c
@@ -12,20 +12,20 @@
  * and may be repeated once. */
 #define TICKET_MARGIN_US (400 * RJ_US_PER_MS)
 /* After a question without an answer the next one waits. */
-#define RETRY_US (300 * RJ_US_PER_MS)
+#define ASK_RETRY_US (300 * RJ_US_PER_MS)
 /* Room for the names of a step: job, occurrence, step. */
 #define STEP_NAME_BYTES 48
 
 /* What the policy has said of one worker. */
-struct opinion {
+struct decision {
 	uint64_t incarnation; /* of the worker */
 	bool allowed;
 	char ticket[RJ_CELL_TICKET_BYTES];
-	uint64_t good_until_us; /* the ticket */
+	uint64_t valid_until_us; /* the ticket */
 };
 
 /* A question on its way; jobs and workers may go meanwhile. */
-struct question {
+struct request {
 	struct rj_cell_owner *owner;
 	uint32_t generation;
 	uint64_t sent_us;
@@ -38,19 +38,19 @@
 };
 
 /* The opinion of a worker that still holds for its present life, or NULL. */
-static struct opinion *opinion_of(const struct rj_cell_occurrence *occurrence,
-				  uint32_t step,
-				  const struct rj_cell_worker *worker)
+static struct decision *
+find_decision(const struct rj_cell_occurrence *occurrence, uint32_t step,
+	      const struct rj_cell_worker *worker)
 {
-	struct opinion *opinion;
+	struct decision *decision;
 
 	if (!occurrence->policy_decisions ||
 	    !occurrence->policy_decisions[step])
 		return NULL;
-	opinion = g_hash_table_lookup(occurrence->policy_decisions[step],
-				      worker->id);
-	return opinion && opinion->incarnation == worker->incarnation ?
-		       opinion :
+	decision = g_hash_table_lookup(occurrence->policy_decisions[step],
+				       worker->id);
+	return decision && decision->incarnation == worker->incarnation ?
+		       decision :
 		       NULL;
 }
 
@@ -62,12 +62,13 @@
 				  const struct rj_cell_worker *worker,
 				  uint64_t now_us)
 {
-	const struct opinion *opinion = opinion_of(occurrence, step, worker);
+	const struct decision *decision =
+		find_decision(occurrence, step, worker);
 
-	return opinion && opinion->allowed &&
+	return decision && decision->allowed &&
 			       now_us + TICKET_MARGIN_US <
-				       opinion->good_until_us ?
-		       opinion->ticket :
+				       decision->valid_until_us ?
+		       decision->ticket :
 		       NULL;
 }
 
@@ -77,15 +78,15 @@
 void rj_cell_advice_invalidate(struct rj_cell_task *task,
 			       const struct rj_cell_worker *worker)
 {
-	struct opinion *opinion =
-		opinion_of(task->occurrence, task->step, worker);
+	struct decision *decision =
+		find_decision(task->occurrence, task->step, worker);
 
-	if (opinion)
-		opinion->good_until_us = 0;
+	if (decision)
+		decision->valid_until_us = 0;
 }
 
 /* Free all opinions of an occurrence. */
-static int free_opinions(GHashTable ***policy_decisions)
+static int free_decisions(GHashTable ***policy_decisions)
 {
 	size_t steps = talloc_array_length(*policy_decisions);
 
@@ -96,7 +97,8 @@
 }
 
 /* The opinions on a step, made when they are the first. */
-static GHashTable *obtain(struct rj_cell_occurrence *occurrence, uint32_t step)
+static GHashTable *
+get_or_create_decisions(struct rj_cell_occurrence *occurrence, uint32_t step)
 {
 	if (!occurrence->policy_decisions) {
 		GHashTable ***holder = talloc(occurrence, GHashTable **);
@@ -106,7 +108,7 @@
 			occurrence->job->job_spec->step_count);
 		assert(holder && occurrence->policy_decisions);
 		*holder = occurrence->policy_decisions;
-		talloc_set_destructor(holder, free_opinions);
+		talloc_set_destructor(holder, free_decisions);
 	}
 	if (!occurrence->policy_decisions[step])
 		occurrence->policy_decisions[step] = g_hash_table_new_full(
@@ -115,14 +117,14 @@
 }
 
 /* The occurrence that a question is about, or NULL when it has gone. */
-static struct rj_cell_occurrence *round_of(const struct question *question)
+static struct rj_cell_occurrence *find_occurrence(const struct request *request)
 {
 	struct rj_cell_view_entry *entry =
-		rj_cell_view_find(question->owner->view, question->job);
+		rj_cell_view_find(request->owner->view, request->job);
 	struct rj_cell_task *task =
 		entry && entry->job ?
-			rj_cell_job_find_task(entry->job, question->occurrence,
-					      question->step, 0) :
+			rj_cell_job_find_task(entry->job, request->occurrence,
+					      request->step, 0) :
 			NULL;
 
 	return task ? task->occurrence : NULL;
@@ -139,149 +141,152 @@
 }
 
 /* Note what was said of each worker that was asked about. */
-static void take_reply(const struct question *question,
-		       struct rj_cell_occurrence *occurrence,
-		       const struct rj_cell_advice_reply *reply)
+static void store_decisions(const struct request *request,
+			    struct rj_cell_occurrence *occurrence,
+			    const struct rj_cell_advice_reply *reply)
 {
-	GHashTable *policy_decisions = obtain(occurrence, question->step);
-
-	for (uint32_t i = 0; i < question->count; i++) {
-		struct opinion *opinion = g_new0(struct opinion, 1);
-		const char *ticket = ticket_in(reply, question->workers[i]);
-
-		opinion->incarnation = question->incarnations[i];
-		opinion->allowed = ticket != NULL;
-		opinion->good_until_us =
-			question->sent_us + reply->valid_ms * RJ_US_PER_MS;
-		g_strlcpy(opinion->ticket, ticket ? ticket : "",
-			  sizeof(opinion->ticket));
+	GHashTable *policy_decisions =
+		get_or_create_decisions(occurrence, request->step);
+
+	for (uint32_t i = 0; i < request->count; i++) {
+		struct decision *decision = g_new0(struct decision, 1);
+		const char *ticket = ticket_in(reply, request->workers[i]);
+
+		decision->incarnation = request->incarnations[i];
+		decision->allowed = ticket != NULL;
+		decision->valid_until_us =
+			request->sent_us + reply->valid_ms * RJ_US_PER_MS;
+		g_strlcpy(decision->ticket, ticket ? ticket : "",
+			  sizeof(decision->ticket));
 		g_hash_table_insert(policy_decisions,
-				    g_strdup(question->workers[i]), opinion);
+				    g_strdup(request->workers[i]), decision);
 	}
 }
 
 /* The policy has answered, or has not. */
-static void answered(void *private_data,
+static void ask_done(void *private_data,
 		     const struct rj_cell_advice_reply *reply)
 {
-	struct question *question = private_data;
-	struct rj_cell_owner *owner = question->owner;
+	struct request *request = private_data;
+	struct rj_cell_owner *owner = request->owner;
 	struct rj_cell_occurrence *occurrence;
 
-	if (question->generation != owner->generation || !owner->active) {
-		talloc_free(question);
+	if (request->generation != owner->generation || !owner->active) {
+		talloc_free(request);
 		return;
 	}
 	owner->now_us = reply->now_us;
 	owner->advice_open = false;
-	occurrence = round_of(question);
-	rj_note("advice", RJ_NOTE_TEXT("job", question->job),
-		RJ_NOTE_NUMBER("step", question->step),
-		RJ_NOTE_NUMBER("asked", question->count),
+	occurrence = find_occurrence(request);
+	rj_note("advice", RJ_NOTE_TEXT("job", request->job),
+		RJ_NOTE_NUMBER("step", request->step),
+		RJ_NOTE_NUMBER("asked", request->count),
 		RJ_NOTE_NUMBER("answered", reply->answered),
 		RJ_NOTE_NUMBER("allowed", reply->count),
-		RJ_NOTE_AGE_MS("took_ms", reply->now_us - question->sent_us));
+		RJ_NOTE_AGE_MS("took_ms", reply->now_us - request->sent_us));
 	if (!reply->answered)
-		owner->advice_due_us = owner->now_us + RETRY_US;
+		owner->advice_due_us = owner->now_us + ASK_RETRY_US;
 	else if (occurrence)
-		take_reply(question, occurrence, reply);
+		store_decisions(request, occurrence, reply);
 	owner->plan_wanted = true;
-	talloc_free(question);
+	talloc_free(request);
 }
 
 /* Add a worker to a question; returns whether there is room for more. */
-static bool add_worker(struct question *question,
+static bool add_worker(struct request *request,
 		       const struct rj_cell_worker *worker)
 {
-	memcpy(question->workers[question->count], worker->id, RJ_NAME_BYTES);
-	question->incarnations[question->count] = worker->incarnation;
-	return ++question->count < RJ_CELL_ADVICE_WORKERS;
+	memcpy(request->workers[request->count], worker->id, RJ_NAME_BYTES);
+	request->incarnations[request->count] = worker->incarnation;
+	return ++request->count < RJ_CELL_ADVICE_WORKERS;
 }
 
 /* The kinds of workers to ask about, in this order. */
-enum choice {
-	CHOICE_RENEW, /* may run the step, the ticket is no longer good */
-	CHOICE_FREE, /* nothing is known, there is room now */
-	CHOICE_ANY, /* nothing is known */
-	CHOICE_COUNT
+enum candidate_class {
+	CANDIDATE_RENEWAL, /* may run the step, the ticket is no longer good */
+	CANDIDATE_WITH_CAPACITY, /* nothing is known, there is room now */
+	CANDIDATE_WITHOUT_CAPACITY, /* nothing is known */
+	CANDIDATE_CLASS_COUNT
 };
 
 /* Whether a worker is one of these for a step that waits. */
-static bool is_choice(const struct rj_cell_plan *plan,
-		      const struct rj_cell_unit *unit,
-		      const struct rj_cell_room *room, enum choice choice)
+static bool is_candidate(const struct rj_cell_plan *plan,
+			 const struct rj_cell_unit *unit,
+			 const struct rj_cell_room *room,
+			 enum candidate_class class)
 {
 	const struct rj_cell_step *step =
 		&unit->job->job_spec->steps[unit->step];
 	struct rj_cell_demand want = rj_cell_step_demand(step);
-	const struct opinion *opinion =
-		opinion_of(unit->occurrence, unit->step, room->worker);
+	const struct decision *decision =
+		find_decision(unit->occurrence, unit->step, room->worker);
 	bool fits = rj_cell_demand_fits(&want, &room->now);
 
 	if (strcmp(room->worker->heartbeat.service, unit->service) != 0 ||
 	    !rj_cell_demand_fits(&want, &room->worker->heartbeat.capacity))
 		return false;
-	switch (choice) {
-	case CHOICE_RENEW:
-		return fits && opinion && opinion->allowed &&
+	switch (class) {
+	case CANDIDATE_RENEWAL:
+		return fits && decision && decision->allowed &&
 		       !rj_cell_advice_ticket(unit->occurrence, unit->step,
 					      room->worker, plan->now_us);
-	case CHOICE_FREE:
-		return fits && !opinion;
+	case CANDIDATE_WITH_CAPACITY:
+		return fits && !decision;
 	default:
-		return !fits && !opinion;
+		return !fits && !decision;
 	}
 }
 
 /* Choose the workers to ask about for a step that waits. */
 static void choose_workers(const struct rj_cell_plan *plan,
 			   const struct rj_cell_unit *unit,
-			   struct question *question)
+			   struct request *request)
 {
 	/* Each job begins at another worker, so that they do not all ask for
 	 * the same ones. */
 	uint64_t start = rj_hash64_string(unit->job->job_spec->id, unit->step);
 
-	for (int choice = 0; choice < CHOICE_COUNT; choice++)
+	for (int class = 0; class < CANDIDATE_CLASS_COUNT; class ++)
 		for (uint32_t i = 0; i < plan->room_count; i++) {
 			const struct rj_cell_room *room =
 				&plan->rooms[(start + i) % plan->room_count];
 
-			if (is_choice(plan, unit, room, (enum choice)choice) &&
-			    !add_worker(question, room->worker))
+			if (is_candidate(plan, unit, room,
+					 (enum candidate_class) class) &&
+			    !add_worker(request, room->worker))
 				return;
 		}
 }
 
 /* Send a question about a step, if there is something to ask. */
-static bool send_question(struct rj_cell_owner *owner,
-			  const struct rj_cell_plan *plan,
-			  const struct rj_cell_unit *unit)
+static bool send_request(struct rj_cell_owner *owner,
+			 const struct rj_cell_plan *plan,
+			 const struct rj_cell_unit *unit)
 {
-	struct question *question = talloc_zero(owner->mem, struct question);
+	struct request *request = talloc_zero(owner->mem, struct request);
 	const char *workers[RJ_CELL_ADVICE_WORKERS];
 	char step[STEP_NAME_BYTES];
 
-	assert(question);
-	choose_workers(plan, unit, question);
-	if (!question->count) {
-		talloc_free(question);
+	assert(request);
+	choose_workers(plan, unit, request);
+	if (!request->count) {
+		talloc_free(request);
 		return false;
 	}
-	question->owner = owner;
-	question->generation = owner->generation;
-	question->sent_us = owner->now_us;
-	memcpy(question->job, unit->job->job_spec->id, sizeof(question->job));
-	question->occurrence = unit->occurrence->number;
-	question->step = unit->step;
-	for (uint32_t i = 0; i < question->count; i++)
-		workers[i] = question->workers[i];
-	(void)g_snprintf(step, sizeof(step), "%s.%u.%u", question->job,
-			 question->occurrence, question->step);
+	request->owner = owner;
+	request->generation = owner->generation;
+	request->sent_us = owner->now_us;
+	memcpy(request->job, unit->job->job_spec->id, sizeof(request->job));
+	request->occurrence = unit->occurrence->number;
+	request->step = unit->step;
+	for (uint32_t i = 0; i < request->count; i++)
+		workers[i] = request->workers[i];
+	(void)g_snprintf(step, sizeof(step), "%s.%u.%u", request->job,
+			 request->occurrence, request->step);
 	owner->advice_open = true;
 	owner->advisor->ops->ask(
-		owner->advisor, step, workers, question->count,
-		(struct rj_cell_advice_done){ answered, question });
+		owner->advisor, step, workers, request->count,
+		(struct rj_cell_advice_done){ ask_done, request });
 	return true;
 }
 
@@ -315,7 +320,7 @@
 			&g_array_index(plan->units, struct rj_cell_unit, i);
 
 		if (unit->advised && still_waits(unit) &&
-		    send_question(owner, plan, unit))
+		    send_request(owner, plan, unit))
 			return;
 	}
 }
--- a/src/libradishjunction/cell/cell_fleet.c
+++ b/src/libradishjunction/cell/cell_fleet.c
@@ -104,7 +104,7 @@
 
 /* The rack of a name, or NULL with the place where it belongs. */
 static struct rj_cell_rack *find_rack(const struct rj_cell_fleet *fleet,
-				      const char *name, guint *place)
+				      const char *name, guint *position)
 {
 	guint from = 0;
 	guint to = fleet->racks->len;
@@ -121,17 +121,17 @@
 		else
 			from = middle + 1;
 	}
-	*place = from;
+	*position = from;
 	return NULL;
 }
 
 /* The rack of a name, made when it is new. Racks stay, as their number is
  * that of the site. */
-static struct rj_cell_rack *obtain_rack(struct rj_cell_fleet *fleet,
-					const char *name)
+static struct rj_cell_rack *get_or_create_rack(struct rj_cell_fleet *fleet,
+					       const char *name)
 {
-	guint place = 0;
-	struct rj_cell_rack *rack = find_rack(fleet, name, &place);
+	guint position = 0;
+	struct rj_cell_rack *rack = find_rack(fleet, name, &position);
 
 	if (rack)
 		return rack;
@@ -139,13 +139,13 @@
 	assert(rack);
 	g_strlcpy(rack->name, name, sizeof(rack->name));
 	rj_list_init(&rack->workers);
-	g_ptr_array_insert(fleet->racks, (gint)place, rack);
+	g_ptr_array_insert(fleet->racks, (gint)position, rack);
 	return rack;
 }
 
 /* The failure domain of a name, made when it is new. */
-static struct rj_cell_domain *obtain_domain(struct rj_cell_fleet *fleet,
-					    const char *name)
+static struct rj_cell_domain *get_or_create_domain(struct rj_cell_fleet *fleet,
+						   const char *name)
 {
 	struct rj_cell_domain *domain;
 
@@ -187,8 +187,8 @@
 bool rj_cell_fleet_rack_cordoned(const struct rj_cell_fleet *fleet,
 				 const char *name)
 {
-	guint place = 0;
-	const struct rj_cell_rack *rack = find_rack(fleet, name, &place);
+	guint position = 0;
+	const struct rj_cell_rack *rack = find_rack(fleet, name, &position);
 	const struct rj_list *at;
 
 	if (!rack)
@@ -221,7 +221,7 @@
 
 /* Whether nothing has been heard from a failure domain since a call to it was
  * lost. */
-static bool is_silent(const struct rj_cell_domain *domain)
+static bool is_unreachable(const struct rj_cell_domain *domain)
 {
 	return domain && domain->lost_call_us > domain->answered_us;
 }
@@ -232,21 +232,21 @@
 void rj_cell_worker_apply_heartbeat(struct rj_cell_worker *worker,
 				    const struct rj_cell_heartbeat *heartbeat)
 {
-	bool moved = !worker->rack ||
-		     strcmp(worker->heartbeat.rack, heartbeat->rack) != 0;
+	bool rack_changed = !worker->rack || strcmp(worker->heartbeat.rack,
+						    heartbeat->rack) != 0;
 
 	if (!worker->domain ||
 	    strcmp(worker->domain->name, heartbeat->domain) != 0)
 		worker->domain =
-			obtain_domain(worker->fleet, heartbeat->domain);
+			get_or_create_domain(worker->fleet, heartbeat->domain);
 	if (!worker->service ||
 	    strcmp(worker->service, heartbeat->service) != 0)
 		worker->service = g_intern_string(heartbeat->service);
 	worker->heartbeat = *heartbeat;
-	if (!moved)
+	if (!rack_changed)
 		return;
 	rj_list_remove(&worker->in_rack);
-	worker->rack = obtain_rack(worker->fleet, heartbeat->rack);
+	worker->rack = get_or_create_rack(worker->fleet, heartbeat->rack);
 	rj_list_append(&worker->rack->workers, &worker->in_rack);
 }
 
@@ -325,5 +325,5 @@
 {
 	return rj_cell_worker_schedulable(worker) && worker->answers &&
 	       worker->clock_ms && now_us >= worker->suspect_until_us &&
-	       !is_silent(worker->domain);
+	       !is_unreachable(worker->domain);
 }
--- a/src/libradishjunction/cell/cell_frontend.c
+++ b/src/libradishjunction/cell/cell_frontend.c
@@ -8,11 +8,11 @@
 #include "private/note.h"
 
 /* A client that does not say how long it waits is taken to wait this long. */
-#define WAIT_MS 3000
+#define DEFAULT_WAIT_MS 3000
 /* The last answer leaves so long before the client gives up. */
 #define ANSWER_MARGIN_MS 120
 /* One who has little time left still gets most of it: an append takes 10 ms. */
-#define ANSWER_MARGIN_PART 4
+#define ANSWER_MARGIN_DIVISOR 4
 /*
  * States are told at once from what was read so lately; else the log is read
  * first, which takes some 6 ms. Callers ask once or twice a job, so that this
@@ -23,7 +23,7 @@
 #define STATE_AGE_MAX_US (1200 * RJ_US_PER_MS)
 /* What the owner said of its backlog counts for so long; it says so anew
  * every 0.4 s. */
-#define BEAT_AGE_MAX_US (3 * RJ_US_PER_S)
+#define HEARTBEAT_AGE_MAX_US (3 * RJ_US_PER_S)
 /*
  * Keys are used while the configuration is known to be younger than this
  * part of what operators were promised; the rest covers a call's way to a
@@ -111,7 +111,7 @@
 }
 
 /* Answer a request, once. */
-static void answer(struct request *request, const struct rj_cell_answer *what)
+static void answer(struct request *request, const struct rj_cell_answer *reply)
 {
 	struct rj_cell_frontend *front = request->front;
 
@@ -121,18 +121,18 @@
 	request->answered = true;
 	rj_list_remove(&request->link);
 	front->open--;
-	rj_latency_add(&front->counters.answers[what->verdict],
+	rj_latency_add(&front->counters.answers[reply->verdict],
 		       front->now_us - request->received_us);
 	if (request->call->verb != RJ_CELL_VERB_QUERY ||
-	    what->verdict >= RJ_CELL_VERDICT_NO_QUEUE)
+	    reply->verdict >= RJ_CELL_VERDICT_NO_QUEUE)
 		rj_note("answer", RJ_NOTE_TEXT("job", request->id),
 			RJ_NOTE_TEXT("account", request->account),
 			RJ_NOTE_TEXT("call",
 				     rj_cell_verb_string[request->call->verb]),
 			RJ_NOTE_TEXT("verdict",
-				     rj_cell_verdict_string[what->verdict]),
-			RJ_NOTE_TEXT("why", what->why),
-			RJ_NOTE_NUMBER("come_back_ms", what->retry_after_ms),
+				     rj_cell_verdict_string[reply->verdict]),
+			RJ_NOTE_TEXT("why", reply->why),
+			RJ_NOTE_NUMBER("come_back_ms", reply->retry_after_ms),
 			RJ_NOTE_AGE_MS("took_ms",
 				       front->now_us - request->received_us),
 			RJ_NOTE_NUMBER("config",
@@ -144,32 +144,33 @@
 			RJ_NOTE_AGE_MS("jobs_ms",
 				       rj_cell_log_reader_age_us(
 					       front->jobs, front->now_us)));
-	request->call->answer(request->call, what);
+	request->call->answer(request->call, reply);
 	request->call = NULL;
 	release(request);
 }
 
 /* An answer that carries nothing but its verdict. */
-static void answer_plain(struct request *request, enum rj_cell_verdict verdict,
-			 const char *why, uint32_t retry_after_ms)
+static void answer_verdict(struct request *request,
+			   enum rj_cell_verdict verdict, const char *why,
+			   uint32_t retry_after_ms)
 {
-	const struct rj_cell_answer what = { .verdict = verdict,
-					     .why = why,
-					     .retry_after_ms = retry_after_ms };
+	const struct rj_cell_answer reply = {
+		.verdict = verdict, .why = why, .retry_after_ms = retry_after_ms
+	};
 
-	answer(request, &what);
+	answer(request, &reply);
 }
 
 /* Nothing can be done without the log, or has been. */
-static void answer_away(struct request *request, const char *why)
+static void answer_unavailable(struct request *request, const char *why)
 {
-	answer_plain(request, RJ_CELL_VERDICT_UNAVAILABLE, why,
-		     rj_cell_contact_come_back_ms(&request->front->contact,
-						  request->front->now_us));
+	answer_verdict(request, RJ_CELL_VERDICT_UNAVAILABLE, why,
+		       rj_cell_contact_come_back_ms(&request->front->contact,
+						    request->front->now_us));
 }
 
 /* The last part of the path as the id of a job. Returns 0, or -1. */
-static int take_id(const char *text, char id[RJ_CELL_ID_BYTES])
+static int parse_job_id(const char *text, char id[RJ_CELL_ID_BYTES])
 {
 	if (strlen(text) != RJ_CELL_ID_BYTES - 1)
 		return -1;
@@ -184,17 +185,17 @@
 static void answer_state(struct request *request,
 			 const struct rj_cell_view_entry *entry)
 {
-	struct rj_cell_answer what = { .verdict = RJ_CELL_VERDICT_STATE,
-				       .state = entry->summary.state,
-				       .why = "known" };
+	struct rj_cell_answer reply = { .verdict = RJ_CELL_VERDICT_STATE,
+					.state = entry->summary.state,
+					.why = "known" };
 
 	if (entry->cancelled && entry->summary.state < RJ_CELL_JOB_COMPLETED)
-		what.state = RJ_CELL_JOB_CANCELLED;
-	answer(request, &what);
+		reply.state = RJ_CELL_JOB_CANCELLED;
+	answer(request, &reply);
 }
 
 /* Whether a job is known here. */
-static struct rj_cell_view_entry *known(const struct request *request)
+static struct rj_cell_view_entry *find_accepted(const struct request *request)
 {
 	struct rj_cell_view_entry *entry =
 		rj_cell_view_find(request->front->view, request->id);
@@ -214,16 +215,16 @@
 		return;
 	}
 	if (outcome == RJ_CELL_WRITE_STORED)
-		answer_plain(request,
-			     request->call->verb == RJ_CELL_VERB_CANCEL ?
-				     RJ_CELL_VERDICT_CANCELLED :
-				     RJ_CELL_VERDICT_ACCEPTED,
-			     "stored", 0);
+		answer_verdict(request,
+			       request->call->verb == RJ_CELL_VERB_CANCEL ?
+				       RJ_CELL_VERDICT_CANCELLED :
+				       RJ_CELL_VERDICT_ACCEPTED,
+			       "stored", 0);
 	else if (outcome == RJ_CELL_WRITE_NOT_STORED)
-		answer_away(request, "log_refused");
+		answer_unavailable(request, "log_refused");
 	else
-		answer_plain(request, RJ_CELL_VERDICT_UNKNOWN, "log_unknown",
-			     0);
+		answer_verdict(request, RJ_CELL_VERDICT_UNKNOWN, "log_unknown",
+			       0);
 }
 
 /* Store a record of the request's job; the answer follows. */
@@ -247,11 +248,11 @@
 	struct rj_bytes mark = { (const uint8_t *)"\xc0", 1 };
 
 	if (entry->cancelled || entry->summary.state >= RJ_CELL_JOB_COMPLETED) {
-		answer_plain(request, RJ_CELL_VERDICT_CANCELLED, "ended", 0);
+		answer_verdict(request, RJ_CELL_VERDICT_CANCELLED, "ended", 0);
 		return;
 	}
 	if (request->front->contact.away_us) {
-		answer_away(request, "log_away");
+		answer_unavailable(request, "log_away");
 		return;
 	}
 	store(request, RJ_CELL_RECORD_CANCEL, mark);
@@ -273,14 +274,14 @@
 }
 
 /* The log could not be read: a state may still be told, if it is not old. */
-static void answer_unread(struct request *request,
-			  const struct rj_cell_view_entry *entry)
+static void answer_log_unread(struct request *request,
+			      const struct rj_cell_view_entry *entry)
 {
 	if (entry && request->call->verb == RJ_CELL_VERB_QUERY &&
 	    is_current(request->front, entry, STATE_AGE_MAX_US))
 		answer_state(request, entry);
 	else
-		answer_away(request, "log_unread");
+		answer_unavailable(request, "log_unread");
 }
 
 /* The log has been read to its end: what is not known now does not exist. */
@@ -295,12 +296,13 @@
 		release(request);
 		return;
 	}
-	entry = known(request);
+	entry = find_accepted(request);
 	/* A read that ends so late tells what was, not what is. */
 	if (!reached || request->front->now_us >= request->due_us)
-		answer_unread(request, entry);
+		answer_log_unread(request, entry);
 	else if (!entry)
-		answer_plain(request, RJ_CELL_VERDICT_NO_JOB, "not_in_log", 0);
+		answer_verdict(request, RJ_CELL_VERDICT_NO_JOB, "not_in_log",
+			       0);
 	else if (request->call->verb == RJ_CELL_VERB_CANCEL)
 		cancel_known(request, entry);
 	else
@@ -308,10 +310,10 @@
 }
 
 /* Read the log to its end before the job is said not to exist. */
-static void look_up(struct request *request)
+static void sync_and_answer(struct request *request)
 {
 	if (request->front->contact.away_us) {
-		answer_unread(request, known(request));
+		answer_log_unread(request, find_accepted(request));
 		return;
 	}
 	request->syncing = true;
@@ -336,8 +338,9 @@
 }
 
 /* The share of a queue in the owner's newest heartbeat, or NULL. */
-static struct rj_cell_queue_load *share_of(struct rj_cell_frontend *front,
-					   const struct rj_cell_queue *queue)
+static struct rj_cell_queue_load *
+find_queue_load(struct rj_cell_frontend *front,
+		const struct rj_cell_queue *queue)
 {
 	for (uint32_t i = 0;
 	     front->heartbeat_us && i < front->heartbeat.queue_load_count; i++)
@@ -353,7 +356,7 @@
  * Guards against a crowd that returns as one: those who were refused
  * together would be refused together again.
  */
-static uint32_t spread(const char *id, uint32_t retry_after_ms)
+static uint32_t spread_retry(const char *id, uint32_t retry_after_ms)
 {
 	return retry_after_ms +
 	       (uint32_t)(rj_hash64_string(id, 0) % (retry_after_ms / 2 + 1));
@@ -363,29 +366,29 @@
 static void submit(struct request *request, const struct rj_cell_queue *queue)
 {
 	struct rj_cell_frontend *front = request->front;
-	const struct rj_cell_queue_load *share = share_of(front, queue);
+	const struct rj_cell_queue_load *load = find_queue_load(front, queue);
 	struct rj_cell_job_spec *job_spec;
 	struct rj_bytes value;
 	struct rj_error err;
 
-	if (known(request)) {
-		answer_plain(request, RJ_CELL_VERDICT_ACCEPTED, "known", 0);
+	if (find_accepted(request)) {
+		answer_verdict(request, RJ_CELL_VERDICT_ACCEPTED, "known", 0);
 		return;
 	}
 	if (front->contact.away_us) {
-		answer_away(request, "log_away");
+		answer_unavailable(request, "log_away");
 		return;
 	}
 	job_spec = front->codec->decode_job(request, request->call->body, &err);
 	if (!job_spec) {
-		answer_plain(request, RJ_CELL_VERDICT_MALFORMED, err.message,
-			     0);
+		answer_verdict(request, RJ_CELL_VERDICT_MALFORMED, err.message,
+			       0);
 		return;
 	}
-	if (share && share->refuse &&
-	    front->now_us <= front->heartbeat_us + BEAT_AGE_MAX_US) {
-		answer_plain(request, RJ_CELL_VERDICT_BUSY, "backlog",
-			     spread(request->id, share->retry_after_ms));
+	if (load && load->refuse &&
+	    front->now_us <= front->heartbeat_us + HEARTBEAT_AGE_MAX_US) {
+		answer_verdict(request, RJ_CELL_VERDICT_BUSY, "backlog",
+			       spread_retry(request->id, load->retry_after_ms));
 		return;
 	}
 	set_terms(job_spec, request, queue);
@@ -394,16 +397,17 @@
 }
 
 /* A call for a queue as a whole. */
-static void ask_queue(struct request *request,
-		      const struct rj_cell_queue *queue)
+static void query_queue(struct request *request,
+			const struct rj_cell_queue *queue)
 {
-	const struct rj_cell_answer what = { .verdict = RJ_CELL_VERDICT_PENDING,
-					     .pending = rj_cell_view_pending(
-						     request->front->view,
-						     queue->name),
-					     .why = "counted" };
-
-	answer(request, &what);
+	const struct rj_cell_answer reply = {
+		.verdict = RJ_CELL_VERDICT_PENDING,
+		.pending =
+			rj_cell_view_pending(request->front->view, queue->name),
+		.why = "counted"
+	};
+
+	answer(request, &reply);
 }
 
 /* The call is allowed: do what it asks. */
@@ -418,22 +422,22 @@
 	struct rj_cell_view_entry *entry;
 
 	if (!front->jobs->caught_up) {
-		answer_away(request, "jobs_unread");
+		answer_unavailable(request, "jobs_unread");
 		return;
 	}
 	if (!*rest && call->verb == RJ_CELL_VERB_QUERY) {
-		ask_queue(request, queue);
+		query_queue(request, queue);
 		return;
 	}
-	if (take_id(rest, request->id)) {
-		answer_plain(request, RJ_CELL_VERDICT_NO_QUEUE, "no_id", 0);
+	if (parse_job_id(rest, request->id)) {
+		answer_verdict(request, RJ_CELL_VERDICT_NO_QUEUE, "no_id", 0);
 		return;
 	}
-	entry = known(request);
+	entry = find_accepted(request);
 	if (call->verb == RJ_CELL_VERB_SUBMIT)
 		submit(request, queue);
 	else if (!entry || !is_current(front, entry, age_max_us))
-		look_up(request);
+		sync_and_answer(request);
 	else if (call->verb == RJ_CELL_VERB_CANCEL)
 		cancel_known(request, entry);
 	else
@@ -441,7 +445,7 @@
 }
 
 /* Whether the call's key lets it in; else it has been answered. */
-static bool admit_key(struct request *request,
+static bool check_key(struct request *request,
 		      const struct rj_cell_queue *queue)
 {
 	struct rj_cell_frontend *front = request->front;
@@ -450,15 +454,15 @@
 	if (queue->open)
 		return true;
 	if (!rj_cell_frontend_keys_fresh(front, front->now_us)) {
-		answer_away(request, "keys_too_old");
+		answer_unavailable(request, "keys_too_old");
 		return false;
 	}
 	account = request->call->key ? rj_cell_config_key(front->config,
 							  request->call->key) :
 				       NULL;
 	if (!account) {
-		answer_plain(request, RJ_CELL_VERDICT_BAD_KEY, "no_such_key",
-			     0);
+		answer_verdict(request, RJ_CELL_VERDICT_BAD_KEY, "no_such_key",
+			       0);
 		return false;
 	}
 	memcpy(request->account, account->name, sizeof(request->account));
@@ -474,7 +478,7 @@
 {
 	struct request *request = talloc_zero(front->mem, struct request);
 	const struct rj_cell_queue *queue;
-	uint32_t wait_ms = call->wait_ms ? call->wait_ms : WAIT_MS;
+	uint32_t wait_ms = call->wait_ms ? call->wait_ms : DEFAULT_WAIT_MS;
 
 	assert(request);
 	front->now_us = call->now_us;
@@ -483,38 +487,39 @@
 	request->front = front;
 	request->call = call;
 	request->received_us = call->now_us;
-	request->due_us =
-		call->now_us + (wait_ms - MIN(ANSWER_MARGIN_MS,
-					      wait_ms / ANSWER_MARGIN_PART)) *
-				       RJ_US_PER_MS;
+	request->due_us = call->now_us +
+			  (wait_ms - MIN(ANSWER_MARGIN_MS,
+					 wait_ms / ANSWER_MARGIN_DIVISOR)) *
+				  RJ_US_PER_MS;
 	rj_list_init(&request->sync.link);
 	request->sync.done = sync_done;
 	rj_list_append(&front->requests, &request->link);
 	if (!front->config) {
-		answer_away(request, "no_config");
+		answer_unavailable(request, "no_config");
 		return;
 	}
 	queue = rj_cell_config_route(front->config, call->host, call->path);
 	if (!queue) {
-		answer_plain(request, RJ_CELL_VERDICT_NO_QUEUE, "no_route", 0);
+		answer_verdict(request, RJ_CELL_VERDICT_NO_QUEUE, "no_route",
+			       0);
 		return;
 	}
-	if (admit_key(request, queue))
+	if (check_key(request, queue))
 		serve(request, queue);
 }
 
 /* The last answer to a request that waits for the log: what is on its way
  * there may arrive, so nothing else can be said of it. */
-static void answer_open(struct request *request, const char *why)
+static void answer_unfinished(struct request *request, const char *why)
 {
 	if (request->writing)
-		answer_plain(request, RJ_CELL_VERDICT_UNKNOWN, why, 0);
+		answer_verdict(request, RJ_CELL_VERDICT_UNKNOWN, why, 0);
 	else
-		answer_away(request, why);
+		answer_unavailable(request, why);
 }
 
 /* See whether the log can be reached. */
-static void watch_log(struct rj_cell_frontend *front)
+static void check_log_contact(struct rj_cell_frontend *front)
 {
 	uint64_t answered_us =
 		MAX(MAX(front->jobs->answered_us, front->configs->answered_us),
@@ -540,15 +545,15 @@
 	struct rj_list *next;
 
 	front->now_us = now_us;
-	watch_log(front);
+	check_log_contact(front);
 	RJ_FOR_EACH (at, next, &front->requests) {
 		struct request *request =
 			RJ_CONTAINER(at, struct request, link);
 
 		if (front->contact.away_us)
-			answer_open(request, "log_away");
+			answer_unfinished(request, "log_away");
 		else if (now_us >= request->due_us)
-			answer_open(request, "log_slow");
+			answer_unfinished(request, "log_slow");
 	}
 }
 
@@ -561,6 +566,6 @@
 		struct request *request = RJ_CONTAINER(front->requests.next,
 						       struct request, link);
 
-		answer_open(request, "stopping");
+		answer_unfinished(request, "stopping");
 	}
 }
--- a/src/libradishjunction/cell/cell_job_spec.c
+++ b/src/libradishjunction/cell/cell_job_spec.c
@@ -7,7 +7,7 @@
 #include "private/pack.h"
 
 /* Raised when the order of the fields changes. */
-#define DEF_FORMAT 1
+#define JOB_SPEC_FORMAT 1
 
 /* One step: sane numbers, and only earlier steps before it. */
 static int check_step(const struct rj_cell_job_spec *job_spec, uint32_t number,
@@ -125,7 +125,7 @@
 	struct rj_packer out;
 
 	rj_pack_init(&out);
-	rj_pack_number(&out, DEF_FORMAT);
+	rj_pack_number(&out, JOB_SPEC_FORMAT);
 	rj_pack_text(&out, job_spec->id);
 	rj_pack_text(&out, job_spec->queue);
 	rj_pack_text(&out, job_spec->service);
@@ -151,7 +151,7 @@
 {
 	struct rj_bytes spec;
 
-	if (rj_unpack_number(in, "format", UINT32_MAX) != DEF_FORMAT)
+	if (rj_unpack_number(in, "format", UINT32_MAX) != JOB_SPEC_FORMAT)
 		rj_unpack_fail(in, "format");
 	rj_unpack_text(in, "id", job_spec->id, RJ_CELL_ID_BYTES);
 	rj_unpack_text(in, "queue", job_spec->queue, RJ_NAME_BYTES);
--- a/src/libradishjunction/cell/cell_log_reader.c
+++ b/src/libradishjunction/cell/cell_log_reader.c
@@ -30,7 +30,7 @@
 
 /* A long poll brings what was appended within a round trip; what is known to
  * be there for longer is read without waiting. */
-#define LAG_US (30 * RJ_US_PER_MS)
+#define POLL_LAG_US (30 * RJ_US_PER_MS)
 
 /* What one call remembers until its answer. */
 struct call {
@@ -95,8 +95,8 @@
 }
 
 /* A read has failed: come back later, and say so once. */
-static void note_failure(struct rj_cell_log_reader *reader,
-			 enum rj_cell_store_status status)
+static void record_failure(struct rj_cell_log_reader *reader,
+			   enum rj_cell_store_status status)
 {
 	uint64_t delay_us = RETRY_US
 			    << (reader->failures < 3 ? reader->failures : 3);
@@ -118,7 +118,7 @@
 }
 
 /* A read has succeeded after failures. */
-static void note_success(struct rj_cell_log_reader *reader)
+static void record_success(struct rj_cell_log_reader *reader)
 {
 	if (reader->failures)
 		rj_note("log_regained",
@@ -173,10 +173,10 @@
 	if (reply->status == RJ_CELL_STORE_EXPIRED) {
 		reload(reader);
 	} else if (reply->status != RJ_CELL_STORE_OK) {
-		note_failure(reader, reply->status);
+		record_failure(reader, reply->status);
 		end_syncs(reader, call->sent_us, false);
 	} else {
-		note_success(reader);
+		record_success(reader);
 		take_records(reader, reply);
 		reached = reader->next >= reply->end;
 		if (reached && call->sent_us > reader->confirmed_us)
@@ -212,12 +212,12 @@
 	reader->now_us = reply->now_us;
 	reader->poll_in_flight = false;
 	if (reply->status != RJ_CELL_STORE_OK) {
-		note_failure(reader, reply->status);
+		record_failure(reader, reply->status);
 		end_syncs(reader, call->sent_us, false);
 		talloc_free(call);
 		return;
 	}
-	note_success(reader);
+	record_success(reader);
 	/* Pages are read one after the other, while records are appended:
 	 * what the first page did not see is read from its end on. */
 	if (!reader->loaded_once)
@@ -318,7 +318,7 @@
 {
 	if (reader->state != RJ_CELL_LOG_READER_READING ||
 	    reader->quick_in_flight || reader->next >= reader->known_end ||
-	    reader->now_us < reader->known_us + LAG_US)
+	    reader->now_us < reader->known_us + POLL_LAG_US)
 		return;
 	reader->known_us = reader->now_us;
 	send_read(reader, true);
--- a/src/libradishjunction/cell/cell_metrics.c
+++ b/src/libradishjunction/cell/cell_metrics.c
@@ -6,15 +6,15 @@
 #define UNKNOWN_AGE -1
 
 /* One number. */
-static void number(GString *text, const char *name, uint64_t value)
+static void write_number(GString *text, const char *name, uint64_t value)
 {
 	g_string_append_printf(text, "radishjunction_%s %" PRIu64 "\n", name,
 			       value);
 }
 
 /* One number with a label. */
-static void labelled(GString *text, const char *name, const char *label,
-		     const char *value, uint64_t count)
+static void write_labelled(GString *text, const char *name, const char *label,
+			   const char *value, uint64_t count)
 {
 	g_string_append_printf(text,
 			       "radishjunction_%s{%s=\"%s\"} %" PRIu64 "\n",
@@ -22,8 +22,9 @@
 }
 
 /* How old the knowledge of a log is, in milliseconds. */
-static void age(GString *text, const struct rj_cell_log_reader *reader,
-		uint64_t now_us)
+static void write_log_age(GString *text,
+			  const struct rj_cell_log_reader *reader,
+			  uint64_t now_us)
 {
 	uint64_t age_us = rj_cell_log_reader_age_us(reader, now_us);
 	int64_t age_ms = age_us == RJ_NEVER_US ?
@@ -36,12 +37,12 @@
 }
 
 /* What clients were answered. */
-static void write_front(GString *text, const struct rj_cell_frontend *front)
+static void write_frontend(GString *text, const struct rj_cell_frontend *front)
 {
-	number(text, "requests_open", front->open);
+	write_number(text, "requests_open", front->open);
 	for (int i = 0; i < RJ_CELL_VERB_COUNT; i++)
-		labelled(text, "calls", "call", rj_cell_verb_string[i],
-			 front->counters.calls[i]);
+		write_labelled(text, "calls", "call", rj_cell_verb_string[i],
+			       front->counters.calls[i]);
 	for (int i = 0; i < RJ_CELL_VERDICT_COUNT; i++)
 		if (front->counters.answers[i].count)
 			rj_latency_write(&front->counters.answers[i],
@@ -55,9 +56,10 @@
 {
 	rj_latency_write(&writer->appends, "radishjunction_append_ms",
 			 "producer", producer, text);
-	labelled(text, "appends_lost", "producer", producer, writer->lost);
-	labelled(text, "appends_refused", "producer", producer,
-		 writer->refused);
+	write_labelled(text, "appends_lost", "producer", producer,
+		       writer->lost);
+	write_labelled(text, "appends_refused", "producer", producer,
+		       writer->refused);
 }
 
 /* Workers by what can be done with them. */
@@ -76,8 +78,8 @@
 		listed += worker->listed;
 		usable += rj_cell_worker_usable(worker, now_us);
 	}
-	number(text, "workers_listed", listed);
-	number(text, "workers_usable", usable);
+	write_number(text, "workers_listed", listed);
+	write_number(text, "workers_usable", usable);
 }
 
 /* What the owner has done, and what waits for it. */
@@ -89,20 +91,21 @@
 	};
 	const struct rj_cell_owner_counters *counters = &owner->counters;
 
-	number(text, "owner", owner->active);
-	number(text, "owner_token", owner->active ? owner->token : 0);
-	number(text, "takeovers", counters->takeovers);
-	number(text, "resigns", counters->resigns);
-	number(text, "starts", counters->starts);
-	number(text, "stops", counters->stops);
-	number(text, "polls", counters->polls);
-	number(text, "plans", counters->plans);
-	number(text, "plan_effort_max", counters->plan_effort_max);
-	number(text, "jobs_completed", counters->completed);
-	number(text, "jobs_failed", counters->failed);
+	write_number(text, "owner", owner->active);
+	write_number(text, "owner_token", owner->active ? owner->token : 0);
+	write_number(text, "takeovers", counters->takeovers);
+	write_number(text, "resigns", counters->resigns);
+	write_number(text, "starts", counters->starts);
+	write_number(text, "stops", counters->stops);
+	write_number(text, "polls", counters->polls);
+	write_number(text, "plans", counters->plans);
+	write_number(text, "plan_effort_max", counters->plan_effort_max);
+	write_number(text, "jobs_completed", counters->completed);
+	write_number(text, "jobs_failed", counters->failed);
 	for (int i = 0; i < RJ_CELL_COMPLETION_COUNT; i++)
-		labelled(text, "run_ends", "end", rj_cell_completion_string[i],
-			 counters->completions[i]);
+		write_labelled(text, "run_ends", "end",
+			       rj_cell_completion_string[i],
+			       counters->completions[i]);
 	for (int i = 0; i < RJ_CELL_PRIORITY_CLASSES; i++)
 		rj_latency_write(&counters->waits[i],
 				 "radishjunction_first_start_ms", "priority",
@@ -115,15 +118,16 @@
 		const struct rj_cell_backlog_class *waiting =
 			&owner->backlog.classes[i];
 
-		labelled(text, "tasks_waiting", "priority", priorities[i],
-			 waiting->tasks);
-		labelled(text, "oldest_wait_ms", "priority", priorities[i],
-			 waiting->oldest_us / RJ_US_PER_MS);
+		write_labelled(text, "tasks_waiting", "priority", priorities[i],
+			       waiting->tasks);
+		write_labelled(text, "oldest_wait_ms", "priority",
+			       priorities[i],
+			       waiting->oldest_us / RJ_US_PER_MS);
 	}
-	number(text, "accelerators_reserved", owner->backlog.reserved);
-	number(text, "accelerators_reserved_free",
-	       owner->backlog.reserved_free);
-	number(text, "accelerators_promised", owner->backlog.promised);
+	write_number(text, "accelerators_reserved", owner->backlog.reserved);
+	write_number(text, "accelerators_reserved_free",
+		     owner->backlog.reserved_free);
+	write_number(text, "accelerators_promised", owner->backlog.promised);
 	write_fleet(text, owner, now_us);
 }
 
@@ -133,21 +137,21 @@
 void rj_cell_metrics_write(const struct rj_cell_node *node, uint64_t now_us,
 			   GString *text)
 {
-	number(text, "config_version",
-	       node->config ? node->config->version : 0);
+	write_number(text, "config_version",
+		     node->config ? node->config->version : 0);
 	for (guint i = 0; i < node->cordons.cordons->len; i++)
-		labelled(text, "cordon_version", "domain",
-			 g_array_index(node->cordons.cordons,
-				       struct rj_cell_cordon, i)
-				 .domain,
-			 g_array_index(node->cordons.cordons,
-				       struct rj_cell_cordon, i)
-				 .version);
-	number(text, "jobs_known", node->view.count);
-	age(text, &node->configs, now_us);
-	age(text, &node->jobs, now_us);
-	age(text, &node->fleet, now_us);
-	write_front(text, &node->front);
+		write_labelled(text, "cordon_version", "domain",
+			       g_array_index(node->cordons.cordons,
+					     struct rj_cell_cordon, i)
+				       .domain,
+			       g_array_index(node->cordons.cordons,
+					     struct rj_cell_cordon, i)
+				       .version);
+	write_number(text, "jobs_known", node->view.count);
+	write_log_age(text, &node->configs, now_us);
+	write_log_age(text, &node->jobs, now_us);
+	write_log_age(text, &node->fleet, now_us);
+	write_frontend(text, &node->front);
 	write_appends(text, "front", &node->writer);
 	write_appends(text, "owner", &node->owner.writer);
 	write_appends(text, "owner_progress", &node->owner.progress);
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -11,7 +11,7 @@
 #define CONFIG_WAIT_MS 1000
 /* ... a part of what operators were promised: what is known may be twice as
  * old as a poll lasts. */
-#define WAIT_BOUND_PART 4
+#define WAIT_BOUND_DIVISOR 4
 #define JOBS_WAIT_MS 1000
 #define FLEET_WAIT_MS 1000
 /*
@@ -29,7 +29,7 @@
  * read, is taken to be gone. It writes every 0.4 s; an append takes up to a
  * quarter of a second when the log is slow.
  */
-#define OWNER_SILENT_US (900 * RJ_US_PER_MS)
+#define OWNER_TIMEOUT_US (900 * RJ_US_PER_MS)
 /* Those who would take over do so one after the other; each reads the log
  * first, which takes some 6 ms, and sees who was before it. */
 #define STAGGER_STEPS 32
@@ -40,14 +40,14 @@
  * has been up for a while, and a weaker one leaves it to others first. An
  * eighth of a core cannot keep up with 350 workers; its polls time out.
  */
-#define WEAKER_PART 3
-#define WEAKER_OF 2
-#define WEAK_WAIT_US (1000 * RJ_US_PER_MS)
-#define STRONG_WAIT_US (2 * RJ_US_PER_S)
+#define STRENGTH_RATIO_NUMERATOR 3
+#define STRENGTH_RATIO_DENOMINATOR 2
+#define WEAKER_DELAY_US (1000 * RJ_US_PER_MS)
+#define STRONGER_UPTIME_US (2 * RJ_US_PER_S)
 /* Times of day of one machine may jump by so much between two moments. */
-#define CLOCKS_APART_US (5 * RJ_US_PER_S)
+#define WALL_CLOCK_STEP_MAX_US (5 * RJ_US_PER_S)
 /* An instance that has just tried waits before it tries again. */
-#define ACQUIRE_PAUSE_US (300 * RJ_US_PER_MS)
+#define ACQUIRE_RETRY_US (300 * RJ_US_PER_MS)
 
 /* One page of the log of workers: a heartbeat, or an entry that is gone. */
 static void fleet_record(void *private_data,
@@ -79,7 +79,8 @@
 }
 
 /* Nothing more to do when a read has ended. */
-static void no_progress(void *private_data, struct rj_cell_log_reader *reader)
+static void ignore_progress(void *private_data,
+			    struct rj_cell_log_reader *reader)
 {
 }
 
@@ -96,7 +97,7 @@
 
 static const struct rj_cell_log_reader_ops fleet_ops = {
 	.record = fleet_record,
-	.progress = no_progress,
+	.progress = ignore_progress,
 	.load_end = fleet_load_end,
 };
 
@@ -189,7 +190,7 @@
 
 static const struct rj_cell_log_reader_ops operators_ops = {
 	operators_record,
-	no_progress,
+	ignore_progress,
 	operators_load_begin,
 	operators_load_end,
 };
@@ -221,8 +222,8 @@
 }
 
 /* The owner shows that it lives, and how loaded the cell is. */
-static void beat_record(struct rj_cell_node *node,
-			const struct rj_cell_record *record)
+static void heartbeat_record(struct rj_cell_node *node,
+			     const struct rj_cell_record *record)
 {
 	struct rj_cell_owner_heartbeat heartbeat;
 	struct rj_error err;
@@ -257,7 +258,7 @@
 		return;
 	}
 	if (kind == RJ_CELL_RECORD_HEARTBEAT) {
-		beat_record(node, record);
+		heartbeat_record(node, record);
 		return;
 	}
 	entry = rj_cell_view_apply(&node->view, record, node->jobs.now_us);
@@ -268,7 +269,7 @@
 }
 
 /* Whether the newest ownership record is ours, of this life. */
-static bool is_ours(const struct rj_cell_node *node)
+static bool is_owned_by_this_process(const struct rj_cell_node *node)
 {
 	/* A fenced owner may not have read yet who has taken over. */
 	return node->ownership.known && !node->ownership.record.leaving &&
@@ -292,7 +293,7 @@
 	rj_cell_owner_resign(&node->owner, why);
 	rj_cell_log_reader_stop(&node->fleet);
 	node->jobs.pause_us = JOBS_PAUSE_US;
-	node->acquire_due_us = node->now_us + ACQUIRE_PAUSE_US;
+	node->acquire_due_us = node->now_us + ACQUIRE_RETRY_US;
 }
 
 /*
@@ -304,10 +305,10 @@
  * any more; those before it were fenced by its record, and go on without the log
  * for no longer than an owner does.
  */
-static uint64_t renewals_us(const struct rj_cell_node *node)
+static uint64_t former_renewals_us(const struct rj_cell_node *node)
 {
 	const struct rj_cell_owner_record *former = &node->former;
-	uint64_t settled_us = RJ_CELL_BLIND_US + CLOCKS_APART_US;
+	uint64_t settled_us = RJ_CELL_BLIND_US + WALL_CLOCK_STEP_MAX_US;
 	uint64_t age_us;
 
 	if (strcmp(former->name, node->options.name) != 0 ||
@@ -337,10 +338,10 @@
 }
 
 /* Take the cell: the progress of all jobs is known. */
-static void step_up(struct rj_cell_node *node)
+static void become_owner(struct rj_cell_node *node)
 {
 	rj_cell_takeover_stop(&node->takeover);
-	rj_cell_owner_take(&node->owner, renewals_us(node), node->now_us,
+	rj_cell_owner_take(&node->owner, former_renewals_us(node), node->now_us,
 			   node->wall_ms);
 	rj_cell_log_reader_start(&node->fleet, node->now_us);
 }
@@ -353,8 +354,8 @@
 	node->now_us = reader->now_us;
 	if (is_owner(node) && node->owner.token != node->ownership.token)
 		step_down(node, "superseded");
-	else if (!is_owner(node) && reader->caught_up && is_ours(node) &&
-		 !node->draining)
+	else if (!is_owner(node) && reader->caught_up &&
+		 is_owned_by_this_process(node) && !node->draining)
 		begin_takeover(node);
 }
 
@@ -364,9 +365,9 @@
 
 /* How long a poll may wait where what it brings has to be known within a
  * bound (0: none). */
-static uint32_t wait_within(uint32_t wait_ms, uint32_t bound_ms)
+static uint32_t limit_wait(uint32_t wait_ms, uint32_t bound_ms)
 {
-	return bound_ms ? MIN(wait_ms, bound_ms / WAIT_BOUND_PART) : wait_ms;
+	return bound_ms ? MIN(wait_ms, bound_ms / WAIT_BOUND_DIVISOR) : wait_ms;
 }
 
 /*
@@ -376,12 +377,12 @@
 		       const struct rj_cell_node_options *options)
 {
 	char producer[RJ_NAME_BYTES * 2];
-	uint64_t place = rj_hash64_string(options->name, 0) % STAGGER_STEPS;
+	uint64_t slot = rj_hash64_string(options->name, 0) % STAGGER_STEPS;
 
 	memset(node, 0, sizeof(*node));
 	node->mem = mem;
 	node->options = *options;
-	node->stagger_us = (uint32_t)(place * STAGGER_STEP_US);
+	node->stagger_us = (uint32_t)(slot * STAGGER_STEP_US);
 	rj_cell_cordons_init(&node->cordons);
 	rj_cell_view_init(&node->view, mem);
 	rj_cell_log_reader_init(&node->jobs, mem, options->store,
@@ -392,11 +393,11 @@
 				RJ_CELL_TOPIC_WORKERS, &fleet_ops, node);
 	node->jobs.wait_ms = JOBS_WAIT_MS;
 	node->jobs.pause_us = JOBS_PAUSE_US;
-	node->configs.wait_ms = wait_within(
-		wait_within(CONFIG_WAIT_MS, options->terms.revoke_ms),
-		options->terms.cordon_ms);
+	node->configs.wait_ms =
+		limit_wait(limit_wait(CONFIG_WAIT_MS, options->terms.revoke_ms),
+			   options->terms.cordon_ms);
 	node->fleet.wait_ms =
-		wait_within(FLEET_WAIT_MS, options->terms.drain_ms);
+		limit_wait(FLEET_WAIT_MS, options->terms.drain_ms);
 	node->fleet.pause_us = FLEET_PAUSE_US;
 	(void)g_snprintf(producer, sizeof(producer),
 			 "%s-%" G_GINT64_MODIFIER "x", options->name,
@@ -416,7 +417,7 @@
 			      &node->owner);
 }
 
-static void probed(struct rj_cell_sync *sync, bool reached);
+static void probe_done(struct rj_cell_sync *sync, bool reached);
 
 /*
  * Begin to follow the log and to answer clients.
@@ -427,7 +428,7 @@
 	node->now_us = now_us;
 	node->wall_ms = wall_ms;
 	node->started_us = now_us;
-	node->probe.done = probed;
+	node->probe.done = probe_done;
 	rj_cell_writer_open(&node->writer, 1, 0, now_us);
 	rj_cell_log_reader_start(&node->configs, now_us);
 	rj_cell_log_reader_start(&node->jobs, now_us);
@@ -441,7 +442,7 @@
 
 	node->acquiring = false;
 	node->acquire_due_us =
-		reply->now_us + ACQUIRE_PAUSE_US + node->stagger_us;
+		reply->now_us + ACQUIRE_RETRY_US + node->stagger_us;
 	rj_note("acquire",
 		RJ_NOTE_TEXT("outcome",
 			     rj_cell_store_status_string[reply->status]),
@@ -491,16 +492,17 @@
 
 /* Whether one instance is so much weaker than another that the cell had
  * better be owned by the other. */
-static bool is_weaker(uint32_t strength, uint32_t than)
+static bool is_weaker(uint32_t strength, uint32_t other)
 {
-	return strength * WEAKER_PART < than * WEAKER_OF;
+	return strength * STRENGTH_RATIO_NUMERATOR <
+	       other * STRENGTH_RATIO_DENOMINATOR;
 }
 
 /* How long the owner may be silent before this instance steps in. */
-static uint64_t patience_us(const struct rj_cell_node *node)
+static uint64_t owner_timeout_us(const struct rj_cell_node *node)
 {
 	const struct rj_cell_owner_record *record = &node->ownership.record;
-	uint64_t patience_us = OWNER_SILENT_US + node->stagger_us;
+	uint64_t owner_timeout_us = OWNER_TIMEOUT_US + node->stagger_us;
 
 	/* The owner was this process, in a life that has ended. */
 	if (node->ownership.known &&
@@ -508,30 +510,30 @@
 	    record->incarnation != node->options.incarnation)
 		return 0;
 	if (!node->ownership.known || record->leaving)
-		patience_us = node->stagger_us / 4;
+		owner_timeout_us = node->stagger_us / 4;
 	if (node->ownership.known &&
 	    is_weaker(node->options.strength, record->strength))
-		patience_us += WEAK_WAIT_US;
-	return patience_us;
+		owner_timeout_us += WEAKER_DELAY_US;
+	return owner_timeout_us;
 }
 
 /* Whether the owner has been silent for too long, or is too weak. */
 static bool should_acquire(const struct rj_cell_node *node)
 {
-	uint64_t silent_us = node->now_us - node->ownership.seen_us;
+	uint64_t since_seen_us = node->now_us - node->ownership.seen_us;
 
 	if (node->ownership.known &&
 	    is_weaker(node->ownership.record.strength,
 		      node->options.strength) &&
 	    node->now_us >=
-		    node->started_us + STRONG_WAIT_US + node->stagger_us)
+		    node->started_us + STRONGER_UPTIME_US + node->stagger_us)
 		return true;
-	return silent_us >= patience_us(node);
+	return since_seen_us >= owner_timeout_us(node);
 }
 
 /* The log has been read to its end since the owner seemed silent: acquire
  * the cell, if it still does. */
-static void probed(struct rj_cell_sync *sync, bool reached)
+static void probe_done(struct rj_cell_sync *sync, bool reached)
 {
 	struct rj_cell_node *node =
 		RJ_CONTAINER(sync, struct rj_cell_node, probe);
@@ -539,7 +541,7 @@
 	node->probing = false;
 	node->now_us = node->jobs.now_us;
 	if (!reached) {
-		node->acquire_due_us = node->now_us + ACQUIRE_PAUSE_US;
+		node->acquire_due_us = node->now_us + ACQUIRE_RETRY_US;
 		return;
 	}
 	if (is_owner(node) || node->acquiring || node->draining ||
@@ -593,7 +595,7 @@
 	node->owner.operators_read_us = node->configs.confirmed_us;
 	rj_cell_takeover_tick(&node->takeover, now_us);
 	if (rj_cell_takeover_is_loaded(&node->takeover))
-		step_up(node);
+		become_owner(node);
 	rj_cell_owner_advance(&node->owner, now_us, wall_ms);
 	if (node->owner.lost)
 		step_down(node, "fenced");
--- a/src/libradishjunction/cell/cell_record.c
+++ b/src/libradishjunction/cell/cell_record.c
@@ -10,13 +10,13 @@
 #define STATE_FORMAT 1
 /* Earlier formats had no time, then no epoch in them; instances of all may
  * run side by side. */
-#define OWNER_FORMAT_UNTIMED 1
-#define OWNER_FORMAT_TIMED 2
+#define OWNER_FORMAT_NO_TIME 1
+#define OWNER_FORMAT_NO_EPOCH 2
 #define OWNER_FORMAT 3
-#define BEAT_FORMAT 1
+#define HEARTBEAT_FORMAT 1
 
 /* The first character of a key. */
-static const char kind_letter[RJ_CELL_RECORD_KIND_COUNT] = {
+static const char key_prefix[RJ_CELL_RECORD_KIND_COUNT] = {
 	[RJ_CELL_RECORD_JOB_SPEC] = 'j', [RJ_CELL_RECORD_PROGRESS] = 's',
 	[RJ_CELL_RECORD_STATE] = 't',	 [RJ_CELL_RECORD_CANCEL] = 'c',
 	[RJ_CELL_RECORD_OWNER] = 'o',	 [RJ_CELL_RECORD_HEARTBEAT] = 'b',
@@ -24,7 +24,7 @@
 
 /* How much of a task is written. */
 enum task_code {
-	TASK_FRESH, /* nothing has happened to it */
+	TASK_NOT_STARTED, /* nothing has happened to it */
 	TASK_DONE,
 	TASK_DETAILS,
 };
@@ -35,7 +35,7 @@
 void rj_cell_record_key(char key[RJ_CELL_KEY_BYTES],
 			enum rj_cell_record_kind kind, const char *id)
 {
-	key[0] = kind_letter[kind];
+	key[0] = key_prefix[kind];
 	g_strlcpy(key + 1, id, RJ_CELL_KEY_BYTES - 1);
 }
 
@@ -48,7 +48,7 @@
 	for (int i = 0; i < RJ_CELL_RECORD_KIND_COUNT; i++) {
 		bool of_job = i <= RJ_CELL_RECORD_CANCEL;
 
-		if (key[0] != kind_letter[i] ||
+		if (key[0] != key_prefix[i] ||
 		    strlen(key) != (of_job ? RJ_CELL_KEY_BYTES - 1 : 1))
 			continue;
 		*kind = (enum rj_cell_record_kind)i;
@@ -99,7 +99,7 @@
 		return;
 	}
 	if (!task->run && !task->failures) {
-		rj_pack_number(out, TASK_FRESH);
+		rj_pack_number(out, TASK_NOT_STARTED);
 		return;
 	}
 	rj_pack_number(out, TASK_DETAILS);
@@ -125,8 +125,9 @@
 }
 
 /* The occurrences under way. */
-static void write_rounds(struct rj_packer *out, const struct rj_cell_job *job,
-			 const struct worker_table *table)
+static void write_occurrences(struct rj_packer *out,
+			      const struct rj_cell_job *job,
+			      const struct worker_table *table)
 {
 	const struct rj_list *at;
 	uint32_t count = 0;
@@ -149,7 +150,8 @@
  * What nobody has listed of gangs, behind all else up to the end of the
  * record, a row for each gang: earlier versions do not read that far.
  */
-static void write_unseen(struct rj_packer *out, const struct rj_cell_job *job)
+static void write_unreported(struct rj_packer *out,
+			     const struct rj_cell_job *job)
 {
 	const struct rj_list *at;
 
@@ -197,8 +199,8 @@
 
 			rj_pack_text(&out, worker->id);
 		}
-		write_rounds(&out, job, &table);
-		write_unseen(&out, job);
+		write_occurrences(&out, job, &table);
+		write_unreported(&out, job);
 	}
 	g_ptr_array_free(table.workers, TRUE);
 	g_hash_table_destroy(table.index);
@@ -267,17 +269,17 @@
 	uint32_t count = (uint32_t)rj_unpack_number(in, "runs", UINT16_MAX);
 
 	for (uint32_t i = 0; i < count && !in->bad; i++) {
-		uint32_t place = (uint32_t)rj_unpack_number(
+		uint32_t position = (uint32_t)rj_unpack_number(
 			in, "worker", workers->len ? workers->len - 1 : 0);
 		uint32_t number =
 			(uint32_t)rj_unpack_number(in, "number", UINT32_MAX);
 		struct rj_cell_run *run;
 
-		if (in->bad || place >= workers->len) {
+		if (in->bad || position >= workers->len) {
 			rj_unpack_fail(in, "worker");
 			return;
 		}
-		run = rj_cell_run_new(workers->pdata[place], task, number);
+		run = rj_cell_run_new(workers->pdata[position], task, number);
 		run->state = RJ_CELL_RUN_PLACED;
 		/* The former owner's orders are fenced: what is not listed
 		 * from now on will never come. */
@@ -309,8 +311,8 @@
 }
 
 /* The occurrences under way. */
-static void read_rounds(struct rj_unpacker *in, struct rj_cell_job *job,
-			GPtrArray *workers, uint64_t now_us)
+static void read_occurrences(struct rj_unpacker *in, struct rj_cell_job *job,
+			     GPtrArray *workers, uint64_t now_us)
 {
 	uint32_t count = (uint32_t)rj_unpack_number(in, "rounds", UINT16_MAX);
 
@@ -328,7 +330,7 @@
 
 /* A task of an occurrence under way, by its place in the job; or NULL. */
 static struct rj_cell_task *task_at(const struct rj_cell_job *job,
-				    uint32_t number, uint32_t place)
+				    uint32_t number, uint32_t position)
 {
 	const struct rj_list *at;
 
@@ -338,22 +340,22 @@
 			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
 		if (occurrence->number == number &&
-		    place < job->job_spec->task_count)
-			return &occurrence->tasks[place];
+		    position < job->job_spec->task_count)
+			return &occurrence->tasks[position];
 	}
 	return NULL;
 }
 
-/* What write_unseen wrote. Until when it counts is for the owner to say, who
+/* What write_unreported wrote. Until when it counts is for the owner to say, who
  * knows how long leases last. */
-static void read_unseen(struct rj_unpacker *in, struct rj_cell_job *job)
+static void read_unreported(struct rj_unpacker *in, struct rj_cell_job *job)
 {
 	while (!in->bad && in->offset < in->length) {
 		uint32_t occurrence = (uint32_t)rj_unpack_number(
 			in, "unseen_round", UINT32_MAX);
-		uint32_t place = (uint32_t)rj_unpack_number(in, "unseen_task",
-							    UINT32_MAX);
-		struct rj_cell_task *task = task_at(job, occurrence, place);
+		uint32_t position = (uint32_t)rj_unpack_number(
+			in, "unseen_task", UINT32_MAX);
+		struct rj_cell_task *task = task_at(job, occurrence, position);
 
 		if (!task) {
 			rj_unpack_fail(in, "unseen_task");
@@ -401,8 +403,8 @@
 			g_ptr_array_add(workers,
 					rj_cell_fleet_obtain(fleet, id));
 		}
-		read_rounds(&in, job, workers, now_us);
-		read_unseen(&in, job);
+		read_occurrences(&in, job, workers, now_us);
+		read_unreported(&in, job);
 	}
 	job->occurrences_begun = begun;
 	g_ptr_array_free(workers, TRUE);
@@ -440,17 +442,17 @@
 
 	rj_unpack_init(&in, bytes);
 	format = rj_unpack_number(&in, "format", OWNER_FORMAT);
-	if (format < OWNER_FORMAT_UNTIMED)
+	if (format < OWNER_FORMAT_NO_TIME)
 		rj_unpack_fail(&in, "format");
 	rj_unpack_text(&in, "name", owner->name, sizeof(owner->name));
 	owner->incarnation = rj_unpack_number(&in, "incarnation", UINT64_MAX);
 	owner->strength =
 		(uint32_t)rj_unpack_number(&in, "strength", UINT32_MAX);
 	owner->leaving = rj_unpack_bool(&in, "leaving");
-	owner->since_ms = format > OWNER_FORMAT_UNTIMED ?
+	owner->since_ms = format > OWNER_FORMAT_NO_TIME ?
 				  rj_unpack_number(&in, "since", UINT64_MAX) :
 				  0;
-	owner->epoch = format > OWNER_FORMAT_TIMED ?
+	owner->epoch = format > OWNER_FORMAT_NO_EPOCH ?
 			       rj_unpack_number(&in, "epoch", UINT64_MAX) :
 			       0;
 	return rj_unpack_finish(&in, err);
@@ -466,18 +468,18 @@
 	struct rj_packer out;
 
 	rj_pack_init(&out);
-	rj_pack_number(&out, BEAT_FORMAT);
+	rj_pack_number(&out, HEARTBEAT_FORMAT);
 	rj_pack_number(&out, heartbeat->incarnation);
 	rj_pack_number(&out, heartbeat->number);
 	rj_pack_number(&out, heartbeat->queue_load_count);
 	for (uint32_t i = 0; i < heartbeat->queue_load_count; i++) {
-		const struct rj_cell_queue_load *share =
+		const struct rj_cell_queue_load *load =
 			&heartbeat->queue_loads[i];
 
-		rj_pack_text(&out, share->queue);
-		rj_pack_number(&out, share->mean_ms);
-		rj_pack_bool(&out, share->refuse);
-		rj_pack_number(&out, share->retry_after_ms);
+		rj_pack_text(&out, load->queue);
+		rj_pack_number(&out, load->mean_ms);
+		rj_pack_bool(&out, load->refuse);
+		rj_pack_number(&out, load->retry_after_ms);
 	}
 	return rj_pack_finish(&out, mem);
 }
@@ -493,7 +495,7 @@
 
 	memset(heartbeat, 0, sizeof(*heartbeat));
 	rj_unpack_init(&in, bytes);
-	if (rj_unpack_number(&in, "format", UINT32_MAX) != BEAT_FORMAT)
+	if (rj_unpack_number(&in, "format", UINT32_MAX) != HEARTBEAT_FORMAT)
 		rj_unpack_fail(&in, "format");
 	heartbeat->incarnation =
 		rj_unpack_number(&in, "incarnation", UINT64_MAX);
@@ -502,14 +504,13 @@
 	heartbeat->queue_load_count = (uint32_t)rj_unpack_number(
 		&in, "shares", RJ_CELL_QUEUE_LOADS_MAX);
 	for (uint32_t i = 0; i < heartbeat->queue_load_count; i++) {
-		struct rj_cell_queue_load *share = &heartbeat->queue_loads[i];
+		struct rj_cell_queue_load *load = &heartbeat->queue_loads[i];
 
-		rj_unpack_text(&in, "queue", share->queue,
-			       sizeof(share->queue));
-		share->mean_ms =
+		rj_unpack_text(&in, "queue", load->queue, sizeof(load->queue));
+		load->mean_ms =
 			(uint32_t)rj_unpack_number(&in, "mean_ms", UINT32_MAX);
-		share->refuse = rj_unpack_bool(&in, "refuse");
-		share->retry_after_ms = (uint32_t)rj_unpack_number(
+		load->refuse = rj_unpack_bool(&in, "refuse");
+		load->retry_after_ms = (uint32_t)rj_unpack_number(
 			&in, "come_back_ms", UINT32_MAX);
 	}
 	return rj_unpack_finish(&in, err);
--- a/src/libradishjunction/cell/cell_view.c
+++ b/src/libradishjunction/cell/cell_view.c
@@ -39,8 +39,8 @@
 }
 
 /* The entry of a job, made when it is missing. */
-static struct rj_cell_view_entry *obtain(struct rj_cell_view *view,
-					 const char *id)
+static struct rj_cell_view_entry *get_or_create(struct rj_cell_view *view,
+						const char *id)
 {
 	struct rj_cell_view_entry *entry = rj_cell_view_find(view, id);
 
@@ -69,9 +69,8 @@
 }
 
 /* A submission; that of a job that is known changes nothing. */
-static void apply_definition(struct rj_cell_view_entry *entry,
-			     const struct rj_cell_record *record,
-			     uint64_t now_us)
+static void apply_job_spec(struct rj_cell_view_entry *entry,
+			   const struct rj_cell_record *record, uint64_t now_us)
 {
 	struct rj_error err;
 
@@ -117,8 +116,8 @@
 
 /* A key of a job was dropped: its definition once it has ended, and its state
  * when nobody has to be told of it any more. */
-static void apply_drop(struct rj_cell_view *view, const char *id,
-		       enum rj_cell_record_kind kind)
+static void apply_deletion(struct rj_cell_view *view, const char *id,
+			   enum rj_cell_record_kind kind)
 {
 	struct rj_cell_view_entry *entry = rj_cell_view_find(view, id);
 
@@ -187,12 +186,12 @@
 	    kind > RJ_CELL_RECORD_CANCEL)
 		return NULL;
 	if (!record->value.length) {
-		apply_drop(view, id, kind);
+		apply_deletion(view, id, kind);
 		return NULL;
 	}
-	entry = obtain(view, id);
+	entry = get_or_create(view, id);
 	if (kind == RJ_CELL_RECORD_JOB_SPEC)
-		apply_definition(entry, record, now_us);
+		apply_job_spec(entry, record, now_us);
 	else if (kind == RJ_CELL_RECORD_STATE)
 		apply_state(entry, record, now_us);
 	else if (kind == RJ_CELL_RECORD_PROGRESS)
--- a/src/libradishjunction/cell/cell_writer.c
+++ b/src/libradishjunction/cell/cell_writer.c
@@ -68,21 +68,22 @@
 }
 
 /* Tell the owners of all writes of a list how they ended. */
-static void end_writes(struct rj_list *list, enum rj_cell_write_outcome outcome)
+static void complete_writes(struct rj_list *list,
+			    enum rj_cell_write_outcome outcome)
 {
-	struct rj_list ended;
+	struct rj_list completed;
 
 	/* What `done` adds belongs to the next batch. */
-	rj_list_init(&ended);
+	rj_list_init(&completed);
 	while (list->next != list) {
 		struct rj_list *link = list->next;
 
 		rj_list_remove(link);
-		rj_list_append(&ended, link);
+		rj_list_append(&completed, link);
 	}
-	while (ended.next != &ended) {
+	while (completed.next != &completed) {
 		struct write *write =
-			RJ_CONTAINER(ended.next, struct write, link);
+			RJ_CONTAINER(completed.next, struct write, link);
 
 		rj_list_remove(&write->link);
 		write->done.call(write->done.private_data, outcome);
@@ -149,8 +150,8 @@
 }
 
 /* The outcome of the batch is known: tell it and go on with the next. */
-static void end_batch(struct rj_cell_writer *writer,
-		      enum rj_cell_write_outcome outcome)
+static void complete_batch(struct rj_cell_writer *writer,
+			   enum rj_cell_write_outcome outcome)
 {
 	uint32_t generation = writer->generation;
 
@@ -158,7 +159,7 @@
 		writer->sequence++;
 		writer->stored_us = writer->sent_us;
 	}
-	end_writes(&writer->sent, outcome);
+	complete_writes(&writer->sent, outcome);
 	if (generation == writer->generation)
 		rj_cell_writer_flush(writer, writer->now_us);
 }
@@ -183,7 +184,7 @@
 		RJ_NOTE_NUMBER("sequence", writer->sequence));
 	writer->epoch++;
 	writer->sequence = 0;
-	end_batch(writer, RJ_CELL_WRITE_UNKNOWN);
+	complete_batch(writer, RJ_CELL_WRITE_UNKNOWN);
 }
 
 /* Whether a status shows that the store serves this instance. */
@@ -221,10 +222,10 @@
 		writer->end = MAX(writer->end, reply->end);
 		writer->took_us = writer->now_us - writer->sent_us;
 		rj_latency_add(&writer->appends, writer->took_us);
-		end_batch(writer, RJ_CELL_WRITE_STORED);
+		complete_batch(writer, RJ_CELL_WRITE_STORED);
 		break;
 	case RJ_CELL_STORE_FENCED:
-		end_batch(writer, RJ_CELL_WRITE_FENCED);
+		complete_batch(writer, RJ_CELL_WRITE_FENCED);
 		break;
 	case RJ_CELL_STORE_SEQUENCE:
 		renew_epoch(writer);
@@ -232,7 +233,7 @@
 	case RJ_CELL_STORE_REFUSED:
 		writer->refused++;
 		if (!writer->uncertain) {
-			end_batch(writer, RJ_CELL_WRITE_NOT_STORED);
+			complete_batch(writer, RJ_CELL_WRITE_NOT_STORED);
 			break;
 		}
 		retry_later(writer);
@@ -303,6 +304,6 @@
 	writer->generation++;
 	writer->open = false;
 	writer->in_flight = false;
-	end_writes(&writer->sent, RJ_CELL_WRITE_UNKNOWN);
-	end_writes(&writer->waiting, RJ_CELL_WRITE_NOT_STORED);
+	complete_writes(&writer->sent, RJ_CELL_WRITE_UNKNOWN);
+	complete_writes(&writer->waiting, RJ_CELL_WRITE_NOT_STORED);
 }
