--- a/src/libradishjunction/cell/cell_frontend.c
+++ b/src/libradishjunction/cell/cell_frontend.c
@@ -7,27 +7,28 @@
 
 #include "private/note.h"
 
-/* A client that does not say how long it waits is taken to wait this long. */
+/* Wait of a client that does not announce one. */
 #define DEFAULT_WAIT_MS 3000
-/* The last answer leaves so long before the client gives up. */
+/* The last answer is sent this long before the client times out. */
 #define ANSWER_MARGIN_MS 120
-/* One who has little time left still gets most of it: an append takes 10 ms. */
+/* Limits the margin to a quarter of a short wait: an append takes 10 ms. */
 #define ANSWER_MARGIN_DIVISOR 4
 /*
- * States are told at once from what was read so lately; else the log is read
- * first, which takes some 6 ms. Callers ask once or twice a job, so that this
- * costs far fewer reads than to follow the log closely at every instance.
+ * A state read from the log within this time is returned at once; otherwise the
+ * log is read first, which takes about 6 ms. Callers ask once or twice per job,
+ * so this costs far fewer reads than every instance reading the log
+ * continuously.
  */
 #define STATE_FRESH_US (80 * RJ_US_PER_MS)
-/* Where the log cannot be read, states are told that are no older. */
+/* While the log is unavailable, states up to this age are returned. */
 #define STATE_AGE_MAX_US (1200 * RJ_US_PER_MS)
-/* What the owner said of its backlog counts for so long; it says so anew
+/* Maximum age of the owner's heartbeat for its backlog to count; one is written
  * every 0.4 s. */
 #define HEARTBEAT_AGE_MAX_US (3 * RJ_US_PER_S)
 /*
- * Keys are used while the configuration is known to be younger than this
- * part of what operators were promised; the rest covers a call's way to a
- * worker and a clock that runs 2 % slow.
+ * Keys are accepted while the configuration is younger than this part of the
+ * revocation bound promised to operators. The rest covers the call's way to a
+ * worker and a clock that is 2 % slow.
  */
 #define KEY_FRESH_PERCENT 78
 
@@ -51,7 +52,8 @@
 	[RJ_CELL_VERDICT_UNKNOWN] = "unknown",
 };
 
-/* A call that waits for the log. */
+/* A call that has not been answered, or that a write or a sync still refers
+ * to. */
 struct request {
 	struct rj_list link;
 	struct rj_cell_frontend *front;
@@ -59,7 +61,7 @@
 	char id[RJ_CELL_ID_BYTES];
 	char account[RJ_NAME_BYTES];
 	uint64_t received_us;
-	uint64_t due_us; /* the last answer leaves then */
+	uint64_t due_us; /* the last answer is sent then */
 	bool answered;
 	bool writing; /* a write refers to it */
 	struct rj_cell_sync sync;
@@ -67,7 +69,7 @@
 };
 
 /*
- * Prepare to answer clients. The writer must be open before a call comes.
+ * Initializes the frontend. The writer must be open before the first call.
  */
 void rj_cell_frontend_init(struct rj_cell_frontend *front, void *mem,
 			   struct rj_cell_view *view,
@@ -89,9 +91,9 @@
 }
 
 /*
- * Whether keys may be believed: a key that was taken away must not be used
- * later than operators were promised, however long this instance has been
- * cut off or asleep.
+ * Whether API keys can be trusted. A removed key must not be accepted for
+ * longer than promised to operators, however long this instance was partitioned
+ * or suspended.
  */
 bool rj_cell_frontend_keys_fresh(const struct rj_cell_frontend *front,
 				 uint64_t now_us)
@@ -103,14 +105,14 @@
 	       rj_cell_log_reader_age_us(front->configs, now_us) < limit_us;
 }
 
-/* Free a request that nothing refers to any more. */
+/* Frees a request once nothing refers to it. */
 static void release(struct request *request)
 {
 	if (request->answered && !request->writing && !request->syncing)
 		talloc_free(request);
 }
 
-/* Answer a request, once. */
+/* Answers a request; later answers to it are ignored. */
 static void answer(struct request *request, const struct rj_cell_answer *reply)
 {
 	struct rj_cell_frontend *front = request->front;
@@ -149,7 +151,7 @@
 	release(request);
 }
 
-/* An answer that carries nothing but its verdict. */
+/* Answers with a verdict and no further data. */
 static void answer_verdict(struct request *request,
 			   enum rj_cell_verdict verdict, const char *why,
 			   uint32_t retry_after_ms)
@@ -161,7 +163,7 @@
 	answer(request, &reply);
 }
 
-/* Nothing can be done without the log, or has been. */
+/* Answers that the log is unavailable and nothing was done. */
 static void answer_unavailable(struct request *request, const char *why)
 {
 	answer_verdict(request, RJ_CELL_VERDICT_UNAVAILABLE, why,
@@ -169,7 +171,7 @@
 						    request->front->now_us));
 }
 
-/* The last part of the path as the id of a job. Returns 0, or -1. */
+/* Parses the last part of the path as a job id. Returns 0, or -1. */
 static int parse_job_id(const char *text, char id[RJ_CELL_ID_BYTES])
 {
 	if (strlen(text) != RJ_CELL_ID_BYTES - 1)
@@ -181,7 +183,8 @@
 	return 0;
 }
 
-/* A job's state, as callers may be told it. */
+/* Answers with the state of a job. A cancellation request counts as
+ * cancelled. */
 static void answer_state(struct request *request,
 			 const struct rj_cell_view_entry *entry)
 {
@@ -194,7 +197,7 @@
 	answer(request, &reply);
 }
 
-/* Whether a job is known here. */
+/* Returns the request's job if it has been accepted, or NULL. */
 static struct rj_cell_view_entry *find_accepted(const struct request *request)
 {
 	struct rj_cell_view_entry *entry =
@@ -203,7 +206,6 @@
 	return rj_cell_view_is_accepted(entry) ? entry : NULL;
 }
 
-/* What was to be stored is, or is not. */
 static void write_done(void *private_data, enum rj_cell_write_outcome outcome)
 {
 	struct request *request = private_data;
@@ -227,7 +229,7 @@
 			       0);
 }
 
-/* Store a record of the request's job; the answer follows. */
+/* Stores a record of the request's job; write_done answers the request. */
 static void store(struct request *request, enum rj_cell_record_kind kind,
 		  struct rj_bytes value)
 {
@@ -241,7 +243,7 @@
 	rj_cell_writer_flush(writer, request->front->now_us);
 }
 
-/* A wish to cancel a job that is known. */
+/* Stores a cancellation request, unless the job has ended or has one. */
 static void cancel_known(struct request *request,
 			 struct rj_cell_view_entry *entry)
 {
@@ -259,10 +261,12 @@
 }
 
 /*
- * Whether what is known of a job is no older than `age_max_us`; an end stays.
+ * Whether a job's state was read within `age_max_us`. A final state never
+ * expires.
  *
- * Guards against a state that goes back: a client that was told that its job
- * has ended asks again, at an instance that has been cut off since before.
+ * Prevents a state from going backwards: a client that was told that its job
+ * has ended may ask again at an instance that has been partitioned since
+ * before.
  */
 static bool is_current(const struct rj_cell_frontend *front,
 		       const struct rj_cell_view_entry *entry,
@@ -273,7 +277,8 @@
 		       age_max_us;
 }
 
-/* The log could not be read: a state may still be told, if it is not old. */
+/* Answers while the log cannot be read: with the known state if it is recent
+ * enough. */
 static void answer_log_unread(struct request *request,
 			      const struct rj_cell_view_entry *entry)
 {
@@ -284,7 +289,7 @@
 		answer_unavailable(request, "log_unread");
 }
 
-/* The log has been read to its end: what is not known now does not exist. */
+/* The log has been read to its end: a job that is not in it does not exist. */
 static void sync_done(struct rj_cell_sync *sync, bool reached)
 {
 	struct request *request = RJ_CONTAINER(sync, struct request, sync);
@@ -297,7 +302,7 @@
 		return;
 	}
 	entry = find_accepted(request);
-	/* A read that ends so late tells what was, not what is. */
+	/* A read that ends this late shows an outdated state. */
 	if (!reached || request->front->now_us >= request->due_us)
 		answer_log_unread(request, entry);
 	else if (!entry)
@@ -309,7 +314,7 @@
 		answer_state(request, entry);
 }
 
-/* Read the log to its end before the job is said not to exist. */
+/* Reads the log to its end before answering. */
 static void sync_and_answer(struct request *request)
 {
 	if (request->front->contact.away_us) {
@@ -321,7 +326,7 @@
 				request->front->now_us);
 }
 
-/* Fill in the terms of the queue. */
+/* Copies the terms of the queue into a job spec. */
 static void set_terms(struct rj_cell_job_spec *job_spec,
 		      const struct request *request,
 		      const struct rj_cell_queue *queue)
@@ -337,7 +342,7 @@
 	job_spec->accepted_ms = request->call->wall_ms;
 }
 
-/* The share of a queue in the owner's newest heartbeat, or NULL. */
+/* Returns the queue's load from the owner's newest heartbeat, or NULL. */
 static struct rj_cell_queue_load *
 find_queue_load(struct rj_cell_frontend *front,
 		const struct rj_cell_queue *queue)
@@ -350,11 +355,10 @@
 }
 
 /*
- * When a refused caller is to come back: between the time when room is
- * likely and half as much later, by its job's id.
+ * Spreads the retries of rejected callers over half of the delay, by job id.
  *
- * Guards against a crowd that returns as one: those who were refused
- * together would be refused together again.
+ * Callers that were rejected together would otherwise return together and be
+ * rejected again.
  */
 static uint32_t spread_retry(const char *id, uint32_t retry_after_ms)
 {
@@ -362,7 +366,7 @@
 	       (uint32_t)(rj_hash64_string(id, 0) % (retry_after_ms / 2 + 1));
 }
 
-/* A new job: refused at once when it would not be served in time. */
+/* Stores a new job, or rejects it at once if it would not be served in time. */
 static void submit(struct request *request, const struct rj_cell_queue *queue)
 {
 	struct rj_cell_frontend *front = request->front;
@@ -396,7 +400,7 @@
 	store(request, RJ_CELL_RECORD_JOB_SPEC, value);
 }
 
-/* A call for a queue as a whole. */
+/* Answers with the number of pending jobs of a queue. */
 static void query_queue(struct request *request,
 			const struct rj_cell_queue *queue)
 {
@@ -410,7 +414,7 @@
 	answer(request, &reply);
 }
 
-/* The call is allowed: do what it asks. */
+/* Executes a call that is authorized. */
 static void serve(struct request *request, const struct rj_cell_queue *queue)
 {
 	struct rj_cell_frontend *front = request->front;
@@ -444,7 +448,7 @@
 		answer_state(request, entry);
 }
 
-/* Whether the call's key lets it in; else it has been answered. */
+/* Whether the call's key authorizes it; if not, the call has been answered. */
 static bool check_key(struct request *request,
 		      const struct rj_cell_queue *queue)
 {
@@ -470,8 +474,8 @@
 }
 
 /*
- * Take one call. It is answered at once where that is possible, else when
- * the log has answered or shortly before the client gives up.
+ * Handles a call. It is answered at once if possible, otherwise when the log
+ * answers or shortly before the client times out.
  */
 void rj_cell_frontend_handle(struct rj_cell_frontend *front,
 			     struct rj_cell_call *call)
@@ -508,8 +512,8 @@
 		serve(request, queue);
 }
 
-/* The last answer to a request that waits for the log: what is on its way
- * there may arrive, so nothing else can be said of it. */
+/* Final answer to a request that waits for the log. If a write is in flight, it
+ * may still succeed, so the outcome is unknown. */
 static void answer_unfinished(struct request *request, const char *why)
 {
 	if (request->writing)
@@ -518,7 +522,7 @@
 		answer_unavailable(request, why);
 }
 
-/* See whether the log can be reached. */
+/* Updates whether the log is available, and logs changes. */
 static void check_log_contact(struct rj_cell_frontend *front)
 {
 	uint64_t answered_us =
@@ -536,8 +540,8 @@
 }
 
 /*
- * Answer the calls whose clients are about to give up, and all that wait for
- * a log that is out of reach.
+ * Answers calls whose clients are about to time out, and all calls if the log
+ * is unavailable.
  */
 void rj_cell_frontend_tick(struct rj_cell_frontend *front, uint64_t now_us)
 {
@@ -558,7 +562,7 @@
 }
 
 /*
- * Answer all that is open.
+ * Answers all open calls.
  */
 void rj_cell_frontend_finish(struct rj_cell_frontend *front)
 {
--- a/src/libradishjunction/cell/cell_log_reader.c
+++ b/src/libradishjunction/cell/cell_log_reader.c
@@ -6,8 +6,8 @@
 
 #include "private/note.h"
 
-/* A failed read is repeated after this, doubled with each failure in a row;
- * a store that turns calls away must not get more of them. */
+/* Initial delay after a failed read, doubled with each consecutive failure so
+ * that retries do not add load to a store that rejects calls. */
 #define RETRY_US (100 * RJ_US_PER_MS)
 #define RETRY_MAX_US (800 * RJ_US_PER_MS)
 
@@ -28,11 +28,11 @@
 	[RJ_CELL_STORE_MALFORMED] = "bad",
 };
 
-/* A long poll brings what was appended within a round trip; what is known to
- * be there for longer is read without waiting. */
+/* A long poll normally returns records within a round trip. Records known to
+ * exist for longer are fetched with a read that does not wait. */
 #define POLL_LAG_US (30 * RJ_US_PER_MS)
 
-/* What one call remembers until its answer. */
+/* Context of a call until its answer arrives. */
 struct call {
 	struct rj_cell_log_reader *reader;
 	uint32_t generation;
@@ -45,7 +45,7 @@
 static void send_newest(struct rj_cell_log_reader *reader);
 
 /*
- * Prepare to follow a log. Nothing is read before rj_cell_log_reader_start.
+ * Initializes a reader. Nothing is read before rj_cell_log_reader_start.
  */
 void rj_cell_log_reader_init(struct rj_cell_log_reader *reader, void *mem,
 			     struct rj_cell_store *store,
@@ -62,7 +62,6 @@
 	rj_list_init(&reader->syncs);
 }
 
-/* Remember one call. */
 static struct call *call_new(struct rj_cell_log_reader *reader, bool quick)
 {
 	struct call *call = talloc_zero(reader->mem, struct call);
@@ -76,7 +75,7 @@
 	return call;
 }
 
-/* End the syncs that a read sent at `sent_us` speaks for. */
+/* Ends the syncs that began no later than a read sent at `sent_us`. */
 static void end_syncs(struct rj_cell_log_reader *reader, uint64_t sent_us,
 		      bool reached)
 {
@@ -94,7 +93,8 @@
 	}
 }
 
-/* A read has failed: come back later, and say so once. */
+/* Schedules a retry after a failed read; only the first failure in a row is
+ * logged. */
 static void record_failure(struct rj_cell_log_reader *reader,
 			   enum rj_cell_store_status status)
 {
@@ -117,7 +117,7 @@
 	reader->due_us = reader->now_us + delay_us;
 }
 
-/* A read has succeeded after failures. */
+/* Resets the failure count, and logs the recovery if there was one. */
 static void record_success(struct rj_cell_log_reader *reader)
 {
 	if (reader->failures)
@@ -129,8 +129,8 @@
 	reader->answered_us = reader->now_us;
 }
 
-/* Hand on the records of a read that the follower has not seen yet; a long
- * poll and a quick read may bring the same ones. */
+/* Passes on the records that are new; a long poll and a quick read may return
+ * the same ones. */
 static void take_records(struct rj_cell_log_reader *reader,
 			 const struct rj_cell_store_reply *reply)
 {
@@ -144,7 +144,7 @@
 		reader->next = reply->next;
 }
 
-/* Load anew: the records from here on have expired. */
+/* Loads again, because the records at the current offset have expired. */
 static void reload(struct rj_cell_log_reader *reader)
 {
 	rj_note("log_reload",
@@ -153,7 +153,6 @@
 	rj_cell_log_reader_start(reader, reader->now_us);
 }
 
-/* The answer to a read. */
 static void read_done(void *private_data,
 		      const struct rj_cell_store_reply *reply)
 {
@@ -191,14 +190,13 @@
 			end_syncs(reader, call->sent_us, true);
 	}
 	reader->ops->progress(reader->private_data, reader);
-	/* Syncs that came while the quick read was on its way need another. */
+	/* Syncs added while the quick read was in flight need another one. */
 	if (call->quick && reader->state == RJ_CELL_LOG_READER_READING &&
 	    !reader->quick_in_flight && reader->syncs.next != &reader->syncs)
 		send_read(reader, true);
 	talloc_free(call);
 }
 
-/* The answer to a load of a page. */
 static void newest_done(void *private_data,
 			const struct rj_cell_store_reply *reply)
 {
@@ -218,8 +216,8 @@
 		return;
 	}
 	record_success(reader);
-	/* Pages are read one after the other, while records are appended:
-	 * what the first page did not see is read from its end on. */
+	/* Records may be appended between the pages of a load: reading
+	 * continues at the end offset that came with the first page. */
 	if (!reader->loaded_once)
 		reader->next = reply->end;
 	reader->loaded_once = true;
@@ -241,7 +239,7 @@
 	rj_cell_log_reader_tick(reader, reader->now_us);
 }
 
-/* Ask for the next page of newest records. */
+/* Requests the next page of newest records. */
 static void send_newest(struct rj_cell_log_reader *reader)
 {
 	struct rj_cell_store_done done = { newest_done,
@@ -252,7 +250,7 @@
 				   done);
 }
 
-/* Ask for what follows; a quick read does not wait for records. */
+/* Reads from the current offset; a quick read does not wait for records. */
 static void send_read(struct rj_cell_log_reader *reader, bool quick)
 {
 	struct rj_cell_store_done done = { read_done, call_new(reader, quick) };
@@ -267,7 +265,7 @@
 }
 
 /*
- * Begin, or begin anew, with the newest record of each key.
+ * Starts or restarts with a load of the newest record of each key.
  */
 void rj_cell_log_reader_start(struct rj_cell_log_reader *reader,
 			      uint64_t now_us)
@@ -280,8 +278,7 @@
 }
 
 /*
- * Stop reading. Answers still on their way are dropped, and waiting syncs
- * end without success.
+ * Stops reading. Answers in flight are ignored, and waiting syncs fail.
  */
 void rj_cell_log_reader_stop(struct rj_cell_log_reader *reader)
 {
@@ -297,7 +294,7 @@
 }
 
 /*
- * The log is known to end at `end` or later, from the answer to an append.
+ * Records that the log extends at least to `end`, as learned from an append.
  */
 void rj_cell_log_reader_expect(struct rj_cell_log_reader *reader, uint64_t end,
 			       uint64_t now_us)
@@ -309,10 +306,10 @@
 }
 
 /*
- * Read what is known to be there when the long poll does not bring it.
+ * Reads records that are known to exist if the long poll does not return them.
  *
- * Load that it answers: a store that wakes no long poll for a second while it
- * drops its history.
+ * The store may wake no long poll for up to a second while it discards expired
+ * history.
  */
 static void catch_up(struct rj_cell_log_reader *reader)
 {
@@ -325,7 +322,7 @@
 }
 
 /*
- * Send what is due.
+ * Sends the calls that are due.
  */
 void rj_cell_log_reader_tick(struct rj_cell_log_reader *reader, uint64_t now_us)
 {
@@ -342,8 +339,9 @@
 }
 
 /*
- * Call sync->done once all that had been appended by now is known. The
- * caller keeps `sync` until then, or removes its link from the list.
+ * Calls sync->done once all records appended before now are known, or a read
+ * failed. `sync` must stay valid until then, unless the caller removes its
+ * link.
  */
 void rj_cell_log_reader_sync(struct rj_cell_log_reader *reader,
 			     struct rj_cell_sync *sync, uint64_t now_us)
@@ -358,8 +356,8 @@
 }
 
 /*
- * How old the knowledge of the log is: all that was appended longer ago has
- * been handed on. RJ_NEVER_US when nothing is known.
+ * Age of the reader's data: all records appended longer ago have been passed
+ * on. Returns RJ_NEVER_US if nothing has been read.
  */
 uint64_t rj_cell_log_reader_age_us(const struct rj_cell_log_reader *reader,
 				   uint64_t now_us)
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -6,57 +6,59 @@
 
 #include "private/note.h"
 
-/* Long polls: short enough that the age of what is known stays well below
- * what keys allow, and that an owner's silence shows. */
+/* Long-poll durations. They keep the age of the data well below what API keys
+ * allow, and reveal an unreachable owner soon enough. */
 #define CONFIG_WAIT_MS 1000
-/* ... a part of what operators were promised: what is known may be twice as
- * old as a poll lasts. */
+/* Divisor of the bounds promised to operators: data may be twice as old as a
+ * poll lasts. */
 #define WAIT_BOUND_DIVISOR 4
 #define JOBS_WAIT_MS 1000
 #define FLEET_WAIT_MS 1000
 /*
- * Pauses between reads gather records. An instance that does not own the cell
- * needs the jobs for callers, who make it read when they ask, and to see that
- * the owner lives, whose silence shows so much later at most. The same load of
- * 372 jobs at 31 instances took 23,978 calls to the log with a pause of 60 ms
- * and 13,173 with this one, the reads for callers included.
+ * Pauses between reads batch records. An instance that does not own the cell
+ * reads the jobs' log to answer callers, who trigger extra reads, and to
+ * monitor the owner, whose failure is noticed later by up to this pause. 372
+ * jobs on 31 instances cause 13,173 calls to the log with 300 ms and 23,978
+ * with 60 ms, including the reads for callers.
  */
 #define JOBS_PAUSE_US (300 * RJ_US_PER_MS)
 #define OWNER_JOBS_PAUSE_US (5 * RJ_US_PER_MS)
 #define FLEET_PAUSE_US (150 * RJ_US_PER_MS)
 /*
- * An owner that has written nothing for so long, though the log could be
- * read, is taken to be gone. It writes every 0.4 s; an append takes up to a
- * quarter of a second when the log is slow.
+ * An owner that wrote nothing for this long while the log was readable is
+ * considered failed. It writes every 0.4 s, and an append takes up to 0.25 s
+ * while the log is slow.
  */
 #define OWNER_TIMEOUT_US (900 * RJ_US_PER_MS)
-/* Those who would take over do so one after the other; each reads the log
- * first, which takes some 6 ms, and sees who was before it. */
+/* Candidates for ownership start one after the other. Each first reads the log
+ * to its end, which takes about 6 ms, and then sees an earlier candidate's
+ * record. */
 #define STAGGER_STEPS 32
 #define STAGGER_STEP_US (8 * RJ_US_PER_MS)
 /*
- * An owner's work grows with its workers, so the cell goes to a strong
- * instance: one with half as much again takes it from a weaker one, once it
- * has been up for a while, and a weaker one leaves it to others first. An
- * eighth of a core cannot keep up with 350 workers; its polls time out.
+ * The owner's load grows with the number of workers, so a strong instance
+ * should own the cell: one with 1.5 times the strength takes it from a weaker
+ * owner after a minimum uptime, and a weaker one waits longer before it
+ * acquires the cell. With an eighth of a core an owner cannot keep up with 350
+ * workers; its polls time out.
  */
 #define STRENGTH_RATIO_NUMERATOR 3
 #define STRENGTH_RATIO_DENOMINATOR 2
 #define WEAKER_DELAY_US (1000 * RJ_US_PER_MS)
 #define STRONGER_UPTIME_US (2 * RJ_US_PER_S)
-/* Times of day of one machine may jump by so much between two moments. */
+/* Largest step of one machine's wall clock between two readings. */
 #define WALL_CLOCK_STEP_MAX_US (5 * RJ_US_PER_S)
-/* An instance that has just tried waits before it tries again. */
+/* Pause of an instance between two attempts to acquire the cell. */
 #define ACQUIRE_RETRY_US (300 * RJ_US_PER_MS)
 
-/* One page of the log of workers: a heartbeat, or an entry that is gone. */
+/* Handles a record of the workers' log: a heartbeat or a deletion. */
 static void fleet_record(void *private_data,
 			 const struct rj_cell_record *record)
 {
 	struct rj_cell_node *node = private_data;
 	struct rj_cell_heartbeat heartbeat;
 	struct rj_error err = { .message = "the worker's name is too long" };
-	/* A load shows entries of any age. */
+	/* Records passed on by a load can be of any age. */
 	uint64_t written_us = node->fleet.state == RJ_CELL_LOG_READER_READING ?
 				      node->fleet.confirmed_us :
 				      0;
@@ -78,13 +80,13 @@
 	rj_cell_owner_worker(&node->owner, record->key, &heartbeat, written_us);
 }
 
-/* Nothing more to do when a read has ended. */
+/* For readers that need no action after a read. */
 static void ignore_progress(void *private_data,
 			    struct rj_cell_log_reader *reader)
 {
 }
 
-/* All entries of workers have been shown. */
+/* All worker entries have been loaded. */
 static void fleet_load_end(void *private_data)
 {
 	struct rj_cell_node *node = private_data;
@@ -101,7 +103,7 @@
 	.load_end = fleet_load_end,
 };
 
-/* A new version of the configuration, if it is one. */
+/* Applies a configuration record if its version is newer. */
 static void config_record(struct rj_cell_node *node,
 			  const struct rj_cell_record *record)
 {
@@ -117,7 +119,7 @@
 			RJ_NOTE_TEXT("error", err.message));
 		return;
 	}
-	/* Versions rise; a load may show an older one again. */
+	/* Versions rise; a load may return an older one again. */
 	if (node->config && config->version <= node->config->version) {
 		talloc_free(config);
 		return;
@@ -134,7 +136,7 @@
 	node->owner.plan_wanted = true;
 }
 
-/* A failure domain is cordoned, or given back. */
+/* Sets or clears the cordon of a failure domain. */
 static void cordon_record(struct rj_cell_node *node, const char *domain,
 			  const struct rj_cell_record *record)
 {
@@ -150,7 +152,7 @@
 		rj_cell_cordons_clear(&node->cordons, domain, record->offset);
 }
 
-/* One record of what operators publish. */
+/* Handles a record of the operators' log. */
 static void operators_record(void *private_data,
 			     const struct rj_cell_record *record)
 {
@@ -172,7 +174,8 @@
 	}
 }
 
-/* The operators' log is loaded, at the start or because its history went. */
+/* The operators' log is being loaded, at the start or because its history has
+ * expired. */
 static void operators_load_begin(void *private_data)
 {
 	struct rj_cell_node *node = private_data;
@@ -180,7 +183,6 @@
 	rj_cell_cordons_load_begin(&node->cordons);
 }
 
-/* All of it has been shown. */
 static void operators_load_end(void *private_data)
 {
 	struct rj_cell_node *node = private_data;
@@ -195,7 +197,7 @@
 	operators_load_end,
 };
 
-/* Somebody has taken the cell over. */
+/* Handles an ownership record; records that are not newer are ignored. */
 static void owner_record(struct rj_cell_node *node,
 			 const struct rj_cell_record *record)
 {
@@ -221,7 +223,7 @@
 		RJ_NOTE_NUMBER("leaving", owner.leaving));
 }
 
-/* The owner shows that it lives, and how loaded the cell is. */
+/* Handles a heartbeat of the owner, which carries the load of the queues. */
 static void heartbeat_record(struct rj_cell_node *node,
 			     const struct rj_cell_record *record)
 {
@@ -237,7 +239,7 @@
 	node->front.heartbeat_us = node->jobs.now_us;
 }
 
-/* One record of the jobs' log. */
+/* Handles a record of the jobs' log. */
 static void jobs_record(void *private_data, const struct rj_cell_record *record)
 {
 	struct rj_cell_node *node = private_data;
@@ -268,10 +270,11 @@
 	}
 }
 
-/* Whether the newest ownership record is ours, of this life. */
+/* Whether the newest ownership record was written by this incarnation of the
+ * instance. */
 static bool is_owned_by_this_process(const struct rj_cell_node *node)
 {
-	/* A fenced owner may not have read yet who has taken over. */
+	/* A fenced owner may not have read its successor's record yet. */
 	return node->ownership.known && !node->ownership.record.leaving &&
 	       node->ownership.token > node->fenced_token &&
 	       node->ownership.record.incarnation ==
@@ -279,13 +282,14 @@
 	       !strcmp(node->ownership.record.name, node->options.name);
 }
 
-/* Whether this instance owns the cell, or is taking it over. */
+/* Whether this instance owns the cell or is taking it over. */
 static bool is_owner(const struct rj_cell_node *node)
 {
 	return node->owner.active || node->owner.taking;
 }
 
-/* Give the cell up. What was decided and not stored has not been shown. */
+/* Gives up ownership. Decisions that are not stored have not been shown to
+ * clients. */
 static void step_down(struct rj_cell_node *node, const char *why)
 {
 	node->fenced_token = node->owner.token;
@@ -299,11 +303,11 @@
 /*
  * For how long former owners may still renew leases.
  *
- * Load that it answers: all instances lose power, and a worker has gone with
- * its tasks meanwhile: they wait until its lease must have lapsed. Where the
- * former owner was this instance, in a life that has ended, it renews nothing
- * any more; those before it were fenced by its record, and go on without the log
- * for no longer than an owner does.
+ * After a power loss of all instances, the tasks of a worker that disappeared
+ * meanwhile wait until its lease must have expired. If the former owner was an
+ * earlier incarnation of this instance, it renews no leases any more. Owners
+ * before it were fenced by its record, and continue without the log for at most
+ * RJ_CELL_BLIND_US.
  */
 static uint64_t former_renewals_us(const struct rj_cell_node *node)
 {
@@ -321,7 +325,7 @@
 	return MIN(RJ_CELL_BLIND_US, settled_us - age_us);
 }
 
-/* Begin to take the cell: the log up to our own record has been read. */
+/* Starts a takeover. The log has been read up to the own ownership record. */
 static void begin_takeover(struct rj_cell_node *node)
 {
 	for (uint32_t i = 0; node->front.heartbeat_us &&
@@ -337,7 +341,7 @@
 	node->jobs.pause_us = OWNER_JOBS_PAUSE_US;
 }
 
-/* Take the cell: the progress of all jobs is known. */
+/* Completes the takeover. The progress of all jobs has been loaded. */
 static void become_owner(struct rj_cell_node *node)
 {
 	rj_cell_takeover_stop(&node->takeover);
@@ -346,7 +350,7 @@
 	rj_cell_log_reader_start(&node->fleet, node->now_us);
 }
 
-/* A read of the jobs has ended: see who owns the cell now. */
+/* Compares the ownership after each read of the jobs' log. */
 static void jobs_progress(void *private_data, struct rj_cell_log_reader *reader)
 {
 	struct rj_cell_node *node = private_data;
@@ -363,15 +367,15 @@
 							.progress =
 								jobs_progress };
 
-/* How long a poll may wait where what it brings has to be known within a
- * bound (0: none). */
+/* Limits a poll's duration so that its data meets a bound on its age (0: no
+ * bound). */
 static uint32_t limit_wait(uint32_t wait_ms, uint32_t bound_ms)
 {
 	return bound_ms ? MIN(wait_ms, bound_ms / WAIT_BOUND_DIVISOR) : wait_ms;
 }
 
 /*
- * Prepare a node. Nothing is read before rj_cell_node_start.
+ * Initializes a node. Nothing is read before rj_cell_node_start.
  */
 void rj_cell_node_init(struct rj_cell_node *node, void *mem,
 		       const struct rj_cell_node_options *options)
@@ -420,7 +424,7 @@
 static void probe_done(struct rj_cell_sync *sync, bool reached);
 
 /*
- * Begin to follow the log and to answer clients.
+ * Starts to read the logs and to answer clients.
  */
 void rj_cell_node_start(struct rj_cell_node *node, uint64_t now_us,
 			uint64_t wall_ms)
@@ -434,7 +438,8 @@
 	rj_cell_log_reader_start(&node->jobs, now_us);
 }
 
-/* The answer says little: whether the cell was acquired is read in the log. */
+/* The outcome is not final: ownership is decided by the record read from the
+ * log. */
 static void acquire_done(void *private_data,
 			 const struct rj_cell_store_reply *reply)
 {
@@ -451,17 +456,16 @@
 }
 
 /*
- * Write an ownership record.
+ * Appends an ownership record.
  *
- * Guards against two owners: the record's offset is the fencing token, and
- * its epoch is higher than that of any owner whose record has been read, so
- * that behind it the log takes nothing from them. All that they had written
- * stands before it, and is read before this instance owns the cell. An epoch
- * that is too low is refused, and one that another instance has used for the
- * same offset appends nothing.
+ * Prevents two owners: the record's offset is the fencing token, and its epoch
+ * is higher than that of every owner whose record has been read, so the log
+ * rejects their later appends. All their earlier records precede it and are
+ * read before this instance owns the cell. An epoch that is too low is
+ * rejected; one that another instance used at the same offset appends nothing.
  *
- * The log need not be quiet: under load it takes records from clients faster
- * than it can be read and appended to.
+ * The log need not be idle: under load, clients append records faster than an
+ * instance can read the log and append to it.
  */
 static void write_owner(struct rj_cell_node *node)
 {
@@ -490,21 +494,22 @@
 	talloc_free((void *)record.value.data);
 }
 
-/* Whether one instance is so much weaker than another that the cell had
- * better be owned by the other. */
+/* Whether an instance is weak enough, compared to another, that the other
+ * should own the cell. */
 static bool is_weaker(uint32_t strength, uint32_t other)
 {
 	return strength * STRENGTH_RATIO_NUMERATOR <
 	       other * STRENGTH_RATIO_DENOMINATOR;
 }
 
-/* How long the owner may be silent before this instance steps in. */
+/* How long the owner may write nothing before this instance acquires the
+ * cell. */
 static uint64_t owner_timeout_us(const struct rj_cell_node *node)
 {
 	const struct rj_cell_owner_record *record = &node->ownership.record;
 	uint64_t owner_timeout_us = OWNER_TIMEOUT_US + node->stagger_us;
 
-	/* The owner was this process, in a life that has ended. */
+	/* The owner was an earlier incarnation of this instance. */
 	if (node->ownership.known &&
 	    !strcmp(record->name, node->options.name) &&
 	    record->incarnation != node->options.incarnation)
@@ -517,7 +522,7 @@
 	return owner_timeout_us;
 }
 
-/* Whether the owner has been silent for too long, or is too weak. */
+/* Whether the owner has timed out or is too weak. */
 static bool should_acquire(const struct rj_cell_node *node)
 {
 	uint64_t since_seen_us = node->now_us - node->ownership.seen_us;
@@ -531,8 +536,8 @@
 	return since_seen_us >= owner_timeout_us(node);
 }
 
-/* The log has been read to its end since the owner seemed silent: acquire
- * the cell, if it still does. */
+/* The log has been read to its end: acquires the cell if the owner still
+ * appears failed. */
 static void probe_done(struct rj_cell_sync *sync, bool reached)
 {
 	struct rj_cell_node *node =
@@ -557,11 +562,11 @@
 }
 
 /*
- * Take over from an owner that is silent.
+ * Acquires the cell from an owner that has failed.
  *
- * Guards against an instance that is cut off from the log and takes its own
- * silence for the owner's: before it acquires the cell, it reads the log to the end once
- * more.
+ * An instance that is partitioned from the log would mistake its own lack of
+ * data for a failed owner; it therefore reads the log to its end before it
+ * acquires the cell.
  */
 static void watch_owner(struct rj_cell_node *node)
 {
@@ -574,7 +579,7 @@
 }
 
 /*
- * Do all that is due.
+ * Performs all work that is due.
  */
 void rj_cell_node_advance(struct rj_cell_node *node, uint64_t now_us,
 			  uint64_t wall_ms)
@@ -603,8 +608,8 @@
 }
 
 /*
- * Whether new clients should come here: the jobs are known, and keys may be
- * believed.
+ * Whether new clients may connect here: the jobs are known, and the API keys
+ * are recent enough.
  */
 bool rj_cell_node_ready(const struct rj_cell_node *node, uint64_t now_us)
 {
@@ -614,8 +619,8 @@
 }
 
 /*
- * Leave: take no new clients, and give the cell up so that another instance
- * takes it at once. Clients that are connected are served on.
+ * Accepts no new clients and resigns, so that another instance can acquire the
+ * cell at once. Connected clients are still served.
  */
 void rj_cell_node_drain(struct rj_cell_node *node, uint64_t now_us)
 {
@@ -629,7 +634,7 @@
 }
 
 /*
- * Whether no client waits for an answer.
+ * Whether the node drains and no client waits for an answer.
  */
 bool rj_cell_node_drained(const struct rj_cell_node *node)
 {
@@ -637,7 +642,7 @@
 }
 
 /*
- * Stop all. Answers on their way are dropped.
+ * Stops everything. Answers still in flight are ignored.
  */
 void rj_cell_node_finish(struct rj_cell_node *node)
 {
--- a/src/libradishjunction/cell/cell_view.c
+++ b/src/libradishjunction/cell/cell_view.c
@@ -7,7 +7,7 @@
 #include "private/note.h"
 
 /*
- * Prepare an empty view.
+ * Initializes an empty view.
  */
 void rj_cell_view_init(struct rj_cell_view *view, void *mem)
 {
@@ -18,7 +18,7 @@
 }
 
 /*
- * Forget everything.
+ * Frees all entries.
  */
 void rj_cell_view_finish(struct rj_cell_view *view)
 {
@@ -30,7 +30,7 @@
 }
 
 /*
- * What is known of a job, or NULL. Its definition may still be missing.
+ * Returns the entry of a job, or NULL. Its spec may not have been read yet.
  */
 struct rj_cell_view_entry *rj_cell_view_find(const struct rj_cell_view *view,
 					     const char *id)
@@ -38,7 +38,6 @@
 	return g_hash_table_lookup(view->by_id, id);
 }
 
-/* The entry of a job, made when it is missing. */
 static struct rj_cell_view_entry *get_or_create(struct rj_cell_view *view,
 						const char *id)
 {
@@ -56,7 +55,7 @@
 }
 
 /*
- * Forget a job; its work must be gone.
+ * Removes a job, which must not be active in the owner.
  */
 void rj_cell_view_drop(struct rj_cell_view *view,
 		       struct rj_cell_view_entry *entry)
@@ -68,7 +67,7 @@
 	talloc_free(entry);
 }
 
-/* A submission; that of a job that is known changes nothing. */
+/* Applies a submission; a repeated one is ignored. */
 static void apply_job_spec(struct rj_cell_view_entry *entry,
 			   const struct rj_cell_record *record, uint64_t now_us)
 {
@@ -84,8 +83,8 @@
 }
 
 /*
- * Let callers see a new state of a job. States only move on: one that was
- * shown is not taken back by a record that is read late.
+ * Sets the state that callers see. States only advance: a record that is read
+ * late does not revert one.
  */
 void rj_cell_view_set_summary(struct rj_cell_view_entry *entry,
 			      const struct rj_cell_summary *summary,
@@ -99,7 +98,7 @@
 		entry->ended_us = now_us;
 }
 
-/* What the owner lets callers know of a job. */
+/* Applies the state published by the owner. */
 static void apply_state(struct rj_cell_view_entry *entry,
 			const struct rj_cell_record *record, uint64_t now_us)
 {
@@ -114,8 +113,8 @@
 	rj_cell_view_set_summary(entry, &summary, now_us);
 }
 
-/* A key of a job was dropped: its definition once it has ended, and its state
- * when nobody has to be told of it any more. */
+/* Applies the deletion of a key: the spec is deleted once the job has ended,
+ * the state once callers need not be told any more. */
 static void apply_deletion(struct rj_cell_view *view, const char *id,
 			   enum rj_cell_record_kind kind)
 {
@@ -129,7 +128,7 @@
 		TALLOC_FREE(entry->job_spec);
 }
 
-/* Keep what an owner has stored of a job, for the one that takes over. */
+/* Keeps the progress stored by an owner, for the next owner. */
 static void keep_progress(struct rj_cell_view_entry *entry,
 			  struct rj_bytes value)
 {
@@ -139,7 +138,7 @@
 }
 
 /*
- * Keep a record of the progress log.
+ * Keeps a record of the progress log.
  */
 void rj_cell_view_keep_progress(struct rj_cell_view *view, const char *id,
 				struct rj_bytes value)
@@ -152,7 +151,7 @@
 	entry->in_progress_log = true;
 }
 
-/* Progress in the jobs' log was written by the version before. */
+/* Applies progress in the jobs' log, where the previous version stored it. */
 static void apply_former_progress(struct rj_cell_view_entry *entry,
 				  const struct rj_cell_record *record,
 				  uint64_t now_us)
@@ -171,8 +170,8 @@
 }
 
 /*
- * Take one record of a job in. Returns its entry, or NULL when the record
- * is of no job, or has dropped the job.
+ * Applies a record of a job. Returns its entry, or NULL if the record is not of
+ * a job or removed it.
  */
 struct rj_cell_view_entry *
 rj_cell_view_apply(struct rj_cell_view *view,
@@ -202,7 +201,7 @@
 }
 
 /*
- * Whether a job has been accepted; its definition is gone once it has ended.
+ * Whether a job has been accepted. Its spec is missing after it has ended.
  */
 bool rj_cell_view_is_accepted(const struct rj_cell_view_entry *entry)
 {
@@ -211,7 +210,7 @@
 }
 
 /*
- * Forget the progress of all jobs.
+ * Frees the progress of all jobs.
  */
 void rj_cell_view_drop_progress(struct rj_cell_view *view)
 {
@@ -228,8 +227,8 @@
 }
 
 /*
- * How many jobs of a queue wait without anything begun, those that wait for
- * their time left out.
+ * Number of jobs of a queue that have not started, without those that run at a
+ * set time.
  */
 uint32_t rj_cell_view_pending(const struct rj_cell_view *view,
 			      const char *queue)
--- a/src/libradishjunction/cell/cell_writer.c
+++ b/src/libradishjunction/cell/cell_writer.c
@@ -7,15 +7,15 @@
 
 #include "private/note.h"
 
-/* An append that was lost is repeated after this: the store answers in 4 ms,
- * and in a quarter of a second when it is slow. */
+/* Initial delay before a lost append is repeated. The store answers within 4
+ * ms, or 0.25 s when it is slow. */
 #define RETRY_US (60 * RJ_US_PER_MS)
 #define RETRY_MAX_US (480 * RJ_US_PER_MS)
-/* The store takes 2 MiB a call and 256 KiB a record. */
+/* The store accepts 2 MiB per call and 256 KiB per record. */
 #define BATCH_BYTES (1024 * 1024)
 #define BATCH_RECORDS 512
 
-/* One record on its way into the log. */
+/* A record that is waiting or being appended. */
 struct write {
 	struct rj_list link;
 	char *key;
@@ -23,14 +23,14 @@
 	struct rj_cell_write_done done;
 };
 
-/* What an append remembers until its answer. */
+/* Context of an append until its answer arrives. */
 struct call {
 	struct rj_cell_writer *writer;
 	uint32_t generation;
 };
 
 /*
- * Prepare a writer. Nothing can be added before rj_cell_writer_open.
+ * Initializes a writer. Records can be added after rj_cell_writer_open.
  */
 void rj_cell_writer_init(struct rj_cell_writer *writer, void *mem,
 			 struct rj_cell_store *store, enum rj_cell_topic topic,
@@ -46,7 +46,7 @@
 }
 
 /*
- * Write under `epoch` from now on; `sequence` is that of the first append.
+ * Writes under `epoch` from now on, starting with sequence number `sequence`.
  */
 void rj_cell_writer_open(struct rj_cell_writer *writer, uint64_t epoch,
 			 uint64_t sequence, uint64_t now_us)
@@ -60,20 +60,20 @@
 }
 
 /*
- * Whether an append is on its way or waits to be repeated.
+ * Whether an append is in flight or waits for its retry.
  */
 bool rj_cell_writer_busy(const struct rj_cell_writer *writer)
 {
 	return writer->sent.next != &writer->sent;
 }
 
-/* Tell the owners of all writes of a list how they ended. */
+/* Reports the outcome to all writes of a list, and frees them. */
 static void complete_writes(struct rj_list *list,
 			    enum rj_cell_write_outcome outcome)
 {
 	struct rj_list completed;
 
-	/* What `done` adds belongs to the next batch. */
+	/* Records that `done` adds belong to the next batch. */
 	rj_list_init(&completed);
 	while (list->next != list) {
 		struct rj_list *link = list->next;
@@ -91,7 +91,7 @@
 	}
 }
 
-/* Move what waits into the batch, as much as one call takes. */
+/* Moves waiting records into the batch, up to the limits of one call. */
 static void fill_batch(struct rj_cell_writer *writer)
 {
 	size_t bytes = 0;
@@ -116,7 +116,7 @@
 static void append_done(void *private_data,
 			const struct rj_cell_store_reply *reply);
 
-/* Send the batch, for the first time or again. */
+/* Sends the batch, for the first time or again. */
 static void send_batch(struct rj_cell_writer *writer)
 {
 	struct rj_cell_record *records =
@@ -149,7 +149,7 @@
 	talloc_free(records);
 }
 
-/* The outcome of the batch is known: tell it and go on with the next. */
+/* Reports the outcome of the batch and sends the next one. */
 static void complete_batch(struct rj_cell_writer *writer,
 			   enum rj_cell_write_outcome outcome)
 {
@@ -164,7 +164,7 @@
 		rj_cell_writer_flush(writer, writer->now_us);
 }
 
-/* Come back with the same batch and the same sequence number. */
+/* Schedules a retry of the batch with the same sequence number. */
 static void retry_later(struct rj_cell_writer *writer)
 {
 	uint64_t delay_us = RETRY_US << (writer->tries < 4 ? writer->tries : 4);
@@ -174,8 +174,8 @@
 	writer->retry_us = writer->now_us + delay_us;
 }
 
-/* The log holds another sequence number than ours: the batch is in doubt,
- * and a higher epoch lets us go on. */
+/* The log expects another sequence number, so the outcome of the batch is
+ * unknown; a higher epoch allows further appends. */
 static void renew_epoch(struct rj_cell_writer *writer)
 {
 	rj_note("append_out_of_sequence",
@@ -187,7 +187,7 @@
 	complete_batch(writer, RJ_CELL_WRITE_UNKNOWN);
 }
 
-/* Whether a status shows that the store serves this instance. */
+/* Whether a status shows that the store is serving this instance. */
 static bool is_answer(enum rj_cell_store_status status)
 {
 	return status != RJ_CELL_STORE_REFUSED &&
@@ -196,12 +196,11 @@
 }
 
 /*
- * The answer to an append.
+ * Handles the answer to an append.
  *
- * Guards against a refusal that turns out to be a lie: an append whose
- * answer was lost may still be carried out, so that a later "nothing was
- * done" speaks only for itself. Such a batch is repeated until the log
- * says that it has it; the sequence number keeps it from going in twice.
+ * An append whose answer was lost may still be carried out, so a later refusal
+ * applies only to its own attempt. Such a batch is repeated until the log
+ * confirms it; the sequence number prevents a duplicate.
  */
 static void append_done(void *private_data,
 			const struct rj_cell_store_reply *reply)
@@ -250,8 +249,8 @@
 }
 
 /*
- * Add one record; key and value are copied, an empty value drops the key. It
- * is sent with rj_cell_writer_flush, or behind the call on its way.
+ * Adds a record. Key and value are copied; an empty value deletes the key. The
+ * record is sent by rj_cell_writer_flush, or after the append in flight.
  */
 void rj_cell_writer_add(struct rj_cell_writer *writer, const char *key,
 			struct rj_bytes value, struct rj_cell_write_done done)
@@ -270,7 +269,7 @@
 }
 
 /*
- * Send what has been added, if no call is on its way.
+ * Sends the added records unless an append is in flight.
  */
 void rj_cell_writer_flush(struct rj_cell_writer *writer, uint64_t now_us)
 {
@@ -283,7 +282,7 @@
 }
 
 /*
- * Repeat what is due.
+ * Sends a retry that is due, or waiting records.
  */
 void rj_cell_writer_tick(struct rj_cell_writer *writer, uint64_t now_us)
 {
@@ -296,8 +295,7 @@
 }
 
 /*
- * Give up all that is open: its outcome is unknown, unless it was never
- * sent.
+ * Ends all open records: as unknown if they were sent, otherwise as not stored.
  */
 void rj_cell_writer_close(struct rj_cell_writer *writer)
 {
