--- a/src/libradishjunction/cell/cell_active_job.c
+++ b/src/libradishjunction/cell/cell_active_job.c
@@ -23,7 +23,6 @@
 	[RJ_CELL_RUN_STOPPING] = "stopping",
 };
 
-/* A run ends with the work that it belongs to. */
 static void free_run(struct rj_cell_run *run, void *unused)
 {
 	rj_cell_run_free(run);
@@ -38,7 +37,8 @@
 }
 
 /*
- * The work of one job, with no occurrence begun; a talloc child of `mem`.
+ * Creates a job without occurrences as a talloc child of `mem`. `job_spec` must
+ * outlive it.
  */
 struct rj_cell_job *rj_cell_job_new(void *mem,
 				    const struct rj_cell_job_spec *job_spec)
@@ -55,7 +55,7 @@
 }
 
 /*
- * The place of a job among the priorities that are counted apart.
+ * The job's priority, limited to the last priority class.
  */
 uint32_t rj_cell_job_priority_class(const struct rj_cell_job *job)
 {
@@ -63,7 +63,7 @@
 }
 
 /*
- * Begin an occurrence: all its tasks wait.
+ * Adds an occurrence whose tasks all wait.
  */
 struct rj_cell_occurrence *rj_cell_job_begin_occurrence(struct rj_cell_job *job,
 							uint32_t number)
@@ -100,7 +100,7 @@
 }
 
 /*
- * How long after its job was accepted an occurrence is due, in microseconds.
+ * When an occurrence is due, in microseconds after its job was accepted.
  */
 uint64_t
 rj_cell_occurrence_due_after_us(const struct rj_cell_occurrence *occurrence)
@@ -115,7 +115,7 @@
 }
 
 /*
- * Whether the turn of a step has come: all steps before it have ended.
+ * Whether a step may start: all steps that it depends on have completed.
  */
 bool rj_cell_occurrence_step_ready(const struct rj_cell_occurrence *occurrence,
 				   uint32_t step)
@@ -130,7 +130,7 @@
 }
 
 /*
- * A task has ended well, for good.
+ * Marks a task as done; this is final.
  */
 void rj_cell_task_complete(struct rj_cell_task *task)
 {
@@ -142,17 +142,14 @@
 		occurrence->steps_left--;
 }
 
-/*
- * The step that a task belongs to.
- */
 const struct rj_cell_step *rj_cell_task_step(const struct rj_cell_task *task)
 {
 	return &task->occurrence->job->job_spec->steps[task->step];
 }
 
 /*
- * The task that stands for `task` where failures are counted: of a gang, its
- * first member.
+ * Returns the task on which failures are counted: the first task of a gang,
+ * otherwise the task itself.
  */
 struct rj_cell_task *rj_cell_task_head(struct rj_cell_task *task)
 {
@@ -160,7 +157,8 @@
 }
 
 /*
- * How workers list a task: job, occurrence, step and index.
+ * Formats the name under which workers report a task: job, occurrence, step and
+ * index.
  */
 void rj_cell_task_name(const struct rj_cell_task *task, char *name, size_t size)
 {
@@ -170,7 +168,7 @@
 }
 
 /*
- * A task by its numbers, or NULL when its occurrence is not under way.
+ * Returns a task by its numbers, or NULL if its occurrence is not active.
  */
 struct rj_cell_task *rj_cell_job_find_task(struct rj_cell_job *job,
 					   uint32_t occurrence, uint32_t step,
@@ -195,7 +193,7 @@
 }
 
 /*
- * Note a run of a task on a worker; its room is taken from now on.
+ * Creates a run of a task and allocates its resources on the worker.
  */
 struct rj_cell_run *rj_cell_run_new(struct rj_cell_worker *worker,
 				    struct rj_cell_task *task, uint32_t number)
@@ -217,15 +215,16 @@
 }
 
 /*
- * Whether a run serves users of its own within a bound of its step; what
- * fills the room beside it may slow it down.
+ * Whether the run's step has a latency target; other runs on the same worker
+ * may slow such a run down.
  */
 bool rj_cell_run_has_latency_target(const struct rj_cell_run *run)
 {
 	return run->task && rj_cell_task_step(run->task)->target_ms;
 }
 
-/* The worker's sum over runs of this run's priority; its job is known. */
+/* The worker's allocation in this run's priority class. The job must be
+ * known. */
 static struct rj_cell_demand *class_allocation(const struct rj_cell_run *run)
 {
 	uint32_t class = rj_cell_job_priority_class(run->task->occurrence->job);
@@ -233,7 +232,7 @@
 	return &run->worker->allocated_by_class[class];
 }
 
-/* The worker's count of runs of this kind. */
+/* The worker's counter of runs of this kind. */
 static uint32_t *run_counter(const struct rj_cell_run *run)
 {
 	return rj_cell_run_has_latency_target(run) ?
@@ -242,7 +241,7 @@
 }
 
 /*
- * The next order of a run, a start or a stop by its state, is to be sent at
+ * Schedules the run's next order, a start or a stop depending on its state, for
  * `due_us`.
  */
 void rj_cell_run_schedule_order(struct rj_cell_run *run, uint64_t due_us)
@@ -255,7 +254,7 @@
 }
 
 /*
- * Count a run at its worker: it takes room there, and is looked after.
+ * Links a run to its worker and adds its resources to the worker's allocation.
  */
 void rj_cell_run_allocate(struct rj_cell_run *run)
 {
@@ -271,7 +270,7 @@
 }
 
 /*
- * The run is no more: its room is free.
+ * Unlinks a run, releases its resources on the worker, and frees it.
  */
 void rj_cell_run_free(struct rj_cell_run *run)
 {
@@ -287,7 +286,7 @@
 }
 
 /*
- * Call `call` with each run of a job; it may free that run.
+ * Calls `call` for each run of a job; `call` may free that run.
  */
 void rj_cell_job_each_run(const struct rj_cell_job *job,
 			  void (*call)(struct rj_cell_run *run,
@@ -314,14 +313,13 @@
 	}
 }
 
-/* There is a run. */
 static void set_busy(struct rj_cell_run *run, void *private_data)
 {
 	*(bool *)private_data = true;
 }
 
 /*
- * Whether nothing of the job runs or is being stopped.
+ * Whether the job has no runs, including runs that are being stopped.
  */
 bool rj_cell_job_is_idle(const struct rj_cell_job *job)
 {
--- a/src/libradishjunction/cell/cell_advice.c
+++ b/src/libradishjunction/cell/cell_advice.c
@@ -8,23 +8,23 @@
 #include "private/cell_place.h"
 #include "private/note.h"
 
-/* A ticket that ends sooner is not used: the order takes some milliseconds,
+/* A ticket that expires sooner is not used: the order takes some milliseconds
  * and may be repeated once. */
 #define TICKET_MARGIN_US (400 * RJ_US_PER_MS)
-/* After a question without an answer the next one waits. */
+/* Delay after a request that got no answer. */
 #define ASK_RETRY_US (300 * RJ_US_PER_MS)
-/* Room for the names of a step: job, occurrence, step. */
+/* Job id, occurrence and step. */
 #define STEP_NAME_BYTES 48
 
-/* What the policy has said of one worker. */
+/* The policy's decision on one worker. */
 struct decision {
 	uint64_t incarnation; /* of the worker */
 	bool allowed;
 	char ticket[RJ_CELL_TICKET_BYTES];
-	uint64_t valid_until_us; /* the ticket */
+	uint64_t valid_until_us; /* of the ticket */
 };
 
-/* A question on its way; jobs and workers may go meanwhile. */
+/* A request in flight. Its job and workers may disappear meanwhile. */
 struct request {
 	struct rj_cell_owner *owner;
 	uint32_t generation;
@@ -37,7 +37,7 @@
 	uint64_t incarnations[RJ_CELL_ADVICE_WORKERS];
 };
 
-/* The opinion of a worker that still holds for its present life, or NULL. */
+/* Returns the decision for the worker's current incarnation, or NULL. */
 static struct decision *
 find_decision(const struct rj_cell_occurrence *occurrence, uint32_t step,
 	      const struct rj_cell_worker *worker)
@@ -55,7 +55,7 @@
 }
 
 /*
- * The ticket with which a worker may run a step now, or NULL.
+ * Returns a ticket with which the worker may run the step now, or NULL.
  */
 const char *rj_cell_advice_ticket(const struct rj_cell_occurrence *occurrence,
 				  uint32_t step,
@@ -73,7 +73,8 @@
 }
 
 /*
- * A worker has turned the ticket of a task's step away: ask for another.
+ * Discards the ticket for a task's step that a worker rejected, so that a new
+ * one is requested.
  */
 void rj_cell_advice_invalidate(struct rj_cell_task *task,
 			       const struct rj_cell_worker *worker)
@@ -85,7 +86,7 @@
 		decision->valid_until_us = 0;
 }
 
-/* Free all opinions of an occurrence. */
+/* Frees all decisions of an occurrence. */
 static int free_decisions(GHashTable ***policy_decisions)
 {
 	size_t steps = talloc_array_length(*policy_decisions);
@@ -96,7 +97,6 @@
 	return 0;
 }
 
-/* The opinions on a step, made when they are the first. */
 static GHashTable *
 get_or_create_decisions(struct rj_cell_occurrence *occurrence, uint32_t step)
 {
@@ -116,7 +116,7 @@
 	return occurrence->policy_decisions[step];
 }
 
-/* The occurrence that a question is about, or NULL when it has gone. */
+/* Returns the occurrence that a request is about, or NULL if it has ended. */
 static struct rj_cell_occurrence *find_occurrence(const struct request *request)
 {
 	struct rj_cell_view_entry *entry =
@@ -130,7 +130,7 @@
 	return task ? task->occurrence : NULL;
 }
 
-/* The ticket for a worker in an answer, or NULL when it may not run. */
+/* Returns the ticket for a worker, or NULL if it may not run the step. */
 static const char *ticket_in(const struct rj_cell_advice_reply *reply,
 			     const char *worker)
 {
@@ -140,7 +140,7 @@
 	return NULL;
 }
 
-/* Note what was said of each worker that was asked about. */
+/* Stores a decision for each worker in the request. */
 static void store_decisions(const struct request *request,
 			    struct rj_cell_occurrence *occurrence,
 			    const struct rj_cell_advice_reply *reply)
@@ -163,7 +163,7 @@
 	}
 }
 
-/* The policy has answered, or has not. */
+/* Handles the answer to a request, or its failure. */
 static void ask_done(void *private_data,
 		     const struct rj_cell_advice_reply *reply)
 {
@@ -192,7 +192,7 @@
 	talloc_free(request);
 }
 
-/* Add a worker to a question; returns whether there is room for more. */
+/* Adds a worker to a request. Returns whether more can be added. */
 static bool add_worker(struct request *request,
 		       const struct rj_cell_worker *worker)
 {
@@ -201,15 +201,16 @@
 	return ++request->count < RJ_CELL_ADVICE_WORKERS;
 }
 
-/* The kinds of workers to ask about, in this order. */
+/* Classes of workers to ask about, in this order. */
 enum candidate_class {
-	CANDIDATE_RENEWAL, /* may run the step, the ticket is no longer good */
-	CANDIDATE_WITH_CAPACITY, /* nothing is known, there is room now */
-	CANDIDATE_WITHOUT_CAPACITY, /* nothing is known */
+	CANDIDATE_RENEWAL, /* may run the step, but its ticket has expired */
+	CANDIDATE_WITH_CAPACITY, /* no decision yet; the step fits now */
+	/* No decision yet; the step does not fit now */
+	CANDIDATE_WITHOUT_CAPACITY,
 	CANDIDATE_CLASS_COUNT
 };
 
-/* Whether a worker is one of these for a step that waits. */
+/* Whether a worker belongs to a class for a waiting step. */
 static bool is_candidate(const struct rj_cell_plan *plan,
 			 const struct rj_cell_unit *unit,
 			 const struct rj_cell_room *room,
@@ -237,13 +238,13 @@
 	}
 }
 
-/* Choose the workers to ask about for a step that waits. */
+/* Chooses the workers to ask about for a waiting step. */
 static void choose_workers(const struct rj_cell_plan *plan,
 			   const struct rj_cell_unit *unit,
 			   struct request *request)
 {
-	/* Each job begins at another worker, so that they do not all ask for
-	 * the same ones. */
+	/* Each step starts at a different worker, so that requests do not all
+	 * name the same ones. */
 	uint64_t start = rj_hash64_string(unit->job->job_spec->id, unit->step);
 
 	for (int class = 0; class < CANDIDATE_CLASS_COUNT; class ++)
@@ -258,7 +259,7 @@
 		}
 }
 
-/* Send a question about a step, if there is something to ask. */
+/* Requests decisions for a step. Returns false if none are needed. */
 static bool send_request(struct rj_cell_owner *owner,
 			 const struct rj_cell_plan *plan,
 			 const struct rj_cell_unit *unit)
@@ -290,7 +291,7 @@
 	return true;
 }
 
-/* Whether some task of a unit has found no place in the plan. */
+/* Whether a task of the unit is neither done nor running. */
 static bool still_waits(const struct rj_cell_unit *unit)
 {
 	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
@@ -307,7 +308,7 @@
 }
 
 /*
- * Ask about the first step of the plan's order that waits for want of advice.
+ * Sends a request for the first step in plan order that waits for the policy.
  */
 void rj_cell_advice_ask(struct rj_cell_owner *owner,
 			const struct rj_cell_plan *plan)
--- a/src/libradishjunction/cell/cell_config.c
+++ b/src/libradishjunction/cell/cell_config.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <strings.h>
 
-/* The host of a call without the port that clients may add to it. */
+/* Compares the host of a call, without its port, with a queue's host. */
 static bool host_is(const char *given, const char *wanted)
 {
 	size_t length = strcspn(given, ":");
@@ -12,7 +12,7 @@
 }
 
 /*
- * The queue that a call is for: that of its host with the longest prefix, or
+ * Returns the queue with the call's host and the longest matching prefix, or
  * NULL.
  */
 const struct rj_cell_queue *
@@ -37,7 +37,7 @@
 }
 
 /*
- * The queue of a name, or NULL when it has been taken away.
+ * Returns the queue with this name, or NULL if it is not configured any more.
  */
 const struct rj_cell_queue *
 rj_cell_config_queue(const struct rj_cell_config *config, const char *name)
@@ -49,7 +49,7 @@
 }
 
 /*
- * The client account that holds a key, or NULL when nobody does.
+ * Returns the client account that has this key, or NULL.
  */
 const struct rj_cell_account *
 rj_cell_config_key(const struct rj_cell_config *config, const char *key)
@@ -64,9 +64,6 @@
 	return NULL;
 }
 
-/*
- * The client account of a name, or NULL.
- */
 const struct rj_cell_account *
 rj_cell_config_account(const struct rj_cell_config *config, const char *name)
 {
@@ -77,7 +74,7 @@
 }
 
 /*
- * Whether the workers of a service refuse what does not fit.
+ * Whether the workers of a service reject tasks that do not fit.
  */
 bool rj_cell_config_enforces_limits(const struct rj_cell_config *config,
 				    const char *service)
--- a/src/libradishjunction/cell/cell_fleet.c
+++ b/src/libradishjunction/cell/cell_fleet.c
@@ -4,13 +4,13 @@
 #include <string.h>
 #include <talloc.h>
 
-/* A worker's clock may run so much slow. */
+/* A worker's clock may run slow by this much. */
 #define CLOCK_SLOW_PERCENT 2
-/* Covers the time that a worker's answer took to come here. */
+/* Covers the time that a worker's answer was in transit. */
 #define ANSWER_SLACK_US (50 * RJ_US_PER_MS)
 
 /*
- * Prepare an empty fleet, of which operators may cordon failure domains.
+ * Initializes an empty fleet. `cordons` may be NULL.
  */
 void rj_cell_fleet_init(struct rj_cell_fleet *fleet, void *mem,
 			const struct rj_cell_cordons *cordons)
@@ -29,7 +29,7 @@
 }
 
 /*
- * Free all workers and what is noted of their runs.
+ * Frees all workers and their runs.
  */
 void rj_cell_fleet_finish(struct rj_cell_fleet *fleet)
 {
@@ -48,9 +48,6 @@
 	TALLOC_FREE(fleet->mem);
 }
 
-/*
- * The worker of an id, or NULL.
- */
 struct rj_cell_worker *rj_cell_fleet_find(const struct rj_cell_fleet *fleet,
 					  const char *id)
 {
@@ -58,7 +55,7 @@
 }
 
 /*
- * The worker of an id; a new one has no address yet.
+ * Returns the worker with this id, created without an address if it is unknown.
  */
 struct rj_cell_worker *rj_cell_fleet_obtain(struct rj_cell_fleet *fleet,
 					    const char *id)
@@ -84,7 +81,7 @@
 }
 
 /*
- * Forget a worker and its runs.
+ * Removes a worker and frees its runs.
  */
 void rj_cell_fleet_drop(struct rj_cell_fleet *fleet,
 			struct rj_cell_worker *worker)
@@ -102,7 +99,7 @@
 	talloc_free(worker);
 }
 
-/* The rack of a name, or NULL with the place where it belongs. */
+/* Returns the rack, or NULL with `position` set to its index in sort order. */
 static struct rj_cell_rack *find_rack(const struct rj_cell_fleet *fleet,
 				      const char *name, guint *position)
 {
@@ -125,8 +122,7 @@
 	return NULL;
 }
 
-/* The rack of a name, made when it is new. Racks stay, as their number is
- * that of the site. */
+/* Racks are never removed; a site has a fixed number of them. */
 static struct rj_cell_rack *get_or_create_rack(struct rj_cell_fleet *fleet,
 					       const char *name)
 {
@@ -143,7 +139,6 @@
 	return rack;
 }
 
-/* The failure domain of a name, made when it is new. */
 static struct rj_cell_domain *get_or_create_domain(struct rj_cell_fleet *fleet,
 						   const char *name)
 {
@@ -164,8 +159,8 @@
 }
 
 /*
- * Show the operators' cordons on the failure domains. Returns whether there
- * was a change.
+ * Copies the operators' cordons to the failure domains. Returns whether they
+ * have changed.
  */
 bool rj_cell_fleet_apply_cordons(struct rj_cell_fleet *fleet)
 {
@@ -182,7 +177,7 @@
 }
 
 /*
- * Whether all workers of a rack stand in a cordoned failure domain.
+ * Whether all workers of a rack are in cordoned failure domains.
  */
 bool rj_cell_fleet_rack_cordoned(const struct rj_cell_fleet *fleet,
 				 const char *name)
@@ -201,7 +196,7 @@
 }
 
 /*
- * A call to a worker that was sent at `sent_us` has been answered, or lost.
+ * Records that a call sent at `sent_us` was answered or lost.
  */
 void rj_cell_worker_record_contact(struct rj_cell_worker *worker,
 				   uint64_t sent_us, bool answered,
@@ -219,7 +214,7 @@
 		domain->lost_call_us = sent_us;
 }
 
-/* Whether nothing has been heard from a failure domain since a call to it was
+/* Whether no worker of a failure domain has answered since a call there was
  * lost. */
 static bool is_unreachable(const struct rj_cell_domain *domain)
 {
@@ -227,7 +222,7 @@
 }
 
 /*
- * Take note of what a worker says of itself.
+ * Applies a heartbeat of a worker.
  */
 void rj_cell_worker_apply_heartbeat(struct rj_cell_worker *worker,
 				    const struct rj_cell_heartbeat *heartbeat)
@@ -251,7 +246,7 @@
 }
 
 /*
- * Watch a worker in another way; it goes to the end of that list.
+ * Changes a worker's poll state and appends it to that state's list.
  */
 void rj_cell_worker_set_poll_state(struct rj_cell_worker *worker,
 				   enum rj_cell_poll_state poll_state)
@@ -263,8 +258,8 @@
 }
 
 /*
- * What the worker's clock shows about now, in its milliseconds; never more
- * than it really shows, but for a clock that runs slow.
+ * Estimate of the worker's clock now, in milliseconds. Never ahead of the real
+ * one unless that runs slow.
  */
 uint64_t rj_cell_worker_clock_ms(const struct rj_cell_worker *worker,
 				 uint64_t now_us)
@@ -273,7 +268,7 @@
 }
 
 /*
- * How long a lease of `lease_us` by a worker's clock may last by ours.
+ * Longest duration by our clock of a lease of `lease_us` by a worker's clock.
  */
 uint64_t rj_cell_lease_max_us(uint64_t lease_us)
 {
@@ -281,8 +276,9 @@
 }
 
 /*
- * An order with this deadline goes to the worker: what runs there may go on
- * until its own clock shows it, which can be a little later by ours.
+ * Records that an order with this deadline is sent. Runs on the worker may
+ * continue until its clock reaches the deadline, which can be slightly later by
+ * ours.
  */
 void rj_cell_worker_extend_lease(struct rj_cell_worker *worker,
 				 uint64_t deadline_ms)
@@ -299,17 +295,14 @@
 		worker->lease_expired_us = lease_expired_us;
 }
 
-/*
- * Whether operators have cordoned the worker's failure domain.
- */
 bool rj_cell_worker_cordoned(const struct rj_cell_worker *worker)
 {
 	return worker->domain && worker->domain->cordoned;
 }
 
 /*
- * Whether anything may still start on a worker: it is listed, does not drain,
- * and its failure domain is not cordoned.
+ * Whether tasks may still start on a worker: it is listed, not draining, and
+ * its failure domain is not cordoned.
  */
 bool rj_cell_worker_schedulable(const struct rj_cell_worker *worker)
 {
@@ -318,8 +311,8 @@
 }
 
 /*
- * Whether new work may go there: it stays, answers, in a failure domain that
- * answers, and is not suspected of failing what it is given.
+ * Whether new tasks may be placed on a worker: it is schedulable, it and its
+ * failure domain answer, and it is not suspected of failing its tasks.
  */
 bool rj_cell_worker_usable(const struct rj_cell_worker *worker, uint64_t now_us)
 {
--- a/src/libradishjunction/cell/cell_job_spec.c
+++ b/src/libradishjunction/cell/cell_job_spec.c
@@ -6,10 +6,10 @@
 
 #include "private/pack.h"
 
-/* Raised when the order of the fields changes. */
+/* Incremented when the order of the fields changes. */
 #define JOB_SPEC_FORMAT 1
 
-/* One step: sane numbers, and only earlier steps before it. */
+/* Checks one step: it has tasks, and depends on earlier steps only. */
 static int check_step(const struct rj_cell_job_spec *job_spec, uint32_t number,
 		      struct rj_error *err)
 {
@@ -30,8 +30,8 @@
 }
 
 /*
- * Check a definition and count its tasks. Returns 0, or -1 with `err` when
- * it could never run as it is.
+ * Checks a spec and counts its tasks. Returns 0, or -1 with `err` if the job
+ * could never run.
  */
 int rj_cell_job_spec_check(struct rj_cell_job_spec *job_spec,
 			   struct rj_error *err)
@@ -55,7 +55,6 @@
 	return 0;
 }
 
-/* The fields of one step. */
 static void write_step(struct rj_packer *out, const struct rj_cell_step *step)
 {
 	rj_pack_number(out, step->task_count);
@@ -80,7 +79,7 @@
 	rj_pack_number(out, step->target_ms);
 }
 
-/* What write_step wrote. */
+/* Decodes the output of write_step. */
 static void read_step(struct rj_unpacker *in, void *mem,
 		      struct rj_cell_step *step)
 {
@@ -117,7 +116,7 @@
 }
 
 /*
- * The definition as it is kept in the log; a talloc child of `mem`.
+ * Encodes a spec as a talloc child of `mem`.
  */
 struct rj_bytes rj_cell_job_spec_encode(void *mem,
 					const struct rj_cell_job_spec *job_spec)
@@ -145,7 +144,7 @@
 	return rj_pack_finish(&out, mem);
 }
 
-/* The fields before the steps. */
+/* Decodes the fields before the steps. */
 static void read_terms(struct rj_unpacker *in,
 		       struct rj_cell_job_spec *job_spec)
 {
@@ -178,8 +177,8 @@
 }
 
 /*
- * A definition out of the log, or NULL with `err` when it was not written by
- * rj_cell_job_spec_encode.
+ * Decodes the output of rj_cell_job_spec_encode. Returns NULL with `err` if it
+ * is malformed.
  */
 struct rj_cell_job_spec *
 rj_cell_job_spec_decode(void *mem, struct rj_bytes bytes, struct rj_error *err)
@@ -206,7 +205,7 @@
 }
 
 /*
- * The index of a step's first task among the tasks of all steps.
+ * Index of a step's first task among the tasks of all steps.
  */
 uint32_t rj_cell_job_spec_first_task(const struct rj_cell_job_spec *job_spec,
 				     uint32_t step)
--- a/src/libradishjunction/cell/cell_metrics.c
+++ b/src/libradishjunction/cell/cell_metrics.c
@@ -2,17 +2,15 @@
 
 #include <inttypes.h>
 
-/* What an age that is not known is shown as. */
+/* Shown if an age is unknown. */
 #define UNKNOWN_AGE -1
 
-/* One number. */
 static void write_number(GString *text, const char *name, uint64_t value)
 {
 	g_string_append_printf(text, "radishjunction_%s %" PRIu64 "\n", name,
 			       value);
 }
 
-/* One number with a label. */
 static void write_labelled(GString *text, const char *name, const char *label,
 			   const char *value, uint64_t count)
 {
@@ -21,7 +19,6 @@
 			       name, label, value, count);
 }
 
-/* How old the knowledge of a log is, in milliseconds. */
 static void write_log_age(GString *text,
 			  const struct rj_cell_log_reader *reader,
 			  uint64_t now_us)
@@ -36,7 +33,6 @@
 		rj_cell_topic_string[reader->topic], age_ms);
 }
 
-/* What clients were answered. */
 static void write_frontend(GString *text, const struct rj_cell_frontend *front)
 {
 	write_number(text, "requests_open", front->open);
@@ -50,7 +46,6 @@
 					 rj_cell_verdict_string[i], text);
 }
 
-/* What became of appends. */
 static void write_appends(GString *text, const char *producer,
 			  const struct rj_cell_writer *writer)
 {
@@ -62,7 +57,7 @@
 		       writer->refused);
 }
 
-/* Workers by what can be done with them. */
+/* Counts the listed and the usable workers. */
 static void write_fleet(GString *text, const struct rj_cell_owner *owner,
 			uint64_t now_us)
 {
@@ -82,7 +77,7 @@
 	write_number(text, "workers_usable", usable);
 }
 
-/* What the owner has done, and what waits for it. */
+/* Writes the counters; the gauges only while this node is the owner. */
 static void write_owner(GString *text, const struct rj_cell_owner *owner,
 			uint64_t now_us)
 {
@@ -132,7 +127,7 @@
 }
 
 /*
- * Append everything that is counted, a name and a value a line.
+ * Appends all metrics to `text`, one per line.
  */
 void rj_cell_metrics_write(const struct rj_cell_node *node, uint64_t now_us,
 			   GString *text)
--- a/src/libradishjunction/cell/cell_record.c
+++ b/src/libradishjunction/cell/cell_record.c
@@ -8,29 +8,29 @@
 
 #define PROGRESS_FORMAT 1
 #define STATE_FORMAT 1
-/* Earlier formats had no time, then no epoch in them; instances of all may
- * run side by side. */
+/* Format 1 lacks the time and the epoch, format 2 the epoch. Instances that
+ * write different formats may run side by side. */
 #define OWNER_FORMAT_NO_TIME 1
 #define OWNER_FORMAT_NO_EPOCH 2
 #define OWNER_FORMAT 3
 #define HEARTBEAT_FORMAT 1
 
-/* The first character of a key. */
+/* First character of a key. */
 static const char key_prefix[RJ_CELL_RECORD_KIND_COUNT] = {
 	[RJ_CELL_RECORD_JOB_SPEC] = 'j', [RJ_CELL_RECORD_PROGRESS] = 's',
 	[RJ_CELL_RECORD_STATE] = 't',	 [RJ_CELL_RECORD_CANCEL] = 'c',
 	[RJ_CELL_RECORD_OWNER] = 'o',	 [RJ_CELL_RECORD_HEARTBEAT] = 'b',
 };
 
-/* How much of a task is written. */
+/* How a task is encoded. */
 enum task_code {
-	TASK_NOT_STARTED, /* nothing has happened to it */
+	TASK_NOT_STARTED, /* no run and no failure so far */
 	TASK_DONE,
 	TASK_DETAILS,
 };
 
 /*
- * The key of a record; `id` is that of a job, or "".
+ * Builds the key of a record; `id` is a job id, or "".
  */
 void rj_cell_record_key(char key[RJ_CELL_KEY_BYTES],
 			enum rj_cell_record_kind kind, const char *id)
@@ -40,7 +40,7 @@
 }
 
 /*
- * What a key stands for. Returns 0, or -1 for a key that we did not write.
+ * Parses a key. Returns 0, or -1 for a key that is not ours.
  */
 int rj_cell_record_kind(const char *key, enum rj_cell_record_kind *kind,
 			const char **id)
@@ -58,13 +58,13 @@
 	return -1;
 }
 
-/* The workers of a job's runs, each written once. */
+/* Workers of a job's runs, each encoded once. */
 struct worker_table {
 	GPtrArray *workers; /* struct rj_cell_worker */
-	GHashTable *index; /* worker -> its place + 1 */
+	GHashTable *index; /* worker -> its index + 1 */
 };
 
-/* Note the worker of one run. */
+/* Adds the worker of a run to the table. */
 static void table_add(struct rj_cell_run *run, void *private_data)
 {
 	struct worker_table *table = private_data;
@@ -76,8 +76,8 @@
 			    GUINT_TO_POINTER(table->workers->len));
 }
 
-/* Runs that are being stopped stay in the record: until their end is known,
- * a successor must not start the task elsewhere. */
+/* Number of runs to encode. Runs that are being stopped are included: until
+ * their completion is known, a successor must not start the task elsewhere. */
 static uint32_t count_runs(const struct rj_cell_task *task)
 {
 	const struct rj_list *at;
@@ -88,7 +88,6 @@
 	return count;
 }
 
-/* One task, as short as can be. */
 static void write_task(struct rj_packer *out, const struct rj_cell_task *task,
 		       const struct worker_table *table)
 {
@@ -118,13 +117,13 @@
 	}
 }
 
-/* Whether the job has ended, so that its tasks do not matter any more. */
+/* Whether the job has ended, so that its tasks are not encoded. */
 static bool has_ended(enum rj_cell_job_state state)
 {
 	return state >= RJ_CELL_JOB_COMPLETED;
 }
 
-/* The occurrences under way. */
+/* Encodes the occurrences that are not done. */
 static void write_occurrences(struct rj_packer *out,
 			      const struct rj_cell_job *job,
 			      const struct worker_table *table)
@@ -147,8 +146,9 @@
 }
 
 /*
- * What nobody has listed of gangs, behind all else up to the end of the
- * record, a row for each gang: earlier versions do not read that far.
+ * Encodes the gang failures that no worker has reported yet, one row per gang.
+ * They follow all other fields up to the end of the record, which earlier
+ * versions do not read.
  */
 static void write_unreported(struct rj_packer *out,
 			     const struct rj_cell_job *job)
@@ -175,7 +175,7 @@
 }
 
 /*
- * The progress of a job, as it is kept in the log; a talloc child of `mem`.
+ * Encodes the progress of a job as a talloc child of `mem`.
  */
 struct rj_bytes rj_cell_progress_encode(void *mem,
 					const struct rj_cell_job *job)
@@ -208,7 +208,7 @@
 }
 
 /*
- * What callers are told of a job; a talloc child of `mem`.
+ * Encodes what callers may see of a job as a talloc child of `mem`.
  */
 struct rj_bytes rj_cell_summary_encode(void *mem,
 				       const struct rj_cell_summary *summary)
@@ -222,7 +222,7 @@
 	return rj_pack_finish(&out, mem);
 }
 
-/* The fields of a summary, behind a format. */
+/* Decodes the format and the fields of a summary. */
 static void read_summary(struct rj_unpacker *in, uint64_t format,
 			 struct rj_cell_summary *summary)
 {
@@ -234,7 +234,7 @@
 }
 
 /*
- * What rj_cell_summary_encode wrote. Returns 0, or -1 with `err`.
+ * Decodes the output of rj_cell_summary_encode. Returns 0, or -1 with `err`.
  */
 int rj_cell_summary_decode(struct rj_bytes bytes,
 			   struct rj_cell_summary *summary,
@@ -248,8 +248,8 @@
 }
 
 /*
- * The part of a job's progress that callers are told. Returns 0, or -1 with
- * `err`.
+ * Decodes the part of a job's progress that callers may see. Returns 0, or -1
+ * with `err`.
  */
 int rj_cell_progress_summary(struct rj_bytes bytes,
 			     struct rj_cell_summary *summary,
@@ -262,7 +262,7 @@
 	return rj_unpack_finish(&in, err);
 }
 
-/* The runs of one task, whose workers may not be known otherwise yet. */
+/* Decodes the runs of a task and adds them to their workers. */
 static void read_runs(struct rj_unpacker *in, struct rj_cell_task *task,
 		      GPtrArray *workers, uint64_t now_us)
 {
@@ -281,15 +281,15 @@
 		}
 		run = rj_cell_run_new(workers->pdata[position], task, number);
 		run->state = RJ_CELL_RUN_PLACED;
-		/* The former owner's orders are fenced: what is not listed
-		 * from now on will never come. */
+		/* Orders of the former owner are fenced: a run that is not
+		 * reported from now on will not start. */
 		run->settled_us = 1;
 		run->adopted = true;
 		run->placed_us = now_us;
 	}
 }
 
-/* One task, into one that is fresh. */
+/* Decodes a task into one without runs. */
 static void read_task(struct rj_unpacker *in, struct rj_cell_task *task,
 		      GPtrArray *workers, uint64_t now_us)
 {
@@ -310,7 +310,6 @@
 	}
 }
 
-/* The occurrences under way. */
 static void read_occurrences(struct rj_unpacker *in, struct rj_cell_job *job,
 			     GPtrArray *workers, uint64_t now_us)
 {
@@ -328,7 +327,8 @@
 	}
 }
 
-/* A task of an occurrence under way, by its place in the job; or NULL. */
+/* Returns a task by occurrence number and its index among the occurrence's
+ * tasks, or NULL. */
 static struct rj_cell_task *task_at(const struct rj_cell_job *job,
 				    uint32_t number, uint32_t position)
 {
@@ -346,8 +346,8 @@
 	return NULL;
 }
 
-/* What write_unreported wrote. Until when it counts is for the owner to say, who
- * knows how long leases last. */
+/* Decodes the output of write_unreported. The owner, which knows the lease
+ * duration, limits how long these failures count. */
 static void read_unreported(struct rj_unpacker *in, struct rj_cell_job *job)
 {
 	while (!in->bad && in->offset < in->length) {
@@ -372,9 +372,9 @@
 }
 
 /*
- * Take the progress of a job over from the log into `work`, which has none
- * yet. Its runs are noted at their workers, as taken but not seen there.
- * Returns 0, or -1 with `err`; `work` may then hold a part.
+ * Decodes the progress of a job into `job`, which must have none. Its runs are
+ * added to their workers as placed but not yet reported. Returns 0, or -1 with
+ * `err`; `job` may then be partly filled.
  */
 int rj_cell_progress_decode(struct rj_bytes bytes, struct rj_cell_job *job,
 			    struct rj_cell_fleet *fleet, uint64_t now_us,
@@ -412,7 +412,7 @@
 }
 
 /*
- * Who owns the cell; a talloc child of `mem`.
+ * Encodes an ownership record as a talloc child of `mem`.
  */
 struct rj_bytes rj_cell_owner_encode(void *mem,
 				     const struct rj_cell_owner_record *owner)
@@ -431,7 +431,8 @@
 }
 
 /*
- * What rj_cell_owner_encode wrote. Returns 0, or -1 with `err`.
+ * Decodes the output of rj_cell_owner_encode, in any supported format. Returns
+ * 0, or -1 with `err`.
  */
 int rj_cell_owner_decode(struct rj_bytes bytes,
 			 struct rj_cell_owner_record *owner,
@@ -459,7 +460,7 @@
 }
 
 /*
- * A heartbeat of the owner; a talloc child of `mem`.
+ * Encodes an owner's heartbeat as a talloc child of `mem`.
  */
 struct rj_bytes
 rj_cell_owner_heartbeat_encode(void *mem,
@@ -485,7 +486,8 @@
 }
 
 /*
- * What rj_cell_owner_heartbeat_encode wrote. Returns 0, or -1 with `err`.
+ * Decodes the output of rj_cell_owner_heartbeat_encode. Returns 0, or -1 with
+ * `err`.
  */
 int rj_cell_owner_heartbeat_decode(struct rj_bytes bytes,
 				   struct rj_cell_owner_heartbeat *heartbeat,
--- a/src/libradishjunction/include/private/cell_record.h
+++ b/src/libradishjunction/include/private/cell_record.h
@@ -32,10 +32,8 @@
 	uint64_t incarnation;
 	uint32_t strength; /* hundredths of a core */
 	bool leaving; /* resigned: any instance may acquire the cell */
-	uint64_t
-		/* Unix time by the owner's clock when it wrote this; 0: not
-		 * recorded */
-		since_ms;
+	/* Unix time by the owner's clock when it wrote this; 0: not recorded */
+	uint64_t since_ms;
 	uint64_t epoch; /* of its appends to the log; 0: not recorded */
 };
 
