--- a/src/libradishjunction/cell/cell_job_spec.c
+++ b/src/libradishjunction/cell/cell_job_spec.c
@@ -17,13 +17,13 @@
 
 	if (!step->task_count)
 		return rj_error_set(err, RJ_ERR_INVALID,
-				    "steps[%u]: no tasks; give at least one",
+				    "steps[%u]: has no tasks; set at least one",
 				    number);
 	for (uint32_t i = 0; i < step->after_count; i++)
 		if (step->after[i] >= number)
 			return rj_error_set(
 				err, RJ_ERR_INVALID,
-				"steps[%u]: waits for step %u; name only "
+				"steps[%u]: depends on step %u; list only "
 				"earlier steps",
 				number, step->after[i]);
 	return 0;
@@ -40,7 +40,7 @@
 
 	if (!job_spec->step_count || job_spec->step_count > RJ_CELL_STEPS_MAX)
 		return rj_error_set(err, RJ_ERR_INVALID,
-				    "steps: %u; give 1 to %u",
+				    "steps: %u steps; use 1 to %u",
 				    job_spec->step_count, RJ_CELL_STEPS_MAX);
 	for (uint32_t i = 0; i < job_spec->step_count; i++) {
 		if (check_step(job_spec, i, err))
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -57,7 +57,8 @@
 {
 	struct rj_cell_node *node = private_data;
 	struct rj_cell_heartbeat heartbeat;
-	struct rj_error err = { .message = "the worker's name is too long" };
+	struct rj_error err = { .message =
+					"worker id is too long; shorten it" };
 	/* Records passed on by a load can be of any age. */
 	uint64_t written_us = node->fleet.state == RJ_CELL_LOG_READER_READING ?
 				      node->fleet.confirmed_us :
@@ -142,7 +143,7 @@
 {
 	if (!domain[0] || strlen(domain) >= RJ_NAME_BYTES) {
 		rj_note("cordon_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", "no failure domain of such a "
+			RJ_NOTE_TEXT("error", "not a valid failure domain "
 					      "name; remove the record"));
 		return;
 	}
@@ -249,7 +250,7 @@
 
 	if (rj_cell_record_kind(record->key, &kind, &id)) {
 		rj_note("record_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", "a key that we did not write"));
+			RJ_NOTE_TEXT("error", "unknown record key"));
 		return;
 	}
 	if (kind == RJ_CELL_RECORD_STATE || kind == RJ_CELL_RECORD_HEARTBEAT ||
