--- a/src/libradishjunction/cell/cell_active_job.c
+++ b/src/libradishjunction/cell/cell_active_job.c
@@ -249,8 +249,9 @@
 	struct rj_cell_worker *worker = run->worker;
 
 	run->order_due_us = due_us;
-	if (worker->in_ordered.next == &worker->in_ordered)
-		rj_list_append(&worker->fleet->ordered, &worker->in_ordered);
+	if (worker->in_order_queue.next == &worker->in_order_queue)
+		rj_list_append(&worker->fleet->order_queue,
+			       &worker->in_order_queue);
 }
 
 /*
--- a/src/libradishjunction/cell/cell_fleet.c
+++ b/src/libradishjunction/cell/cell_fleet.c
@@ -22,7 +22,7 @@
 	rj_list_init(&fleet->workers);
 	for (int i = 0; i < RJ_CELL_POLL_STATE_COUNT; i++)
 		rj_list_init(&fleet->by_poll_state[i]);
-	rj_list_init(&fleet->ordered);
+	rj_list_init(&fleet->order_queue);
 	rj_list_init(&fleet->unstored);
 	fleet->racks = g_ptr_array_new();
 	fleet->domains = g_ptr_array_new();
@@ -70,7 +70,7 @@
 	worker->fleet = fleet;
 	rj_list_init(&worker->runs);
 	rj_list_init(&worker->in_poll_state);
-	rj_list_init(&worker->in_ordered);
+	rj_list_init(&worker->in_order_queue);
 	rj_list_init(&worker->in_unstored);
 	rj_list_init(&worker->in_rack);
 	rj_list_append(&fleet->workers, &worker->link);
@@ -91,7 +91,7 @@
 					      struct rj_cell_run, in_worker));
 	rj_list_remove(&worker->link);
 	rj_list_remove(&worker->in_poll_state);
-	rj_list_remove(&worker->in_ordered);
+	rj_list_remove(&worker->in_order_queue);
 	rj_list_remove(&worker->in_unstored);
 	rj_list_remove(&worker->in_rack);
 	g_hash_table_remove(fleet->by_id, worker->id);
--- a/src/libradishjunction/cell/cell_frontend.c
+++ b/src/libradishjunction/cell/cell_frontend.c
@@ -355,7 +355,7 @@
 }
 
 /*
- * Spreads the retries of rejected callers over half of the delay, by job id.
+ * Lengthens a rejected caller's retry delay by up to a half, by job id.
  *
  * Callers that were rejected together would otherwise return together and be
  * rejected again.
--- a/src/libradishjunction/cell/cell_orders.c
+++ b/src/libradishjunction/cell/cell_orders.c
@@ -334,12 +334,12 @@
 	struct rj_list *at;
 	struct rj_list *next;
 
-	RJ_FOR_EACH (at, next, &owner->fleet.ordered) {
+	RJ_FOR_EACH (at, next, &owner->fleet.order_queue) {
 		struct rj_cell_worker *worker =
-			RJ_CONTAINER(at, struct rj_cell_worker, in_ordered);
+			RJ_CONTAINER(at, struct rj_cell_worker, in_order_queue);
 
 		if (!tick_runs(owner, worker))
-			rj_list_remove(&worker->in_ordered);
+			rj_list_remove(&worker->in_order_queue);
 	}
 }
 
--- a/src/libradishjunction/cell/cell_writer.c
+++ b/src/libradishjunction/cell/cell_writer.c
@@ -7,8 +7,8 @@
 
 #include "private/note.h"
 
-/* Initial delay before a lost append is repeated. The store answers within 4
- * ms, or 0.25 s when it is slow. */
+/* Base delay before a lost append is repeated, doubled with each try. The store
+ * answers within 4 ms, or 0.25 s when it is slow. */
 #define RETRY_US (60 * RJ_US_PER_MS)
 #define RETRY_MAX_US (480 * RJ_US_PER_MS)
 /* The store accepts 2 MiB per call and 256 KiB per record. */
--- a/src/libradishjunction/include/private/cell_active_job.h
+++ b/src/libradishjunction/include/private/cell_active_job.h
@@ -67,7 +67,7 @@
 	bool start_in_flight;
 	bool stop_in_flight;
 	uint32_t order_tries;
-	/* When to send the next order, see rj_cell_run_schedule_order */
+	/* When to send the next order, see rj_cell_run_schedule_order. */
 	uint64_t order_due_us;
 	uint64_t placed_us; /* when the worker accepted it */
 	uint32_t percent;
@@ -76,7 +76,7 @@
 	uint64_t slow_us; /* over its latency target since then; 0: it is not */
 	char checkpoint[RJ_CELL_CHECKPOINT_BYTES]; /* restored at its start */
 	char saved[RJ_CELL_CHECKPOINT_BYTES]; /* last one saved by this run */
-	/* After its gang ended: this run has ended by then; 0: not set */
+	/* After its gang ended: this run has ended by then; 0: not set. */
 	uint64_t ended_by_us;
 	bool victim; /* preempted in the current tentative placement */
 	const char *why; /* reason for the stop, for the log */
@@ -90,7 +90,7 @@
 	bool done;
 	uint32_t run; /* highest run number used */
 	uint32_t failures; /* failed runs; for a gang, kept on its first task */
-	/* gang: failed runs whose completions no worker has reported yet */
+	/* Gang: failed runs whose completions no worker has reported yet. */
 	uint32_t unreported;
 	uint32_t unreported_run; /* last such run */
 	uint64_t unreported_until_us; /* not counted after this */
@@ -101,7 +101,7 @@
 	uint64_t waiting_us; /* ready to run, but not running, since then */
 	uint64_t not_before_us;
 	bool planned; /* the current plan starts it */
-	/* Next search for runs to preempt for it or its gang */
+	/* Next search for runs to preempt for it or its gang. */
 	uint64_t preemption_due_us;
 	char avoid[RJ_NAME_BYTES]; /* worker of its last failure */
 	uint64_t avoid_until_us; /* `avoid` applies until then */
@@ -123,14 +123,14 @@
 /* A job that has not ended. */
 struct rj_cell_job {
 	struct rj_list link; /* in the owner's list */
-	/* Owned by the job's view entry */
+	/* Owned by the job's view entry. */
 	const struct rj_cell_job_spec *job_spec;
 	enum rj_cell_job_state state;
 	bool cancelled; /* cancellation requested; its runs are being stopped */
 	bool dirty; /* has changes that are not stored */
 	struct rj_list in_dirty; /* in the owner's list of dirty jobs */
 	bool started; /* a task has started */
-	/* Within its account's guarantee, according to the plan */
+	/* Within its account's guarantee, according to the plan. */
 	bool guaranteed;
 	uint32_t occurrences_begun;
 	uint32_t occurrences_done;
@@ -139,7 +139,7 @@
 	uint64_t objective_us; /* when it should complete */
 	uint64_t late_us; /* its result is of no use after this */
 	/* Reported in the log when the job ends. */
-	/* 0: not started, or started by an earlier owner */
+	/* 0: not started, or started by an earlier owner. */
 	uint64_t first_start_us;
 	uint32_t runs_lost; /* runs that ended without completing their task */
 	bool split; /* a gang that prefers one rack was placed on several */
--- a/src/libradishjunction/include/private/cell_config.h
+++ b/src/libradishjunction/include/private/cell_config.h
@@ -20,7 +20,7 @@
 	uint32_t latency_ms;
 	uint32_t timeout_ms; /* upper limit for a caller's wait */
 	bool open; /* needs no key */
-	/* A placement policy decides which workers may run its jobs */
+	/* A placement policy decides which workers may run its jobs. */
 	bool advised;
 };
 
--- a/src/libradishjunction/include/private/cell_fleet.h
+++ b/src/libradishjunction/include/private/cell_fleet.h
@@ -22,7 +22,7 @@
 	char domain[RJ_NAME_BYTES]; /* failure domain */
 	bool draining;
 	uint32_t drain_left_ms; /* minimum time until it leaves; 0: unknown */
-	/* It runs slowly for this long after its start */
+	/* It runs slowly for this long after its start. */
 	uint32_t cold_left_ms;
 	struct rj_cell_demand capacity;
 	char kind[RJ_NAME_BYTES]; /* label that steps may require */
@@ -33,10 +33,10 @@
 
 /* Polling state of a worker; see rj_cell_polls_tick. */
 enum rj_cell_poll_state {
-	/* Has runs, or completions that are not stored */
+	/* Has runs, or completions that are not stored. */
 	RJ_CELL_POLL_STATE_BUSY,
 	RJ_CELL_POLL_STATE_IDLE, /* waits for its next poll */
-	/* idle, and its last poll was not answered */
+	/* Idle, and its last poll was not answered. */
 	RJ_CELL_POLL_STATE_UNREACHABLE,
 	RJ_CELL_POLL_STATE_POLLING, /* idle, with a poll in flight */
 	RJ_CELL_POLL_STATE_COUNT
@@ -69,9 +69,10 @@
 	struct rj_list in_rack;
 	struct rj_cell_room *room; /* in the current plan */
 	enum rj_cell_poll_state poll_state;
-	/* In the fleet's list for its poll state */
+	/* In the fleet's list for its poll state. */
 	struct rj_list in_poll_state;
-	struct rj_list in_ordered; /* in the fleet's list, if an order is due */
+	/* In the fleet's list, if an order is due. */
+	struct rj_list in_order_queue;
 	struct rj_list in_unstored; /* ... if completions are not stored */
 	char id[RJ_NAME_BYTES];
 	struct rj_cell_heartbeat heartbeat;
@@ -80,13 +81,13 @@
 	uint64_t written_us; /* the entry was written after this; 0: unknown */
 	uint64_t departure_us; /* it may leave from then on; 0: not announced */
 	uint64_t cold_until_us; /* it runs slowly until then */
-	/* It deregistered before this; 0: it has not */
+	/* It deregistered before this; 0: it has not. */
 	uint64_t deregistered_us;
 	uint64_t incarnation; /* that answered last; 0: none yet */
 	bool answers; /* the last call to it was answered */
 	uint64_t answered_us; /* last answer to any call */
 	struct rj_cell_domain *domain; /* NULL until it is reported */
-	/* A call that tests the network path is in flight */
+	/* A call that tests the network path is in flight. */
 	bool probe_in_flight;
 	/* The worker's clock, as of its last answer. */
 	uint64_t clock_ms;
@@ -94,18 +95,18 @@
 	/* Latest deadline sent, by the worker's clock; its runs end then unless
 	 * the lease is renewed. */
 	uint64_t lease_ms;
-	/* If unreachable, no run remains there after this */
+	/* If unreachable, no run remains there after this. */
 	uint64_t lease_expired_us;
-	/* When its runs were abandoned after lease_expired_us; 0: never */
+	/* When its runs were abandoned after lease_expired_us; 0: never. */
 	uint64_t abandoned_us;
 	bool poll_in_flight;
 	uint64_t poll_due_us;
 	uint32_t poll_failures;
-	/* Completions up to this position are stored */
+	/* Completions up to this position are stored. */
 	uint64_t stored_position;
 	uint64_t applied_position; /* ... are applied in memory */
 	uint64_t storing_position; /* ... are in the append in flight */
-	/* ... may have been discarded by the worker */
+	/* ... may have been discarded by the worker. */
 	uint64_t acknowledged_position;
 	struct rj_list runs;
 	struct rj_cell_demand allocated; /* by all runs */
@@ -113,7 +114,7 @@
 	struct rj_cell_demand allocated_by_class[RJ_CELL_PRIORITY_CLASSES];
 	uint32_t latency_runs; /* runs with a latency target */
 	uint32_t other_runs; /* all other runs */
-	/* No run is placed next to its latency-bound runs until then */
+	/* No run is placed next to its latency-bound runs until then. */
 	uint64_t exclusive_until_us;
 	/* Health, derived from the runs on it. */
 	uint32_t bad_streak; /* consecutive runs that failed or stalled */
@@ -129,15 +130,15 @@
 	/* Each worker is in one list; idle and unreachable workers are in the
 	 * order in which they are polled. */
 	struct rj_list by_poll_state[RJ_CELL_POLL_STATE_COUNT];
-	struct rj_list ordered; /* workers with orders to send */
-	/* Workers with completions that are not stored */
+	struct rj_list order_queue; /* workers with orders to send */
+	/* Workers with completions that are not stored. */
 	struct rj_list unstored;
 	GPtrArray *racks; /* struct rj_cell_rack, sorted by name */
 	GPtrArray *domains; /* struct rj_cell_domain */
 	/* Set by operators, or NULL; copied to the domains by
 	 * rj_cell_fleet_apply_cordons. */
 	const struct rj_cell_cordons *cordons;
-	/* Version of `cordons` that the domains have */
+	/* Version of `cordons` that the domains have. */
 	uint64_t cordon_changes;
 };
 
--- a/src/libradishjunction/include/private/cell_frontend.h
+++ b/src/libradishjunction/include/private/cell_frontend.h
@@ -36,7 +36,7 @@
 	RJ_CELL_VERDICT_BAD_KEY,
 	RJ_CELL_VERDICT_MALFORMED,
 	RJ_CELL_VERDICT_BUSY, /* not accepted; retry after the given delay */
-	/* Not accepted: a dependency is unavailable */
+	/* Not accepted: a dependency is unavailable. */
 	RJ_CELL_VERDICT_UNAVAILABLE,
 	RJ_CELL_VERDICT_UNKNOWN, /* may have been accepted; retry */
 	RJ_CELL_VERDICT_COUNT
--- a/src/libradishjunction/include/private/cell_job_spec.h
+++ b/src/libradishjunction/include/private/cell_job_spec.h
@@ -40,7 +40,7 @@
 	bool scavenges; /* uses only cores that other tasks leave idle */
 	char label[RJ_NAME_BYTES]; /* required label of the worker, or "" */
 	char rack[RJ_NAME_BYTES]; /* rack of its input data, or "" */
-	/* Tasks of this step on one worker; 0: no limit */
+	/* Tasks of this step on one worker; 0: no limit. */
 	uint32_t per_worker_max;
 	uint32_t may_miss; /* perpetual: tasks that may be down at once */
 	char image[RJ_NAME_BYTES]; /* image that the tasks run, or "" */
@@ -55,10 +55,10 @@
 	char *spec; /* passed to the workers unchanged */
 	uint32_t priority; /* 0 is the highest and may preempt others */
 	uint32_t attempts_max; /* failed runs allowed per task */
-	/* objective, in thousandths of the critical path's duration */
+	/* Objective, in thousandths of the critical path's duration. */
 	uint32_t stretch_milli;
 	uint32_t latency_ms; /* added to the objective */
-	/* Unix time, by the clock of the accepting instance */
+	/* Unix time, by the clock of the accepting instance. */
 	uint64_t accepted_ms;
 	uint64_t first_run_ms; /* Unix time; 0: at once */
 	uint64_t interval_ms;
--- a/src/libradishjunction/include/private/cell_log_reader.h
+++ b/src/libradishjunction/include/private/cell_log_reader.h
@@ -47,14 +47,14 @@
 	uint32_t wait_ms; /* of a long poll */
 	uint64_t pause_us; /* pause between two reads, to batch records */
 	enum rj_cell_log_reader_state state;
-	/* Responses to calls of an earlier generation are ignored */
+	/* Responses to calls of an earlier generation are ignored. */
 	uint32_t generation;
 	uint64_t next; /* offset of the next read */
 	char *after; /* loading: last key received, or NULL */
 	bool loaded_once; /* loading: the first page has been received */
 	bool caught_up; /* has reached the end since its start */
 	bool poll_in_flight;
-	/* A read without waiting, for `syncs`, is in flight */
+	/* A read without waiting, for `syncs`, is in flight. */
 	bool quick_in_flight;
 	uint64_t due_us; /* time of the next read */
 	uint64_t confirmed_us; /* all records appended before this are known */
--- a/src/libradishjunction/include/private/cell_node.h
+++ b/src/libradishjunction/include/private/cell_node.h
@@ -16,7 +16,7 @@
 struct rj_cell_node_options {
 	char name[RJ_NAME_BYTES];
 	uint64_t incarnation; /* differs after each restart of the process */
-	/* Hundredths of a core; stronger instances are preferred as owner */
+	/* Hundredths of a core; stronger instances are preferred as owner. */
 	uint32_t strength;
 	struct rj_cell_terms terms;
 	struct rj_cell_store *store;
@@ -41,7 +41,7 @@
 	struct rj_cell_view view;
 	struct rj_cell_log_reader jobs;
 	struct rj_cell_log_reader configs;
-	/* Read only while this instance owns the cell */
+	/* Read only while this instance owns the cell. */
 	struct rj_cell_log_reader fleet;
 	struct rj_cell_writer writer; /* of clients' requests */
 	struct rj_cell_frontend front;
@@ -55,7 +55,7 @@
 	uint64_t started_us;
 	bool acquiring; /* an ownership record is being appended */
 	uint64_t acquire_due_us;
-	/* Added to this instance's delays before acquiring */
+	/* Added to this instance's delays before acquiring. */
 	uint32_t stagger_us;
 	bool draining;
 	uint64_t now_us;
--- a/src/libradishjunction/include/private/cell_record.h
+++ b/src/libradishjunction/include/private/cell_record.h
@@ -18,11 +18,11 @@
 enum rj_cell_record_kind {
 	RJ_CELL_RECORD_JOB_SPEC,
 	RJ_CELL_RECORD_PROGRESS, /* in a separate log */
-	/* The part of the progress that callers may see */
+	/* The part of the progress that callers may see. */
 	RJ_CELL_RECORD_STATE,
 	RJ_CELL_RECORD_CANCEL,
 	RJ_CELL_RECORD_OWNER, /* its offset is the fencing token */
-	/* Shows that the owner is alive, and the cell's load */
+	/* Shows that the owner is alive, and the cell's load. */
 	RJ_CELL_RECORD_HEARTBEAT,
 	RJ_CELL_RECORD_KIND_COUNT
 };
@@ -32,7 +32,7 @@
 	uint64_t incarnation;
 	uint32_t strength; /* hundredths of a core */
 	bool leaving; /* resigned: any instance may acquire the cell */
-	/* Unix time by the owner's clock when it wrote this; 0: not recorded */
+	/* When it wrote this, Unix time by its clock; 0: not recorded. */
 	uint64_t since_ms;
 	uint64_t epoch; /* of its appends to the log; 0: not recorded */
 };
--- a/src/libradishjunction/include/private/cell_store.h
+++ b/src/libradishjunction/include/private/cell_store.h
@@ -30,7 +30,7 @@
 	RJ_CELL_STORE_OK,
 	RJ_CELL_STORE_REFUSED, /* nothing was done: overloaded or unavailable */
 	RJ_CELL_STORE_FENCED, /* a producer with a higher epoch has written */
-	/* Not the next sequence number of this producer */
+	/* Not the next sequence number of this producer. */
 	RJ_CELL_STORE_SEQUENCE,
 	RJ_CELL_STORE_EXPIRED, /* the requested records have expired */
 	RJ_CELL_STORE_LOST, /* no answer; it may be carried out, even later */
--- a/src/libradishjunction/include/private/cell_view.h
+++ b/src/libradishjunction/include/private/cell_view.h
@@ -15,7 +15,7 @@
 struct rj_cell_view_entry {
 	struct rj_list link; /* in the view, in the order of the first record */
 	char id[RJ_CELL_ID_BYTES];
-	/* NULL until it is read, and after the job has ended */
+	/* NULL until it is read, and after the job has ended. */
 	struct rj_cell_job_spec *job_spec;
 	bool cancelled; /* a cancellation request is in the log */
 	struct rj_cell_summary summary; /* what callers may see */
--- a/src/libradishjunction/include/private/cell_workers.h
+++ b/src/libradishjunction/include/private/cell_workers.h
@@ -19,7 +19,7 @@
 	RJ_CELL_ORDER_TICKET_INVALID, /* the ticket is missing or expired */
 	RJ_CELL_ORDER_MALFORMED, /* the worker could not parse the order */
 	RJ_CELL_ORDER_UNHEALTHY, /* the worker is unhealthy; nothing was done */
-	/* Another incarnation of the worker answered */
+	/* Another incarnation of the worker answered. */
 	RJ_CELL_ORDER_OTHER_INCARNATION,
 	RJ_CELL_ORDER_UNSENT, /* no connection; nothing was done */
 	RJ_CELL_ORDER_LOST, /* no answer; it may be carried out, even later */
@@ -35,9 +35,9 @@
 	RJ_CELL_COMPLETION_STOPPED,
 	RJ_CELL_COMPLETION_EXPIRED, /* its lease was not renewed */
 	RJ_CELL_COMPLETION_GANG_BROKEN, /* another member of its gang ended */
-	/* Other members of its gang did not start */
+	/* Other members of its gang did not start. */
 	RJ_CELL_COMPLETION_GANG_INCOMPLETE,
-	/* Lost with its worker; never reported by a worker */
+	/* Lost with its worker; never reported by a worker. */
 	RJ_CELL_COMPLETION_LOST,
 	RJ_CELL_COMPLETION_COUNT
 };
@@ -50,7 +50,7 @@
 	uint32_t number;
 	const char *saved; /* checkpoint, or "" */
 	uint32_t percent;
-	/* Tail latency in ms, or thousandths of cores in use */
+	/* Tail latency in ms, or thousandths of cores in use. */
 	uint32_t measurement;
 };
 
@@ -93,12 +93,12 @@
 
 struct rj_cell_poll {
 	uint64_t token;
-	/* The worker may discard completions up to here */
+	/* The worker may discard completions up to here. */
 	uint64_t stored_position;
-	/* New lease deadline; 0: leases are not renewed */
+	/* New lease deadline; 0: leases are not renewed. */
 	uint64_t deadline_ms;
 	uint32_t wait_ms; /* how long the worker waits for a completion */
-	/* Added to wait_ms before the poll counts as lost */
+	/* Added to wait_ms before the poll counts as lost. */
 	uint32_t timeout_ms;
 };
 
--- a/src/libradishjunction/include/private/cell_writer.h
+++ b/src/libradishjunction/include/private/cell_writer.h
@@ -47,10 +47,10 @@
 	bool uncertain; /* an answer to the current batch was lost */
 	uint32_t tries; /* of the current batch */
 	uint64_t retry_us; /* when to send the current batch again */
-	/* End offset of the log after the last successful append */
+	/* End offset of the log after the last successful append. */
 	uint64_t end;
 	uint64_t took_us; /* duration of the last successful append */
-	/* Last answer other than a refusal or a malformed one */
+	/* Last answer that shows that the store serves this instance. */
 	uint64_t answered_us;
 	uint64_t stored_us; /* when the last successful append was sent */
 	uint64_t sent_us;
