--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -57,8 +57,7 @@
 {
 	struct rj_cell_node *node = private_data;
 	struct rj_cell_heartbeat heartbeat;
-	struct rj_error err = { .message =
-					"the worker's name is too long" };
+	struct rj_error err = { .message = "the worker's name is too long" };
 	/* Records passed on by a load can be of any age. */
 	uint64_t written_us = node->fleet.state == RJ_CELL_LOG_READER_READING ?
 				      node->fleet.confirmed_us :
