--- a/src/libradishjunction/cell/cell_calls.c
+++ b/src/libradishjunction/cell/cell_calls.c
@@ -91,14 +91,14 @@
  * Every run of a worker has ended without a trace.
  */
 void rj_cell_call_lose_runs(struct rj_cell_owner *owner,
-			    struct rj_cell_worker *worker, const char *why)
+			    struct rj_cell_worker *worker, const char *reason)
 {
 	/* The end of one run may free others of its gang. */
 	while (worker->runs.next != &worker->runs) {
 		struct rj_cell_run *run = RJ_CONTAINER(
 			worker->runs.next, struct rj_cell_run, in_worker);
 
-		run->why = why;
+		run->reason = reason;
 		rj_cell_ends_run(owner, run, RJ_CELL_COMPLETION_LOST, NULL);
 	}
 }
--- a/src/libradishjunction/cell/cell_ends.c
+++ b/src/libradishjunction/cell/cell_ends.c
@@ -38,7 +38,7 @@
  * A stop was decided for a run; the order goes out with the next tick.
  */
 void rj_cell_ends_stop_run(struct rj_cell_owner *owner, struct rj_cell_run *run,
-			   const char *why)
+			   const char *reason)
 {
 	if (run->state == RJ_CELL_RUN_STOPPING)
 		return;
@@ -49,7 +49,7 @@
 		return;
 	}
 	run->state = RJ_CELL_RUN_STOPPING;
-	run->why = why;
+	run->reason = reason;
 	run->settled_us = 0;
 	run->order_tries = 0;
 	rj_cell_run_schedule_order(run, owner->now_us);
@@ -57,7 +57,7 @@
 
 /* Stop all runs of one task. */
 static void stop_task(struct rj_cell_owner *owner, struct rj_cell_task *task,
-		      const char *why)
+		      const char *reason)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -65,13 +65,13 @@
 	RJ_FOR_EACH (at, next, &task->runs)
 		rj_cell_ends_stop_run(
 			owner, RJ_CONTAINER(at, struct rj_cell_run, in_task),
-			why);
+			reason);
 }
 
 /* What stops a whole job. */
 struct job_stop {
 	struct rj_cell_owner *owner;
-	const char *why;
+	const char *reason;
 };
 
 /* Stop one run of it. */
@@ -79,16 +79,16 @@
 {
 	const struct job_stop *stop = private_data;
 
-	rj_cell_ends_stop_run(stop->owner, run, stop->why);
+	rj_cell_ends_stop_run(stop->owner, run, stop->reason);
 }
 
 /*
  * Stop all that runs of a job.
  */
 void rj_cell_ends_stop_work(struct rj_cell_owner *owner,
-			    struct rj_cell_job *job, const char *why)
+			    struct rj_cell_job *job, const char *reason)
 {
-	struct job_stop stop = { owner, why };
+	struct job_stop stop = { owner, reason };
 
 	rj_cell_job_each_run(job, stop_for_job, &stop);
 }
@@ -350,7 +350,7 @@
 	head->unreported_run = run->number;
 	head->unreported_until_us =
 		MAX(head->unreported_until_us, run->worker->lease_expired_us);
-	run->why = "gang_over";
+	run->reason = "gang_over";
 	rj_cell_ends_run(owner, run, RJ_CELL_COMPLETION_LOST, NULL);
 }
 
@@ -393,7 +393,7 @@
 		RJ_NOTE_NUMBER("run", run->number),
 		RJ_NOTE_TEXT("worker", worker->id),
 		RJ_NOTE_TEXT("end", rj_cell_completion_string[end]),
-		RJ_NOTE_TEXT("why", run->why),
+		RJ_NOTE_TEXT("why", run->reason),
 		RJ_NOTE_AGE_MS("ran_ms",
 			       run->placed_us ? owner->now_us - run->placed_us :
 						0));
--- a/src/libradishjunction/cell/cell_frontend.c
+++ b/src/libradishjunction/cell/cell_frontend.c
@@ -133,7 +133,7 @@
 				     rj_cell_verb_string[request->call->verb]),
 			RJ_NOTE_TEXT("verdict",
 				     rj_cell_verdict_string[reply->verdict]),
-			RJ_NOTE_TEXT("why", reply->why),
+			RJ_NOTE_TEXT("why", reply->reason),
 			RJ_NOTE_NUMBER("come_back_ms", reply->retry_after_ms),
 			RJ_NOTE_AGE_MS("took_ms",
 				       front->now_us - request->received_us),
@@ -153,20 +153,21 @@
 
 /* Answers with a verdict and no further data. */
 static void answer_verdict(struct request *request,
-			   enum rj_cell_verdict verdict, const char *why,
+			   enum rj_cell_verdict verdict, const char *reason,
 			   uint32_t retry_after_ms)
 {
-	const struct rj_cell_answer reply = {
-		.verdict = verdict, .why = why, .retry_after_ms = retry_after_ms
-	};
+	const struct rj_cell_answer reply = { .verdict = verdict,
+					      .reason = reason,
+					      .retry_after_ms =
+						      retry_after_ms };
 
 	answer(request, &reply);
 }
 
 /* Answers that the log is unavailable and nothing was done. */
-static void answer_unavailable(struct request *request, const char *why)
+static void answer_unavailable(struct request *request, const char *reason)
 {
-	answer_verdict(request, RJ_CELL_VERDICT_UNAVAILABLE, why,
+	answer_verdict(request, RJ_CELL_VERDICT_UNAVAILABLE, reason,
 		       rj_cell_contact_come_back_ms(&request->front->contact,
 						    request->front->now_us));
 }
@@ -190,7 +191,7 @@
 {
 	struct rj_cell_answer reply = { .verdict = RJ_CELL_VERDICT_STATE,
 					.state = entry->summary.state,
-					.why = "known" };
+					.reason = "known" };
 
 	if (entry->cancelled && entry->summary.state < RJ_CELL_JOB_COMPLETED)
 		reply.state = RJ_CELL_JOB_CANCELLED;
@@ -408,7 +409,7 @@
 		.verdict = RJ_CELL_VERDICT_PENDING,
 		.pending =
 			rj_cell_view_pending(request->front->view, queue->name),
-		.why = "counted"
+		.reason = "counted"
 	};
 
 	answer(request, &reply);
@@ -514,12 +515,12 @@
 
 /* Final answer to a request that waits for the log. If a write is in flight, it
  * may still succeed, so the outcome is unknown. */
-static void answer_unfinished(struct request *request, const char *why)
+static void answer_unfinished(struct request *request, const char *reason)
 {
 	if (request->writing)
-		answer_verdict(request, RJ_CELL_VERDICT_UNKNOWN, why, 0);
+		answer_verdict(request, RJ_CELL_VERDICT_UNKNOWN, reason, 0);
 	else
-		answer_unavailable(request, why);
+		answer_unavailable(request, reason);
 }
 
 /* Updates whether the log is available, and logs changes. */
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -290,11 +290,11 @@
 
 /* Gives up ownership. Decisions that are not stored have not been shown to
  * clients. */
-static void step_down(struct rj_cell_node *node, const char *why)
+static void step_down(struct rj_cell_node *node, const char *reason)
 {
 	node->fenced_token = node->owner.token;
 	rj_cell_takeover_stop(&node->takeover);
-	rj_cell_owner_resign(&node->owner, why);
+	rj_cell_owner_resign(&node->owner, reason);
 	rj_cell_log_reader_stop(&node->fleet);
 	node->jobs.pause_us = JOBS_PAUSE_US;
 	node->acquire_due_us = node->now_us + ACQUIRE_RETRY_US;
@@ -507,7 +507,7 @@
 static uint64_t owner_timeout_us(const struct rj_cell_node *node)
 {
 	const struct rj_cell_owner_record *record = &node->ownership.record;
-	uint64_t owner_timeout_us = OWNER_TIMEOUT_US + node->stagger_us;
+	uint64_t timeout_us = OWNER_TIMEOUT_US + node->stagger_us;
 
 	/* The owner was an earlier incarnation of this instance. */
 	if (node->ownership.known &&
@@ -515,11 +515,11 @@
 	    record->incarnation != node->options.incarnation)
 		return 0;
 	if (!node->ownership.known || record->leaving)
-		owner_timeout_us = node->stagger_us / 4;
+		timeout_us = node->stagger_us / 4;
 	if (node->ownership.known &&
 	    is_weaker(node->options.strength, record->strength))
-		owner_timeout_us += WEAKER_DELAY_US;
-	return owner_timeout_us;
+		timeout_us += WEAKER_DELAY_US;
+	return timeout_us;
 }
 
 /* Whether the owner has timed out or is too weak. */
--- a/src/libradishjunction/cell/cell_orders.c
+++ b/src/libradishjunction/cell/cell_orders.c
@@ -52,7 +52,7 @@
 		RJ_NOTE_NUMBER("run", run->number),
 		RJ_NOTE_TEXT("worker", run->worker->id),
 		RJ_NOTE_TEXT("why", rj_cell_order_status_string[status]));
-	run->why = rj_cell_order_status_string[status];
+	run->reason = rj_cell_order_status_string[status];
 	if (run->task)
 		run->task->not_before_us =
 			owner->now_us + refusal_pause_us(status);
@@ -211,7 +211,7 @@
 		rj_note("stop", RJ_NOTE_TEXT("task", run->name),
 			RJ_NOTE_NUMBER("run", run->number),
 			RJ_NOTE_TEXT("worker", run->worker->id),
-			RJ_NOTE_TEXT("why", run->why));
+			RJ_NOTE_TEXT("why", run->reason));
 	done.call = stop_done;
 	done.private_data = rj_cell_call_new(owner, run->worker, run);
 	run->stop_in_flight = true;
@@ -236,15 +236,15 @@
  */
 static void call_off(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
-	const char *why = rj_cell_worker_cordoned(run->worker) ?
-				  "cordoned" :
-				  "worker_leaves";
+	const char *reason = rj_cell_worker_cordoned(run->worker) ?
+				     "cordoned" :
+				     "worker_leaves";
 
 	if (run->order_tries) {
-		rj_cell_ends_stop_run(owner, run, why);
+		rj_cell_ends_stop_run(owner, run, reason);
 		return;
 	}
-	run->why = why;
+	run->reason = reason;
 	rj_cell_ends_run(owner, run, RJ_CELL_COMPLETION_LOST, NULL);
 }
 
--- a/src/libradishjunction/cell/cell_owner.c
+++ b/src/libradishjunction/cell/cell_owner.c
@@ -384,7 +384,7 @@
  * takes it over. Callers have been told only what is stored, so the view stays
  * as it is.
  */
-void rj_cell_owner_resign(struct rj_cell_owner *owner, const char *why)
+void rj_cell_owner_resign(struct rj_cell_owner *owner, const char *reason)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -392,7 +392,7 @@
 	if (!owner->active && !owner->taking)
 		return;
 	rj_note("resign", RJ_NOTE_NUMBER("token", owner->token),
-		RJ_NOTE_TEXT("why", why),
+		RJ_NOTE_TEXT("why", reason),
 		RJ_NOTE_AGE_MS("stored_ms",
 			       owner->now_us - owner->writer.stored_us));
 	owner->active = false;
--- a/src/libradishjunction/cell/cell_place.c
+++ b/src/libradishjunction/cell/cell_place.c
@@ -340,7 +340,7 @@
 		const struct rj_cell_release *release = &releases->by_time[i];
 
 		/* The room of a victim is counted as free already. */
-		if (release->run->victim || release->run->why)
+		if (release->run->victim || release->run->reason)
 			continue;
 		rj_cell_demand_add(&have, &release->run->allocated);
 		ready_us = release->left_us;
@@ -576,7 +576,7 @@
 		struct rj_cell_run *run = trial->victims->pdata[i];
 
 		run->victim = false;
-		run->why = RJ_CELL_WHY_RECLAIMED;
+		run->reason = RJ_CELL_WHY_RECLAIMED;
 		g_ptr_array_add(trial->plan->stops, run);
 	}
 	g_ptr_array_set_size(trial->victims, 0);
--- a/src/libradishjunction/cell/cell_polls.c
+++ b/src/libradishjunction/cell/cell_polls.c
@@ -53,7 +53,7 @@
 	run->name = talloc_strdup(run, row->name);
 	run->number = row->number;
 	run->state = RJ_CELL_RUN_STOPPING;
-	run->why = "orphaned";
+	run->reason = "orphaned";
 	run->placed_us = owner->now_us;
 	if (entry && entry->job_spec &&
 	    sscanf(row->name, "%*[^.].%*u.%u", &step) == 1 &&
@@ -146,8 +146,8 @@
 		if (run->state == RJ_CELL_RUN_INTENDED || !settled ||
 		    is_listed(reply, run) || order_again(owner, run))
 			continue;
-		if (!run->why)
-			run->why = "not_listed";
+		if (!run->reason)
+			run->reason = "not_listed";
 		rj_cell_ends_run(owner, run,
 				 run->state == RJ_CELL_RUN_STOPPING ?
 					 RJ_CELL_COMPLETION_STOPPED :
--- a/src/libradishjunction/cell/cell_reclaim.c
+++ b/src/libradishjunction/cell/cell_reclaim.c
@@ -69,7 +69,8 @@
 		     const struct rj_cell_run *run,
 		     const struct rj_cell_unit *unit)
 {
-	return run->task && !run->why && run->state != RJ_CELL_RUN_STOPPING &&
+	return run->task && !run->reason &&
+	       run->state != RJ_CELL_RUN_STOPPING &&
 	       run->state != RJ_CELL_RUN_INTENDED &&
 	       run->state != RJ_CELL_RUN_STARTING &&
 	       gives_way(plan, run->task->occurrence->job, unit) &&
@@ -175,7 +176,7 @@
 			struct rj_cell_run *member =
 				RJ_CONTAINER(at, struct rj_cell_run, in_task);
 
-			if (!member->why &&
+			if (!member->reason &&
 			    member->state != RJ_CELL_RUN_STOPPING &&
 			    !member->victim)
 				free_victim(trial, member);
--- a/src/libradishjunction/include/private/cell_active_job.h
+++ b/src/libradishjunction/include/private/cell_active_job.h
@@ -79,7 +79,7 @@
 	/* After its gang ended: this run has ended by then; 0: not set. */
 	uint64_t ended_by_us;
 	bool victim; /* preempted in the current tentative placement */
-	const char *why; /* reason for the stop, for the log */
+	const char *reason; /* reason for the stop, for the log */
 	char *ticket; /* from the placement policy, or NULL */
 };
 
--- a/src/libradishjunction/include/private/cell_frontend.h
+++ b/src/libradishjunction/include/private/cell_frontend.h
@@ -49,7 +49,7 @@
 	enum rj_cell_job_state state;
 	uint32_t pending;
 	uint32_t retry_after_ms;
-	const char *why; /* reason, for the log and for people; never NULL */
+	const char *reason; /* reason, for the log and for people; never NULL */
 };
 
 /* A call of a client, owned by the adapter until it is answered. */
--- a/src/libradishjunction/include/private/cell_owner.h
+++ b/src/libradishjunction/include/private/cell_owner.h
@@ -127,7 +127,7 @@
 			 uint64_t epoch, uint64_t now_us, uint64_t wall_ms);
 void rj_cell_owner_take(struct rj_cell_owner *owner, uint64_t renewals_us,
 			uint64_t now_us, uint64_t wall_ms);
-void rj_cell_owner_resign(struct rj_cell_owner *owner, const char *why);
+void rj_cell_owner_resign(struct rj_cell_owner *owner, const char *reason);
 void rj_cell_owner_finish(struct rj_cell_owner *owner);
 void rj_cell_owner_leave(struct rj_cell_owner *owner, uint64_t now_us);
 void rj_cell_owner_entry(struct rj_cell_owner *owner,
@@ -157,9 +157,9 @@
 			 struct rj_cell_worker *worker,
 			 const struct rj_cell_completion_report *row);
 void rj_cell_ends_stop_work(struct rj_cell_owner *owner,
-			    struct rj_cell_job *job, const char *why);
+			    struct rj_cell_job *job, const char *reason);
 void rj_cell_ends_stop_run(struct rj_cell_owner *owner, struct rj_cell_run *run,
-			   const char *why);
+			   const char *reason);
 void rj_cell_ends_avoid(struct rj_cell_owner *owner, struct rj_cell_task *task,
 			const struct rj_cell_worker *worker);
 void rj_cell_ends_close(struct rj_cell_owner *owner, struct rj_cell_job *job,
