--- a/src/libradishjunction/cell/cell_advice.c
+++ b/src/libradishjunction/cell/cell_advice.c
@@ -205,7 +205,7 @@
 enum candidate_class {
 	CANDIDATE_RENEWAL, /* may run the step, but its ticket has expired */
 	CANDIDATE_WITH_CAPACITY, /* no decision yet; the step fits now */
-	/* No decision yet; the step does not fit now */
+	/* No decision yet; the step does not fit now. */
 	CANDIDATE_WITHOUT_CAPACITY,
 	CANDIDATE_CLASS_COUNT
 };
@@ -214,7 +214,7 @@
 static bool is_candidate(const struct rj_cell_plan *plan,
 			 const struct rj_cell_unit *unit,
 			 const struct rj_cell_room *room,
-			 enum candidate_class class)
+			 enum candidate_class kind)
 {
 	const struct rj_cell_step *step =
 		&unit->job->job_spec->steps[unit->step];
@@ -226,7 +226,7 @@
 	if (strcmp(room->worker->heartbeat.service, unit->service) != 0 ||
 	    !rj_cell_demand_fits(&want, &room->worker->heartbeat.capacity))
 		return false;
-	switch (class) {
+	switch (kind) {
 	case CANDIDATE_RENEWAL:
 		return fits && decision && decision->allowed &&
 		       !rj_cell_advice_ticket(unit->occurrence, unit->step,
@@ -247,13 +247,13 @@
 	 * name the same ones. */
 	uint64_t start = rj_hash64_string(unit->job->job_spec->id, unit->step);
 
-	for (int class = 0; class < CANDIDATE_CLASS_COUNT; class ++)
+	for (int kind = 0; kind < CANDIDATE_CLASS_COUNT; kind++)
 		for (uint32_t i = 0; i < plan->room_count; i++) {
 			const struct rj_cell_room *room =
 				&plan->rooms[(start + i) % plan->room_count];
 
 			if (is_candidate(plan, unit, room,
-					 (enum candidate_class) class) &&
+					 (enum candidate_class)kind) &&
 			    !add_worker(request, room->worker))
 				return;
 		}
--- a/src/libradishjunction/cell/cell_frontend.c
+++ b/src/libradishjunction/cell/cell_frontend.c
@@ -27,8 +27,8 @@
 #define HEARTBEAT_AGE_MAX_US (3 * RJ_US_PER_S)
 /*
  * Keys are accepted while the configuration is younger than this part of the
- * revocation bound promised to operators. The rest covers the call's way to a
- * worker and a clock that is 2 % slow.
+ * revocation bound promised to operators. The rest covers the time until a
+ * call reaches a worker, and a clock that is 2 % slow.
  */
 #define KEY_FRESH_PERCENT 78
 
--- a/src/libradishjunction/cell/cell_view.c
+++ b/src/libradishjunction/cell/cell_view.c
@@ -114,7 +114,7 @@
 }
 
 /* Applies the deletion of a key: the spec is deleted once the job has ended,
- * the state once callers need not be told any more. */
+ * the state once callers no longer need it. */
 static void apply_deletion(struct rj_cell_view *view, const char *id,
 			   enum rj_cell_record_kind kind)
 {
--- a/src/libradishjunction/include/private/cell_active_job.h
+++ b/src/libradishjunction/include/private/cell_active_job.h
@@ -14,7 +14,7 @@
 #include "private/cell_job_spec.h"
 #include "private/list.h"
 
-/* Longest checkpoint name that a worker reports, with the terminating zero. */
+/* Size of the longest checkpoint name that a worker reports, with its zero. */
 #define RJ_CELL_CHECKPOINT_BYTES 40
 
 enum rj_cell_job_state {
@@ -79,7 +79,7 @@
 	/* After its gang ended: this run has ended by then; 0: not set. */
 	uint64_t ended_by_us;
 	bool victim; /* preempted in the current tentative placement */
-	const char *reason; /* reason for the stop, for the log */
+	const char *reason; /* of its stop, for the log */
 	char *ticket; /* from the placement policy, or NULL */
 };
 
@@ -138,9 +138,8 @@
 	uint64_t accepted_us; /* by this node's clock, approximate */
 	uint64_t objective_us; /* when it should complete */
 	uint64_t late_us; /* its result is of no use after this */
-	/* Reported in the log when the job ends. */
-	/* 0: not started, or started by an earlier owner. */
-	uint64_t first_start_us;
+	/* Logged when the job ends. */
+	uint64_t first_start_us; /* 0: none, or by an earlier owner */
 	uint32_t runs_lost; /* runs that ended without completing their task */
 	bool split; /* a gang that prefers one rack was placed on several */
 	void *entry; /* its view entry */
--- a/src/libradishjunction/include/private/cell_advice.h
+++ b/src/libradishjunction/include/private/cell_advice.h
@@ -15,7 +15,7 @@
 
 #include "private/cell_fleet.h"
 
-/* Longest ticket of the policy, with the terminating zero. */
+/* Size of the longest ticket of the policy, with its zero. */
 #define RJ_CELL_TICKET_BYTES 64
 /* Workers in one request: the number on which users base a job's objective. */
 #define RJ_CELL_ADVICE_WORKERS 30
