--- a/src/libradishjunction/cell/cell_frontend.c
+++ b/src/libradishjunction/cell/cell_frontend.c
@@ -7,27 +7,28 @@
 
 #include "private/note.h"
 
-/* A client that does not say how long it waits is taken to wait this long. */
-#define WAIT_MS 3000
-/* The last answer leaves so long before the client gives up. */
+/* Wait of a client that does not announce one. */
+#define DEFAULT_WAIT_MS 3000
+/* The last answer is sent this long before the client times out. */
 #define ANSWER_MARGIN_MS 120
-/* One who has little time left still gets most of it: an append takes 10 ms. */
-#define ANSWER_MARGIN_PART 4
+/* Limits the margin to a quarter of a short wait: an append takes 10 ms. */
+#define ANSWER_MARGIN_DIVISOR 4
 /*
- * States are told at once from what was read so lately; else the log is read
- * first, which takes some 6 ms. Callers ask once or twice a job, so that this
- * costs far fewer reads than to follow the log closely at every instance.
+ * A state read from the log within this time is returned at once; otherwise the
+ * log is read first, which takes about 6 ms. Callers ask once or twice per job,
+ * so this costs far fewer reads than every instance reading the log
+ * continuously.
  */
 #define STATE_FRESH_US (80 * RJ_US_PER_MS)
-/* Where the log cannot be read, states are told that are no older. */
+/* While the log is unavailable, states up to this age are returned. */
 #define STATE_AGE_MAX_US (1200 * RJ_US_PER_MS)
-/* What the owner said of its backlog counts for so long; it says so anew
+/* Maximum age of the owner's heartbeat for its backlog to count; one is written
  * every 0.4 s. */
-#define BEAT_AGE_MAX_US (3 * RJ_US_PER_S)
+#define HEARTBEAT_AGE_MAX_US (3 * RJ_US_PER_S)
 /*
- * Keys are used while the configuration is known to be younger than this
- * part of what operators were promised; the rest covers a call's way to a
- * worker and a clock that runs 2 % slow.
+ * Keys are accepted while the configuration is younger than this part of the
+ * revocation bound promised to operators. The rest covers the time until a
+ * call reaches a worker, and a clock that is 2 % slow.
  */
 #define KEY_FRESH_PERCENT 78
 
@@ -51,15 +52,16 @@
 	[RJ_CELL_VERDICT_UNKNOWN] = "unknown",
 };
 
-/* A call that waits for the log. */
+/* A call that has not been answered, or that a write or a sync still refers
+ * to. */
 struct request {
 	struct rj_list link;
 	struct rj_cell_frontend *front;
 	struct rj_cell_call *call;
 	char id[RJ_CELL_ID_BYTES];
 	char account[RJ_NAME_BYTES];
-	uint64_t begun_us;
-	uint64_t due_us; /* the last answer leaves then */
+	uint64_t received_us;
+	uint64_t due_us; /* the last answer is sent then */
 	bool answered;
 	bool writing; /* a write refers to it */
 	struct rj_cell_sync sync;
@@ -67,7 +69,7 @@
 };
 
 /*
- * Prepare to answer clients. The writer must be open before a call comes.
+ * Initializes the frontend. The writer must be open before the first call.
  */
 void rj_cell_frontend_init(struct rj_cell_frontend *front, void *mem,
 			   struct rj_cell_view *view,
@@ -89,9 +91,9 @@
 }
 
 /*
- * Whether keys may be believed: a key that was taken away must not be used
- * later than operators were promised, however long this instance has been
- * cut off or asleep.
+ * Whether API keys can be trusted. A removed key must not be accepted for
+ * longer than promised to operators, however long this instance was partitioned
+ * or suspended.
  */
 bool rj_cell_frontend_keys_fresh(const struct rj_cell_frontend *front,
 				 uint64_t now_us)
@@ -103,15 +105,15 @@
 	       rj_cell_log_reader_age_us(front->configs, now_us) < limit_us;
 }
 
-/* Free a request that nothing refers to any more. */
+/* Frees a request once nothing refers to it. */
 static void release(struct request *request)
 {
 	if (request->answered && !request->writing && !request->syncing)
 		talloc_free(request);
 }
 
-/* Answer a request, once. */
-static void answer(struct request *request, const struct rj_cell_answer *what)
+/* Answers a request; later answers to it are ignored. */
+static void answer(struct request *request, const struct rj_cell_answer *reply)
 {
 	struct rj_cell_frontend *front = request->front;
 
@@ -121,20 +123,20 @@
 	request->answered = true;
 	rj_list_remove(&request->link);
 	front->open--;
-	rj_latency_add(&front->counters.answers[what->verdict],
-		       front->now_us - request->begun_us);
+	rj_latency_add(&front->counters.answers[reply->verdict],
+		       front->now_us - request->received_us);
 	if (request->call->verb != RJ_CELL_VERB_QUERY ||
-	    what->verdict >= RJ_CELL_VERDICT_NO_QUEUE)
+	    reply->verdict >= RJ_CELL_VERDICT_NO_QUEUE)
 		rj_note("answer", RJ_NOTE_TEXT("job", request->id),
 			RJ_NOTE_TEXT("account", request->account),
 			RJ_NOTE_TEXT("call",
 				     rj_cell_verb_string[request->call->verb]),
 			RJ_NOTE_TEXT("verdict",
-				     rj_cell_verdict_string[what->verdict]),
-			RJ_NOTE_TEXT("why", what->why),
-			RJ_NOTE_NUMBER("come_back_ms", what->come_back_ms),
+				     rj_cell_verdict_string[reply->verdict]),
+			RJ_NOTE_TEXT("why", reply->reason),
+			RJ_NOTE_NUMBER("come_back_ms", reply->retry_after_ms),
 			RJ_NOTE_AGE_MS("took_ms",
-				       front->now_us - request->begun_us),
+				       front->now_us - request->received_us),
 			RJ_NOTE_NUMBER("config",
 				       front->config ? front->config->version :
 						       0),
@@ -144,32 +146,34 @@
 			RJ_NOTE_AGE_MS("jobs_ms",
 				       rj_cell_log_reader_age_us(
 					       front->jobs, front->now_us)));
-	request->call->answer(request->call, what);
+	request->call->answer(request->call, reply);
 	request->call = NULL;
 	release(request);
 }
 
-/* An answer that carries nothing but its verdict. */
-static void answer_plain(struct request *request, enum rj_cell_verdict verdict,
-			 const char *why, uint32_t come_back_ms)
+/* Answers with a verdict and no further data. */
+static void answer_verdict(struct request *request,
+			   enum rj_cell_verdict verdict, const char *reason,
+			   uint32_t retry_after_ms)
 {
-	const struct rj_cell_answer what = { .verdict = verdict,
-					     .why = why,
-					     .come_back_ms = come_back_ms };
+	const struct rj_cell_answer reply = { .verdict = verdict,
+					      .reason = reason,
+					      .retry_after_ms =
+						      retry_after_ms };
 
-	answer(request, &what);
+	answer(request, &reply);
 }
 
-/* Nothing can be done without the log, or has been. */
-static void answer_away(struct request *request, const char *why)
+/* Answers that the log is unavailable and nothing was done. */
+static void answer_unavailable(struct request *request, const char *reason)
 {
-	answer_plain(request, RJ_CELL_VERDICT_UNAVAILABLE, why,
-		     rj_cell_contact_come_back_ms(&request->front->contact,
-						  request->front->now_us));
+	answer_verdict(request, RJ_CELL_VERDICT_UNAVAILABLE, reason,
+		       rj_cell_contact_come_back_ms(&request->front->contact,
+						    request->front->now_us));
 }
 
-/* The last part of the path as the id of a job. Returns 0, or -1. */
-static int take_id(const char *text, char id[RJ_CELL_ID_BYTES])
+/* Parses the last part of the path as a job id. Returns 0, or -1. */
+static int parse_job_id(const char *text, char id[RJ_CELL_ID_BYTES])
 {
 	if (strlen(text) != RJ_CELL_ID_BYTES - 1)
 		return -1;
@@ -180,21 +184,22 @@
 	return 0;
 }
 
-/* A job's state, as callers may be told it. */
+/* Answers with the state of a job. A cancellation request counts as
+ * cancelled. */
 static void answer_state(struct request *request,
 			 const struct rj_cell_view_entry *entry)
 {
-	struct rj_cell_answer what = { .verdict = RJ_CELL_VERDICT_STATE,
-				       .state = entry->told.state,
-				       .why = "known" };
+	struct rj_cell_answer reply = { .verdict = RJ_CELL_VERDICT_STATE,
+					.state = entry->summary.state,
+					.reason = "known" };
 
-	if (entry->cancelled && entry->told.state < RJ_CELL_JOB_COMPLETED)
-		what.state = RJ_CELL_JOB_CANCELLED;
-	answer(request, &what);
+	if (entry->cancelled && entry->summary.state < RJ_CELL_JOB_COMPLETED)
+		reply.state = RJ_CELL_JOB_CANCELLED;
+	answer(request, &reply);
 }
 
-/* Whether a job is known here. */
-static struct rj_cell_view_entry *known(const struct request *request)
+/* Returns the request's job if it has been accepted, or NULL. */
+static struct rj_cell_view_entry *find_accepted(const struct request *request)
 {
 	struct rj_cell_view_entry *entry =
 		rj_cell_view_find(request->front->view, request->id);
@@ -202,7 +207,6 @@
 	return rj_cell_view_is_accepted(entry) ? entry : NULL;
 }
 
-/* What was to be stored is, or is not. */
 static void write_done(void *private_data, enum rj_cell_write_outcome outcome)
 {
 	struct request *request = private_data;
@@ -214,19 +218,19 @@
 		return;
 	}
 	if (outcome == RJ_CELL_WRITE_STORED)
-		answer_plain(request,
-			     request->call->verb == RJ_CELL_VERB_CANCEL ?
-				     RJ_CELL_VERDICT_CANCELLED :
-				     RJ_CELL_VERDICT_ACCEPTED,
-			     "stored", 0);
+		answer_verdict(request,
+			       request->call->verb == RJ_CELL_VERB_CANCEL ?
+				       RJ_CELL_VERDICT_CANCELLED :
+				       RJ_CELL_VERDICT_ACCEPTED,
+			       "stored", 0);
 	else if (outcome == RJ_CELL_WRITE_NOT_STORED)
-		answer_away(request, "log_refused");
+		answer_unavailable(request, "log_refused");
 	else
-		answer_plain(request, RJ_CELL_VERDICT_UNKNOWN, "log_unknown",
-			     0);
+		answer_verdict(request, RJ_CELL_VERDICT_UNKNOWN, "log_unknown",
+			       0);
 }
 
-/* Store a record of the request's job; the answer follows. */
+/* Stores a record of the request's job; write_done answers the request. */
 static void store(struct request *request, enum rj_cell_record_kind kind,
 		  struct rj_bytes value)
 {
@@ -240,50 +244,53 @@
 	rj_cell_writer_flush(writer, request->front->now_us);
 }
 
-/* A wish to cancel a job that is known. */
+/* Stores a cancellation request, unless the job has ended or has one. */
 static void cancel_known(struct request *request,
 			 struct rj_cell_view_entry *entry)
 {
 	struct rj_bytes mark = { (const uint8_t *)"\xc0", 1 };
 
-	if (entry->cancelled || entry->told.state >= RJ_CELL_JOB_COMPLETED) {
-		answer_plain(request, RJ_CELL_VERDICT_CANCELLED, "ended", 0);
+	if (entry->cancelled || entry->summary.state >= RJ_CELL_JOB_COMPLETED) {
+		answer_verdict(request, RJ_CELL_VERDICT_CANCELLED, "ended", 0);
 		return;
 	}
 	if (request->front->contact.away_us) {
-		answer_away(request, "log_away");
+		answer_unavailable(request, "log_away");
 		return;
 	}
 	store(request, RJ_CELL_RECORD_CANCEL, mark);
 }
 
 /*
- * Whether what is known of a job is no older than `age_max_us`; an end stays.
+ * Whether a job's state was read within `age_max_us`. A final state never
+ * expires.
  *
- * Guards against a state that goes back: a client that was told that its job
- * has ended asks again, at an instance that has been cut off since before.
+ * Prevents a state from going backwards: a client that was told that its job
+ * has ended may ask again at an instance that has been partitioned since
+ * before.
  */
 static bool is_current(const struct rj_cell_frontend *front,
 		       const struct rj_cell_view_entry *entry,
 		       uint64_t age_max_us)
 {
-	return entry->told.state >= RJ_CELL_JOB_COMPLETED ||
+	return entry->summary.state >= RJ_CELL_JOB_COMPLETED ||
 	       rj_cell_log_reader_age_us(front->jobs, front->now_us) <
 		       age_max_us;
 }
 
-/* The log could not be read: a state may still be told, if it is not old. */
-static void answer_unread(struct request *request,
-			  const struct rj_cell_view_entry *entry)
+/* Answers while the log cannot be read: with the known state if it is recent
+ * enough. */
+static void answer_log_unread(struct request *request,
+			      const struct rj_cell_view_entry *entry)
 {
 	if (entry && request->call->verb == RJ_CELL_VERB_QUERY &&
 	    is_current(request->front, entry, STATE_AGE_MAX_US))
 		answer_state(request, entry);
 	else
-		answer_away(request, "log_unread");
+		answer_unavailable(request, "log_unread");
 }
 
-/* The log has been read to its end: what is not known now does not exist. */
+/* The log has been read to its end: a job that is not in it does not exist. */
 static void sync_done(struct rj_cell_sync *sync, bool reached)
 {
 	struct request *request = RJ_CONTAINER(sync, struct request, sync);
@@ -295,23 +302,24 @@
 		release(request);
 		return;
 	}
-	entry = known(request);
-	/* A read that ends so late tells what was, not what is. */
+	entry = find_accepted(request);
+	/* A read that ends this late shows an outdated state. */
 	if (!reached || request->front->now_us >= request->due_us)
-		answer_unread(request, entry);
+		answer_log_unread(request, entry);
 	else if (!entry)
-		answer_plain(request, RJ_CELL_VERDICT_NO_JOB, "not_in_log", 0);
+		answer_verdict(request, RJ_CELL_VERDICT_NO_JOB, "not_in_log",
+			       0);
 	else if (request->call->verb == RJ_CELL_VERB_CANCEL)
 		cancel_known(request, entry);
 	else
 		answer_state(request, entry);
 }
 
-/* Read the log to its end before the job is said not to exist. */
-static void look_up(struct request *request)
+/* Reads the log to its end before answering. */
+static void sync_and_answer(struct request *request)
 {
 	if (request->front->contact.away_us) {
-		answer_unread(request, known(request));
+		answer_log_unread(request, find_accepted(request));
 		return;
 	}
 	request->syncing = true;
@@ -319,7 +327,7 @@
 				request->front->now_us);
 }
 
-/* Fill in the terms of the queue. */
+/* Copies the terms of the queue into a job spec. */
 static void set_terms(struct rj_cell_job_spec *job_spec,
 		      const struct request *request,
 		      const struct rj_cell_queue *queue)
@@ -335,56 +343,57 @@
 	job_spec->accepted_ms = request->call->wall_ms;
 }
 
-/* The share of a queue in the owner's newest heartbeat, or NULL. */
-static struct rj_cell_queue_load *share_of(struct rj_cell_frontend *front,
-					   const struct rj_cell_queue *queue)
+/* Returns the queue's load from the owner's newest heartbeat, or NULL. */
+static struct rj_cell_queue_load *
+find_queue_load(struct rj_cell_frontend *front,
+		const struct rj_cell_queue *queue)
 {
-	for (uint32_t i = 0; front->beat_us && i < front->beat.share_count; i++)
-		if (!strcmp(front->beat.shares[i].queue, queue->name))
-			return &front->beat.shares[i];
+	for (uint32_t i = 0;
+	     front->heartbeat_us && i < front->heartbeat.queue_load_count; i++)
+		if (!strcmp(front->heartbeat.queue_loads[i].queue, queue->name))
+			return &front->heartbeat.queue_loads[i];
 	return NULL;
 }
 
 /*
- * When a refused caller is to come back: between the time when room is
- * likely and half as much later, by its job's id.
+ * Lengthens a rejected caller's retry delay by up to a half, by job id.
  *
- * Guards against a crowd that returns as one: those who were refused
- * together would be refused together again.
+ * Callers that were rejected together would otherwise return together and be
+ * rejected again.
  */
-static uint32_t spread(const char *id, uint32_t come_back_ms)
+static uint32_t spread_retry(const char *id, uint32_t retry_after_ms)
 {
-	return come_back_ms +
-	       (uint32_t)(rj_hash64_string(id, 0) % (come_back_ms / 2 + 1));
+	return retry_after_ms +
+	       (uint32_t)(rj_hash64_string(id, 0) % (retry_after_ms / 2 + 1));
 }
 
-/* A new job: refused at once when it would not be served in time. */
+/* Stores a new job, or rejects it at once if it would not be served in time. */
 static void submit(struct request *request, const struct rj_cell_queue *queue)
 {
 	struct rj_cell_frontend *front = request->front;
-	const struct rj_cell_queue_load *share = share_of(front, queue);
+	const struct rj_cell_queue_load *load = find_queue_load(front, queue);
 	struct rj_cell_job_spec *job_spec;
 	struct rj_bytes value;
 	struct rj_error err;
 
-	if (known(request)) {
-		answer_plain(request, RJ_CELL_VERDICT_ACCEPTED, "known", 0);
+	if (find_accepted(request)) {
+		answer_verdict(request, RJ_CELL_VERDICT_ACCEPTED, "known", 0);
 		return;
 	}
 	if (front->contact.away_us) {
-		answer_away(request, "log_away");
+		answer_unavailable(request, "log_away");
 		return;
 	}
 	job_spec = front->codec->decode_job(request, request->call->body, &err);
 	if (!job_spec) {
-		answer_plain(request, RJ_CELL_VERDICT_MALFORMED, err.message,
-			     0);
+		answer_verdict(request, RJ_CELL_VERDICT_MALFORMED, err.message,
+			       0);
 		return;
 	}
-	if (share && share->refuse &&
-	    front->now_us <= front->beat_us + BEAT_AGE_MAX_US) {
-		answer_plain(request, RJ_CELL_VERDICT_BUSY, "backlog",
-			     spread(request->id, share->come_back_ms));
+	if (load && load->refuse &&
+	    front->now_us <= front->heartbeat_us + HEARTBEAT_AGE_MAX_US) {
+		answer_verdict(request, RJ_CELL_VERDICT_BUSY, "backlog",
+			       spread_retry(request->id, load->retry_after_ms));
 		return;
 	}
 	set_terms(job_spec, request, queue);
@@ -392,20 +401,21 @@
 	store(request, RJ_CELL_RECORD_JOB_SPEC, value);
 }
 
-/* A call for a queue as a whole. */
-static void ask_queue(struct request *request,
-		      const struct rj_cell_queue *queue)
+/* Answers with the number of pending jobs of a queue. */
+static void query_queue(struct request *request,
+			const struct rj_cell_queue *queue)
 {
-	const struct rj_cell_answer what = { .verdict = RJ_CELL_VERDICT_PENDING,
-					     .pending = rj_cell_view_pending(
-						     request->front->view,
-						     queue->name),
-					     .why = "counted" };
-
-	answer(request, &what);
+	const struct rj_cell_answer reply = {
+		.verdict = RJ_CELL_VERDICT_PENDING,
+		.pending =
+			rj_cell_view_pending(request->front->view, queue->name),
+		.reason = "counted"
+	};
+
+	answer(request, &reply);
 }
 
-/* The call is allowed: do what it asks. */
+/* Executes a call that is authorized. */
 static void serve(struct request *request, const struct rj_cell_queue *queue)
 {
 	struct rj_cell_frontend *front = request->front;
@@ -417,30 +427,30 @@
 	struct rj_cell_view_entry *entry;
 
 	if (!front->jobs->caught_up) {
-		answer_away(request, "jobs_unread");
+		answer_unavailable(request, "jobs_unread");
 		return;
 	}
 	if (!*rest && call->verb == RJ_CELL_VERB_QUERY) {
-		ask_queue(request, queue);
+		query_queue(request, queue);
 		return;
 	}
-	if (take_id(rest, request->id)) {
-		answer_plain(request, RJ_CELL_VERDICT_NO_QUEUE, "no_id", 0);
+	if (parse_job_id(rest, request->id)) {
+		answer_verdict(request, RJ_CELL_VERDICT_NO_QUEUE, "no_id", 0);
 		return;
 	}
-	entry = known(request);
+	entry = find_accepted(request);
 	if (call->verb == RJ_CELL_VERB_SUBMIT)
 		submit(request, queue);
 	else if (!entry || !is_current(front, entry, age_max_us))
-		look_up(request);
+		sync_and_answer(request);
 	else if (call->verb == RJ_CELL_VERB_CANCEL)
 		cancel_known(request, entry);
 	else
 		answer_state(request, entry);
 }
 
-/* Whether the call's key lets it in; else it has been answered. */
-static bool admit_key(struct request *request,
+/* Whether the call's key authorizes it; if not, the call has been answered. */
+static bool check_key(struct request *request,
 		      const struct rj_cell_queue *queue)
 {
 	struct rj_cell_frontend *front = request->front;
@@ -449,15 +459,15 @@
 	if (queue->open)
 		return true;
 	if (!rj_cell_frontend_keys_fresh(front, front->now_us)) {
-		answer_away(request, "keys_too_old");
+		answer_unavailable(request, "keys_too_old");
 		return false;
 	}
 	account = request->call->key ? rj_cell_config_key(front->config,
 							  request->call->key) :
 				       NULL;
 	if (!account) {
-		answer_plain(request, RJ_CELL_VERDICT_BAD_KEY, "no_such_key",
-			     0);
+		answer_verdict(request, RJ_CELL_VERDICT_BAD_KEY, "no_such_key",
+			       0);
 		return false;
 	}
 	memcpy(request->account, account->name, sizeof(request->account));
@@ -465,15 +475,15 @@
 }
 
 /*
- * Take one call. It is answered at once where that is possible, else when
- * the log has answered or shortly before the client gives up.
+ * Handles a call. It is answered at once if possible, otherwise when the log
+ * answers or shortly before the client times out.
  */
 void rj_cell_frontend_handle(struct rj_cell_frontend *front,
 			     struct rj_cell_call *call)
 {
 	struct request *request = talloc_zero(front->mem, struct request);
 	const struct rj_cell_queue *queue;
-	uint32_t wait_ms = call->wait_ms ? call->wait_ms : WAIT_MS;
+	uint32_t wait_ms = call->wait_ms ? call->wait_ms : DEFAULT_WAIT_MS;
 
 	assert(request);
 	front->now_us = call->now_us;
@@ -481,39 +491,40 @@
 	front->open++;
 	request->front = front;
 	request->call = call;
-	request->begun_us = call->now_us;
-	request->due_us =
-		call->now_us + (wait_ms - MIN(ANSWER_MARGIN_MS,
-					      wait_ms / ANSWER_MARGIN_PART)) *
-				       RJ_US_PER_MS;
+	request->received_us = call->now_us;
+	request->due_us = call->now_us +
+			  (wait_ms - MIN(ANSWER_MARGIN_MS,
+					 wait_ms / ANSWER_MARGIN_DIVISOR)) *
+				  RJ_US_PER_MS;
 	rj_list_init(&request->sync.link);
 	request->sync.done = sync_done;
 	rj_list_append(&front->requests, &request->link);
 	if (!front->config) {
-		answer_away(request, "no_config");
+		answer_unavailable(request, "no_config");
 		return;
 	}
 	queue = rj_cell_config_route(front->config, call->host, call->path);
 	if (!queue) {
-		answer_plain(request, RJ_CELL_VERDICT_NO_QUEUE, "no_route", 0);
+		answer_verdict(request, RJ_CELL_VERDICT_NO_QUEUE, "no_route",
+			       0);
 		return;
 	}
-	if (admit_key(request, queue))
+	if (check_key(request, queue))
 		serve(request, queue);
 }
 
-/* The last answer to a request that waits for the log: what is on its way
- * there may arrive, so nothing else can be said of it. */
-static void answer_open(struct request *request, const char *why)
+/* Final answer to a request that waits for the log. If a write is in flight, it
+ * may still succeed, so the outcome is unknown. */
+static void answer_unfinished(struct request *request, const char *reason)
 {
 	if (request->writing)
-		answer_plain(request, RJ_CELL_VERDICT_UNKNOWN, why, 0);
+		answer_verdict(request, RJ_CELL_VERDICT_UNKNOWN, reason, 0);
 	else
-		answer_away(request, why);
+		answer_unavailable(request, reason);
 }
 
-/* See whether the log can be reached. */
-static void watch_log(struct rj_cell_frontend *front)
+/* Updates whether the log is available, and logs changes. */
+static void check_log_contact(struct rj_cell_frontend *front)
 {
 	uint64_t answered_us =
 		MAX(MAX(front->jobs->answered_us, front->configs->answered_us),
@@ -530,8 +541,8 @@
 }
 
 /*
- * Answer the calls whose clients are about to give up, and all that wait for
- * a log that is out of reach.
+ * Answers calls whose clients are about to time out, and all calls if the log
+ * is unavailable.
  */
 void rj_cell_frontend_tick(struct rj_cell_frontend *front, uint64_t now_us)
 {
@@ -539,20 +550,20 @@
 	struct rj_list *next;
 
 	front->now_us = now_us;
-	watch_log(front);
+	check_log_contact(front);
 	RJ_FOR_EACH (at, next, &front->requests) {
 		struct request *request =
 			RJ_CONTAINER(at, struct request, link);
 
 		if (front->contact.away_us)
-			answer_open(request, "log_away");
+			answer_unfinished(request, "log_away");
 		else if (now_us >= request->due_us)
-			answer_open(request, "log_slow");
+			answer_unfinished(request, "log_slow");
 	}
 }
 
 /*
- * Answer all that is open.
+ * Answers all open calls.
  */
 void rj_cell_frontend_finish(struct rj_cell_frontend *front)
 {
@@ -560,6 +571,6 @@
 		struct request *request = RJ_CONTAINER(front->requests.next,
 						       struct request, link);
 
-		answer_open(request, "stopping");
+		answer_unfinished(request, "stopping");
 	}
 }
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -6,57 +6,59 @@
 
 #include "private/note.h"
 
-/* Long polls: short enough that the age of what is known stays well below
- * what keys allow, and that an owner's silence shows. */
+/* Long-poll durations. They keep the age of the data well below what API keys
+ * allow, and reveal an unreachable owner soon enough. */
 #define CONFIG_WAIT_MS 1000
-/* ... a part of what operators were promised: what is known may be twice as
- * old as a poll lasts. */
-#define WAIT_BOUND_PART 4
+/* Divisor of the bounds promised to operators: data may be twice as old as a
+ * poll lasts. */
+#define WAIT_BOUND_DIVISOR 4
 #define JOBS_WAIT_MS 1000
 #define FLEET_WAIT_MS 1000
 /*
- * Pauses between reads gather records. An instance that does not own the cell
- * needs the jobs for callers, who make it read when they ask, and to see that
- * the owner lives, whose silence shows so much later at most. The same load of
- * 372 jobs at 31 instances took 23,978 calls to the log with a pause of 60 ms
- * and 13,173 with this one, the reads for callers included.
+ * Pauses between reads batch records. An instance that does not own the cell
+ * reads the jobs' log to answer callers, who trigger extra reads, and to
+ * monitor the owner, whose failure is noticed later by up to this pause. 372
+ * jobs on 31 instances cause 13,173 calls to the log with 300 ms and 23,978
+ * with 60 ms, including the reads for callers.
  */
 #define JOBS_PAUSE_US (300 * RJ_US_PER_MS)
 #define OWNER_JOBS_PAUSE_US (5 * RJ_US_PER_MS)
 #define FLEET_PAUSE_US (150 * RJ_US_PER_MS)
 /*
- * An owner that has written nothing for so long, though the log could be
- * read, is taken to be gone. It writes every 0.4 s; an append takes up to a
- * quarter of a second when the log is slow.
+ * An owner that wrote nothing for this long while the log was readable is
+ * considered failed. It writes every 0.4 s, and an append takes up to 0.25 s
+ * while the log is slow.
  */
-#define OWNER_SILENT_US (900 * RJ_US_PER_MS)
-/* Those who would take over do so one after the other; each reads the log
- * first, which takes some 6 ms, and sees who was before it. */
+#define OWNER_TIMEOUT_US (900 * RJ_US_PER_MS)
+/* Candidates for ownership start one after the other. Each first reads the log
+ * to its end, which takes about 6 ms, and then sees an earlier candidate's
+ * record. */
 #define STAGGER_STEPS 32
 #define STAGGER_STEP_US (8 * RJ_US_PER_MS)
 /*
- * An owner's work grows with its workers, so the cell goes to a strong
- * instance: one with half as much again takes it from a weaker one, once it
- * has been up for a while, and a weaker one leaves it to others first. An
- * eighth of a core cannot keep up with 350 workers; its polls time out.
+ * The owner's load grows with the number of workers, so a strong instance
+ * should own the cell: one with 1.5 times the strength takes it from a weaker
+ * owner after a minimum uptime, and a weaker one waits longer before it
+ * acquires the cell. With an eighth of a core an owner cannot keep up with 350
+ * workers; its polls time out.
  */
-#define WEAKER_PART 3
-#define WEAKER_OF 2
-#define WEAK_WAIT_US (1000 * RJ_US_PER_MS)
-#define STRONG_WAIT_US (2 * RJ_US_PER_S)
-/* Times of day of one machine may jump by so much between two moments. */
-#define CLOCKS_APART_US (5 * RJ_US_PER_S)
-/* An instance that has just tried waits before it tries again. */
-#define ACQUIRE_PAUSE_US (300 * RJ_US_PER_MS)
-
-/* One page of the log of workers: a heartbeat, or an entry that is gone. */
+#define STRENGTH_RATIO_NUMERATOR 3
+#define STRENGTH_RATIO_DENOMINATOR 2
+#define WEAKER_DELAY_US (1000 * RJ_US_PER_MS)
+#define STRONGER_UPTIME_US (2 * RJ_US_PER_S)
+/* Largest step of one machine's wall clock between two readings. */
+#define WALL_CLOCK_STEP_MAX_US (5 * RJ_US_PER_S)
+/* Pause of an instance between two attempts to acquire the cell. */
+#define ACQUIRE_RETRY_US (300 * RJ_US_PER_MS)
+
+/* Handles a record of the workers' log: a heartbeat or a deletion. */
 static void fleet_record(void *private_data,
 			 const struct rj_cell_record *record)
 {
 	struct rj_cell_node *node = private_data;
 	struct rj_cell_heartbeat heartbeat;
 	struct rj_error err = { .message = "the worker's name is too long" };
-	/* A load shows entries of any age. */
+	/* Records passed on by a load can be of any age. */
 	uint64_t written_us = node->fleet.state == RJ_CELL_LOG_READER_READING ?
 				      node->fleet.confirmed_us :
 				      0;
@@ -78,12 +80,13 @@
 	rj_cell_owner_worker(&node->owner, record->key, &heartbeat, written_us);
 }
 
-/* Nothing more to do when a read has ended. */
-static void no_progress(void *private_data, struct rj_cell_log_reader *follow)
+/* For readers that need no action after a read. */
+static void ignore_progress(void *private_data,
+			    struct rj_cell_log_reader *reader)
 {
 }
 
-/* All entries of workers have been shown. */
+/* All worker entries have been loaded. */
 static void fleet_load_end(void *private_data)
 {
 	struct rj_cell_node *node = private_data;
@@ -96,11 +99,11 @@
 
 static const struct rj_cell_log_reader_ops fleet_ops = {
 	.record = fleet_record,
-	.progress = no_progress,
+	.progress = ignore_progress,
 	.load_end = fleet_load_end,
 };
 
-/* A new version of the configuration, if it is one. */
+/* Applies a configuration record if its version is newer. */
 static void config_record(struct rj_cell_node *node,
 			  const struct rj_cell_record *record)
 {
@@ -116,7 +119,7 @@
 			RJ_NOTE_TEXT("error", err.message));
 		return;
 	}
-	/* Versions rise; a load may show an older one again. */
+	/* Versions rise; a load may return an older one again. */
 	if (node->config && config->version <= node->config->version) {
 		talloc_free(config);
 		return;
@@ -133,13 +136,13 @@
 	node->owner.plan_wanted = true;
 }
 
-/* A failure domain is cordoned, or given back. */
+/* Sets or clears the cordon of a failure domain. */
 static void cordon_record(struct rj_cell_node *node, const char *domain,
 			  const struct rj_cell_record *record)
 {
 	if (!domain[0] || strlen(domain) >= RJ_NAME_BYTES) {
 		rj_note("cordon_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", "no failure domain of such a "
+			RJ_NOTE_TEXT("error", "not a valid failure domain "
 					      "name; remove the record"));
 		return;
 	}
@@ -149,7 +152,7 @@
 		rj_cell_cordons_clear(&node->cordons, domain, record->offset);
 }
 
-/* One record of what operators publish. */
+/* Handles a record of the operators' log. */
 static void operators_record(void *private_data,
 			     const struct rj_cell_record *record)
 {
@@ -171,7 +174,8 @@
 	}
 }
 
-/* The operators' log is loaded, at the start or because its history went. */
+/* The operators' log is being loaded, at the start or because its history has
+ * expired. */
 static void operators_load_begin(void *private_data)
 {
 	struct rj_cell_node *node = private_data;
@@ -179,7 +183,6 @@
 	rj_cell_cordons_load_begin(&node->cordons);
 }
 
-/* All of it has been shown. */
 static void operators_load_end(void *private_data)
 {
 	struct rj_cell_node *node = private_data;
@@ -189,12 +192,12 @@
 
 static const struct rj_cell_log_reader_ops operators_ops = {
 	operators_record,
-	no_progress,
+	ignore_progress,
 	operators_load_begin,
 	operators_load_end,
 };
 
-/* Somebody has taken the cell over. */
+/* Handles an ownership record; records that are not newer are ignored. */
 static void owner_record(struct rj_cell_node *node,
 			 const struct rj_cell_record *record)
 {
@@ -220,23 +223,23 @@
 		RJ_NOTE_NUMBER("leaving", owner.leaving));
 }
 
-/* The owner shows that it lives, and how loaded the cell is. */
-static void beat_record(struct rj_cell_node *node,
-			const struct rj_cell_record *record)
+/* Handles a heartbeat of the owner, which carries the load of the queues. */
+static void heartbeat_record(struct rj_cell_node *node,
+			     const struct rj_cell_record *record)
 {
-	struct rj_cell_owner_heartbeat beat;
+	struct rj_cell_owner_heartbeat heartbeat;
 	struct rj_error err;
 
-	if (rj_cell_owner_heartbeat_decode(record->value, &beat, &err)) {
+	if (rj_cell_owner_heartbeat_decode(record->value, &heartbeat, &err)) {
 		rj_note("record_bad", RJ_NOTE_TEXT("key", record->key),
 			RJ_NOTE_TEXT("error", err.message));
 		return;
 	}
-	node->front.beat = beat;
-	node->front.beat_us = node->jobs.now_us;
+	node->front.heartbeat = heartbeat;
+	node->front.heartbeat_us = node->jobs.now_us;
 }
 
-/* One record of the jobs' log. */
+/* Handles a record of the jobs' log. */
 static void jobs_record(void *private_data, const struct rj_cell_record *record)
 {
 	struct rj_cell_node *node = private_data;
@@ -246,7 +249,7 @@
 
 	if (rj_cell_record_kind(record->key, &kind, &id)) {
 		rj_note("record_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", "a key that we did not write"));
+			RJ_NOTE_TEXT("error", "unknown record key"));
 		return;
 	}
 	if (kind == RJ_CELL_RECORD_STATE || kind == RJ_CELL_RECORD_HEARTBEAT ||
@@ -257,7 +260,7 @@
 		return;
 	}
 	if (kind == RJ_CELL_RECORD_HEARTBEAT) {
-		beat_record(node, record);
+		heartbeat_record(node, record);
 		return;
 	}
 	entry = rj_cell_view_apply(&node->view, record, node->jobs.now_us);
@@ -267,10 +270,11 @@
 	}
 }
 
-/* Whether the newest ownership record is ours, of this life. */
-static bool is_ours(const struct rj_cell_node *node)
+/* Whether the newest ownership record was written by this incarnation of the
+ * instance. */
+static bool is_owned_by_this_process(const struct rj_cell_node *node)
 {
-	/* A fenced owner may not have read yet who has taken over. */
+	/* A fenced owner may not have read its successor's record yet. */
 	return node->ownership.known && !node->ownership.record.leaving &&
 	       node->ownership.token > node->fenced_token &&
 	       node->ownership.record.incarnation ==
@@ -278,36 +282,37 @@
 	       !strcmp(node->ownership.record.name, node->options.name);
 }
 
-/* Whether this instance owns the cell, or is taking it over. */
+/* Whether this instance owns the cell or is taking it over. */
 static bool is_owner(const struct rj_cell_node *node)
 {
 	return node->owner.active || node->owner.taking;
 }
 
-/* Give the cell up. What was decided and not stored has not been shown. */
-static void step_down(struct rj_cell_node *node, const char *why)
+/* Gives up ownership. Decisions that are not stored have not been shown to
+ * clients. */
+static void step_down(struct rj_cell_node *node, const char *reason)
 {
 	node->fenced_token = node->owner.token;
 	rj_cell_takeover_stop(&node->takeover);
-	rj_cell_owner_resign(&node->owner, why);
+	rj_cell_owner_resign(&node->owner, reason);
 	rj_cell_log_reader_stop(&node->fleet);
 	node->jobs.pause_us = JOBS_PAUSE_US;
-	node->acquire_due_us = node->now_us + ACQUIRE_PAUSE_US;
+	node->acquire_due_us = node->now_us + ACQUIRE_RETRY_US;
 }
 
 /*
  * For how long former owners may still renew leases.
  *
- * Load that it answers: all instances lose power, and a worker has gone with
- * its tasks meanwhile: they wait until its lease must have lapsed. Where the
- * former owner was this instance, in a life that has ended, it renews nothing
- * any more; those before it were fenced by its record, and go on without the log
- * for no longer than an owner does.
+ * After a power loss of all instances, the tasks of a worker that disappeared
+ * meanwhile wait until its lease must have expired. If the former owner was an
+ * earlier incarnation of this instance, it renews no leases any more. Owners
+ * before it were fenced by its record, and continue without the log for at most
+ * RJ_CELL_BLIND_US.
  */
-static uint64_t renewals_us(const struct rj_cell_node *node)
+static uint64_t former_renewals_us(const struct rj_cell_node *node)
 {
 	const struct rj_cell_owner_record *former = &node->former;
-	uint64_t settled_us = RJ_CELL_BLIND_US + CLOCKS_APART_US;
+	uint64_t settled_us = RJ_CELL_BLIND_US + WALL_CLOCK_STEP_MAX_US;
 	uint64_t age_us;
 
 	if (strcmp(former->name, node->options.name) != 0 ||
@@ -320,39 +325,41 @@
 	return MIN(RJ_CELL_BLIND_US, settled_us - age_us);
 }
 
-/* Begin to take the cell: the log up to our own record has been read. */
+/* Starts a takeover. The log has been read up to the own ownership record. */
 static void begin_takeover(struct rj_cell_node *node)
 {
-	for (uint32_t i = 0;
-	     node->front.beat_us && i < node->front.beat.share_count; i++)
-		rj_cell_forecast_set(&node->owner.forecast,
-				     node->front.beat.shares[i].queue,
-				     node->front.beat.shares[i].mean_ms);
+	for (uint32_t i = 0; node->front.heartbeat_us &&
+			     i < node->front.heartbeat.queue_load_count;
+	     i++)
+		rj_cell_forecast_set(
+			&node->owner.forecast,
+			node->front.heartbeat.queue_loads[i].queue,
+			node->front.heartbeat.queue_loads[i].mean_ms);
 	rj_cell_takeover_begin(&node->takeover, node->ownership.token,
 			       node->ownership.record.epoch, node->now_us,
 			       node->wall_ms);
 	node->jobs.pause_us = OWNER_JOBS_PAUSE_US;
 }
 
-/* Take the cell: the progress of all jobs is known. */
-static void step_up(struct rj_cell_node *node)
+/* Completes the takeover. The progress of all jobs has been loaded. */
+static void become_owner(struct rj_cell_node *node)
 {
 	rj_cell_takeover_stop(&node->takeover);
-	rj_cell_owner_take(&node->owner, renewals_us(node), node->now_us,
+	rj_cell_owner_take(&node->owner, former_renewals_us(node), node->now_us,
 			   node->wall_ms);
 	rj_cell_log_reader_start(&node->fleet, node->now_us);
 }
 
-/* A read of the jobs has ended: see who owns the cell now. */
-static void jobs_progress(void *private_data, struct rj_cell_log_reader *follow)
+/* Compares the ownership after each read of the jobs' log. */
+static void jobs_progress(void *private_data, struct rj_cell_log_reader *reader)
 {
 	struct rj_cell_node *node = private_data;
 
-	node->now_us = follow->now_us;
+	node->now_us = reader->now_us;
 	if (is_owner(node) && node->owner.token != node->ownership.token)
 		step_down(node, "superseded");
-	else if (!is_owner(node) && follow->caught_up && is_ours(node) &&
-		 !node->draining)
+	else if (!is_owner(node) && reader->caught_up &&
+		 is_owned_by_this_process(node) && !node->draining)
 		begin_takeover(node);
 }
 
@@ -360,26 +367,26 @@
 							.progress =
 								jobs_progress };
 
-/* How long a poll may wait where what it brings has to be known within a
- * bound (0: none). */
-static uint32_t wait_within(uint32_t wait_ms, uint32_t bound_ms)
+/* Limits a poll's duration so that its data meets a bound on its age (0: no
+ * bound). */
+static uint32_t limit_wait(uint32_t wait_ms, uint32_t bound_ms)
 {
-	return bound_ms ? MIN(wait_ms, bound_ms / WAIT_BOUND_PART) : wait_ms;
+	return bound_ms ? MIN(wait_ms, bound_ms / WAIT_BOUND_DIVISOR) : wait_ms;
 }
 
 /*
- * Prepare a node. Nothing is read before rj_cell_node_start.
+ * Initializes a node. Nothing is read before rj_cell_node_start.
  */
 void rj_cell_node_init(struct rj_cell_node *node, void *mem,
 		       const struct rj_cell_node_options *options)
 {
 	char producer[RJ_NAME_BYTES * 2];
-	uint64_t place = rj_hash64_string(options->name, 0) % STAGGER_STEPS;
+	uint64_t slot = rj_hash64_string(options->name, 0) % STAGGER_STEPS;
 
 	memset(node, 0, sizeof(*node));
 	node->mem = mem;
 	node->options = *options;
-	node->stagger_us = (uint32_t)(place * STAGGER_STEP_US);
+	node->stagger_us = (uint32_t)(slot * STAGGER_STEP_US);
 	rj_cell_cordons_init(&node->cordons);
 	rj_cell_view_init(&node->view, mem);
 	rj_cell_log_reader_init(&node->jobs, mem, options->store,
@@ -390,11 +397,11 @@
 				RJ_CELL_TOPIC_WORKERS, &fleet_ops, node);
 	node->jobs.wait_ms = JOBS_WAIT_MS;
 	node->jobs.pause_us = JOBS_PAUSE_US;
-	node->configs.wait_ms = wait_within(
-		wait_within(CONFIG_WAIT_MS, options->terms.revoke_ms),
-		options->terms.cordon_ms);
+	node->configs.wait_ms =
+		limit_wait(limit_wait(CONFIG_WAIT_MS, options->terms.revoke_ms),
+			   options->terms.cordon_ms);
 	node->fleet.wait_ms =
-		wait_within(FLEET_WAIT_MS, options->terms.drain_ms);
+		limit_wait(FLEET_WAIT_MS, options->terms.drain_ms);
 	node->fleet.pause_us = FLEET_PAUSE_US;
 	(void)g_snprintf(producer, sizeof(producer),
 			 "%s-%" G_GINT64_MODIFIER "x", options->name,
@@ -414,10 +421,10 @@
 			      &node->owner);
 }
 
-static void probed(struct rj_cell_sync *sync, bool reached);
+static void probe_done(struct rj_cell_sync *sync, bool reached);
 
 /*
- * Begin to follow the log and to answer clients.
+ * Starts to read the logs and to answer clients.
  */
 void rj_cell_node_start(struct rj_cell_node *node, uint64_t now_us,
 			uint64_t wall_ms)
@@ -425,13 +432,14 @@
 	node->now_us = now_us;
 	node->wall_ms = wall_ms;
 	node->started_us = now_us;
-	node->probe.done = probed;
+	node->probe.done = probe_done;
 	rj_cell_writer_open(&node->writer, 1, 0, now_us);
 	rj_cell_log_reader_start(&node->configs, now_us);
 	rj_cell_log_reader_start(&node->jobs, now_us);
 }
 
-/* The answer says little: whether the cell was acquired is read in the log. */
+/* The outcome is not final: ownership is decided by the record read from the
+ * log. */
 static void acquire_done(void *private_data,
 			 const struct rj_cell_store_reply *reply)
 {
@@ -439,7 +447,7 @@
 
 	node->acquiring = false;
 	node->acquire_due_us =
-		reply->now_us + ACQUIRE_PAUSE_US + node->stagger_us;
+		reply->now_us + ACQUIRE_RETRY_US + node->stagger_us;
 	rj_note("acquire",
 		RJ_NOTE_TEXT("outcome",
 			     rj_cell_store_status_string[reply->status]),
@@ -448,17 +456,16 @@
 }
 
 /*
- * Write an ownership record.
+ * Appends an ownership record.
  *
- * Guards against two owners: the record's offset is the fencing token, and
- * its epoch is higher than that of any owner whose record has been read, so
- * that behind it the log takes nothing from them. All that they had written
- * stands before it, and is read before this instance owns the cell. An epoch
- * that is too low is refused, and one that another instance has used for the
- * same offset appends nothing.
+ * Prevents two owners: the record's offset is the fencing token, and its epoch
+ * is higher than that of every owner whose record has been read, so the log
+ * rejects their later appends. All their earlier records precede it and are
+ * read before this instance owns the cell. An epoch that is too low is
+ * rejected; one that another instance used at the same offset appends nothing.
  *
- * The log need not be quiet: under load it takes records from clients faster
- * than it can be read and appended to.
+ * The log need not be idle: under load, clients append records faster than an
+ * instance can read the log and append to it.
  */
 static void write_owner(struct rj_cell_node *node)
 {
@@ -487,49 +494,51 @@
 	talloc_free((void *)record.value.data);
 }
 
-/* Whether one instance is so much weaker than another that the cell had
- * better be owned by the other. */
-static bool is_weaker(uint32_t strength, uint32_t than)
+/* Whether an instance is weak enough, compared to another, that the other
+ * should own the cell. */
+static bool is_weaker(uint32_t strength, uint32_t other)
 {
-	return strength * WEAKER_PART < than * WEAKER_OF;
+	return strength * STRENGTH_RATIO_NUMERATOR <
+	       other * STRENGTH_RATIO_DENOMINATOR;
 }
 
-/* How long the owner may be silent before this instance steps in. */
-static uint64_t patience_us(const struct rj_cell_node *node)
+/* How long the owner may write nothing before this instance acquires the
+ * cell. */
+static uint64_t owner_timeout_us(const struct rj_cell_node *node)
 {
 	const struct rj_cell_owner_record *record = &node->ownership.record;
-	uint64_t patience_us = OWNER_SILENT_US + node->stagger_us;
+	uint64_t timeout_us = OWNER_TIMEOUT_US + node->stagger_us;
 
-	/* The owner was this process, in a life that has ended. */
+	/* The owner was an earlier incarnation of this instance. */
 	if (node->ownership.known &&
 	    !strcmp(record->name, node->options.name) &&
 	    record->incarnation != node->options.incarnation)
 		return 0;
 	if (!node->ownership.known || record->leaving)
-		patience_us = node->stagger_us / 4;
+		timeout_us = node->stagger_us / 4;
 	if (node->ownership.known &&
 	    is_weaker(node->options.strength, record->strength))
-		patience_us += WEAK_WAIT_US;
-	return patience_us;
+		timeout_us += WEAKER_DELAY_US;
+	return timeout_us;
 }
 
-/* Whether the owner has been silent for too long, or is too weak. */
+/* Whether the owner has timed out or is too weak. */
 static bool should_acquire(const struct rj_cell_node *node)
 {
-	uint64_t silent_us = node->now_us - node->ownership.seen_us;
+	uint64_t since_seen_us = node->now_us - node->ownership.seen_us;
 
 	if (node->ownership.known &&
 	    is_weaker(node->ownership.record.strength,
 		      node->options.strength) &&
 	    node->now_us >=
-		    node->started_us + STRONG_WAIT_US + node->stagger_us)
+		    node->started_us + STRONGER_UPTIME_US + node->stagger_us)
 		return true;
-	return silent_us >= patience_us(node);
+	return since_seen_us >= owner_timeout_us(node);
 }
 
-/* The log has been read to its end since the owner seemed silent: acquire
- * the cell, if it still does. */
-static void probed(struct rj_cell_sync *sync, bool reached)
+/* The log has been read to its end: acquires the cell if the owner still
+ * appears failed. */
+static void probe_done(struct rj_cell_sync *sync, bool reached)
 {
 	struct rj_cell_node *node =
 		RJ_CONTAINER(sync, struct rj_cell_node, probe);
@@ -537,7 +546,7 @@
 	node->probing = false;
 	node->now_us = node->jobs.now_us;
 	if (!reached) {
-		node->acquire_due_us = node->now_us + ACQUIRE_PAUSE_US;
+		node->acquire_due_us = node->now_us + ACQUIRE_RETRY_US;
 		return;
 	}
 	if (is_owner(node) || node->acquiring || node->draining ||
@@ -553,11 +562,11 @@
 }
 
 /*
- * Take over from an owner that is silent.
+ * Acquires the cell from an owner that has failed.
  *
- * Guards against an instance that is cut off from the log and takes its own
- * silence for the owner's: before it acquires the cell, it reads the log to the end once
- * more.
+ * An instance that is partitioned from the log would mistake its own lack of
+ * data for a failed owner; it therefore reads the log to its end before it
+ * acquires the cell.
  */
 static void watch_owner(struct rj_cell_node *node)
 {
@@ -570,7 +579,7 @@
 }
 
 /*
- * Do all that is due.
+ * Performs all work that is due.
  */
 void rj_cell_node_advance(struct rj_cell_node *node, uint64_t now_us,
 			  uint64_t wall_ms)
@@ -591,7 +600,7 @@
 	node->owner.operators_read_us = node->configs.confirmed_us;
 	rj_cell_takeover_tick(&node->takeover, now_us);
 	if (rj_cell_takeover_is_loaded(&node->takeover))
-		step_up(node);
+		become_owner(node);
 	rj_cell_owner_advance(&node->owner, now_us, wall_ms);
 	if (node->owner.lost)
 		step_down(node, "fenced");
@@ -599,8 +608,8 @@
 }
 
 /*
- * Whether new clients should come here: the jobs are known, and keys may be
- * believed.
+ * Whether new clients may connect here: the jobs are known, and the API keys
+ * are recent enough.
  */
 bool rj_cell_node_ready(const struct rj_cell_node *node, uint64_t now_us)
 {
@@ -610,8 +619,8 @@
 }
 
 /*
- * Leave: take no new clients, and give the cell up so that another instance
- * takes it at once. Clients that are connected are served on.
+ * Accepts no new clients and resigns, so that another instance can acquire the
+ * cell at once. Connected clients are still served.
  */
 void rj_cell_node_drain(struct rj_cell_node *node, uint64_t now_us)
 {
@@ -625,7 +634,7 @@
 }
 
 /*
- * Whether no client waits for an answer.
+ * Whether the node drains and no client waits for an answer.
  */
 bool rj_cell_node_drained(const struct rj_cell_node *node)
 {
@@ -633,7 +642,7 @@
 }
 
 /*
- * Stop all. Answers on their way are dropped.
+ * Stops everything. Answers still in flight are ignored.
  */
 void rj_cell_node_finish(struct rj_cell_node *node)
 {
--- a/src/libradishjunction/cell/cell_record.c
+++ b/src/libradishjunction/cell/cell_record.c
@@ -8,39 +8,39 @@
 
 #define PROGRESS_FORMAT 1
 #define STATE_FORMAT 1
-/* Earlier formats had no time, then no epoch in them; instances of all may
- * run side by side. */
-#define OWNER_FORMAT_UNTIMED 1
-#define OWNER_FORMAT_TIMED 2
+/* Format 1 lacks the time and the epoch, format 2 the epoch. Instances that
+ * write different formats may run side by side. */
+#define OWNER_FORMAT_NO_TIME 1
+#define OWNER_FORMAT_NO_EPOCH 2
 #define OWNER_FORMAT 3
-#define BEAT_FORMAT 1
+#define HEARTBEAT_FORMAT 1
 
-/* The first character of a key. */
-static const char kind_letter[RJ_CELL_RECORD_KIND_COUNT] = {
+/* First character of a key. */
+static const char key_prefix[RJ_CELL_RECORD_KIND_COUNT] = {
 	[RJ_CELL_RECORD_JOB_SPEC] = 'j', [RJ_CELL_RECORD_PROGRESS] = 's',
 	[RJ_CELL_RECORD_STATE] = 't',	 [RJ_CELL_RECORD_CANCEL] = 'c',
 	[RJ_CELL_RECORD_OWNER] = 'o',	 [RJ_CELL_RECORD_HEARTBEAT] = 'b',
 };
 
-/* How much of a task is written. */
+/* How a task is encoded. */
 enum task_code {
-	TASK_FRESH, /* nothing has happened to it */
+	TASK_NOT_STARTED, /* no run and no failure so far */
 	TASK_DONE,
 	TASK_DETAILS,
 };
 
 /*
- * The key of a record; `id` is that of a job, or "".
+ * Builds the key of a record; `id` is a job id, or "".
  */
 void rj_cell_record_key(char key[RJ_CELL_KEY_BYTES],
 			enum rj_cell_record_kind kind, const char *id)
 {
-	key[0] = kind_letter[kind];
+	key[0] = key_prefix[kind];
 	g_strlcpy(key + 1, id, RJ_CELL_KEY_BYTES - 1);
 }
 
 /*
- * What a key stands for. Returns 0, or -1 for a key that we did not write.
+ * Parses a key. Returns 0, or -1 for a key that is not ours.
  */
 int rj_cell_record_kind(const char *key, enum rj_cell_record_kind *kind,
 			const char **id)
@@ -48,7 +48,7 @@
 	for (int i = 0; i < RJ_CELL_RECORD_KIND_COUNT; i++) {
 		bool of_job = i <= RJ_CELL_RECORD_CANCEL;
 
-		if (key[0] != kind_letter[i] ||
+		if (key[0] != key_prefix[i] ||
 		    strlen(key) != (of_job ? RJ_CELL_KEY_BYTES - 1 : 1))
 			continue;
 		*kind = (enum rj_cell_record_kind)i;
@@ -58,13 +58,13 @@
 	return -1;
 }
 
-/* The workers of a job's runs, each written once. */
+/* Workers of a job's runs, each encoded once. */
 struct worker_table {
 	GPtrArray *workers; /* struct rj_cell_worker */
-	GHashTable *index; /* worker -> its place + 1 */
+	GHashTable *index; /* worker -> its index + 1 */
 };
 
-/* Note the worker of one run. */
+/* Adds the worker of a run to the table. */
 static void table_add(struct rj_cell_run *run, void *private_data)
 {
 	struct worker_table *table = private_data;
@@ -76,8 +76,8 @@
 			    GUINT_TO_POINTER(table->workers->len));
 }
 
-/* Runs that are being stopped stay in the record: until their end is known,
- * a successor must not start the task elsewhere. */
+/* Number of runs to encode. Runs that are being stopped are included: until
+ * their completion is known, a successor must not start the task elsewhere. */
 static uint32_t count_runs(const struct rj_cell_task *task)
 {
 	const struct rj_list *at;
@@ -88,7 +88,6 @@
 	return count;
 }
 
-/* One task, as short as can be. */
 static void write_task(struct rj_packer *out, const struct rj_cell_task *task,
 		       const struct worker_table *table)
 {
@@ -99,7 +98,7 @@
 		return;
 	}
 	if (!task->run && !task->failures) {
-		rj_pack_number(out, TASK_FRESH);
+		rj_pack_number(out, TASK_NOT_STARTED);
 		return;
 	}
 	rj_pack_number(out, TASK_DETAILS);
@@ -118,66 +117,68 @@
 	}
 }
 
-/* Whether the job has ended, so that its tasks do not matter any more. */
+/* Whether the job has ended, so that its tasks are not encoded. */
 static bool has_ended(enum rj_cell_job_state state)
 {
 	return state >= RJ_CELL_JOB_COMPLETED;
 }
 
-/* The occurrences under way. */
-static void write_rounds(struct rj_packer *out, const struct rj_cell_job *work,
-			 const struct worker_table *table)
+/* Encodes the occurrences that are not done. */
+static void write_occurrences(struct rj_packer *out,
+			      const struct rj_cell_job *job,
+			      const struct worker_table *table)
 {
 	const struct rj_list *at;
 	uint32_t count = 0;
 
-	for (at = work->occurrences.next; at != &work->occurrences;
-	     at = at->next)
+	for (at = job->occurrences.next; at != &job->occurrences; at = at->next)
 		count++;
 	rj_pack_number(out, count);
-	for (at = work->occurrences.next; at != &work->occurrences;
+	for (at = job->occurrences.next; at != &job->occurrences;
 	     at = at->next) {
-		const struct rj_cell_occurrence *round =
+		const struct rj_cell_occurrence *occurrence =
 			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
-		rj_pack_number(out, round->number);
-		for (uint32_t i = 0; i < work->job_spec->task_count; i++)
-			write_task(out, &round->tasks[i], table);
+		rj_pack_number(out, occurrence->number);
+		for (uint32_t i = 0; i < job->job_spec->task_count; i++)
+			write_task(out, &occurrence->tasks[i], table);
 	}
 }
 
 /*
- * What nobody has listed of gangs, behind all else up to the end of the
- * record, a row for each gang: earlier versions do not read that far.
+ * Encodes the gang failures that no worker has reported yet, one row per gang.
+ * They follow all other fields up to the end of the record, which earlier
+ * versions do not read.
  */
-static void write_unseen(struct rj_packer *out, const struct rj_cell_job *work)
+static void write_unreported(struct rj_packer *out,
+			     const struct rj_cell_job *job)
 {
 	const struct rj_list *at;
 
-	for (at = work->occurrences.next; at != &work->occurrences;
+	for (at = job->occurrences.next; at != &job->occurrences;
 	     at = at->next) {
-		const struct rj_cell_occurrence *round =
+		const struct rj_cell_occurrence *occurrence =
 			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
-		for (uint32_t i = 0; i < work->job_spec->task_count; i++) {
-			const struct rj_cell_task *task = &round->tasks[i];
+		for (uint32_t i = 0; i < job->job_spec->task_count; i++) {
+			const struct rj_cell_task *task = &occurrence->tasks[i];
 
-			if (!task->unseen || task->done)
+			if (!task->unreported || task->done)
 				continue;
-			rj_pack_number(out, round->number);
+			rj_pack_number(out, occurrence->number);
 			rj_pack_number(out, i);
 			rj_pack_number(out, task->failed_run);
-			rj_pack_number(out, task->unseen);
+			rj_pack_number(out, task->unreported);
 			rj_pack_number(out, task->unreported_run);
 		}
 	}
 }
 
 /*
- * The progress of a job, as it is kept in the log; a talloc child of `mem`.
+ * Encodes the progress of a job as a talloc child of `mem`.
  */
 struct rj_bytes rj_cell_progress_encode(void *mem,
-					const struct rj_cell_job *work)
+					const struct rj_cell_job *job)
 {
 	struct worker_table table = { g_ptr_array_new(),
 				      g_hash_table_new(NULL, NULL) };
@@ -185,12 +186,12 @@
 
 	rj_pack_init(&out);
 	rj_pack_number(&out, PROGRESS_FORMAT);
-	rj_pack_number(&out, work->state);
-	rj_pack_bool(&out, work->started);
-	rj_pack_number(&out, work->occurrences_begun);
-	rj_pack_number(&out, work->occurrences_done);
-	if (!has_ended(work->state)) {
-		rj_cell_job_each_run(work, table_add, &table);
+	rj_pack_number(&out, job->state);
+	rj_pack_bool(&out, job->started);
+	rj_pack_number(&out, job->occurrences_begun);
+	rj_pack_number(&out, job->occurrences_done);
+	if (!has_ended(job->state)) {
+		rj_cell_job_each_run(job, table_add, &table);
 		rj_pack_number(&out, table.workers->len);
 		for (uint32_t i = 0; i < table.workers->len; i++) {
 			const struct rj_cell_worker *worker =
@@ -198,8 +199,8 @@
 
 			rj_pack_text(&out, worker->id);
 		}
-		write_rounds(&out, work, &table);
-		write_unseen(&out, work);
+		write_occurrences(&out, job, &table);
+		write_unreported(&out, job);
 	}
 	g_ptr_array_free(table.workers, TRUE);
 	g_hash_table_destroy(table.index);
@@ -207,7 +208,7 @@
 }
 
 /*
- * What callers are told of a job; a talloc child of `mem`.
+ * Encodes what callers may see of a job as a talloc child of `mem`.
  */
 struct rj_bytes rj_cell_summary_encode(void *mem,
 				       const struct rj_cell_summary *summary)
@@ -221,7 +222,7 @@
 	return rj_pack_finish(&out, mem);
 }
 
-/* The fields of a summary, behind a format. */
+/* Decodes the format and the fields of a summary. */
 static void read_summary(struct rj_unpacker *in, uint64_t format,
 			 struct rj_cell_summary *summary)
 {
@@ -233,7 +234,7 @@
 }
 
 /*
- * What rj_cell_summary_encode wrote. Returns 0, or -1 with `err`.
+ * Decodes the output of rj_cell_summary_encode. Returns 0, or -1 with `err`.
  */
 int rj_cell_summary_decode(struct rj_bytes bytes,
 			   struct rj_cell_summary *summary,
@@ -247,8 +248,8 @@
 }
 
 /*
- * The part of a job's progress that callers are told. Returns 0, or -1 with
- * `err`.
+ * Decodes the part of a job's progress that callers may see. Returns 0, or -1
+ * with `err`.
  */
 int rj_cell_progress_summary(struct rj_bytes bytes,
 			     struct rj_cell_summary *summary,
@@ -261,34 +262,34 @@
 	return rj_unpack_finish(&in, err);
 }
 
-/* The runs of one task, whose workers may not be known otherwise yet. */
+/* Decodes the runs of a task and adds them to their workers. */
 static void read_runs(struct rj_unpacker *in, struct rj_cell_task *task,
 		      GPtrArray *workers, uint64_t now_us)
 {
 	uint32_t count = (uint32_t)rj_unpack_number(in, "runs", UINT16_MAX);
 
 	for (uint32_t i = 0; i < count && !in->bad; i++) {
-		uint32_t place = (uint32_t)rj_unpack_number(
+		uint32_t position = (uint32_t)rj_unpack_number(
 			in, "worker", workers->len ? workers->len - 1 : 0);
 		uint32_t number =
 			(uint32_t)rj_unpack_number(in, "number", UINT32_MAX);
 		struct rj_cell_run *run;
 
-		if (in->bad || place >= workers->len) {
+		if (in->bad || position >= workers->len) {
 			rj_unpack_fail(in, "worker");
 			return;
 		}
-		run = rj_cell_run_new(workers->pdata[place], task, number);
+		run = rj_cell_run_new(workers->pdata[position], task, number);
 		run->state = RJ_CELL_RUN_PLACED;
-		/* The former owner's orders are fenced: what is not listed
-		 * from now on will never come. */
+		/* Orders of the former owner are fenced: a run that is not
+		 * reported from now on will not start. */
 		run->settled_us = 1;
 		run->adopted = true;
-		run->begun_us = now_us;
+		run->placed_us = now_us;
 	}
 }
 
-/* One task, into one that is fresh. */
+/* Decodes a task into one without runs. */
 static void read_task(struct rj_unpacker *in, struct rj_cell_task *task,
 		      GPtrArray *workers, uint64_t now_us)
 {
@@ -309,52 +310,52 @@
 	}
 }
 
-/* The occurrences under way. */
-static void read_rounds(struct rj_unpacker *in, struct rj_cell_job *work,
-			GPtrArray *workers, uint64_t now_us)
+static void read_occurrences(struct rj_unpacker *in, struct rj_cell_job *job,
+			     GPtrArray *workers, uint64_t now_us)
 {
 	uint32_t count = (uint32_t)rj_unpack_number(in, "rounds", UINT16_MAX);
 
 	for (uint32_t i = 0; i < count && !in->bad; i++) {
 		uint32_t number =
 			(uint32_t)rj_unpack_number(in, "round", UINT32_MAX - 1);
-		struct rj_cell_occurrence *round =
-			rj_cell_job_begin_occurrence(work, number);
+		struct rj_cell_occurrence *occurrence =
+			rj_cell_job_begin_occurrence(job, number);
 
-		for (uint32_t j = 0; j < work->job_spec->task_count && !in->bad;
+		for (uint32_t j = 0; j < job->job_spec->task_count && !in->bad;
 		     j++)
-			read_task(in, &round->tasks[j], workers, now_us);
+			read_task(in, &occurrence->tasks[j], workers, now_us);
 	}
 }
 
-/* A task of an occurrence under way, by its place in the job; or NULL. */
-static struct rj_cell_task *task_at(const struct rj_cell_job *work,
-				    uint32_t number, uint32_t place)
+/* Returns a task by occurrence number and its index among the occurrence's
+ * tasks, or NULL. */
+static struct rj_cell_task *task_at(const struct rj_cell_job *job,
+				    uint32_t number, uint32_t position)
 {
 	const struct rj_list *at;
 
-	for (at = work->occurrences.next; at != &work->occurrences;
+	for (at = job->occurrences.next; at != &job->occurrences;
 	     at = at->next) {
-		struct rj_cell_occurrence *round =
+		struct rj_cell_occurrence *occurrence =
 			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
-		if (round->number == number &&
-		    place < work->job_spec->task_count)
-			return &round->tasks[place];
+		if (occurrence->number == number &&
+		    position < job->job_spec->task_count)
+			return &occurrence->tasks[position];
 	}
 	return NULL;
 }
 
-/* What write_unseen wrote. Until when it counts is for the owner to say, who
- * knows how long leases last. */
-static void read_unseen(struct rj_unpacker *in, struct rj_cell_job *work)
+/* Decodes the output of write_unreported. The owner, which knows the lease
+ * duration, limits how long these failures count. */
+static void read_unreported(struct rj_unpacker *in, struct rj_cell_job *job)
 {
 	while (!in->bad && in->offset < in->length) {
-		uint32_t round = (uint32_t)rj_unpack_number(in, "unseen_round",
-							    UINT32_MAX);
-		uint32_t place = (uint32_t)rj_unpack_number(in, "unseen_task",
-							    UINT32_MAX);
-		struct rj_cell_task *task = task_at(work, round, place);
+		uint32_t occurrence = (uint32_t)rj_unpack_number(
+			in, "unseen_round", UINT32_MAX);
+		uint32_t position = (uint32_t)rj_unpack_number(
+			in, "unseen_task", UINT32_MAX);
+		struct rj_cell_task *task = task_at(job, occurrence, position);
 
 		if (!task) {
 			rj_unpack_fail(in, "unseen_task");
@@ -362,7 +363,7 @@
 		}
 		task->failed_run = (uint32_t)rj_unpack_number(in, "failed_run",
 							      UINT32_MAX);
-		task->unseen =
+		task->unreported =
 			(uint32_t)rj_unpack_number(in, "unseen", UINT32_MAX);
 		task->unreported_run = (uint32_t)rj_unpack_number(
 			in, "unseen_run", UINT32_MAX);
@@ -371,11 +372,11 @@
 }
 
 /*
- * Take the progress of a job over from the log into `work`, which has none
- * yet. Its runs are noted at their workers, as taken but not seen there.
- * Returns 0, or -1 with `err`; `work` may then hold a part.
+ * Decodes the progress of a job into `job`, which must have none. Its runs are
+ * added to their workers as placed but not yet reported. Returns 0, or -1 with
+ * `err`; `job` may then be partly filled.
  */
-int rj_cell_progress_decode(struct rj_bytes bytes, struct rj_cell_job *work,
+int rj_cell_progress_decode(struct rj_bytes bytes, struct rj_cell_job *job,
 			    struct rj_cell_fleet *fleet, uint64_t now_us,
 			    struct rj_error *err)
 {
@@ -386,12 +387,12 @@
 
 	rj_unpack_init(&in, bytes);
 	read_summary(&in, PROGRESS_FORMAT, &summary);
-	work->state = summary.state;
-	work->started = summary.started;
+	job->state = summary.state;
+	job->started = summary.started;
 	begun = (uint32_t)rj_unpack_number(&in, "begun", UINT32_MAX);
-	work->occurrences_done =
+	job->occurrences_done =
 		(uint32_t)rj_unpack_number(&in, "done", UINT32_MAX);
-	if (!has_ended(work->state) && !in.bad) {
+	if (!has_ended(job->state) && !in.bad) {
 		uint32_t count =
 			(uint32_t)rj_unpack_number(&in, "workers", UINT16_MAX);
 
@@ -402,16 +403,16 @@
 			g_ptr_array_add(workers,
 					rj_cell_fleet_obtain(fleet, id));
 		}
-		read_rounds(&in, work, workers, now_us);
-		read_unseen(&in, work);
+		read_occurrences(&in, job, workers, now_us);
+		read_unreported(&in, job);
 	}
-	work->occurrences_begun = begun;
+	job->occurrences_begun = begun;
 	g_ptr_array_free(workers, TRUE);
 	return rj_unpack_finish(&in, err);
 }
 
 /*
- * Who owns the cell; a talloc child of `mem`.
+ * Encodes an ownership record as a talloc child of `mem`.
  */
 struct rj_bytes rj_cell_owner_encode(void *mem,
 				     const struct rj_cell_owner_record *owner)
@@ -430,7 +431,8 @@
 }
 
 /*
- * What rj_cell_owner_encode wrote. Returns 0, or -1 with `err`.
+ * Decodes the output of rj_cell_owner_encode, in any supported format. Returns
+ * 0, or -1 with `err`.
  */
 int rj_cell_owner_decode(struct rj_bytes bytes,
 			 struct rj_cell_owner_record *owner,
@@ -441,73 +443,76 @@
 
 	rj_unpack_init(&in, bytes);
 	format = rj_unpack_number(&in, "format", OWNER_FORMAT);
-	if (format < OWNER_FORMAT_UNTIMED)
+	if (format < OWNER_FORMAT_NO_TIME)
 		rj_unpack_fail(&in, "format");
 	rj_unpack_text(&in, "name", owner->name, sizeof(owner->name));
 	owner->incarnation = rj_unpack_number(&in, "incarnation", UINT64_MAX);
 	owner->strength =
 		(uint32_t)rj_unpack_number(&in, "strength", UINT32_MAX);
 	owner->leaving = rj_unpack_bool(&in, "leaving");
-	owner->since_ms = format > OWNER_FORMAT_UNTIMED ?
+	owner->since_ms = format > OWNER_FORMAT_NO_TIME ?
 				  rj_unpack_number(&in, "since", UINT64_MAX) :
 				  0;
-	owner->epoch = format > OWNER_FORMAT_TIMED ?
+	owner->epoch = format > OWNER_FORMAT_NO_EPOCH ?
 			       rj_unpack_number(&in, "epoch", UINT64_MAX) :
 			       0;
 	return rj_unpack_finish(&in, err);
 }
 
 /*
- * A heartbeat of the owner; a talloc child of `mem`.
+ * Encodes an owner's heartbeat as a talloc child of `mem`.
  */
 struct rj_bytes
 rj_cell_owner_heartbeat_encode(void *mem,
-			       const struct rj_cell_owner_heartbeat *beat)
+			       const struct rj_cell_owner_heartbeat *heartbeat)
 {
 	struct rj_packer out;
 
 	rj_pack_init(&out);
-	rj_pack_number(&out, BEAT_FORMAT);
-	rj_pack_number(&out, beat->incarnation);
-	rj_pack_number(&out, beat->number);
-	rj_pack_number(&out, beat->share_count);
-	for (uint32_t i = 0; i < beat->share_count; i++) {
-		const struct rj_cell_queue_load *share = &beat->shares[i];
-
-		rj_pack_text(&out, share->queue);
-		rj_pack_number(&out, share->mean_ms);
-		rj_pack_bool(&out, share->refuse);
-		rj_pack_number(&out, share->come_back_ms);
+	rj_pack_number(&out, HEARTBEAT_FORMAT);
+	rj_pack_number(&out, heartbeat->incarnation);
+	rj_pack_number(&out, heartbeat->number);
+	rj_pack_number(&out, heartbeat->queue_load_count);
+	for (uint32_t i = 0; i < heartbeat->queue_load_count; i++) {
+		const struct rj_cell_queue_load *load =
+			&heartbeat->queue_loads[i];
+
+		rj_pack_text(&out, load->queue);
+		rj_pack_number(&out, load->mean_ms);
+		rj_pack_bool(&out, load->refuse);
+		rj_pack_number(&out, load->retry_after_ms);
 	}
 	return rj_pack_finish(&out, mem);
 }
 
 /*
- * What rj_cell_owner_heartbeat_encode wrote. Returns 0, or -1 with `err`.
+ * Decodes the output of rj_cell_owner_heartbeat_encode. Returns 0, or -1 with
+ * `err`.
  */
 int rj_cell_owner_heartbeat_decode(struct rj_bytes bytes,
-				   struct rj_cell_owner_heartbeat *beat,
+				   struct rj_cell_owner_heartbeat *heartbeat,
 				   struct rj_error *err)
 {
 	struct rj_unpacker in;
 
-	memset(beat, 0, sizeof(*beat));
+	memset(heartbeat, 0, sizeof(*heartbeat));
 	rj_unpack_init(&in, bytes);
-	if (rj_unpack_number(&in, "format", UINT32_MAX) != BEAT_FORMAT)
+	if (rj_unpack_number(&in, "format", UINT32_MAX) != HEARTBEAT_FORMAT)
 		rj_unpack_fail(&in, "format");
-	beat->incarnation = rj_unpack_number(&in, "incarnation", UINT64_MAX);
-	beat->number = (uint32_t)rj_unpack_number(&in, "number", UINT32_MAX);
-	beat->share_count = (uint32_t)rj_unpack_number(&in, "shares",
-						       RJ_CELL_QUEUE_LOADS_MAX);
-	for (uint32_t i = 0; i < beat->share_count; i++) {
-		struct rj_cell_queue_load *share = &beat->shares[i];
-
-		rj_unpack_text(&in, "queue", share->queue,
-			       sizeof(share->queue));
-		share->mean_ms =
+	heartbeat->incarnation =
+		rj_unpack_number(&in, "incarnation", UINT64_MAX);
+	heartbeat->number =
+		(uint32_t)rj_unpack_number(&in, "number", UINT32_MAX);
+	heartbeat->queue_load_count = (uint32_t)rj_unpack_number(
+		&in, "shares", RJ_CELL_QUEUE_LOADS_MAX);
+	for (uint32_t i = 0; i < heartbeat->queue_load_count; i++) {
+		struct rj_cell_queue_load *load = &heartbeat->queue_loads[i];
+
+		rj_unpack_text(&in, "queue", load->queue, sizeof(load->queue));
+		load->mean_ms =
 			(uint32_t)rj_unpack_number(&in, "mean_ms", UINT32_MAX);
-		share->refuse = rj_unpack_bool(&in, "refuse");
-		share->come_back_ms = (uint32_t)rj_unpack_number(
+		load->refuse = rj_unpack_bool(&in, "refuse");
+		load->retry_after_ms = (uint32_t)rj_unpack_number(
 			&in, "come_back_ms", UINT32_MAX);
 	}
 	return rj_unpack_finish(&in, err);
--- a/src/libradishjunction/cell/cell_view.c
+++ b/src/libradishjunction/cell/cell_view.c
@@ -7,7 +7,7 @@
 #include "private/note.h"
 
 /*
- * Prepare an empty view.
+ * Initializes an empty view.
  */
 void rj_cell_view_init(struct rj_cell_view *view, void *mem)
 {
@@ -18,7 +18,7 @@
 }
 
 /*
- * Forget everything.
+ * Frees all entries.
  */
 void rj_cell_view_finish(struct rj_cell_view *view)
 {
@@ -30,7 +30,7 @@
 }
 
 /*
- * What is known of a job, or NULL. Its definition may still be missing.
+ * Returns the entry of a job, or NULL. Its spec may not have been read yet.
  */
 struct rj_cell_view_entry *rj_cell_view_find(const struct rj_cell_view *view,
 					     const char *id)
@@ -38,9 +38,8 @@
 	return g_hash_table_lookup(view->by_id, id);
 }
 
-/* The entry of a job, made when it is missing. */
-static struct rj_cell_view_entry *obtain(struct rj_cell_view *view,
-					 const char *id)
+static struct rj_cell_view_entry *get_or_create(struct rj_cell_view *view,
+						const char *id)
 {
 	struct rj_cell_view_entry *entry = rj_cell_view_find(view, id);
 
@@ -56,22 +55,21 @@
 }
 
 /*
- * Forget a job; its work must be gone.
+ * Removes a job, which must not be active in the owner.
  */
 void rj_cell_view_drop(struct rj_cell_view *view,
 		       struct rj_cell_view_entry *entry)
 {
-	assert(!entry->work);
+	assert(!entry->job);
 	rj_list_remove(&entry->link);
 	g_hash_table_remove(view->by_id, entry->id);
 	view->count--;
 	talloc_free(entry);
 }
 
-/* A submission; that of a job that is known changes nothing. */
-static void apply_definition(struct rj_cell_view_entry *entry,
-			     const struct rj_cell_record *record,
-			     uint64_t now_us)
+/* Applies a submission; a repeated one is ignored. */
+static void apply_job_spec(struct rj_cell_view_entry *entry,
+			   const struct rj_cell_record *record, uint64_t now_us)
 {
 	struct rj_error err;
 
@@ -85,22 +83,22 @@
 }
 
 /*
- * Let callers see a new state of a job. States only move on: one that was
- * shown is not taken back by a record that is read late.
+ * Sets the state that callers see. States only advance: a record that is read
+ * late does not revert one.
  */
 void rj_cell_view_set_summary(struct rj_cell_view_entry *entry,
 			      const struct rj_cell_summary *summary,
 			      uint64_t now_us)
 {
-	if (summary->state < entry->told.state ||
-	    entry->told.state >= RJ_CELL_JOB_COMPLETED)
+	if (summary->state < entry->summary.state ||
+	    entry->summary.state >= RJ_CELL_JOB_COMPLETED)
 		return;
-	entry->told = *summary;
+	entry->summary = *summary;
 	if (summary->state >= RJ_CELL_JOB_COMPLETED && !entry->ended_us)
 		entry->ended_us = now_us;
 }
 
-/* What the owner lets callers know of a job. */
+/* Applies the state published by the owner. */
 static void apply_state(struct rj_cell_view_entry *entry,
 			const struct rj_cell_record *record, uint64_t now_us)
 {
@@ -115,14 +113,14 @@
 	rj_cell_view_set_summary(entry, &summary, now_us);
 }
 
-/* A key of a job was dropped: its definition once it has ended, and its state
- * when nobody has to be told of it any more. */
-static void apply_drop(struct rj_cell_view *view, const char *id,
-		       enum rj_cell_record_kind kind)
+/* Applies the deletion of a key: the spec is deleted once the job has ended,
+ * the state once callers no longer need it. */
+static void apply_deletion(struct rj_cell_view *view, const char *id,
+			   enum rj_cell_record_kind kind)
 {
 	struct rj_cell_view_entry *entry = rj_cell_view_find(view, id);
 
-	if (!entry || entry->work)
+	if (!entry || entry->job)
 		return;
 	if (kind == RJ_CELL_RECORD_STATE)
 		rj_cell_view_drop(view, entry);
@@ -130,7 +128,7 @@
 		TALLOC_FREE(entry->job_spec);
 }
 
-/* Keep what an owner has stored of a job, for the one that takes over. */
+/* Keeps the progress stored by an owner, for the next owner. */
 static void keep_progress(struct rj_cell_view_entry *entry,
 			  struct rj_bytes value)
 {
@@ -140,7 +138,7 @@
 }
 
 /*
- * Keep a record of the progress log.
+ * Keeps a record of the progress log.
  */
 void rj_cell_view_keep_progress(struct rj_cell_view *view, const char *id,
 				struct rj_bytes value)
@@ -150,10 +148,10 @@
 	if (!entry || !entry->job_spec)
 		return;
 	keep_progress(entry, value);
-	entry->moved = true;
+	entry->in_progress_log = true;
 }
 
-/* Progress in the jobs' log was written by the version before. */
+/* Applies progress in the jobs' log, where the previous version stored it. */
 static void apply_former_progress(struct rj_cell_view_entry *entry,
 				  const struct rj_cell_record *record,
 				  uint64_t now_us)
@@ -167,13 +165,13 @@
 		return;
 	}
 	rj_cell_view_set_summary(entry, &summary, now_us);
-	if (!entry->moved)
+	if (!entry->in_progress_log)
 		keep_progress(entry, record->value);
 }
 
 /*
- * Take one record of a job in. Returns its entry, or NULL when the record
- * is of no job, or has dropped the job.
+ * Applies a record of a job. Returns its entry, or NULL if the record is not of
+ * a job or removed it.
  */
 struct rj_cell_view_entry *
 rj_cell_view_apply(struct rj_cell_view *view,
@@ -187,12 +185,12 @@
 	    kind > RJ_CELL_RECORD_CANCEL)
 		return NULL;
 	if (!record->value.length) {
-		apply_drop(view, id, kind);
+		apply_deletion(view, id, kind);
 		return NULL;
 	}
-	entry = obtain(view, id);
+	entry = get_or_create(view, id);
 	if (kind == RJ_CELL_RECORD_JOB_SPEC)
-		apply_definition(entry, record, now_us);
+		apply_job_spec(entry, record, now_us);
 	else if (kind == RJ_CELL_RECORD_STATE)
 		apply_state(entry, record, now_us);
 	else if (kind == RJ_CELL_RECORD_PROGRESS)
@@ -203,16 +201,16 @@
 }
 
 /*
- * Whether a job has been accepted; its definition is gone once it has ended.
+ * Whether a job has been accepted. Its spec is missing after it has ended.
  */
 bool rj_cell_view_is_accepted(const struct rj_cell_view_entry *entry)
 {
-	return entry &&
-	       (entry->job_spec || entry->told.state >= RJ_CELL_JOB_COMPLETED);
+	return entry && (entry->job_spec ||
+			 entry->summary.state >= RJ_CELL_JOB_COMPLETED);
 }
 
 /*
- * Forget the progress of all jobs.
+ * Frees the progress of all jobs.
  */
 void rj_cell_view_drop_progress(struct rj_cell_view *view)
 {
@@ -229,8 +227,8 @@
 }
 
 /*
- * How many jobs of a queue wait without anything begun, those that wait for
- * their time left out.
+ * Number of jobs of a queue that have not started, without those that run at a
+ * set time.
  */
 uint32_t rj_cell_view_pending(const struct rj_cell_view *view,
 			      const char *queue)
@@ -242,9 +240,9 @@
 		const struct rj_cell_view_entry *entry =
 			RJ_CONTAINER(at, struct rj_cell_view_entry, link);
 
-		if (entry->job_spec && !entry->told.started &&
+		if (entry->job_spec && !entry->summary.started &&
 		    !entry->cancelled &&
-		    entry->told.state == RJ_CELL_JOB_QUEUED &&
+		    entry->summary.state == RJ_CELL_JOB_QUEUED &&
 		    !entry->job_spec->repeats &&
 		    !strcmp(entry->job_spec->queue, queue))
 			count++;
