--- a/src/libradishjunction/cell/cell_active_job.c
+++ b/src/libradishjunction/cell/cell_active_job.c
@@ -205,7 +205,7 @@
 	run->worker = worker;
 	run->task = task;
 	run->number = number;
-	run->allocated = rj_cell_step_demand(rj_cell_task_step(task));
+	run->allocated = rj_cell_step_allocation(rj_cell_task_step(task));
 	rj_cell_task_name(task, name, sizeof(name));
 	run->name = talloc_strdup(run, name);
 	memcpy(run->checkpoint, task->checkpoint, sizeof(run->checkpoint));
--- a/src/libradishjunction/cell/cell_advice.c
+++ b/src/libradishjunction/cell/cell_advice.c
@@ -212,25 +212,28 @@
 
 /* Whether a worker belongs to a class for a waiting step. */
 static bool is_candidate(const struct rj_cell_plan *plan,
-			 const struct rj_cell_unit *unit,
-			 const struct rj_cell_room *room,
+			 const struct rj_cell_task_group *group,
+			 const struct rj_cell_plan_worker *plan_worker,
 			 enum candidate_class kind)
 {
 	const struct rj_cell_step *step =
-		&unit->job->job_spec->steps[unit->step];
-	struct rj_cell_demand want = rj_cell_step_demand(step);
-	const struct decision *decision =
-		find_decision(unit->occurrence, unit->step, room->worker);
-	bool fits = rj_cell_demand_fits(&want, &room->now);
-
-	if (strcmp(room->worker->heartbeat.service, unit->service) != 0 ||
-	    !rj_cell_demand_fits(&want, &room->worker->heartbeat.capacity))
+		&group->job->job_spec->steps[group->step];
+	struct rj_cell_demand want = rj_cell_step_allocation(step);
+	const struct decision *decision = find_decision(
+		group->occurrence, group->step, plan_worker->worker);
+	bool fits = rj_cell_demand_fits(&want, &plan_worker->free_now);
+
+	if (strcmp(plan_worker->worker->heartbeat.service, group->service) !=
+		    0 ||
+	    !rj_cell_demand_fits(&want,
+				 &plan_worker->worker->heartbeat.capacity))
 		return false;
 	switch (kind) {
 	case CANDIDATE_RENEWAL:
 		return fits && decision && decision->allowed &&
-		       !rj_cell_advice_ticket(unit->occurrence, unit->step,
-					      room->worker, plan->now_us);
+		       !rj_cell_advice_ticket(group->occurrence, group->step,
+					      plan_worker->worker,
+					      plan->now_us);
 	case CANDIDATE_WITH_CAPACITY:
 		return fits && !decision;
 	default:
@@ -240,21 +243,23 @@
 
 /* Chooses the workers to ask about for a waiting step. */
 static void choose_workers(const struct rj_cell_plan *plan,
-			   const struct rj_cell_unit *unit,
+			   const struct rj_cell_task_group *group,
 			   struct request *request)
 {
 	/* Each step starts at a different worker, so that requests do not all
 	 * name the same ones. */
-	uint64_t start = rj_hash64_string(unit->job->job_spec->id, unit->step);
+	uint64_t start =
+		rj_hash64_string(group->job->job_spec->id, group->step);
 
 	for (int kind = 0; kind < CANDIDATE_CLASS_COUNT; kind++)
-		for (uint32_t i = 0; i < plan->room_count; i++) {
-			const struct rj_cell_room *room =
-				&plan->rooms[(start + i) % plan->room_count];
+		for (uint32_t i = 0; i < plan->worker_count; i++) {
+			const struct rj_cell_plan_worker *plan_worker =
+				&plan->workers[(start + i) %
+					       plan->worker_count];
 
-			if (is_candidate(plan, unit, room,
+			if (is_candidate(plan, group, plan_worker,
 					 (enum candidate_class)kind) &&
-			    !add_worker(request, room->worker))
+			    !add_worker(request, plan_worker->worker))
 				return;
 		}
 }
@@ -262,14 +267,14 @@
 /* Requests decisions for a step. Returns false if none are needed. */
 static bool send_request(struct rj_cell_owner *owner,
 			 const struct rj_cell_plan *plan,
-			 const struct rj_cell_unit *unit)
+			 const struct rj_cell_task_group *group)
 {
 	struct request *request = talloc_zero(owner->mem, struct request);
 	const char *workers[RJ_CELL_ADVICE_WORKERS];
 	char step[STEP_NAME_BYTES];
 
 	assert(request);
-	choose_workers(plan, unit, request);
+	choose_workers(plan, group, request);
 	if (!request->count) {
 		talloc_free(request);
 		return false;
@@ -277,9 +282,9 @@
 	request->owner = owner;
 	request->generation = owner->generation;
 	request->sent_us = owner->now_us;
-	memcpy(request->job, unit->job->job_spec->id, sizeof(request->job));
-	request->occurrence = unit->occurrence->number;
-	request->step = unit->step;
+	memcpy(request->job, group->job->job_spec->id, sizeof(request->job));
+	request->occurrence = group->occurrence->number;
+	request->step = group->step;
 	for (uint32_t i = 0; i < request->count; i++)
 		workers[i] = request->workers[i];
 	(void)g_snprintf(step, sizeof(step), "%s.%u.%u", request->job,
@@ -292,14 +297,14 @@
 }
 
 /* Whether a task of the unit is neither done nor running. */
-static bool still_waits(const struct rj_cell_unit *unit)
+static bool still_waits(const struct rj_cell_task_group *group)
 {
-	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
-	uint32_t first = rj_cell_job_spec_first_task(job_spec, unit->step);
+	const struct rj_cell_job_spec *job_spec = group->job->job_spec;
+	uint32_t first = rj_cell_job_spec_first_task(job_spec, group->step);
 
-	for (uint32_t i = 0; i < job_spec->steps[unit->step].task_count; i++) {
+	for (uint32_t i = 0; i < job_spec->steps[group->step].task_count; i++) {
 		const struct rj_cell_task *task =
-			&unit->occurrence->tasks[first + i];
+			&group->occurrence->tasks[first + i];
 
 		if (!task->done && task->runs.next == &task->runs)
 			return true;
@@ -314,14 +319,14 @@
 			const struct rj_cell_plan *plan)
 {
 	if (!owner->advisor || owner->advice_open ||
-	    owner->now_us < owner->advice_due_us || !plan->room_count)
+	    owner->now_us < owner->advice_due_us || !plan->worker_count)
 		return;
-	for (guint i = 0; i < plan->units->len; i++) {
-		const struct rj_cell_unit *unit =
-			&g_array_index(plan->units, struct rj_cell_unit, i);
+	for (guint i = 0; i < plan->task_groups->len; i++) {
+		const struct rj_cell_task_group *group = &g_array_index(
+			plan->task_groups, struct rj_cell_task_group, i);
 
-		if (unit->advised && still_waits(unit) &&
-		    send_request(owner, plan, unit))
+		if (group->advised && still_waits(group) &&
+		    send_request(owner, plan, group))
 			return;
 	}
 }
--- a/src/libradishjunction/cell/cell_demand.c
+++ b/src/libradishjunction/cell/cell_demand.c
@@ -39,7 +39,7 @@
  * What a task of a step takes of its worker's room; the cores of scavenging
  * steps are not counted.
  */
-struct rj_cell_demand rj_cell_step_demand(const struct rj_cell_step *step)
+struct rj_cell_demand rj_cell_step_allocation(const struct rj_cell_step *step)
 {
 	struct rj_cell_demand demand = step->each;
 
--- a/src/libradishjunction/cell/cell_ends.c
+++ b/src/libradishjunction/cell/cell_ends.c
@@ -415,8 +415,9 @@
 	note_saved(task, saved && saved[0] ? saved : run->saved);
 	if (end == RJ_CELL_COMPLETION_DONE && run->placed_us && !run->adopted &&
 	    !run->checkpoint[0])
-		rj_cell_forecast_learn(&owner->forecast, job->job_spec->queue,
-				       owner->now_us - run->placed_us);
+		rj_cell_forecast_record_run(&owner->forecast,
+					    job->job_spec->queue,
+					    owner->now_us - run->placed_us);
 	if (job->state < RJ_CELL_JOB_COMPLETED && !task->done) {
 		if (end == RJ_CELL_COMPLETION_DONE)
 			note_done(owner, task);
--- a/src/libradishjunction/cell/cell_flush.c
+++ b/src/libradishjunction/cell/cell_flush.c
@@ -159,7 +159,7 @@
 	};
 	struct rj_bytes value;
 
-	rj_cell_admit_shares(owner, &heartbeat);
+	rj_cell_admit_queues(owner, &heartbeat);
 	value = rj_cell_owner_heartbeat_encode(owner->mem, &heartbeat);
 	add_write(owner, RJ_CELL_RECORD_HEARTBEAT, "", value, NULL);
 	talloc_free((void *)value.data);
--- a/src/libradishjunction/cell/cell_metrics.c
+++ b/src/libradishjunction/cell/cell_metrics.c
@@ -117,7 +117,7 @@
 			       waiting->tasks);
 		write_labelled(text, "oldest_wait_ms", "priority",
 			       priorities[i],
-			       waiting->oldest_us / RJ_US_PER_MS);
+			       waiting->longest_wait_us / RJ_US_PER_MS);
 	}
 	write_number(text, "accelerators_reserved", owner->backlog.reserved);
 	write_number(text, "accelerators_reserved_free",
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -331,7 +331,7 @@
 	for (uint32_t i = 0; node->front.heartbeat_us &&
 			     i < node->front.heartbeat.queue_load_count;
 	     i++)
-		rj_cell_forecast_set(
+		rj_cell_forecast_seed(
 			&node->owner.forecast,
 			node->front.heartbeat.queue_loads[i].queue,
 			node->front.heartbeat.queue_loads[i].mean_ms);
--- a/src/libradishjunction/cell/cell_reclaim.c
+++ b/src/libradishjunction/cell/cell_reclaim.c
@@ -27,9 +27,9 @@
 /*
  * The work of `count` tasks of a unit, in core-milliseconds.
  */
-uint64_t rj_cell_reclaim_own_milli(const struct rj_cell_plan *plan,
-				   const struct rj_cell_unit *unit,
-				   uint32_t count)
+uint64_t rj_cell_reclaim_group_cost_milli(const struct rj_cell_plan *plan,
+					  const struct rj_cell_task_group *unit,
+					  uint32_t count)
 {
 	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
 
@@ -56,7 +56,7 @@
  * what others have beyond their guarantees. */
 static bool gives_way(const struct rj_cell_plan *plan,
 		      const struct rj_cell_job *job,
-		      const struct rj_cell_unit *unit)
+		      const struct rj_cell_task_group *unit)
 {
 	if (job->job_spec->priority > unit->job->job_spec->priority)
 		return !unit->job->job_spec->priority ||
@@ -67,7 +67,7 @@
 /* Whether a run may be stopped for the work of a unit. */
 static bool may_stop(const struct rj_cell_plan *plan,
 		     const struct rj_cell_run *run,
-		     const struct rj_cell_unit *unit)
+		     const struct rj_cell_task_group *unit)
 {
 	return run->task && !run->reason &&
 	       run->state != RJ_CELL_RUN_STOPPING &&
@@ -101,7 +101,7 @@
 /* Whether a run may be stopped for a unit, and is not going to be. */
 static bool is_candidate(const struct rj_cell_plan *plan,
 			 const struct rj_cell_release *release,
-			 const struct rj_cell_unit *unit)
+			 const struct rj_cell_task_group *unit)
 {
 	return !release->run->victim && may_stop(plan, release->run, unit);
 }
@@ -112,13 +112,13 @@
  * is no way.
  */
 static uint64_t choose_victims(struct rj_cell_plan *plan,
-			       const struct rj_cell_unit *unit,
-			       const struct rj_cell_room *room,
+			       const struct rj_cell_task_group *unit,
+			       const struct rj_cell_plan_worker *room,
 			       const struct rj_cell_demand *want,
 			       GPtrArray *chosen)
 {
 	const struct rj_cell_releases *releases =
-		rj_cell_releases_of(plan, room);
+		rj_cell_releases_get(plan, room);
 	const struct rj_cell_release *end = releases->by_time + releases->count;
 	const struct rj_cell_release *at;
 	struct rj_cell_demand have = room->soon;
@@ -142,22 +142,23 @@
 }
 
 /* The room of a victim comes free. */
-static void free_victim(struct rj_cell_trial *trial, struct rj_cell_run *run)
+static void free_victim(struct rj_cell_placement *trial,
+			struct rj_cell_run *run)
 {
-	struct rj_cell_room *room = run->worker->room;
+	struct rj_cell_plan_worker *room = run->worker->room;
 
 	run->victim = true;
-	rj_cell_plan_release(trial->plan, run);
+	rj_cell_plan_release_run(trial->plan, run);
 	g_ptr_array_add(trial->victims, run);
 	if (!room)
 		return;
-	rj_cell_trial_change(trial, room);
+	rj_cell_placement_save_worker(trial, room);
 	rj_cell_demand_add(&room->soon, &run->allocated);
-	rj_cell_plan_note_freed(trial->plan, room);
+	rj_cell_plan_raise_bounds(trial->plan, room);
 }
 
 /* Note one victim and, with it, the other members of its gang. */
-static void add_victim(struct rj_cell_trial *trial, struct rj_cell_run *run)
+static void add_victim(struct rj_cell_placement *trial, struct rj_cell_run *run)
 {
 	const struct rj_cell_occurrence *occurrence = run->task->occurrence;
 	const struct rj_cell_step *step = rj_cell_task_step(run->task);
@@ -188,8 +189,8 @@
  * Whether enough accelerators of a worker are free or held by work that may
  * give way to a unit; a bound that is cheap to look up.
  */
-static bool may_give_way(const struct rj_cell_room *room,
-			 const struct rj_cell_unit *unit, uint32_t want)
+static bool may_give_way(const struct rj_cell_plan_worker *room,
+			 const struct rj_cell_task_group *unit, uint32_t want)
 {
 	uint32_t sum = room->soon.accelerators;
 	uint32_t from =
@@ -206,29 +207,28 @@
  * The worker on which making room for a task loses least, or NULL. Its
  * victims are noted in the trial.
  */
-struct rj_cell_room *rj_cell_reclaim_room(struct rj_cell_plan *plan,
-					  struct rj_cell_trial *trial,
-					  const struct rj_cell_unit *unit,
-					  struct rj_cell_task *task,
-					  const struct rj_cell_way *way)
+struct rj_cell_plan_worker *rj_cell_reclaim_find_worker(
+	struct rj_cell_plan *plan, struct rj_cell_placement *trial,
+	const struct rj_cell_task_group *unit, struct rj_cell_task *task,
+	const struct rj_cell_placement_options *way)
 {
 	struct rj_cell_demand want =
-		rj_cell_step_demand(rj_cell_task_step(task));
-	struct rj_cell_room *best = NULL;
-	struct rj_cell_room *room;
-	struct rj_cell_walk walk;
-	uint64_t left = way->loss_max_milli - trial->loss_milli;
+		rj_cell_step_allocation(rj_cell_task_step(task));
+	struct rj_cell_plan_worker *best = NULL;
+	struct rj_cell_plan_worker *room;
+	struct rj_cell_worker_iterator walk;
+	uint64_t left = way->max_loss_milli - trial->loss_milli;
 	uint64_t best_loss = left < UINT64_MAX ? left + 1 : left;
 	GPtrArray *victims;
 
-	rj_cell_walk_init(&walk, plan, way, &want);
-	while (best_loss && (room = rj_cell_walk_next(&walk))) {
+	rj_cell_worker_iterator_init(&walk, plan, way, &want);
+	while (best_loss && (room = rj_cell_worker_iterator_next(&walk))) {
 		uint64_t loss;
 
 		if (!may_give_way(room, unit, want.accelerators) ||
 		    !rj_cell_demand_fits(&want,
 					 &room->worker->heartbeat.capacity) ||
-		    !rj_cell_place_may_run(plan, room, unit, task, way))
+		    !rj_cell_place_is_eligible(plan, room, unit, task, way))
 			continue;
 		plan->effort += VICTIMS_EFFORT;
 		loss = choose_victims(plan, unit, room, &want, NULL);
--- a/src/libradishjunction/cell/cell_share.c
+++ b/src/libradishjunction/cell/cell_share.c
@@ -21,7 +21,7 @@
 			 const struct rj_cell_demand *each,
 			 const struct rj_cell_job *job)
 {
-	const struct rj_cell_held *allocated =
+	const struct rj_cell_allocation *allocated =
 		&plan->allocated[rj_cell_job_priority_class(job)];
 	const struct rj_cell_usage *usage = &plan->usage;
 	uint64_t tasks = tasks_left(allocated->cpu_milli, usage->cpu.all,
@@ -37,11 +37,11 @@
 /*
  * How many more tasks of a step the share of its job's priority holds.
  */
-uint32_t rj_cell_share_tasks(const struct rj_cell_plan *plan,
-			     const struct rj_cell_step *step,
-			     const struct rj_cell_job *job)
+uint32_t rj_cell_share_free_tasks(const struct rj_cell_plan *plan,
+				  const struct rj_cell_step *step,
+				  const struct rj_cell_job *job)
 {
-	struct rj_cell_demand each = rj_cell_step_demand(step);
+	struct rj_cell_demand each = rj_cell_step_allocation(step);
 
 	return (uint32_t)MIN(tasks_of(plan, &each, job), UINT32_MAX);
 }
--- a/src/libradishjunction/include/private/cell_fleet.h
+++ b/src/libradishjunction/include/private/cell_fleet.h
@@ -43,7 +43,7 @@
 };
 
 struct rj_cell_fleet;
-struct rj_cell_room;
+struct rj_cell_plan_worker;
 
 /* A rack and the workers that reported it. */
 struct rj_cell_rack {
@@ -67,7 +67,7 @@
 	struct rj_cell_fleet *fleet;
 	struct rj_cell_rack *rack; /* NULL until it is reported */
 	struct rj_list in_rack;
-	struct rj_cell_room *room; /* in the current plan */
+	struct rj_cell_plan_worker *plan_worker; /* in the current plan */
 	enum rj_cell_poll_state poll_state;
 	/* In the fleet's list for its poll state. */
 	struct rj_list in_poll_state;
--- a/src/libradishjunction/include/private/cell_job_spec.h
+++ b/src/libradishjunction/include/private/cell_job_spec.h
@@ -74,7 +74,7 @@
 			     const struct rj_cell_demand *part);
 void rj_cell_demand_add(struct rj_cell_demand *to,
 			const struct rj_cell_demand *part);
-struct rj_cell_demand rj_cell_step_demand(const struct rj_cell_step *step);
+struct rj_cell_demand rj_cell_step_allocation(const struct rj_cell_step *step);
 int rj_cell_job_spec_check(struct rj_cell_job_spec *job_spec,
 			   struct rj_error *err);
 struct rj_bytes
--- a/src/test_libradishjunction/support/cell_check.c
+++ b/src/test_libradishjunction/support/cell_check.c
@@ -156,7 +156,7 @@
 		       struct cell_fake_worker *worker,
 		       const struct rj_cell_step *step, const char *name)
 {
-	struct rj_cell_demand sum = rj_cell_step_demand(step);
+	struct rj_cell_demand sum = rj_cell_step_allocation(step);
 
 	for (guint i = 0; i < worker->runs->len; i++) {
 		struct rj_cell_demand held = cell_fake_row_at(worker, i).held;
