--- a/src/libradishjunction/cell/cell_admit.c
+++ b/src/libradishjunction/cell/cell_admit.c
@@ -138,8 +138,8 @@
 
 	/* Urgent work goes on coming, and goes first. */
 	if (queue->priority)
-		accelerators -= rj_cell_forecast_urgent(&owner->forecast,
-							owner->now_us);
+		accelerators -= rj_cell_forecast_urgent_accelerators(
+			&owner->forecast, owner->now_us);
 	wait = MAX(time_of(load.cpu_milli, room->cpu_milli),
 		   MAX(time_of(load.memory_mb, room->memory_mb),
 		       time_of(load.accelerators, accelerators)));
@@ -180,7 +180,7 @@
  * Fill in what the entries, and a successor, are told of each queue that work has
  * been done for.
  */
-void rj_cell_admit_shares(const struct rj_cell_owner *owner,
+void rj_cell_admit_queues(const struct rj_cell_owner *owner,
 			  struct rj_cell_beat *beat)
 {
 	const struct rj_cell_config *config = owner->config;
--- a/src/libradishjunction/cell/cell_advice.c
+++ b/src/libradishjunction/cell/cell_advice.c
@@ -204,23 +204,25 @@
 
 /* Whether a worker is one of these for a step that waits. */
 static bool is_choice(const struct rj_cell_plan *plan,
-		      const struct rj_cell_unit *unit,
-		      const struct rj_cell_room *room, enum choice choice)
+		      const struct rj_cell_task_group *group,
+		      const struct rj_cell_plan_worker *plan_worker,
+		      enum choice choice)
 {
-	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
-	struct rj_cell_demand want = rj_cell_step_counted(step);
+	const struct rj_cell_step *step = &group->work->def->steps[group->step];
+	struct rj_cell_demand want = rj_cell_step_allocation(step);
 	const struct opinion *opinion =
-		opinion_of(unit->round, unit->step, room->worker);
-	bool fits = rj_cell_demand_fits(&want, &room->now);
+		opinion_of(group->round, group->step, plan_worker->worker);
+	bool fits = rj_cell_demand_fits(&want, &plan_worker->free_now);
 
-	if (strcmp(room->worker->said.service, unit->service) != 0 ||
-	    !rj_cell_demand_fits(&want, &room->worker->said.capacity))
+	if (strcmp(plan_worker->worker->said.service, group->service) != 0 ||
+	    !rj_cell_demand_fits(&want, &plan_worker->worker->said.capacity))
 		return false;
 	switch (choice) {
 	case CHOICE_RENEW:
 		return fits && opinion && opinion->allowed &&
-		       !rj_cell_advice_ticket(unit->round, unit->step,
-					      room->worker, plan->now_us);
+		       !rj_cell_advice_ticket(group->round, group->step,
+					      plan_worker->worker,
+					      plan->now_us);
 	case CHOICE_FREE:
 		return fits && !opinion;
 	default:
@@ -230,20 +232,22 @@
 
 /* Choose the workers to ask about for a step that waits. */
 static void choose_workers(const struct rj_cell_plan *plan,
-			   const struct rj_cell_unit *unit,
+			   const struct rj_cell_task_group *group,
 			   struct question *question)
 {
 	/* Each job begins at another worker, so that they do not all ask for
 	 * the same ones. */
-	uint64_t start = rj_hash64_string(unit->work->def->id, unit->step);
+	uint64_t start = rj_hash64_string(group->work->def->id, group->step);
 
 	for (int choice = 0; choice < CHOICE_COUNT; choice++)
-		for (uint32_t i = 0; i < plan->room_count; i++) {
-			const struct rj_cell_room *room =
-				&plan->rooms[(start + i) % plan->room_count];
-
-			if (is_choice(plan, unit, room, (enum choice)choice) &&
-			    !add_worker(question, room->worker))
+		for (uint32_t i = 0; i < plan->worker_count; i++) {
+			const struct rj_cell_plan_worker *plan_worker =
+				&plan->workers[(start + i) %
+					       plan->worker_count];
+
+			if (is_choice(plan, group, plan_worker,
+				      (enum choice)choice) &&
+			    !add_worker(question, plan_worker->worker))
 				return;
 		}
 }
@@ -251,14 +255,14 @@
 /* Send a question about a step, if there is something to ask. */
 static bool send_question(struct rj_cell_owner *owner,
 			  const struct rj_cell_plan *plan,
-			  const struct rj_cell_unit *unit)
+			  const struct rj_cell_task_group *group)
 {
 	struct question *question = talloc_zero(owner->mem, struct question);
 	const char *workers[RJ_CELL_ADVICE_WORKERS];
 	char step[STEP_NAME_BYTES];
 
 	assert(question);
-	choose_workers(plan, unit, question);
+	choose_workers(plan, group, question);
 	if (!question->count) {
 		talloc_free(question);
 		return false;
@@ -266,9 +270,9 @@
 	question->owner = owner;
 	question->generation = owner->generation;
 	question->sent_us = owner->now_us;
-	memcpy(question->job, unit->work->def->id, sizeof(question->job));
-	question->round = unit->round->number;
-	question->step = unit->step;
+	memcpy(question->job, group->work->def->id, sizeof(question->job));
+	question->round = group->round->number;
+	question->step = group->step;
 	for (uint32_t i = 0; i < question->count; i++)
 		workers[i] = question->workers[i];
 	(void)g_snprintf(step, sizeof(step), "%s.%u.%u", question->job,
@@ -281,14 +285,14 @@
 }
 
 /* Whether some task of a unit has found no place in the plan. */
-static bool still_waits(const struct rj_cell_unit *unit)
+static bool still_waits(const struct rj_cell_task_group *group)
 {
-	const struct rj_cell_def *def = unit->work->def;
-	uint32_t first = rj_cell_def_first_task(def, unit->step);
+	const struct rj_cell_def *def = group->work->def;
+	uint32_t first = rj_cell_def_first_task(def, group->step);
 
-	for (uint32_t i = 0; i < def->steps[unit->step].task_count; i++) {
+	for (uint32_t i = 0; i < def->steps[group->step].task_count; i++) {
 		const struct rj_cell_task *task =
-			&unit->round->tasks[first + i];
+			&group->round->tasks[first + i];
 
 		if (!task->done && task->runs.next == &task->runs)
 			return true;
@@ -303,14 +307,14 @@
 			const struct rj_cell_plan *plan)
 {
 	if (!owner->advisor || owner->advice_open ||
-	    owner->now_us < owner->advice_due_us || !plan->room_count)
+	    owner->now_us < owner->advice_due_us || !plan->worker_count)
 		return;
-	for (guint i = 0; i < plan->units->len; i++) {
-		const struct rj_cell_unit *unit =
-			&g_array_index(plan->units, struct rj_cell_unit, i);
+	for (guint i = 0; i < plan->task_groups->len; i++) {
+		const struct rj_cell_task_group *group = &g_array_index(
+			plan->task_groups, struct rj_cell_task_group, i);
 
-		if (unit->advised && still_waits(unit) &&
-		    send_question(owner, plan, unit))
+		if (group->advised && still_waits(group) &&
+		    send_question(owner, plan, group))
 			return;
 	}
 }
--- a/src/libradishjunction/cell/cell_backlog.c
+++ b/src/libradishjunction/cell/cell_backlog.c
@@ -8,7 +8,7 @@
 /* Add the tasks of one step that have not started. */
 static void add_unit(struct rj_cell_backlog *backlog,
 		     const struct rj_cell_plan *plan,
-		     const struct rj_cell_unit *unit)
+		     const struct rj_cell_task_group *unit)
 {
 	struct rj_cell_backlog_class *class =
 		&backlog->classes[rj_cell_work_class(unit->work)];
@@ -18,13 +18,13 @@
 	class->tasks += unit->waiting - unit->started;
 	if (unit->too_late)
 		class->late_tasks += unit->waiting - unit->started;
-	class->oldest_us =
-		MAX(class->oldest_us, plan->now_us - unit->waiting_us);
+	class->longest_wait_us =
+		MAX(class->longest_wait_us, plan->now_us - unit->waiting_us);
 }
 
 /* Add what one worker has that is not open to all. */
 static void add_room(struct rj_cell_backlog *backlog,
-		     const struct rj_cell_room *room)
+		     const struct rj_cell_plan_worker *room)
 {
 	uint32_t accelerators = room->worker->said.capacity.accelerators;
 
@@ -46,21 +46,22 @@
 	memset(backlog, 0, sizeof(*backlog));
 	for (guint i = 0; i < plan->units->len; i++)
 		add_unit(backlog, plan,
-			 &g_array_index(plan->units, struct rj_cell_unit, i));
+			 &g_array_index(plan->units, struct rj_cell_task_group,
+					i));
 	for (uint32_t i = 0; i < plan->room_count; i++)
 		add_room(backlog, &plan->rooms[i]);
 	for (uint32_t i = 0; i < RJ_CELL_PRIORITIES; i++)
 		backlog->classes[i].held = plan->held[i].accelerators;
 	backlog->usage = plan->usage;
 	backlog->workers = plan->room_count;
-	backlog->urgent =
-		(uint32_t)rj_cell_forecast_urgent(plan->forecast, plan->now_us);
+	backlog->urgent = (uint32_t)rj_cell_forecast_urgent_accelerators(
+		plan->forecast, plan->now_us);
 }
 
 /*
  * Write a backlog into the log, as one line.
  */
-void rj_cell_backlog_note(const struct rj_cell_backlog *backlog)
+void rj_cell_backlog_log(const struct rj_cell_backlog *backlog)
 {
 	const struct rj_cell_usage *usage = &backlog->usage;
 	const struct rj_cell_backlog_class *urgent = &backlog->classes[0];
@@ -70,9 +71,9 @@
 	rj_note("backlog", RJ_NOTE_NUMBER("urgent_tasks", urgent->tasks),
 		RJ_NOTE_NUMBER("normal_tasks", normal->tasks),
 		RJ_NOTE_NUMBER("batch_tasks", batch->tasks),
-		RJ_NOTE_AGE_MS("urgent_oldest_ms", urgent->oldest_us),
-		RJ_NOTE_AGE_MS("normal_oldest_ms", normal->oldest_us),
-		RJ_NOTE_AGE_MS("batch_oldest_ms", batch->oldest_us),
+		RJ_NOTE_AGE_MS("urgent_oldest_ms", urgent->longest_wait_us),
+		RJ_NOTE_AGE_MS("normal_oldest_ms", normal->longest_wait_us),
+		RJ_NOTE_AGE_MS("batch_oldest_ms", batch->longest_wait_us),
 		RJ_NOTE_NUMBER("urgent_held", urgent->held),
 		RJ_NOTE_NUMBER("normal_held", normal->held),
 		RJ_NOTE_NUMBER("batch_held", batch->held),
--- a/src/libradishjunction/cell/cell_candidates.c
+++ b/src/libradishjunction/cell/cell_candidates.c
@@ -46,7 +46,7 @@
  * Add one candidate.
  */
 void rj_cell_candidates_push(struct rj_cell_candidates *candidates,
-			     uint64_t cost, struct rj_cell_room *room)
+			     uint64_t cost, struct rj_cell_plan_worker *room)
 {
 	struct rj_cell_candidate candidate = { cost, room };
 	guint place = candidates->heap->len;
--- a/src/libradishjunction/cell/cell_demand.c
+++ b/src/libradishjunction/cell/cell_demand.c
@@ -16,8 +16,8 @@
 /*
  * Take `part` off `from`, down to nothing.
  */
-void rj_cell_demand_take(struct rj_cell_demand *from,
-			 const struct rj_cell_demand *part)
+void rj_cell_demand_subtract(struct rj_cell_demand *from,
+			     const struct rj_cell_demand *part)
 {
 	from->cpu_milli -= MIN(from->cpu_milli, part->cpu_milli);
 	from->memory_mb -= MIN(from->memory_mb, part->memory_mb);
@@ -27,8 +27,8 @@
 /*
  * Give `part` back.
  */
-void rj_cell_demand_give(struct rj_cell_demand *to,
-			 const struct rj_cell_demand *part)
+void rj_cell_demand_add(struct rj_cell_demand *to,
+			const struct rj_cell_demand *part)
 {
 	to->cpu_milli += part->cpu_milli;
 	to->memory_mb += part->memory_mb;
@@ -39,7 +39,7 @@
  * What a task of a step takes of its worker's room; the cores of scavenging
  * steps are not counted.
  */
-struct rj_cell_demand rj_cell_step_counted(const struct rj_cell_step *step)
+struct rj_cell_demand rj_cell_step_allocation(const struct rj_cell_step *step)
 {
 	struct rj_cell_demand demand = step->each;
 
--- a/src/libradishjunction/cell/cell_ends.c
+++ b/src/libradishjunction/cell/cell_ends.c
@@ -405,8 +405,8 @@
 	note_saved(task, saved && saved[0] ? saved : run->saved);
 	if (end == RJ_CELL_END_DONE && run->begun_us && !run->adopted &&
 	    !run->checkpoint[0])
-		rj_cell_forecast_learn(&owner->forecast, work->def->queue,
-				       owner->now_us - run->begun_us);
+		rj_cell_forecast_record_run(&owner->forecast, work->def->queue,
+					    owner->now_us - run->begun_us);
 	if (work->state < RJ_CELL_JOB_COMPLETED && !task->done) {
 		if (end == RJ_CELL_END_DONE)
 			note_done(owner, task);
--- a/src/libradishjunction/cell/cell_evacuate.c
+++ b/src/libradishjunction/cell/cell_evacuate.c
@@ -45,8 +45,8 @@
 			continue;
 		if (rj_cell_evacuate_now(
 			    rj_cell_task_step(run->task),
-			    rj_cell_forecast_left_us(&owner->forecast, run,
-						     owner->now_us),
+			    rj_cell_forecast_remaining_us(&owner->forecast, run,
+							  owner->now_us),
 			    owner->now_us, worker->leaves_us))
 			rj_cell_ends_stop_run(owner, run, RJ_CELL_WHY_LEAVES);
 	}
--- a/src/libradishjunction/cell/cell_flush.c
+++ b/src/libradishjunction/cell/cell_flush.c
@@ -157,7 +157,7 @@
 				     .number = owner->beat_number++ };
 	struct rj_bytes value;
 
-	rj_cell_admit_shares(owner, &beat);
+	rj_cell_admit_queues(owner, &beat);
 	value = rj_cell_beat_encode(owner->mem, &beat);
 	add_write(owner, RJ_CELL_RECORD_BEAT, "", value, NULL);
 	talloc_free((void *)value.data);
--- a/src/libradishjunction/cell/cell_forecast.c
+++ b/src/libradishjunction/cell/cell_forecast.c
@@ -56,8 +56,8 @@
 /*
  * A task of the queue has ended well after `ran_us`.
  */
-void rj_cell_forecast_learn(struct rj_cell_forecast *forecast,
-			    const char *queue, uint64_t ran_us)
+void rj_cell_forecast_record_run(struct rj_cell_forecast *forecast,
+				 const char *queue, uint64_t ran_us)
 {
 	struct mean *mean = obtain(forecast, queue);
 	double ms = (double)ran_us / RJ_US_PER_MS;
@@ -72,8 +72,8 @@
 /*
  * Take over what a former owner had learnt.
  */
-void rj_cell_forecast_set(struct rj_cell_forecast *forecast, const char *queue,
-			  uint32_t mean_ms)
+void rj_cell_forecast_seed(struct rj_cell_forecast *forecast, const char *queue,
+			   uint32_t mean_ms)
 {
 	struct mean *mean = obtain(forecast, queue);
 
@@ -108,8 +108,9 @@
 /*
  * The longest chain of steps, by what was learnt, in milliseconds.
  */
-uint64_t rj_cell_forecast_chain_ms(const struct rj_cell_forecast *forecast,
-				   const struct rj_cell_def *def)
+uint64_t
+rj_cell_forecast_critical_path_ms(const struct rj_cell_forecast *forecast,
+				  const struct rj_cell_def *def)
 {
 	uint64_t ends_ms[RJ_CELL_STEPS_MAX];
 	uint64_t longest_ms = 0;
@@ -151,9 +152,9 @@
  * Guards against urgent work that waits for ever for a run which should have
  * ended: one that is overdue may be slow, and is not about to end.
  */
-uint64_t rj_cell_forecast_left_us(const struct rj_cell_forecast *forecast,
-				  const struct rj_cell_run *run,
-				  uint64_t now_us)
+uint64_t rj_cell_forecast_remaining_us(const struct rj_cell_forecast *forecast,
+				       const struct rj_cell_run *run,
+				       uint64_t now_us)
 {
 	const struct rj_cell_task *task = run->task;
 	uint64_t whole_us;
@@ -175,18 +176,20 @@
 /* Bring the demand up to date. */
 static double decayed(const struct rj_cell_forecast *forecast, uint64_t now_us)
 {
-	uint64_t age_us =
-		now_us > forecast->urgent_us ? now_us - forecast->urgent_us : 0;
+	uint64_t age_us = now_us > forecast->urgent_updated_us ?
+				  now_us - forecast->urgent_updated_us :
+				  0;
 
-	return forecast->urgent_load *
+	return forecast->urgent_accelerators *
 	       exp(-(double)age_us / (double)URGENT_DECAY_US);
 }
 
 /*
  * An urgent job has come: it asks for accelerators for as long as it runs.
  */
-void rj_cell_forecast_demand(struct rj_cell_forecast *forecast,
-			     const struct rj_cell_def *def, uint64_t now_us)
+void rj_cell_forecast_record_urgent(struct rj_cell_forecast *forecast,
+				    const struct rj_cell_def *def,
+				    uint64_t now_us)
 {
 	double need = 0;
 
@@ -195,16 +198,17 @@
 			def->steps[i].each.accelerators *
 			(double)rj_cell_forecast_task_ms(forecast, def, i) *
 			RJ_US_PER_MS;
-	forecast->urgent_load =
+	forecast->urgent_accelerators =
 		decayed(forecast, now_us) + need / (double)URGENT_DECAY_US;
-	forecast->urgent_us = now_us;
+	forecast->urgent_updated_us = now_us;
 }
 
 /*
  * How many accelerators urgent work keeps busy, on average of late.
  */
-double rj_cell_forecast_urgent(const struct rj_cell_forecast *forecast,
-			       uint64_t now_us)
+double
+rj_cell_forecast_urgent_accelerators(const struct rj_cell_forecast *forecast,
+				     uint64_t now_us)
 {
 	return decayed(forecast, now_us);
 }
--- a/src/libradishjunction/cell/cell_metrics.c
+++ b/src/libradishjunction/cell/cell_metrics.c
@@ -117,7 +117,7 @@
 		labelled(text, "tasks_waiting", "priority", priorities[i],
 			 waiting->tasks);
 		labelled(text, "oldest_wait_ms", "priority", priorities[i],
-			 waiting->oldest_us / RJ_US_PER_MS);
+			 waiting->longest_wait_us / RJ_US_PER_MS);
 	}
 	number(text, "accelerators_reserved", owner->backlog.reserved);
 	number(text, "accelerators_reserved_free",
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -323,9 +323,9 @@
 {
 	for (uint32_t i = 0;
 	     node->front.beat_us && i < node->front.beat.share_count; i++)
-		rj_cell_forecast_set(&node->owner.forecast,
-				     node->front.beat.shares[i].queue,
-				     node->front.beat.shares[i].mean_ms);
+		rj_cell_forecast_seed(&node->owner.forecast,
+				      node->front.beat.shares[i].queue,
+				      node->front.beat.shares[i].mean_ms);
 	rj_cell_takeover_begin(&node->takeover, node->tenure.token,
 			       node->tenure.record.epoch, node->now_us,
 			       node->wall_ms);
--- a/src/libradishjunction/cell/cell_owner.c
+++ b/src/libradishjunction/cell/cell_owner.c
@@ -111,7 +111,8 @@
 	uint64_t age_ms = owner->wall_ms > def->accepted_ms ?
 				  owner->wall_ms - def->accepted_ms :
 				  0;
-	uint64_t chain_ms = rj_cell_forecast_chain_ms(&owner->forecast, def);
+	uint64_t chain_ms =
+		rj_cell_forecast_critical_path_ms(&owner->forecast, def);
 	uint64_t objective_us =
 		(chain_ms * def->stretch_milli / 1000 + def->latency_ms) *
 		RJ_US_PER_MS;
@@ -191,8 +192,8 @@
 	if (!entry->work) {
 		adopt(owner, entry);
 		if (!entry->def->priority)
-			rj_cell_forecast_demand(&owner->forecast, entry->def,
-						owner->now_us);
+			rj_cell_forecast_record_urgent(
+				&owner->forecast, entry->def, owner->now_us);
 		note_taken(entry);
 	}
 	if (entry->cancelled && !entry->work->cancelled) {
@@ -444,10 +445,10 @@
 			 const struct rj_cell_plan *plan)
 {
 	rj_cell_backlog_sum(plan, &owner->backlog);
-	if (!plan->waiting || owner->now_us < owner->backlog_due_us)
+	if (!plan->waiting_tasks || owner->now_us < owner->backlog_due_us)
 		return;
 	owner->backlog_due_us = owner->now_us + BACKLOG_NOTE_US;
-	rj_cell_backlog_note(&owner->backlog);
+	rj_cell_backlog_log(&owner->backlog);
 }
 
 /* Plan, and note what was decided. */
@@ -474,7 +475,8 @@
 				      RJ_CELL_WHY_RECLAIMED);
 	owner->plan_wanted = false;
 	rj_cell_advice_ask(owner, &plan);
-	owner->plan_due_us = MIN(plan.next_us, owner->now_us + PLAN_IDLE_US);
+	owner->plan_due_us =
+		MIN(plan.next_retry_us, owner->now_us + PLAN_IDLE_US);
 	owner->plan_from_us =
 		owner->now_us +
 		MAX(PLAN_PAUSE_US,
--- a/src/libradishjunction/cell/cell_place.c
+++ b/src/libradishjunction/cell/cell_place.c
@@ -28,8 +28,8 @@
  * Load that it answers: steps of hundreds of tasks that are to be kept apart;
  * each task would count all of them on each worker.
  */
-void rj_cell_place_count_siblings(struct rj_cell_plan *plan,
-				  const struct rj_cell_unit *unit)
+void rj_cell_place_count_step_runs(struct rj_cell_plan *plan,
+				   const struct rj_cell_task_group *unit)
 {
 	const struct rj_cell_def *def = unit->work->def;
 	uint32_t first = rj_cell_def_first_task(def, unit->step);
@@ -39,8 +39,8 @@
 	for (uint32_t i = 0; i < plan->room_count; i++)
 		plan->rooms[i].siblings = 0;
 	for (guint i = 0; i < plan->starts->len; i++) {
-		const struct rj_cell_choice *choice =
-			&g_array_index(plan->starts, struct rj_cell_choice, i);
+		const struct rj_cell_planned_start *choice = &g_array_index(
+			plan->starts, struct rj_cell_planned_start, i);
 
 		if (choice->task->round == unit->round &&
 		    choice->task->step == unit->step)
@@ -58,7 +58,7 @@
 }
 
 /* Whether a worker has as many runs of a step as it may. */
-static bool has_all_siblings(const struct rj_cell_room *room,
+static bool has_all_siblings(const struct rj_cell_plan_worker *room,
 			     const struct rj_cell_step *step)
 {
 	return step->per_worker_max && room->siblings >= step->per_worker_max;
@@ -77,8 +77,8 @@
  * Whether a task has to keep to workers that are known to be sound: it has no
  * attempt left after this one, and workers have begun to fail.
  */
-bool rj_cell_place_wants_sound(const struct rj_cell_plan *plan,
-			       struct rj_cell_task *task)
+bool rj_cell_place_needs_healthy(const struct rj_cell_plan *plan,
+				 struct rj_cell_task *task)
 {
 	return is_last_attempt(task) &&
 	       rj_cell_failure_wants_sound(&plan->failures, task->waiting_us,
@@ -95,25 +95,25 @@
 		return false;
 	return worker->bad_streak ||
 	       (!rj_cell_failure_is_sound(&plan->failures, worker->sound_us) &&
-		rj_cell_place_wants_sound(plan, task));
+		rj_cell_place_needs_healthy(plan, task));
 }
 
 /*
  * Whether a worker may run a task at all, its room aside.
  */
-bool rj_cell_place_may_run(const struct rj_cell_plan *plan,
-			   const struct rj_cell_room *room,
-			   const struct rj_cell_unit *unit,
-			   struct rj_cell_task *task,
-			   const struct rj_cell_way *way)
+bool rj_cell_place_is_eligible(const struct rj_cell_plan *plan,
+			       const struct rj_cell_plan_worker *room,
+			       const struct rj_cell_task_group *unit,
+			       struct rj_cell_task *task,
+			       const struct rj_cell_placement_options *way)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
 	const struct rj_cell_worker *worker = room->worker;
 
 	if (way->domain && worker->domain != way->domain)
 		return false;
-	if ((room->reserved && !unit->into_reserved) ||
-	    (room->exclusive && !unit->into_exclusive))
+	if ((room->reserved && !unit->may_use_reserved) ||
+	    (room->exclusive && !unit->may_use_exclusive))
 		return false;
 	if (worker->service != unit->service)
 		return false;
@@ -138,20 +138,21 @@
 
 /* The bounds on what is free in a range for a way, or NULL where others may be
  * stopped or are waited for. */
-static const struct rj_cell_rack_free *
-free_for(const struct rj_cell_range *range, const struct rj_cell_way *way)
+static const struct rj_cell_free_bounds *
+free_for(const struct rj_cell_worker_range *range,
+	 const struct rj_cell_placement_options *way)
 {
-	if (way->stop_others || way->when == RJ_CELL_LATER)
+	if (way->may_preempt || way->when == RJ_CELL_HORIZON_COMPLETIONS)
 		return NULL;
-	return way->when == RJ_CELL_NOW ? &range->now : &range->soon;
+	return way->when == RJ_CELL_HORIZON_NOW ? &range->now : &range->soon;
 }
 
 /* Whether a range is allowed, and may hold one task that wants so much. */
-static bool may_hold_one(const struct rj_cell_range *range,
-			 const struct rj_cell_way *way,
+static bool may_hold_one(const struct rj_cell_worker_range *range,
+			 const struct rj_cell_placement_options *way,
 			 const struct rj_cell_demand *want)
 {
-	const struct rj_cell_rack_free *have = free_for(range, way);
+	const struct rj_cell_free_bounds *have = free_for(range, way);
 
 	if (way->domain && range->domain && range->domain != way->domain)
 		return false;
@@ -162,9 +163,10 @@
  * Begin a walk over the rooms that a way allows, those of a rack or all, for
  * tasks that want so much each. `way` must outlast it.
  */
-void rj_cell_walk_init(struct rj_cell_walk *walk, struct rj_cell_plan *plan,
-		       const struct rj_cell_way *way,
-		       const struct rj_cell_demand *want)
+void rj_cell_worker_iterator_init(struct rj_cell_worker_iterator *walk,
+				  struct rj_cell_plan *plan,
+				  const struct rj_cell_placement_options *way,
+				  const struct rj_cell_demand *want)
 {
 	memset(walk, 0, sizeof(*walk));
 	walk->plan = plan;
@@ -177,14 +179,16 @@
 /*
  * The next room, in the order of the plan's rooms, or NULL at the end.
  */
-struct rj_cell_room *rj_cell_walk_next(struct rj_cell_walk *walk)
+struct rj_cell_plan_worker *
+rj_cell_worker_iterator_next(struct rj_cell_worker_iterator *walk)
 {
 	while (walk->room == walk->end) {
-		const struct rj_cell_range *range;
+		const struct rj_cell_worker_range *range;
 
 		if (walk->range >= walk->ranges_end)
 			return NULL;
-		range = &g_array_index(walk->plan->ranges, struct rj_cell_range,
+		range = &g_array_index(walk->plan->ranges,
+				       struct rj_cell_worker_range,
 				       walk->range++);
 		if (!may_hold_one(range, walk->way, &walk->want))
 			continue;
@@ -202,9 +206,9 @@
  * Load that it answers: a full site with a backlog of gangs, each of which
  * would weigh all workers for each of its members in each plan.
  */
-bool rj_cell_place_may_hold(const struct rj_cell_plan *plan,
-			    const struct rj_cell_way *way,
-			    const struct rj_cell_demand *want, uint32_t count)
+bool rj_cell_place_may_fit(const struct rj_cell_plan *plan,
+			   const struct rj_cell_placement_options *way,
+			   const struct rj_cell_demand *want, uint32_t count)
 {
 	uint64_t wanted = (uint64_t)want->accelerators * count;
 	guint first = way->rack ? way->rack->range : 0;
@@ -212,9 +216,9 @@
 	uint64_t sum = 0;
 
 	for (guint i = first; i < end; i++) {
-		const struct rj_cell_range *range =
-			&g_array_index(plan->ranges, struct rj_cell_range, i);
-		const struct rj_cell_rack_free *have = free_for(range, way);
+		const struct rj_cell_worker_range *range = &g_array_index(
+			plan->ranges, struct rj_cell_worker_range, i);
+		const struct rj_cell_free_bounds *have = free_for(range, way);
 
 		if (!have)
 			return true;
@@ -258,8 +262,8 @@
  * they share a worker only where there is no other.
  */
 static uint64_t placement_cost(const struct rj_cell_plan *plan,
-			       const struct rj_cell_room *room,
-			       const struct rj_cell_unit *unit,
+			       const struct rj_cell_plan_worker *room,
+			       const struct rj_cell_task_group *unit,
 			       struct rj_cell_task *task,
 			       const struct rj_cell_demand *have)
 {
@@ -281,26 +285,26 @@
 }
 
 /* The best room for one task in what is free now or soon, or NULL. */
-static struct rj_cell_room *best_fit(struct rj_cell_plan *plan,
-				     const struct rj_cell_unit *unit,
-				     struct rj_cell_task *task,
-				     const struct rj_cell_way *way)
+static struct rj_cell_plan_worker *
+best_fit(struct rj_cell_plan *plan, const struct rj_cell_task_group *unit,
+	 struct rj_cell_task *task, const struct rj_cell_placement_options *way)
 {
 	struct rj_cell_demand want =
-		rj_cell_step_counted(rj_cell_task_step(task));
-	struct rj_cell_room *best = NULL;
-	struct rj_cell_room *room;
-	struct rj_cell_walk walk;
+		rj_cell_step_allocation(rj_cell_task_step(task));
+	struct rj_cell_plan_worker *best = NULL;
+	struct rj_cell_plan_worker *room;
+	struct rj_cell_worker_iterator walk;
 	uint64_t best_cost = 0;
 
-	rj_cell_walk_init(&walk, plan, way, &want);
-	while ((room = rj_cell_walk_next(&walk))) {
+	rj_cell_worker_iterator_init(&walk, plan, way, &want);
+	while ((room = rj_cell_worker_iterator_next(&walk))) {
 		const struct rj_cell_demand *have =
-			way->when == RJ_CELL_NOW ? &room->now : &room->soon;
+			way->when == RJ_CELL_HORIZON_NOW ? &room->now :
+							   &room->soon;
 		uint64_t cost;
 
 		if (!rj_cell_demand_fits(&want, have) ||
-		    !rj_cell_place_may_run(plan, room, unit, task, way))
+		    !rj_cell_place_is_eligible(plan, room, unit, task, way))
 			continue;
 		cost = placement_cost(plan, room, unit, task, have);
 		if (best && cost >= best_cost)
@@ -316,7 +320,7 @@
  * there, if nothing else starts on it; RJ_NEVER_US when it never will.
  */
 static uint64_t ready_in_us(struct rj_cell_plan *plan,
-			    const struct rj_cell_room *room,
+			    const struct rj_cell_plan_worker *room,
 			    const struct rj_cell_demand *want)
 {
 	struct rj_cell_demand need = *want;
@@ -324,12 +328,12 @@
 	const struct rj_cell_releases *releases;
 	uint64_t ready_us = 0;
 
-	rj_cell_demand_give(&need, &room->promised);
+	rj_cell_demand_add(&need, &room->promised);
 	if (rj_cell_demand_fits(&need, &have))
 		return 0;
 	if (!rj_cell_demand_fits(&need, &room->worker->said.capacity))
 		return RJ_NEVER_US;
-	releases = rj_cell_releases_of(plan, room);
+	releases = rj_cell_releases_get(plan, room);
 	for (uint32_t i = 0;
 	     i < releases->count && !rj_cell_demand_fits(&need, &have); i++) {
 		const struct rj_cell_release *release = &releases->by_time[i];
@@ -337,31 +341,30 @@
 		/* The room of a victim is counted as free already. */
 		if (release->run->victim || release->run->why)
 			continue;
-		rj_cell_demand_give(&have, &release->run->held);
+		rj_cell_demand_add(&have, &release->run->held);
 		ready_us = release->left_us;
 	}
 	return rj_cell_demand_fits(&need, &have) ? ready_us : RJ_NEVER_US;
 }
 
 /* The room that comes free first for one task, or NULL. */
-static struct rj_cell_room *first_ready(struct rj_cell_plan *plan,
-					struct rj_cell_trial *trial,
-					const struct rj_cell_unit *unit,
-					struct rj_cell_task *task,
-					const struct rj_cell_way *way)
+static struct rj_cell_plan_worker *
+first_ready(struct rj_cell_plan *plan, struct rj_cell_placement *trial,
+	    const struct rj_cell_task_group *unit, struct rj_cell_task *task,
+	    const struct rj_cell_placement_options *way)
 {
 	struct rj_cell_demand want =
-		rj_cell_step_counted(rj_cell_task_step(task));
-	struct rj_cell_room *best = NULL;
-	struct rj_cell_room *room;
-	struct rj_cell_walk walk;
+		rj_cell_step_allocation(rj_cell_task_step(task));
+	struct rj_cell_plan_worker *best = NULL;
+	struct rj_cell_plan_worker *room;
+	struct rj_cell_worker_iterator walk;
 	uint64_t best_us = RJ_NEVER_US;
 
-	rj_cell_walk_init(&walk, plan, way, &want);
-	while ((room = rj_cell_walk_next(&walk))) {
+	rj_cell_worker_iterator_init(&walk, plan, way, &want);
+	while ((room = rj_cell_worker_iterator_next(&walk))) {
 		uint64_t ready_us;
 
-		if (!rj_cell_place_may_run(plan, room, unit, task, way))
+		if (!rj_cell_place_is_eligible(plan, room, unit, task, way))
 			continue;
 		ready_us = ready_in_us(plan, room, &want);
 		if (ready_us >= best_us)
@@ -375,16 +378,17 @@
 }
 
 /* Take the room of one task; what is not free yet is promised. */
-static void take_room(struct rj_cell_room *room,
-		      const struct rj_cell_step *step, enum rj_cell_when when)
+static void take_room(struct rj_cell_plan_worker *room,
+		      const struct rj_cell_step *step,
+		      enum rj_cell_horizon when)
 {
-	struct rj_cell_demand want = rj_cell_step_counted(step);
+	struct rj_cell_demand want = rj_cell_step_allocation(step);
 
-	if (when == RJ_CELL_LATER)
-		rj_cell_demand_give(&room->promised, &want);
+	if (when == RJ_CELL_HORIZON_COMPLETIONS)
+		rj_cell_demand_add(&room->promised, &want);
 	else
-		rj_cell_demand_take(&room->soon, &want);
-	rj_cell_demand_take(&room->now, &want);
+		rj_cell_demand_subtract(&room->soon, &want);
+	rj_cell_demand_subtract(&room->now, &want);
 	room->siblings++;
 	if (step->target_ms)
 		room->serving++;
@@ -395,11 +399,13 @@
 /*
  * Begin a trial.
  */
-void rj_cell_trial_init(struct rj_cell_trial *trial, struct rj_cell_plan *plan)
+void rj_cell_placement_init(struct rj_cell_placement *trial,
+			    struct rj_cell_plan *plan)
 {
 	memset(trial, 0, sizeof(*trial));
 	trial->plan = plan;
-	trial->changes = g_array_new(FALSE, FALSE, sizeof(struct rj_cell_room));
+	trial->changes =
+		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_plan_worker));
 	trial->workers = g_ptr_array_new();
 	trial->victims = g_ptr_array_new();
 }
@@ -407,8 +413,8 @@
 /*
  * A room is about to be changed by a trial.
  */
-void rj_cell_trial_change(struct rj_cell_trial *trial,
-			  struct rj_cell_room *room)
+void rj_cell_placement_save_worker(struct rj_cell_placement *trial,
+				   struct rj_cell_plan_worker *room)
 {
 	g_array_append_val(trial->changes, *room);
 }
@@ -416,11 +422,11 @@
 /*
  * End a trial: what has not been taken is undone.
  */
-void rj_cell_trial_finish(struct rj_cell_trial *trial)
+void rj_cell_placement_finish(struct rj_cell_placement *trial)
 {
 	for (guint i = trial->changes->len; i > 0; i--) {
-		const struct rj_cell_room *before = &g_array_index(
-			trial->changes, struct rj_cell_room, i - 1);
+		const struct rj_cell_plan_worker *before = &g_array_index(
+			trial->changes, struct rj_cell_plan_worker, i - 1);
 
 		*before->worker->room = *before;
 	}
@@ -428,7 +434,7 @@
 		struct rj_cell_run *run = trial->victims->pdata[i];
 
 		run->victim = false;
-		rj_cell_plan_retain(trial->plan, run);
+		rj_cell_plan_restore_run(trial->plan, run);
 	}
 	g_array_free(trial->changes, TRUE);
 	g_ptr_array_free(trial->workers, TRUE);
@@ -440,8 +446,8 @@
  * step, or of its gang: it keeps off no worker, and is in no danger of using
  * up its attempts.
  */
-bool rj_cell_place_is_plain(const struct rj_cell_plan *plan,
-			    struct rj_cell_task *task)
+bool rj_cell_place_is_uniform(const struct rj_cell_plan *plan,
+			      struct rj_cell_task *task)
 {
 	return plan->now_us >= task->avoid_until_us &&
 	       !rj_cell_task_head(task)->failures;
@@ -452,25 +458,26 @@
 		      struct rj_cell_task **tasks, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++)
-		if (!rj_cell_place_is_plain(plan, tasks[i]))
+		if (!rj_cell_place_is_uniform(plan, tasks[i]))
 			return false;
 	return true;
 }
 
 /* What placing one more of some tasks in a room costs, or RJ_NEVER_US where it
  * cannot be placed there. */
-static uint64_t cost_of(struct rj_cell_plan *plan, struct rj_cell_room *room,
-			const struct rj_cell_unit *unit,
+static uint64_t cost_of(struct rj_cell_plan *plan,
+			struct rj_cell_plan_worker *room,
+			const struct rj_cell_task_group *unit,
 			struct rj_cell_task *task,
 			const struct rj_cell_demand *want,
-			const struct rj_cell_way *way)
+			const struct rj_cell_placement_options *way)
 {
 	const struct rj_cell_demand *have =
-		way->when == RJ_CELL_NOW ? &room->now : &room->soon;
+		way->when == RJ_CELL_HORIZON_NOW ? &room->now : &room->soon;
 
 	if (has_all_siblings(room, rj_cell_task_step(task)))
 		return RJ_NEVER_US;
-	if (way->when == RJ_CELL_LATER)
+	if (way->when == RJ_CELL_HORIZON_COMPLETIONS)
 		return ready_in_us(plan, room, want);
 	if (!rj_cell_demand_fits(want, have))
 		return RJ_NEVER_US;
@@ -482,27 +489,27 @@
  * Returns how many do. They go where they would go one by one: a room that has
  * taken one only changes its own cost.
  */
-uint32_t rj_cell_place_alike(struct rj_cell_plan *plan,
-			     struct rj_cell_trial *trial,
-			     const struct rj_cell_unit *unit,
-			     struct rj_cell_task **tasks, uint32_t count,
-			     const struct rj_cell_way *way)
+uint32_t rj_cell_place_uniform(struct rj_cell_plan *plan,
+			       struct rj_cell_placement *trial,
+			       const struct rj_cell_task_group *unit,
+			       struct rj_cell_task **tasks, uint32_t count,
+			       const struct rj_cell_placement_options *way)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(tasks[0]);
-	struct rj_cell_demand want = rj_cell_step_counted(step);
+	struct rj_cell_demand want = rj_cell_step_allocation(step);
 	struct rj_cell_candidates candidates;
-	struct rj_cell_walk walk;
-	struct rj_cell_room *room;
+	struct rj_cell_worker_iterator walk;
+	struct rj_cell_plan_worker *room;
 	uint32_t placed = 0;
 
-	assert(!way->stop_others);
+	assert(!way->may_preempt);
 	rj_cell_candidates_init(&candidates);
-	rj_cell_walk_init(&walk, plan, way, &want);
-	while ((room = rj_cell_walk_next(&walk))) {
+	rj_cell_worker_iterator_init(&walk, plan, way, &want);
+	while ((room = rj_cell_worker_iterator_next(&walk))) {
 		uint64_t cost = cost_of(plan, room, unit, tasks[0], &want, way);
 
 		if (cost != RJ_NEVER_US &&
-		    rj_cell_place_may_run(plan, room, unit, tasks[0], way))
+		    rj_cell_place_is_eligible(plan, room, unit, tasks[0], way))
 			rj_cell_candidates_push(&candidates, cost, room);
 	}
 	while (placed < count) {
@@ -512,9 +519,10 @@
 
 		if (!best.room)
 			break;
-		if (way->when == RJ_CELL_LATER && best.cost > trial->ready_us)
+		if (way->when == RJ_CELL_HORIZON_COMPLETIONS &&
+		    best.cost > trial->ready_us)
 			trial->ready_us = best.cost;
-		rj_cell_trial_change(trial, best.room);
+		rj_cell_placement_save_worker(trial, best.room);
 		take_room(best.room, step, way->when);
 		g_ptr_array_add(trial->workers, best.room->worker);
 		placed++;
@@ -529,31 +537,32 @@
 /*
  * Try to place all of `tasks`. Returns whether all of them have a place.
  */
-bool rj_cell_place_group(struct rj_cell_plan *plan, struct rj_cell_trial *trial,
-			 const struct rj_cell_unit *unit,
+bool rj_cell_place_group(struct rj_cell_plan *plan,
+			 struct rj_cell_placement *trial,
+			 const struct rj_cell_task_group *unit,
 			 struct rj_cell_task **tasks, uint32_t count,
-			 const struct rj_cell_way *way)
+			 const struct rj_cell_placement_options *way)
 {
 	struct rj_cell_demand want =
-		rj_cell_step_counted(rj_cell_task_step(tasks[0]));
+		rj_cell_step_allocation(rj_cell_task_step(tasks[0]));
 
-	if (!rj_cell_place_may_hold(plan, way, &want, count))
+	if (!rj_cell_place_may_fit(plan, way, &want, count))
 		return false;
-	if (count > 1 && !way->stop_others && are_alike(plan, tasks, count))
-		return rj_cell_place_alike(plan, trial, unit, tasks, count,
-					   way) == count;
+	if (count > 1 && !way->may_preempt && are_alike(plan, tasks, count))
+		return rj_cell_place_uniform(plan, trial, unit, tasks, count,
+					     way) == count;
 	for (uint32_t i = 0; i < count; i++) {
-		struct rj_cell_room *room =
-			way->when == RJ_CELL_LATER ?
+		struct rj_cell_plan_worker *room =
+			way->when == RJ_CELL_HORIZON_COMPLETIONS ?
 				first_ready(plan, trial, unit, tasks[i], way) :
 				best_fit(plan, unit, tasks[i], way);
 
-		if (!room && way->stop_others)
-			room = rj_cell_reclaim_room(plan, trial, unit, tasks[i],
-						    way);
-		if (!room || trial->loss_milli > way->loss_max_milli)
+		if (!room && way->may_preempt)
+			room = rj_cell_reclaim_find_worker(plan, trial, unit,
+							   tasks[i], way);
+		if (!room || trial->loss_milli > way->max_loss_milli)
 			return false;
-		rj_cell_trial_change(trial, room);
+		rj_cell_placement_save_worker(trial, room);
 		take_room(room, rj_cell_task_step(tasks[i]), way->when);
 		g_ptr_array_add(trial->workers, room->worker);
 	}
@@ -564,7 +573,7 @@
  * Keep what a trial has changed, and list its victims, which the owner has to
  * stop.
  */
-void rj_cell_trial_take(struct rj_cell_trial *trial)
+void rj_cell_placement_commit(struct rj_cell_placement *trial)
 {
 	g_array_set_size(trial->changes, 0);
 	for (guint i = 0; i < trial->victims->len; i++) {
--- a/src/libradishjunction/cell/cell_rooms.c
+++ b/src/libradishjunction/cell/cell_plan_workers.c
@@ -25,7 +25,8 @@
 #define GATHER_EFFORT 4
 
 /* Add what some runs hold. */
-static void hold(struct rj_cell_held *held, const struct rj_cell_demand *demand)
+static void hold(struct rj_cell_allocation *held,
+		 const struct rj_cell_demand *demand)
 {
 	held->cpu_milli += demand->cpu_milli;
 	held->memory_mb += demand->memory_mb;
@@ -35,17 +36,17 @@
 /*
  * A task of a job is started.
  */
-void rj_cell_plan_hold(struct rj_cell_plan *plan,
-		       const struct rj_cell_work *work,
-		       const struct rj_cell_demand *demand)
+void rj_cell_plan_add_allocation(struct rj_cell_plan *plan,
+				 const struct rj_cell_work *work,
+				 const struct rj_cell_demand *demand)
 {
 	hold(&plan->held[rj_cell_work_class(work)], demand);
 }
 
 /* What the priority of a run holds, or NULL: it is not on one of the plan's
  * rooms, or its job is not known. */
-static struct rj_cell_held *held_by(struct rj_cell_plan *plan,
-				    const struct rj_cell_run *run)
+static struct rj_cell_allocation *held_by(struct rj_cell_plan *plan,
+					  const struct rj_cell_run *run)
 {
 	if (!run->task || !run->worker->room)
 		return NULL;
@@ -55,10 +56,10 @@
 /*
  * A run is not stopped after all, and counts as held again.
  */
-void rj_cell_plan_retain(struct rj_cell_plan *plan,
-			 const struct rj_cell_run *run)
+void rj_cell_plan_restore_run(struct rj_cell_plan *plan,
+			      const struct rj_cell_run *run)
 {
-	struct rj_cell_held *held = held_by(plan, run);
+	struct rj_cell_allocation *held = held_by(plan, run);
 
 	if (held)
 		hold(held, &run->held);
@@ -67,10 +68,10 @@
 /*
  * A run is stopped, and does not count as held any more.
  */
-void rj_cell_plan_release(struct rj_cell_plan *plan,
-			  const struct rj_cell_run *run)
+void rj_cell_plan_release_run(struct rj_cell_plan *plan,
+			      const struct rj_cell_run *run)
 {
-	struct rj_cell_held *held = held_by(plan, run);
+	struct rj_cell_allocation *held = held_by(plan, run);
 
 	if (!held)
 		return;
@@ -84,12 +85,13 @@
 {
 	struct rj_cell_demand left = worker->said.capacity;
 
-	rj_cell_demand_take(&left, &worker->held);
+	rj_cell_demand_subtract(&left, &worker->held);
 	return left;
 }
 
 /* Room that comes free when what is stopping has gone. */
-static void add_stopping(struct rj_cell_plan *plan, struct rj_cell_room *room)
+static void add_stopping(struct rj_cell_plan *plan,
+			 struct rj_cell_plan_worker *room)
 {
 	const struct rj_list *at;
 
@@ -100,8 +102,8 @@
 
 		if (run->state != RJ_CELL_RUN_STOPPING)
 			continue;
-		rj_cell_demand_give(&room->soon, &run->held);
-		rj_cell_plan_release(plan, run);
+		rj_cell_demand_add(&room->soon, &run->held);
+		rj_cell_plan_release_run(plan, run);
 	}
 }
 
@@ -129,7 +131,7 @@
 }
 
 /* How much of one kind of room is in use. */
-static uint32_t percent(const struct rj_cell_share_used *share)
+static uint32_t percent(const struct rj_cell_utilization *share)
 {
 	return share->all ? (uint32_t)(share->used * 100 / share->all) : 0;
 }
@@ -145,13 +147,12 @@
 
 /* Reserve one rack; returns its accelerators. */
 static double reserve_rack(struct rj_cell_plan *plan,
-			   const struct rj_cell_rack_rooms *rack,
-			   bool exclusive)
+			   const struct rj_cell_plan_rack *rack, bool exclusive)
 {
 	double accelerators = 0;
 
 	for (uint32_t i = rack->first; i < rack->first + rack->count; i++) {
-		struct rj_cell_room *room = &plan->rooms[i];
+		struct rj_cell_plan_worker *room = &plan->rooms[i];
 
 		room->reserved = true;
 		room->exclusive = exclusive;
@@ -171,12 +172,13 @@
  */
 static void reserve_racks(struct rj_cell_plan *plan)
 {
-	double urgent = rj_cell_forecast_urgent(plan->forecast, plan->now_us);
+	double urgent = rj_cell_forecast_urgent_accelerators(plan->forecast,
+							     plan->now_us);
 	double need = RESERVED_FACTOR * urgent + RESERVED_EXTRA;
 	double exclusive = EXCLUSIVE_FACTOR * urgent;
 	guint count = plan->racks->len * RESERVED_RACKS_PERCENT / 100;
 
-	if (!plan->forecast->urgent_us)
+	if (!plan->forecast->urgent_updated_us)
 		return;
 	if (plan->misses_objective) {
 		need = MIN(need,
@@ -186,7 +188,7 @@
 	for (guint i = 0; i < count && need > 0; i++) {
 		double reserved = reserve_rack(
 			plan,
-			&g_array_index(plan->racks, struct rj_cell_rack_rooms,
+			&g_array_index(plan->racks, struct rj_cell_plan_rack,
 				       i),
 			exclusive > 0);
 
@@ -198,8 +200,8 @@
 /* Racks of different failure domains take turns. */
 static gint by_rank(gconstpointer a, gconstpointer b)
 {
-	const struct rj_cell_rack_rooms *left = a;
-	const struct rj_cell_rack_rooms *right = b;
+	const struct rj_cell_plan_rack *left = a;
+	const struct rj_cell_plan_rack *right = b;
 
 	if (left->rank != right->rank)
 		return left->rank < right->rank ? -1 : 1;
@@ -228,15 +230,16 @@
 
 /* Add the rooms of one rack, with bounds on what is free there. */
 static void add_range(struct rj_cell_plan *plan,
-		      const struct rj_cell_rack_rooms *rack)
+		      const struct rj_cell_plan_rack *rack)
 {
-	struct rj_cell_range range = { .domain = rack->mixed ? NULL :
-							       rack->domain,
-				       .first = rack->first,
-				       .count = rack->count };
+	struct rj_cell_worker_range range = { .domain = rack->mixed ?
+								NULL :
+								rack->domain,
+					      .first = rack->first,
+					      .count = rack->count };
 
 	for (uint32_t i = rack->first; i < rack->first + rack->count; i++) {
-		struct rj_cell_room *room = &plan->rooms[i];
+		struct rj_cell_plan_worker *room = &plan->rooms[i];
 
 		room->rack = plan->ranges->len;
 		raise_bound(&range.now.most, &room->now);
@@ -251,11 +254,11 @@
  * A trial has freed something of a room that comes free soon: the bounds of
  * its rack must not be too low.
  */
-void rj_cell_plan_note_freed(struct rj_cell_plan *plan,
-			     const struct rj_cell_room *room)
+void rj_cell_plan_raise_bounds(struct rj_cell_plan *plan,
+			       const struct rj_cell_plan_worker *room)
 {
-	struct rj_cell_range *range =
-		&g_array_index(plan->ranges, struct rj_cell_range, room->rack);
+	struct rj_cell_worker_range *range = &g_array_index(
+		plan->ranges, struct rj_cell_worker_range, room->rack);
 
 	raise_bound(&range->soon.most, &room->soon);
 	range->soon.accelerators += room->worker->said.capacity.accelerators;
@@ -264,7 +267,7 @@
 /* Add the room of one worker, if it may get work. */
 static void add_room(struct rj_cell_plan *plan, struct rj_cell_worker *worker)
 {
-	struct rj_cell_room *room = &plan->rooms[plan->room_count];
+	struct rj_cell_plan_worker *room = &plan->rooms[plan->room_count];
 
 	worker->room = NULL;
 	if (!rj_cell_worker_usable(worker, plan->now_us))
@@ -288,12 +291,12 @@
  * Gather the rooms of all workers that may get work, rack by rack in an order
  * that does not change.
  */
-void rj_cell_plan_gather_rooms(struct rj_cell_plan *plan)
+void rj_cell_plan_gather_workers(struct rj_cell_plan *plan)
 {
 	const GPtrArray *racks = plan->fleet->racks;
 	struct rj_cell_domain *domain;
 
-	plan->rooms = talloc_zero_array(NULL, struct rj_cell_room,
+	plan->rooms = talloc_zero_array(NULL, struct rj_cell_plan_worker,
 					plan->fleet->count);
 	assert(plan->rooms || !plan->fleet->count);
 	plan->releases = talloc_zero_array(plan->rooms, struct rj_cell_releases,
@@ -306,8 +309,8 @@
 	}
 	for (guint i = 0; i < racks->len; i++) {
 		struct rj_cell_rack *rack = racks->pdata[i];
-		struct rj_cell_rack_rooms rooms = { .name = rack->name,
-						    .first = plan->room_count };
+		struct rj_cell_plan_rack rooms = { .name = rack->name,
+						   .first = plan->room_count };
 		struct rj_list *at;
 		struct rj_list *next;
 
--- a/src/libradishjunction/cell/cell_reclaim.c
+++ b/src/libradishjunction/cell/cell_reclaim.c
@@ -27,9 +27,9 @@
 /*
  * The work of `count` tasks of a unit, in core-milliseconds.
  */
-uint64_t rj_cell_reclaim_own_milli(const struct rj_cell_plan *plan,
-				   const struct rj_cell_unit *unit,
-				   uint32_t count)
+uint64_t rj_cell_reclaim_group_cost_milli(const struct rj_cell_plan *plan,
+					  const struct rj_cell_task_group *unit,
+					  uint32_t count)
 {
 	const struct rj_cell_def *def = unit->work->def;
 
@@ -55,7 +55,7 @@
  * what others have beyond their guarantees. */
 static bool gives_way(const struct rj_cell_plan *plan,
 		      const struct rj_cell_work *work,
-		      const struct rj_cell_unit *unit)
+		      const struct rj_cell_task_group *unit)
 {
 	if (work->def->priority > unit->work->def->priority)
 		return !unit->work->def->priority ||
@@ -66,7 +66,7 @@
 /* Whether a run may be stopped for the work of a unit. */
 static bool may_stop(const struct rj_cell_plan *plan,
 		     const struct rj_cell_run *run,
-		     const struct rj_cell_unit *unit)
+		     const struct rj_cell_task_group *unit)
 {
 	return run->task && !run->why && run->state != RJ_CELL_RUN_STOPPING &&
 	       run->state != RJ_CELL_RUN_INTENDED &&
@@ -98,7 +98,7 @@
 /* Whether a run may be stopped for a unit, and is not going to be. */
 static bool is_candidate(const struct rj_cell_plan *plan,
 			 const struct rj_cell_release *release,
-			 const struct rj_cell_unit *unit)
+			 const struct rj_cell_task_group *unit)
 {
 	return !release->run->victim && may_stop(plan, release->run, unit);
 }
@@ -109,13 +109,13 @@
  * is no way.
  */
 static uint64_t choose_victims(struct rj_cell_plan *plan,
-			       const struct rj_cell_unit *unit,
-			       const struct rj_cell_room *room,
+			       const struct rj_cell_task_group *unit,
+			       const struct rj_cell_plan_worker *room,
 			       const struct rj_cell_demand *want,
 			       GPtrArray *chosen)
 {
 	const struct rj_cell_releases *releases =
-		rj_cell_releases_of(plan, room);
+		rj_cell_releases_get(plan, room);
 	const struct rj_cell_release *end = releases->by_time + releases->count;
 	const struct rj_cell_release *at;
 	struct rj_cell_demand have = room->soon;
@@ -124,13 +124,13 @@
 	for (at = releases->by_time; at < end && at->left_us < ENDS_SOON_US;
 	     at++)
 		if (is_candidate(plan, at, unit))
-			rj_cell_demand_give(&have, &at->run->held);
+			rj_cell_demand_add(&have, &at->run->held);
 	end = releases->by_loss + releases->count;
 	for (at = releases->by_loss;
 	     at < end && !rj_cell_demand_fits(want, &have); at++) {
 		if (at->left_us < ENDS_SOON_US || !is_candidate(plan, at, unit))
 			continue;
-		rj_cell_demand_give(&have, &at->run->held);
+		rj_cell_demand_add(&have, &at->run->held);
 		loss_milli += at->loss_milli;
 		if (chosen)
 			g_ptr_array_add(chosen, at->run);
@@ -139,22 +139,23 @@
 }
 
 /* The room of a victim comes free. */
-static void free_victim(struct rj_cell_trial *trial, struct rj_cell_run *run)
+static void free_victim(struct rj_cell_placement *trial,
+			struct rj_cell_run *run)
 {
-	struct rj_cell_room *room = run->worker->room;
+	struct rj_cell_plan_worker *room = run->worker->room;
 
 	run->victim = true;
-	rj_cell_plan_release(trial->plan, run);
+	rj_cell_plan_release_run(trial->plan, run);
 	g_ptr_array_add(trial->victims, run);
 	if (!room)
 		return;
-	rj_cell_trial_change(trial, room);
-	rj_cell_demand_give(&room->soon, &run->held);
-	rj_cell_plan_note_freed(trial->plan, room);
+	rj_cell_placement_save_worker(trial, room);
+	rj_cell_demand_add(&room->soon, &run->held);
+	rj_cell_plan_raise_bounds(trial->plan, room);
 }
 
 /* Note one victim and, with it, the other members of its gang. */
-static void add_victim(struct rj_cell_trial *trial, struct rj_cell_run *run)
+static void add_victim(struct rj_cell_placement *trial, struct rj_cell_run *run)
 {
 	const struct rj_cell_round *round = run->task->round;
 	const struct rj_cell_step *step = rj_cell_task_step(run->task);
@@ -185,8 +186,8 @@
  * Whether enough accelerators of a worker are free or held by work that may
  * give way to a unit; a bound that is cheap to look up.
  */
-static bool may_give_way(const struct rj_cell_room *room,
-			 const struct rj_cell_unit *unit, uint32_t want)
+static bool may_give_way(const struct rj_cell_plan_worker *room,
+			 const struct rj_cell_task_group *unit, uint32_t want)
 {
 	uint32_t sum = room->soon.accelerators;
 	uint32_t from = unit->guaranteed ? 0 : unit->work->def->priority + 1;
@@ -202,28 +203,27 @@
  * The worker on which making room for a task loses least, or NULL. Its
  * victims are noted in the trial.
  */
-struct rj_cell_room *rj_cell_reclaim_room(struct rj_cell_plan *plan,
-					  struct rj_cell_trial *trial,
-					  const struct rj_cell_unit *unit,
-					  struct rj_cell_task *task,
-					  const struct rj_cell_way *way)
+struct rj_cell_plan_worker *rj_cell_reclaim_find_worker(
+	struct rj_cell_plan *plan, struct rj_cell_placement *trial,
+	const struct rj_cell_task_group *unit, struct rj_cell_task *task,
+	const struct rj_cell_placement_options *way)
 {
 	struct rj_cell_demand want =
-		rj_cell_step_counted(rj_cell_task_step(task));
-	struct rj_cell_room *best = NULL;
-	struct rj_cell_room *room;
-	struct rj_cell_walk walk;
-	uint64_t left = way->loss_max_milli - trial->loss_milli;
+		rj_cell_step_allocation(rj_cell_task_step(task));
+	struct rj_cell_plan_worker *best = NULL;
+	struct rj_cell_plan_worker *room;
+	struct rj_cell_worker_iterator walk;
+	uint64_t left = way->max_loss_milli - trial->loss_milli;
 	uint64_t best_loss = left < UINT64_MAX ? left + 1 : left;
 	GPtrArray *victims;
 
-	rj_cell_walk_init(&walk, plan, way, &want);
-	while (best_loss && (room = rj_cell_walk_next(&walk))) {
+	rj_cell_worker_iterator_init(&walk, plan, way, &want);
+	while (best_loss && (room = rj_cell_worker_iterator_next(&walk))) {
 		uint64_t loss;
 
 		if (!may_give_way(room, unit, want.accelerators) ||
 		    !rj_cell_demand_fits(&want, &room->worker->said.capacity) ||
-		    !rj_cell_place_may_run(plan, room, unit, task, way))
+		    !rj_cell_place_is_eligible(plan, room, unit, task, way))
 			continue;
 		plan->effort += VICTIMS_EFFORT;
 		loss = choose_victims(plan, unit, room, &want, NULL);
--- a/src/libradishjunction/cell/cell_release.c
+++ b/src/libradishjunction/cell/cell_release.c
@@ -60,8 +60,8 @@
 		assert(releases->count < most);
 		release = &releases->by_time[releases->count++];
 		release->run = run;
-		release->left_us = rj_cell_forecast_left_us(plan->forecast, run,
-							    plan->now_us);
+		release->left_us = rj_cell_forecast_remaining_us(
+			plan->forecast, run, plan->now_us);
 		release->loss_milli = rj_cell_reclaim_loss(plan, run);
 	}
 	memcpy(releases->by_loss, releases->by_time,
@@ -79,7 +79,8 @@
  * all workers, and their runs change only between plans.
  */
 const struct rj_cell_releases *
-rj_cell_releases_of(struct rj_cell_plan *plan, const struct rj_cell_room *room)
+rj_cell_releases_get(struct rj_cell_plan *plan,
+		     const struct rj_cell_plan_worker *room)
 {
 	struct rj_cell_releases *releases = &plan->releases[room - plan->rooms];
 
--- a/src/libradishjunction/cell/cell_share.c
+++ b/src/libradishjunction/cell/cell_share.c
@@ -21,7 +21,8 @@
 			 const struct rj_cell_demand *each,
 			 const struct rj_cell_work *work)
 {
-	const struct rj_cell_held *held = &plan->held[rj_cell_work_class(work)];
+	const struct rj_cell_allocation *held =
+		&plan->held[rj_cell_work_class(work)];
 	const struct rj_cell_usage *usage = &plan->usage;
 	uint64_t tasks =
 		tasks_left(held->cpu_milli, usage->cpu.all, each->cpu_milli);
@@ -36,11 +37,11 @@
 /*
  * How many more tasks of a step the share of its job's priority holds.
  */
-uint32_t rj_cell_share_tasks(const struct rj_cell_plan *plan,
-			     const struct rj_cell_step *step,
-			     const struct rj_cell_work *work)
+uint32_t rj_cell_share_free_tasks(const struct rj_cell_plan *plan,
+				  const struct rj_cell_step *step,
+				  const struct rj_cell_work *work)
 {
-	struct rj_cell_demand each = rj_cell_step_counted(step);
+	struct rj_cell_demand each = rj_cell_step_allocation(step);
 
 	return (uint32_t)MIN(tasks_of(plan, &each, work), UINT32_MAX);
 }
--- a/src/libradishjunction/cell/cell_shortage.c
+++ b/src/libradishjunction/cell/cell_shortage.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 /* Whether a group has to be placed within one rack. */
-static bool is_confined(const struct rj_cell_unit *unit, uint32_t count)
+static bool is_confined(const struct rj_cell_task_group *unit, uint32_t count)
 {
 	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
 
@@ -12,14 +12,14 @@
 
 /* Whether a shortage was found among all workers that a unit may use. */
 static bool covers(const struct rj_cell_shortage *shortage,
-		   const struct rj_cell_unit *unit)
+		   const struct rj_cell_task_group *unit)
 {
 	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
 	const struct rj_cell_step *other = shortage->step;
 
 	return step->scavenges == other->scavenges &&
-	       (shortage->into_reserved || !unit->into_reserved) &&
-	       (shortage->into_exclusive || !unit->into_exclusive) &&
+	       (shortage->may_use_reserved || !unit->may_use_reserved) &&
+	       (shortage->may_use_exclusive || !unit->may_use_exclusive) &&
 	       (shortage->far || !unit->far) &&
 	       (!other->label[0] || !strcmp(other->label, step->label)) &&
 	       (!other->rack[0] || shortage->far ||
@@ -35,8 +35,8 @@
  * load most waiting steps find no room, and each would weigh every worker.
  */
 bool rj_cell_shortage_is_known(const struct rj_cell_plan *plan,
-			       const struct rj_cell_unit *unit, uint32_t count,
-			       enum rj_cell_when when)
+			       const struct rj_cell_task_group *unit,
+			       uint32_t count, enum rj_cell_horizon when)
 {
 	const struct rj_cell_demand *want =
 		&unit->work->def->steps[unit->step].each;
@@ -59,9 +59,9 @@
  * Remember that so many tasks of a unit could not be placed. Limits that hold
  * for no other step are left out.
  */
-void rj_cell_shortage_note(struct rj_cell_plan *plan,
-			   const struct rj_cell_unit *unit, uint32_t count,
-			   enum rj_cell_when when)
+void rj_cell_shortage_record(struct rj_cell_plan *plan,
+			     const struct rj_cell_task_group *unit,
+			     uint32_t count, enum rj_cell_horizon when)
 {
 	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
 	struct rj_cell_shortage shortage = {
@@ -70,8 +70,8 @@
 		.when = when,
 		.count = count,
 		.far = unit->far,
-		.into_reserved = unit->into_reserved,
-		.into_exclusive = unit->into_exclusive,
+		.may_use_reserved = unit->may_use_reserved,
+		.may_use_exclusive = unit->may_use_exclusive,
 		.in_one_rack = is_confined(unit, count),
 	};
 
--- a/src/libradishjunction/cell/cell_starts.c
+++ b/src/libradishjunction/cell/cell_starts.c
@@ -21,7 +21,7 @@
 
 /* Note a decided start; it goes out once that is stored. */
 static void begin_run(struct rj_cell_owner *owner,
-		      const struct rj_cell_choice *choice)
+		      const struct rj_cell_planned_start *choice)
 {
 	struct rj_cell_task *task = choice->task;
 	struct rj_cell_work *work = task->round->work;
@@ -55,7 +55,8 @@
 {
 	for (guint i = 0; i < plan->starts->len; i++) {
 		struct rj_cell_task *task =
-			g_array_index(plan->starts, struct rj_cell_choice, i)
+			g_array_index(plan->starts,
+				      struct rj_cell_planned_start, i)
 				.task;
 		const struct rj_cell_step *step = rj_cell_task_step(task);
 		struct rj_cell_task *head = task - task->index;
@@ -74,7 +75,7 @@
 static guint group_length(const GArray *starts, guint first)
 {
 	const struct rj_cell_task *task =
-		g_array_index(starts, struct rj_cell_choice, first).task;
+		g_array_index(starts, struct rj_cell_planned_start, first).task;
 	const struct rj_cell_step *step = rj_cell_task_step(task);
 
 	return step->gang ? step->task_count : 1;
@@ -89,7 +90,8 @@
 
 	for (guint i = first; i < first + count; i++) {
 		struct rj_cell_worker *worker =
-			g_array_index(starts, struct rj_cell_choice, i).worker;
+			g_array_index(starts, struct rj_cell_planned_start, i)
+				.worker;
 
 		if (rj_cell_reach_proven(owner, worker))
 			continue;
@@ -116,6 +118,7 @@
 		for (guint j = i; j < i + count; j++)
 			begin_run(owner,
 				  &g_array_index(plan->starts,
-						 struct rj_cell_choice, j));
+						 struct rj_cell_planned_start,
+						 j));
 	}
 }
--- a/src/libradishjunction/cell/cell_units.c
+++ b/src/libradishjunction/cell/cell_task_groups.c
@@ -1,4 +1,4 @@
-#include "private/cell_units.h"
+#include "private/cell_task_groups.h"
 
 #include <string.h>
 
@@ -39,8 +39,8 @@
 /*
  * Whether a task waits for room.
  */
-bool rj_cell_unit_waits(const struct rj_cell_plan *plan,
-			const struct rj_cell_task *task)
+bool rj_cell_plan_task_waits(const struct rj_cell_plan *plan,
+			     const struct rj_cell_task *task)
 {
 	return !task->done && !task->planned &&
 	       task->runs.next == &task->runs &&
@@ -63,7 +63,7 @@
 
 		if (plan->now_us < task->not_before_us)
 			plan->next_us = MIN(plan->next_us, task->not_before_us);
-		if (!rj_cell_unit_waits(plan, task)) {
+		if (!rj_cell_plan_task_waits(plan, task)) {
 			if (def->steps[step].gang)
 				return 0;
 			continue;
@@ -144,14 +144,14 @@
  * much work may end at once and make way for the next.
  */
 static bool is_idle(const struct rj_cell_plan *plan,
-		    const struct rj_cell_unit *unit)
+		    const struct rj_cell_task_group *unit)
 {
 	return rj_cell_usage_percent(&plan->usage) < RESERVED_USED_PERCENT &&
 	       plan->now_us - unit->waiting_us >= RESERVED_WAIT_US;
 }
 
 /* Whether only some workers may run a step, however much room others have. */
-static bool is_confined(const struct rj_cell_unit *unit)
+static bool is_confined(const struct rj_cell_task_group *unit)
 {
 	return unit->work->def->steps[unit->step].label[0] || unit->advised;
 }
@@ -161,16 +161,16 @@
  * is urgent, or overdue and bound to some workers; the open part if it can be
  * stopped at no loss.
  */
-void rj_cell_unit_set_reserved(const struct rj_cell_plan *plan,
-			       struct rj_cell_unit *unit)
+void rj_cell_task_group_set_reserved(const struct rj_cell_plan *plan,
+				     struct rj_cell_task_group *unit)
 {
 	const struct rj_cell_def *def = unit->work->def;
 	const struct rj_cell_step *step = &def->steps[unit->step];
 
-	unit->into_exclusive = !def->priority || is_idle(plan, unit) ||
-			       (unit->overdue && is_confined(unit));
-	unit->into_reserved =
-		unit->into_exclusive || (step->checkpoints && !step->perpetual);
+	unit->may_use_exclusive = !def->priority || is_idle(plan, unit) ||
+				  (unit->overdue && is_confined(unit));
+	unit->may_use_reserved = unit->may_use_exclusive ||
+				 (step->checkpoints && !step->perpetual);
 }
 
 /*
@@ -196,7 +196,7 @@
  * occurrence was due; of what lasts, since its tasks wait.
  */
 static uint64_t age_of(const struct rj_cell_plan *plan,
-		       const struct rj_cell_unit *unit)
+		       const struct rj_cell_task_group *unit)
 {
 	const struct rj_cell_work *work = unit->work;
 	uint64_t due_us =
@@ -208,7 +208,7 @@
 }
 
 /* In which tier a step of a job goes. */
-static enum tier tier_of(const struct rj_cell_unit *unit, uint64_t age_us)
+static enum tier tier_of(const struct rj_cell_task_group *unit, uint64_t age_us)
 {
 	const struct rj_cell_work *work = unit->work;
 
@@ -226,12 +226,12 @@
  * Load that it answers: more work of a priority than the cell can serve for a
  * while. In the order of acceptance all of it would end late.
  */
-static void set_standing(struct rj_cell_plan *plan, struct rj_cell_unit *unit,
-			 uint64_t age_us)
+static void set_standing(struct rj_cell_plan *plan,
+			 struct rj_cell_task_group *unit, uint64_t age_us)
 {
 	const struct rj_cell_work *work = unit->work;
 	uint64_t chain_us =
-		rj_cell_forecast_chain_ms(plan->forecast, work->def) *
+		rj_cell_forecast_critical_path_ms(plan->forecast, work->def) *
 		RJ_US_PER_MS;
 	uint64_t objective_us = work->objective_us - work->accepted_us;
 	uint64_t slack_us = objective_us - MIN(objective_us, chain_us);
@@ -262,9 +262,9 @@
 		plan->config ?
 			rj_cell_config_queue(plan->config, work->def->queue) :
 			NULL;
-	struct rj_cell_unit unit = { .work = work,
-				     .round = round,
-				     .step = step };
+	struct rj_cell_task_group unit = { .work = work,
+					   .round = round,
+					   .step = step };
 	uint64_t age_us;
 
 	unit.waiting = count_waiting(plan, round, step, &unit.waiting_us);
@@ -315,8 +315,8 @@
  * acceptance. */
 static gint by_order(gconstpointer a, gconstpointer b)
 {
-	const struct rj_cell_unit *left = a;
-	const struct rj_cell_unit *right = b;
+	const struct rj_cell_task_group *left = a;
+	const struct rj_cell_task_group *right = b;
 
 	if (left->tier != right->tier)
 		return left->tier < right->tier ? -1 : 1;
@@ -334,7 +334,7 @@
 /*
  * Gather the steps whose tasks wait for room, those that go first at the front.
  */
-void rj_cell_units_gather(struct rj_cell_plan *plan)
+void rj_cell_task_groups_gather(struct rj_cell_plan *plan)
 {
 	sum_needs(plan);
 	gather(plan);
--- a/src/libradishjunction/cell/cell_work.c
+++ b/src/libradishjunction/cell/cell_work.c
@@ -199,7 +199,7 @@
 	run->worker = worker;
 	run->task = task;
 	run->number = number;
-	run->held = rj_cell_step_counted(rj_cell_task_step(task));
+	run->held = rj_cell_step_allocation(rj_cell_task_step(task));
 	rj_cell_task_name(task, name, sizeof(name));
 	run->name = talloc_strdup(run, name);
 	memcpy(run->checkpoint, task->checkpoint, sizeof(run->checkpoint));
@@ -253,10 +253,10 @@
 	struct rj_cell_worker *worker = run->worker;
 
 	rj_list_append(&worker->runs, &run->in_worker);
-	rj_cell_demand_give(&worker->held, &run->held);
+	rj_cell_demand_add(&worker->held, &run->held);
 	(*count_of(run))++;
 	if (run->task)
-		rj_cell_demand_give(held_by(run), &run->held);
+		rj_cell_demand_add(held_by(run), &run->held);
 	if (worker->watch != RJ_CELL_WATCH_BUSY)
 		rj_cell_worker_watch(worker, RJ_CELL_WATCH_BUSY);
 }
@@ -268,10 +268,10 @@
 {
 	struct rj_cell_worker *worker = run->worker;
 
-	rj_cell_demand_take(&worker->held, &run->held);
+	rj_cell_demand_subtract(&worker->held, &run->held);
 	(*count_of(run))--;
 	if (run->task)
-		rj_cell_demand_take(held_by(run), &run->held);
+		rj_cell_demand_subtract(held_by(run), &run->held);
 	rj_list_remove(&run->in_worker);
 	rj_list_remove(&run->in_task);
 	talloc_free(run);
--- a/src/libradishjunction/include/private/cell_admit.h
+++ b/src/libradishjunction/include/private/cell_admit.h
@@ -10,7 +10,7 @@
 
 #include "private/cell_owner.h"
 
-void rj_cell_admit_shares(const struct rj_cell_owner *owner,
+void rj_cell_admit_queues(const struct rj_cell_owner *owner,
 			  struct rj_cell_beat *beat);
 
 #endif
--- a/src/libradishjunction/include/private/cell_backlog.h
+++ b/src/libradishjunction/include/private/cell_backlog.h
@@ -15,7 +15,7 @@
 struct rj_cell_backlog_class {
 	uint32_t tasks;
 	uint32_t late_tasks; /* of jobs whose callers have given up on them */
-	uint64_t oldest_us; /* the longest wait */
+	uint64_t longest_wait_us; /* the longest wait */
 	uint64_t held; /* accelerators that tasks of this priority use */
 };
 
@@ -34,6 +34,6 @@
 
 void rj_cell_backlog_sum(const struct rj_cell_plan *plan,
 			 struct rj_cell_backlog *backlog);
-void rj_cell_backlog_note(const struct rj_cell_backlog *backlog);
+void rj_cell_backlog_log(const struct rj_cell_backlog *backlog);
 
 #endif
--- a/src/libradishjunction/include/private/cell_fleet.h
+++ b/src/libradishjunction/include/private/cell_fleet.h
@@ -40,7 +40,7 @@
 };
 
 struct rj_cell_fleet;
-struct rj_cell_room;
+struct rj_cell_plan_worker;
 
 /* The workers of one rack that have said so. */
 struct rj_cell_rack {
@@ -64,7 +64,8 @@
 	struct rj_cell_fleet *fleet;
 	struct rj_cell_rack *rack; /* NULL until it has said which */
 	struct rj_list in_rack;
-	struct rj_cell_room *room; /* in the plan that is being made */
+	struct rj_cell_plan_worker
+		*plan_worker; /* in the plan that is being made */
 	enum rj_cell_watch watch;
 	struct rj_list in_watch; /* in the fleet's list of its watch */
 	struct rj_list in_ordered; /* in the fleet's list, if an order is due */
--- a/src/libradishjunction/include/private/cell_forecast.h
+++ b/src/libradishjunction/include/private/cell_forecast.h
@@ -16,28 +16,31 @@
 
 struct rj_cell_forecast {
 	GHashTable *means; /* name of a queue -> struct mean */
-	double urgent_load; /* accelerators, decayed */
-	uint64_t urgent_us; /* when that was last brought up to date */
+	double urgent_accelerators; /* accelerators, decayed */
+	uint64_t urgent_updated_us; /* when that was last brought up to date */
 };
 
 void rj_cell_forecast_init(struct rj_cell_forecast *forecast);
 void rj_cell_forecast_finish(struct rj_cell_forecast *forecast);
-void rj_cell_forecast_learn(struct rj_cell_forecast *forecast,
-			    const char *queue, uint64_t ran_us);
-void rj_cell_forecast_set(struct rj_cell_forecast *forecast, const char *queue,
-			  uint32_t mean_ms);
+void rj_cell_forecast_record_run(struct rj_cell_forecast *forecast,
+				 const char *queue, uint64_t ran_us);
+void rj_cell_forecast_seed(struct rj_cell_forecast *forecast, const char *queue,
+			   uint32_t mean_ms);
 uint32_t rj_cell_forecast_mean_ms(const struct rj_cell_forecast *forecast,
 				  const char *queue);
 uint64_t rj_cell_forecast_task_ms(const struct rj_cell_forecast *forecast,
 				  const struct rj_cell_def *def, uint32_t step);
-uint64_t rj_cell_forecast_chain_ms(const struct rj_cell_forecast *forecast,
-				   const struct rj_cell_def *def);
-uint64_t rj_cell_forecast_left_us(const struct rj_cell_forecast *forecast,
-				  const struct rj_cell_run *run,
-				  uint64_t now_us);
-void rj_cell_forecast_demand(struct rj_cell_forecast *forecast,
-			     const struct rj_cell_def *def, uint64_t now_us);
-double rj_cell_forecast_urgent(const struct rj_cell_forecast *forecast,
-			       uint64_t now_us);
+uint64_t
+rj_cell_forecast_critical_path_ms(const struct rj_cell_forecast *forecast,
+				  const struct rj_cell_def *def);
+uint64_t rj_cell_forecast_remaining_us(const struct rj_cell_forecast *forecast,
+				       const struct rj_cell_run *run,
+				       uint64_t now_us);
+void rj_cell_forecast_record_urgent(struct rj_cell_forecast *forecast,
+				    const struct rj_cell_def *def,
+				    uint64_t now_us);
+double
+rj_cell_forecast_urgent_accelerators(const struct rj_cell_forecast *forecast,
+				     uint64_t now_us);
 
 #endif
--- a/src/libradishjunction/include/private/cell_job.h
+++ b/src/libradishjunction/include/private/cell_job.h
@@ -66,11 +66,11 @@
 
 bool rj_cell_demand_fits(const struct rj_cell_demand *want,
 			 const struct rj_cell_demand *have);
-void rj_cell_demand_take(struct rj_cell_demand *from,
-			 const struct rj_cell_demand *part);
-void rj_cell_demand_give(struct rj_cell_demand *to,
-			 const struct rj_cell_demand *part);
-struct rj_cell_demand rj_cell_step_counted(const struct rj_cell_step *step);
+void rj_cell_demand_subtract(struct rj_cell_demand *from,
+			     const struct rj_cell_demand *part);
+void rj_cell_demand_add(struct rj_cell_demand *to,
+			const struct rj_cell_demand *part);
+struct rj_cell_demand rj_cell_step_allocation(const struct rj_cell_step *step);
 int rj_cell_def_check(struct rj_cell_def *def, struct rj_error *err);
 struct rj_bytes rj_cell_def_encode(void *mem, const struct rj_cell_def *def);
 struct rj_cell_def *rj_cell_def_decode(void *mem, struct rj_bytes bytes,
--- a/src/libradishjunction/include/private/cell_place.h
+++ b/src/libradishjunction/include/private/cell_place.h
@@ -9,7 +9,7 @@
 #include "private/cell_plan.h"
 
 /* Tasks of one step of one occurrence that wait for room. */
-struct rj_cell_unit {
+struct rj_cell_task_group {
 	struct rj_cell_work *work;
 	struct rj_cell_round *round;
 	uint32_t step;
@@ -24,94 +24,99 @@
 	bool far; /* may run away from its data */
 	bool advised; /* an outside policy says which workers may run it */
 	bool guaranteed; /* its account has a right to the room at once */
-	bool into_exclusive; /* is urgent, or much is idle */
-	bool into_reserved; /* may use what is kept for urgent work */
+	bool may_use_exclusive; /* is urgent, or much is idle */
+	bool may_use_reserved; /* may use what is kept for urgent work */
 	const char *service; /* interned */
 };
 
 /* Room as it is now, as it is once what is stopping has gone, or as it is
  * once enough has ended by itself. */
-enum rj_cell_when {
-	RJ_CELL_NOW,
-	RJ_CELL_SOON,
-	RJ_CELL_LATER,
+enum rj_cell_horizon {
+	RJ_CELL_HORIZON_NOW,
+	RJ_CELL_HORIZON_STOPS,
+	RJ_CELL_HORIZON_COMPLETIONS,
 };
 
 /* How a group is to be placed. */
-struct rj_cell_way {
-	enum rj_cell_when when;
+struct rj_cell_placement_options {
+	enum rj_cell_horizon when;
 	const struct rj_cell_domain *domain; /* NULL: anywhere */
-	const struct rj_cell_rack_rooms *rack; /* NULL: anywhere */
-	bool stop_others; /* work of lower priority makes way, */
-	uint64_t loss_max_milli; /* of which so much may be thrown away */
+	const struct rj_cell_plan_rack *rack; /* NULL: anywhere */
+	bool may_preempt; /* work of lower priority makes way, */
+	uint64_t max_loss_milli; /* of which so much may be thrown away */
 };
 
 /*
  * A trial to place a group of tasks. It changes the plan's rooms, and unless
  * it is taken its end undoes that; one trial at a time.
  */
-struct rj_cell_trial {
+struct rj_cell_placement {
 	struct rj_cell_plan *plan;
 	GArray *changes; /* rooms as they were, in the order of changes */
 	GPtrArray *workers; /* one for each task */
 	GPtrArray *victims; /* struct rj_cell_run */
 	uint64_t loss_milli; /* core-milliseconds that would be lost */
-	uint64_t ready_us; /* RJ_CELL_LATER: in so long all have room */
+	uint64_t
+		ready_us; /* RJ_CELL_HORIZON_COMPLETIONS: in so long all have room */
 };
 
-void rj_cell_trial_init(struct rj_cell_trial *trial, struct rj_cell_plan *plan);
-void rj_cell_trial_change(struct rj_cell_trial *trial,
-			  struct rj_cell_room *room);
-void rj_cell_trial_finish(struct rj_cell_trial *trial);
-void rj_cell_trial_take(struct rj_cell_trial *trial);
+void rj_cell_placement_init(struct rj_cell_placement *trial,
+			    struct rj_cell_plan *plan);
+void rj_cell_placement_save_worker(struct rj_cell_placement *trial,
+				   struct rj_cell_plan_worker *room);
+void rj_cell_placement_finish(struct rj_cell_placement *trial);
+void rj_cell_placement_commit(struct rj_cell_placement *trial);
 /* A walk over the rooms that a way allows, without racks that can't hold a
  * demand. */
-struct rj_cell_walk {
+struct rj_cell_worker_iterator {
 	struct rj_cell_plan *plan;
-	const struct rj_cell_way *way;
+	const struct rj_cell_placement_options *way;
 	struct rj_cell_demand want;
 	guint range; /* the next one */
 	guint ranges_end;
-	struct rj_cell_room *room; /* the next one, of those up to `end` */
-	struct rj_cell_room *end;
+	struct rj_cell_plan_worker
+		*room; /* the next one, of those up to `end` */
+	struct rj_cell_plan_worker *end;
 };
 
-void rj_cell_walk_init(struct rj_cell_walk *walk, struct rj_cell_plan *plan,
-		       const struct rj_cell_way *way,
-		       const struct rj_cell_demand *want);
-struct rj_cell_room *rj_cell_walk_next(struct rj_cell_walk *walk);
-bool rj_cell_place_may_hold(const struct rj_cell_plan *plan,
-			    const struct rj_cell_way *way,
-			    const struct rj_cell_demand *want, uint32_t count);
-uint32_t rj_cell_place_alike(struct rj_cell_plan *plan,
-			     struct rj_cell_trial *trial,
-			     const struct rj_cell_unit *unit,
-			     struct rj_cell_task **tasks, uint32_t count,
-			     const struct rj_cell_way *way);
-void rj_cell_place_count_siblings(struct rj_cell_plan *plan,
-				  const struct rj_cell_unit *unit);
-bool rj_cell_place_is_plain(const struct rj_cell_plan *plan,
-			    struct rj_cell_task *task);
-bool rj_cell_place_may_run(const struct rj_cell_plan *plan,
-			   const struct rj_cell_room *room,
-			   const struct rj_cell_unit *unit,
-			   struct rj_cell_task *task,
-			   const struct rj_cell_way *way);
-bool rj_cell_place_wants_sound(const struct rj_cell_plan *plan,
-			       struct rj_cell_task *task);
-bool rj_cell_place_group(struct rj_cell_plan *plan, struct rj_cell_trial *trial,
-			 const struct rj_cell_unit *unit,
+void rj_cell_worker_iterator_init(struct rj_cell_worker_iterator *walk,
+				  struct rj_cell_plan *plan,
+				  const struct rj_cell_placement_options *way,
+				  const struct rj_cell_demand *want);
+struct rj_cell_plan_worker *
+rj_cell_worker_iterator_next(struct rj_cell_worker_iterator *walk);
+bool rj_cell_place_may_fit(const struct rj_cell_plan *plan,
+			   const struct rj_cell_placement_options *way,
+			   const struct rj_cell_demand *want, uint32_t count);
+uint32_t rj_cell_place_uniform(struct rj_cell_plan *plan,
+			       struct rj_cell_placement *trial,
+			       const struct rj_cell_task_group *unit,
+			       struct rj_cell_task **tasks, uint32_t count,
+			       const struct rj_cell_placement_options *way);
+void rj_cell_place_count_step_runs(struct rj_cell_plan *plan,
+				   const struct rj_cell_task_group *unit);
+bool rj_cell_place_is_uniform(const struct rj_cell_plan *plan,
+			      struct rj_cell_task *task);
+bool rj_cell_place_is_eligible(const struct rj_cell_plan *plan,
+			       const struct rj_cell_plan_worker *room,
+			       const struct rj_cell_task_group *unit,
+			       struct rj_cell_task *task,
+			       const struct rj_cell_placement_options *way);
+bool rj_cell_place_needs_healthy(const struct rj_cell_plan *plan,
+				 struct rj_cell_task *task);
+bool rj_cell_place_group(struct rj_cell_plan *plan,
+			 struct rj_cell_placement *trial,
+			 const struct rj_cell_task_group *unit,
 			 struct rj_cell_task **tasks, uint32_t count,
-			 const struct rj_cell_way *way);
-struct rj_cell_room *rj_cell_reclaim_room(struct rj_cell_plan *plan,
-					  struct rj_cell_trial *trial,
-					  const struct rj_cell_unit *unit,
-					  struct rj_cell_task *task,
-					  const struct rj_cell_way *way);
+			 const struct rj_cell_placement_options *way);
+struct rj_cell_plan_worker *rj_cell_reclaim_find_worker(
+	struct rj_cell_plan *plan, struct rj_cell_placement *trial,
+	const struct rj_cell_task_group *unit, struct rj_cell_task *task,
+	const struct rj_cell_placement_options *way);
 uint64_t rj_cell_reclaim_loss(const struct rj_cell_plan *plan,
 			      const struct rj_cell_run *run);
-uint64_t rj_cell_reclaim_own_milli(const struct rj_cell_plan *plan,
-				   const struct rj_cell_unit *unit,
-				   uint32_t count);
+uint64_t rj_cell_reclaim_group_cost_milli(const struct rj_cell_plan *plan,
+					  const struct rj_cell_task_group *unit,
+					  uint32_t count);
 
 #endif
--- a/src/libradishjunction/include/private/cell_plan.h
+++ b/src/libradishjunction/include/private/cell_plan.h
@@ -19,7 +19,7 @@
 struct rj_cell_releases;
 
 /* A worker's room while a plan is made. */
-struct rj_cell_room {
+struct rj_cell_plan_worker {
 	struct rj_cell_worker *worker;
 	uint32_t rack; /* its place among the plan's ranges */
 	bool reserved; /* for urgent work; others only if they can be stopped */
@@ -35,13 +35,13 @@
 
 /* At most so much is free in a rack: the most on one worker, of each kind of
  * room apart, and the accelerators of all workers together. */
-struct rj_cell_rack_free {
+struct rj_cell_free_bounds {
 	struct rj_cell_demand most;
 	uint32_t accelerators;
 };
 
 /* The rooms of one rack, which stand side by side. */
-struct rj_cell_rack_rooms {
+struct rj_cell_plan_rack {
 	const char *name;
 	const struct rj_cell_domain *domain; /* of its first worker */
 	bool mixed; /* some of its workers are in other domains */
@@ -52,22 +52,22 @@
 };
 
 /* The rooms from `first` on, with bounds on what is free there. */
-struct rj_cell_range {
+struct rj_cell_worker_range {
 	const struct rj_cell_domain *domain; /* NULL: of several */
 	uint32_t first;
 	uint32_t count;
-	struct rj_cell_rack_free now;
-	struct rj_cell_rack_free soon;
+	struct rj_cell_free_bounds now;
+	struct rj_cell_free_bounds soon;
 };
 
 /* What is in use, and what there is, of one kind of room. */
-struct rj_cell_share_used {
+struct rj_cell_utilization {
 	uint64_t used;
 	uint64_t all;
 };
 
 /* What the runs of one priority hold. */
-struct rj_cell_held {
+struct rj_cell_allocation {
 	uint64_t cpu_milli;
 	uint64_t memory_mb;
 	uint64_t accelerators;
@@ -75,13 +75,13 @@
 
 /* The sums over all rooms. */
 struct rj_cell_usage {
-	struct rj_cell_share_used cpu;
-	struct rj_cell_share_used memory;
-	struct rj_cell_share_used accelerators;
+	struct rj_cell_utilization cpu;
+	struct rj_cell_utilization memory;
+	struct rj_cell_utilization accelerators;
 };
 
 /* One task is to start on one worker. */
-struct rj_cell_choice {
+struct rj_cell_planned_start {
 	struct rj_cell_task *task;
 	struct rj_cell_worker *worker;
 };
@@ -96,26 +96,26 @@
 	uint32_t reclaim_ms; /* guaranteed work begins so soon */
 	uint64_t now_us;
 	/* outputs; the runs to be stopped have their reason set */
-	GArray *starts; /* struct rj_cell_choice */
+	GArray *starts; /* struct rj_cell_planned_start */
 	GPtrArray *stops; /* struct rj_cell_run */
 	uint32_t waiting; /* tasks whose turn has come and that found no room */
 	uint64_t next_us; /* when the first pause of a task ends */
 	/* while it is made */
-	struct rj_cell_room *rooms;
+	struct rj_cell_plan_worker *rooms;
 	struct rj_cell_releases *releases; /* of each room, once asked for */
 	uint32_t room_count;
-	GArray *racks; /* struct rj_cell_rack_rooms, domains take turns */
-	GArray *ranges; /* struct rj_cell_range: each rack, in room order */
+	GArray *racks; /* struct rj_cell_plan_rack, domains take turns */
+	GArray *ranges; /* struct rj_cell_worker_range: each rack, in room order */
 	struct rj_cell_usage usage; /* with what this plan starts */
 	/* By each priority on the plan's rooms, with what this plan starts and
 	 * without what is stopping. */
-	struct rj_cell_held held[RJ_CELL_PRIORITIES];
+	struct rj_cell_allocation held[RJ_CELL_PRIORITIES];
 	/* Some work that is not urgent, that any worker may run and that has
 	 * waited for room cannot meet its objective any more. */
 	bool misses_objective;
 	GArray *units;
 	uint32_t promises; /* groups of others that have room promised */
-	uint32_t urgent_promises; /* urgent groups that have */
+	uint32_t urgent_promise_count; /* urgent groups that have */
 	GHashTable *needs; /* account -> accelerators of its urgent jobs */
 	GArray *shortages; /* struct rj_cell_shortage, found by this plan */
 	uint32_t futile; /* searches for work to stop that found too little */
@@ -124,16 +124,16 @@
 
 void rj_cell_plan_init(struct rj_cell_plan *plan);
 void rj_cell_plan_make(struct rj_cell_plan *plan);
-void rj_cell_plan_gather_rooms(struct rj_cell_plan *plan);
-void rj_cell_plan_note_freed(struct rj_cell_plan *plan,
-			     const struct rj_cell_room *room);
-void rj_cell_plan_hold(struct rj_cell_plan *plan,
-		       const struct rj_cell_work *work,
-		       const struct rj_cell_demand *demand);
-void rj_cell_plan_retain(struct rj_cell_plan *plan,
-			 const struct rj_cell_run *run);
-void rj_cell_plan_release(struct rj_cell_plan *plan,
-			  const struct rj_cell_run *run);
+void rj_cell_plan_gather_workers(struct rj_cell_plan *plan);
+void rj_cell_plan_raise_bounds(struct rj_cell_plan *plan,
+			       const struct rj_cell_plan_worker *room);
+void rj_cell_plan_add_allocation(struct rj_cell_plan *plan,
+				 const struct rj_cell_work *work,
+				 const struct rj_cell_demand *demand);
+void rj_cell_plan_restore_run(struct rj_cell_plan *plan,
+			      const struct rj_cell_run *run);
+void rj_cell_plan_release_run(struct rj_cell_plan *plan,
+			      const struct rj_cell_run *run);
 void rj_cell_usage_add(struct rj_cell_usage *usage,
 		       const struct rj_cell_demand *used);
 uint32_t rj_cell_usage_percent(const struct rj_cell_usage *usage);
--- a/src/libradishjunction/include/private/cell_release.h
+++ b/src/libradishjunction/include/private/cell_release.h
@@ -25,6 +25,7 @@
 };
 
 const struct rj_cell_releases *
-rj_cell_releases_of(struct rj_cell_plan *plan, const struct rj_cell_room *room);
+rj_cell_releases_get(struct rj_cell_plan *plan,
+		     const struct rj_cell_plan_worker *room);
 
 #endif
--- a/src/libradishjunction/include/private/cell_share.h
+++ b/src/libradishjunction/include/private/cell_share.h
@@ -11,9 +11,9 @@
 
 #include "private/cell_plan.h"
 
-uint32_t rj_cell_share_tasks(const struct rj_cell_plan *plan,
-			     const struct rj_cell_step *step,
-			     const struct rj_cell_work *work);
+uint32_t rj_cell_share_free_tasks(const struct rj_cell_plan *plan,
+				  const struct rj_cell_step *step,
+				  const struct rj_cell_work *work);
 bool rj_cell_share_protects(const struct rj_cell_plan *plan,
 			    const struct rj_cell_work *work);
 
--- a/src/test_libradishjunction/support/cell_check.c
+++ b/src/test_libradishjunction/support/cell_check.c
@@ -156,12 +156,12 @@
 		       struct cell_fake_worker *worker,
 		       const struct rj_cell_step *step, const char *name)
 {
-	struct rj_cell_demand sum = rj_cell_step_counted(step);
+	struct rj_cell_demand sum = rj_cell_step_allocation(step);
 
 	for (guint i = 0; i < worker->runs->len; i++) {
 		struct rj_cell_demand held = cell_fake_row_at(worker, i).held;
 
-		rj_cell_demand_give(&sum, &held);
+		rj_cell_demand_add(&sum, &held);
 	}
 	if (!rj_cell_demand_fits(&sum, &worker->said.capacity))
 		cell_world_violation(world, "capacity: %s on %s", name,
--- a/src/test_libradishjunction/support/cell_fake_workers.c
+++ b/src/test_libradishjunction/support/cell_fake_workers.c
@@ -380,7 +380,7 @@
 	if (!world->plan.guarded || !job)
 		return false;
 	for (guint i = 0; i < worker->runs->len; i++)
-		rj_cell_demand_take(
+		rj_cell_demand_subtract(
 			&left, &((struct cell_fake_run *)worker->runs->pdata[i])
 					->held);
 	return !rj_cell_demand_fits(&job->def->steps[step].each, &left);
--- a/src/test_libradishjunction/test_cell_load.c
+++ b/src/test_libradishjunction/test_cell_load.c
@@ -55,11 +55,11 @@
 	backlog = cell_load_backlog(&f->world);
 	g_assert_cmpuint(backlog->workers, ==, site.workers);
 	g_assert_cmpuint(backlog->usage.accelerators.used, ==,
-			 backlog->usage.accelerators.all);
-	g_assert_cmpuint(backlog->classes[2].held, ==,
-			 backlog->usage.accelerators.all);
+			 backlog->usage.accelerators.total);
+	g_assert_cmpuint(backlog->classes[2].allocated, ==,
+			 backlog->usage.accelerators.total);
 	g_assert_cmpuint(backlog->classes[2].tasks, ==, 2 * 24);
-	g_assert_cmpuint(backlog->classes[2].oldest_us, >, S);
+	g_assert_cmpuint(backlog->classes[2].longest_wait_us, >, S);
 	g_assert_cmpuint(backlog->classes[1].tasks, ==, 0);
 	g_assert_cmpuint(backlog->reserved, ==, 0);
 }
--- a/src/test_libradishjunction/test_cell_starvation.c
+++ b/src/test_libradishjunction/test_cell_starvation.c
@@ -110,9 +110,10 @@
 {
 	const struct rj_cell_backlog *backlog = cell_load_backlog(world);
 
-	if (backlog->classes[1].oldest_us > NORMAL_SLACK_US)
+	if (backlog->classes[1].longest_wait_us > NORMAL_SLACK_US)
 		g_assert_cmpuint(backlog->reserved, <=,
-				 backlog->classes[0].held + RESERVED_SPARE);
+				 backlog->classes[0].allocated +
+					 RESERVED_SPARE);
 }
 
 /*
