--- a/src/libradishjunction/cell/cell_admit.c
+++ b/src/libradishjunction/cell/cell_admit.c
@@ -6,15 +6,15 @@
  * What is accepted must still be of use when it ends. The forecast of the
  * wait is good to about a fifth, as racks and gangs leave some room idle.
  */
-#define USABLE_PERCENT 80
+#define USABLE_CAPACITY_PERCENT 80
 /* Without most of its workers the owner does not judge: it has just taken
  * over, and will know in a moment. */
-#define KNOWN_PERCENT 50
+#define USABLE_WORKERS_MIN_PERCENT 50
 /* Nobody is sent away for longer, as forecasts do not reach further. */
-#define COME_BACK_MAX_MS 20000
-#define COME_BACK_MIN_MS 1000
+#define RETRY_AFTER_MAX_MS 20000
+#define RETRY_AFTER_MIN_MS 1000
 /* Cordons are lifted without notice. */
-#define CORDONED_COME_BACK_MS 3000
+#define CORDONED_RETRY_AFTER_MS 3000
 
 /* Room times time, in each of the three kinds of room. */
 struct load {
@@ -33,28 +33,28 @@
 }
 
 /* What is left to be done of one job, in room times milliseconds. */
-static void add_work(struct load *load, const struct rj_cell_owner *owner,
-		     const struct rj_cell_work *work)
+static void add_job(struct load *load, const struct rj_cell_owner *owner,
+		    const struct rj_cell_work *work)
 {
-	const struct rj_cell_def *def = work->def;
+	const struct rj_cell_def *spec = work->def;
 	const struct rj_list *at;
 
 	for (at = work->rounds.next; at != &work->rounds; at = at->next) {
 		const struct rj_cell_round *round =
 			RJ_CONTAINER(at, struct rj_cell_round, link);
 
-		for (uint32_t i = 0; i < def->step_count; i++)
-			if (!def->steps[i].perpetual)
-				add(load, &def->steps[i].each,
+		for (uint32_t i = 0; i < spec->step_count; i++)
+			if (!spec->steps[i].perpetual)
+				add(load, &spec->steps[i].each,
 				    (double)round->left[i] *
 					    (double)rj_cell_forecast_task_ms(
-						    &owner->forecast, def, i));
+						    &owner->forecast, spec, i));
 	}
 }
 
 /* What is left of all jobs that a queue of this priority has to wait for. */
-static struct load load_before(const struct rj_cell_owner *owner,
-			       uint32_t priority)
+static struct load load_ahead(const struct rj_cell_owner *owner,
+			      uint32_t priority)
 {
 	const struct rj_list *at;
 	struct load load = { 0, 0, 0 };
@@ -66,14 +66,14 @@
 		if (work->def->priority <= priority && !work->cancelled &&
 		    work->state < RJ_CELL_JOB_COMPLETED &&
 		    owner->now_us <= work->late_us)
-			add_work(&load, owner, work);
+			add_job(&load, owner, work);
 	}
 	return load;
 }
 
 /* The workers of a service. */
 struct capacity {
-	struct load room; /* of those that can be used */
+	struct load total; /* of those that can be used */
 	uint32_t cordoned; /* by operators */
 	uint32_t staying;
 	uint32_t usable; /* of those that stay */
@@ -101,15 +101,16 @@
 		if (!rj_cell_worker_usable(worker, owner->now_us))
 			continue;
 		capacity->usable++;
-		add(&capacity->room, &worker->said.capacity, 1);
+		add(&capacity->total, &worker->said.capacity, 1);
 	}
 }
 
 /* Whether enough workers are known to judge by them. */
-static bool is_known(const struct capacity *capacity)
+static bool is_judgeable(const struct capacity *capacity)
 {
 	return capacity->staying &&
-	       capacity->usable * 100 >= capacity->staying * KNOWN_PERCENT;
+	       capacity->usable * 100 >=
+		       capacity->staying * USABLE_WORKERS_MIN_PERCENT;
 }
 
 /* Send clients of a queue away. */
@@ -120,30 +121,31 @@
 }
 
 /* A load over a room, in milliseconds. */
-static double time_of(double load, double room)
+static double drain_ms(double load, double total)
 {
 	if (load <= 0)
 		return 0;
-	return room > 0 ? load / room : COME_BACK_MAX_MS * RJ_CELL_LATE_FACTOR;
+	return total > 0 ? load / total :
+			   RETRY_AFTER_MAX_MS * RJ_CELL_LATE_FACTOR;
 }
 
 /* How long a new job of a queue would wait, in milliseconds. */
-static double wait_of(const struct rj_cell_owner *owner,
+static double wait_ms(const struct rj_cell_owner *owner,
 		      const struct rj_cell_queue *queue,
-		      const struct load *room)
+		      const struct load *total)
 {
-	struct load load = load_before(owner, queue->priority);
-	double accelerators = room->accelerators;
+	struct load load = load_ahead(owner, queue->priority);
+	double accelerators = total->accelerators;
 	double wait;
 
 	/* Urgent work goes on coming, and goes first. */
 	if (queue->priority)
 		accelerators -= rj_cell_forecast_urgent_accelerators(
 			&owner->forecast, owner->now_us);
-	wait = MAX(time_of(load.cpu_milli, room->cpu_milli),
-		   MAX(time_of(load.memory_mb, room->memory_mb),
-		       time_of(load.accelerators, accelerators)));
-	return wait * 100 / USABLE_PERCENT;
+	wait = MAX(drain_ms(load.cpu_milli, total->cpu_milli),
+		   MAX(drain_ms(load.memory_mb, total->memory_mb),
+		       drain_ms(load.accelerators, accelerators)));
+	return wait * 100 / USABLE_CAPACITY_PERCENT;
 }
 
 /*
@@ -154,26 +156,26 @@
  * and keeps what still could be of use from room; its callers learn that
  * after minutes instead of at once.
  */
-static void judge(const struct rj_cell_owner *owner,
-		  const struct rj_cell_queue *queue,
-		  struct rj_cell_share *share)
+static void evaluate_queue(const struct rj_cell_owner *owner,
+			   const struct rj_cell_queue *queue,
+			   struct rj_cell_share *share)
 {
 	struct capacity capacity;
 	double late_ms = RJ_CELL_LATE_FACTOR *
 			 ((double)share->mean_ms * queue->stretch_milli / 1000 +
 			  queue->latency_ms);
-	double over_ms;
+	double excess_ms;
 
 	sum_capacity(owner, queue->service, &capacity);
 	if (capacity.cordoned && !capacity.staying)
-		refuse(share, CORDONED_COME_BACK_MS);
-	if (!is_known(&capacity))
+		refuse(share, CORDONED_RETRY_AFTER_MS);
+	if (!is_judgeable(&capacity))
 		return;
-	over_ms = wait_of(owner, queue, &capacity.room) + share->mean_ms -
-		  late_ms;
-	if (over_ms > 0)
-		refuse(share, (uint32_t)CLAMP(over_ms, COME_BACK_MIN_MS,
-					      COME_BACK_MAX_MS));
+	excess_ms = wait_ms(owner, queue, &capacity.total) + share->mean_ms -
+		    late_ms;
+	if (excess_ms > 0)
+		refuse(share, (uint32_t)CLAMP(excess_ms, RETRY_AFTER_MIN_MS,
+					      RETRY_AFTER_MAX_MS));
 }
 
 /*
@@ -198,7 +200,7 @@
 			continue;
 		memcpy(share->queue, config->queues[i].name,
 		       sizeof(share->queue));
-		judge(owner, &config->queues[i], share);
+		evaluate_queue(owner, &config->queues[i], share);
 		beat->share_count++;
 	}
 }
--- a/src/libradishjunction/cell/cell_backlog.c
+++ b/src/libradishjunction/cell/cell_backlog.c
@@ -6,34 +6,35 @@
 #include "private/note.h"
 
 /* Add the tasks of one step that have not started. */
-static void add_unit(struct rj_cell_backlog *backlog,
-		     const struct rj_cell_plan *plan,
-		     const struct rj_cell_task_group *unit)
+static void add_task_group(struct rj_cell_backlog *backlog,
+			   const struct rj_cell_plan *plan,
+			   const struct rj_cell_task_group *group)
 {
 	struct rj_cell_backlog_class *class =
-		&backlog->classes[rj_cell_work_class(unit->work)];
+		&backlog->classes[rj_cell_work_class(group->work)];
 
-	if (unit->started >= unit->waiting)
+	if (group->started_tasks >= group->waiting_tasks)
 		return;
-	class->tasks += unit->waiting - unit->started;
-	if (unit->too_late)
-		class->late_tasks += unit->waiting - unit->started;
-	class->longest_wait_us =
-		MAX(class->longest_wait_us, plan->now_us - unit->waiting_us);
+	class->tasks += group->waiting_tasks - group->started_tasks;
+	if (group->expired)
+		class->late_tasks +=
+			group->waiting_tasks - group->started_tasks;
+	class->longest_wait_us = MAX(class->longest_wait_us,
+				     plan->now_us - group->waiting_since_us);
 }
 
 /* Add what one worker has that is not open to all. */
-static void add_room(struct rj_cell_backlog *backlog,
-		     const struct rj_cell_plan_worker *room)
+static void add_worker(struct rj_cell_backlog *backlog,
+		       const struct rj_cell_plan_worker *plan_worker)
 {
-	uint32_t accelerators = room->worker->said.capacity.accelerators;
+	uint32_t accelerators = plan_worker->worker->said.capacity.accelerators;
 
-	backlog->promised += room->promised.accelerators;
-	if (!room->reserved)
+	backlog->promised += plan_worker->promised.accelerators;
+	if (!plan_worker->reserved)
 		return;
 	backlog->reserved += accelerators;
-	backlog->reserved_free += room->now.accelerators;
-	if (room->exclusive)
+	backlog->reserved_free += plan_worker->free_now.accelerators;
+	if (plan_worker->exclusive)
 		backlog->exclusive += accelerators;
 }
 
@@ -44,17 +45,17 @@
 			 struct rj_cell_backlog *backlog)
 {
 	memset(backlog, 0, sizeof(*backlog));
-	for (guint i = 0; i < plan->units->len; i++)
-		add_unit(backlog, plan,
-			 &g_array_index(plan->units, struct rj_cell_task_group,
-					i));
-	for (uint32_t i = 0; i < plan->room_count; i++)
-		add_room(backlog, &plan->rooms[i]);
+	for (guint i = 0; i < plan->task_groups->len; i++)
+		add_task_group(backlog, plan,
+			       &g_array_index(plan->task_groups,
+					      struct rj_cell_task_group, i));
+	for (uint32_t i = 0; i < plan->worker_count; i++)
+		add_worker(backlog, &plan->workers[i]);
 	for (uint32_t i = 0; i < RJ_CELL_PRIORITIES; i++)
-		backlog->classes[i].held = plan->held[i].accelerators;
+		backlog->classes[i].allocated = plan->allocated[i].accelerators;
 	backlog->usage = plan->usage;
-	backlog->workers = plan->room_count;
-	backlog->urgent = (uint32_t)rj_cell_forecast_urgent_accelerators(
+	backlog->workers = plan->worker_count;
+	backlog->urgent_demand = (uint32_t)rj_cell_forecast_urgent_accelerators(
 		plan->forecast, plan->now_us);
 }
 
@@ -74,22 +75,22 @@
 		RJ_NOTE_AGE_MS("urgent_oldest_ms", urgent->longest_wait_us),
 		RJ_NOTE_AGE_MS("normal_oldest_ms", normal->longest_wait_us),
 		RJ_NOTE_AGE_MS("batch_oldest_ms", batch->longest_wait_us),
-		RJ_NOTE_NUMBER("urgent_held", urgent->held),
-		RJ_NOTE_NUMBER("normal_held", normal->held),
-		RJ_NOTE_NUMBER("batch_held", batch->held),
+		RJ_NOTE_NUMBER("urgent_held", urgent->allocated),
+		RJ_NOTE_NUMBER("normal_held", normal->allocated),
+		RJ_NOTE_NUMBER("batch_held", batch->allocated),
 		RJ_NOTE_NUMBER("late_tasks", urgent->late_tasks +
 						     normal->late_tasks +
 						     batch->late_tasks),
 		RJ_NOTE_NUMBER("workers", backlog->workers),
-		RJ_NOTE_NUMBER("accelerators", usage->accelerators.all),
+		RJ_NOTE_NUMBER("accelerators", usage->accelerators.total),
 		RJ_NOTE_NUMBER("accelerators_used", usage->accelerators.used),
-		RJ_NOTE_NUMBER("cpu_milli", usage->cpu.all),
+		RJ_NOTE_NUMBER("cpu_milli", usage->cpu.total),
 		RJ_NOTE_NUMBER("cpu_milli_used", usage->cpu.used),
-		RJ_NOTE_NUMBER("memory_mb", usage->memory.all),
+		RJ_NOTE_NUMBER("memory_mb", usage->memory.total),
 		RJ_NOTE_NUMBER("memory_mb_used", usage->memory.used),
 		RJ_NOTE_NUMBER("reserved", backlog->reserved),
 		RJ_NOTE_NUMBER("exclusive", backlog->exclusive),
 		RJ_NOTE_NUMBER("reserved_free", backlog->reserved_free),
 		RJ_NOTE_NUMBER("promised", backlog->promised),
-		RJ_NOTE_NUMBER("urgent_of_late", backlog->urgent));
+		RJ_NOTE_NUMBER("urgent_of_late", backlog->urgent_demand));
 }
--- a/src/libradishjunction/cell/cell_candidates.c
+++ b/src/libradishjunction/cell/cell_candidates.c
@@ -1,27 +1,28 @@
 #include "private/cell_candidates.h"
 
 /* The candidate at a place of the heap. */
-static struct rj_cell_candidate *at(const struct rj_cell_candidates *candidates,
-				    guint place)
+static struct rj_cell_candidate *
+candidate_at(const struct rj_cell_candidates *candidates, guint index)
 {
 	return &g_array_index(candidates->heap, struct rj_cell_candidate,
-			      place);
+			      index);
 }
 
 /* Whether one candidate goes before another. */
-static bool goes_first(const struct rj_cell_candidate *a,
+static bool is_cheaper(const struct rj_cell_candidate *a,
 		       const struct rj_cell_candidate *b)
 {
-	return a->cost != b->cost ? a->cost < b->cost : a->room < b->room;
+	return a->cost != b->cost ? a->cost < b->cost :
+				    a->plan_worker < b->plan_worker;
 }
 
 /* Exchange two places. */
 static void swap(struct rj_cell_candidates *candidates, guint a, guint b)
 {
-	struct rj_cell_candidate kept = *at(candidates, a);
+	struct rj_cell_candidate saved = *candidate_at(candidates, a);
 
-	*at(candidates, a) = *at(candidates, b);
-	*at(candidates, b) = kept;
+	*candidate_at(candidates, a) = *candidate_at(candidates, b);
+	*candidate_at(candidates, b) = saved;
 }
 
 /*
@@ -46,19 +47,21 @@
  * Add one candidate.
  */
 void rj_cell_candidates_push(struct rj_cell_candidates *candidates,
-			     uint64_t cost, struct rj_cell_plan_worker *room)
+			     uint64_t cost,
+			     struct rj_cell_plan_worker *plan_worker)
 {
-	struct rj_cell_candidate candidate = { cost, room };
-	guint place = candidates->heap->len;
+	struct rj_cell_candidate candidate = { cost, plan_worker };
+	guint index = candidates->heap->len;
 
 	g_array_append_val(candidates->heap, candidate);
-	while (place) {
-		guint parent = (place - 1) / 2;
+	while (index) {
+		guint parent = (index - 1) / 2;
 
-		if (!goes_first(at(candidates, place), at(candidates, parent)))
+		if (!is_cheaper(candidate_at(candidates, index),
+				candidate_at(candidates, parent)))
 			break;
-		swap(candidates, place, parent);
-		place = parent;
+		swap(candidates, index, parent);
+		index = parent;
 	}
 }
 
@@ -70,24 +73,26 @@
 {
 	struct rj_cell_candidate first = { 0, NULL };
 	guint length = candidates->heap->len;
-	guint place = 0;
+	guint index = 0;
 
 	if (!length)
 		return first;
-	first = *at(candidates, 0);
+	first = *candidate_at(candidates, 0);
 	swap(candidates, 0, --length);
 	g_array_set_size(candidates->heap, length);
 	for (;;) {
-		guint child = 2 * place + 1;
+		guint child = 2 * index + 1;
 
 		if (child >= length)
 			return first;
-		if (child + 1 < length && goes_first(at(candidates, child + 1),
-						     at(candidates, child)))
+		if (child + 1 < length &&
+		    is_cheaper(candidate_at(candidates, child + 1),
+			       candidate_at(candidates, child)))
 			child++;
-		if (!goes_first(at(candidates, child), at(candidates, place)))
+		if (!is_cheaper(candidate_at(candidates, child),
+				candidate_at(candidates, index)))
 			return first;
-		swap(candidates, child, place);
-		place = child;
+		swap(candidates, child, index);
+		index = child;
 	}
 }
--- a/src/libradishjunction/cell/cell_forecast.c
+++ b/src/libradishjunction/cell/cell_forecast.c
@@ -6,19 +6,19 @@
 
 /* A new run time counts for this part of a mean: fast enough to follow a
  * slow spell of some seconds at ten ends a second. */
-#define LEARN_PART 0.05
+#define MEAN_WEIGHT 0.05
 /* The first ends count fully, up to this many. */
-#define LEARN_FIRST 20
+#define MEAN_INITIAL_SAMPLES 20
 /* Demand for urgent work is forgotten with this time constant: a burst
  * lasts some 6 s, and room for it is kept about as long. */
 #define URGENT_DECAY_US (5 * RJ_US_PER_S)
 /* A percentage below this says too little of the time that is left. */
-#define PERCENT_MIN 15
+#define PROGRESS_MIN_PERCENT 15
 
 /* The mean run time of the tasks of one queue. */
 struct mean {
 	double ms;
-	uint32_t ends;
+	uint32_t samples;
 };
 
 /*
@@ -42,7 +42,8 @@
 }
 
 /* The mean of a queue, made when it is missing. */
-static struct mean *obtain(struct rj_cell_forecast *forecast, const char *queue)
+static struct mean *obtain_mean(struct rj_cell_forecast *forecast,
+				const char *queue)
 {
 	struct mean *mean = g_hash_table_lookup(forecast->means, queue);
 
@@ -59,14 +60,14 @@
 void rj_cell_forecast_record_run(struct rj_cell_forecast *forecast,
 				 const char *queue, uint64_t ran_us)
 {
-	struct mean *mean = obtain(forecast, queue);
+	struct mean *mean = obtain_mean(forecast, queue);
 	double ms = (double)ran_us / RJ_US_PER_MS;
-	double part = 1.0 / (mean->ends + 1);
+	double weight = 1.0 / (mean->samples + 1);
 
-	if (mean->ends >= LEARN_FIRST)
-		part = LEARN_PART;
-	mean->ms += part * (ms - mean->ms);
-	mean->ends++;
+	if (mean->samples >= MEAN_INITIAL_SAMPLES)
+		weight = MEAN_WEIGHT;
+	mean->ms += weight * (ms - mean->ms);
+	mean->samples++;
 }
 
 /*
@@ -75,12 +76,12 @@
 void rj_cell_forecast_seed(struct rj_cell_forecast *forecast, const char *queue,
 			   uint32_t mean_ms)
 {
-	struct mean *mean = obtain(forecast, queue);
+	struct mean *mean = obtain_mean(forecast, queue);
 
-	if (!mean_ms || mean->ends)
+	if (!mean_ms || mean->samples)
 		return;
 	mean->ms = mean_ms;
-	mean->ends = LEARN_FIRST;
+	mean->samples = MEAN_INITIAL_SAMPLES;
 }
 
 /*
@@ -91,18 +92,18 @@
 {
 	const struct mean *mean = g_hash_table_lookup(forecast->means, queue);
 
-	return mean && mean->ends ? (uint32_t)mean->ms : 0;
+	return mean && mean->samples ? (uint32_t)mean->ms : 0;
 }
 
 /*
  * How long a task of a step will run, in milliseconds.
  */
 uint64_t rj_cell_forecast_task_ms(const struct rj_cell_forecast *forecast,
-				  const struct rj_cell_def *def, uint32_t step)
+				  const struct rj_cell_def *spec, uint32_t step)
 {
-	uint32_t mean_ms = rj_cell_forecast_mean_ms(forecast, def->queue);
+	uint32_t mean_ms = rj_cell_forecast_mean_ms(forecast, spec->queue);
 
-	return mean_ms ? mean_ms : def->steps[step].estimate_ms;
+	return mean_ms ? mean_ms : spec->steps[step].estimate_ms;
 }
 
 /*
@@ -110,20 +111,20 @@
  */
 uint64_t
 rj_cell_forecast_critical_path_ms(const struct rj_cell_forecast *forecast,
-				  const struct rj_cell_def *def)
+				  const struct rj_cell_def *spec)
 {
 	uint64_t ends_ms[RJ_CELL_STEPS_MAX];
 	uint64_t longest_ms = 0;
 
-	for (uint32_t i = 0; i < def->step_count; i++) {
-		const struct rj_cell_step *step = &def->steps[i];
+	for (uint32_t i = 0; i < spec->step_count; i++) {
+		const struct rj_cell_step *step = &spec->steps[i];
 		uint64_t begin_ms = 0;
 
 		for (uint32_t j = 0; j < step->after_count; j++)
 			if (ends_ms[step->after[j]] > begin_ms)
 				begin_ms = ends_ms[step->after[j]];
 		ends_ms[i] =
-			begin_ms + rj_cell_forecast_task_ms(forecast, def, i);
+			begin_ms + rj_cell_forecast_task_ms(forecast, spec, i);
 		if (ends_ms[i] > longest_ms)
 			longest_ms = ends_ms[i];
 	}
@@ -132,15 +133,16 @@
 
 /* How long a run will go on by its own progress; false when that says too
  * little. */
-static bool left_by_progress(const struct rj_cell_run *run, uint64_t ran_us,
-			     uint64_t *left_us)
+static bool remaining_by_progress(const struct rj_cell_run *run,
+				  uint64_t ran_us, uint64_t *remaining_us)
 {
-	uint64_t whole_us;
+	uint64_t total_us;
 
-	if (run->percent < PERCENT_MIN || run->listed_us <= run->begun_us)
+	if (run->percent < PROGRESS_MIN_PERCENT ||
+	    run->listed_us <= run->begun_us)
 		return false;
-	whole_us = (run->listed_us - run->begun_us) * 100 / run->percent;
-	*left_us = whole_us > ran_us ? whole_us - ran_us : 0;
+	total_us = (run->listed_us - run->begun_us) * 100 / run->percent;
+	*remaining_us = total_us > ran_us ? total_us - ran_us : 0;
 	return true;
 }
 
@@ -157,24 +159,25 @@
 				       uint64_t now_us)
 {
 	const struct rj_cell_task *task = run->task;
-	uint64_t whole_us;
-	uint64_t left_us;
+	uint64_t total_us;
+	uint64_t remaining_us;
 	uint64_t ran_us = run->begun_us && now_us > run->begun_us ?
 				  now_us - run->begun_us :
 				  0;
 
 	if (!task)
 		return 0;
-	if (left_by_progress(run, ran_us, &left_us) && left_us)
-		return left_us;
-	whole_us = rj_cell_forecast_task_ms(forecast, task->round->work->def,
+	if (remaining_by_progress(run, ran_us, &remaining_us) && remaining_us)
+		return remaining_us;
+	total_us = rj_cell_forecast_task_ms(forecast, task->round->work->def,
 					    task->step) *
 		   RJ_US_PER_MS;
-	return whole_us > ran_us ? whole_us - ran_us : whole_us / 2;
+	return total_us > ran_us ? total_us - ran_us : total_us / 2;
 }
 
 /* Bring the demand up to date. */
-static double decayed(const struct rj_cell_forecast *forecast, uint64_t now_us)
+static double decayed_urgent(const struct rj_cell_forecast *forecast,
+			     uint64_t now_us)
 {
 	uint64_t age_us = now_us > forecast->urgent_updated_us ?
 				  now_us - forecast->urgent_updated_us :
@@ -188,18 +191,18 @@
  * An urgent job has come: it asks for accelerators for as long as it runs.
  */
 void rj_cell_forecast_record_urgent(struct rj_cell_forecast *forecast,
-				    const struct rj_cell_def *def,
+				    const struct rj_cell_def *spec,
 				    uint64_t now_us)
 {
-	double need = 0;
-
-	for (uint32_t i = 0; i < def->step_count; i++)
-		need += (double)def->steps[i].task_count *
-			def->steps[i].each.accelerators *
-			(double)rj_cell_forecast_task_ms(forecast, def, i) *
-			RJ_US_PER_MS;
-	forecast->urgent_accelerators =
-		decayed(forecast, now_us) + need / (double)URGENT_DECAY_US;
+	double demand = 0;
+
+	for (uint32_t i = 0; i < spec->step_count; i++)
+		demand += (double)spec->steps[i].task_count *
+			  spec->steps[i].each.accelerators *
+			  (double)rj_cell_forecast_task_ms(forecast, spec, i) *
+			  RJ_US_PER_MS;
+	forecast->urgent_accelerators = decayed_urgent(forecast, now_us) +
+					demand / (double)URGENT_DECAY_US;
 	forecast->urgent_updated_us = now_us;
 }
 
@@ -210,5 +213,5 @@
 rj_cell_forecast_urgent_accelerators(const struct rj_cell_forecast *forecast,
 				     uint64_t now_us)
 {
-	return decayed(forecast, now_us);
+	return decayed_urgent(forecast, now_us);
 }
--- a/src/libradishjunction/cell/cell_place.c
+++ b/src/libradishjunction/cell/cell_place.c
@@ -9,17 +9,17 @@
 
 /* Parts of a placement's cost, from the least weight to the greatest. */
 #define COST_MEMORY_BITS 32 /* of what would be left over, in MB */
-#define COST_MIXED_BIT 50 /* work that serves beside work that fills */
+#define COST_INTERFERENCE_BIT 50 /* work that serves beside work that fills */
 #define COST_UNPROVEN_BIT 49 /* last failed, and so did the task */
-#define COST_FAR_BIT 48 /* away from the task's data */
-#define COST_COLD_BIT 47 /* on a worker that is slow after its start */
+#define COST_REMOTE_BIT 48 /* away from the task's data */
+#define COST_WARMUP_BIT 47 /* on a worker that is slow after its start */
 #define COST_RESERVED_BIT 46 /* on the wrong side of what is reserved */
 
 /* Count one run of the step that is being placed at its worker. */
-static void count_sibling(const struct rj_cell_run *run)
+static void count_step_run(const struct rj_cell_run *run)
 {
-	if (run->worker->room)
-		run->worker->room->siblings++;
+	if (run->worker->plan_worker)
+		run->worker->plan_worker->step_runs++;
 }
 
 /*
@@ -29,39 +29,40 @@
  * each task would count all of them on each worker.
  */
 void rj_cell_place_count_step_runs(struct rj_cell_plan *plan,
-				   const struct rj_cell_task_group *unit)
+				   const struct rj_cell_task_group *group)
 {
-	const struct rj_cell_def *def = unit->work->def;
-	uint32_t first = rj_cell_def_first_task(def, unit->step);
+	const struct rj_cell_def *spec = group->work->def;
+	uint32_t first = rj_cell_def_first_task(spec, group->step);
 
-	if (!def->steps[unit->step].per_worker_max)
+	if (!spec->steps[group->step].per_worker_max)
 		return;
-	for (uint32_t i = 0; i < plan->room_count; i++)
-		plan->rooms[i].siblings = 0;
+	for (uint32_t i = 0; i < plan->worker_count; i++)
+		plan->workers[i].step_runs = 0;
 	for (guint i = 0; i < plan->starts->len; i++) {
-		const struct rj_cell_planned_start *choice = &g_array_index(
+		const struct rj_cell_planned_start *start = &g_array_index(
 			plan->starts, struct rj_cell_planned_start, i);
 
-		if (choice->task->round == unit->round &&
-		    choice->task->step == unit->step)
-			choice->worker->room->siblings++;
+		if (start->task->round == group->round &&
+		    start->task->step == group->step)
+			start->worker->plan_worker->step_runs++;
 	}
-	for (uint32_t i = 0; i < def->steps[unit->step].task_count; i++) {
+	for (uint32_t i = 0; i < spec->steps[group->step].task_count; i++) {
 		const struct rj_list *runs =
-			&unit->round->tasks[first + i].runs;
+			&group->round->tasks[first + i].runs;
 		const struct rj_list *at;
 
 		for (at = runs->next; at != runs; at = at->next)
-			count_sibling(
+			count_step_run(
 				RJ_CONTAINER(at, struct rj_cell_run, in_task));
 	}
 }
 
 /* Whether a worker has as many runs of a step as it may. */
-static bool has_all_siblings(const struct rj_cell_plan_worker *room,
-			     const struct rj_cell_step *step)
+static bool has_max_step_runs(const struct rj_cell_plan_worker *plan_worker,
+			      const struct rj_cell_step *step)
 {
-	return step->per_worker_max && room->siblings >= step->per_worker_max;
+	return step->per_worker_max &&
+	       plan_worker->step_runs >= step->per_worker_max;
 }
 
 /* Whether a task has no attempt left after the next one. */
@@ -102,101 +103,108 @@
  * Whether a worker may run a task at all, its room aside.
  */
 bool rj_cell_place_is_eligible(const struct rj_cell_plan *plan,
-			       const struct rj_cell_plan_worker *room,
-			       const struct rj_cell_task_group *unit,
+			       const struct rj_cell_plan_worker *plan_worker,
+			       const struct rj_cell_task_group *group,
 			       struct rj_cell_task *task,
-			       const struct rj_cell_placement_options *way)
+			       const struct rj_cell_placement_options *options)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
-	const struct rj_cell_worker *worker = room->worker;
+	const struct rj_cell_worker *worker = plan_worker->worker;
 
-	if (way->domain && worker->domain != way->domain)
+	if (options->domain && worker->domain != options->domain)
 		return false;
-	if ((room->reserved && !unit->may_use_reserved) ||
-	    (room->exclusive && !unit->may_use_exclusive))
+	if ((plan_worker->reserved && !group->may_use_reserved) ||
+	    (plan_worker->exclusive && !group->may_use_exclusive))
 		return false;
-	if (worker->service != unit->service)
+	if (worker->service != group->service)
 		return false;
 	if (step->label[0] && strcmp(step->label, worker->said.kind) != 0 &&
 	    strcmp(step->label, worker->said.rack) != 0)
 		return false;
-	if (step->rack[0] && !unit->far &&
+	if (step->rack[0] && !group->remote_allowed &&
 	    strcmp(step->rack, worker->said.rack) != 0)
 		return false;
 	if (plan->now_us < task->avoid_until_us &&
 	    !strcmp(task->avoid, worker->id))
 		return false;
-	if (unit->advised && !rj_cell_advice_ticket(task->round, task->step,
-						    worker, plan->now_us))
+	if (group->advised && !rj_cell_advice_ticket(task->round, task->step,
+						     worker, plan->now_us))
 		return false;
 	if (is_too_risky(plan, worker, task))
 		return false;
 	if (!step->target_ms && plan->now_us < worker->harmed_until_us)
 		return false;
-	return !has_all_siblings(room, step);
+	return !has_max_step_runs(plan_worker, step);
 }
 
 /* The bounds on what is free in a range for a way, or NULL where others may be
  * stopped or are waited for. */
 static const struct rj_cell_free_bounds *
-free_for(const struct rj_cell_worker_range *range,
-	 const struct rj_cell_placement_options *way)
+free_bounds(const struct rj_cell_worker_range *range,
+	    const struct rj_cell_placement_options *options)
 {
-	if (way->may_preempt || way->when == RJ_CELL_HORIZON_COMPLETIONS)
+	if (options->may_preempt ||
+	    options->horizon == RJ_CELL_HORIZON_COMPLETIONS)
 		return NULL;
-	return way->when == RJ_CELL_HORIZON_NOW ? &range->now : &range->soon;
+	return options->horizon == RJ_CELL_HORIZON_NOW ?
+		       &range->free_now :
+		       &range->free_after_stops;
 }
 
 /* Whether a range is allowed, and may hold one task that wants so much. */
-static bool may_hold_one(const struct rj_cell_worker_range *range,
-			 const struct rj_cell_placement_options *way,
-			 const struct rj_cell_demand *want)
+static bool may_fit_task(const struct rj_cell_worker_range *range,
+			 const struct rj_cell_placement_options *options,
+			 const struct rj_cell_demand *demand)
 {
-	const struct rj_cell_free_bounds *have = free_for(range, way);
+	const struct rj_cell_free_bounds *available =
+		free_bounds(range, options);
 
-	if (way->domain && range->domain && range->domain != way->domain)
+	if (options->domain && range->domain &&
+	    range->domain != options->domain)
 		return false;
-	return !have || rj_cell_demand_fits(want, &have->most);
+	return !available ||
+	       rj_cell_demand_fits(demand, &available->max_per_worker);
 }
 
 /*
  * Begin a walk over the rooms that a way allows, those of a rack or all, for
  * tasks that want so much each. `way` must outlast it.
  */
-void rj_cell_worker_iterator_init(struct rj_cell_worker_iterator *walk,
-				  struct rj_cell_plan *plan,
-				  const struct rj_cell_placement_options *way,
-				  const struct rj_cell_demand *want)
+void rj_cell_worker_iterator_init(
+	struct rj_cell_worker_iterator *iterator, struct rj_cell_plan *plan,
+	const struct rj_cell_placement_options *options,
+	const struct rj_cell_demand *demand)
 {
-	memset(walk, 0, sizeof(*walk));
-	walk->plan = plan;
-	walk->way = way;
-	walk->want = *want;
-	walk->range = way->rack ? way->rack->range : 0;
-	walk->ranges_end = way->rack ? walk->range + 1 : plan->ranges->len;
+	memset(iterator, 0, sizeof(*iterator));
+	iterator->plan = plan;
+	iterator->options = options;
+	iterator->demand = *demand;
+	iterator->next_range = options->rack ? options->rack->range : 0;
+	iterator->range_end =
+		options->rack ? iterator->next_range + 1 : plan->ranges->len;
 }
 
 /*
  * The next room, in the order of the plan's rooms, or NULL at the end.
  */
 struct rj_cell_plan_worker *
-rj_cell_worker_iterator_next(struct rj_cell_worker_iterator *walk)
+rj_cell_worker_iterator_next(struct rj_cell_worker_iterator *iterator)
 {
-	while (walk->room == walk->end) {
+	while (iterator->next_worker == iterator->worker_end) {
 		const struct rj_cell_worker_range *range;
 
-		if (walk->range >= walk->ranges_end)
+		if (iterator->next_range >= iterator->range_end)
 			return NULL;
-		range = &g_array_index(walk->plan->ranges,
+		range = &g_array_index(iterator->plan->ranges,
 				       struct rj_cell_worker_range,
-				       walk->range++);
-		if (!may_hold_one(range, walk->way, &walk->want))
+				       iterator->next_range++);
+		if (!may_fit_task(range, iterator->options, &iterator->demand))
 			continue;
-		walk->room = walk->plan->rooms + range->first;
-		walk->end = walk->room + range->count;
-		walk->plan->effort += range->count;
+		iterator->next_worker = iterator->plan->workers + range->first;
+		iterator->worker_end = iterator->next_worker + range->count;
+		iterator->plan->effort += range->count;
 	}
-	return walk->room++;
+	return iterator->next_worker++;
 }
 
 /*
@@ -207,24 +215,25 @@
  * would weigh all workers for each of its members in each plan.
  */
 bool rj_cell_place_may_fit(const struct rj_cell_plan *plan,
-			   const struct rj_cell_placement_options *way,
-			   const struct rj_cell_demand *want, uint32_t count)
+			   const struct rj_cell_placement_options *options,
+			   const struct rj_cell_demand *demand, uint32_t count)
 {
-	uint64_t wanted = (uint64_t)want->accelerators * count;
-	guint first = way->rack ? way->rack->range : 0;
-	guint end = way->rack ? first + 1 : plan->ranges->len;
+	uint64_t wanted = (uint64_t)demand->accelerators * count;
+	guint first = options->rack ? options->rack->range : 0;
+	guint end = options->rack ? first + 1 : plan->ranges->len;
 	uint64_t sum = 0;
 
 	for (guint i = first; i < end; i++) {
 		const struct rj_cell_worker_range *range = &g_array_index(
 			plan->ranges, struct rj_cell_worker_range, i);
-		const struct rj_cell_free_bounds *have = free_for(range, way);
+		const struct rj_cell_free_bounds *available =
+			free_bounds(range, options);
 
-		if (!have)
+		if (!available)
 			return true;
-		if (!may_hold_one(range, way, want))
+		if (!may_fit_task(range, options, demand))
 			continue;
-		sum += have->accelerators;
+		sum += available->accelerators;
 		if (sum >= wanted)
 			return true;
 	}
@@ -262,54 +271,61 @@
  * they share a worker only where there is no other.
  */
 static uint64_t placement_cost(const struct rj_cell_plan *plan,
-			       const struct rj_cell_plan_worker *room,
-			       const struct rj_cell_task_group *unit,
+			       const struct rj_cell_plan_worker *plan_worker,
+			       const struct rj_cell_task_group *group,
 			       struct rj_cell_task *task,
-			       const struct rj_cell_demand *have)
+			       const struct rj_cell_demand *available)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
-	uint64_t left = have->accelerators - step->each.accelerators;
-	bool far = step->rack[0] && strcmp(step->rack, room->worker->said.rack);
-	bool unproven = is_unproven(plan, room->worker, task);
-	bool wrong_side = room->reserved != !unit->work->def->priority;
-	bool cold = plan->now_us < room->worker->cold_until_us;
-	bool mixed = step->target_ms ? room->filling : room->serving;
-
-	return ((uint64_t)mixed << COST_MIXED_BIT) |
+	uint64_t left_over = available->accelerators - step->each.accelerators;
+	bool remote = step->rack[0] &&
+		      strcmp(step->rack, plan_worker->worker->said.rack);
+	bool unproven = is_unproven(plan, plan_worker->worker, task);
+	bool wrong_partition =
+		plan_worker->reserved != !group->work->def->priority;
+	bool warming_up = plan->now_us < plan_worker->worker->cold_until_us;
+	bool disturbs = step->target_ms ? plan_worker->other_runs :
+					  plan_worker->serving_runs;
+
+	return ((uint64_t)disturbs << COST_INTERFERENCE_BIT) |
 	       ((uint64_t)unproven << COST_UNPROVEN_BIT) |
-	       ((uint64_t)far << COST_FAR_BIT) |
-	       ((uint64_t)cold << COST_COLD_BIT) |
-	       ((uint64_t)wrong_side << COST_RESERVED_BIT) |
-	       (left << COST_MEMORY_BITS) |
-	       (have->memory_mb - step->each.memory_mb);
+	       ((uint64_t)remote << COST_REMOTE_BIT) |
+	       ((uint64_t)warming_up << COST_WARMUP_BIT) |
+	       ((uint64_t)wrong_partition << COST_RESERVED_BIT) |
+	       (left_over << COST_MEMORY_BITS) |
+	       (available->memory_mb - step->each.memory_mb);
 }
 
 /* The best room for one task in what is free now or soon, or NULL. */
 static struct rj_cell_plan_worker *
-best_fit(struct rj_cell_plan *plan, const struct rj_cell_task_group *unit,
-	 struct rj_cell_task *task, const struct rj_cell_placement_options *way)
+best_fit(struct rj_cell_plan *plan, const struct rj_cell_task_group *group,
+	 struct rj_cell_task *task,
+	 const struct rj_cell_placement_options *options)
 {
-	struct rj_cell_demand want =
+	struct rj_cell_demand demand =
 		rj_cell_step_allocation(rj_cell_task_step(task));
 	struct rj_cell_plan_worker *best = NULL;
-	struct rj_cell_plan_worker *room;
-	struct rj_cell_worker_iterator walk;
+	struct rj_cell_plan_worker *plan_worker;
+	struct rj_cell_worker_iterator iterator;
 	uint64_t best_cost = 0;
 
-	rj_cell_worker_iterator_init(&walk, plan, way, &want);
-	while ((room = rj_cell_worker_iterator_next(&walk))) {
-		const struct rj_cell_demand *have =
-			way->when == RJ_CELL_HORIZON_NOW ? &room->now :
-							   &room->soon;
+	rj_cell_worker_iterator_init(&iterator, plan, options, &demand);
+	while ((plan_worker = rj_cell_worker_iterator_next(&iterator))) {
+		const struct rj_cell_demand *available =
+			options->horizon == RJ_CELL_HORIZON_NOW ?
+				&plan_worker->free_now :
+				&plan_worker->free_after_stops;
 		uint64_t cost;
 
-		if (!rj_cell_demand_fits(&want, have) ||
-		    !rj_cell_place_is_eligible(plan, room, unit, task, way))
+		if (!rj_cell_demand_fits(&demand, available) ||
+		    !rj_cell_place_is_eligible(plan, plan_worker, group, task,
+					       options))
 			continue;
-		cost = placement_cost(plan, room, unit, task, have);
+		cost = placement_cost(plan, plan_worker, group, task,
+				      available);
 		if (best && cost >= best_cost)
 			continue;
-		best = room;
+		best = plan_worker;
 		best_cost = cost;
 	}
 	return best;
@@ -319,126 +335,129 @@
  * In how long a worker will have room for `want` beside what is promised
  * there, if nothing else starts on it; RJ_NEVER_US when it never will.
  */
-static uint64_t ready_in_us(struct rj_cell_plan *plan,
-			    const struct rj_cell_plan_worker *room,
-			    const struct rj_cell_demand *want)
+static uint64_t ready_delay_us(struct rj_cell_plan *plan,
+			       const struct rj_cell_plan_worker *plan_worker,
+			       const struct rj_cell_demand *demand)
 {
-	struct rj_cell_demand need = *want;
-	struct rj_cell_demand have = room->soon;
+	struct rj_cell_demand need = *demand;
+	struct rj_cell_demand available = plan_worker->free_after_stops;
 	const struct rj_cell_releases *releases;
 	uint64_t ready_us = 0;
 
-	rj_cell_demand_add(&need, &room->promised);
-	if (rj_cell_demand_fits(&need, &have))
+	rj_cell_demand_add(&need, &plan_worker->promised);
+	if (rj_cell_demand_fits(&need, &available))
 		return 0;
-	if (!rj_cell_demand_fits(&need, &room->worker->said.capacity))
+	if (!rj_cell_demand_fits(&need, &plan_worker->worker->said.capacity))
 		return RJ_NEVER_US;
-	releases = rj_cell_releases_get(plan, room);
+	releases = rj_cell_releases_get(plan, plan_worker);
 	for (uint32_t i = 0;
-	     i < releases->count && !rj_cell_demand_fits(&need, &have); i++) {
+	     i < releases->count && !rj_cell_demand_fits(&need, &available);
+	     i++) {
 		const struct rj_cell_release *release = &releases->by_time[i];
 
 		/* The room of a victim is counted as free already. */
 		if (release->run->victim || release->run->why)
 			continue;
-		rj_cell_demand_add(&have, &release->run->held);
-		ready_us = release->left_us;
+		rj_cell_demand_add(&available, &release->run->held);
+		ready_us = release->remaining_us;
 	}
-	return rj_cell_demand_fits(&need, &have) ? ready_us : RJ_NEVER_US;
+	return rj_cell_demand_fits(&need, &available) ? ready_us : RJ_NEVER_US;
 }
 
 /* The room that comes free first for one task, or NULL. */
 static struct rj_cell_plan_worker *
-first_ready(struct rj_cell_plan *plan, struct rj_cell_placement *trial,
-	    const struct rj_cell_task_group *unit, struct rj_cell_task *task,
-	    const struct rj_cell_placement_options *way)
+earliest_fit(struct rj_cell_plan *plan, struct rj_cell_placement *placement,
+	     const struct rj_cell_task_group *group, struct rj_cell_task *task,
+	     const struct rj_cell_placement_options *options)
 {
-	struct rj_cell_demand want =
+	struct rj_cell_demand demand =
 		rj_cell_step_allocation(rj_cell_task_step(task));
 	struct rj_cell_plan_worker *best = NULL;
-	struct rj_cell_plan_worker *room;
-	struct rj_cell_worker_iterator walk;
-	uint64_t best_us = RJ_NEVER_US;
+	struct rj_cell_plan_worker *plan_worker;
+	struct rj_cell_worker_iterator iterator;
+	uint64_t best_delay_us = RJ_NEVER_US;
 
-	rj_cell_worker_iterator_init(&walk, plan, way, &want);
-	while ((room = rj_cell_worker_iterator_next(&walk))) {
+	rj_cell_worker_iterator_init(&iterator, plan, options, &demand);
+	while ((plan_worker = rj_cell_worker_iterator_next(&iterator))) {
 		uint64_t ready_us;
 
-		if (!rj_cell_place_is_eligible(plan, room, unit, task, way))
+		if (!rj_cell_place_is_eligible(plan, plan_worker, group, task,
+					       options))
 			continue;
-		ready_us = ready_in_us(plan, room, &want);
-		if (ready_us >= best_us)
+		ready_us = ready_delay_us(plan, plan_worker, &demand);
+		if (ready_us >= best_delay_us)
 			continue;
-		best = room;
-		best_us = ready_us;
+		best = plan_worker;
+		best_delay_us = ready_us;
 	}
-	if (best && best_us > trial->ready_us)
-		trial->ready_us = best_us;
+	if (best && best_delay_us > placement->ready_us)
+		placement->ready_us = best_delay_us;
 	return best;
 }
 
 /* Take the room of one task; what is not free yet is promised. */
-static void take_room(struct rj_cell_plan_worker *room,
-		      const struct rj_cell_step *step,
-		      enum rj_cell_horizon when)
+static void allocate(struct rj_cell_plan_worker *plan_worker,
+		     const struct rj_cell_step *step,
+		     enum rj_cell_horizon horizon)
 {
-	struct rj_cell_demand want = rj_cell_step_allocation(step);
+	struct rj_cell_demand demand = rj_cell_step_allocation(step);
 
-	if (when == RJ_CELL_HORIZON_COMPLETIONS)
-		rj_cell_demand_add(&room->promised, &want);
+	if (horizon == RJ_CELL_HORIZON_COMPLETIONS)
+		rj_cell_demand_add(&plan_worker->promised, &demand);
 	else
-		rj_cell_demand_subtract(&room->soon, &want);
-	rj_cell_demand_subtract(&room->now, &want);
-	room->siblings++;
+		rj_cell_demand_subtract(&plan_worker->free_after_stops,
+					&demand);
+	rj_cell_demand_subtract(&plan_worker->free_now, &demand);
+	plan_worker->step_runs++;
 	if (step->target_ms)
-		room->serving++;
+		plan_worker->serving_runs++;
 	else
-		room->filling++;
+		plan_worker->other_runs++;
 }
 
 /*
  * Begin a trial.
  */
-void rj_cell_placement_init(struct rj_cell_placement *trial,
+void rj_cell_placement_init(struct rj_cell_placement *placement,
 			    struct rj_cell_plan *plan)
 {
-	memset(trial, 0, sizeof(*trial));
-	trial->plan = plan;
-	trial->changes =
+	memset(placement, 0, sizeof(*placement));
+	placement->plan = plan;
+	placement->changes =
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_plan_worker));
-	trial->workers = g_ptr_array_new();
-	trial->victims = g_ptr_array_new();
+	placement->workers = g_ptr_array_new();
+	placement->victims = g_ptr_array_new();
 }
 
 /*
  * A room is about to be changed by a trial.
  */
-void rj_cell_placement_save_worker(struct rj_cell_placement *trial,
-				   struct rj_cell_plan_worker *room)
+void rj_cell_placement_save_worker(struct rj_cell_placement *placement,
+				   struct rj_cell_plan_worker *plan_worker)
 {
-	g_array_append_val(trial->changes, *room);
+	g_array_append_val(placement->changes, *plan_worker);
 }
 
 /*
  * End a trial: what has not been taken is undone.
  */
-void rj_cell_placement_finish(struct rj_cell_placement *trial)
+void rj_cell_placement_finish(struct rj_cell_placement *placement)
 {
-	for (guint i = trial->changes->len; i > 0; i--) {
+	for (guint i = placement->changes->len; i > 0; i--) {
 		const struct rj_cell_plan_worker *before = &g_array_index(
-			trial->changes, struct rj_cell_plan_worker, i - 1);
+			placement->changes, struct rj_cell_plan_worker, i - 1);
 
-		*before->worker->room = *before;
+		*before->worker->plan_worker = *before;
 	}
-	for (guint i = 0; i < trial->victims->len; i++) {
-		struct rj_cell_run *run = trial->victims->pdata[i];
+	for (guint i = 0; i < placement->victims->len; i++) {
+		struct rj_cell_run *run = placement->victims->pdata[i];
 
 		run->victim = false;
-		rj_cell_plan_restore_run(trial->plan, run);
+		rj_cell_plan_restore_run(placement->plan, run);
 	}
-	g_array_free(trial->changes, TRUE);
-	g_ptr_array_free(trial->workers, TRUE);
-	g_ptr_array_free(trial->victims, TRUE);
+	g_array_free(placement->changes, TRUE);
+	g_ptr_array_free(placement->workers, TRUE);
+	g_ptr_array_free(placement->victims, TRUE);
 }
 
 /*
@@ -454,8 +473,8 @@
 }
 
 /* Whether all of a group's tasks weigh workers alike. */
-static bool are_alike(const struct rj_cell_plan *plan,
-		      struct rj_cell_task **tasks, uint32_t count)
+static bool are_uniform(const struct rj_cell_plan *plan,
+			struct rj_cell_task **tasks, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++)
 		if (!rj_cell_place_is_uniform(plan, tasks[i]))
@@ -465,23 +484,25 @@
 
 /* What placing one more of some tasks in a room costs, or RJ_NEVER_US where it
  * cannot be placed there. */
-static uint64_t cost_of(struct rj_cell_plan *plan,
-			struct rj_cell_plan_worker *room,
-			const struct rj_cell_task_group *unit,
-			struct rj_cell_task *task,
-			const struct rj_cell_demand *want,
-			const struct rj_cell_placement_options *way)
+static uint64_t candidate_cost(struct rj_cell_plan *plan,
+			       struct rj_cell_plan_worker *plan_worker,
+			       const struct rj_cell_task_group *group,
+			       struct rj_cell_task *task,
+			       const struct rj_cell_demand *demand,
+			       const struct rj_cell_placement_options *options)
 {
-	const struct rj_cell_demand *have =
-		way->when == RJ_CELL_HORIZON_NOW ? &room->now : &room->soon;
+	const struct rj_cell_demand *available =
+		options->horizon == RJ_CELL_HORIZON_NOW ?
+			&plan_worker->free_now :
+			&plan_worker->free_after_stops;
 
-	if (has_all_siblings(room, rj_cell_task_step(task)))
+	if (has_max_step_runs(plan_worker, rj_cell_task_step(task)))
 		return RJ_NEVER_US;
-	if (way->when == RJ_CELL_HORIZON_COMPLETIONS)
-		return ready_in_us(plan, room, want);
-	if (!rj_cell_demand_fits(want, have))
+	if (options->horizon == RJ_CELL_HORIZON_COMPLETIONS)
+		return ready_delay_us(plan, plan_worker, demand);
+	if (!rj_cell_demand_fits(demand, available))
 		return RJ_NEVER_US;
-	return placement_cost(plan, room, unit, task, have);
+	return placement_cost(plan, plan_worker, group, task, available);
 }
 
 /*
@@ -490,45 +511,49 @@
  * taken one only changes its own cost.
  */
 uint32_t rj_cell_place_uniform(struct rj_cell_plan *plan,
-			       struct rj_cell_placement *trial,
-			       const struct rj_cell_task_group *unit,
+			       struct rj_cell_placement *placement,
+			       const struct rj_cell_task_group *group,
 			       struct rj_cell_task **tasks, uint32_t count,
-			       const struct rj_cell_placement_options *way)
+			       const struct rj_cell_placement_options *options)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(tasks[0]);
-	struct rj_cell_demand want = rj_cell_step_allocation(step);
+	struct rj_cell_demand demand = rj_cell_step_allocation(step);
 	struct rj_cell_candidates candidates;
-	struct rj_cell_worker_iterator walk;
-	struct rj_cell_plan_worker *room;
+	struct rj_cell_worker_iterator iterator;
+	struct rj_cell_plan_worker *plan_worker;
 	uint32_t placed = 0;
 
-	assert(!way->may_preempt);
+	assert(!options->may_preempt);
 	rj_cell_candidates_init(&candidates);
-	rj_cell_worker_iterator_init(&walk, plan, way, &want);
-	while ((room = rj_cell_worker_iterator_next(&walk))) {
-		uint64_t cost = cost_of(plan, room, unit, tasks[0], &want, way);
+	rj_cell_worker_iterator_init(&iterator, plan, options, &demand);
+	while ((plan_worker = rj_cell_worker_iterator_next(&iterator))) {
+		uint64_t cost = candidate_cost(plan, plan_worker, group,
+					       tasks[0], &demand, options);
 
 		if (cost != RJ_NEVER_US &&
-		    rj_cell_place_is_eligible(plan, room, unit, tasks[0], way))
-			rj_cell_candidates_push(&candidates, cost, room);
+		    rj_cell_place_is_eligible(plan, plan_worker, group,
+					      tasks[0], options))
+			rj_cell_candidates_push(&candidates, cost, plan_worker);
 	}
 	while (placed < count) {
 		struct rj_cell_candidate best =
 			rj_cell_candidates_pop(&candidates);
 		uint64_t cost;
 
-		if (!best.room)
+		if (!best.plan_worker)
 			break;
-		if (way->when == RJ_CELL_HORIZON_COMPLETIONS &&
-		    best.cost > trial->ready_us)
-			trial->ready_us = best.cost;
-		rj_cell_placement_save_worker(trial, best.room);
-		take_room(best.room, step, way->when);
-		g_ptr_array_add(trial->workers, best.room->worker);
+		if (options->horizon == RJ_CELL_HORIZON_COMPLETIONS &&
+		    best.cost > placement->ready_us)
+			placement->ready_us = best.cost;
+		rj_cell_placement_save_worker(placement, best.plan_worker);
+		allocate(best.plan_worker, step, options->horizon);
+		g_ptr_array_add(placement->workers, best.plan_worker->worker);
 		placed++;
-		cost = cost_of(plan, best.room, unit, tasks[0], &want, way);
+		cost = candidate_cost(plan, best.plan_worker, group, tasks[0],
+				      &demand, options);
 		if (cost != RJ_NEVER_US)
-			rj_cell_candidates_push(&candidates, cost, best.room);
+			rj_cell_candidates_push(&candidates, cost,
+						best.plan_worker);
 	}
 	rj_cell_candidates_finish(&candidates);
 	return placed;
@@ -538,33 +563,37 @@
  * Try to place all of `tasks`. Returns whether all of them have a place.
  */
 bool rj_cell_place_group(struct rj_cell_plan *plan,
-			 struct rj_cell_placement *trial,
-			 const struct rj_cell_task_group *unit,
+			 struct rj_cell_placement *placement,
+			 const struct rj_cell_task_group *group,
 			 struct rj_cell_task **tasks, uint32_t count,
-			 const struct rj_cell_placement_options *way)
+			 const struct rj_cell_placement_options *options)
 {
-	struct rj_cell_demand want =
+	struct rj_cell_demand demand =
 		rj_cell_step_allocation(rj_cell_task_step(tasks[0]));
 
-	if (!rj_cell_place_may_fit(plan, way, &want, count))
+	if (!rj_cell_place_may_fit(plan, options, &demand, count))
 		return false;
-	if (count > 1 && !way->may_preempt && are_alike(plan, tasks, count))
-		return rj_cell_place_uniform(plan, trial, unit, tasks, count,
-					     way) == count;
+	if (count > 1 && !options->may_preempt &&
+	    are_uniform(plan, tasks, count))
+		return rj_cell_place_uniform(plan, placement, group, tasks,
+					     count, options) == count;
 	for (uint32_t i = 0; i < count; i++) {
-		struct rj_cell_plan_worker *room =
-			way->when == RJ_CELL_HORIZON_COMPLETIONS ?
-				first_ready(plan, trial, unit, tasks[i], way) :
-				best_fit(plan, unit, tasks[i], way);
-
-		if (!room && way->may_preempt)
-			room = rj_cell_reclaim_find_worker(plan, trial, unit,
-							   tasks[i], way);
-		if (!room || trial->loss_milli > way->max_loss_milli)
+		struct rj_cell_plan_worker *plan_worker =
+			options->horizon == RJ_CELL_HORIZON_COMPLETIONS ?
+				earliest_fit(plan, placement, group, tasks[i],
+					     options) :
+				best_fit(plan, group, tasks[i], options);
+
+		if (!plan_worker && options->may_preempt)
+			plan_worker = rj_cell_reclaim_find_worker(
+				plan, placement, group, tasks[i], options);
+		if (!plan_worker ||
+		    placement->loss_milli > options->max_loss_milli)
 			return false;
-		rj_cell_placement_save_worker(trial, room);
-		take_room(room, rj_cell_task_step(tasks[i]), way->when);
-		g_ptr_array_add(trial->workers, room->worker);
+		rj_cell_placement_save_worker(placement, plan_worker);
+		allocate(plan_worker, rj_cell_task_step(tasks[i]),
+			 options->horizon);
+		g_ptr_array_add(placement->workers, plan_worker->worker);
 	}
 	return true;
 }
@@ -573,15 +602,15 @@
  * Keep what a trial has changed, and list its victims, which the owner has to
  * stop.
  */
-void rj_cell_placement_commit(struct rj_cell_placement *trial)
+void rj_cell_placement_commit(struct rj_cell_placement *placement)
 {
-	g_array_set_size(trial->changes, 0);
-	for (guint i = 0; i < trial->victims->len; i++) {
-		struct rj_cell_run *run = trial->victims->pdata[i];
+	g_array_set_size(placement->changes, 0);
+	for (guint i = 0; i < placement->victims->len; i++) {
+		struct rj_cell_run *run = placement->victims->pdata[i];
 
 		run->victim = false;
 		run->why = RJ_CELL_WHY_RECLAIMED;
-		g_ptr_array_add(trial->plan->stops, run);
+		g_ptr_array_add(placement->plan->stops, run);
 	}
-	g_ptr_array_set_size(trial->victims, 0);
+	g_ptr_array_set_size(placement->victims, 0);
 }
--- a/src/libradishjunction/cell/cell_plan.c
+++ b/src/libradishjunction/cell/cell_plan.c
@@ -11,15 +11,15 @@
 
 /* Gangs of lower priority that room is promised to at a time. More would
  * leave too much of it idle. */
-#define PROMISES_MAX 2
+#define GANG_PROMISES_MAX 2
 /* Urgent work that has no right to its room may throw away so many times its
  * own work: it is worth about ten times as much a core-second, half of which
  * is left for the wait of those that it stops. */
-#define LOSS_FACTOR 4
+#define URGENT_LOSS_FACTOR 4
 /* Work that is not urgent may stop work of lower priority once it has waited
  * for a while, where that throws away at most this part of its own. */
-#define CHEAP_WAIT_US RJ_US_PER_S
-#define CHEAP_LOSS_PART 8
+#define PREEMPTION_WAIT_US RJ_US_PER_S
+#define PREEMPTION_LOSS_DIVISOR 8
 /* Urgent groups that room is promised to in one plan; those behind them have
  * to wait for more than the next ends. */
 #define URGENT_PROMISES_MAX 16
@@ -28,8 +28,8 @@
  * stop, and the pause before the same group searches for work to stop again.
  * Such a search changes nothing, so that leaving it out only delays the next.
  */
-#define FUTILE_MAX 8
-#define FUTILE_PAUSE_US (100 * RJ_US_PER_MS)
+#define FAILED_SEARCHES_MAX 8
+#define SEARCH_RETRY_US (100 * RJ_US_PER_MS)
 
 /*
  * Prepare a plan without inputs.
@@ -37,7 +37,7 @@
 void rj_cell_plan_init(struct rj_cell_plan *plan)
 {
 	memset(plan, 0, sizeof(*plan));
-	plan->next_us = RJ_NEVER_US;
+	plan->next_retry_us = RJ_NEVER_US;
 	plan->starts =
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_planned_start));
 	plan->stops = g_ptr_array_new();
@@ -45,8 +45,8 @@
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_plan_rack));
 	plan->ranges =
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_worker_range));
-	plan->needs = g_hash_table_new(g_str_hash, g_str_equal);
-	plan->units =
+	plan->urgent_needs = g_hash_table_new(g_str_hash, g_str_equal);
+	plan->task_groups =
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_task_group));
 	plan->shortages =
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_shortage));
@@ -61,21 +61,21 @@
 	g_ptr_array_free(plan->stops, TRUE);
 	g_array_free(plan->racks, TRUE);
 	g_array_free(plan->ranges, TRUE);
-	g_array_free(plan->units, TRUE);
+	g_array_free(plan->task_groups, TRUE);
 	g_array_free(plan->shortages, TRUE);
-	g_hash_table_destroy(plan->needs);
-	TALLOC_FREE(plan->rooms);
+	g_hash_table_destroy(plan->urgent_needs);
+	TALLOC_FREE(plan->workers);
 }
 
 /* One task starts there. */
 static void add_start(struct rj_cell_plan *plan, struct rj_cell_task *task,
 		      struct rj_cell_worker *worker)
 {
-	struct rj_cell_planned_start choice = { task, worker };
+	struct rj_cell_planned_start start = { task, worker };
 	struct rj_cell_demand used =
 		rj_cell_step_allocation(rj_cell_task_step(task));
 
-	g_array_append_val(plan->starts, choice);
+	g_array_append_val(plan->starts, start);
 	task->planned = true;
 	rj_cell_usage_add(&plan->usage, &used);
 	rj_cell_plan_add_allocation(plan, task->round->work, &used);
@@ -96,32 +96,33 @@
 
 /* The rack where a group is placed best, or NULL. */
 static const struct rj_cell_plan_rack *
-best_rack(struct rj_cell_plan *plan, const struct rj_cell_task_group *unit,
+best_rack(struct rj_cell_plan *plan, const struct rj_cell_task_group *group,
 	  struct rj_cell_task **tasks, uint32_t count,
-	  const struct rj_cell_placement_options *way)
+	  const struct rj_cell_placement_options *options)
 {
 	const struct rj_cell_plan_rack *best = NULL;
-	struct rj_cell_placement best_trial = { .loss_milli = 0 };
+	struct rj_cell_placement best_placement = { .loss_milli = 0 };
 
 	for (guint i = 0; i < plan->racks->len; i++) {
-		struct rj_cell_placement_options here = *way;
-		struct rj_cell_placement trial;
+		struct rj_cell_placement_options local = *options;
+		struct rj_cell_placement placement;
 
-		here.rack = &g_array_index(plan->racks,
-					   struct rj_cell_plan_rack, i);
-		if (way->domain && here.rack->domain != way->domain)
+		local.rack = &g_array_index(plan->racks,
+					    struct rj_cell_plan_rack, i);
+		if (options->domain && local.rack->domain != options->domain)
 			continue;
-		rj_cell_placement_init(&trial, plan);
-		if (rj_cell_place_group(plan, &trial, unit, tasks, count,
-					&here) &&
-		    (!best || is_better(&trial, &best_trial))) {
-			best = here.rack;
-			best_trial.loss_milli = trial.loss_milli;
-			best_trial.ready_us = trial.ready_us;
+		rj_cell_placement_init(&placement, plan);
+		if (rj_cell_place_group(plan, &placement, group, tasks, count,
+					&local) &&
+		    (!best || is_better(&placement, &best_placement))) {
+			best = local.rack;
+			best_placement.loss_milli = placement.loss_milli;
+			best_placement.ready_us = placement.ready_us;
 		}
-		rj_cell_placement_finish(&trial);
+		rj_cell_placement_finish(&placement);
 		/* Nothing is better than a place at once and at no loss. */
-		if (best && !best_trial.loss_milli && !best_trial.ready_us)
+		if (best && !best_placement.loss_milli &&
+		    !best_placement.ready_us)
 			break;
 	}
 	return best;
@@ -129,89 +130,95 @@
 
 /* Try to place a group: within one rack if it should be, and else anywhere
  * once it has waited long enough. */
-static bool try_group(struct rj_cell_plan *plan,
-		      const struct rj_cell_task_group *unit,
-		      struct rj_cell_task **tasks, uint32_t count,
-		      const struct rj_cell_placement_options *way,
-		      struct rj_cell_placement *trial)
+static bool try_placement(struct rj_cell_plan *plan,
+			  const struct rj_cell_task_group *group,
+			  struct rj_cell_task **tasks, uint32_t count,
+			  const struct rj_cell_placement_options *options,
+			  struct rj_cell_placement *placement)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(tasks[0]);
-	struct rj_cell_placement_options chosen = *way;
+	struct rj_cell_placement_options resolved = *options;
 
 	if (step->one_rack && count > 1) {
-		chosen.rack = best_rack(plan, unit, tasks, count, way);
-		if (!chosen.rack && !unit->far)
+		resolved.rack = best_rack(plan, group, tasks, count, options);
+		if (!resolved.rack && !group->remote_allowed)
 			return false;
 	}
-	return rj_cell_place_group(plan, trial, unit, tasks, count, &chosen);
+	return rj_cell_place_group(plan, placement, group, tasks, count,
+				   &resolved);
 }
 
 /* The failure domain with the least urgent work of those where a group finds
  * its place, or NULL. */
 static const struct rj_cell_domain *
-best_domain(struct rj_cell_plan *plan, const struct rj_cell_task_group *unit,
+best_domain(struct rj_cell_plan *plan, const struct rj_cell_task_group *group,
 	    struct rj_cell_task **tasks, uint32_t count,
-	    const struct rj_cell_placement_options *way)
+	    const struct rj_cell_placement_options *options)
 {
 	const GPtrArray *domains = plan->fleet->domains;
 	const struct rj_cell_domain *best = NULL;
 
 	for (guint i = 0; i < domains->len; i++) {
 		const struct rj_cell_domain *domain = domains->pdata[i];
-		struct rj_cell_placement_options here = *way;
-		struct rj_cell_placement trial;
+		struct rj_cell_placement_options local = *options;
+		struct rj_cell_placement placement;
 
 		if (best && domain->urgent >= best->urgent)
 			continue;
-		here.domain = domain;
-		rj_cell_placement_init(&trial, plan);
-		if (try_group(plan, unit, tasks, count, &here, &trial))
+		local.domain = domain;
+		rj_cell_placement_init(&placement, plan);
+		if (try_placement(plan, group, tasks, count, &local,
+				  &placement))
 			best = domain;
-		rj_cell_placement_finish(&trial);
+		rj_cell_placement_finish(&placement);
 	}
 	return best;
 }
 
 /* Try one way; when it works out the room is taken, and with RJ_CELL_HORIZON_NOW the
  * tasks start. */
-static bool attempt(struct rj_cell_plan *plan,
-		    const struct rj_cell_task_group *unit,
-		    struct rj_cell_task **tasks, uint32_t count,
-		    const struct rj_cell_placement_options *way)
+static bool commit_placement(struct rj_cell_plan *plan,
+			     const struct rj_cell_task_group *group,
+			     struct rj_cell_task **tasks, uint32_t count,
+			     const struct rj_cell_placement_options *options)
 {
-	struct rj_cell_placement_options chosen = *way;
-	struct rj_cell_placement trial;
+	struct rj_cell_placement_options resolved = *options;
+	struct rj_cell_placement placement;
 	bool placed;
 
-	if (!unit->work->def->priority && way->when == RJ_CELL_HORIZON_NOW)
-		chosen.domain = best_domain(plan, unit, tasks, count, way);
-	rj_cell_placement_init(&trial, plan);
-	placed = try_group(plan, unit, tasks, count, &chosen, &trial);
+	if (!group->work->def->priority &&
+	    options->horizon == RJ_CELL_HORIZON_NOW)
+		resolved.domain =
+			best_domain(plan, group, tasks, count, options);
+	rj_cell_placement_init(&placement, plan);
+	placed =
+		try_placement(plan, group, tasks, count, &resolved, &placement);
 	for (uint32_t i = 0;
-	     placed && way->when == RJ_CELL_HORIZON_NOW && i < count; i++)
-		add_start(plan, tasks[i], trial.workers->pdata[i]);
+	     placed && options->horizon == RJ_CELL_HORIZON_NOW && i < count;
+	     i++)
+		add_start(plan, tasks[i], placement.workers->pdata[i]);
 	if (placed)
-		rj_cell_placement_commit(&trial);
-	rj_cell_placement_finish(&trial);
+		rj_cell_placement_commit(&placement);
+	rj_cell_placement_finish(&placement);
 	return placed;
 }
 
 /* Work that urgent tasks may throw away. */
 static uint64_t loss_allowed(const struct rj_cell_plan *plan,
-			     const struct rj_cell_task_group *unit,
+			     const struct rj_cell_task_group *group,
 			     uint32_t count)
 {
-	if (unit->guaranteed &&
+	if (group->guaranteed &&
 	    plan->now_us <=
-		    unit->work->accepted_us + plan->reclaim_ms * RJ_US_PER_MS)
+		    group->work->accepted_us + plan->reclaim_ms * RJ_US_PER_MS)
 		return UINT64_MAX;
-	return LOSS_FACTOR *
-	       rj_cell_reclaim_group_cost_milli(plan, unit, count);
+	return URGENT_LOSS_FACTOR *
+	       rj_cell_reclaim_group_cost_milli(plan, group, count);
 }
 
 /* Whether all of some tasks weigh workers alike. */
-static bool are_plain(const struct rj_cell_plan *plan,
-		      struct rj_cell_task **tasks, uint32_t count)
+static bool are_uniform(const struct rj_cell_plan *plan,
+			struct rj_cell_task **tasks, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++)
 		if (!rj_cell_place_is_uniform(plan, tasks[i]))
@@ -221,19 +228,20 @@
 
 /* Try to place a group without stopping others, unless others have shown that
  * there is no room. */
-static bool attempt_free(struct rj_cell_plan *plan,
-			 const struct rj_cell_task_group *unit,
-			 struct rj_cell_task **tasks, uint32_t count,
-			 enum rj_cell_horizon when)
+static bool place_without_preemption(struct rj_cell_plan *plan,
+				     const struct rj_cell_task_group *group,
+				     struct rj_cell_task **tasks,
+				     uint32_t count,
+				     enum rj_cell_horizon horizon)
 {
-	const struct rj_cell_placement_options way = { .when = when };
+	const struct rj_cell_placement_options options = { .horizon = horizon };
 
-	if (rj_cell_shortage_is_known(plan, unit, count, when))
+	if (rj_cell_shortage_is_known(plan, group, count, horizon))
 		return false;
-	if (attempt(plan, unit, tasks, count, &way))
+	if (commit_placement(plan, group, tasks, count, &options))
 		return true;
-	if (are_plain(plan, tasks, count))
-		rj_cell_shortage_record(plan, unit, count, when);
+	if (are_uniform(plan, tasks, count))
+		rj_cell_shortage_record(plan, group, count, horizon);
 	return false;
 }
 
@@ -245,76 +253,78 @@
  * Each search weighs the runs of all workers, and a plan that takes a second
  * has the owner taken for dead.
  */
-static bool attempt_stop(struct rj_cell_plan *plan,
-			 const struct rj_cell_task_group *unit,
-			 struct rj_cell_task **tasks, uint32_t count,
-			 uint64_t max_loss_milli)
+static bool place_with_preemption(struct rj_cell_plan *plan,
+				  const struct rj_cell_task_group *group,
+				  struct rj_cell_task **tasks, uint32_t count,
+				  uint64_t max_loss_milli)
 {
-	const struct rj_cell_placement_options way = {
-		.when = RJ_CELL_HORIZON_STOPS,
+	const struct rj_cell_placement_options options = {
+		.horizon = RJ_CELL_HORIZON_STOPS,
 		.may_preempt = true,
 		.max_loss_milli = max_loss_milli
 	};
 
-	if (plan->futile >= FUTILE_MAX ||
+	if (plan->failed_searches >= FAILED_SEARCHES_MAX ||
 	    plan->now_us < tasks[0]->search_due_us)
 		return false;
-	if (attempt(plan, unit, tasks, count, &way))
+	if (commit_placement(plan, group, tasks, count, &options))
 		return true;
-	plan->futile++;
-	tasks[0]->search_due_us = plan->now_us + FUTILE_PAUSE_US;
+	plan->failed_searches++;
+	tasks[0]->search_due_us = plan->now_us + SEARCH_RETRY_US;
 	return false;
 }
 
 /* Promise a group what comes free first, if few others have a promise. */
-static void promise(struct rj_cell_plan *plan,
-		    const struct rj_cell_task_group *unit,
-		    struct rj_cell_task **tasks, uint32_t count,
-		    uint32_t *promises, uint32_t promises_max)
+static void promise_capacity(struct rj_cell_plan *plan,
+			     const struct rj_cell_task_group *group,
+			     struct rj_cell_task **tasks, uint32_t count,
+			     uint32_t *promise_count, uint32_t promises_max)
 {
 	const struct rj_cell_placement_options later = {
-		.when = RJ_CELL_HORIZON_COMPLETIONS
+		.horizon = RJ_CELL_HORIZON_COMPLETIONS
 	};
 
-	if (*promises < promises_max &&
-	    attempt(plan, unit, tasks, count, &later))
-		(*promises)++;
+	if (*promise_count < promises_max &&
+	    commit_placement(plan, group, tasks, count, &later))
+		(*promise_count)++;
 }
 
 /*
  * Find room for urgent tasks that do not fit now: what is stopping already,
  * what has to be stopped; else what ends first.
  */
-static void find_urgent(struct rj_cell_plan *plan,
-			const struct rj_cell_task_group *unit,
-			struct rj_cell_task **tasks, uint32_t count)
+static void find_capacity_urgent(struct rj_cell_plan *plan,
+				 const struct rj_cell_task_group *group,
+				 struct rj_cell_task **tasks, uint32_t count)
 {
-	if (attempt_free(plan, unit, tasks, count, RJ_CELL_HORIZON_STOPS) ||
-	    attempt_stop(plan, unit, tasks, count,
-			 loss_allowed(plan, unit, count)))
+	if (place_without_preemption(plan, group, tasks, count,
+				     RJ_CELL_HORIZON_STOPS) ||
+	    place_with_preemption(plan, group, tasks, count,
+				  loss_allowed(plan, group, count)))
 		return;
-	promise(plan, unit, tasks, count, &plan->urgent_promise_count,
-		URGENT_PROMISES_MAX);
+	promise_capacity(plan, group, tasks, count, &plan->urgent_promise_count,
+			 URGENT_PROMISES_MAX);
 }
 
 /* Find room for other tasks that do not fit now: once they have waited for a
  * while, what is stopping already or can be stopped at little loss; for gangs
  * what ends first. */
-static void find_other(struct rj_cell_plan *plan,
-		       const struct rj_cell_task_group *unit,
-		       struct rj_cell_task **tasks, uint32_t count)
+static void find_capacity_other(struct rj_cell_plan *plan,
+				const struct rj_cell_task_group *group,
+				struct rj_cell_task **tasks, uint32_t count)
 {
-	uint64_t cheap_milli =
-		rj_cell_reclaim_group_cost_milli(plan, unit, count) /
-		CHEAP_LOSS_PART;
-
-	if (plan->now_us - unit->waiting_us >= CHEAP_WAIT_US &&
-	    (attempt_free(plan, unit, tasks, count, RJ_CELL_HORIZON_STOPS) ||
-	     attempt_stop(plan, unit, tasks, count, cheap_milli)))
+	uint64_t max_loss_milli =
+		rj_cell_reclaim_group_cost_milli(plan, group, count) /
+		PREEMPTION_LOSS_DIVISOR;
+
+	if (plan->now_us - group->waiting_since_us >= PREEMPTION_WAIT_US &&
+	    (place_without_preemption(plan, group, tasks, count,
+				      RJ_CELL_HORIZON_STOPS) ||
+	     place_with_preemption(plan, group, tasks, count, max_loss_milli)))
 		return;
 	if (rj_cell_task_step(tasks[0])->gang)
-		promise(plan, unit, tasks, count, &plan->promises,
-			PROMISES_MAX);
+		promise_capacity(plan, group, tasks, count,
+				 &plan->promise_count, GANG_PROMISES_MAX);
 }
 
 /*
@@ -322,31 +332,32 @@
  * whether it starts now.
  */
 static bool place_tasks(struct rj_cell_plan *plan,
-			const struct rj_cell_task_group *unit,
+			const struct rj_cell_task_group *group,
 			struct rj_cell_task **tasks, uint32_t count)
 {
-	if (attempt_free(plan, unit, tasks, count, RJ_CELL_HORIZON_NOW))
+	if (place_without_preemption(plan, group, tasks, count,
+				     RJ_CELL_HORIZON_NOW))
 		return true;
-	if (unit->work->def->priority)
-		find_other(plan, unit, tasks, count);
+	if (group->work->def->priority)
+		find_capacity_other(plan, group, tasks, count);
 	else
-		find_urgent(plan, unit, tasks, count);
+		find_capacity_urgent(plan, group, tasks, count);
 	return false;
 }
 
 /* How many of the first tasks weigh workers alike, so that they can be placed
  * together though each starts by itself. */
-static uint32_t count_plain(const struct rj_cell_plan *plan,
-			    const struct rj_cell_task_group *unit,
-			    struct rj_cell_task **tasks, uint32_t count)
+static uint32_t count_uniform(const struct rj_cell_plan *plan,
+			      const struct rj_cell_task_group *group,
+			      struct rj_cell_task **tasks, uint32_t count)
 {
-	uint32_t plain = 0;
+	uint32_t uniform = 0;
 
-	if (!unit->work->def->priority)
+	if (!group->work->def->priority)
 		return 0;
-	while (plain < count && are_plain(plan, &tasks[plain], 1))
-		plain++;
-	return plain;
+	while (uniform < count && are_uniform(plan, &tasks[uniform], 1))
+		uniform++;
+	return uniform;
 }
 
 /*
@@ -356,115 +367,118 @@
  * Load that it answers: wide jobs of small tasks; each task by itself would
  * weigh all workers.
  */
-static uint32_t start_plain(struct rj_cell_plan *plan,
-			    const struct rj_cell_task_group *unit,
-			    struct rj_cell_task **tasks, uint32_t count)
+static uint32_t start_uniform(struct rj_cell_plan *plan,
+			      const struct rj_cell_task_group *group,
+			      struct rj_cell_task **tasks, uint32_t count)
 {
 	const struct rj_cell_placement_options now = {
-		.when = RJ_CELL_HORIZON_NOW
+		.horizon = RJ_CELL_HORIZON_NOW
 	};
-	uint32_t plain = count_plain(plan, unit, tasks, count);
-	struct rj_cell_placement trial;
+	uint32_t uniform = count_uniform(plan, group, tasks, count);
+	struct rj_cell_placement placement;
 	uint32_t placed;
 
-	if (!plain)
+	if (!uniform)
 		return 0;
-	rj_cell_placement_init(&trial, plan);
-	placed = rj_cell_place_uniform(plan, &trial, unit, tasks, plain, &now);
+	rj_cell_placement_init(&placement, plan);
+	placed = rj_cell_place_uniform(plan, &placement, group, tasks, uniform,
+				       &now);
 	for (uint32_t i = 0; i < placed; i++)
-		add_start(plan, tasks[i], trial.workers->pdata[i]);
-	rj_cell_placement_commit(&trial);
-	rj_cell_placement_finish(&trial);
+		add_start(plan, tasks[i], placement.workers->pdata[i]);
+	rj_cell_placement_commit(&placement);
+	rj_cell_placement_finish(&placement);
 	return placed;
 }
 
 /* The tasks of a step that wait and that this plan has not started. Returns
  * how many. */
 static uint32_t collect_waiting(const struct rj_cell_plan *plan,
-				const struct rj_cell_task_group *unit,
+				const struct rj_cell_task_group *group,
 				struct rj_cell_task **tasks)
 {
-	const struct rj_cell_def *def = unit->work->def;
-	uint32_t first = rj_cell_def_first_task(def, unit->step);
+	const struct rj_cell_def *spec = group->work->def;
+	uint32_t first = rj_cell_def_first_task(spec, group->step);
 	uint32_t count = 0;
 
-	for (uint32_t i = first; i < first + def->steps[unit->step].task_count;
-	     i++)
-		if (rj_cell_plan_task_waits(plan, &unit->round->tasks[i]))
-			tasks[count++] = &unit->round->tasks[i];
+	for (uint32_t i = first;
+	     i < first + spec->steps[group->step].task_count; i++)
+		if (rj_cell_plan_task_waits(plan, &group->round->tasks[i]))
+			tasks[count++] = &group->round->tasks[i];
 	return count;
 }
 
 /* Place a gang as a whole. */
 static void place_gang(struct rj_cell_plan *plan,
-		       struct rj_cell_task_group *unit,
+		       struct rj_cell_task_group *group,
 		       struct rj_cell_task **tasks, uint32_t count)
 {
-	if (place_tasks(plan, unit, tasks, count))
-		unit->started = count;
+	if (place_tasks(plan, group, tasks, count))
+		group->started_tasks = count;
 	else
-		plan->waiting += count;
+		plan->waiting_tasks += count;
 }
 
 /* Place tasks singly, until one that stands for the others finds no room. */
 static void place_singly(struct rj_cell_plan *plan,
-			 struct rj_cell_task_group *unit,
+			 struct rj_cell_task_group *group,
 			 struct rj_cell_task **tasks, uint32_t count)
 {
-	uint32_t placed = start_plain(plan, unit, tasks, count);
+	uint32_t placed = start_uniform(plan, group, tasks, count);
 
-	unit->started += placed;
+	group->started_tasks += placed;
 	for (uint32_t i = placed; i < count; i++) {
-		if (place_tasks(plan, unit, &tasks[i], 1)) {
-			unit->started++;
+		if (place_tasks(plan, group, &tasks[i], 1)) {
+			group->started_tasks++;
 			continue;
 		}
 		/* That it is choosy says nothing of the others. */
 		if (rj_cell_place_needs_healthy(plan, tasks[i])) {
-			plan->waiting++;
+			plan->waiting_tasks++;
 			continue;
 		}
-		plan->waiting += count - i;
-		if (unit->work->def->priority)
+		plan->waiting_tasks += count - i;
+		if (group->work->def->priority)
 			break;
 	}
 }
 
 /* Place the waiting tasks of a step. */
-static void place_unit(struct rj_cell_plan *plan,
-		       struct rj_cell_task_group *unit)
+static void place_task_group(struct rj_cell_plan *plan,
+			     struct rj_cell_task_group *group)
 {
-	const struct rj_cell_def *def = unit->work->def;
-	const struct rj_cell_step *step = &def->steps[unit->step];
+	const struct rj_cell_def *spec = group->work->def;
+	const struct rj_cell_step *step = &spec->steps[group->step];
 	struct rj_cell_task **tasks;
 	uint32_t count;
 
-	rj_cell_task_group_set_reserved(plan, unit);
-	if (def->priority &&
-	    rj_cell_shortage_is_known(plan, unit, 1, RJ_CELL_HORIZON_NOW)) {
-		plan->waiting += unit->waiting - unit->started;
+	rj_cell_task_group_set_reserved(plan, group);
+	if (spec->priority &&
+	    rj_cell_shortage_is_known(plan, group, 1, RJ_CELL_HORIZON_NOW)) {
+		plan->waiting_tasks +=
+			group->waiting_tasks - group->started_tasks;
 		return;
 	}
-	rj_cell_place_count_step_runs(plan, unit);
+	rj_cell_place_count_step_runs(plan, group);
 	tasks = talloc_array(NULL, struct rj_cell_task *, step->task_count);
-	count = collect_waiting(plan, unit, tasks);
+	count = collect_waiting(plan, group, tasks);
 	if (step->gang && count)
-		place_gang(plan, unit, tasks, count);
+		place_gang(plan, group, tasks, count);
 	else
-		place_singly(plan, unit, tasks, count);
+		place_singly(plan, group, tasks, count);
 	talloc_free(tasks);
 }
 
 /* Start those of some tasks that find a place now. Returns how many. */
-static uint32_t start_free(struct rj_cell_plan *plan,
-			   const struct rj_cell_task_group *unit,
-			   struct rj_cell_task **tasks, uint32_t count)
+static uint32_t start_fitting(struct rj_cell_plan *plan,
+			      const struct rj_cell_task_group *group,
+			      struct rj_cell_task **tasks, uint32_t count)
 {
-	uint32_t first = start_plain(plan, unit, tasks, count);
+	uint32_t first = start_uniform(plan, group, tasks, count);
 	uint32_t started = first;
 
 	for (uint32_t i = first; i < count; i++) {
-		if (attempt_free(plan, unit, &tasks[i], 1, RJ_CELL_HORIZON_NOW))
+		if (place_without_preemption(plan, group, &tasks[i], 1,
+					     RJ_CELL_HORIZON_NOW))
 			started++;
 		/* That it is choosy says nothing of the others. */
 		else if (!rj_cell_place_needs_healthy(plan, tasks[i]))
@@ -478,23 +492,25 @@
  * may exceed it, as it starts whole or not at all. Returns whether anything
  * starts.
  */
-static bool place_in_share(struct rj_cell_plan *plan,
-			   struct rj_cell_task_group *unit, uint32_t tasks_max)
+static bool place_within_share(struct rj_cell_plan *plan,
+			       struct rj_cell_task_group *group,
+			       uint32_t tasks_max)
 {
-	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
+	const struct rj_cell_step *step = &group->work->def->steps[group->step];
 	struct rj_cell_task **tasks;
 	uint32_t count;
 
-	rj_cell_place_count_step_runs(plan, unit);
+	rj_cell_place_count_step_runs(plan, group);
 	tasks = talloc_array(NULL, struct rj_cell_task *, step->task_count);
-	count = collect_waiting(plan, unit, tasks);
+	count = collect_waiting(plan, group, tasks);
 	if (!step->gang)
-		unit->started =
-			start_free(plan, unit, tasks, MIN(count, tasks_max));
-	else if (attempt_free(plan, unit, tasks, count, RJ_CELL_HORIZON_NOW))
-		unit->started = count;
+		group->started_tasks = start_fitting(plan, group, tasks,
+						     MIN(count, tasks_max));
+	else if (place_without_preemption(plan, group, tasks, count,
+					  RJ_CELL_HORIZON_NOW))
+		group->started_tasks = count;
 	talloc_free(tasks);
-	return unit->started;
+	return group->started_tasks;
 }
 
 /*
@@ -503,27 +519,30 @@
  * Load that it answers: work that goes first and never ends, and holds or is
  * promised all that comes free; the work behind it would starve.
  */
-static void place_shares(struct rj_cell_plan *plan, guint from)
+static void place_overdue(struct rj_cell_plan *plan, guint from)
 {
-	uint32_t futile = 0;
+	uint32_t failed_searches = 0;
 
-	for (guint i = from; i < plan->units->len && futile < FUTILE_MAX; i++) {
-		struct rj_cell_task_group *unit = &g_array_index(
-			plan->units, struct rj_cell_task_group, i);
+	for (guint i = from; i < plan->task_groups->len &&
+			     failed_searches < FAILED_SEARCHES_MAX;
+	     i++) {
+		struct rj_cell_task_group *group = &g_array_index(
+			plan->task_groups, struct rj_cell_task_group, i);
 		uint32_t tasks_max = rj_cell_share_free_tasks(
-			plan, &unit->work->def->steps[unit->step], unit->work);
+			plan, &group->work->def->steps[group->step],
+			group->work);
 
-		rj_cell_task_group_set_reserved(plan, unit);
-		if (unit->overdue && tasks_max &&
-		    !rj_cell_shortage_is_known(plan, unit, 1,
+		rj_cell_task_group_set_reserved(plan, group);
+		if (group->overdue && tasks_max &&
+		    !rj_cell_shortage_is_known(plan, group, 1,
 					       RJ_CELL_HORIZON_NOW) &&
-		    !place_in_share(plan, unit, tasks_max))
-			futile++;
+		    !place_within_share(plan, group, tasks_max))
+			failed_searches++;
 	}
 }
 
 /* The plan has been made: its starts are told from what waits by their runs. */
-static void forget_planned(struct rj_cell_plan *plan)
+static void clear_planned(struct rj_cell_plan *plan)
 {
 	for (guint i = 0; i < plan->starts->len; i++)
 		g_array_index(plan->starts, struct rj_cell_planned_start, i)
@@ -539,18 +558,18 @@
 
 	rj_cell_task_groups_gather(plan);
 	/* Most plans follow an end that nobody waited for. */
-	if (!plan->units->len)
+	if (!plan->task_groups->len)
 		return;
 	rj_cell_plan_gather_workers(plan);
-	for (guint i = 0; i < plan->units->len; i++) {
-		struct rj_cell_task_group *unit = &g_array_index(
-			plan->units, struct rj_cell_task_group, i);
+	for (guint i = 0; i < plan->task_groups->len; i++) {
+		struct rj_cell_task_group *group = &g_array_index(
+			plan->task_groups, struct rj_cell_task_group, i);
 
-		if (unit->work->def->priority && !shared) {
-			place_shares(plan, i);
+		if (group->work->def->priority && !shared) {
+			place_overdue(plan, i);
 			shared = true;
 		}
-		place_unit(plan, unit);
+		place_task_group(plan, group);
 	}
-	forget_planned(plan);
+	clear_planned(plan);
 }
--- a/src/libradishjunction/cell/cell_plan_workers.c
+++ b/src/libradishjunction/cell/cell_plan_workers.c
@@ -11,7 +11,7 @@
  * gang of the users' median takes 12 accelerators.
  */
 #define RESERVED_FACTOR 1.8
-#define RESERVED_EXTRA 16.0
+#define RESERVED_EXTRA_ACCELERATORS 16.0
 /*
  * Of what urgent work has used of late this part is closed to all others:
  * there it starts at once, where stopping others first takes some 0.4 s of
@@ -22,15 +22,15 @@
 #define RESERVED_RACKS_PERCENT 67
 
 /* Gathering a room takes so many times as long as weighing it. */
-#define GATHER_EFFORT 4
+#define GATHER_WORKER_EFFORT 4
 
 /* Add what some runs hold. */
-static void hold(struct rj_cell_allocation *held,
-		 const struct rj_cell_demand *demand)
+static void add_allocation(struct rj_cell_allocation *allocation,
+			   const struct rj_cell_demand *demand)
 {
-	held->cpu_milli += demand->cpu_milli;
-	held->memory_mb += demand->memory_mb;
-	held->accelerators += demand->accelerators;
+	allocation->cpu_milli += demand->cpu_milli;
+	allocation->memory_mb += demand->memory_mb;
+	allocation->accelerators += demand->accelerators;
 }
 
 /*
@@ -40,17 +40,17 @@
 				 const struct rj_cell_work *work,
 				 const struct rj_cell_demand *demand)
 {
-	hold(&plan->held[rj_cell_work_class(work)], demand);
+	add_allocation(&plan->allocated[rj_cell_work_class(work)], demand);
 }
 
 /* What the priority of a run holds, or NULL: it is not on one of the plan's
  * rooms, or its job is not known. */
-static struct rj_cell_allocation *held_by(struct rj_cell_plan *plan,
-					  const struct rj_cell_run *run)
+static struct rj_cell_allocation *allocation_of(struct rj_cell_plan *plan,
+						const struct rj_cell_run *run)
 {
-	if (!run->task || !run->worker->room)
+	if (!run->task || !run->worker->plan_worker)
 		return NULL;
-	return &plan->held[rj_cell_work_class(run->task->round->work)];
+	return &plan->allocated[rj_cell_work_class(run->task->round->work)];
 }
 
 /*
@@ -59,10 +59,10 @@
 void rj_cell_plan_restore_run(struct rj_cell_plan *plan,
 			      const struct rj_cell_run *run)
 {
-	struct rj_cell_allocation *held = held_by(plan, run);
+	struct rj_cell_allocation *allocation = allocation_of(plan, run);
 
-	if (held)
-		hold(held, &run->held);
+	if (allocation)
+		add_allocation(allocation, &run->held);
 }
 
 /*
@@ -71,38 +71,38 @@
 void rj_cell_plan_release_run(struct rj_cell_plan *plan,
 			      const struct rj_cell_run *run)
 {
-	struct rj_cell_allocation *held = held_by(plan, run);
+	struct rj_cell_allocation *allocation = allocation_of(plan, run);
 
-	if (!held)
+	if (!allocation)
 		return;
-	held->cpu_milli -= run->held.cpu_milli;
-	held->memory_mb -= run->held.memory_mb;
-	held->accelerators -= run->held.accelerators;
+	allocation->cpu_milli -= run->held.cpu_milli;
+	allocation->memory_mb -= run->held.memory_mb;
+	allocation->accelerators -= run->held.accelerators;
 }
 
 /* What is left of a capacity. */
-static struct rj_cell_demand room_of(const struct rj_cell_worker *worker)
+static struct rj_cell_demand unallocated(const struct rj_cell_worker *worker)
 {
-	struct rj_cell_demand left = worker->said.capacity;
+	struct rj_cell_demand available = worker->said.capacity;
 
-	rj_cell_demand_subtract(&left, &worker->held);
-	return left;
+	rj_cell_demand_subtract(&available, &worker->held);
+	return available;
 }
 
 /* Room that comes free when what is stopping has gone. */
-static void add_stopping(struct rj_cell_plan *plan,
-			 struct rj_cell_plan_worker *room)
+static void add_stopping_runs(struct rj_cell_plan *plan,
+			      struct rj_cell_plan_worker *plan_worker)
 {
 	const struct rj_list *at;
 
-	for (at = room->worker->runs.next; at != &room->worker->runs;
-	     at = at->next) {
+	for (at = plan_worker->worker->runs.next;
+	     at != &plan_worker->worker->runs; at = at->next) {
 		const struct rj_cell_run *run =
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
 
 		if (run->state != RJ_CELL_RUN_STOPPING)
 			continue;
-		rj_cell_demand_add(&room->soon, &run->held);
+		rj_cell_demand_add(&plan_worker->free_after_stops, &run->held);
 		rj_cell_plan_release_run(plan, run);
 	}
 }
@@ -111,29 +111,29 @@
  * Add what is in use.
  */
 void rj_cell_usage_add(struct rj_cell_usage *usage,
-		       const struct rj_cell_demand *used)
+		       const struct rj_cell_demand *allocated)
 {
-	usage->cpu.used += used->cpu_milli;
-	usage->memory.used += used->memory_mb;
-	usage->accelerators.used += used->accelerators;
+	usage->cpu.used += allocated->cpu_milli;
+	usage->memory.used += allocated->memory_mb;
+	usage->accelerators.used += allocated->accelerators;
 }
 
 /* Add what one worker has. */
-static void add_worker(struct rj_cell_usage *usage,
-		       const struct rj_cell_worker *worker)
+static void add_usage(struct rj_cell_usage *usage,
+		      const struct rj_cell_worker *worker)
 {
-	const struct rj_cell_demand *all = &worker->said.capacity;
+	const struct rj_cell_demand *capacity = &worker->said.capacity;
 
 	rj_cell_usage_add(usage, &worker->held);
-	usage->cpu.all += all->cpu_milli;
-	usage->memory.all += all->memory_mb;
-	usage->accelerators.all += all->accelerators;
+	usage->cpu.total += capacity->cpu_milli;
+	usage->memory.total += capacity->memory_mb;
+	usage->accelerators.total += capacity->accelerators;
 }
 
 /* How much of one kind of room is in use. */
 static uint32_t percent(const struct rj_cell_utilization *share)
 {
-	return share->all ? (uint32_t)(share->used * 100 / share->all) : 0;
+	return share->total ? (uint32_t)(share->used * 100 / share->total) : 0;
 }
 
 /*
@@ -152,11 +152,11 @@
 	double accelerators = 0;
 
 	for (uint32_t i = rack->first; i < rack->first + rack->count; i++) {
-		struct rj_cell_plan_worker *room = &plan->rooms[i];
+		struct rj_cell_plan_worker *plan_worker = &plan->workers[i];
 
-		room->reserved = true;
-		room->exclusive = exclusive;
-		accelerators += room->worker->said.capacity.accelerators;
+		plan_worker->reserved = true;
+		plan_worker->exclusive = exclusive;
+		accelerators += plan_worker->worker->said.capacity.accelerators;
 	}
 	return accelerators;
 }
@@ -174,16 +174,17 @@
 {
 	double urgent = rj_cell_forecast_urgent_accelerators(plan->forecast,
 							     plan->now_us);
-	double need = RESERVED_FACTOR * urgent + RESERVED_EXTRA;
+	double need = RESERVED_FACTOR * urgent + RESERVED_EXTRA_ACCELERATORS;
 	double exclusive = EXCLUSIVE_FACTOR * urgent;
 	guint count = plan->racks->len * RESERVED_RACKS_PERCENT / 100;
 
 	if (!plan->forecast->urgent_updated_us)
 		return;
 	if (plan->misses_objective) {
-		need = MIN(need,
-			   (double)plan->held[0].accelerators + RESERVED_EXTRA);
-		exclusive = MIN(exclusive, (double)plan->held[0].accelerators);
+		need = MIN(need, (double)plan->allocated[0].accelerators +
+					 RESERVED_EXTRA_ACCELERATORS);
+		exclusive =
+			MIN(exclusive, (double)plan->allocated[0].accelerators);
 	}
 	for (guint i = 0; i < count && need > 0; i++) {
 		double reserved = reserve_rack(
@@ -198,13 +199,13 @@
 }
 
 /* Racks of different failure domains take turns. */
-static gint by_rank(gconstpointer a, gconstpointer b)
+static gint by_domain_rank(gconstpointer a, gconstpointer b)
 {
 	const struct rj_cell_plan_rack *left = a;
 	const struct rj_cell_plan_rack *right = b;
 
-	if (left->rank != right->rank)
-		return left->rank < right->rank ? -1 : 1;
+	if (left->domain_rank != right->domain_rank)
+		return left->domain_rank < right->domain_rank ? -1 : 1;
 	return left->first < right->first ? -1 : 1;
 }
 
@@ -214,38 +215,43 @@
  * Load that it answers: the loss of a failure domain. What is reserved for
  * urgent work is at the front of that order.
  */
-static void order_racks(struct rj_cell_plan *plan)
+static void interleave_domains(struct rj_cell_plan *plan)
 {
-	g_array_sort(plan->racks, by_rank);
+	g_array_sort(plan->racks, by_domain_rank);
 }
 
 /* Raise one bound by a room's share of it. */
-static void raise_bound(struct rj_cell_demand *most,
-			const struct rj_cell_demand *have)
+static void raise_bound(struct rj_cell_demand *maximum,
+			const struct rj_cell_demand *available)
 {
-	most->cpu_milli = MAX(most->cpu_milli, have->cpu_milli);
-	most->memory_mb = MAX(most->memory_mb, have->memory_mb);
-	most->accelerators = MAX(most->accelerators, have->accelerators);
+	maximum->cpu_milli = MAX(maximum->cpu_milli, available->cpu_milli);
+	maximum->memory_mb = MAX(maximum->memory_mb, available->memory_mb);
+	maximum->accelerators =
+		MAX(maximum->accelerators, available->accelerators);
 }
 
 /* Add the rooms of one rack, with bounds on what is free there. */
-static void add_range(struct rj_cell_plan *plan,
-		      const struct rj_cell_plan_rack *rack)
+static void add_worker_range(struct rj_cell_plan *plan,
+			     const struct rj_cell_plan_rack *rack)
 {
-	struct rj_cell_worker_range range = { .domain = rack->mixed ?
+	struct rj_cell_worker_range range = { .domain = rack->mixed_domains ?
 								NULL :
 								rack->domain,
 					      .first = rack->first,
 					      .count = rack->count };
 
 	for (uint32_t i = rack->first; i < rack->first + rack->count; i++) {
-		struct rj_cell_plan_worker *room = &plan->rooms[i];
-
-		room->rack = plan->ranges->len;
-		raise_bound(&range.now.most, &room->now);
-		raise_bound(&range.soon.most, &room->soon);
-		range.now.accelerators += room->now.accelerators;
-		range.soon.accelerators += room->soon.accelerators;
+		struct rj_cell_plan_worker *plan_worker = &plan->workers[i];
+
+		plan_worker->range = plan->ranges->len;
+		raise_bound(&range.free_now.max_per_worker,
+			    &plan_worker->free_now);
+		raise_bound(&range.free_after_stops.max_per_worker,
+			    &plan_worker->free_after_stops);
+		range.free_now.accelerators +=
+			plan_worker->free_now.accelerators;
+		range.free_after_stops.accelerators +=
+			plan_worker->free_after_stops.accelerators;
 	}
 	g_array_append_val(plan->ranges, range);
 }
@@ -255,36 +261,40 @@
  * its rack must not be too low.
  */
 void rj_cell_plan_raise_bounds(struct rj_cell_plan *plan,
-			       const struct rj_cell_plan_worker *room)
+			       const struct rj_cell_plan_worker *plan_worker)
 {
 	struct rj_cell_worker_range *range = &g_array_index(
-		plan->ranges, struct rj_cell_worker_range, room->rack);
+		plan->ranges, struct rj_cell_worker_range, plan_worker->range);
 
-	raise_bound(&range->soon.most, &room->soon);
-	range->soon.accelerators += room->worker->said.capacity.accelerators;
+	raise_bound(&range->free_after_stops.max_per_worker,
+		    &plan_worker->free_after_stops);
+	range->free_after_stops.accelerators +=
+		plan_worker->worker->said.capacity.accelerators;
 }
 
 /* Add the room of one worker, if it may get work. */
-static void add_room(struct rj_cell_plan *plan, struct rj_cell_worker *worker)
+static void add_plan_worker(struct rj_cell_plan *plan,
+			    struct rj_cell_worker *worker)
 {
-	struct rj_cell_plan_worker *room = &plan->rooms[plan->room_count];
+	struct rj_cell_plan_worker *plan_worker =
+		&plan->workers[plan->worker_count];
 
-	worker->room = NULL;
+	worker->plan_worker = NULL;
 	if (!rj_cell_worker_usable(worker, plan->now_us))
 		return;
-	worker->room = room;
-	room->worker = worker;
-	room->now = room_of(worker);
-	room->serving = worker->serving;
-	room->filling = worker->filling;
-	room->soon = room->now;
+	worker->plan_worker = plan_worker;
+	plan_worker->worker = worker;
+	plan_worker->free_now = unallocated(worker);
+	plan_worker->serving_runs = worker->serving;
+	plan_worker->other_runs = worker->filling;
+	plan_worker->free_after_stops = plan_worker->free_now;
 	if (worker->domain)
 		worker->domain->urgent += worker->held_by[0].accelerators;
-	add_worker(&plan->usage, worker);
+	add_usage(&plan->usage, worker);
 	for (uint32_t i = 0; i < RJ_CELL_PRIORITIES; i++)
-		hold(&plan->held[i], &worker->held_by[i]);
-	add_stopping(plan, room);
-	plan->room_count++;
+		add_allocation(&plan->allocated[i], &worker->held_by[i]);
+	add_stopping_runs(plan, plan_worker);
+	plan->worker_count++;
 }
 
 /*
@@ -296,11 +306,11 @@
 	const GPtrArray *racks = plan->fleet->racks;
 	struct rj_cell_domain *domain;
 
-	plan->rooms = talloc_zero_array(NULL, struct rj_cell_plan_worker,
-					plan->fleet->count);
-	assert(plan->rooms || !plan->fleet->count);
-	plan->releases = talloc_zero_array(plan->rooms, struct rj_cell_releases,
-					   plan->fleet->count);
+	plan->workers = talloc_zero_array(NULL, struct rj_cell_plan_worker,
+					  plan->fleet->count);
+	assert(plan->workers || !plan->fleet->count);
+	plan->releases = talloc_zero_array(
+		plan->workers, struct rj_cell_releases, plan->fleet->count);
 	assert(plan->releases || !plan->fleet->count);
 	for (guint i = 0; i < plan->fleet->domains->len; i++) {
 		domain = plan->fleet->domains->pdata[i];
@@ -309,29 +319,31 @@
 	}
 	for (guint i = 0; i < racks->len; i++) {
 		struct rj_cell_rack *rack = racks->pdata[i];
-		struct rj_cell_plan_rack rooms = { .name = rack->name,
-						   .first = plan->room_count };
+		struct rj_cell_plan_rack plan_rack = {
+			.name = rack->name, .first = plan->worker_count
+		};
 		struct rj_list *at;
 		struct rj_list *next;
 
 		RJ_FOR_EACH (at, next, &rack->workers)
-			add_room(plan, RJ_CONTAINER(at, struct rj_cell_worker,
-						    in_rack));
-		rooms.count = plan->room_count - rooms.first;
-		if (!rooms.count)
+			add_plan_worker(plan,
+					RJ_CONTAINER(at, struct rj_cell_worker,
+						     in_rack));
+		plan_rack.count = plan->worker_count - plan_rack.first;
+		if (!plan_rack.count)
 			continue;
-		domain = plan->rooms[rooms.first].worker->domain;
-		rooms.domain = domain;
-		for (uint32_t j = 1; j < rooms.count; j++)
-			rooms.mixed |=
-				plan->rooms[rooms.first + j].worker->domain !=
-				domain;
-		rooms.rank = domain->racks++;
-		rooms.range = plan->ranges->len;
-		add_range(plan, &rooms);
-		g_array_append_val(plan->racks, rooms);
+		domain = plan->workers[plan_rack.first].worker->domain;
+		plan_rack.domain = domain;
+		for (uint32_t j = 1; j < plan_rack.count; j++)
+			plan_rack.mixed_domains |=
+				plan->workers[plan_rack.first + j]
+					.worker->domain != domain;
+		plan_rack.domain_rank = domain->racks++;
+		plan_rack.range = plan->ranges->len;
+		add_worker_range(plan, &plan_rack);
+		g_array_append_val(plan->racks, plan_rack);
 	}
-	plan->effort += (uint64_t)plan->room_count * GATHER_EFFORT;
-	order_racks(plan);
+	plan->effort += (uint64_t)plan->worker_count * GATHER_WORKER_EFFORT;
+	interleave_domains(plan);
 	reserve_racks(plan);
 }
--- a/src/libradishjunction/cell/cell_reclaim.c
+++ b/src/libradishjunction/cell/cell_reclaim.c
@@ -9,13 +9,13 @@
  * users price it. */
 #define ACCELERATOR_CORES 8
 /* Stopping a task that saves its progress loses about its restoring. */
-#define RESTORE_LOSS_MS 300
+#define CHECKPOINT_RESTORE_MS 300
 /* Urgent work is stopped last: it is worth so much more a core-second. */
-#define URGENT_WEIGHT 10
+#define URGENT_LOSS_FACTOR 10
 /* What ends by itself within this is waited for: a stop takes as long. */
-#define ENDS_SOON_US (400 * RJ_US_PER_MS)
+#define PREEMPTION_DELAY_US (400 * RJ_US_PER_MS)
 /* Weighing the runs of a worker takes so many times as long as its room. */
-#define VICTIMS_EFFORT 6
+#define CHOOSE_VICTIMS_EFFORT 6
 
 /* Thousandths of cores that a task of a step keeps busy. */
 static uint64_t cores_milli(const struct rj_cell_step *step)
@@ -27,51 +27,54 @@
 /*
  * The work of `count` tasks of a unit, in core-milliseconds.
  */
-uint64_t rj_cell_reclaim_group_cost_milli(const struct rj_cell_plan *plan,
-					  const struct rj_cell_task_group *unit,
-					  uint32_t count)
+uint64_t
+rj_cell_reclaim_group_cost_milli(const struct rj_cell_plan *plan,
+				 const struct rj_cell_task_group *group,
+				 uint32_t count)
 {
-	const struct rj_cell_def *def = unit->work->def;
+	const struct rj_cell_def *spec = group->work->def;
 
-	return count * cores_milli(&def->steps[unit->step]) *
-	       rj_cell_forecast_task_ms(plan->forecast, def, unit->step) / 1000;
+	return count * cores_milli(&spec->steps[group->step]) *
+	       rj_cell_forecast_task_ms(plan->forecast, spec, group->step) /
+	       1000;
 }
 
 /* Core-milliseconds of work that stopping one run throws away. */
-static uint64_t loss_of(const struct rj_cell_plan *plan,
-			const struct rj_cell_run *run)
+static uint64_t run_loss_milli(const struct rj_cell_plan *plan,
+			       const struct rj_cell_run *run)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(run->task);
-	uint64_t lost_ms = (plan->now_us - MIN(plan->now_us, run->begun_us)) /
-			   RJ_US_PER_MS;
+	uint64_t elapsed_ms =
+		(plan->now_us - MIN(plan->now_us, run->begun_us)) /
+		RJ_US_PER_MS;
 
-	if (step->checkpoints && lost_ms > RESTORE_LOSS_MS)
-		lost_ms = RESTORE_LOSS_MS;
-	return cores_milli(step) * lost_ms / 1000;
+	if (step->checkpoints && elapsed_ms > CHECKPOINT_RESTORE_MS)
+		elapsed_ms = CHECKPOINT_RESTORE_MS;
+	return cores_milli(step) * elapsed_ms / 1000;
 }
 
 /* Whether the work of one job gives way to that of a unit: by priority, but
  * for the share that only urgent work may stop; and to guaranteed work also
  * what others have beyond their guarantees. */
-static bool gives_way(const struct rj_cell_plan *plan,
+static bool yields_to(const struct rj_cell_plan *plan,
 		      const struct rj_cell_work *work,
-		      const struct rj_cell_task_group *unit)
+		      const struct rj_cell_task_group *group)
 {
-	if (work->def->priority > unit->work->def->priority)
-		return !unit->work->def->priority ||
+	if (work->def->priority > group->work->def->priority)
+		return !group->work->def->priority ||
 		       !rj_cell_share_protects(plan, work);
-	return unit->guaranteed && !work->guaranteed;
+	return group->guaranteed && !work->guaranteed;
 }
 
 /* Whether a run may be stopped for the work of a unit. */
-static bool may_stop(const struct rj_cell_plan *plan,
-		     const struct rj_cell_run *run,
-		     const struct rj_cell_task_group *unit)
+static bool is_preemptible(const struct rj_cell_plan *plan,
+			   const struct rj_cell_run *run,
+			   const struct rj_cell_task_group *group)
 {
 	return run->task && !run->why && run->state != RJ_CELL_RUN_STOPPING &&
 	       run->state != RJ_CELL_RUN_INTENDED &&
 	       run->state != RJ_CELL_RUN_STARTING &&
-	       gives_way(plan, run->task->round->work, unit) &&
+	       yields_to(plan, run->task->round->work, group) &&
 	       !rj_cell_task_step(run->task)->perpetual;
 }
 
@@ -84,23 +87,26 @@
 			      const struct rj_cell_run *run)
 {
 	const struct rj_cell_step *step;
-	uint64_t loss;
+	uint64_t loss_milli;
 
 	if (!run->task)
 		return 0;
 	step = rj_cell_task_step(run->task);
-	loss = loss_of(plan, run) * (step->gang ? step->task_count : 1);
-	loss *= 1 + run->task->losses;
-	return run->task->round->work->def->priority ? loss :
-						       loss * URGENT_WEIGHT;
+	loss_milli =
+		run_loss_milli(plan, run) * (step->gang ? step->task_count : 1);
+	loss_milli *= 1 + run->task->losses;
+	return run->task->round->work->def->priority ?
+		       loss_milli :
+		       loss_milli * URGENT_LOSS_FACTOR;
 }
 
 /* Whether a run may be stopped for a unit, and is not going to be. */
 static bool is_candidate(const struct rj_cell_plan *plan,
 			 const struct rj_cell_release *release,
-			 const struct rj_cell_task_group *unit)
+			 const struct rj_cell_task_group *group)
 {
-	return !release->run->victim && may_stop(plan, release->run, unit);
+	return !release->run->victim &&
+	       is_preemptible(plan, release->run, group);
 }
 
 /*
@@ -109,57 +115,64 @@
  * is no way.
  */
 static uint64_t choose_victims(struct rj_cell_plan *plan,
-			       const struct rj_cell_task_group *unit,
-			       const struct rj_cell_plan_worker *room,
-			       const struct rj_cell_demand *want,
+			       const struct rj_cell_task_group *group,
+			       const struct rj_cell_plan_worker *plan_worker,
+			       const struct rj_cell_demand *demand,
 			       GPtrArray *chosen)
 {
 	const struct rj_cell_releases *releases =
-		rj_cell_releases_get(plan, room);
-	const struct rj_cell_release *end = releases->by_time + releases->count;
-	const struct rj_cell_release *at;
-	struct rj_cell_demand have = room->soon;
+		rj_cell_releases_get(plan, plan_worker);
+	const struct rj_cell_release *releases_end =
+		releases->by_time + releases->count;
+	const struct rj_cell_release *release;
+	struct rj_cell_demand available = plan_worker->free_after_stops;
 	uint64_t loss_milli = 0;
 
-	for (at = releases->by_time; at < end && at->left_us < ENDS_SOON_US;
-	     at++)
-		if (is_candidate(plan, at, unit))
-			rj_cell_demand_add(&have, &at->run->held);
-	end = releases->by_loss + releases->count;
-	for (at = releases->by_loss;
-	     at < end && !rj_cell_demand_fits(want, &have); at++) {
-		if (at->left_us < ENDS_SOON_US || !is_candidate(plan, at, unit))
+	for (release = releases->by_time;
+	     release < releases_end &&
+	     release->remaining_us < PREEMPTION_DELAY_US;
+	     release++)
+		if (is_candidate(plan, release, group))
+			rj_cell_demand_add(&available, &release->run->held);
+	releases_end = releases->by_loss + releases->count;
+	for (release = releases->by_loss;
+	     release < releases_end && !rj_cell_demand_fits(demand, &available);
+	     release++) {
+		if (release->remaining_us < PREEMPTION_DELAY_US ||
+		    !is_candidate(plan, release, group))
 			continue;
-		rj_cell_demand_add(&have, &at->run->held);
-		loss_milli += at->loss_milli;
+		rj_cell_demand_add(&available, &release->run->held);
+		loss_milli += release->loss_milli;
 		if (chosen)
-			g_ptr_array_add(chosen, at->run);
+			g_ptr_array_add(chosen, release->run);
 	}
-	return rj_cell_demand_fits(want, &have) ? loss_milli : UINT64_MAX;
+	return rj_cell_demand_fits(demand, &available) ? loss_milli :
+							 UINT64_MAX;
 }
 
 /* The room of a victim comes free. */
-static void free_victim(struct rj_cell_placement *trial,
+static void free_victim(struct rj_cell_placement *placement,
 			struct rj_cell_run *run)
 {
-	struct rj_cell_plan_worker *room = run->worker->room;
+	struct rj_cell_plan_worker *plan_worker = run->worker->plan_worker;
 
 	run->victim = true;
-	rj_cell_plan_release_run(trial->plan, run);
-	g_ptr_array_add(trial->victims, run);
-	if (!room)
+	rj_cell_plan_release_run(placement->plan, run);
+	g_ptr_array_add(placement->victims, run);
+	if (!plan_worker)
 		return;
-	rj_cell_placement_save_worker(trial, room);
-	rj_cell_demand_add(&room->soon, &run->held);
-	rj_cell_plan_raise_bounds(trial->plan, room);
+	rj_cell_placement_save_worker(placement, plan_worker);
+	rj_cell_demand_add(&plan_worker->free_after_stops, &run->held);
+	rj_cell_plan_raise_bounds(placement->plan, plan_worker);
 }
 
 /* Note one victim and, with it, the other members of its gang. */
-static void add_victim(struct rj_cell_placement *trial, struct rj_cell_run *run)
+static void add_victim(struct rj_cell_placement *placement,
+		       struct rj_cell_run *run)
 {
-	const struct rj_cell_round *round = run->task->round;
+	const struct rj_cell_round *occurrence = run->task->round;
 	const struct rj_cell_step *step = rj_cell_task_step(run->task);
-	uint32_t first = (uint32_t)(run->task - round->tasks);
+	uint32_t first = (uint32_t)(run->task - occurrence->tasks);
 	uint32_t count = 1;
 
 	if (step->gang) {
@@ -167,17 +180,17 @@
 		count = step->task_count;
 	}
 	for (uint32_t i = first; i < first + count; i++) {
-		struct rj_list *at;
+		struct rj_list *release;
 		struct rj_list *next;
 
-		RJ_FOR_EACH (at, next, &round->tasks[i].runs) {
-			struct rj_cell_run *member =
-				RJ_CONTAINER(at, struct rj_cell_run, in_task);
+		RJ_FOR_EACH (release, next, &occurrence->tasks[i].runs) {
+			struct rj_cell_run *member = RJ_CONTAINER(
+				release, struct rj_cell_run, in_task);
 
 			if (!member->why &&
 			    member->state != RJ_CELL_RUN_STOPPING &&
 			    !member->victim)
-				free_victim(trial, member);
+				free_victim(placement, member);
 		}
 	}
 }
@@ -186,17 +199,17 @@
  * Whether enough accelerators of a worker are free or held by work that may
  * give way to a unit; a bound that is cheap to look up.
  */
-static bool may_give_way(const struct rj_cell_plan_worker *room,
-			 const struct rj_cell_task_group *unit, uint32_t want)
+static bool may_reclaim(const struct rj_cell_plan_worker *plan_worker,
+			const struct rj_cell_task_group *group, uint32_t demand)
 {
-	uint32_t sum = room->soon.accelerators;
-	uint32_t from = unit->guaranteed ? 0 : unit->work->def->priority + 1;
+	uint32_t sum = plan_worker->free_after_stops.accelerators;
+	uint32_t from = group->guaranteed ? 0 : group->work->def->priority + 1;
 
 	/* The last sum is of several priorities. */
 	for (uint32_t i = MIN(from, RJ_CELL_PRIORITIES - 1);
 	     i < RJ_CELL_PRIORITIES; i++)
-		sum += room->worker->held_by[i].accelerators;
-	return sum >= want;
+		sum += plan_worker->worker->held_by[i].accelerators;
+	return sum >= demand;
 }
 
 /*
@@ -204,41 +217,46 @@
  * victims are noted in the trial.
  */
 struct rj_cell_plan_worker *rj_cell_reclaim_find_worker(
-	struct rj_cell_plan *plan, struct rj_cell_placement *trial,
-	const struct rj_cell_task_group *unit, struct rj_cell_task *task,
-	const struct rj_cell_placement_options *way)
+	struct rj_cell_plan *plan, struct rj_cell_placement *placement,
+	const struct rj_cell_task_group *group, struct rj_cell_task *task,
+	const struct rj_cell_placement_options *options)
 {
-	struct rj_cell_demand want =
+	struct rj_cell_demand demand =
 		rj_cell_step_allocation(rj_cell_task_step(task));
 	struct rj_cell_plan_worker *best = NULL;
-	struct rj_cell_plan_worker *room;
-	struct rj_cell_worker_iterator walk;
-	uint64_t left = way->max_loss_milli - trial->loss_milli;
-	uint64_t best_loss = left < UINT64_MAX ? left + 1 : left;
+	struct rj_cell_plan_worker *plan_worker;
+	struct rj_cell_worker_iterator iterator;
+	uint64_t budget_milli = options->max_loss_milli - placement->loss_milli;
+	uint64_t best_loss_milli =
+		budget_milli < UINT64_MAX ? budget_milli + 1 : budget_milli;
 	GPtrArray *victims;
 
-	rj_cell_worker_iterator_init(&walk, plan, way, &want);
-	while (best_loss && (room = rj_cell_worker_iterator_next(&walk))) {
-		uint64_t loss;
+	rj_cell_worker_iterator_init(&iterator, plan, options, &demand);
+	while (best_loss_milli &&
+	       (plan_worker = rj_cell_worker_iterator_next(&iterator))) {
+		uint64_t loss_milli;
 
-		if (!may_give_way(room, unit, want.accelerators) ||
-		    !rj_cell_demand_fits(&want, &room->worker->said.capacity) ||
-		    !rj_cell_place_is_eligible(plan, room, unit, task, way))
+		if (!may_reclaim(plan_worker, group, demand.accelerators) ||
+		    !rj_cell_demand_fits(&demand,
+					 &plan_worker->worker->said.capacity) ||
+		    !rj_cell_place_is_eligible(plan, plan_worker, group, task,
+					       options))
 			continue;
-		plan->effort += VICTIMS_EFFORT;
-		loss = choose_victims(plan, unit, room, &want, NULL);
-		if (loss >= best_loss)
+		plan->effort += CHOOSE_VICTIMS_EFFORT;
+		loss_milli =
+			choose_victims(plan, group, plan_worker, &demand, NULL);
+		if (loss_milli >= best_loss_milli)
 			continue;
-		best = room;
-		best_loss = loss;
+		best = plan_worker;
+		best_loss_milli = loss_milli;
 	}
 	if (!best)
 		return NULL;
 	victims = g_ptr_array_new();
-	(void)choose_victims(plan, unit, best, &want, victims);
+	(void)choose_victims(plan, group, best, &demand, victims);
 	for (guint i = 0; i < victims->len; i++)
-		add_victim(trial, victims->pdata[i]);
+		add_victim(placement, victims->pdata[i]);
 	g_ptr_array_free(victims, TRUE);
-	trial->loss_milli += best_loss;
+	placement->loss_milli += best_loss_milli;
 	return best;
 }
--- a/src/libradishjunction/cell/cell_release.c
+++ b/src/libradishjunction/cell/cell_release.c
@@ -9,21 +9,21 @@
 
 /* Listing the runs of a worker takes so many times as long as weighing its
  * room. */
-#define LIST_EFFORT 40
+#define COMPUTE_EFFORT 40
 
 /* What ends first comes first. */
-static int by_time(const void *a, const void *b)
+static int compare_time(const void *a, const void *b)
 {
 	const struct rj_cell_release *left = a;
 	const struct rj_cell_release *right = b;
 
-	return left->left_us < right->left_us ? -1 :
-	       left->left_us > right->left_us ? 1 :
-						0;
+	return left->remaining_us < right->remaining_us ? -1 :
+	       left->remaining_us > right->remaining_us ? 1 :
+							  0;
 }
 
 /* What loses least comes first. */
-static int by_loss(const void *a, const void *b)
+static int compare_loss(const void *a, const void *b)
 {
 	const struct rj_cell_release *left = a;
 	const struct rj_cell_release *right = b;
@@ -34,21 +34,21 @@
 }
 
 /* List the runs of one worker, in both orders. */
-static void list_runs(struct rj_cell_plan *plan,
-		      struct rj_cell_releases *releases,
-		      const struct rj_cell_worker *worker)
+static void compute_releases(struct rj_cell_plan *plan,
+			     struct rj_cell_releases *releases,
+			     const struct rj_cell_worker *worker)
 {
-	uint32_t most = worker->serving + worker->filling;
+	uint32_t capacity = worker->serving + worker->filling;
 	const struct rj_list *at;
 
-	releases->listed = true;
-	plan->effort += LIST_EFFORT;
-	if (!most)
+	releases->computed = true;
+	plan->effort += COMPUTE_EFFORT;
+	if (!capacity)
 		return;
 	releases->by_time =
-		talloc_array(plan->rooms, struct rj_cell_release, most);
+		talloc_array(plan->workers, struct rj_cell_release, capacity);
 	releases->by_loss =
-		talloc_array(plan->rooms, struct rj_cell_release, most);
+		talloc_array(plan->workers, struct rj_cell_release, capacity);
 	assert(releases->by_time && releases->by_loss);
 	for (at = worker->runs.next; at != &worker->runs; at = at->next) {
 		struct rj_cell_run *run =
@@ -57,19 +57,19 @@
 
 		if (run->state == RJ_CELL_RUN_STOPPING)
 			continue;
-		assert(releases->count < most);
+		assert(releases->count < capacity);
 		release = &releases->by_time[releases->count++];
 		release->run = run;
-		release->left_us = rj_cell_forecast_remaining_us(
+		release->remaining_us = rj_cell_forecast_remaining_us(
 			plan->forecast, run, plan->now_us);
 		release->loss_milli = rj_cell_reclaim_loss(plan, run);
 	}
 	memcpy(releases->by_loss, releases->by_time,
 	       releases->count * sizeof(*releases->by_loss));
 	qsort(releases->by_time, releases->count, sizeof(*releases->by_time),
-	      by_time);
+	      compare_time);
 	qsort(releases->by_loss, releases->count, sizeof(*releases->by_loss),
-	      by_loss);
+	      compare_loss);
 }
 
 /*
@@ -80,11 +80,12 @@
  */
 const struct rj_cell_releases *
 rj_cell_releases_get(struct rj_cell_plan *plan,
-		     const struct rj_cell_plan_worker *room)
+		     const struct rj_cell_plan_worker *plan_worker)
 {
-	struct rj_cell_releases *releases = &plan->releases[room - plan->rooms];
+	struct rj_cell_releases *releases =
+		&plan->releases[plan_worker - plan->workers];
 
-	if (!releases->listed)
-		list_runs(plan, releases, room->worker);
+	if (!releases->computed)
+		compute_releases(plan, releases, plan_worker->worker);
 	return releases;
 }
--- a/src/libradishjunction/cell/cell_shortage.c
+++ b/src/libradishjunction/cell/cell_shortage.c
@@ -3,28 +3,29 @@
 #include <string.h>
 
 /* Whether a group has to be placed within one rack. */
-static bool is_confined(const struct rj_cell_task_group *unit, uint32_t count)
+static bool needs_one_rack(const struct rj_cell_task_group *group,
+			   uint32_t count)
 {
-	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
+	const struct rj_cell_step *step = &group->work->def->steps[group->step];
 
-	return step->one_rack && count > 1 && !unit->far;
+	return step->one_rack && count > 1 && !group->remote_allowed;
 }
 
 /* Whether a shortage was found among all workers that a unit may use. */
-static bool covers(const struct rj_cell_shortage *shortage,
-		   const struct rj_cell_task_group *unit)
+static bool applies_to(const struct rj_cell_shortage *shortage,
+		       const struct rj_cell_task_group *group)
 {
-	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
+	const struct rj_cell_step *step = &group->work->def->steps[group->step];
 	const struct rj_cell_step *other = shortage->step;
 
 	return step->scavenges == other->scavenges &&
-	       (shortage->may_use_reserved || !unit->may_use_reserved) &&
-	       (shortage->may_use_exclusive || !unit->may_use_exclusive) &&
-	       (shortage->far || !unit->far) &&
+	       (shortage->may_use_reserved || !group->may_use_reserved) &&
+	       (shortage->may_use_exclusive || !group->may_use_exclusive) &&
+	       (shortage->remote_allowed || !group->remote_allowed) &&
 	       (!other->label[0] || !strcmp(other->label, step->label)) &&
-	       (!other->rack[0] || shortage->far ||
+	       (!other->rack[0] || shortage->remote_allowed ||
 		!strcmp(other->rack, step->rack)) &&
-	       shortage->service == unit->service;
+	       shortage->service == group->service;
 }
 
 /*
@@ -35,21 +36,21 @@
  * load most waiting steps find no room, and each would weigh every worker.
  */
 bool rj_cell_shortage_is_known(const struct rj_cell_plan *plan,
-			       const struct rj_cell_task_group *unit,
-			       uint32_t count, enum rj_cell_horizon when)
+			       const struct rj_cell_task_group *group,
+			       uint32_t count, enum rj_cell_horizon horizon)
 {
-	const struct rj_cell_demand *want =
-		&unit->work->def->steps[unit->step].each;
-	bool confined = is_confined(unit, count);
+	const struct rj_cell_demand *demand =
+		&group->work->def->steps[group->step].each;
+	bool one_rack_needed = needs_one_rack(group, count);
 
 	for (guint i = 0; i < plan->shortages->len; i++) {
 		const struct rj_cell_shortage *shortage = &g_array_index(
 			plan->shortages, struct rj_cell_shortage, i);
 
-		if (shortage->when == when && count >= shortage->count &&
-		    (confined || !shortage->in_one_rack) &&
-		    rj_cell_demand_fits(&shortage->step->each, want) &&
-		    covers(shortage, unit))
+		if (shortage->horizon == horizon && count >= shortage->count &&
+		    (one_rack_needed || !shortage->in_one_rack) &&
+		    rj_cell_demand_fits(&shortage->step->each, demand) &&
+		    applies_to(shortage, group))
 			return true;
 	}
 	return false;
@@ -60,21 +61,21 @@
  * for no other step are left out.
  */
 void rj_cell_shortage_record(struct rj_cell_plan *plan,
-			     const struct rj_cell_task_group *unit,
-			     uint32_t count, enum rj_cell_horizon when)
+			     const struct rj_cell_task_group *group,
+			     uint32_t count, enum rj_cell_horizon horizon)
 {
-	const struct rj_cell_step *step = &unit->work->def->steps[unit->step];
+	const struct rj_cell_step *step = &group->work->def->steps[group->step];
 	struct rj_cell_shortage shortage = {
 		.step = step,
-		.service = unit->service,
-		.when = when,
+		.service = group->service,
+		.horizon = horizon,
 		.count = count,
-		.far = unit->far,
-		.may_use_reserved = unit->may_use_reserved,
-		.may_use_exclusive = unit->may_use_exclusive,
-		.in_one_rack = is_confined(unit, count),
+		.remote_allowed = group->remote_allowed,
+		.may_use_reserved = group->may_use_reserved,
+		.may_use_exclusive = group->may_use_exclusive,
+		.in_one_rack = needs_one_rack(group, count),
 	};
 
-	if (!step->per_worker_max && !unit->advised)
+	if (!step->per_worker_max && !group->advised)
 		g_array_append_val(plan->shortages, shortage);
 }
--- a/src/libradishjunction/cell/cell_task_groups.c
+++ b/src/libradishjunction/cell/cell_task_groups.c
@@ -7,33 +7,33 @@
  * for a worker near it for half of its own estimate, and no longer than
  * this: users expect idle capacity to be used within 3 s.
  */
-#define FAR_WAIT_MAX_MS 1500
+#define REMOTE_WAIT_MAX_MS 1500
 
 /*
  * What is reserved for urgent work is opened to others that have waited so long
  * when less than this is in use: users expect idle capacity to be used.
  */
 #define RESERVED_WAIT_US (2 * RJ_US_PER_S)
-#define RESERVED_USED_PERCENT 55
+#define RESERVED_USAGE_MAX_PERCENT 55
 /* Work that is not urgent and has waited for this part of the time that its
  * objective leaves has a claim on the share of its priority. */
 #define OVERDUE_PERCENT 50
 /* Work that has not begun when this part of the time has passed in which it is
  * of any use does not make way for other work of its priority any more. */
-#define LAST_CHANCE_PERCENT 60
+#define LAST_START_PERCENT 60
 
 /* Work goes in this order, whatever its priority. */
 enum tier {
 	TIER_GUARANTEED, /* its account has a right to the room at once */
-	TIER_USEFUL, /* it can still be of use to its caller */
-	TIER_HOPELESS, /* too late; it only has to end some day */
+	TIER_NORMAL, /* it can still be of use to its caller */
+	TIER_EXPIRED, /* too late; it only has to end some day */
 };
 
 /* Work of one priority that is not urgent goes in this order. */
-enum standing {
-	STANDING_FIRST, /* it has begun, or must begin to be of any use */
-	STANDING_IN_TIME, /* it can still meet its objective */
-	STANDING_LATE,
+enum rank {
+	RANK_FIRST, /* it has begun, or must begin to be of any use */
+	RANK_ON_TIME, /* it can still meet its objective */
+	RANK_LATE,
 };
 
 /*
@@ -53,18 +53,20 @@
 			      struct rj_cell_round *round, uint32_t step,
 			      uint64_t *since_us)
 {
-	const struct rj_cell_def *def = round->work->def;
-	uint32_t first = rj_cell_def_first_task(def, step);
+	const struct rj_cell_def *spec = round->work->def;
+	uint32_t first = rj_cell_def_first_task(spec, step);
 	uint32_t waiting = 0;
 
 	*since_us = plan->now_us;
-	for (uint32_t i = first; i < first + def->steps[step].task_count; i++) {
+	for (uint32_t i = first; i < first + spec->steps[step].task_count;
+	     i++) {
 		struct rj_cell_task *task = &round->tasks[i];
 
 		if (plan->now_us < task->not_before_us)
-			plan->next_us = MIN(plan->next_us, task->not_before_us);
+			plan->next_retry_us =
+				MIN(plan->next_retry_us, task->not_before_us);
 		if (!rj_cell_plan_task_waits(plan, task)) {
-			if (def->steps[step].gang)
+			if (spec->steps[step].gang)
 				return 0;
 			continue;
 		}
@@ -79,17 +81,17 @@
 
 /* Whether a step has waited long enough to run away from its data, or has
  * nothing to wait for. */
-static bool may_be_far(const struct rj_cell_plan *plan,
-		       const struct rj_cell_step *step, uint64_t since_us)
+static bool may_run_remote(const struct rj_cell_plan *plan,
+			   const struct rj_cell_step *step, uint64_t since_us)
 {
-	uint64_t patience_ms = step->estimate_ms / 2;
+	uint64_t wait_ms = step->estimate_ms / 2;
 
 	if (step->rack[0] &&
 	    rj_cell_fleet_rack_cordoned(plan->fleet, step->rack))
 		return true;
-	if (patience_ms > FAR_WAIT_MAX_MS)
-		patience_ms = FAR_WAIT_MAX_MS;
-	return plan->now_us - since_us >= patience_ms * RJ_US_PER_MS;
+	if (wait_ms > REMOTE_WAIT_MAX_MS)
+		wait_ms = REMOTE_WAIT_MAX_MS;
+	return plan->now_us - since_us >= wait_ms * RJ_US_PER_MS;
 }
 
 /* Whether a job is urgent and has not ended. */
@@ -100,25 +102,25 @@
 }
 
 /* Add up the accelerators that the urgent jobs of each account need. */
-static void sum_needs(struct rj_cell_plan *plan)
+static void sum_urgent_needs(struct rj_cell_plan *plan)
 {
 	const struct rj_list *at;
 
 	for (at = plan->works->next; at != plan->works; at = at->next) {
 		const struct rj_cell_work *work =
 			RJ_CONTAINER(at, struct rj_cell_work, link);
-		const struct rj_cell_def *def = work->def;
-		guint need;
+		const struct rj_cell_def *spec = work->def;
+		guint needed_accelerators;
 
 		if (!is_urgent(work))
 			continue;
-		need = GPOINTER_TO_UINT(
-			g_hash_table_lookup(plan->needs, def->account));
-		for (uint32_t i = 0; i < def->step_count; i++)
-			need += def->steps[i].task_count *
-				def->steps[i].each.accelerators;
-		g_hash_table_insert(plan->needs, (gpointer)def->account,
-				    GUINT_TO_POINTER(need));
+		needed_accelerators = GPOINTER_TO_UINT(
+			g_hash_table_lookup(plan->urgent_needs, spec->account));
+		for (uint32_t i = 0; i < spec->step_count; i++)
+			needed_accelerators += spec->steps[i].task_count *
+					       spec->steps[i].each.accelerators;
+		g_hash_table_insert(plan->urgent_needs, (gpointer)spec->account,
+				    GUINT_TO_POINTER(needed_accelerators));
 	}
 }
 
@@ -133,8 +135,8 @@
 			       NULL;
 
 	return is_urgent(work) && account &&
-	       GPOINTER_TO_UINT(
-		       g_hash_table_lookup(plan->needs, account->name)) <=
+	       GPOINTER_TO_UINT(g_hash_table_lookup(plan->urgent_needs,
+						    account->name)) <=
 		       account->guaranteed_accelerators;
 }
 
@@ -143,17 +145,18 @@
  * that has waited for a while. What the plan has started counts as in use, as
  * much work may end at once and make way for the next.
  */
-static bool is_idle(const struct rj_cell_plan *plan,
-		    const struct rj_cell_task_group *unit)
+static bool has_idle_capacity(const struct rj_cell_plan *plan,
+			      const struct rj_cell_task_group *group)
 {
-	return rj_cell_usage_percent(&plan->usage) < RESERVED_USED_PERCENT &&
-	       plan->now_us - unit->waiting_us >= RESERVED_WAIT_US;
+	return rj_cell_usage_percent(&plan->usage) <
+		       RESERVED_USAGE_MAX_PERCENT &&
+	       plan->now_us - group->waiting_since_us >= RESERVED_WAIT_US;
 }
 
 /* Whether only some workers may run a step, however much room others have. */
-static bool is_confined(const struct rj_cell_task_group *unit)
+static bool is_restricted(const struct rj_cell_task_group *group)
 {
-	return unit->work->def->steps[unit->step].label[0] || unit->advised;
+	return group->work->def->steps[group->step].label[0] || group->advised;
 }
 
 /*
@@ -162,15 +165,16 @@
  * stopped at no loss.
  */
 void rj_cell_task_group_set_reserved(const struct rj_cell_plan *plan,
-				     struct rj_cell_task_group *unit)
+				     struct rj_cell_task_group *group)
 {
-	const struct rj_cell_def *def = unit->work->def;
-	const struct rj_cell_step *step = &def->steps[unit->step];
-
-	unit->may_use_exclusive = !def->priority || is_idle(plan, unit) ||
-				  (unit->overdue && is_confined(unit));
-	unit->may_use_reserved = unit->may_use_exclusive ||
-				 (step->checkpoints && !step->perpetual);
+	const struct rj_cell_def *spec = group->work->def;
+	const struct rj_cell_step *step = &spec->steps[group->step];
+
+	group->may_use_exclusive = !spec->priority ||
+				   has_idle_capacity(plan, group) ||
+				   (group->overdue && is_restricted(group));
+	group->may_use_reserved = group->may_use_exclusive ||
+				  (step->checkpoints && !step->perpetual);
 }
 
 /*
@@ -179,45 +183,47 @@
  * Guards against one attempt too many: a failure on a worker that was cut off
  * is listed once the worker is back.
  */
-static bool may_be_used_up(const struct rj_cell_plan *plan,
-			   const struct rj_cell_round *round, uint32_t step)
+static bool may_exhaust_attempts(const struct rj_cell_plan *plan,
+				 const struct rj_cell_round *round,
+				 uint32_t step)
 {
-	const struct rj_cell_def *def = round->work->def;
+	const struct rj_cell_def *spec = round->work->def;
 	const struct rj_cell_task *head =
-		&round->tasks[rj_cell_def_first_task(def, step)];
+		&round->tasks[rj_cell_def_first_task(spec, step)];
 
-	return def->steps[step].gang && !def->steps[step].perpetual &&
+	return spec->steps[step].gang && !spec->steps[step].perpetual &&
 	       head->unseen && plan->now_us < head->unseen_until_us &&
-	       head->failures + head->unseen >= def->attempts_max;
+	       head->failures + head->unseen >= spec->attempts_max;
 }
 
 /*
  * For how long a step could have been served: since its job was accepted or its
  * occurrence was due; of what lasts, since its tasks wait.
  */
-static uint64_t age_of(const struct rj_cell_plan *plan,
-		       const struct rj_cell_task_group *unit)
+static uint64_t service_age_us(const struct rj_cell_plan *plan,
+			       const struct rj_cell_task_group *group)
 {
-	const struct rj_cell_work *work = unit->work;
+	const struct rj_cell_work *work = group->work;
 	uint64_t due_us =
-		work->accepted_us + rj_cell_round_due_after_us(unit->round);
+		work->accepted_us + rj_cell_round_due_after_us(group->round);
 
-	if (work->def->steps[unit->step].perpetual)
-		due_us = unit->waiting_us;
+	if (work->def->steps[group->step].perpetual)
+		due_us = group->waiting_since_us;
 	return plan->now_us - MIN(plan->now_us, due_us);
 }
 
 /* In which tier a step of a job goes. */
-static enum tier tier_of(const struct rj_cell_task_group *unit, uint64_t age_us)
+static enum tier tier_of(const struct rj_cell_task_group *group,
+			 uint64_t age_us)
 {
-	const struct rj_cell_work *work = unit->work;
+	const struct rj_cell_work *work = group->work;
 
-	if (unit->guaranteed)
+	if (group->guaranteed)
 		return TIER_GUARANTEED;
-	if (!work->def->steps[unit->step].perpetual &&
+	if (!work->def->steps[group->step].perpetual &&
 	    age_us > work->late_us - work->accepted_us)
-		return TIER_HOPELESS;
-	return TIER_USEFUL;
+		return TIER_EXPIRED;
+	return TIER_NORMAL;
 }
 
 /*
@@ -226,66 +232,68 @@
  * Load that it answers: more work of a priority than the cell can serve for a
  * while. In the order of acceptance all of it would end late.
  */
-static void set_standing(struct rj_cell_plan *plan,
-			 struct rj_cell_task_group *unit, uint64_t age_us)
+static void set_rank(struct rj_cell_plan *plan,
+		     struct rj_cell_task_group *group, uint64_t age_us)
 {
-	const struct rj_cell_work *work = unit->work;
-	uint64_t chain_us =
+	const struct rj_cell_work *work = group->work;
+	uint64_t critical_path_us =
 		rj_cell_forecast_critical_path_ms(plan->forecast, work->def) *
 		RJ_US_PER_MS;
 	uint64_t objective_us = work->objective_us - work->accepted_us;
-	uint64_t slack_us = objective_us - MIN(objective_us, chain_us);
+	uint64_t slack_us = objective_us - MIN(objective_us, critical_path_us);
 	uint64_t late_us = work->late_us - work->accepted_us;
 
 	if (!work->def->priority)
 		return;
-	if (work->started || age_us * 100 >= late_us * LAST_CHANCE_PERCENT)
-		unit->standing = STANDING_FIRST;
+	if (work->started || age_us * 100 >= late_us * LAST_START_PERCENT)
+		group->rank = RANK_FIRST;
 	else if (age_us <= slack_us)
-		unit->standing = STANDING_IN_TIME;
+		group->rank = RANK_ON_TIME;
 	else
-		unit->standing = STANDING_LATE;
-	if (unit->tier == TIER_HOPELESS)
+		group->rank = RANK_LATE;
+	if (group->tier == TIER_EXPIRED)
 		return;
-	unit->overdue = age_us * 100 >= slack_us * OVERDUE_PERCENT;
+	group->overdue = age_us * 100 >= slack_us * OVERDUE_PERCENT;
 	plan->misses_objective |=
-		age_us >= slack_us && !is_confined(unit) &&
-		plan->now_us - unit->waiting_us >= RESERVED_WAIT_US;
+		age_us >= slack_us && !is_restricted(group) &&
+		plan->now_us - group->waiting_since_us >= RESERVED_WAIT_US;
 }
 
 /* Note the waiting tasks of one step. */
-static void add_unit(struct rj_cell_plan *plan, struct rj_cell_round *round,
-		     uint32_t step)
+static void add_task_group(struct rj_cell_plan *plan,
+			   struct rj_cell_round *round, uint32_t step)
 {
 	struct rj_cell_work *work = round->work;
 	const struct rj_cell_queue *queue =
 		plan->config ?
 			rj_cell_config_queue(plan->config, work->def->queue) :
 			NULL;
-	struct rj_cell_task_group unit = { .work = work,
-					   .round = round,
-					   .step = step };
+	struct rj_cell_task_group group = { .work = work,
+					    .round = round,
+					    .step = step };
 	uint64_t age_us;
 
-	unit.waiting = count_waiting(plan, round, step, &unit.waiting_us);
-	if (!unit.waiting || may_be_used_up(plan, round, step))
+	group.waiting_tasks =
+		count_waiting(plan, round, step, &group.waiting_since_us);
+	if (!group.waiting_tasks || may_exhaust_attempts(plan, round, step))
 		return;
 	/* A queue that has gone leaves its jobs where it last sent them. */
-	unit.service =
+	group.service =
 		g_intern_string(queue ? queue->service : work->def->service);
-	unit.advised = queue && queue->advised;
-	unit.far = may_be_far(plan, &work->def->steps[step], unit.waiting_us);
-	unit.guaranteed = work->guaranteed;
-	age_us = age_of(plan, &unit);
-	unit.tier = tier_of(&unit, age_us);
-	unit.too_late = unit.tier == TIER_HOPELESS;
-	unit.order_us = work->accepted_us;
-	set_standing(plan, &unit, age_us);
-	g_array_append_val(plan->units, unit);
+	group.advised = queue && queue->advised;
+	group.remote_allowed = may_run_remote(plan, &work->def->steps[step],
+					      group.waiting_since_us);
+	group.guaranteed = work->guaranteed;
+	age_us = service_age_us(plan, &group);
+	group.tier = tier_of(&group, age_us);
+	group.expired = group.tier == TIER_EXPIRED;
+	group.accepted_us = work->accepted_us;
+	set_rank(plan, &group, age_us);
+	g_array_append_val(plan->task_groups, group);
 }
 
 /* Gather all steps whose turn has come. */
-static void gather(struct rj_cell_plan *plan)
+static void gather_task_groups(struct rj_cell_plan *plan)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -306,7 +314,7 @@
 			for (uint32_t i = 0; i < work->def->step_count; i++)
 				if (round->left[i] &&
 				    rj_cell_round_ready(round, i))
-					add_unit(plan, round, i);
+					add_task_group(plan, round, i);
 		}
 	}
 }
@@ -324,10 +332,10 @@
 		return left->work->def->priority < right->work->def->priority ?
 			       -1 :
 			       1;
-	if (left->standing != right->standing)
-		return left->standing < right->standing ? -1 : 1;
-	if (left->order_us != right->order_us)
-		return left->order_us < right->order_us ? -1 : 1;
+	if (left->rank != right->rank)
+		return left->rank < right->rank ? -1 : 1;
+	if (left->accepted_us != right->accepted_us)
+		return left->accepted_us < right->accepted_us ? -1 : 1;
 	return strcmp(left->work->def->id, right->work->def->id);
 }
 
@@ -336,7 +344,7 @@
  */
 void rj_cell_task_groups_gather(struct rj_cell_plan *plan)
 {
-	sum_needs(plan);
-	gather(plan);
-	g_array_sort(plan->units, by_order);
+	sum_urgent_needs(plan);
+	gather_task_groups(plan);
+	g_array_sort(plan->task_groups, by_order);
 }
--- a/src/libradishjunction/include/private/cell_backlog.h
+++ b/src/libradishjunction/include/private/cell_backlog.h
@@ -16,7 +16,7 @@
 	uint32_t tasks;
 	uint32_t late_tasks; /* of jobs whose callers have given up on them */
 	uint64_t longest_wait_us; /* the longest wait */
-	uint64_t held; /* accelerators that tasks of this priority use */
+	uint64_t allocated; /* accelerators that tasks of this priority use */
 };
 
 struct rj_cell_backlog {
@@ -29,7 +29,7 @@
 	uint32_t exclusive;
 	uint32_t reserved_free; /* of these, in no use */
 	uint32_t promised; /* to gangs that wait; some of it is still in use */
-	uint32_t urgent; /* in use by urgent work on average, of late */
+	uint32_t urgent_demand; /* in use by urgent work on average, of late */
 };
 
 void rj_cell_backlog_sum(const struct rj_cell_plan *plan,
--- a/src/libradishjunction/include/private/cell_candidates.h
+++ b/src/libradishjunction/include/private/cell_candidates.h
@@ -16,7 +16,7 @@
 struct rj_cell_candidate {
 	uint64_t
 		cost; /* of equal ones the room at the lower address goes first */
-	struct rj_cell_plan_worker *room;
+	struct rj_cell_plan_worker *plan_worker;
 };
 
 struct rj_cell_candidates {
@@ -26,7 +26,8 @@
 void rj_cell_candidates_init(struct rj_cell_candidates *candidates);
 void rj_cell_candidates_finish(struct rj_cell_candidates *candidates);
 void rj_cell_candidates_push(struct rj_cell_candidates *candidates,
-			     uint64_t cost, struct rj_cell_plan_worker *room);
+			     uint64_t cost,
+			     struct rj_cell_plan_worker *plan_worker);
 struct rj_cell_candidate
 rj_cell_candidates_pop(struct rj_cell_candidates *candidates);
 
--- a/src/libradishjunction/include/private/cell_forecast.h
+++ b/src/libradishjunction/include/private/cell_forecast.h
@@ -29,15 +29,16 @@
 uint32_t rj_cell_forecast_mean_ms(const struct rj_cell_forecast *forecast,
 				  const char *queue);
 uint64_t rj_cell_forecast_task_ms(const struct rj_cell_forecast *forecast,
-				  const struct rj_cell_def *def, uint32_t step);
+				  const struct rj_cell_def *spec,
+				  uint32_t step);
 uint64_t
 rj_cell_forecast_critical_path_ms(const struct rj_cell_forecast *forecast,
-				  const struct rj_cell_def *def);
+				  const struct rj_cell_def *spec);
 uint64_t rj_cell_forecast_remaining_us(const struct rj_cell_forecast *forecast,
 				       const struct rj_cell_run *run,
 				       uint64_t now_us);
 void rj_cell_forecast_record_urgent(struct rj_cell_forecast *forecast,
-				    const struct rj_cell_def *def,
+				    const struct rj_cell_def *spec,
 				    uint64_t now_us);
 double
 rj_cell_forecast_urgent_accelerators(const struct rj_cell_forecast *forecast,
--- a/src/libradishjunction/include/private/cell_plan.h
+++ b/src/libradishjunction/include/private/cell_plan.h
@@ -21,22 +21,23 @@
 /* A worker's room while a plan is made. */
 struct rj_cell_plan_worker {
 	struct rj_cell_worker *worker;
-	uint32_t rack; /* its place among the plan's ranges */
+	uint32_t range; /* its place among the plan's ranges */
 	bool reserved; /* for urgent work; others only if they can be stopped */
 	bool exclusive; /* for urgent work alone */
-	struct rj_cell_demand now; /* free */
-	struct rj_cell_demand soon; /* free once what is stopping has gone */
+	struct rj_cell_demand free_now; /* free */
+	struct rj_cell_demand
+		free_after_stops; /* free once what is stopping has gone */
 	struct rj_cell_demand promised; /* of what will come free later */
 	/* Runs there of the step that is being placed, if that has a limit. */
-	uint32_t siblings;
-	uint32_t serving; /* runs there, as the worker counts them */
-	uint32_t filling;
+	uint32_t step_runs;
+	uint32_t serving_runs; /* runs there, as the worker counts them */
+	uint32_t other_runs;
 };
 
 /* At most so much is free in a rack: the most on one worker, of each kind of
  * room apart, and the accelerators of all workers together. */
 struct rj_cell_free_bounds {
-	struct rj_cell_demand most;
+	struct rj_cell_demand max_per_worker;
 	uint32_t accelerators;
 };
 
@@ -44,8 +45,8 @@
 struct rj_cell_plan_rack {
 	const char *name;
 	const struct rj_cell_domain *domain; /* of its first worker */
-	bool mixed; /* some of its workers are in other domains */
-	uint32_t rank; /* among the racks of its domain */
+	bool mixed_domains; /* some of its workers are in other domains */
+	uint32_t domain_rank; /* among the racks of its domain */
 	uint32_t first;
 	uint32_t count;
 	uint32_t range; /* its place among the plan's ranges */
@@ -56,14 +57,14 @@
 	const struct rj_cell_domain *domain; /* NULL: of several */
 	uint32_t first;
 	uint32_t count;
-	struct rj_cell_free_bounds now;
-	struct rj_cell_free_bounds soon;
+	struct rj_cell_free_bounds free_now;
+	struct rj_cell_free_bounds free_after_stops;
 };
 
 /* What is in use, and what there is, of one kind of room. */
 struct rj_cell_utilization {
 	uint64_t used;
-	uint64_t all;
+	uint64_t total;
 };
 
 /* What the runs of one priority hold. */
@@ -98,27 +99,30 @@
 	/* outputs; the runs to be stopped have their reason set */
 	GArray *starts; /* struct rj_cell_planned_start */
 	GPtrArray *stops; /* struct rj_cell_run */
-	uint32_t waiting; /* tasks whose turn has come and that found no room */
-	uint64_t next_us; /* when the first pause of a task ends */
+	uint32_t
+		waiting_tasks; /* tasks whose turn has come and that found no room */
+	uint64_t next_retry_us; /* when the first pause of a task ends */
 	/* while it is made */
-	struct rj_cell_plan_worker *rooms;
+	struct rj_cell_plan_worker *workers;
 	struct rj_cell_releases *releases; /* of each room, once asked for */
-	uint32_t room_count;
+	uint32_t worker_count;
 	GArray *racks; /* struct rj_cell_plan_rack, domains take turns */
 	GArray *ranges; /* struct rj_cell_worker_range: each rack, in room order */
 	struct rj_cell_usage usage; /* with what this plan starts */
 	/* By each priority on the plan's rooms, with what this plan starts and
 	 * without what is stopping. */
-	struct rj_cell_allocation held[RJ_CELL_PRIORITIES];
+	struct rj_cell_allocation allocated[RJ_CELL_PRIORITIES];
 	/* Some work that is not urgent, that any worker may run and that has
 	 * waited for room cannot meet its objective any more. */
 	bool misses_objective;
-	GArray *units;
-	uint32_t promises; /* groups of others that have room promised */
+	GArray *task_groups;
+	uint32_t promise_count; /* groups of others that have room promised */
 	uint32_t urgent_promise_count; /* urgent groups that have */
-	GHashTable *needs; /* account -> accelerators of its urgent jobs */
+	GHashTable
+		*urgent_needs; /* account -> accelerators of its urgent jobs */
 	GArray *shortages; /* struct rj_cell_shortage, found by this plan */
-	uint32_t futile; /* searches for work to stop that found too little */
+	uint32_t
+		failed_searches; /* searches for work to stop that found too little */
 	uint64_t effort; /* workers weighed, some of them many times */
 };
 
@@ -126,7 +130,7 @@
 void rj_cell_plan_make(struct rj_cell_plan *plan);
 void rj_cell_plan_gather_workers(struct rj_cell_plan *plan);
 void rj_cell_plan_raise_bounds(struct rj_cell_plan *plan,
-			       const struct rj_cell_plan_worker *room);
+			       const struct rj_cell_plan_worker *plan_worker);
 void rj_cell_plan_add_allocation(struct rj_cell_plan *plan,
 				 const struct rj_cell_work *work,
 				 const struct rj_cell_demand *demand);
--- a/src/libradishjunction/include/private/cell_release.h
+++ b/src/libradishjunction/include/private/cell_release.h
@@ -12,13 +12,13 @@
 /* A run that is not being stopped yet. */
 struct rj_cell_release {
 	struct rj_cell_run *run;
-	uint64_t left_us; /* until it ends by itself */
+	uint64_t remaining_us; /* until it ends by itself */
 	uint64_t loss_milli; /* core-milliseconds lost if it is stopped */
 };
 
 /* The runs of one worker. */
 struct rj_cell_releases {
-	bool listed;
+	bool computed;
 	uint32_t count;
 	struct rj_cell_release *by_time; /* the first to end first */
 	struct rj_cell_release *by_loss; /* the cheapest first */
@@ -26,6 +26,6 @@
 
 const struct rj_cell_releases *
 rj_cell_releases_get(struct rj_cell_plan *plan,
-		     const struct rj_cell_plan_worker *room);
+		     const struct rj_cell_plan_worker *plan_worker);
 
 #endif
--- a/src/libradishjunction/include/private/cell_share.h
+++ b/src/libradishjunction/include/private/cell_share.h
@@ -13,8 +13,8 @@
 
 uint32_t rj_cell_share_free_tasks(const struct rj_cell_plan *plan,
 				  const struct rj_cell_step *step,
-				  const struct rj_cell_work *work);
+				  const struct rj_cell_work *job);
 bool rj_cell_share_protects(const struct rj_cell_plan *plan,
-			    const struct rj_cell_work *work);
+			    const struct rj_cell_work *job);
 
 #endif
--- a/src/libradishjunction/include/private/cell_shortage.h
+++ b/src/libradishjunction/include/private/cell_shortage.h
@@ -12,19 +12,19 @@
 struct rj_cell_shortage {
 	const struct rj_cell_step *step;
 	const char *service; /* interned */
-	enum rj_cell_horizon when;
+	enum rj_cell_horizon horizon;
 	uint32_t count; /* of tasks that were to be placed together */
-	bool far;
+	bool remote_allowed;
 	bool may_use_reserved;
 	bool may_use_exclusive;
 	bool in_one_rack;
 };
 
 bool rj_cell_shortage_is_known(const struct rj_cell_plan *plan,
-			       const struct rj_cell_task_group *unit,
-			       uint32_t count, enum rj_cell_horizon when);
+			       const struct rj_cell_task_group *group,
+			       uint32_t count, enum rj_cell_horizon horizon);
 void rj_cell_shortage_record(struct rj_cell_plan *plan,
-			     const struct rj_cell_task_group *unit,
-			     uint32_t count, enum rj_cell_horizon when);
+			     const struct rj_cell_task_group *group,
+			     uint32_t count, enum rj_cell_horizon horizon);
 
 #endif
--- a/src/libradishjunction/include/private/cell_task_groups.h
+++ b/src/libradishjunction/include/private/cell_task_groups.h
@@ -2,8 +2,8 @@
  * The steps whose tasks wait for room, in the order in which a plan places
  * them. Part of making a plan; see cell_plan.h.
  */
-#ifndef RADISHJUNCTION_PRIVATE_CELL_UNITS_H
-#define RADISHJUNCTION_PRIVATE_CELL_UNITS_H
+#ifndef RADISHJUNCTION_PRIVATE_CELL_TASK_GROUPS_H
+#define RADISHJUNCTION_PRIVATE_CELL_TASK_GROUPS_H
 
 #include "private/cell_place.h"
 
@@ -11,6 +11,6 @@
 bool rj_cell_plan_task_waits(const struct rj_cell_plan *plan,
 			     const struct rj_cell_task *task);
 void rj_cell_task_group_set_reserved(const struct rj_cell_plan *plan,
-				     struct rj_cell_task_group *unit);
+				     struct rj_cell_task_group *group);
 
 #endif
