--- a/src/libradishjunction/cell/cell_admit.c
+++ b/src/libradishjunction/cell/cell_admit.c
@@ -3,56 +3,60 @@
 #include <string.h>
 
 /*
- * What is accepted must still be of use when it ends. The forecast of the
- * wait is good to about a fifth, as racks and gangs leave some room idle.
+ * Part of the capacity that a wait is computed from. Fragmentation by racks and
+ * gangs leaves some capacity idle, so that forecasts are accurate to about a
+ * fifth.
  */
 #define USABLE_CAPACITY_PERCENT 80
-/* Without most of its workers the owner does not judge: it has just taken
- * over, and will know in a moment. */
+/* With fewer usable workers than this the owner refuses nothing: after a
+ * takeover it has not contacted most of them yet. */
 #define USABLE_WORKERS_MIN_PERCENT 50
-/* Nobody is sent away for longer, as forecasts do not reach further. */
+/* The retry delay is capped, as forecasts reach no further. */
 #define RETRY_AFTER_MAX_MS 20000
 #define RETRY_AFTER_MIN_MS 1000
-/* Cordons are lifted without notice. */
+/* Short, as a cordon may be lifted at any time. */
 #define CORDONED_RETRY_AFTER_MS 3000
 
-/* Room times time, in each of the three kinds of room. */
+/* Resources multiplied by time. */
 struct load {
 	double cpu_milli;
 	double memory_mb;
 	double accelerators;
 };
 
-/* Add `times` of one demand. */
-static void add(struct load *load, const struct rj_cell_demand *demand,
-		double times)
+/* Adds `demand` multiplied by `factor`. */
+static void add_demand(struct load *load, const struct rj_cell_demand *demand,
+		       double factor)
 {
-	load->cpu_milli += demand->cpu_milli * times;
-	load->memory_mb += demand->memory_mb * times;
-	load->accelerators += demand->accelerators * times;
+	load->cpu_milli += demand->cpu_milli * factor;
+	load->memory_mb += demand->memory_mb * factor;
+	load->accelerators += demand->accelerators * factor;
 }
 
-/* What is left to be done of one job, in room times milliseconds. */
+/* Adds the remaining work of one job, in resources times milliseconds. */
 static void add_job(struct load *load, const struct rj_cell_owner *owner,
-		    const struct rj_cell_work *work)
+		    const struct rj_cell_work *job)
 {
-	const struct rj_cell_def *spec = work->def;
+	const struct rj_cell_def *spec = job->def;
 	const struct rj_list *at;
 
-	for (at = work->rounds.next; at != &work->rounds; at = at->next) {
-		const struct rj_cell_round *round =
+	for (at = job->rounds.next; at != &job->rounds; at = at->next) {
+		const struct rj_cell_round *occurrence =
 			RJ_CONTAINER(at, struct rj_cell_round, link);
 
 		for (uint32_t i = 0; i < spec->step_count; i++)
 			if (!spec->steps[i].perpetual)
-				add(load, &spec->steps[i].each,
-				    (double)round->left[i] *
-					    (double)rj_cell_forecast_task_ms(
-						    &owner->forecast, spec, i));
+				add_demand(
+					load, &spec->steps[i].each,
+					(double)occurrence->left[i] *
+						(double)rj_cell_forecast_task_ms(
+							&owner->forecast, spec,
+							i));
 	}
 }
 
-/* What is left of all jobs that a queue of this priority has to wait for. */
+/* Returns the remaining work of all jobs that are served before or with a new
+ * job of this priority, without those that are cancelled or too late. */
 static struct load load_ahead(const struct rj_cell_owner *owner,
 			      uint32_t priority)
 {
@@ -60,28 +64,28 @@
 	struct load load = { 0, 0, 0 };
 
 	for (at = owner->works.next; at != &owner->works; at = at->next) {
-		const struct rj_cell_work *work =
+		const struct rj_cell_work *job =
 			RJ_CONTAINER(at, struct rj_cell_work, link);
 
-		if (work->def->priority <= priority && !work->cancelled &&
-		    work->state < RJ_CELL_JOB_COMPLETED &&
-		    owner->now_us <= work->late_us)
-			add_job(&load, owner, work);
+		if (job->def->priority <= priority && !job->cancelled &&
+		    job->state < RJ_CELL_JOB_COMPLETED &&
+		    owner->now_us <= job->late_us)
+			add_job(&load, owner, job);
 	}
 	return load;
 }
 
-/* The workers of a service. */
+/* The workers of one service. */
 struct capacity {
-	struct load total; /* of those that can be used */
-	uint32_t cordoned; /* by operators */
+	struct load total; /* resources of the usable workers */
+	uint32_t cordoned; /* workers cordoned by operators */
 	uint32_t staying;
 	uint32_t usable; /* of those that stay */
 };
 
-/* Add up what the workers of a service have. */
-static void sum_capacity(const struct rj_cell_owner *owner, const char *service,
-			 struct capacity *capacity)
+/* Sums up the workers of a service. */
+static void sum_workers(const struct rj_cell_owner *owner, const char *service,
+			struct capacity *capacity)
 {
 	const struct rj_list *at;
 
@@ -101,27 +105,27 @@
 		if (!rj_cell_worker_usable(worker, owner->now_us))
 			continue;
 		capacity->usable++;
-		add(&capacity->total, &worker->said.capacity, 1);
+		add_demand(&capacity->total, &worker->said.capacity, 1);
 	}
 }
 
-/* Whether enough workers are known to judge by them. */
-static bool is_judgeable(const struct capacity *capacity)
+/* Whether enough workers are usable for a forecast. */
+static bool has_enough_workers(const struct capacity *capacity)
 {
 	return capacity->staying &&
 	       capacity->usable * 100 >=
 		       capacity->staying * USABLE_WORKERS_MIN_PERCENT;
 }
 
-/* Send clients of a queue away. */
+/* Refuses new jobs of a queue, with a retry delay. */
 static void refuse(struct rj_cell_share *share, uint32_t come_back_ms)
 {
 	share->refuse = true;
 	share->come_back_ms = come_back_ms;
 }
 
-/* A load over a room, in milliseconds. */
-static double drain_ms(double load, double total)
+/* Returns the time in milliseconds in which `capacity` completes `load`. */
+static double drain_ms(double load, double capacity)
 {
 	if (load <= 0)
 		return 0;
@@ -129,32 +133,31 @@
 			   RETRY_AFTER_MAX_MS * RJ_CELL_LATE_FACTOR;
 }
 
-/* How long a new job of a queue would wait, in milliseconds. */
-static double wait_ms(const struct rj_cell_owner *owner,
-		      const struct rj_cell_queue *queue,
-		      const struct load *total)
+/* Returns the forecast wait of a new job of a queue, in milliseconds. */
+static double forecast_wait_ms(const struct rj_cell_owner *owner,
+			       const struct rj_cell_queue *queue,
+			       const struct load *capacity)
 {
 	struct load load = load_ahead(owner, queue->priority);
-	double accelerators = total->accelerators;
+	double accelerators = capacity->accelerators;
 	double wait;
 
-	/* Urgent work goes on coming, and goes first. */
+	/* Further urgent jobs will arrive and go first. */
 	if (queue->priority)
 		accelerators -= rj_cell_forecast_urgent_accelerators(
 			&owner->forecast, owner->now_us);
-	wait = MAX(drain_ms(load.cpu_milli, total->cpu_milli),
-		   MAX(drain_ms(load.memory_mb, total->memory_mb),
+	wait = MAX(drain_ms(load.cpu_milli, capacity->cpu_milli),
+		   MAX(drain_ms(load.memory_mb, capacity->memory_mb),
 		       drain_ms(load.accelerators, accelerators)));
 	return wait * 100 / USABLE_CAPACITY_PERCENT;
 }
 
 /*
- * Decide on one queue.
+ * Decides whether one queue accepts jobs.
  *
- * Load that it answers: more work of a kind than ends in time, for longer
- * than a burst. What is accepted then ends when nobody wants it any more,
- * and keeps what still could be of use from room; its callers learn that
- * after minutes instead of at once.
+ * Guards against sustained overload: jobs accepted then complete too late to be
+ * of use and take capacity from jobs that are still in time, and their callers
+ * learn of it only after minutes.
  */
 static void evaluate_queue(const struct rj_cell_owner *owner,
 			   const struct rj_cell_queue *queue,
@@ -166,21 +169,22 @@
 			  queue->latency_ms);
 	double excess_ms;
 
-	sum_capacity(owner, queue->service, &capacity);
+	sum_workers(owner, queue->service, &capacity);
 	if (capacity.cordoned && !capacity.staying)
 		refuse(share, CORDONED_RETRY_AFTER_MS);
-	if (!is_judgeable(&capacity))
+	if (!has_enough_workers(&capacity))
 		return;
-	excess_ms = wait_ms(owner, queue, &capacity.total) + share->mean_ms -
-		    late_ms;
+	excess_ms = forecast_wait_ms(owner, queue, &capacity.total) +
+		    share->mean_ms - late_ms;
 	if (excess_ms > 0)
 		refuse(share, (uint32_t)CLAMP(excess_ms, RETRY_AFTER_MIN_MS,
 					      RETRY_AFTER_MAX_MS));
 }
 
 /*
- * Fill in what the entries, and a successor, are told of each queue that work has
- * been done for.
+ * Fills the heartbeat with the mean run time and the admission decision of each
+ * queue whose tasks have a known run time. A successor takes the run times
+ * over.
  */
 void rj_cell_admit_queues(const struct rj_cell_owner *owner,
 			  struct rj_cell_beat *beat)
--- a/src/libradishjunction/cell/cell_backlog.c
+++ b/src/libradishjunction/cell/cell_backlog.c
@@ -5,7 +5,7 @@
 #include "private/cell_place.h"
 #include "private/note.h"
 
-/* Add the tasks of one step that have not started. */
+/* Adds the tasks of one step that have not started. */
 static void add_task_group(struct rj_cell_backlog *backlog,
 			   const struct rj_cell_plan *plan,
 			   const struct rj_cell_task_group *group)
@@ -23,7 +23,7 @@
 				     plan->now_us - group->waiting_since_us);
 }
 
-/* Add what one worker has that is not open to all. */
+/* Adds the reserved and the promised accelerators of one worker. */
 static void add_worker(struct rj_cell_backlog *backlog,
 		       const struct rj_cell_plan_worker *plan_worker)
 {
@@ -39,7 +39,7 @@
 }
 
 /*
- * Sum up what a plan leaves waiting and idle.
+ * Sums up the tasks that a plan leaves waiting and the capacity it leaves idle.
  */
 void rj_cell_backlog_sum(const struct rj_cell_plan *plan,
 			 struct rj_cell_backlog *backlog)
@@ -60,7 +60,7 @@
 }
 
 /*
- * Write a backlog into the log, as one line.
+ * Logs a backlog as one event.
  */
 void rj_cell_backlog_log(const struct rj_cell_backlog *backlog)
 {
--- a/src/libradishjunction/cell/cell_candidates.c
+++ b/src/libradishjunction/cell/cell_candidates.c
@@ -1,6 +1,5 @@
 #include "private/cell_candidates.h"
 
-/* The candidate at a place of the heap. */
 static struct rj_cell_candidate *
 candidate_at(const struct rj_cell_candidates *candidates, guint index)
 {
@@ -8,7 +7,6 @@
 			      index);
 }
 
-/* Whether one candidate goes before another. */
 static bool is_cheaper(const struct rj_cell_candidate *a,
 		       const struct rj_cell_candidate *b)
 {
@@ -16,7 +14,6 @@
 				    a->plan_worker < b->plan_worker;
 }
 
-/* Exchange two places. */
 static void swap(struct rj_cell_candidates *candidates, guint a, guint b)
 {
 	struct rj_cell_candidate saved = *candidate_at(candidates, a);
@@ -25,27 +22,18 @@
 	*candidate_at(candidates, b) = saved;
 }
 
-/*
- * Begin without candidates.
- */
 void rj_cell_candidates_init(struct rj_cell_candidates *candidates)
 {
 	candidates->heap =
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_candidate));
 }
 
-/*
- * Free the heap.
- */
 void rj_cell_candidates_finish(struct rj_cell_candidates *candidates)
 {
 	g_array_free(candidates->heap, TRUE);
 	candidates->heap = NULL;
 }
 
-/*
- * Add one candidate.
- */
 void rj_cell_candidates_push(struct rj_cell_candidates *candidates,
 			     uint64_t cost,
 			     struct rj_cell_plan_worker *plan_worker)
@@ -66,7 +54,8 @@
 }
 
 /*
- * Take the cheapest candidate out; its room is NULL when there is none.
+ * Removes and returns the cheapest candidate; its worker is NULL when the queue
+ * is empty.
  */
 struct rj_cell_candidate
 rj_cell_candidates_pop(struct rj_cell_candidates *candidates)
--- a/src/libradishjunction/cell/cell_demand.c
+++ b/src/libradishjunction/cell/cell_demand.c
@@ -2,19 +2,16 @@
 
 #include <glib.h>
 
-/*
- * Whether `want` fits into `have`.
- */
-bool rj_cell_demand_fits(const struct rj_cell_demand *want,
-			 const struct rj_cell_demand *have)
+bool rj_cell_demand_fits(const struct rj_cell_demand *demand,
+			 const struct rj_cell_demand *available)
 {
-	return want->cpu_milli <= have->cpu_milli &&
-	       want->memory_mb <= have->memory_mb &&
-	       want->accelerators <= have->accelerators;
+	return demand->cpu_milli <= available->cpu_milli &&
+	       demand->memory_mb <= available->memory_mb &&
+	       demand->accelerators <= available->accelerators;
 }
 
 /*
- * Take `part` off `from`, down to nothing.
+ * Subtracts `part` from `from`; each resource stops at 0.
  */
 void rj_cell_demand_subtract(struct rj_cell_demand *from,
 			     const struct rj_cell_demand *part)
@@ -24,9 +21,6 @@
 	from->accelerators -= MIN(from->accelerators, part->accelerators);
 }
 
-/*
- * Give `part` back.
- */
 void rj_cell_demand_add(struct rj_cell_demand *to,
 			const struct rj_cell_demand *part)
 {
@@ -36,8 +30,8 @@
 }
 
 /*
- * What a task of a step takes of its worker's room; the cores of scavenging
- * steps are not counted.
+ * Returns the resources that a task of a step is allocated on its worker. The
+ * cores of a scavenging step are not counted.
  */
 struct rj_cell_demand rj_cell_step_allocation(const struct rj_cell_step *step)
 {
--- a/src/libradishjunction/cell/cell_forecast.c
+++ b/src/libradishjunction/cell/cell_forecast.c
@@ -4,25 +4,25 @@
 #include <math.h>
 #include <string.h>
 
-/* A new run time counts for this part of a mean: fast enough to follow a
- * slow spell of some seconds at ten ends a second. */
+/* Weight of a new run time in the moving mean: at ten completions a second the
+ * mean follows a slowdown that lasts seconds. */
 #define MEAN_WEIGHT 0.05
-/* The first ends count fully, up to this many. */
+/* Up to this many samples the mean is the arithmetic one. */
 #define MEAN_INITIAL_SAMPLES 20
-/* Demand for urgent work is forgotten with this time constant: a burst
- * lasts some 6 s, and room for it is kept about as long. */
+/* Time constant of the decay of urgent demand: about the length of a burst,
+ * some 6 s, so that capacity stays reserved for as long. */
 #define URGENT_DECAY_US (5 * RJ_US_PER_S)
-/* A percentage below this says too little of the time that is left. */
+/* Progress below this does not predict the remaining time. */
 #define PROGRESS_MIN_PERCENT 15
 
-/* The mean run time of the tasks of one queue. */
+/* Mean run time of the tasks of one queue. */
 struct mean {
 	double ms;
 	uint32_t samples;
 };
 
 /*
- * Prepare a forecast that knows nothing.
+ * Initializes a forecast without samples.
  */
 void rj_cell_forecast_init(struct rj_cell_forecast *forecast)
 {
@@ -32,7 +32,7 @@
 }
 
 /*
- * Forget what was learnt.
+ * Frees what `rj_cell_forecast_init` allocated.
  */
 void rj_cell_forecast_finish(struct rj_cell_forecast *forecast)
 {
@@ -41,7 +41,7 @@
 	forecast->means = NULL;
 }
 
-/* The mean of a queue, made when it is missing. */
+/* Returns the mean of a queue; adds an empty one if there is none. */
 static struct mean *obtain_mean(struct rj_cell_forecast *forecast,
 				const char *queue)
 {
@@ -55,7 +55,7 @@
 }
 
 /*
- * A task of the queue has ended well after `ran_us`.
+ * Records that a task of the queue completed successfully after `ran_us`.
  */
 void rj_cell_forecast_record_run(struct rj_cell_forecast *forecast,
 				 const char *queue, uint64_t ran_us)
@@ -71,7 +71,8 @@
 }
 
 /*
- * Take over what a former owner had learnt.
+ * Takes over the mean run time that a former owner measured, unless this owner
+ * has samples of its own.
  */
 void rj_cell_forecast_seed(struct rj_cell_forecast *forecast, const char *queue,
 			   uint32_t mean_ms)
@@ -85,7 +86,8 @@
 }
 
 /*
- * The mean run time of a queue's tasks, 0 when nothing was learnt.
+ * Returns the mean run time of a queue's tasks in milliseconds, 0 without
+ * samples.
  */
 uint32_t rj_cell_forecast_mean_ms(const struct rj_cell_forecast *forecast,
 				  const char *queue)
@@ -96,7 +98,8 @@
 }
 
 /*
- * How long a task of a step will run, in milliseconds.
+ * Returns the expected run time of one task of a step in milliseconds: the
+ * queue's mean, else the caller's estimate.
  */
 uint64_t rj_cell_forecast_task_ms(const struct rj_cell_forecast *forecast,
 				  const struct rj_cell_def *spec, uint32_t step)
@@ -107,32 +110,33 @@
 }
 
 /*
- * The longest chain of steps, by what was learnt, in milliseconds.
+ * Returns the expected time of the longest chain of dependent steps, in
+ * milliseconds.
  */
 uint64_t
 rj_cell_forecast_critical_path_ms(const struct rj_cell_forecast *forecast,
 				  const struct rj_cell_def *spec)
 {
-	uint64_t ends_ms[RJ_CELL_STEPS_MAX];
+	uint64_t completion_ms[RJ_CELL_STEPS_MAX];
 	uint64_t longest_ms = 0;
 
 	for (uint32_t i = 0; i < spec->step_count; i++) {
 		const struct rj_cell_step *step = &spec->steps[i];
-		uint64_t begin_ms = 0;
+		uint64_t start_ms = 0;
 
 		for (uint32_t j = 0; j < step->after_count; j++)
-			if (ends_ms[step->after[j]] > begin_ms)
-				begin_ms = ends_ms[step->after[j]];
-		ends_ms[i] =
-			begin_ms + rj_cell_forecast_task_ms(forecast, spec, i);
-		if (ends_ms[i] > longest_ms)
-			longest_ms = ends_ms[i];
+			if (completion_ms[step->after[j]] > start_ms)
+				start_ms = completion_ms[step->after[j]];
+		completion_ms[i] =
+			start_ms + rj_cell_forecast_task_ms(forecast, spec, i);
+		if (completion_ms[i] > longest_ms)
+			longest_ms = completion_ms[i];
 	}
 	return longest_ms;
 }
 
-/* How long a run will go on by its own progress; false when that says too
- * little. */
+/* Extrapolates the remaining time of a run from its reported progress. Returns
+ * false when the progress is too low for that. */
 static bool remaining_by_progress(const struct rj_cell_run *run,
 				  uint64_t ran_us, uint64_t *remaining_us)
 {
@@ -147,12 +151,12 @@
 }
 
 /*
- * How long a run will go on, in microseconds: by its own progress once that
- * says enough, else by what was learnt. What has run for longer than usual
- * is taken to go on for half as long again.
+ * Returns the expected remaining time of a run in microseconds: by its reported
+ * progress, else by the expected run time. A run that has exceeded the expected
+ * run time is assumed to need half of it again.
  *
- * Guards against urgent work that waits for ever for a run which should have
- * ended: one that is overdue may be slow, and is not about to end.
+ * Guards against urgent jobs that wait for an overdue run for ever: such a run
+ * may be slow, and is not about to complete.
  */
 uint64_t rj_cell_forecast_remaining_us(const struct rj_cell_forecast *forecast,
 				       const struct rj_cell_run *run,
@@ -175,7 +179,7 @@
 	return total_us > ran_us ? total_us - ran_us : total_us / 2;
 }
 
-/* Bring the demand up to date. */
+/* Returns the urgent demand, decayed to `now_us`. */
 static double decayed_urgent(const struct rj_cell_forecast *forecast,
 			     uint64_t now_us)
 {
@@ -188,7 +192,8 @@
 }
 
 /*
- * An urgent job has come: it asks for accelerators for as long as it runs.
+ * Records the demand of an urgent job: its accelerators for the expected run
+ * time of its tasks.
  */
 void rj_cell_forecast_record_urgent(struct rj_cell_forecast *forecast,
 				    const struct rj_cell_def *spec,
@@ -207,7 +212,8 @@
 }
 
 /*
- * How many accelerators urgent work keeps busy, on average of late.
+ * Returns the number of accelerators that recent urgent jobs keep busy, as a
+ * decaying average.
  */
 double
 rj_cell_forecast_urgent_accelerators(const struct rj_cell_forecast *forecast,
--- a/src/libradishjunction/cell/cell_place.c
+++ b/src/libradishjunction/cell/cell_place.c
@@ -7,15 +7,17 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Parts of a placement's cost, from the least weight to the greatest. */
-#define COST_MEMORY_BITS 32 /* of what would be left over, in MB */
-#define COST_INTERFERENCE_BIT 50 /* work that serves beside work that fills */
-#define COST_UNPROVEN_BIT 49 /* last failed, and so did the task */
+/* Bits of a placement's cost. */
+#define COST_MEMORY_BITS \
+	32 /* of memory left over, in MB; accelerators are above */
+#define COST_INTERFERENCE_BIT 50 /* latency-bound runs beside others */
+#define COST_UNPROVEN_BIT 49 /* the worker and the task failed before */
 #define COST_REMOTE_BIT 48 /* away from the task's data */
-#define COST_WARMUP_BIT 47 /* on a worker that is slow after its start */
-#define COST_RESERVED_BIT 46 /* on the wrong side of what is reserved */
+#define COST_WARMUP_BIT 47 /* worker is slow after its start */
+#define COST_RESERVED_BIT \
+	46 /* urgent task off reserved workers, or the reverse */
 
-/* Count one run of the step that is being placed at its worker. */
+/* Counts a run of the step being placed at its worker. */
 static void count_step_run(const struct rj_cell_run *run)
 {
 	if (run->worker->plan_worker)
@@ -23,10 +25,11 @@
 }
 
 /*
- * Count at each worker the runs of a step of which one worker may have so many.
+ * Counts the runs of a step at each worker, if the step limits them for each
+ * worker.
  *
- * Load that it answers: steps of hundreds of tasks that are to be kept apart;
- * each task would count all of them on each worker.
+ * Guards against long plans with steps of hundreds of tasks that are to be kept
+ * apart: counted for each task and worker, each task would visit all others.
  */
 void rj_cell_place_count_step_runs(struct rj_cell_plan *plan,
 				   const struct rj_cell_task_group *group)
@@ -57,7 +60,7 @@
 	}
 }
 
-/* Whether a worker has as many runs of a step as it may. */
+/* Whether a worker has the maximum of runs of a step. */
 static bool has_max_step_runs(const struct rj_cell_plan_worker *plan_worker,
 			      const struct rj_cell_step *step)
 {
@@ -65,7 +68,7 @@
 	       plan_worker->step_runs >= step->per_worker_max;
 }
 
-/* Whether a task has no attempt left after the next one. */
+/* Whether the next run of a task is its last attempt. */
 static bool is_last_attempt(struct rj_cell_task *task)
 {
 	const struct rj_cell_task *head = rj_cell_task_head(task);
@@ -75,8 +78,8 @@
 }
 
 /*
- * Whether a task has to keep to workers that are known to be sound: it has no
- * attempt left after this one, and workers have begun to fail.
+ * Whether a task may only run on workers that are known to be healthy: its next
+ * run is its last attempt, and several workers have begun to fail.
  */
 bool rj_cell_place_needs_healthy(const struct rj_cell_plan *plan,
 				 struct rj_cell_task *task)
@@ -86,7 +89,7 @@
 					   plan->now_us);
 }
 
-/* Whether a worker is too likely to fail a task that must not fail. */
+/* Whether a worker is too likely to fail a task on its last attempt. */
 static bool is_too_risky(const struct rj_cell_plan *plan,
 			 const struct rj_cell_worker *worker,
 			 struct rj_cell_task *task)
@@ -100,7 +103,7 @@
 }
 
 /*
- * Whether a worker may run a task at all, its room aside.
+ * Whether a worker may run a task, irrespective of free capacity.
  */
 bool rj_cell_place_is_eligible(const struct rj_cell_plan *plan,
 			       const struct rj_cell_plan_worker *plan_worker,
@@ -137,8 +140,8 @@
 	return !has_max_step_runs(plan_worker, step);
 }
 
-/* The bounds on what is free in a range for a way, or NULL where others may be
- * stopped or are waited for. */
+/* Returns the bounds of the free capacity of a range, or NULL where preemption
+ * or completions may free more. */
 static const struct rj_cell_free_bounds *
 free_bounds(const struct rj_cell_worker_range *range,
 	    const struct rj_cell_placement_options *options)
@@ -151,7 +154,7 @@
 		       &range->free_after_stops;
 }
 
-/* Whether a range is allowed, and may hold one task that wants so much. */
+/* Whether a range is allowed, and may hold one task of this demand. */
 static bool may_fit_task(const struct rj_cell_worker_range *range,
 			 const struct rj_cell_placement_options *options,
 			 const struct rj_cell_demand *demand)
@@ -167,8 +170,8 @@
 }
 
 /*
- * Begin a walk over the rooms that a way allows, those of a rack or all, for
- * tasks that want so much each. `way` must outlast it.
+ * Starts an iteration over the workers that options allow, of one rack or all,
+ * for tasks that take `demand` each. `options` must outlive it.
  */
 void rj_cell_worker_iterator_init(
 	struct rj_cell_worker_iterator *iterator, struct rj_cell_plan *plan,
@@ -185,7 +188,7 @@
 }
 
 /*
- * The next room, in the order of the plan's rooms, or NULL at the end.
+ * Returns the next worker in the order of the plan, or NULL at the end.
  */
 struct rj_cell_plan_worker *
 rj_cell_worker_iterator_next(struct rj_cell_worker_iterator *iterator)
@@ -208,11 +211,11 @@
 }
 
 /*
- * Whether the rooms that a way allows may hold `count` tasks that want so much
- * each, by bounds that are cheap to look up.
+ * Whether the workers that options allow may hold `count` tasks that take
+ * `demand` each, by bounds that are cheap to look up.
  *
- * Load that it answers: a full site with a backlog of gangs, each of which
- * would weigh all workers for each of its members in each plan.
+ * Guards against long plans on a full site with a backlog of gangs, each of
+ * which would evaluate all workers for each of its members.
  */
 bool rj_cell_place_may_fit(const struct rj_cell_plan *plan,
 			   const struct rj_cell_placement_options *options,
@@ -241,9 +244,9 @@
 }
 
 /*
- * Whether a worker may fail a task that had better not fail: one that has
+ * Whether a worker may fail a task that should not fail again: a task that has
  * failed before, or a member of a gang while workers begin to fail. Then a
- * worker is good that has started something since and did not fail it.
+ * worker is proven once it has started a run since and that did not fail early.
  */
 static bool is_unproven(const struct rj_cell_plan *plan,
 			const struct rj_cell_worker *worker,
@@ -259,16 +262,26 @@
 }
 
 /*
- * What placing a task on a worker costs. Accelerators that would be left over come first, so that
- * small tasks fill workers that are in use already and whole workers stay
- * free for gangs; then memory, of which the large tasks need half a worker.
- * Data that is far away outweighs these, and urgent work goes to what is
- * reserved for it before it takes other workers. Workers that are slow after
- * their start come after all that are not. A task that has failed goes, if it
- * can, where the last run did not fail: a worker that fails all it starts has
- * room again at once, and would use up the task's attempts. What serves users
- * within a bound and what fills the room beside it disturb each other, so
- * they share a worker only where there is no other.
+ * Returns the cost of placing a task on a worker. In the order of their weight,
+ * the least first:
+ *
+ * - memory left over, as large tasks need half a worker;
+ *
+ * - accelerators left over, so that small tasks fill workers in use and whole
+ * workers stay free for gangs;
+ *
+ * - reserved workers for urgent tasks, others for the rest;
+ *
+ * - workers that are slow after their start come after the others;
+ *
+ * - racks away from the task's data;
+ *
+ * - for a task that failed, workers whose last run failed: a worker that fails
+ * each run at once always has free capacity, and would use up the task's
+ * attempts;
+ *
+ * - latency-bound runs beside others: they slow each other down, so they share
+ * a worker only if there is no other place.
  */
 static uint64_t placement_cost(const struct rj_cell_plan *plan,
 			       const struct rj_cell_plan_worker *plan_worker,
@@ -296,7 +309,8 @@
 	       (available->memory_mb - step->each.memory_mb);
 }
 
-/* The best room for one task in what is free now or soon, or NULL. */
+/* Returns the cheapest worker for one task within the options' horizon, or
+ * NULL. */
 static struct rj_cell_plan_worker *
 best_fit(struct rj_cell_plan *plan, const struct rj_cell_task_group *group,
 	 struct rj_cell_task *task,
@@ -332,8 +346,9 @@
 }
 
 /*
- * In how long a worker will have room for `want` beside what is promised
- * there, if nothing else starts on it; RJ_NEVER_US when it never will.
+ * Returns the time until a worker has capacity for `demand` beside what is
+ * promised there, in microseconds, if nothing else starts on it; RJ_NEVER_US if
+ * it never will.
  */
 static uint64_t ready_delay_us(struct rj_cell_plan *plan,
 			       const struct rj_cell_plan_worker *plan_worker,
@@ -355,7 +370,7 @@
 	     i++) {
 		const struct rj_cell_release *release = &releases->by_time[i];
 
-		/* The room of a victim is counted as free already. */
+		/* The capacity of a victim is counted as free already. */
 		if (release->run->victim || release->run->why)
 			continue;
 		rj_cell_demand_add(&available, &release->run->held);
@@ -364,7 +379,7 @@
 	return rj_cell_demand_fits(&need, &available) ? ready_us : RJ_NEVER_US;
 }
 
-/* The room that comes free first for one task, or NULL. */
+/* Returns the worker that has capacity for one task first, or NULL. */
 static struct rj_cell_plan_worker *
 earliest_fit(struct rj_cell_plan *plan, struct rj_cell_placement *placement,
 	     const struct rj_cell_task_group *group, struct rj_cell_task *task,
@@ -395,7 +410,7 @@
 	return best;
 }
 
-/* Take the room of one task; what is not free yet is promised. */
+/* Allocates capacity to one task; capacity that is not free yet is promised. */
 static void allocate(struct rj_cell_plan_worker *plan_worker,
 		     const struct rj_cell_step *step,
 		     enum rj_cell_horizon horizon)
@@ -416,7 +431,7 @@
 }
 
 /*
- * Begin a trial.
+ * Starts a tentative placement.
  */
 void rj_cell_placement_init(struct rj_cell_placement *placement,
 			    struct rj_cell_plan *plan)
@@ -430,7 +445,7 @@
 }
 
 /*
- * A room is about to be changed by a trial.
+ * Saves a worker that the placement is about to change.
  */
 void rj_cell_placement_save_worker(struct rj_cell_placement *placement,
 				   struct rj_cell_plan_worker *plan_worker)
@@ -439,7 +454,7 @@
 }
 
 /*
- * End a trial: what has not been taken is undone.
+ * Frees a placement; what has not been committed is undone.
  */
 void rj_cell_placement_finish(struct rj_cell_placement *placement)
 {
@@ -461,9 +476,8 @@
 }
 
 /*
- * Whether what decides on a task's worker is the same for all tasks of its
- * step, or of its gang: it keeps off no worker, and is in no danger of using
- * up its attempts.
+ * Whether the choice of a worker for a task is the same as for the other tasks
+ * of its step or gang: it avoids no worker, and has not failed.
  */
 bool rj_cell_place_is_uniform(const struct rj_cell_plan *plan,
 			      struct rj_cell_task *task)
@@ -472,7 +486,7 @@
 	       !rj_cell_task_head(task)->failures;
 }
 
-/* Whether all of a group's tasks weigh workers alike. */
+/* Whether the choice of a worker is the same for all tasks of a group. */
 static bool are_uniform(const struct rj_cell_plan *plan,
 			struct rj_cell_task **tasks, uint32_t count)
 {
@@ -482,8 +496,9 @@
 	return true;
 }
 
-/* What placing one more of some tasks in a room costs, or RJ_NEVER_US where it
- * cannot be placed there. */
+/* Returns the cost of placing one more of some tasks on a worker, or
+ * RJ_NEVER_US if it can't be placed there. With RJ_CELL_HORIZON_COMPLETIONS the
+ * cost is the delay in microseconds. */
 static uint64_t candidate_cost(struct rj_cell_plan *plan,
 			       struct rj_cell_plan_worker *plan_worker,
 			       const struct rj_cell_task_group *group,
@@ -506,9 +521,9 @@
 }
 
 /*
- * Try to place tasks that weigh workers alike, as many as find a place.
- * Returns how many do. They go where they would go one by one: a room that has
- * taken one only changes its own cost.
+ * Places as many of some uniform tasks as have capacity, and returns how many.
+ * They get the same workers as one by one: a placement only changes the cost of
+ * its own worker.
  */
 uint32_t rj_cell_place_uniform(struct rj_cell_plan *plan,
 			       struct rj_cell_placement *placement,
@@ -560,7 +575,8 @@
 }
 
 /*
- * Try to place all of `tasks`. Returns whether all of them have a place.
+ * Places `tasks` tentatively. Returns whether all of them were placed; if not,
+ * the placement is to be finished without a commit.
  */
 bool rj_cell_place_group(struct rj_cell_plan *plan,
 			 struct rj_cell_placement *placement,
@@ -599,8 +615,7 @@
 }
 
 /*
- * Keep what a trial has changed, and list its victims, which the owner has to
- * stop.
+ * Keeps the changes of a placement, and adds its victims to the plan's stops.
  */
 void rj_cell_placement_commit(struct rj_cell_placement *placement)
 {
--- a/src/libradishjunction/cell/cell_plan.c
+++ b/src/libradishjunction/cell/cell_plan.c
@@ -9,30 +9,32 @@
 #include "private/cell_shortage.h"
 #include "private/cell_task_groups.h"
 
-/* Gangs of lower priority that room is promised to at a time. More would
- * leave too much of it idle. */
+/* Gangs that are not urgent and hold a promise at a time. More promises would
+ * leave too much capacity idle. */
 #define GANG_PROMISES_MAX 2
-/* Urgent work that has no right to its room may throw away so many times its
- * own work: it is worth about ten times as much a core-second, half of which
- * is left for the wait of those that it stops. */
+/* Urgent jobs without a guarantee may discard up to this many times their own
+ * work. A core-second of theirs is worth about ten times as much; half of that
+ * is left for the delay of the preempted jobs. */
 #define URGENT_LOSS_FACTOR 4
-/* Work that is not urgent may stop work of lower priority once it has waited
- * for a while, where that throws away at most this part of its own. */
+/* Jobs that are not urgent may preempt lower priorities once they have waited
+ * this long, if that discards at most one part in PREEMPTION_LOSS_DIVISOR of
+ * their own work. */
 #define PREEMPTION_WAIT_US RJ_US_PER_S
 #define PREEMPTION_LOSS_DIVISOR 8
-/* Urgent groups that room is promised to in one plan; those behind them have
- * to wait for more than the next ends. */
+/* Urgent groups that get a promise in one plan. Groups behind them have to wait
+ * for more than the next completions. */
 #define URGENT_PROMISES_MAX 16
 /*
- * Searches in one plan that found too little, for room in a share or for work to
- * stop, and the pause before the same group searches for work to stop again.
- * Such a search changes nothing, so that leaving it out only delays the next.
+ * Limit of failed searches in one plan, for capacity within a share or for runs
+ * to preempt, and the delay before the same group searches for runs to preempt
+ * again. A failed search changes nothing, so that skipping one only delays the
+ * next.
  */
 #define FAILED_SEARCHES_MAX 8
 #define SEARCH_RETRY_US (100 * RJ_US_PER_MS)
 
 /*
- * Prepare a plan without inputs.
+ * Initializes a plan; the caller sets the inputs.
  */
 void rj_cell_plan_init(struct rj_cell_plan *plan)
 {
@@ -53,7 +55,7 @@
 }
 
 /*
- * Free what the plan holds.
+ * Frees what the plan owns; its tasks, runs and workers are the owner's.
  */
 void rj_cell_plan_finish(struct rj_cell_plan *plan)
 {
@@ -67,7 +69,7 @@
 	TALLOC_FREE(plan->workers);
 }
 
-/* One task starts there. */
+/* Starts a task on a worker in this plan. */
 static void add_start(struct rj_cell_plan *plan, struct rj_cell_task *task,
 		      struct rj_cell_worker *worker)
 {
@@ -84,8 +86,8 @@
 			rj_cell_task_step(task)->each.accelerators;
 }
 
-/* Whether one trial is better than another: it loses less, or is ready
- * sooner. */
+/* Whether one placement loses less than another, or is ready sooner at the same
+ * loss. */
 static bool is_better(const struct rj_cell_placement *a,
 		      const struct rj_cell_placement *b)
 {
@@ -94,7 +96,7 @@
 	return a->ready_us < b->ready_us;
 }
 
-/* The rack where a group is placed best, or NULL. */
+/* Returns the rack with the best placement of a group, or NULL. */
 static const struct rj_cell_plan_rack *
 best_rack(struct rj_cell_plan *plan, const struct rj_cell_task_group *group,
 	  struct rj_cell_task **tasks, uint32_t count,
@@ -104,23 +106,25 @@
 	struct rj_cell_placement best_placement = { .loss_milli = 0 };
 
 	for (guint i = 0; i < plan->racks->len; i++) {
-		struct rj_cell_placement_options local = *options;
+		struct rj_cell_placement_options candidate = *options;
 		struct rj_cell_placement placement;
 
-		local.rack = &g_array_index(plan->racks,
-					    struct rj_cell_plan_rack, i);
-		if (options->domain && local.rack->domain != options->domain)
+		candidate.rack = &g_array_index(plan->racks,
+						struct rj_cell_plan_rack, i);
+		if (options->domain &&
+		    candidate.rack->domain != options->domain)
 			continue;
 		rj_cell_placement_init(&placement, plan);
 		if (rj_cell_place_group(plan, &placement, group, tasks, count,
-					&local) &&
+					&candidate) &&
 		    (!best || is_better(&placement, &best_placement))) {
-			best = local.rack;
+			best = candidate.rack;
 			best_placement.loss_milli = placement.loss_milli;
 			best_placement.ready_us = placement.ready_us;
 		}
 		rj_cell_placement_finish(&placement);
-		/* Nothing is better than a place at once and at no loss. */
+		/* No rack is better than one with a place at once and at no
+		 * loss. */
 		if (best && !best_placement.loss_milli &&
 		    !best_placement.ready_us)
 			break;
@@ -128,13 +132,13 @@
 	return best;
 }
 
-/* Try to place a group: within one rack if it should be, and else anywhere
- * once it has waited long enough. */
-static bool try_placement(struct rj_cell_plan *plan,
-			  const struct rj_cell_task_group *group,
-			  struct rj_cell_task **tasks, uint32_t count,
-			  const struct rj_cell_placement_options *options,
-			  struct rj_cell_placement *placement)
+/* Places a group tentatively: within one rack if its step asks for that, else
+ * anywhere once it has waited long enough. */
+static bool place_tentatively(struct rj_cell_plan *plan,
+			      const struct rj_cell_task_group *group,
+			      struct rj_cell_task **tasks, uint32_t count,
+			      const struct rj_cell_placement_options *options,
+			      struct rj_cell_placement *placement)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(tasks[0]);
 	struct rj_cell_placement_options resolved = *options;
@@ -148,8 +152,8 @@
 				   &resolved);
 }
 
-/* The failure domain with the least urgent work of those where a group finds
- * its place, or NULL. */
+/* Returns the failure domain with the fewest accelerators in use by urgent jobs
+ * among those that have capacity for a group, or NULL. */
 static const struct rj_cell_domain *
 best_domain(struct rj_cell_plan *plan, const struct rj_cell_task_group *group,
 	    struct rj_cell_task **tasks, uint32_t count,
@@ -160,24 +164,24 @@
 
 	for (guint i = 0; i < domains->len; i++) {
 		const struct rj_cell_domain *domain = domains->pdata[i];
-		struct rj_cell_placement_options local = *options;
+		struct rj_cell_placement_options candidate = *options;
 		struct rj_cell_placement placement;
 
 		if (best && domain->urgent >= best->urgent)
 			continue;
-		local.domain = domain;
+		candidate.domain = domain;
 		rj_cell_placement_init(&placement, plan);
-		if (try_placement(plan, group, tasks, count, &local,
-				  &placement))
+		if (place_tentatively(plan, group, tasks, count, &candidate,
+				      &placement))
 			best = domain;
 		rj_cell_placement_finish(&placement);
 	}
 	return best;
 }
 
-/* Try one way; when it works out the room is taken, and with RJ_CELL_HORIZON_NOW the
- * tasks start. */
-static bool commit_placement(struct rj_cell_plan *plan,
+/* Places a group and commits the placement; with RJ_CELL_HORIZON_NOW its tasks
+ * start. */
+static bool place_and_commit(struct rj_cell_plan *plan,
 			     const struct rj_cell_task_group *group,
 			     struct rj_cell_task **tasks, uint32_t count,
 			     const struct rj_cell_placement_options *options)
@@ -191,8 +195,8 @@
 		resolved.domain =
 			best_domain(plan, group, tasks, count, options);
 	rj_cell_placement_init(&placement, plan);
-	placed =
-		try_placement(plan, group, tasks, count, &resolved, &placement);
+	placed = place_tentatively(plan, group, tasks, count, &resolved,
+				   &placement);
 	for (uint32_t i = 0;
 	     placed && options->horizon == RJ_CELL_HORIZON_NOW && i < count;
 	     i++)
@@ -203,7 +207,7 @@
 	return placed;
 }
 
-/* Work that urgent tasks may throw away. */
+/* Returns the work that urgent tasks may discard, in core-milliseconds. */
 static uint64_t loss_allowed(const struct rj_cell_plan *plan,
 			     const struct rj_cell_task_group *group,
 			     uint32_t count)
@@ -216,7 +220,7 @@
 	       rj_cell_reclaim_group_cost_milli(plan, group, count);
 }
 
-/* Whether all of some tasks weigh workers alike. */
+/* Whether the choice of a worker is the same for all of some tasks. */
 static bool are_uniform(const struct rj_cell_plan *plan,
 			struct rj_cell_task **tasks, uint32_t count)
 {
@@ -226,8 +230,8 @@
 	return true;
 }
 
-/* Try to place a group without stopping others, unless others have shown that
- * there is no room. */
+/* Places a group without preemption, unless a shortage already shows that there
+ * is no capacity. */
 static bool place_without_preemption(struct rj_cell_plan *plan,
 				     const struct rj_cell_task_group *group,
 				     struct rj_cell_task **tasks,
@@ -238,7 +242,7 @@
 
 	if (rj_cell_shortage_is_known(plan, group, count, horizon))
 		return false;
-	if (commit_placement(plan, group, tasks, count, &options))
+	if (place_and_commit(plan, group, tasks, count, &options))
 		return true;
 	if (are_uniform(plan, tasks, count))
 		rj_cell_shortage_record(plan, group, count, horizon);
@@ -246,12 +250,11 @@
 }
 
 /*
- * Try to place a group where others are stopped, at a loss of at most
- * `max_loss_milli`.
+ * Places a group with preemption, at a loss of at most `max_loss_milli`.
  *
- * Load that it answers: hundreds of urgent groups that wait on a full site.
- * Each search weighs the runs of all workers, and a plan that takes a second
- * has the owner taken for dead.
+ * Guards against long plans with hundreds of urgent groups that wait on a full
+ * site: each search evaluates the runs of all workers, and during a plan that
+ * takes a second the owner is taken for failed.
  */
 static bool place_with_preemption(struct rj_cell_plan *plan,
 				  const struct rj_cell_task_group *group,
@@ -267,14 +270,15 @@
 	if (plan->failed_searches >= FAILED_SEARCHES_MAX ||
 	    plan->now_us < tasks[0]->search_due_us)
 		return false;
-	if (commit_placement(plan, group, tasks, count, &options))
+	if (place_and_commit(plan, group, tasks, count, &options))
 		return true;
 	plan->failed_searches++;
 	tasks[0]->search_due_us = plan->now_us + SEARCH_RETRY_US;
 	return false;
 }
 
-/* Promise a group what comes free first, if few others have a promise. */
+/* Promises a group the capacity that comes free first, unless promises_max
+ * groups have a promise. */
 static void promise_capacity(struct rj_cell_plan *plan,
 			     const struct rj_cell_task_group *group,
 			     struct rj_cell_task **tasks, uint32_t count,
@@ -285,13 +289,13 @@
 	};
 
 	if (*promise_count < promises_max &&
-	    commit_placement(plan, group, tasks, count, &later))
+	    place_and_commit(plan, group, tasks, count, &later))
 		(*promise_count)++;
 }
 
 /*
- * Find room for urgent tasks that do not fit now: what is stopping already,
- * what has to be stopped; else what ends first.
+ * Finds capacity for urgent tasks that can't start now: from runs that are
+ * being stopped, by preemption, or else from the earliest completions.
  */
 static void find_capacity_urgent(struct rj_cell_plan *plan,
 				 const struct rj_cell_task_group *group,
@@ -306,9 +310,9 @@
 			 URGENT_PROMISES_MAX);
 }
 
-/* Find room for other tasks that do not fit now: once they have waited for a
- * while, what is stopping already or can be stopped at little loss; for gangs
- * what ends first. */
+/* Finds capacity for other tasks that can't start now. Once they have waited:
+ * from runs that are being stopped, or by preemption at a small loss. For gangs
+ * also from the earliest completions. */
 static void find_capacity_other(struct rj_cell_plan *plan,
 				const struct rj_cell_task_group *group,
 				struct rj_cell_task **tasks, uint32_t count)
@@ -328,8 +332,8 @@
 }
 
 /*
- * Place a group of tasks now; or find room for it that comes free. Returns
- * whether it starts now.
+ * Starts a group of tasks now, or finds capacity for it that comes free later.
+ * Returns whether it starts now.
  */
 static bool place_tasks(struct rj_cell_plan *plan,
 			const struct rj_cell_task_group *group,
@@ -345,8 +349,8 @@
 	return false;
 }
 
-/* How many of the first tasks weigh workers alike, so that they can be placed
- * together though each starts by itself. */
+/* Returns how many of the first tasks are uniform, so that they can be placed
+ * in one pass though each starts by itself. 0 for urgent tasks. */
 static uint32_t count_uniform(const struct rj_cell_plan *plan,
 			      const struct rj_cell_task_group *group,
 			      struct rj_cell_task **tasks, uint32_t count)
@@ -361,11 +365,11 @@
 }
 
 /*
- * Start those of the first tasks of a unit that find a place now. Returns how
- * many.
+ * Starts those of the first, uniform tasks of a group that can be placed now.
+ * Returns how many.
  *
- * Load that it answers: wide jobs of small tasks; each task by itself would
- * weigh all workers.
+ * Guards against long plans with wide jobs of small tasks: placed one by one,
+ * each would evaluate all workers.
  */
 static uint32_t start_uniform(struct rj_cell_plan *plan,
 			      const struct rj_cell_task_group *group,
@@ -390,7 +394,7 @@
 	return placed;
 }
 
-/* The tasks of a step that wait and that this plan has not started. Returns
+/* Collects the waiting tasks of a step that this plan has not started. Returns
  * how many. */
 static uint32_t collect_waiting(const struct rj_cell_plan *plan,
 				const struct rj_cell_task_group *group,
@@ -407,7 +411,7 @@
 	return count;
 }
 
-/* Place a gang as a whole. */
+/* Places a gang, all of its tasks or none. */
 static void place_gang(struct rj_cell_plan *plan,
 		       struct rj_cell_task_group *group,
 		       struct rj_cell_task **tasks, uint32_t count)
@@ -418,7 +422,8 @@
 		plan->waiting_tasks += count;
 }
 
-/* Place tasks singly, until one that stands for the others finds no room. */
+/* Places tasks one by one, until one that is representative of the others finds
+ * no capacity. */
 static void place_singly(struct rj_cell_plan *plan,
 			 struct rj_cell_task_group *group,
 			 struct rj_cell_task **tasks, uint32_t count)
@@ -431,7 +436,7 @@
 			group->started_tasks++;
 			continue;
 		}
-		/* That it is choosy says nothing of the others. */
+		/* Only this task is restricted to healthy workers. */
 		if (rj_cell_place_needs_healthy(plan, tasks[i])) {
 			plan->waiting_tasks++;
 			continue;
@@ -442,7 +447,7 @@
 	}
 }
 
-/* Place the waiting tasks of a step. */
+/* Places the waiting tasks of a step. */
 static void place_task_group(struct rj_cell_plan *plan,
 			     struct rj_cell_task_group *group)
 {
@@ -468,7 +473,7 @@
 	talloc_free(tasks);
 }
 
-/* Start those of some tasks that find a place now. Returns how many. */
+/* Starts those of some tasks that can be placed now. Returns how many. */
 static uint32_t start_fitting(struct rj_cell_plan *plan,
 			      const struct rj_cell_task_group *group,
 			      struct rj_cell_task **tasks, uint32_t count)
@@ -480,7 +485,7 @@
 		if (place_without_preemption(plan, group, &tasks[i], 1,
 					     RJ_CELL_HORIZON_NOW))
 			started++;
-		/* That it is choosy says nothing of the others. */
+		/* Only this task is restricted to healthy workers. */
 		else if (!rj_cell_place_needs_healthy(plan, tasks[i]))
 			break;
 	}
@@ -488,9 +493,8 @@
 }
 
 /*
- * Start what the share of its priority has room for of an overdue step. A gang
- * may exceed it, as it starts whole or not at all. Returns whether anything
- * starts.
+ * Starts tasks of an overdue step up to the share of its priority. A gang may
+ * exceed it, as it starts whole or not at all. Returns whether anything starts.
  */
 static bool place_within_share(struct rj_cell_plan *plan,
 			       struct rj_cell_task_group *group,
@@ -514,10 +518,10 @@
 }
 
 /*
- * Start overdue work of priorities that hold less than their share.
+ * Starts overdue tasks of priorities that are below their share.
  *
- * Load that it answers: work that goes first and never ends, and holds or is
- * promised all that comes free; the work behind it would starve.
+ * Guards against starvation by a steady stream of tasks that go first and use,
+ * or are promised, all capacity that comes free.
  */
 static void place_overdue(struct rj_cell_plan *plan, guint from)
 {
@@ -541,7 +545,8 @@
 	}
 }
 
-/* The plan has been made: its starts are told from what waits by their runs. */
+/* Clears the marks of planned starts: from here on tasks with a start are told
+ * from waiting ones by their runs. */
 static void clear_planned(struct rj_cell_plan *plan)
 {
 	for (guint i = 0; i < plan->starts->len; i++)
@@ -550,14 +555,14 @@
 }
 
 /*
- * Decide what starts now, and what is stopped to make room.
+ * Computes starts and stops.
  */
 void rj_cell_plan_make(struct rj_cell_plan *plan)
 {
 	bool shared = false;
 
 	rj_cell_task_groups_gather(plan);
-	/* Most plans follow an end that nobody waited for. */
+	/* Most plans follow a completion while no task waits. */
 	if (!plan->task_groups->len)
 		return;
 	rj_cell_plan_gather_workers(plan);
--- a/src/libradishjunction/cell/cell_plan_workers.c
+++ b/src/libradishjunction/cell/cell_plan_workers.c
@@ -6,25 +6,24 @@
 #include "private/cell_release.h"
 
 /*
- * Urgent work comes in bursts and has no time to wait, so racks are reserved for
- * it: for this much more than it has used of late, and for one gang more. A
- * gang of the users' median takes 12 accelerators.
+ * Urgent jobs come in bursts and can't wait, so racks are reserved for them:
+ * this many times their recent use, plus one gang. A median gang takes 12
+ * accelerators.
  */
 #define RESERVED_FACTOR 1.8
 #define RESERVED_EXTRA_ACCELERATORS 16.0
 /*
- * Of what urgent work has used of late this part is closed to all others:
- * there it starts at once, where stopping others first takes some 0.4 s of
- * the 1.5 s that it can wait.
+ * This many times the recent use of urgent jobs is closed to all others. Urgent
+ * tasks start there at once, while preemption takes some 0.4 s of the 1.5 s
+ * that they can wait.
  */
 #define EXCLUSIVE_FACTOR 1.6
-/* Never more than this part of the racks; the rest serves all others. */
+/* Upper limit of the reserved racks; the rest serves all other jobs. */
 #define RESERVED_RACKS_PERCENT 67
 
-/* Gathering a room takes so many times as long as weighing it. */
+/* Cost of gathering a worker, relative to evaluating it. */
 #define GATHER_WORKER_EFFORT 4
 
-/* Add what some runs hold. */
 static void add_allocation(struct rj_cell_allocation *allocation,
 			   const struct rj_cell_demand *demand)
 {
@@ -34,17 +33,17 @@
 }
 
 /*
- * A task of a job is started.
+ * Counts the start of a task as allocated to its job's priority.
  */
 void rj_cell_plan_add_allocation(struct rj_cell_plan *plan,
-				 const struct rj_cell_work *work,
+				 const struct rj_cell_work *job,
 				 const struct rj_cell_demand *demand)
 {
-	add_allocation(&plan->allocated[rj_cell_work_class(work)], demand);
+	add_allocation(&plan->allocated[rj_cell_work_class(job)], demand);
 }
 
-/* What the priority of a run holds, or NULL: it is not on one of the plan's
- * rooms, or its job is not known. */
+/* Returns the allocation that a run counts towards, or NULL if it is not on one
+ * of the plan's workers or its job is unknown. */
 static struct rj_cell_allocation *allocation_of(struct rj_cell_plan *plan,
 						const struct rj_cell_run *run)
 {
@@ -54,7 +53,7 @@
 }
 
 /*
- * A run is not stopped after all, and counts as held again.
+ * Counts a run as allocated again that was a victim of a placement.
  */
 void rj_cell_plan_restore_run(struct rj_cell_plan *plan,
 			      const struct rj_cell_run *run)
@@ -66,7 +65,7 @@
 }
 
 /*
- * A run is stopped, and does not count as held any more.
+ * Counts a run that is being stopped, or is a victim, as not allocated.
  */
 void rj_cell_plan_release_run(struct rj_cell_plan *plan,
 			      const struct rj_cell_run *run)
@@ -80,7 +79,7 @@
 	allocation->accelerators -= run->held.accelerators;
 }
 
-/* What is left of a capacity. */
+/* Returns the free capacity of a worker. */
 static struct rj_cell_demand unallocated(const struct rj_cell_worker *worker)
 {
 	struct rj_cell_demand available = worker->said.capacity;
@@ -89,7 +88,7 @@
 	return available;
 }
 
-/* Room that comes free when what is stopping has gone. */
+/* Adds the capacity that comes free when the runs being stopped have ended. */
 static void add_stopping_runs(struct rj_cell_plan *plan,
 			      struct rj_cell_plan_worker *plan_worker)
 {
@@ -108,7 +107,7 @@
 }
 
 /*
- * Add what is in use.
+ * Adds allocated resources to the usage.
  */
 void rj_cell_usage_add(struct rj_cell_usage *usage,
 		       const struct rj_cell_demand *allocated)
@@ -118,7 +117,7 @@
 	usage->accelerators.used += allocated->accelerators;
 }
 
-/* Add what one worker has. */
+/* Adds the capacity and the allocation of one worker. */
 static void add_usage(struct rj_cell_usage *usage,
 		      const struct rj_cell_worker *worker)
 {
@@ -130,14 +129,15 @@
 	usage->accelerators.total += capacity->accelerators;
 }
 
-/* How much of one kind of room is in use. */
-static uint32_t percent(const struct rj_cell_utilization *share)
+static uint32_t percent(const struct rj_cell_utilization *utilization)
 {
-	return share->total ? (uint32_t)(share->used * 100 / share->total) : 0;
+	return utilization->total ? (uint32_t)(utilization->used * 100 /
+					       utilization->total) :
+				    0;
 }
 
 /*
- * How much of what counts most is in use, in percent.
+ * Returns the usage of the scarcest resource, in percent.
  */
 uint32_t rj_cell_usage_percent(const struct rj_cell_usage *usage)
 {
@@ -145,7 +145,7 @@
 		   MAX(percent(&usage->memory), percent(&usage->accelerators)));
 }
 
-/* Reserve one rack; returns its accelerators. */
+/* Reserves one rack; returns its accelerators. */
 static double reserve_rack(struct rj_cell_plan *plan,
 			   const struct rj_cell_plan_rack *rack, bool exclusive)
 {
@@ -162,13 +162,13 @@
 }
 
 /*
- * Reserve racks for urgent work.
+ * Reserves racks for urgent jobs.
  *
- * Load that it answers: bursts of urgent gangs, of which half must be in one
- * rack, over a site that longer work has filled. Without it each of them
- * stopped work that does not save its progress. Whole racks are reserved, as
- * room that is spread over all racks holds no gang. While other work misses its
- * objective, no more is reserved than urgent work uses, and one gang more.
+ * Guards against preemption by each burst of urgent gangs, of which half must
+ * be in one rack, on a site filled with longer jobs: runs without checkpoints
+ * would lose their work. Whole racks are reserved, as capacity spread over all
+ * racks holds no such gang. While other jobs miss their objectives, no more is
+ * reserved than urgent jobs use, plus one gang.
  */
 static void reserve_racks(struct rj_cell_plan *plan)
 {
@@ -198,7 +198,7 @@
 	}
 }
 
-/* Racks of different failure domains take turns. */
+/* Orders racks by their index within their failure domains. */
 static gint by_domain_rank(gconstpointer a, gconstpointer b)
 {
 	const struct rj_cell_plan_rack *left = a;
@@ -210,17 +210,17 @@
 }
 
 /*
- * Put the racks in an order in which failure domains take turns.
+ * Orders the racks so that failure domains alternate.
  *
- * Load that it answers: the loss of a failure domain. What is reserved for
- * urgent work is at the front of that order.
+ * Guards against the loss of a failure domain that has all racks reserved for
+ * urgent jobs: those are taken from the front of the order.
  */
 static void interleave_domains(struct rj_cell_plan *plan)
 {
 	g_array_sort(plan->racks, by_domain_rank);
 }
 
-/* Raise one bound by a room's share of it. */
+/* Raises upper bounds to at least what is available on one worker. */
 static void raise_bound(struct rj_cell_demand *maximum,
 			const struct rj_cell_demand *available)
 {
@@ -230,7 +230,8 @@
 		MAX(maximum->accelerators, available->accelerators);
 }
 
-/* Add the rooms of one rack, with bounds on what is free there. */
+/* Adds the workers of one rack as a range, with bounds of their free
+ * capacity. */
 static void add_worker_range(struct rj_cell_plan *plan,
 			     const struct rj_cell_plan_rack *rack)
 {
@@ -257,8 +258,8 @@
 }
 
 /*
- * A trial has freed something of a room that comes free soon: the bounds of
- * its rack must not be too low.
+ * Raises the bounds of a worker's rack after a placement has freed capacity of
+ * the worker: they must not be too low.
  */
 void rj_cell_plan_raise_bounds(struct rj_cell_plan *plan,
 			       const struct rj_cell_plan_worker *plan_worker)
@@ -272,7 +273,7 @@
 		plan_worker->worker->said.capacity.accelerators;
 }
 
-/* Add the room of one worker, if it may get work. */
+/* Adds a worker to the plan, if it is usable. */
 static void add_plan_worker(struct rj_cell_plan *plan,
 			    struct rj_cell_worker *worker)
 {
@@ -298,8 +299,7 @@
 }
 
 /*
- * Gather the rooms of all workers that may get work, rack by rack in an order
- * that does not change.
+ * Gathers all usable workers, rack by rack in a constant order.
  */
 void rj_cell_plan_gather_workers(struct rj_cell_plan *plan)
 {
--- a/src/libradishjunction/cell/cell_reclaim.c
+++ b/src/libradishjunction/cell/cell_reclaim.c
@@ -5,19 +5,20 @@
 #include "private/cell_release.h"
 #include "private/cell_share.h"
 
-/* An accelerator counts as so many cores when work lost is weighed; so the
- * users price it. */
+/* Cores that an accelerator counts as in lost work, by the users' prices. */
 #define ACCELERATOR_CORES 8
-/* Stopping a task that saves its progress loses about its restoring. */
+/* Work lost by stopping a task with checkpoints: the restart from one. */
 #define CHECKPOINT_RESTORE_MS 300
-/* Urgent work is stopped last: it is worth so much more a core-second. */
-#define URGENT_LOSS_FACTOR 10
-/* What ends by itself within this is waited for: a stop takes as long. */
+/* Urgent runs are preempted last: a core-second of theirs is worth this many
+ * times as much. */
+#define URGENT_LOSS_WEIGHT 10
+/* Runs expected to complete within this are waited for: stopping a run takes as
+ * long. */
 #define PREEMPTION_DELAY_US (400 * RJ_US_PER_MS)
-/* Weighing the runs of a worker takes so many times as long as its room. */
+/* Cost of choosing victims on a worker, relative to evaluating it. */
 #define CHOOSE_VICTIMS_EFFORT 6
 
-/* Thousandths of cores that a task of a step keeps busy. */
+/* Returns the cores that one task of a step uses, in thousandths. */
 static uint64_t cores_milli(const struct rj_cell_step *step)
 {
 	return step->each.cpu_milli +
@@ -25,7 +26,7 @@
 }
 
 /*
- * The work of `count` tasks of a unit, in core-milliseconds.
+ * Returns the expected work of `count` tasks of a group, in core-milliseconds.
  */
 uint64_t
 rj_cell_reclaim_group_cost_milli(const struct rj_cell_plan *plan,
@@ -39,7 +40,7 @@
 	       1000;
 }
 
-/* Core-milliseconds of work that stopping one run throws away. */
+/* Returns the work discarded by stopping one run, in core-milliseconds. */
 static uint64_t run_loss_milli(const struct rj_cell_plan *plan,
 			       const struct rj_cell_run *run)
 {
@@ -53,20 +54,20 @@
 	return cores_milli(step) * elapsed_ms / 1000;
 }
 
-/* Whether the work of one job gives way to that of a unit: by priority, but
- * for the share that only urgent work may stop; and to guaranteed work also
- * what others have beyond their guarantees. */
+/* Whether a job may be preempted for a group: if its priority is lower, except
+ * that only urgent groups preempt a priority below its share. Guaranteed groups
+ * also preempt jobs beyond their accounts' guarantees. */
 static bool yields_to(const struct rj_cell_plan *plan,
-		      const struct rj_cell_work *work,
+		      const struct rj_cell_work *job,
 		      const struct rj_cell_task_group *group)
 {
-	if (work->def->priority > group->work->def->priority)
+	if (job->def->priority > group->work->def->priority)
 		return !group->work->def->priority ||
-		       !rj_cell_share_protects(plan, work);
-	return group->guaranteed && !work->guaranteed;
+		       !rj_cell_share_protects(plan, job);
+	return group->guaranteed && !job->guaranteed;
 }
 
-/* Whether a run may be stopped for the work of a unit. */
+/* Whether a run may be stopped for a group. */
 static bool is_preemptible(const struct rj_cell_plan *plan,
 			   const struct rj_cell_run *run,
 			   const struct rj_cell_task_group *group)
@@ -79,9 +80,9 @@
 }
 
 /*
- * What stopping a run loses, in core-milliseconds; the runs of a gang end
- * together. What has been stopped before counts more each time, so that it
- * ends some day.
+ * Returns the loss of stopping a run in core-milliseconds, over all members of
+ * a gang, as they stop together. Each earlier loss raises it, so that a task
+ * can't be preempted for ever.
  */
 uint64_t rj_cell_reclaim_loss(const struct rj_cell_plan *plan,
 			      const struct rj_cell_run *run)
@@ -97,10 +98,10 @@
 	loss_milli *= 1 + run->task->losses;
 	return run->task->round->work->def->priority ?
 		       loss_milli :
-		       loss_milli * URGENT_LOSS_FACTOR;
+		       loss_milli * URGENT_LOSS_WEIGHT;
 }
 
-/* Whether a run may be stopped for a unit, and is not going to be. */
+/* Whether a run may be stopped for a group and is not a victim yet. */
 static bool is_candidate(const struct rj_cell_plan *plan,
 			 const struct rj_cell_release *release,
 			 const struct rj_cell_task_group *group)
@@ -110,9 +111,9 @@
 }
 
 /*
- * The cheapest runs of one worker that make room for `want`, added to
- * `chosen` unless that is NULL. Returns what is lost, or UINT64_MAX when there
- * is no way.
+ * Chooses the runs of one worker whose stop frees `demand` at the least loss,
+ * and adds them to `chosen` unless that is NULL. Returns the loss in
+ * core-milliseconds, or UINT64_MAX if there are not enough.
  */
 static uint64_t choose_victims(struct rj_cell_plan *plan,
 			       const struct rj_cell_task_group *group,
@@ -150,7 +151,7 @@
 							 UINT64_MAX;
 }
 
-/* The room of a victim comes free. */
+/* Marks a run as a victim and counts its capacity as free after stops. */
 static void free_victim(struct rj_cell_placement *placement,
 			struct rj_cell_run *run)
 {
@@ -166,7 +167,7 @@
 	rj_cell_plan_raise_bounds(placement->plan, plan_worker);
 }
 
-/* Note one victim and, with it, the other members of its gang. */
+/* Adds a victim and, with it, the other members of its gang. */
 static void add_victim(struct rj_cell_placement *placement,
 		       struct rj_cell_run *run)
 {
@@ -196,8 +197,8 @@
 }
 
 /*
- * Whether enough accelerators of a worker are free or held by work that may
- * give way to a unit; a bound that is cheap to look up.
+ * Whether a worker has enough accelerators that are free or allocated to runs
+ * that a group may preempt; an upper bound that is cheap to look up.
  */
 static bool may_reclaim(const struct rj_cell_plan_worker *plan_worker,
 			const struct rj_cell_task_group *group, uint32_t demand)
@@ -205,7 +206,7 @@
 	uint32_t sum = plan_worker->free_after_stops.accelerators;
 	uint32_t from = group->guaranteed ? 0 : group->work->def->priority + 1;
 
-	/* The last sum is of several priorities. */
+	/* The last class sums up several priorities. */
 	for (uint32_t i = MIN(from, RJ_CELL_PRIORITIES - 1);
 	     i < RJ_CELL_PRIORITIES; i++)
 		sum += plan_worker->worker->held_by[i].accelerators;
@@ -213,8 +214,8 @@
 }
 
 /*
- * The worker on which making room for a task loses least, or NULL. Its
- * victims are noted in the trial.
+ * Returns the worker where making room for a task discards the least work, or
+ * NULL if none is within the options' limit. Adds its victims to the placement.
  */
 struct rj_cell_plan_worker *rj_cell_reclaim_find_worker(
 	struct rj_cell_plan *plan, struct rj_cell_placement *placement,
--- a/src/libradishjunction/cell/cell_release.c
+++ b/src/libradishjunction/cell/cell_release.c
@@ -7,11 +7,10 @@
 
 #include "private/cell_place.h"
 
-/* Listing the runs of a worker takes so many times as long as weighing its
- * room. */
-#define COMPUTE_EFFORT 40
+/* Cost of listing a worker's runs, relative to evaluating the worker. */
+#define LIST_RUNS_EFFORT 40
 
-/* What ends first comes first. */
+/* Orders by remaining time, ascending. */
 static int compare_time(const void *a, const void *b)
 {
 	const struct rj_cell_release *left = a;
@@ -22,7 +21,7 @@
 							  0;
 }
 
-/* What loses least comes first. */
+/* Orders by loss, ascending. */
 static int compare_loss(const void *a, const void *b)
 {
 	const struct rj_cell_release *left = a;
@@ -33,7 +32,7 @@
 						      0;
 }
 
-/* List the runs of one worker, in both orders. */
+/* Lists the runs of one worker in both orders. */
 static void compute_releases(struct rj_cell_plan *plan,
 			     struct rj_cell_releases *releases,
 			     const struct rj_cell_worker *worker)
@@ -42,7 +41,7 @@
 	const struct rj_list *at;
 
 	releases->computed = true;
-	plan->effort += COMPUTE_EFFORT;
+	plan->effort += LIST_RUNS_EFFORT;
 	if (!capacity)
 		return;
 	releases->by_time =
@@ -73,10 +72,11 @@
 }
 
 /*
- * What the runs of a room's worker would free.
+ * Returns what the runs of a worker would free; valid until the plan is
+ * finished.
  *
- * Load that it answers: a full site with a backlog. Each waiting task weighs
- * all workers, and their runs change only between plans.
+ * Guards against long plans on a full site with a backlog: each waiting task
+ * evaluates all workers, and their runs change only between plans.
  */
 const struct rj_cell_releases *
 rj_cell_releases_get(struct rj_cell_plan *plan,
--- a/src/libradishjunction/cell/cell_share.c
+++ b/src/libradishjunction/cell/cell_share.c
@@ -1,10 +1,10 @@
 #include "private/cell_share.h"
 
-/* Each priority may hold this part of each kind of room. */
+/* The share of a priority is one part in this many of each resource. */
 #define SHARE_DIVISOR 8
 
-/* How many tasks that take `each` fit between what is held of one kind of room
- * and the share of it; the last one may exceed it. */
+/* Returns how many tasks that take `each` of a resource fit into the rest of
+ * the share; the last one may exceed it. */
 static uint64_t tasks_below_share(uint64_t allocated, uint64_t total,
 				  uint64_t each)
 {
@@ -17,7 +17,8 @@
 	return each ? (share - allocated + each - 1) / each : UINT32_MAX;
 }
 
-/* The share of a priority holds that many more tasks of a demand. */
+/* Returns how many more tasks of a demand fit into the share of a priority,
+ * over all resources. */
 static uint64_t free_tasks(const struct rj_cell_plan *plan,
 			   const struct rj_cell_demand *each,
 			   const struct rj_cell_work *job)
@@ -37,7 +38,8 @@
 }
 
 /*
- * How many more tasks of a step the share of its job's priority holds.
+ * Returns how many more tasks of a step fit into the share of its job's
+ * priority.
  */
 uint32_t rj_cell_share_free_tasks(const struct rj_cell_plan *plan,
 				  const struct rj_cell_step *step,
@@ -49,8 +51,8 @@
 }
 
 /*
- * Whether the work of a job's priority holds less than its share, so that other
- * work does not stop it unless that is urgent.
+ * Whether the priority of a job is below its share, so that only urgent jobs
+ * may preempt it.
  */
 bool rj_cell_share_protects(const struct rj_cell_plan *plan,
 			    const struct rj_cell_work *job)
--- a/src/libradishjunction/cell/cell_shortage.c
+++ b/src/libradishjunction/cell/cell_shortage.c
@@ -11,7 +11,8 @@
 	return step->one_rack && count > 1 && !group->remote_allowed;
 }
 
-/* Whether a shortage was found among all workers that a unit may use. */
+/* Whether the search that found a shortage covered all workers that a group may
+ * use. */
 static bool applies_to(const struct rj_cell_shortage *shortage,
 		       const struct rj_cell_task_group *group)
 {
@@ -29,11 +30,11 @@
 }
 
 /*
- * Whether so many tasks of a unit cannot be placed, as others that want no
- * more could not in this plan.
+ * Whether `count` tasks of a group cannot be placed, as no place was found in
+ * this plan for tasks that need no more.
  *
- * Load that it answers: a backlog, which would make each plan longer: under
- * load most waiting steps find no room, and each would weigh every worker.
+ * Guards against plans that grow with the backlog: under load most waiting
+ * steps cannot be placed, and each would evaluate every worker.
  */
 bool rj_cell_shortage_is_known(const struct rj_cell_plan *plan,
 			       const struct rj_cell_task_group *group,
@@ -57,8 +58,9 @@
 }
 
 /*
- * Remember that so many tasks of a unit could not be placed. Limits that hold
- * for no other step are left out.
+ * Records that `count` tasks of a group could not be placed. Steps with a limit
+ * for each worker and steps with advice are left out: their limits apply to no
+ * other step.
  */
 void rj_cell_shortage_record(struct rj_cell_plan *plan,
 			     const struct rj_cell_task_group *group,
--- a/src/libradishjunction/cell/cell_task_groups.c
+++ b/src/libradishjunction/cell/cell_task_groups.c
@@ -3,41 +3,42 @@
 #include <string.h>
 
 /*
- * Data that is far away makes a task take three times as long, so it waits
- * for a worker near it for half of its own estimate, and no longer than
- * this: users expect idle capacity to be used within 3 s.
+ * A task runs three times as long away from its data. So it waits for a worker
+ * near its data for half of its estimate, and at most this long, as users
+ * expect idle capacity to be used within 3 s.
  */
 #define REMOTE_WAIT_MAX_MS 1500
 
 /*
- * What is reserved for urgent work is opened to others that have waited so long
- * when less than this is in use: users expect idle capacity to be used.
+ * Workers reserved for urgent jobs are opened to other tasks that have waited
+ * this long while usage is below this percentage: users expect idle capacity to
+ * be used.
  */
 #define RESERVED_WAIT_US (2 * RJ_US_PER_S)
 #define RESERVED_USAGE_MAX_PERCENT 55
-/* Work that is not urgent and has waited for this part of the time that its
- * objective leaves has a claim on the share of its priority. */
+/* A task that is not urgent and has waited for this part of the time that its
+ * objective allows is overdue: it may use the share of its priority. */
 #define OVERDUE_PERCENT 50
-/* Work that has not begun when this part of the time has passed in which it is
- * of any use does not make way for other work of its priority any more. */
+/* A job that has not started by this part of the time in which it is of use
+ * goes ahead of other jobs of its priority. */
 #define LAST_START_PERCENT 60
 
-/* Work goes in this order, whatever its priority. */
+/* First order of task groups, ahead of priority. */
 enum tier {
-	TIER_GUARANTEED, /* its account has a right to the room at once */
-	TIER_NORMAL, /* it can still be of use to its caller */
-	TIER_EXPIRED, /* too late; it only has to end some day */
+	TIER_GUARANTEED, /* the account is guaranteed the capacity */
+	TIER_NORMAL, /* in time to be of use to its caller */
+	TIER_EXPIRED, /* too late; has to complete eventually */
 };
 
-/* Work of one priority that is not urgent goes in this order. */
+/* Order of task groups that are not urgent, within a priority. */
 enum rank {
-	RANK_FIRST, /* it has begun, or must begin to be of any use */
-	RANK_ON_TIME, /* it can still meet its objective */
+	RANK_FIRST, /* has started, or is too late unless it starts soon */
+	RANK_ON_TIME, /* can meet its objective */
 	RANK_LATE,
 };
 
 /*
- * Whether a task waits for room.
+ * Whether a task waits for capacity.
  */
 bool rj_cell_plan_task_waits(const struct rj_cell_plan *plan,
 			     const struct rj_cell_task *task)
@@ -47,20 +48,20 @@
 	       plan->now_us >= task->not_before_us;
 }
 
-/* Note since when the waiting tasks of a step wait. Returns their number;
- * 0 for a gang of which a member still runs or may not start yet. */
+/* Counts the waiting tasks of a step and sets since when the first of them
+ * waits. Returns 0 for a gang while a member runs or may not start yet. */
 static uint32_t count_waiting(struct rj_cell_plan *plan,
-			      struct rj_cell_round *round, uint32_t step,
+			      struct rj_cell_round *occurrence, uint32_t step,
 			      uint64_t *since_us)
 {
-	const struct rj_cell_def *spec = round->work->def;
+	const struct rj_cell_def *spec = occurrence->work->def;
 	uint32_t first = rj_cell_def_first_task(spec, step);
 	uint32_t waiting = 0;
 
 	*since_us = plan->now_us;
 	for (uint32_t i = first; i < first + spec->steps[step].task_count;
 	     i++) {
-		struct rj_cell_task *task = &round->tasks[i];
+		struct rj_cell_task *task = &occurrence->tasks[i];
 
 		if (plan->now_us < task->not_before_us)
 			plan->next_retry_us =
@@ -79,8 +80,8 @@
 	return waiting;
 }
 
-/* Whether a step has waited long enough to run away from its data, or has
- * nothing to wait for. */
+/* Whether a step may run away from its data: it has waited long enough, or its
+ * rack is cordoned. */
 static bool may_run_remote(const struct rj_cell_plan *plan,
 			   const struct rj_cell_step *step, uint64_t since_us)
 {
@@ -95,24 +96,24 @@
 }
 
 /* Whether a job is urgent and has not ended. */
-static bool is_urgent(const struct rj_cell_work *work)
+static bool is_urgent(const struct rj_cell_work *job)
 {
-	return !work->def->priority && !work->cancelled &&
-	       work->state < RJ_CELL_JOB_COMPLETED;
+	return !job->def->priority && !job->cancelled &&
+	       job->state < RJ_CELL_JOB_COMPLETED;
 }
 
-/* Add up the accelerators that the urgent jobs of each account need. */
+/* Sums up the accelerators that the urgent jobs of each account need. */
 static void sum_urgent_needs(struct rj_cell_plan *plan)
 {
 	const struct rj_list *at;
 
 	for (at = plan->works->next; at != plan->works; at = at->next) {
-		const struct rj_cell_work *work =
+		const struct rj_cell_work *job =
 			RJ_CONTAINER(at, struct rj_cell_work, link);
-		const struct rj_cell_def *spec = work->def;
+		const struct rj_cell_def *spec = job->def;
 		guint needed_accelerators;
 
-		if (!is_urgent(work))
+		if (!is_urgent(job))
 			continue;
 		needed_accelerators = GPOINTER_TO_UINT(
 			g_hash_table_lookup(plan->urgent_needs, spec->account));
@@ -124,26 +125,26 @@
 	}
 }
 
-/* Whether a job has a right to its room at once: the urgent jobs of its
- * account need no more than is guaranteed to it. */
+/* Whether a job is guaranteed its capacity: the urgent jobs of its account need
+ * no more than the account's guarantee. */
 static bool is_guaranteed(const struct rj_cell_plan *plan,
-			  const struct rj_cell_work *work)
+			  const struct rj_cell_work *job)
 {
 	const struct rj_cell_account *account =
 		plan->config ? rj_cell_config_account(plan->config,
-						      work->def->account) :
+						      job->def->account) :
 			       NULL;
 
-	return is_urgent(work) && account &&
+	return is_urgent(job) && account &&
 	       GPOINTER_TO_UINT(g_hash_table_lookup(plan->urgent_needs,
 						    account->name)) <=
 		       account->guaranteed_accelerators;
 }
 
 /*
- * Whether so much is idle that what is reserved for urgent work is open to a step
- * that has waited for a while. What the plan has started counts as in use, as
- * much work may end at once and make way for the next.
+ * Whether usage is low enough to open reserved workers to a step that has
+ * waited. Starts of this plan count as used: much may complete at once and be
+ * followed by the next tasks.
  */
 static bool has_idle_capacity(const struct rj_cell_plan *plan,
 			      const struct rj_cell_task_group *group)
@@ -153,16 +154,16 @@
 	       plan->now_us - group->waiting_since_us >= RESERVED_WAIT_US;
 }
 
-/* Whether only some workers may run a step, however much room others have. */
+/* Whether only some workers may run a step, whatever capacity others have. */
 static bool is_restricted(const struct rj_cell_task_group *group)
 {
 	return group->work->def->steps[group->step].label[0] || group->advised;
 }
 
 /*
- * Say what a step may use of what is reserved for urgent work: all of it if it
- * is urgent, or overdue and bound to some workers; the open part if it can be
- * stopped at no loss.
+ * Sets which workers reserved for urgent jobs a step may use: all of them if it
+ * is urgent, if usage is low, or if it is overdue and restricted to some
+ * workers; those that are not exclusive if it can be preempted at no loss.
  */
 void rj_cell_task_group_set_reserved(const struct rj_cell_plan *plan,
 				     struct rj_cell_task_group *group)
@@ -178,18 +179,19 @@
 }
 
 /*
- * Whether ends that nobody has listed may have used up a gang's attempts.
+ * Whether completions that have not been reported yet may have used up a gang's
+ * attempts.
  *
- * Guards against one attempt too many: a failure on a worker that was cut off
- * is listed once the worker is back.
+ * Guards against one attempt too many: a worker that was unreachable reports a
+ * failure only once it is reachable again.
  */
-static bool may_exhaust_attempts(const struct rj_cell_plan *plan,
-				 const struct rj_cell_round *round,
-				 uint32_t step)
+static bool may_have_used_all_attempts(const struct rj_cell_plan *plan,
+				       const struct rj_cell_round *occurrence,
+				       uint32_t step)
 {
-	const struct rj_cell_def *spec = round->work->def;
+	const struct rj_cell_def *spec = occurrence->work->def;
 	const struct rj_cell_task *head =
-		&round->tasks[rj_cell_def_first_task(spec, step)];
+		&occurrence->tasks[rj_cell_def_first_task(spec, step)];
 
 	return spec->steps[step].gang && !spec->steps[step].perpetual &&
 	       head->unseen && plan->now_us < head->unseen_until_us &&
@@ -197,55 +199,55 @@
 }
 
 /*
- * For how long a step could have been served: since its job was accepted or its
- * occurrence was due; of what lasts, since its tasks wait.
+ * Returns how long a step could have been served, in microseconds: since its
+ * job was accepted or its occurrence was due; for a perpetual step, since its
+ * tasks wait.
  */
 static uint64_t service_age_us(const struct rj_cell_plan *plan,
 			       const struct rj_cell_task_group *group)
 {
-	const struct rj_cell_work *work = group->work;
+	const struct rj_cell_work *job = group->work;
 	uint64_t due_us =
-		work->accepted_us + rj_cell_round_due_after_us(group->round);
+		job->accepted_us + rj_cell_round_due_after_us(group->round);
 
-	if (work->def->steps[group->step].perpetual)
+	if (job->def->steps[group->step].perpetual)
 		due_us = group->waiting_since_us;
 	return plan->now_us - MIN(plan->now_us, due_us);
 }
 
-/* In which tier a step of a job goes. */
 static enum tier tier_of(const struct rj_cell_task_group *group,
 			 uint64_t age_us)
 {
-	const struct rj_cell_work *work = group->work;
+	const struct rj_cell_work *job = group->work;
 
 	if (group->guaranteed)
 		return TIER_GUARANTEED;
-	if (!work->def->steps[group->step].perpetual &&
-	    age_us > work->late_us - work->accepted_us)
+	if (!job->def->steps[group->step].perpetual &&
+	    age_us > job->late_us - job->accepted_us)
 		return TIER_EXPIRED;
 	return TIER_NORMAL;
 }
 
 /*
- * Note how work that is not urgent stands against its objective.
+ * Ranks tasks that are not urgent by their objectives, and marks overdue ones.
  *
- * Load that it answers: more work of a priority than the cell can serve for a
- * while. In the order of acceptance all of it would end late.
+ * Guards against a temporary overload of a priority: in the order of acceptance
+ * all of its jobs would complete late.
  */
 static void set_rank(struct rj_cell_plan *plan,
 		     struct rj_cell_task_group *group, uint64_t age_us)
 {
-	const struct rj_cell_work *work = group->work;
+	const struct rj_cell_work *job = group->work;
 	uint64_t critical_path_us =
-		rj_cell_forecast_critical_path_ms(plan->forecast, work->def) *
+		rj_cell_forecast_critical_path_ms(plan->forecast, job->def) *
 		RJ_US_PER_MS;
-	uint64_t objective_us = work->objective_us - work->accepted_us;
+	uint64_t objective_us = job->objective_us - job->accepted_us;
 	uint64_t slack_us = objective_us - MIN(objective_us, critical_path_us);
-	uint64_t late_us = work->late_us - work->accepted_us;
+	uint64_t late_us = job->late_us - job->accepted_us;
 
-	if (!work->def->priority)
+	if (!job->def->priority)
 		return;
-	if (work->started || age_us * 100 >= late_us * LAST_START_PERCENT)
+	if (job->started || age_us * 100 >= late_us * LAST_START_PERCENT)
 		group->rank = RANK_FIRST;
 	else if (age_us <= slack_us)
 		group->rank = RANK_ON_TIME;
@@ -259,68 +261,69 @@
 		plan->now_us - group->waiting_since_us >= RESERVED_WAIT_US;
 }
 
-/* Note the waiting tasks of one step. */
+/* Adds the waiting tasks of one step. */
 static void add_task_group(struct rj_cell_plan *plan,
-			   struct rj_cell_round *round, uint32_t step)
+			   struct rj_cell_round *occurrence, uint32_t step)
 {
-	struct rj_cell_work *work = round->work;
+	struct rj_cell_work *job = occurrence->work;
 	const struct rj_cell_queue *queue =
 		plan->config ?
-			rj_cell_config_queue(plan->config, work->def->queue) :
+			rj_cell_config_queue(plan->config, job->def->queue) :
 			NULL;
-	struct rj_cell_task_group group = { .work = work,
-					    .round = round,
+	struct rj_cell_task_group group = { .work = job,
+					    .round = occurrence,
 					    .step = step };
 	uint64_t age_us;
 
 	group.waiting_tasks =
-		count_waiting(plan, round, step, &group.waiting_since_us);
-	if (!group.waiting_tasks || may_exhaust_attempts(plan, round, step))
+		count_waiting(plan, occurrence, step, &group.waiting_since_us);
+	if (!group.waiting_tasks ||
+	    may_have_used_all_attempts(plan, occurrence, step))
 		return;
-	/* A queue that has gone leaves its jobs where it last sent them. */
+	/* After a queue has been removed its jobs stay with their last
+	 * service. */
 	group.service =
-		g_intern_string(queue ? queue->service : work->def->service);
+		g_intern_string(queue ? queue->service : job->def->service);
 	group.advised = queue && queue->advised;
-	group.remote_allowed = may_run_remote(plan, &work->def->steps[step],
+	group.remote_allowed = may_run_remote(plan, &job->def->steps[step],
 					      group.waiting_since_us);
-	group.guaranteed = work->guaranteed;
+	group.guaranteed = job->guaranteed;
 	age_us = service_age_us(plan, &group);
 	group.tier = tier_of(&group, age_us);
 	group.expired = group.tier == TIER_EXPIRED;
-	group.accepted_us = work->accepted_us;
+	group.accepted_us = job->accepted_us;
 	set_rank(plan, &group, age_us);
 	g_array_append_val(plan->task_groups, group);
 }
 
-/* Gather all steps whose turn has come. */
+/* Gathers all steps that are ready. */
 static void gather_task_groups(struct rj_cell_plan *plan)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
 	RJ_FOR_EACH (at, next, plan->works) {
-		struct rj_cell_work *work =
+		struct rj_cell_work *job =
 			RJ_CONTAINER(at, struct rj_cell_work, link);
-		struct rj_list *round_at;
-		struct rj_list *round_next;
+		struct rj_list *occurrence_at;
+		struct rj_list *occurrence_next;
 
-		if (work->state >= RJ_CELL_JOB_COMPLETED || work->cancelled)
+		if (job->state >= RJ_CELL_JOB_COMPLETED || job->cancelled)
 			continue;
-		work->guaranteed = is_guaranteed(plan, work);
-		RJ_FOR_EACH (round_at, round_next, &work->rounds) {
-			struct rj_cell_round *round = RJ_CONTAINER(
-				round_at, struct rj_cell_round, link);
-
-			for (uint32_t i = 0; i < work->def->step_count; i++)
-				if (round->left[i] &&
-				    rj_cell_round_ready(round, i))
-					add_task_group(plan, round, i);
+		job->guaranteed = is_guaranteed(plan, job);
+		RJ_FOR_EACH (occurrence_at, occurrence_next, &job->rounds) {
+			struct rj_cell_round *occurrence = RJ_CONTAINER(
+				occurrence_at, struct rj_cell_round, link);
+
+			for (uint32_t i = 0; i < job->def->step_count; i++)
+				if (occurrence->left[i] &&
+				    rj_cell_round_ready(occurrence, i))
+					add_task_group(plan, occurrence, i);
 		}
 	}
 }
 
-/* Useful work first, by priority, then by its standing, then in the order of
- * acceptance. */
+/* Orders by tier, priority, rank and time of acceptance. */
 static gint by_order(gconstpointer a, gconstpointer b)
 {
 	const struct rj_cell_task_group *left = a;
@@ -340,7 +343,7 @@
 }
 
 /*
- * Gather the steps whose tasks wait for room, those that go first at the front.
+ * Gathers the steps whose tasks wait for capacity, in the order of placement.
  */
 void rj_cell_task_groups_gather(struct rj_cell_plan *plan)
 {
--- a/src/libradishjunction/include/private/cell_admit.h
+++ b/src/libradishjunction/include/private/cell_admit.h
@@ -1,9 +1,9 @@
 /*
- * Decides whether a queue takes more jobs: by what the cell can still serve
- * in time. The owner decides from its backlog and tells the entries with its
- * heartbeat; they apply it to each submission.
+ * Admission control: decides for each queue whether the cell can still complete
+ * new jobs in time. The owner evaluates its backlog and sends the result to the
+ * entries with its heartbeat; they apply it to each submission.
  *
- * Pure functions of the owner's work and fleet.
+ * Reads the owner's jobs, fleet and forecast and changes none of them.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_ADMIT_H
 #define RADISHJUNCTION_PRIVATE_CELL_ADMIT_H
--- a/src/libradishjunction/include/private/cell_candidates.h
+++ b/src/libradishjunction/include/private/cell_candidates.h
@@ -1,8 +1,10 @@
 /*
- * The workers that a task may go to, the cheapest first: a binary heap.
+ * A priority queue of the workers that a task may be placed on, the lowest cost
+ * first; a binary heap.
  *
- * Life cycle: `rj_cell_candidates_init`; push each candidate, pop the cheapest;
- * one whose cost has changed is pushed again. `rj_cell_candidates_finish`.
+ * Life cycle: `rj_cell_candidates_init`; push each candidate and pop the
+ * cheapest; a popped candidate whose cost has changed is pushed again.
+ * `rj_cell_candidates_finish` frees it.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_CANDIDATES_H
 #define RADISHJUNCTION_PRIVATE_CELL_CANDIDATES_H
@@ -14,8 +16,7 @@
 struct rj_cell_plan_worker;
 
 struct rj_cell_candidate {
-	uint64_t
-		cost; /* of equal ones the room at the lower address goes first */
+	uint64_t cost; /* equal costs are ordered by worker address */
 	struct rj_cell_plan_worker *plan_worker;
 };
 
--- a/src/libradishjunction/include/private/cell_forecast.h
+++ b/src/libradishjunction/include/private/cell_forecast.h
@@ -1,10 +1,10 @@
 /*
- * What a cell has learnt of its work: how long tasks of a queue run, how much
- * room urgent jobs ask for, and so when the runs of a worker will end.
+ * Forecasts from completed runs: mean run time of a queue's tasks, recent
+ * demand of urgent jobs, and the remaining time of a run.
  *
- * Callers' estimates are off by a factor of two and more, so measured run
- * times replace them as soon as there are some. Life cycle:
- * `rj_cell_forecast_init`, `_learn` at each good end, `_demand` at each urgent
+ * Callers' estimates are off by a factor of two and more, so measured run times
+ * replace them as soon as there are some. Life cycle: `rj_cell_forecast_init`,
+ * `_record_run` at each successful completion, `_record_urgent` at each urgent
  * job, `_finish`. It reads no clock.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_FORECAST_H
@@ -15,9 +15,9 @@
 #include "private/cell_work.h"
 
 struct rj_cell_forecast {
-	GHashTable *means; /* name of a queue -> struct mean */
-	double urgent_accelerators; /* accelerators, decayed */
-	uint64_t urgent_updated_us; /* when that was last brought up to date */
+	GHashTable *means; /* queue name -> struct mean */
+	double urgent_accelerators; /* recent demand, decayed */
+	uint64_t urgent_updated_us; /* last update of urgent_accelerators */
 };
 
 void rj_cell_forecast_init(struct rj_cell_forecast *forecast);
--- a/src/libradishjunction/include/private/cell_place.h
+++ b/src/libradishjunction/include/private/cell_place.h
@@ -1,63 +1,64 @@
 /*
- * Finds workers for tasks: what fits where, which fit is best, when room
- * will come free, and what would have to be stopped for it. Part of making a
- * plan; see cell_plan.h.
+ * Selects workers for tasks: which workers are eligible and have capacity,
+ * which of them is best, when capacity comes free, and which runs would be
+ * preempted for it. Part of making a plan; see cell_plan.h.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_PLACE_H
 #define RADISHJUNCTION_PRIVATE_CELL_PLACE_H
 
 #include "private/cell_plan.h"
 
-/* Tasks of one step of one occurrence that wait for room. */
+/* Tasks of one step of one occurrence that wait for capacity. */
 struct rj_cell_task_group {
 	struct rj_cell_work *work;
 	struct rj_cell_round *round;
 	uint32_t step;
 	uint32_t tier; /* lower tiers go first */
-	uint32_t rank; /* within its priority; lower ones go first */
-	bool expired; /* its caller has given up on it */
+	uint32_t rank; /* within its priority; lower ranks go first */
+	bool expired; /* too late to be of use to its caller */
 	bool overdue; /* goes first while its priority is below its share */
 	uint64_t accepted_us;
-	uint64_t waiting_since_us; /* since when */
+	uint64_t waiting_since_us; /* of the longest waiting task */
 	uint32_t waiting_tasks; /* tasks */
-	uint32_t started_tasks; /* of these, by this plan */
-	bool remote_allowed; /* may run away from its data */
-	bool advised; /* an outside policy says which workers may run it */
-	bool guaranteed; /* its account has a right to the room at once */
-	bool may_use_exclusive; /* is urgent, or much is idle */
-	bool may_use_reserved; /* may use what is kept for urgent work */
+	uint32_t started_tasks; /* by this plan */
+	bool remote_allowed; /* may run on other racks than its data */
+	bool advised; /* an advisor decides which workers may run it */
+	bool guaranteed; /* its account is guaranteed the capacity */
+	bool may_use_exclusive; /* exclusive workers */
+	bool may_use_reserved; /* reserved workers */
 	const char *service; /* interned */
 };
 
-/* Room as it is now, as it is once what is stopping has gone, or as it is
- * once enough has ended by itself. */
+/* Availability horizon: capacity that is free now, once the runs that are being
+ * stopped have ended, or once enough runs have completed. */
 enum rj_cell_horizon {
 	RJ_CELL_HORIZON_NOW,
 	RJ_CELL_HORIZON_STOPS,
 	RJ_CELL_HORIZON_COMPLETIONS,
 };
 
-/* How a group is to be placed. */
+/* Constraints on the placement of a group. */
 struct rj_cell_placement_options {
 	enum rj_cell_horizon horizon;
 	const struct rj_cell_domain *domain; /* NULL: anywhere */
 	const struct rj_cell_plan_rack *rack; /* NULL: anywhere */
-	bool may_preempt; /* work of lower priority makes way, */
-	uint64_t max_loss_milli; /* of which so much may be thrown away */
+	bool may_preempt; /* runs of lower priority, */
+	uint64_t max_loss_milli; /* discarding at most this much work */
 };
 
 /*
- * A trial to place a group of tasks. It changes the plan's rooms, and unless
- * it is taken its end undoes that; one trial at a time.
+ * A tentative placement of a group of tasks. It changes the plan's workers;
+ * rj_cell_placement_finish restores them unless the placement was committed.
+ * One at a time.
  */
 struct rj_cell_placement {
 	struct rj_cell_plan *plan;
-	GArray *changes; /* rooms as they were, in the order of changes */
+	GArray *changes; /* struct rj_cell_plan_worker before each change */
 	GPtrArray *workers; /* one for each task */
 	GPtrArray *victims; /* struct rj_cell_run */
-	uint64_t loss_milli; /* core-milliseconds that would be lost */
+	uint64_t loss_milli; /* core-milliseconds discarded by preemption */
 	uint64_t
-		ready_us; /* RJ_CELL_HORIZON_COMPLETIONS: in so long all have room */
+		ready_us; /* RJ_CELL_HORIZON_COMPLETIONS: delay until all fit */
 };
 
 void rj_cell_placement_init(struct rj_cell_placement *placement,
@@ -66,16 +67,15 @@
 				   struct rj_cell_plan_worker *next_worker);
 void rj_cell_placement_finish(struct rj_cell_placement *placement);
 void rj_cell_placement_commit(struct rj_cell_placement *placement);
-/* A walk over the rooms that a way allows, without racks that can't hold a
- * demand. */
+/* Iterates over the workers that placement options allow, skipping racks that
+ * can't hold a demand. */
 struct rj_cell_worker_iterator {
 	struct rj_cell_plan *plan;
 	const struct rj_cell_placement_options *options;
 	struct rj_cell_demand demand;
-	guint next_range; /* the next one */
+	guint next_range;
 	guint range_end;
-	struct rj_cell_plan_worker
-		*next_worker; /* the next one, of those up to `end` */
+	struct rj_cell_plan_worker *next_worker; /* up to worker_end */
 	struct rj_cell_plan_worker *worker_end;
 };
 
--- a/src/libradishjunction/include/private/cell_plan.h
+++ b/src/libradishjunction/include/private/cell_plan.h
@@ -1,9 +1,14 @@
 /*
- * Decides which waiting tasks start where, and what is stopped for them.
+ * Decides which waiting tasks start on which workers, and which runs are
+ * preempted for them.
  *
- * A plan is made from the owner's work and fleet and a time; it reads no
- * clock and sends nothing. Life cycle: `rj_cell_plan_init`, set the inputs,
+ * A plan is computed from the owner's jobs and fleet at a given time; it reads
+ * no clock and sends nothing. Life cycle: `rj_cell_plan_init`, set the inputs,
  * `rj_cell_plan_make`, read starts and stops, `rj_cell_plan_finish`.
+ *
+ * A waiting group whose capacity is not free yet gets a promise: the plan
+ * counts the capacity as taken on workers whose runs are expected to complete
+ * first, so that later groups leave it alone.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_PLAN_H
 #define RADISHJUNCTION_PRIVATE_CELL_PLAN_H
@@ -18,70 +23,72 @@
 
 struct rj_cell_releases;
 
-/* A worker's room while a plan is made. */
+/* The capacity of one worker while a plan is made. */
 struct rj_cell_plan_worker {
 	struct rj_cell_worker *worker;
-	uint32_t range; /* its place among the plan's ranges */
-	bool reserved; /* for urgent work; others only if they can be stopped */
-	bool exclusive; /* for urgent work alone */
-	struct rj_cell_demand free_now; /* free */
+	uint32_t range; /* index in the plan's ranges */
+	bool reserved; /* for urgent tasks, and for others that can be preempted at no loss */
+	bool exclusive; /* for urgent tasks only */
+	struct rj_cell_demand free_now; /* not allocated */
+	struct rj_cell_demand
+		free_after_stops; /* free once stopping runs have ended */
 	struct rj_cell_demand
-		free_after_stops; /* free once what is stopping has gone */
-	struct rj_cell_demand promised; /* of what will come free later */
-	/* Runs there of the step that is being placed, if that has a limit. */
+		promised; /* to waiting groups, from capacity not free yet */
+	/* Runs on this worker of the step being placed, if the step limits
+	 * them. */
 	uint32_t step_runs;
-	uint32_t serving_runs; /* runs there, as the worker counts them */
+	uint32_t serving_runs; /* as the worker counts them */
 	uint32_t other_runs;
 };
 
-/* At most so much is free in a rack: the most on one worker, of each kind of
- * room apart, and the accelerators of all workers together. */
+/* Upper bounds of the free capacity of a range: the most on one worker, for
+ * each resource by itself, and the accelerators of all its workers. */
 struct rj_cell_free_bounds {
 	struct rj_cell_demand max_per_worker;
 	uint32_t accelerators;
 };
 
-/* The rooms of one rack, which stand side by side. */
+/* The workers of one rack; they are adjacent in the plan's workers. */
 struct rj_cell_plan_rack {
 	const char *name;
 	const struct rj_cell_domain *domain; /* of its first worker */
-	bool mixed_domains; /* some of its workers are in other domains */
-	uint32_t domain_rank; /* among the racks of its domain */
+	bool mixed_domains; /* some workers are in other domains */
+	uint32_t domain_rank; /* index among the racks of its domain */
 	uint32_t first;
 	uint32_t count;
-	uint32_t range; /* its place among the plan's ranges */
+	uint32_t range; /* index in the plan's ranges */
 };
 
-/* The rooms from `first` on, with bounds on what is free there. */
+/* Consecutive workers from `first` on, with bounds of their free capacity. */
 struct rj_cell_worker_range {
-	const struct rj_cell_domain *domain; /* NULL: of several */
+	const struct rj_cell_domain *domain; /* NULL: several */
 	uint32_t first;
 	uint32_t count;
 	struct rj_cell_free_bounds free_now;
 	struct rj_cell_free_bounds free_after_stops;
 };
 
-/* What is in use, and what there is, of one kind of room. */
+/* One resource of all workers. */
 struct rj_cell_utilization {
 	uint64_t used;
 	uint64_t total;
 };
 
-/* What the runs of one priority hold. */
+/* Resources allocated to the runs of one priority. */
 struct rj_cell_allocation {
 	uint64_t cpu_milli;
 	uint64_t memory_mb;
 	uint64_t accelerators;
 };
 
-/* The sums over all rooms. */
+/* Sums over all workers of the plan. */
 struct rj_cell_usage {
 	struct rj_cell_utilization cpu;
 	struct rj_cell_utilization memory;
 	struct rj_cell_utilization accelerators;
 };
 
-/* One task is to start on one worker. */
+/* A task to be started on a worker. */
 struct rj_cell_planned_start {
 	struct rj_cell_task *task;
 	struct rj_cell_worker *worker;
@@ -94,36 +101,36 @@
 	const struct rj_cell_config *config;
 	const struct rj_cell_forecast *forecast;
 	struct rj_cell_failure_burst failures;
-	uint32_t reclaim_ms; /* guaranteed work begins so soon */
+	uint32_t reclaim_ms; /* guaranteed jobs start within this time */
 	uint64_t now_us;
-	/* outputs; the runs to be stopped have their reason set */
+	/* outputs; `why` is set in the runs to be stopped */
 	GArray *starts; /* struct rj_cell_planned_start */
 	GPtrArray *stops; /* struct rj_cell_run */
-	uint32_t
-		waiting_tasks; /* tasks whose turn has come and that found no room */
-	uint64_t next_retry_us; /* when the first pause of a task ends */
-	/* while it is made */
+	uint32_t waiting_tasks; /* ready tasks that were not placed */
+	uint64_t next_retry_us; /* earliest end of a task's retry delay */
+	/* working state */
 	struct rj_cell_plan_worker *workers;
-	struct rj_cell_releases *releases; /* of each room, once asked for */
+	struct rj_cell_releases
+		*releases; /* of each worker, computed on first use */
 	uint32_t worker_count;
-	GArray *racks; /* struct rj_cell_plan_rack, domains take turns */
-	GArray *ranges; /* struct rj_cell_worker_range: each rack, in room order */
-	struct rj_cell_usage usage; /* with what this plan starts */
-	/* By each priority on the plan's rooms, with what this plan starts and
-	 * without what is stopping. */
+	GArray *racks; /* struct rj_cell_plan_rack, domains interleaved */
+	GArray *ranges; /* struct rj_cell_worker_range: each rack, in worker order */
+	struct rj_cell_usage usage; /* includes the starts of this plan */
+	/* Of each priority on the plan's workers, with the starts of this plan
+	 * and without runs that are being stopped. */
 	struct rj_cell_allocation allocated[RJ_CELL_PRIORITIES];
-	/* Some work that is not urgent, that any worker may run and that has
-	 * waited for room cannot meet its objective any more. */
+	/* Some task that is not urgent, may run on any worker and has waited
+	 * for capacity can't meet its objective any more. */
 	bool misses_objective;
 	GArray *task_groups;
-	uint32_t promise_count; /* groups of others that have room promised */
-	uint32_t urgent_promise_count; /* urgent groups that have */
+	uint32_t promise_count; /* gangs that are not urgent with a promise */
+	uint32_t urgent_promise_count; /* urgent groups with a promise */
 	GHashTable
 		*urgent_needs; /* account -> accelerators of its urgent jobs */
-	GArray *shortages; /* struct rj_cell_shortage, found by this plan */
+	GArray *shortages; /* struct rj_cell_shortage */
 	uint32_t
-		failed_searches; /* searches for work to stop that found too little */
-	uint64_t effort; /* workers weighed, some of them many times */
+		failed_searches; /* preemption searches that found too little */
+	uint64_t effort; /* worker evaluations, weighted by their cost */
 };
 
 void rj_cell_plan_init(struct rj_cell_plan *plan);
@@ -132,7 +139,7 @@
 void rj_cell_plan_raise_bounds(struct rj_cell_plan *plan,
 			       const struct rj_cell_plan_worker *plan_worker);
 void rj_cell_plan_add_allocation(struct rj_cell_plan *plan,
-				 const struct rj_cell_work *work,
+				 const struct rj_cell_work *job,
 				 const struct rj_cell_demand *demand);
 void rj_cell_plan_restore_run(struct rj_cell_plan *plan,
 			      const struct rj_cell_run *run);
--- a/src/libradishjunction/include/private/cell_share.h
+++ b/src/libradishjunction/include/private/cell_share.h
@@ -1,10 +1,11 @@
 /*
- * The share of a cell that the work of each priority may take ahead of other
- * work that is not urgent, so that it does not starve behind it. It is
- * measured in the kind of room of which the priority holds most.
+ * The minimum share of a cell for each priority. Jobs of a priority below its
+ * share go ahead of other jobs that are not urgent, so that they don't starve.
+ * The share is measured in the resource of which the priority is allocated
+ * most.
  *
- * Pure functions of a plan whose rooms have been gathered; what the plan
- * starts and stops is counted.
+ * Reads a plan whose workers have been gathered, including its starts and
+ * stops, and changes nothing.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_SHARE_H
 #define RADISHJUNCTION_PRIVATE_CELL_SHARE_H
--- a/src/libradishjunction/include/private/cell_shortage.h
+++ b/src/libradishjunction/include/private/cell_shortage.h
@@ -1,19 +1,20 @@
 /*
- * Demands that found no room in the plan that is being made, so that others
- * that want as much or more are not weighed against all workers again. Part
- * of making a plan; see cell_plan.h.
+ * Demands that could not be placed in the plan being made. Other groups that
+ * need as much or more are not evaluated against all workers again. Part of
+ * making a plan; see cell_plan.h.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_SHORTAGE_H
 #define RADISHJUNCTION_PRIVATE_CELL_SHORTAGE_H
 
 #include "private/cell_place.h"
 
-/* A group of tasks that found no room, and where it looked. */
+/* A group of tasks that could not be placed, and the workers that were
+ * searched. */
 struct rj_cell_shortage {
 	const struct rj_cell_step *step;
 	const char *service; /* interned */
 	enum rj_cell_horizon horizon;
-	uint32_t count; /* of tasks that were to be placed together */
+	uint32_t count; /* tasks to be placed together */
 	bool remote_allowed;
 	bool may_use_reserved;
 	bool may_use_exclusive;
--- a/src/libradishjunction/include/private/cell_task_groups.h
+++ b/src/libradishjunction/include/private/cell_task_groups.h
@@ -1,5 +1,5 @@
 /*
- * The steps whose tasks wait for room, in the order in which a plan places
+ * The steps whose tasks wait for capacity, in the order in which a plan places
  * them. Part of making a plan; see cell_plan.h.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_TASK_GROUPS_H
