--- a/src/libradishjunction/cell/cell_admit.c
+++ b/src/libradishjunction/cell/cell_admit.c
@@ -129,8 +129,8 @@
 {
 	if (load <= 0)
 		return 0;
-	return total > 0 ? load / total :
-			   RETRY_AFTER_MAX_MS * RJ_CELL_LATE_FACTOR;
+	return capacity > 0 ? load / capacity :
+			      RETRY_AFTER_MAX_MS * RJ_CELL_LATE_FACTOR;
 }
 
 /* Returns the forecast wait of a new job of a queue, in milliseconds. */
--- a/src/libradishjunction/cell/cell_place.c
+++ b/src/libradishjunction/cell/cell_place.c
@@ -7,11 +7,11 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Bits of a placement's cost. */
+/* Bits of a placement's cost, see placement_cost. */
 #define COST_MEMORY_BITS \
 	32 /* of memory left over, in MB; accelerators are above */
 #define COST_INTERFERENCE_BIT 50 /* latency-bound runs beside others */
-#define COST_UNPROVEN_BIT 49 /* the worker and the task failed before */
+#define COST_UNPROVEN_BIT 49 /* see is_unproven */
 #define COST_REMOTE_BIT 48 /* away from the task's data */
 #define COST_WARMUP_BIT 47 /* worker is slow after its start */
 #define COST_RESERVED_BIT \
@@ -262,26 +262,18 @@
 }
 
 /*
- * Returns the cost of placing a task on a worker. In the order of their weight,
- * the least first:
- *
+ * Returns the cost of placing a task on a worker. Its parts, the least weight
+ * first:
  * - memory left over, as large tasks need half a worker;
- *
  * - accelerators left over, so that small tasks fill workers in use and whole
- * workers stay free for gangs;
- *
- * - reserved workers for urgent tasks, others for the rest;
- *
- * - workers that are slow after their start come after the others;
- *
+ *   workers stay free for gangs;
+ * - reserved workers are for urgent tasks, the others for all other tasks;
+ * - workers that are slow after their start;
  * - racks away from the task's data;
- *
- * - for a task that failed, workers whose last run failed: a worker that fails
- * each run at once always has free capacity, and would use up the task's
- * attempts;
- *
- * - latency-bound runs beside others: they slow each other down, so they share
- * a worker only if there is no other place.
+ * - workers that may fail the task again: one that fails each run at once
+ *   always has free capacity, and would use up the task's attempts;
+ * - latency-bound runs and others on one worker slow each other down, so they
+ *   share it only if there is no other place.
  */
 static uint64_t placement_cost(const struct rj_cell_plan *plan,
 			       const struct rj_cell_plan_worker *plan_worker,
--- a/src/libradishjunction/include/private/cell_backlog.h
+++ b/src/libradishjunction/include/private/cell_backlog.h
@@ -23,11 +23,11 @@
 	struct rj_cell_backlog_class classes[RJ_CELL_PRIORITIES];
 	struct rj_cell_usage usage; /* of the usable workers */
 	uint32_t workers; /* usable ones */
-	/* Accelerators in racks reserved for urgent jobs, and of these the
-	 * accelerators that other jobs may not use at all. */
+	/* Accelerators of racks reserved for urgent jobs, those of them that
+	 * no other job may use, and the free ones of both. */
 	uint32_t reserved;
 	uint32_t exclusive;
-	uint32_t reserved_free; /* of these */
+	uint32_t reserved_free;
 	uint32_t promised; /* accelerators promised to waiting gangs */
 	uint32_t urgent_demand; /* accelerators, recent average */
 };
--- a/src/libradishjunction/include/private/cell_place.h
+++ b/src/libradishjunction/include/private/cell_place.h
@@ -19,13 +19,13 @@
 	bool overdue; /* goes first while its priority is below its share */
 	uint64_t accepted_us;
 	uint64_t waiting_since_us; /* of the longest waiting task */
-	uint32_t waiting_tasks; /* tasks */
+	uint32_t waiting_tasks;
 	uint32_t started_tasks; /* by this plan */
 	bool remote_allowed; /* may run on other racks than its data */
 	bool advised; /* an advisor decides which workers may run it */
 	bool guaranteed; /* its account is guaranteed the capacity */
-	bool may_use_exclusive; /* exclusive workers */
-	bool may_use_reserved; /* reserved workers */
+	bool may_use_exclusive; /* see rj_cell_plan_worker */
+	bool may_use_reserved;
 	const char *service; /* interned */
 };
 
@@ -42,8 +42,8 @@
 	enum rj_cell_horizon horizon;
 	const struct rj_cell_domain *domain; /* NULL: anywhere */
 	const struct rj_cell_plan_rack *rack; /* NULL: anywhere */
-	bool may_preempt; /* runs of lower priority, */
-	uint64_t max_loss_milli; /* discarding at most this much work */
+	bool may_preempt;
+	uint64_t max_loss_milli; /* core-milliseconds, by preemption */
 };
 
 /*
@@ -57,16 +57,16 @@
 	GPtrArray *workers; /* one for each task */
 	GPtrArray *victims; /* struct rj_cell_run */
 	uint64_t loss_milli; /* core-milliseconds discarded by preemption */
-	uint64_t
-		ready_us; /* RJ_CELL_HORIZON_COMPLETIONS: delay until all fit */
+	uint64_t ready_us; /* COMPLETIONS horizon: delay until all fit */
 };
 
 void rj_cell_placement_init(struct rj_cell_placement *placement,
 			    struct rj_cell_plan *plan);
 void rj_cell_placement_save_worker(struct rj_cell_placement *placement,
-				   struct rj_cell_plan_worker *next_worker);
+				   struct rj_cell_plan_worker *plan_worker);
 void rj_cell_placement_finish(struct rj_cell_placement *placement);
 void rj_cell_placement_commit(struct rj_cell_placement *placement);
+
 /* Iterates over the workers that placement options allow, skipping racks that
  * can't hold a demand. */
 struct rj_cell_worker_iterator {
@@ -98,7 +98,7 @@
 bool rj_cell_place_is_uniform(const struct rj_cell_plan *plan,
 			      struct rj_cell_task *task);
 bool rj_cell_place_is_eligible(const struct rj_cell_plan *plan,
-			       const struct rj_cell_plan_worker *next_worker,
+			       const struct rj_cell_plan_worker *plan_worker,
 			       const struct rj_cell_task_group *group,
 			       struct rj_cell_task *task,
 			       const struct rj_cell_placement_options *options);
--- a/src/libradishjunction/include/private/cell_plan.h
+++ b/src/libradishjunction/include/private/cell_plan.h
@@ -27,17 +27,18 @@
 struct rj_cell_plan_worker {
 	struct rj_cell_worker *worker;
 	uint32_t range; /* index in the plan's ranges */
-	bool reserved; /* for urgent tasks, and for others that can be preempted at no loss */
+	/* For urgent tasks, and for others that lose nothing if preempted. */
+	bool reserved;
 	bool exclusive; /* for urgent tasks only */
 	struct rj_cell_demand free_now; /* not allocated */
-	struct rj_cell_demand
-		free_after_stops; /* free once stopping runs have ended */
-	struct rj_cell_demand
-		promised; /* to waiting groups, from capacity not free yet */
+	/* Free once the runs that are being stopped have ended. */
+	struct rj_cell_demand free_after_stops;
+	/* To waiting groups, of capacity that is not free yet. */
+	struct rj_cell_demand promised;
 	/* Runs on this worker of the step being placed, if the step limits
 	 * them. */
 	uint32_t step_runs;
-	uint32_t serving_runs; /* as the worker counts them */
+	uint32_t serving_runs; /* with a latency bound */
 	uint32_t other_runs;
 };
 
@@ -110,11 +111,10 @@
 	uint64_t next_retry_us; /* earliest end of a task's retry delay */
 	/* working state */
 	struct rj_cell_plan_worker *workers;
-	struct rj_cell_releases
-		*releases; /* of each worker, computed on first use */
+	struct rj_cell_releases *releases; /* of each worker, on demand */
 	uint32_t worker_count;
 	GArray *racks; /* struct rj_cell_plan_rack, domains interleaved */
-	GArray *ranges; /* struct rj_cell_worker_range: each rack, in worker order */
+	GArray *ranges; /* struct rj_cell_worker_range, in worker order */
 	struct rj_cell_usage usage; /* includes the starts of this plan */
 	/* Of each priority on the plan's workers, with the starts of this plan
 	 * and without runs that are being stopped. */
@@ -122,14 +122,13 @@
 	/* Some task that is not urgent, may run on any worker and has waited
 	 * for capacity can't meet its objective any more. */
 	bool misses_objective;
-	GArray *task_groups;
-	uint32_t promise_count; /* gangs that are not urgent with a promise */
-	uint32_t urgent_promise_count; /* urgent groups with a promise */
-	GHashTable
-		*urgent_needs; /* account -> accelerators of its urgent jobs */
+	GArray *task_groups; /* struct rj_cell_task_group */
+	uint32_t promise_count; /* promises to gangs that are not urgent */
+	uint32_t urgent_promise_count; /* promises to urgent groups */
+	/* Account -> accelerators of its urgent jobs. */
+	GHashTable *urgent_needs;
 	GArray *shortages; /* struct rj_cell_shortage */
-	uint32_t
-		failed_searches; /* preemption searches that found too little */
+	uint32_t failed_searches; /* for runs to preempt */
 	uint64_t effort; /* worker evaluations, weighted by their cost */
 };
 
@@ -146,7 +145,7 @@
 void rj_cell_plan_release_run(struct rj_cell_plan *plan,
 			      const struct rj_cell_run *run);
 void rj_cell_usage_add(struct rj_cell_usage *usage,
-		       const struct rj_cell_demand *used);
+		       const struct rj_cell_demand *allocated);
 uint32_t rj_cell_usage_percent(const struct rj_cell_usage *usage);
 void rj_cell_plan_finish(struct rj_cell_plan *plan);
 
