--- a/src/libradishjunction/cell/cell_place.c
+++ b/src/libradishjunction/cell/cell_place.c
@@ -8,14 +8,12 @@
 #include <talloc.h>
 
 /* Bits of a placement's cost, see placement_cost. */
-#define COST_MEMORY_BITS \
-	32 /* of memory left over, in MB; accelerators are above */
+#define COST_MEMORY_BITS 32 /* memory left over, in MB */
 #define COST_INTERFERENCE_BIT 50 /* latency-bound runs beside others */
 #define COST_UNPROVEN_BIT 49 /* see is_unproven */
 #define COST_REMOTE_BIT 48 /* away from the task's data */
 #define COST_WARMUP_BIT 47 /* worker is slow after its start */
-#define COST_RESERVED_BIT \
-	46 /* urgent task off reserved workers, or the reverse */
+#define COST_RESERVED_BIT 46 /* in the wrong partition */
 
 /* Counts a run of the step being placed at its worker. */
 static void count_step_run(const struct rj_cell_run *run)
@@ -246,7 +244,7 @@
 /*
  * Whether a worker may fail a task that should not fail again: a task that has
  * failed before, or a member of a gang while workers begin to fail. Then a
- * worker is proven once it has started a run since and that did not fail early.
+ * worker is proven once a run that started there since has not failed early.
  */
 static bool is_unproven(const struct rj_cell_plan *plan,
 			const struct rj_cell_worker *worker,
--- a/src/libradishjunction/cell/cell_plan.c
+++ b/src/libradishjunction/cell/cell_plan.c
@@ -207,7 +207,8 @@
 	return placed;
 }
 
-/* Returns the work that urgent tasks may discard, in core-milliseconds. */
+/* Returns the work that urgent tasks may discard, in core-milliseconds; no limit
+ * for guaranteed tasks within reclaim_ms. */
 static uint64_t loss_allowed(const struct rj_cell_plan *plan,
 			     const struct rj_cell_task_group *group,
 			     uint32_t count)
@@ -555,11 +556,11 @@
 }
 
 /*
- * Computes starts and stops.
+ * Computes the plan's starts and stops from its inputs; call it once.
  */
 void rj_cell_plan_make(struct rj_cell_plan *plan)
 {
-	bool shared = false;
+	bool overdue_placed = false;
 
 	rj_cell_task_groups_gather(plan);
 	/* Most plans follow a completion while no task waits. */
@@ -570,9 +571,9 @@
 		struct rj_cell_task_group *group = &g_array_index(
 			plan->task_groups, struct rj_cell_task_group, i);
 
-		if (group->work->def->priority && !shared) {
+		if (group->work->def->priority && !overdue_placed) {
 			place_overdue(plan, i);
-			shared = true;
+			overdue_placed = true;
 		}
 		place_task_group(plan, group);
 	}
--- a/src/libradishjunction/cell/cell_reclaim.c
+++ b/src/libradishjunction/cell/cell_reclaim.c
@@ -181,12 +181,12 @@
 		count = step->task_count;
 	}
 	for (uint32_t i = first; i < first + count; i++) {
-		struct rj_list *release;
+		struct rj_list *at;
 		struct rj_list *next;
 
-		RJ_FOR_EACH (release, next, &occurrence->tasks[i].runs) {
-			struct rj_cell_run *member = RJ_CONTAINER(
-				release, struct rj_cell_run, in_task);
+		RJ_FOR_EACH (at, next, &occurrence->tasks[i].runs) {
+			struct rj_cell_run *member =
+				RJ_CONTAINER(at, struct rj_cell_run, in_task);
 
 			if (!member->why &&
 			    member->state != RJ_CELL_RUN_STOPPING &&
--- a/src/libradishjunction/include/private/cell_backlog.h
+++ b/src/libradishjunction/include/private/cell_backlog.h
@@ -28,7 +28,8 @@
 	uint32_t reserved;
 	uint32_t exclusive;
 	uint32_t reserved_free;
-	uint32_t promised; /* accelerators promised to waiting gangs */
+	/* Accelerators promised to waiting groups; some may be in use. */
+	uint32_t promised;
 	uint32_t urgent_demand; /* accelerators, recent average */
 };
 
