--- a/src/libradishjunction/include/private/cell_plan.h
+++ b/src/libradishjunction/include/private/cell_plan.h
@@ -6,9 +6,10 @@
  * no clock and sends nothing. Life cycle: `rj_cell_plan_init`, set the inputs,
  * `rj_cell_plan_make`, read starts and stops, `rj_cell_plan_finish`.
  *
- * A waiting group whose capacity is not free yet gets a promise: the plan
- * counts the capacity as taken on workers whose runs are expected to complete
- * first, so that later groups leave it alone.
+ * A waiting group whose capacity is not free yet may get a promise: the plan
+ * reserves capacity for it on the workers whose runs are expected to complete
+ * first. What is free there is kept from tasks that could start now, and later
+ * promises come after it.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_PLAN_H
 #define RADISHJUNCTION_PRIVATE_CELL_PLAN_H
