--- a/src/libradishjunction/cell/cell_admit.c
+++ b/src/libradishjunction/cell/cell_admit.c
@@ -3,40 +3,41 @@
 #include <string.h>
 
 /*
- * What is accepted must still be of use when it ends. The forecast of the
- * wait is good to about a fifth, as racks and gangs leave some room idle.
+ * Part of the capacity that a wait is computed from. Fragmentation by racks and
+ * gangs leaves some capacity idle, so that forecasts are accurate to about a
+ * fifth.
  */
-#define USABLE_PERCENT 80
-/* Without most of its workers the owner does not judge: it has just taken
- * over, and will know in a moment. */
-#define KNOWN_PERCENT 50
-/* Nobody is sent away for longer, as forecasts do not reach further. */
-#define COME_BACK_MAX_MS 20000
-#define COME_BACK_MIN_MS 1000
-/* Cordons are lifted without notice. */
-#define CORDONED_COME_BACK_MS 3000
-
-/* Room times time, in each of the three kinds of room. */
+#define USABLE_CAPACITY_PERCENT 80
+/* With fewer usable workers than this the owner refuses nothing: after a
+ * takeover it has not contacted most of them yet. */
+#define USABLE_WORKERS_MIN_PERCENT 50
+/* The retry delay is capped, as forecasts reach no further. */
+#define RETRY_AFTER_MAX_MS 20000
+#define RETRY_AFTER_MIN_MS 1000
+/* Short, as a cordon may be lifted at any time. */
+#define CORDONED_RETRY_AFTER_MS 3000
+
+/* Resources multiplied by time. */
 struct load {
 	double cpu_milli;
 	double memory_mb;
 	double accelerators;
 };
 
-/* Add `times` of one demand. */
-static void add(struct load *load, const struct rj_cell_demand *demand,
-		double times)
+/* Adds `demand` multiplied by `factor`. */
+static void add_demand(struct load *load, const struct rj_cell_demand *demand,
+		       double factor)
 {
-	load->cpu_milli += demand->cpu_milli * times;
-	load->memory_mb += demand->memory_mb * times;
-	load->accelerators += demand->accelerators * times;
+	load->cpu_milli += demand->cpu_milli * factor;
+	load->memory_mb += demand->memory_mb * factor;
+	load->accelerators += demand->accelerators * factor;
 }
 
-/* What is left to be done of one job, in room times milliseconds. */
-static void add_work(struct load *load, const struct rj_cell_owner *owner,
-		     const struct rj_cell_job *job)
+/* Adds the remaining work of one job, in resources times milliseconds. */
+static void add_job(struct load *load, const struct rj_cell_owner *owner,
+		    const struct rj_cell_job *job)
 {
-	const struct rj_cell_job_spec *job_spec = job->job_spec;
+	const struct rj_cell_job_spec *spec = job->job_spec;
 	const struct rj_list *at;
 
 	for (at = job->occurrences.next; at != &job->occurrences;
@@ -44,19 +45,21 @@
 		const struct rj_cell_occurrence *occurrence =
 			RJ_CONTAINER(at, struct rj_cell_occurrence, link);
 
-		for (uint32_t i = 0; i < job_spec->step_count; i++)
-			if (!job_spec->steps[i].perpetual)
-				add(load, &job_spec->steps[i].each,
-				    (double)occurrence->left[i] *
-					    (double)rj_cell_forecast_task_ms(
-						    &owner->forecast, job_spec,
-						    i));
+		for (uint32_t i = 0; i < spec->step_count; i++)
+			if (!spec->steps[i].perpetual)
+				add_demand(
+					load, &spec->steps[i].each,
+					(double)occurrence->left[i] *
+						(double)rj_cell_forecast_task_ms(
+							&owner->forecast, spec,
+							i));
 	}
 }
 
-/* What is left of all jobs that a queue of this priority has to wait for. */
-static struct load load_before(const struct rj_cell_owner *owner,
-			       uint32_t priority)
+/* Returns the remaining work of all jobs that are served before or with a new
+ * job of this priority, without those that are cancelled or too late. */
+static struct load load_ahead(const struct rj_cell_owner *owner,
+			      uint32_t priority)
 {
 	const struct rj_list *at;
 	struct load load = { 0, 0, 0 };
@@ -68,22 +71,22 @@
 		if (job->job_spec->priority <= priority && !job->cancelled &&
 		    job->state < RJ_CELL_JOB_COMPLETED &&
 		    owner->now_us <= job->late_us)
-			add_work(&load, owner, job);
+			add_job(&load, owner, job);
 	}
 	return load;
 }
 
-/* The workers of a service. */
+/* The workers of one service. */
 struct capacity {
-	struct load room; /* of those that can be used */
-	uint32_t cordoned; /* by operators */
+	struct load total; /* resources of the usable workers */
+	uint32_t cordoned; /* workers cordoned by operators */
 	uint32_t staying;
 	uint32_t usable; /* of those that stay */
 };
 
-/* Add up what the workers of a service have. */
-static void sum_capacity(const struct rj_cell_owner *owner, const char *service,
-			 struct capacity *capacity)
+/* Sums up the workers of a service. */
+static void sum_workers(const struct rj_cell_owner *owner, const char *service,
+			struct capacity *capacity)
 {
 	const struct rj_list *at;
 
@@ -103,84 +106,86 @@
 		if (!rj_cell_worker_usable(worker, owner->now_us))
 			continue;
 		capacity->usable++;
-		add(&capacity->room, &worker->heartbeat.capacity, 1);
+		add_demand(&capacity->total, &worker->heartbeat.capacity, 1);
 	}
 }
 
-/* Whether enough workers are known to judge by them. */
-static bool is_known(const struct capacity *capacity)
+/* Whether enough workers are usable for a forecast. */
+static bool has_enough_workers(const struct capacity *capacity)
 {
 	return capacity->staying &&
-	       capacity->usable * 100 >= capacity->staying * KNOWN_PERCENT;
+	       capacity->usable * 100 >=
+		       capacity->staying * USABLE_WORKERS_MIN_PERCENT;
 }
 
-/* Send clients of a queue away. */
+/* Refuses new jobs of a queue, with a retry delay. */
 static void refuse(struct rj_cell_queue_load *share, uint32_t retry_after_ms)
 {
 	share->refuse = true;
 	share->retry_after_ms = retry_after_ms;
 }
 
-/* A load over a room, in milliseconds. */
-static double time_of(double load, double room)
+/* Returns the time in milliseconds in which `capacity` completes `load`. */
+static double drain_ms(double load, double capacity)
 {
 	if (load <= 0)
 		return 0;
-	return room > 0 ? load / room : COME_BACK_MAX_MS * RJ_CELL_LATE_FACTOR;
+	return capacity > 0 ? load / capacity :
+			      RETRY_AFTER_MAX_MS * RJ_CELL_LATE_FACTOR;
 }
 
-/* How long a new job of a queue would wait, in milliseconds. */
-static double wait_of(const struct rj_cell_owner *owner,
-		      const struct rj_cell_queue *queue,
-		      const struct load *room)
+/* Returns the forecast wait of a new job of a queue, in milliseconds. */
+static double forecast_wait_ms(const struct rj_cell_owner *owner,
+			       const struct rj_cell_queue *queue,
+			       const struct load *capacity)
 {
-	struct load load = load_before(owner, queue->priority);
-	double accelerators = room->accelerators;
+	struct load load = load_ahead(owner, queue->priority);
+	double accelerators = capacity->accelerators;
 	double wait;
 
-	/* Urgent work goes on coming, and goes first. */
+	/* Further urgent jobs will arrive and go first. */
 	if (queue->priority)
 		accelerators -= rj_cell_forecast_urgent_accelerators(
 			&owner->forecast, owner->now_us);
-	wait = MAX(time_of(load.cpu_milli, room->cpu_milli),
-		   MAX(time_of(load.memory_mb, room->memory_mb),
-		       time_of(load.accelerators, accelerators)));
-	return wait * 100 / USABLE_PERCENT;
+	wait = MAX(drain_ms(load.cpu_milli, capacity->cpu_milli),
+		   MAX(drain_ms(load.memory_mb, capacity->memory_mb),
+		       drain_ms(load.accelerators, accelerators)));
+	return wait * 100 / USABLE_CAPACITY_PERCENT;
 }
 
 /*
- * Decide on one queue.
+ * Decides whether one queue accepts jobs.
  *
- * Load that it answers: more work of a kind than ends in time, for longer
- * than a burst. What is accepted then ends when nobody wants it any more,
- * and keeps what still could be of use from room; its callers learn that
- * after minutes instead of at once.
+ * Guards against sustained overload: jobs accepted then complete too late to be
+ * of use and take capacity from jobs that are still in time, and their callers
+ * learn of it only after minutes.
  */
-static void judge(const struct rj_cell_owner *owner,
-		  const struct rj_cell_queue *queue,
-		  struct rj_cell_queue_load *share)
+static void evaluate_queue(const struct rj_cell_owner *owner,
+			   const struct rj_cell_queue *queue,
+			   struct rj_cell_queue_load *share)
 {
 	struct capacity capacity;
 	double late_ms = RJ_CELL_LATE_FACTOR *
 			 ((double)share->mean_ms * queue->stretch_milli / 1000 +
 			  queue->latency_ms);
-	double over_ms;
+	double excess_ms;
 
-	sum_capacity(owner, queue->service, &capacity);
+	sum_workers(owner, queue->service, &capacity);
 	if (capacity.cordoned && !capacity.staying)
-		refuse(share, CORDONED_COME_BACK_MS);
-	if (!is_known(&capacity))
+		refuse(share, CORDONED_RETRY_AFTER_MS);
+	if (!has_enough_workers(&capacity))
 		return;
-	over_ms = wait_of(owner, queue, &capacity.room) + share->mean_ms -
-		  late_ms;
-	if (over_ms > 0)
-		refuse(share, (uint32_t)CLAMP(over_ms, COME_BACK_MIN_MS,
-					      COME_BACK_MAX_MS));
+	excess_ms = forecast_wait_ms(owner, queue, &capacity.total) +
+		    share->mean_ms - late_ms;
+	if (excess_ms > 0)
+		refuse(share, (uint32_t)CLAMP(excess_ms, RETRY_AFTER_MIN_MS,
+					      RETRY_AFTER_MAX_MS));
 }
 
 /*
- * Fill in what the entries, and a successor, are told of each queue that work has
- * been done for.
+ * Fills the heartbeat with the mean run time and the admission decision of each
+ * queue whose tasks have a known run time. A successor takes the run times
+ * over.
  */
 void rj_cell_admit_queues(const struct rj_cell_owner *owner,
 			  struct rj_cell_owner_heartbeat *heartbeat)
@@ -202,7 +207,7 @@
 			continue;
 		memcpy(share->queue, config->queues[i].name,
 		       sizeof(share->queue));
-		judge(owner, &config->queues[i], share);
+		evaluate_queue(owner, &config->queues[i], share);
 		heartbeat->queue_load_count++;
 	}
 }
--- a/src/libradishjunction/cell/cell_forecast.c
+++ b/src/libradishjunction/cell/cell_forecast.c
@@ -4,25 +4,25 @@
 #include <math.h>
 #include <string.h>
 
-/* A new run time counts for this part of a mean: fast enough to follow a
- * slow spell of some seconds at ten ends a second. */
-#define LEARN_PART 0.05
-/* The first ends count fully, up to this many. */
-#define LEARN_FIRST 20
-/* Demand for urgent work is forgotten with this time constant: a burst
- * lasts some 6 s, and room for it is kept about as long. */
+/* Weight of a new run time in the moving mean: at ten completions a second the
+ * mean follows a slowdown that lasts seconds. */
+#define MEAN_WEIGHT 0.05
+/* Up to this many samples the mean is the arithmetic one. */
+#define MEAN_INITIAL_SAMPLES 20
+/* Time constant of the decay of urgent demand: about the length of a burst,
+ * some 6 s, so that capacity stays reserved for as long. */
 #define URGENT_DECAY_US (5 * RJ_US_PER_S)
-/* A percentage below this says too little of the time that is left. */
-#define PERCENT_MIN 15
+/* Progress below this does not predict the remaining time. */
+#define PROGRESS_MIN_PERCENT 15
 
-/* The mean run time of the tasks of one queue. */
+/* Mean run time of the tasks of one queue. */
 struct mean {
 	double ms;
-	uint32_t ends;
+	uint32_t samples;
 };
 
 /*
- * Prepare a forecast that knows nothing.
+ * Initializes a forecast without samples.
  */
 void rj_cell_forecast_init(struct rj_cell_forecast *forecast)
 {
@@ -32,7 +32,7 @@
 }
 
 /*
- * Forget what was learnt.
+ * Frees what `rj_cell_forecast_init` allocated.
  */
 void rj_cell_forecast_finish(struct rj_cell_forecast *forecast)
 {
@@ -41,8 +41,9 @@
 	forecast->means = NULL;
 }
 
-/* The mean of a queue, made when it is missing. */
-static struct mean *obtain(struct rj_cell_forecast *forecast, const char *queue)
+/* Returns the mean of a queue; adds an empty one if there is none. */
+static struct mean *obtain_mean(struct rj_cell_forecast *forecast,
+				const char *queue)
 {
 	struct mean *mean = g_hash_table_lookup(forecast->means, queue);
 
@@ -54,129 +55,135 @@
 }
 
 /*
- * A task of the queue has ended well after `ran_us`.
+ * Records that a task of the queue completed successfully after `ran_us`.
  */
 void rj_cell_forecast_record_run(struct rj_cell_forecast *forecast,
 				 const char *queue, uint64_t ran_us)
 {
-	struct mean *mean = obtain(forecast, queue);
+	struct mean *mean = obtain_mean(forecast, queue);
 	double ms = (double)ran_us / RJ_US_PER_MS;
-	double part = 1.0 / (mean->ends + 1);
+	double weight = 1.0 / (mean->samples + 1);
 
-	if (mean->ends >= LEARN_FIRST)
-		part = LEARN_PART;
-	mean->ms += part * (ms - mean->ms);
-	mean->ends++;
+	if (mean->samples >= MEAN_INITIAL_SAMPLES)
+		weight = MEAN_WEIGHT;
+	mean->ms += weight * (ms - mean->ms);
+	mean->samples++;
 }
 
 /*
- * Take over what a former owner had learnt.
+ * Takes over the mean run time that a former owner measured, unless this owner
+ * has samples of its own.
  */
 void rj_cell_forecast_seed(struct rj_cell_forecast *forecast, const char *queue,
 			   uint32_t mean_ms)
 {
-	struct mean *mean = obtain(forecast, queue);
+	struct mean *mean = obtain_mean(forecast, queue);
 
-	if (!mean_ms || mean->ends)
+	if (!mean_ms || mean->samples)
 		return;
 	mean->ms = mean_ms;
-	mean->ends = LEARN_FIRST;
+	mean->samples = MEAN_INITIAL_SAMPLES;
 }
 
 /*
- * The mean run time of a queue's tasks, 0 when nothing was learnt.
+ * Returns the mean run time of a queue's tasks in milliseconds, 0 without
+ * samples.
  */
 uint32_t rj_cell_forecast_mean_ms(const struct rj_cell_forecast *forecast,
 				  const char *queue)
 {
 	const struct mean *mean = g_hash_table_lookup(forecast->means, queue);
 
-	return mean && mean->ends ? (uint32_t)mean->ms : 0;
+	return mean && mean->samples ? (uint32_t)mean->ms : 0;
 }
 
 /*
- * How long a task of a step will run, in milliseconds.
+ * Returns the expected run time of one task of a step in milliseconds: the
+ * queue's mean, else the caller's estimate.
  */
 uint64_t rj_cell_forecast_task_ms(const struct rj_cell_forecast *forecast,
-				  const struct rj_cell_job_spec *job_spec,
+				  const struct rj_cell_job_spec *spec,
 				  uint32_t step)
 {
-	uint32_t mean_ms = rj_cell_forecast_mean_ms(forecast, job_spec->queue);
+	uint32_t mean_ms = rj_cell_forecast_mean_ms(forecast, spec->queue);
 
-	return mean_ms ? mean_ms : job_spec->steps[step].estimate_ms;
+	return mean_ms ? mean_ms : spec->steps[step].estimate_ms;
 }
 
 /*
- * The longest chain of steps, by what was learnt, in milliseconds.
+ * Returns the expected time of the longest chain of dependent steps, in
+ * milliseconds.
  */
 uint64_t
 rj_cell_forecast_critical_path_ms(const struct rj_cell_forecast *forecast,
-				  const struct rj_cell_job_spec *job_spec)
+				  const struct rj_cell_job_spec *spec)
 {
-	uint64_t ends_ms[RJ_CELL_STEPS_MAX];
+	uint64_t completion_ms[RJ_CELL_STEPS_MAX];
 	uint64_t longest_ms = 0;
 
-	for (uint32_t i = 0; i < job_spec->step_count; i++) {
-		const struct rj_cell_step *step = &job_spec->steps[i];
-		uint64_t begin_ms = 0;
+	for (uint32_t i = 0; i < spec->step_count; i++) {
+		const struct rj_cell_step *step = &spec->steps[i];
+		uint64_t start_ms = 0;
 
 		for (uint32_t j = 0; j < step->after_count; j++)
-			if (ends_ms[step->after[j]] > begin_ms)
-				begin_ms = ends_ms[step->after[j]];
-		ends_ms[i] = begin_ms +
-			     rj_cell_forecast_task_ms(forecast, job_spec, i);
-		if (ends_ms[i] > longest_ms)
-			longest_ms = ends_ms[i];
+			if (completion_ms[step->after[j]] > start_ms)
+				start_ms = completion_ms[step->after[j]];
+		completion_ms[i] =
+			start_ms + rj_cell_forecast_task_ms(forecast, spec, i);
+		if (completion_ms[i] > longest_ms)
+			longest_ms = completion_ms[i];
 	}
 	return longest_ms;
 }
 
-/* How long a run will go on by its own progress; false when that says too
- * little. */
-static bool left_by_progress(const struct rj_cell_run *run, uint64_t ran_us,
-			     uint64_t *left_us)
+/* Extrapolates the remaining time of a run from its reported progress. Returns
+ * false when the progress is too low for that. */
+static bool remaining_by_progress(const struct rj_cell_run *run,
+				  uint64_t ran_us, uint64_t *remaining_us)
 {
-	uint64_t whole_us;
+	uint64_t total_us;
 
-	if (run->percent < PERCENT_MIN || run->listed_us <= run->placed_us)
+	if (run->percent < PROGRESS_MIN_PERCENT ||
+	    run->listed_us <= run->placed_us)
 		return false;
-	whole_us = (run->listed_us - run->placed_us) * 100 / run->percent;
-	*left_us = whole_us > ran_us ? whole_us - ran_us : 0;
+	total_us = (run->listed_us - run->placed_us) * 100 / run->percent;
+	*remaining_us = total_us > ran_us ? total_us - ran_us : 0;
 	return true;
 }
 
 /*
- * How long a run will go on, in microseconds: by its own progress once that
- * says enough, else by what was learnt. What has run for longer than usual
- * is taken to go on for half as long again.
+ * Returns the expected remaining time of a run in microseconds: by its reported
+ * progress, else by the expected run time. A run that has exceeded the expected
+ * run time is assumed to need half of it again.
  *
- * Guards against urgent work that waits for ever for a run which should have
- * ended: one that is overdue may be slow, and is not about to end.
+ * Guards against urgent jobs that wait for an overdue run for ever: such a run
+ * may be slow, and is not about to complete.
  */
 uint64_t rj_cell_forecast_remaining_us(const struct rj_cell_forecast *forecast,
 				       const struct rj_cell_run *run,
 				       uint64_t now_us)
 {
 	const struct rj_cell_task *task = run->task;
-	uint64_t whole_us;
-	uint64_t left_us;
+	uint64_t total_us;
+	uint64_t remaining_us;
 	uint64_t ran_us = run->placed_us && now_us > run->placed_us ?
 				  now_us - run->placed_us :
 				  0;
 
 	if (!task)
 		return 0;
-	if (left_by_progress(run, ran_us, &left_us) && left_us)
-		return left_us;
-	whole_us = rj_cell_forecast_task_ms(forecast,
+	if (remaining_by_progress(run, ran_us, &remaining_us) && remaining_us)
+		return remaining_us;
+	total_us = rj_cell_forecast_task_ms(forecast,
 					    task->occurrence->job->job_spec,
 					    task->step) *
 		   RJ_US_PER_MS;
-	return whole_us > ran_us ? whole_us - ran_us : whole_us / 2;
+	return total_us > ran_us ? total_us - ran_us : total_us / 2;
 }
 
-/* Bring the demand up to date. */
-static double decayed(const struct rj_cell_forecast *forecast, uint64_t now_us)
+/* Returns the urgent demand, decayed to `now_us`. */
+static double decayed_urgent(const struct rj_cell_forecast *forecast,
+			     uint64_t now_us)
 {
 	uint64_t age_us = now_us > forecast->urgent_updated_us ?
 				  now_us - forecast->urgent_updated_us :
@@ -187,31 +194,32 @@
 }
 
 /*
- * An urgent job has come: it asks for accelerators for as long as it runs.
+ * Records the demand of an urgent job: its accelerators for the expected run
+ * time of its tasks.
  */
 void rj_cell_forecast_record_urgent(struct rj_cell_forecast *forecast,
-				    const struct rj_cell_job_spec *job_spec,
+				    const struct rj_cell_job_spec *spec,
 				    uint64_t now_us)
 {
-	double need = 0;
-
-	for (uint32_t i = 0; i < job_spec->step_count; i++)
-		need += (double)job_spec->steps[i].task_count *
-			job_spec->steps[i].each.accelerators *
-			(double)rj_cell_forecast_task_ms(forecast, job_spec,
-							 i) *
-			RJ_US_PER_MS;
-	forecast->urgent_accelerators =
-		decayed(forecast, now_us) + need / (double)URGENT_DECAY_US;
+	double demand = 0;
+
+	for (uint32_t i = 0; i < spec->step_count; i++)
+		demand += (double)spec->steps[i].task_count *
+			  spec->steps[i].each.accelerators *
+			  (double)rj_cell_forecast_task_ms(forecast, spec, i) *
+			  RJ_US_PER_MS;
+	forecast->urgent_accelerators = decayed_urgent(forecast, now_us) +
+					demand / (double)URGENT_DECAY_US;
 	forecast->urgent_updated_us = now_us;
 }
 
 /*
- * How many accelerators urgent work keeps busy, on average of late.
+ * Returns the number of accelerators that recent urgent jobs keep busy, as a
+ * decaying average.
  */
 double
 rj_cell_forecast_urgent_accelerators(const struct rj_cell_forecast *forecast,
 				     uint64_t now_us)
 {
-	return decayed(forecast, now_us);
+	return decayed_urgent(forecast, now_us);
 }
--- a/src/libradishjunction/cell/cell_place.c
+++ b/src/libradishjunction/cell/cell_place.c
@@ -7,64 +7,66 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Parts of a placement's cost, from the least weight to the greatest. */
-#define COST_MEMORY_BITS 32 /* of what would be left over, in MB */
-#define COST_MIXED_BIT 50 /* work that serves beside work that fills */
-#define COST_UNPROVEN_BIT 49 /* last failed, and so did the task */
-#define COST_FAR_BIT 48 /* away from the task's data */
-#define COST_COLD_BIT 47 /* on a worker that is slow after its start */
-#define COST_RESERVED_BIT 46 /* on the wrong side of what is reserved */
-
-/* Count one run of the step that is being placed at its worker. */
-static void count_sibling(const struct rj_cell_run *run)
+/* Bits of a placement's cost, see placement_cost. */
+#define COST_MEMORY_BITS 32 /* memory left over, in MB */
+#define COST_INTERFERENCE_BIT 50 /* latency-bound runs beside others */
+#define COST_UNPROVEN_BIT 49 /* see is_unproven */
+#define COST_REMOTE_BIT 48 /* away from the task's data */
+#define COST_WARMUP_BIT 47 /* worker is slow after its start */
+#define COST_RESERVED_BIT 46 /* in the wrong partition */
+
+/* Counts a run of the step being placed at its worker. */
+static void count_step_run(const struct rj_cell_run *run)
 {
-	if (run->worker->room)
-		run->worker->room->siblings++;
+	if (run->worker->plan_worker)
+		run->worker->plan_worker->step_runs++;
 }
 
 /*
- * Count at each worker the runs of a step of which one worker may have so many.
+ * Counts the runs of a step at each worker, if the step limits them for each
+ * worker.
  *
- * Load that it answers: steps of hundreds of tasks that are to be kept apart;
- * each task would count all of them on each worker.
+ * Guards against long plans with steps of hundreds of tasks that are to be kept
+ * apart: counted for each task and worker, each task would visit all others.
  */
 void rj_cell_place_count_step_runs(struct rj_cell_plan *plan,
-				   const struct rj_cell_task_group *unit)
+				   const struct rj_cell_task_group *group)
 {
-	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
-	uint32_t first = rj_cell_job_spec_first_task(job_spec, unit->step);
+	const struct rj_cell_job_spec *spec = group->job->job_spec;
+	uint32_t first = rj_cell_job_spec_first_task(spec, group->step);
 
-	if (!job_spec->steps[unit->step].per_worker_max)
+	if (!spec->steps[group->step].per_worker_max)
 		return;
-	for (uint32_t i = 0; i < plan->room_count; i++)
-		plan->rooms[i].siblings = 0;
+	for (uint32_t i = 0; i < plan->worker_count; i++)
+		plan->workers[i].step_runs = 0;
 	for (guint i = 0; i < plan->starts->len; i++) {
-		const struct rj_cell_planned_start *choice = &g_array_index(
+		const struct rj_cell_planned_start *start = &g_array_index(
 			plan->starts, struct rj_cell_planned_start, i);
 
-		if (choice->task->occurrence == unit->occurrence &&
-		    choice->task->step == unit->step)
-			choice->worker->room->siblings++;
+		if (start->task->occurrence == group->occurrence &&
+		    start->task->step == group->step)
+			start->worker->plan_worker->step_runs++;
 	}
-	for (uint32_t i = 0; i < job_spec->steps[unit->step].task_count; i++) {
+	for (uint32_t i = 0; i < spec->steps[group->step].task_count; i++) {
 		const struct rj_list *runs =
-			&unit->occurrence->tasks[first + i].runs;
+			&group->occurrence->tasks[first + i].runs;
 		const struct rj_list *at;
 
 		for (at = runs->next; at != runs; at = at->next)
-			count_sibling(
+			count_step_run(
 				RJ_CONTAINER(at, struct rj_cell_run, in_task));
 	}
 }
 
-/* Whether a worker has as many runs of a step as it may. */
-static bool has_all_siblings(const struct rj_cell_plan_worker *room,
-			     const struct rj_cell_step *step)
+/* Whether a worker has the maximum of runs of a step. */
+static bool has_max_step_runs(const struct rj_cell_plan_worker *plan_worker,
+			      const struct rj_cell_step *step)
 {
-	return step->per_worker_max && room->siblings >= step->per_worker_max;
+	return step->per_worker_max &&
+	       plan_worker->step_runs >= step->per_worker_max;
 }
 
-/* Whether a task has no attempt left after the next one. */
+/* Whether the next run of a task is its last attempt. */
 static bool is_last_attempt(struct rj_cell_task *task)
 {
 	const struct rj_cell_task *head = rj_cell_task_head(task);
@@ -75,8 +77,8 @@
 }
 
 /*
- * Whether a task has to keep to workers that are known to be sound: it has no
- * attempt left after this one, and workers have begun to fail.
+ * Whether a task may only run on workers that are known to be healthy: its next
+ * run is its last attempt, and several workers have begun to fail.
  */
 bool rj_cell_place_needs_healthy(const struct rj_cell_plan *plan,
 				 struct rj_cell_task *task)
@@ -86,7 +88,7 @@
 					   plan->now_us);
 }
 
-/* Whether a worker is too likely to fail a task that must not fail. */
+/* Whether a worker is too likely to fail a task on its last attempt. */
 static bool is_too_risky(const struct rj_cell_plan *plan,
 			 const struct rj_cell_worker *worker,
 			 struct rj_cell_task *task)
@@ -101,35 +103,35 @@
 }
 
 /*
- * Whether a worker may run a task at all, its room aside.
+ * Whether a worker may run a task, irrespective of free capacity.
  */
 bool rj_cell_place_is_eligible(const struct rj_cell_plan *plan,
-			       const struct rj_cell_plan_worker *room,
-			       const struct rj_cell_task_group *unit,
+			       const struct rj_cell_plan_worker *plan_worker,
+			       const struct rj_cell_task_group *group,
 			       struct rj_cell_task *task,
-			       const struct rj_cell_placement_options *way)
+			       const struct rj_cell_placement_options *options)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
-	const struct rj_cell_worker *worker = room->worker;
+	const struct rj_cell_worker *worker = plan_worker->worker;
 
-	if (way->domain && worker->domain != way->domain)
+	if (options->domain && worker->domain != options->domain)
 		return false;
-	if ((room->reserved && !unit->may_use_reserved) ||
-	    (room->exclusive && !unit->may_use_exclusive))
+	if ((plan_worker->reserved && !group->may_use_reserved) ||
+	    (plan_worker->exclusive && !group->may_use_exclusive))
 		return false;
-	if (worker->service != unit->service)
+	if (worker->service != group->service)
 		return false;
 	if (step->label[0] &&
 	    strcmp(step->label, worker->heartbeat.kind) != 0 &&
 	    strcmp(step->label, worker->heartbeat.rack) != 0)
 		return false;
-	if (step->rack[0] && !unit->far &&
+	if (step->rack[0] && !group->remote_allowed &&
 	    strcmp(step->rack, worker->heartbeat.rack) != 0)
 		return false;
 	if (plan->now_us < task->avoid_until_us &&
 	    !strcmp(task->avoid, worker->id))
 		return false;
-	if (unit->advised &&
+	if (group->advised &&
 	    !rj_cell_advice_ticket(task->occurrence, task->step, worker,
 				   plan->now_us))
 		return false;
@@ -137,98 +139,106 @@
 		return false;
 	if (!step->target_ms && plan->now_us < worker->exclusive_until_us)
 		return false;
-	return !has_all_siblings(room, step);
+	return !has_max_step_runs(plan_worker, step);
 }
 
-/* The bounds on what is free in a range for a way, or NULL where others may be
- * stopped or are waited for. */
+/* Returns the bounds of the free capacity of a range, or NULL where preemption
+ * or completions may free more. */
 static const struct rj_cell_free_bounds *
-free_for(const struct rj_cell_worker_range *range,
-	 const struct rj_cell_placement_options *way)
+free_bounds(const struct rj_cell_worker_range *range,
+	    const struct rj_cell_placement_options *options)
 {
-	if (way->may_preempt || way->when == RJ_CELL_HORIZON_COMPLETIONS)
+	if (options->may_preempt ||
+	    options->horizon == RJ_CELL_HORIZON_COMPLETIONS)
 		return NULL;
-	return way->when == RJ_CELL_HORIZON_NOW ? &range->now : &range->soon;
+	return options->horizon == RJ_CELL_HORIZON_NOW ?
+		       &range->free_now :
+		       &range->free_after_stops;
 }
 
-/* Whether a range is allowed, and may hold one task that wants so much. */
-static bool may_hold_one(const struct rj_cell_worker_range *range,
-			 const struct rj_cell_placement_options *way,
-			 const struct rj_cell_demand *want)
+/* Whether a range is allowed, and may hold one task of this demand. */
+static bool may_fit_task(const struct rj_cell_worker_range *range,
+			 const struct rj_cell_placement_options *options,
+			 const struct rj_cell_demand *demand)
 {
-	const struct rj_cell_free_bounds *have = free_for(range, way);
+	const struct rj_cell_free_bounds *available =
+		free_bounds(range, options);
 
-	if (way->domain && range->domain && range->domain != way->domain)
+	if (options->domain && range->domain &&
+	    range->domain != options->domain)
 		return false;
-	return !have || rj_cell_demand_fits(want, &have->most);
+	return !available ||
+	       rj_cell_demand_fits(demand, &available->max_per_worker);
 }
 
 /*
- * Begin a walk over the rooms that a way allows, those of a rack or all, for
- * tasks that want so much each. `way` must outlast it.
+ * Starts an iteration over the workers that options allow, of one rack or all,
+ * for tasks that take `demand` each. `options` must outlive it.
  */
-void rj_cell_worker_iterator_init(struct rj_cell_worker_iterator *walk,
-				  struct rj_cell_plan *plan,
-				  const struct rj_cell_placement_options *way,
-				  const struct rj_cell_demand *want)
+void rj_cell_worker_iterator_init(
+	struct rj_cell_worker_iterator *iterator, struct rj_cell_plan *plan,
+	const struct rj_cell_placement_options *options,
+	const struct rj_cell_demand *demand)
 {
-	memset(walk, 0, sizeof(*walk));
-	walk->plan = plan;
-	walk->way = way;
-	walk->want = *want;
-	walk->range = way->rack ? way->rack->range : 0;
-	walk->ranges_end = way->rack ? walk->range + 1 : plan->ranges->len;
+	memset(iterator, 0, sizeof(*iterator));
+	iterator->plan = plan;
+	iterator->options = options;
+	iterator->demand = *demand;
+	iterator->next_range = options->rack ? options->rack->range : 0;
+	iterator->range_end =
+		options->rack ? iterator->next_range + 1 : plan->ranges->len;
 }
 
 /*
- * The next room, in the order of the plan's rooms, or NULL at the end.
+ * Returns the next worker in the order of the plan, or NULL at the end.
  */
 struct rj_cell_plan_worker *
-rj_cell_worker_iterator_next(struct rj_cell_worker_iterator *walk)
+rj_cell_worker_iterator_next(struct rj_cell_worker_iterator *iterator)
 {
-	while (walk->room == walk->end) {
+	while (iterator->next_worker == iterator->worker_end) {
 		const struct rj_cell_worker_range *range;
 
-		if (walk->range >= walk->ranges_end)
+		if (iterator->next_range >= iterator->range_end)
 			return NULL;
-		range = &g_array_index(walk->plan->ranges,
+		range = &g_array_index(iterator->plan->ranges,
 				       struct rj_cell_worker_range,
-				       walk->range++);
-		if (!may_hold_one(range, walk->way, &walk->want))
+				       iterator->next_range++);
+		if (!may_fit_task(range, iterator->options, &iterator->demand))
 			continue;
-		walk->room = walk->plan->rooms + range->first;
-		walk->end = walk->room + range->count;
-		walk->plan->effort += range->count;
+		iterator->next_worker = iterator->plan->workers + range->first;
+		iterator->worker_end = iterator->next_worker + range->count;
+		iterator->plan->effort += range->count;
 	}
-	return walk->room++;
+	return iterator->next_worker++;
 }
 
 /*
- * Whether the rooms that a way allows may hold `count` tasks that want so much
- * each, by bounds that are cheap to look up.
+ * Whether the workers that options allow may hold `count` tasks that take
+ * `demand` each, by bounds that are cheap to look up.
  *
- * Load that it answers: a full site with a backlog of gangs, each of which
- * would weigh all workers for each of its members in each plan.
+ * Guards against long plans on a full site with a backlog of gangs, each of
+ * which would evaluate all workers for each of its members.
  */
 bool rj_cell_place_may_fit(const struct rj_cell_plan *plan,
-			   const struct rj_cell_placement_options *way,
-			   const struct rj_cell_demand *want, uint32_t count)
+			   const struct rj_cell_placement_options *options,
+			   const struct rj_cell_demand *demand, uint32_t count)
 {
-	uint64_t wanted = (uint64_t)want->accelerators * count;
-	guint first = way->rack ? way->rack->range : 0;
-	guint end = way->rack ? first + 1 : plan->ranges->len;
+	uint64_t wanted = (uint64_t)demand->accelerators * count;
+	guint first = options->rack ? options->rack->range : 0;
+	guint end = options->rack ? first + 1 : plan->ranges->len;
 	uint64_t sum = 0;
 
 	for (guint i = first; i < end; i++) {
 		const struct rj_cell_worker_range *range = &g_array_index(
 			plan->ranges, struct rj_cell_worker_range, i);
-		const struct rj_cell_free_bounds *have = free_for(range, way);
+		const struct rj_cell_free_bounds *available =
+			free_bounds(range, options);
 
-		if (!have)
+		if (!available)
 			return true;
-		if (!may_hold_one(range, way, want))
+		if (!may_fit_task(range, options, demand))
 			continue;
-		sum += have->accelerators;
+		sum += available->accelerators;
 		if (sum >= wanted)
 			return true;
 	}
@@ -236,9 +246,9 @@
 }
 
 /*
- * Whether a worker may fail a task that had better not fail: one that has
+ * Whether a worker may fail a task that should not fail again: a task that has
  * failed before, or a member of a gang while workers begin to fail. Then a
- * worker is good that has started something since and did not fail it.
+ * worker is proven once a run that started there since has not failed early.
  */
 static bool is_unproven(const struct rj_cell_plan *plan,
 			const struct rj_cell_worker *worker,
@@ -254,202 +264,215 @@
 }
 
 /*
- * What placing a task on a worker costs. Accelerators that would be left over come first, so that
- * small tasks fill workers that are in use already and whole workers stay
- * free for gangs; then memory, of which the large tasks need half a worker.
- * Data that is far away outweighs these, and urgent work goes to what is
- * reserved for it before it takes other workers. Workers that are slow after
- * their start come after all that are not. A task that has failed goes, if it
- * can, where the last run did not fail: a worker that fails all it starts has
- * room again at once, and would use up the task's attempts. What serves users
- * within a bound and what fills the room beside it disturb each other, so
- * they share a worker only where there is no other.
+ * Returns the cost of placing a task on a worker. Its parts, the least weight
+ * first:
+ * - memory left over, as large tasks need half a worker;
+ * - accelerators left over, so that small tasks fill workers in use and whole
+ *   workers stay free for gangs;
+ * - reserved workers are for urgent tasks, the others for all other tasks;
+ * - workers that are slow after their start;
+ * - racks away from the task's data;
+ * - workers that may fail the task again: one that fails each run at once
+ *   always has free capacity, and would use up the task's attempts;
+ * - latency-bound runs and others on one worker slow each other down, so they
+ *   share it only if there is no other place.
  */
 static uint64_t placement_cost(const struct rj_cell_plan *plan,
-			       const struct rj_cell_plan_worker *room,
-			       const struct rj_cell_task_group *unit,
+			       const struct rj_cell_plan_worker *plan_worker,
+			       const struct rj_cell_task_group *group,
 			       struct rj_cell_task *task,
-			       const struct rj_cell_demand *have)
+			       const struct rj_cell_demand *available)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
-	uint64_t left = have->accelerators - step->each.accelerators;
-	bool far = step->rack[0] &&
-		   strcmp(step->rack, room->worker->heartbeat.rack);
-	bool unproven = is_unproven(plan, room->worker, task);
-	bool wrong_side = room->reserved != !unit->job->job_spec->priority;
-	bool cold = plan->now_us < room->worker->cold_until_us;
-	bool mixed = step->target_ms ? room->other_runs : room->latency_runs;
-
-	return ((uint64_t)mixed << COST_MIXED_BIT) |
+	uint64_t left_over = available->accelerators - step->each.accelerators;
+	bool remote = step->rack[0] &&
+		      strcmp(step->rack, plan_worker->worker->heartbeat.rack);
+	bool unproven = is_unproven(plan, plan_worker->worker, task);
+	bool wrong_partition =
+		plan_worker->reserved != !group->job->job_spec->priority;
+	bool warming_up = plan->now_us < plan_worker->worker->cold_until_us;
+	bool disturbs = step->target_ms ? plan_worker->other_runs :
+					  plan_worker->serving_runs;
+
+	return ((uint64_t)disturbs << COST_INTERFERENCE_BIT) |
 	       ((uint64_t)unproven << COST_UNPROVEN_BIT) |
-	       ((uint64_t)far << COST_FAR_BIT) |
-	       ((uint64_t)cold << COST_COLD_BIT) |
-	       ((uint64_t)wrong_side << COST_RESERVED_BIT) |
-	       (left << COST_MEMORY_BITS) |
-	       (have->memory_mb - step->each.memory_mb);
+	       ((uint64_t)remote << COST_REMOTE_BIT) |
+	       ((uint64_t)warming_up << COST_WARMUP_BIT) |
+	       ((uint64_t)wrong_partition << COST_RESERVED_BIT) |
+	       (left_over << COST_MEMORY_BITS) |
+	       (available->memory_mb - step->each.memory_mb);
 }
 
-/* The best room for one task in what is free now or soon, or NULL. */
+/* Returns the cheapest worker for one task within the options' horizon, or
+ * NULL. */
 static struct rj_cell_plan_worker *
-best_fit(struct rj_cell_plan *plan, const struct rj_cell_task_group *unit,
-	 struct rj_cell_task *task, const struct rj_cell_placement_options *way)
+best_fit(struct rj_cell_plan *plan, const struct rj_cell_task_group *group,
+	 struct rj_cell_task *task,
+	 const struct rj_cell_placement_options *options)
 {
-	struct rj_cell_demand want =
+	struct rj_cell_demand demand =
 		rj_cell_step_allocation(rj_cell_task_step(task));
 	struct rj_cell_plan_worker *best = NULL;
-	struct rj_cell_plan_worker *room;
-	struct rj_cell_worker_iterator walk;
+	struct rj_cell_plan_worker *plan_worker;
+	struct rj_cell_worker_iterator iterator;
 	uint64_t best_cost = 0;
 
-	rj_cell_worker_iterator_init(&walk, plan, way, &want);
-	while ((room = rj_cell_worker_iterator_next(&walk))) {
-		const struct rj_cell_demand *have =
-			way->when == RJ_CELL_HORIZON_NOW ? &room->now :
-							   &room->soon;
+	rj_cell_worker_iterator_init(&iterator, plan, options, &demand);
+	while ((plan_worker = rj_cell_worker_iterator_next(&iterator))) {
+		const struct rj_cell_demand *available =
+			options->horizon == RJ_CELL_HORIZON_NOW ?
+				&plan_worker->free_now :
+				&plan_worker->free_after_stops;
 		uint64_t cost;
 
-		if (!rj_cell_demand_fits(&want, have) ||
-		    !rj_cell_place_is_eligible(plan, room, unit, task, way))
+		if (!rj_cell_demand_fits(&demand, available) ||
+		    !rj_cell_place_is_eligible(plan, plan_worker, group, task,
+					       options))
 			continue;
-		cost = placement_cost(plan, room, unit, task, have);
+		cost = placement_cost(plan, plan_worker, group, task,
+				      available);
 		if (best && cost >= best_cost)
 			continue;
-		best = room;
+		best = plan_worker;
 		best_cost = cost;
 	}
 	return best;
 }
 
 /*
- * In how long a worker will have room for `want` beside what is promised
- * there, if nothing else starts on it; RJ_NEVER_US when it never will.
+ * Returns the time until a worker has capacity for `demand` beside what is
+ * promised there, in microseconds, if nothing else starts on it; RJ_NEVER_US if
+ * it never will.
  */
-static uint64_t ready_in_us(struct rj_cell_plan *plan,
-			    const struct rj_cell_plan_worker *room,
-			    const struct rj_cell_demand *want)
+static uint64_t ready_delay_us(struct rj_cell_plan *plan,
+			       const struct rj_cell_plan_worker *plan_worker,
+			       const struct rj_cell_demand *demand)
 {
-	struct rj_cell_demand need = *want;
-	struct rj_cell_demand have = room->soon;
+	struct rj_cell_demand need = *demand;
+	struct rj_cell_demand available = plan_worker->free_after_stops;
 	const struct rj_cell_releases *releases;
 	uint64_t ready_us = 0;
 
-	rj_cell_demand_add(&need, &room->promised);
-	if (rj_cell_demand_fits(&need, &have))
+	rj_cell_demand_add(&need, &plan_worker->promised);
+	if (rj_cell_demand_fits(&need, &available))
 		return 0;
-	if (!rj_cell_demand_fits(&need, &room->worker->heartbeat.capacity))
+	if (!rj_cell_demand_fits(&need,
+				 &plan_worker->worker->heartbeat.capacity))
 		return RJ_NEVER_US;
-	releases = rj_cell_releases_get(plan, room);
+	releases = rj_cell_releases_get(plan, plan_worker);
 	for (uint32_t i = 0;
-	     i < releases->count && !rj_cell_demand_fits(&need, &have); i++) {
+	     i < releases->count && !rj_cell_demand_fits(&need, &available);
+	     i++) {
 		const struct rj_cell_release *release = &releases->by_time[i];
 
-		/* The room of a victim is counted as free already. */
+		/* The capacity of a victim is counted as free already. */
 		if (release->run->victim || release->run->reason)
 			continue;
-		rj_cell_demand_add(&have, &release->run->allocated);
-		ready_us = release->left_us;
+		rj_cell_demand_add(&available, &release->run->allocated);
+		ready_us = release->remaining_us;
 	}
-	return rj_cell_demand_fits(&need, &have) ? ready_us : RJ_NEVER_US;
+	return rj_cell_demand_fits(&need, &available) ? ready_us : RJ_NEVER_US;
 }
 
-/* The room that comes free first for one task, or NULL. */
+/* Returns the worker that has capacity for one task first, or NULL. */
 static struct rj_cell_plan_worker *
-first_ready(struct rj_cell_plan *plan, struct rj_cell_placement *trial,
-	    const struct rj_cell_task_group *unit, struct rj_cell_task *task,
-	    const struct rj_cell_placement_options *way)
+earliest_fit(struct rj_cell_plan *plan, struct rj_cell_placement *placement,
+	     const struct rj_cell_task_group *group, struct rj_cell_task *task,
+	     const struct rj_cell_placement_options *options)
 {
-	struct rj_cell_demand want =
+	struct rj_cell_demand demand =
 		rj_cell_step_allocation(rj_cell_task_step(task));
 	struct rj_cell_plan_worker *best = NULL;
-	struct rj_cell_plan_worker *room;
-	struct rj_cell_worker_iterator walk;
-	uint64_t best_us = RJ_NEVER_US;
+	struct rj_cell_plan_worker *plan_worker;
+	struct rj_cell_worker_iterator iterator;
+	uint64_t best_delay_us = RJ_NEVER_US;
 
-	rj_cell_worker_iterator_init(&walk, plan, way, &want);
-	while ((room = rj_cell_worker_iterator_next(&walk))) {
+	rj_cell_worker_iterator_init(&iterator, plan, options, &demand);
+	while ((plan_worker = rj_cell_worker_iterator_next(&iterator))) {
 		uint64_t ready_us;
 
-		if (!rj_cell_place_is_eligible(plan, room, unit, task, way))
+		if (!rj_cell_place_is_eligible(plan, plan_worker, group, task,
+					       options))
 			continue;
-		ready_us = ready_in_us(plan, room, &want);
-		if (ready_us >= best_us)
+		ready_us = ready_delay_us(plan, plan_worker, &demand);
+		if (ready_us >= best_delay_us)
 			continue;
-		best = room;
-		best_us = ready_us;
+		best = plan_worker;
+		best_delay_us = ready_us;
 	}
-	if (best && best_us > trial->ready_us)
-		trial->ready_us = best_us;
+	if (best && best_delay_us > placement->ready_us)
+		placement->ready_us = best_delay_us;
 	return best;
 }
 
-/* Take the room of one task; what is not free yet is promised. */
-static void take_room(struct rj_cell_plan_worker *room,
-		      const struct rj_cell_step *step,
-		      enum rj_cell_horizon when)
+/* Allocates capacity to one task; capacity that is not free yet is promised. */
+static void allocate(struct rj_cell_plan_worker *plan_worker,
+		     const struct rj_cell_step *step,
+		     enum rj_cell_horizon horizon)
 {
-	struct rj_cell_demand want = rj_cell_step_allocation(step);
+	struct rj_cell_demand demand = rj_cell_step_allocation(step);
 
-	if (when == RJ_CELL_HORIZON_COMPLETIONS)
-		rj_cell_demand_add(&room->promised, &want);
+	if (horizon == RJ_CELL_HORIZON_COMPLETIONS)
+		rj_cell_demand_add(&plan_worker->promised, &demand);
 	else
-		rj_cell_demand_subtract(&room->soon, &want);
-	rj_cell_demand_subtract(&room->now, &want);
-	room->siblings++;
+		rj_cell_demand_subtract(&plan_worker->free_after_stops,
+					&demand);
+	rj_cell_demand_subtract(&plan_worker->free_now, &demand);
+	plan_worker->step_runs++;
 	if (step->target_ms)
-		room->latency_runs++;
+		plan_worker->serving_runs++;
 	else
-		room->other_runs++;
+		plan_worker->other_runs++;
 }
 
 /*
- * Begin a trial.
+ * Starts a tentative placement.
  */
-void rj_cell_placement_init(struct rj_cell_placement *trial,
+void rj_cell_placement_init(struct rj_cell_placement *placement,
 			    struct rj_cell_plan *plan)
 {
-	memset(trial, 0, sizeof(*trial));
-	trial->plan = plan;
-	trial->changes =
+	memset(placement, 0, sizeof(*placement));
+	placement->plan = plan;
+	placement->changes =
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_plan_worker));
-	trial->workers = g_ptr_array_new();
-	trial->victims = g_ptr_array_new();
+	placement->workers = g_ptr_array_new();
+	placement->victims = g_ptr_array_new();
 }
 
 /*
- * A room is about to be changed by a trial.
+ * Saves a worker that the placement is about to change.
  */
-void rj_cell_placement_save_worker(struct rj_cell_placement *trial,
-				   struct rj_cell_plan_worker *room)
+void rj_cell_placement_save_worker(struct rj_cell_placement *placement,
+				   struct rj_cell_plan_worker *plan_worker)
 {
-	g_array_append_val(trial->changes, *room);
+	g_array_append_val(placement->changes, *plan_worker);
 }
 
 /*
- * End a trial: what has not been taken is undone.
+ * Frees a placement; what has not been committed is undone.
  */
-void rj_cell_placement_finish(struct rj_cell_placement *trial)
+void rj_cell_placement_finish(struct rj_cell_placement *placement)
 {
-	for (guint i = trial->changes->len; i > 0; i--) {
+	for (guint i = placement->changes->len; i > 0; i--) {
 		const struct rj_cell_plan_worker *before = &g_array_index(
-			trial->changes, struct rj_cell_plan_worker, i - 1);
+			placement->changes, struct rj_cell_plan_worker, i - 1);
 
-		*before->worker->room = *before;
+		*before->worker->plan_worker = *before;
 	}
-	for (guint i = 0; i < trial->victims->len; i++) {
-		struct rj_cell_run *run = trial->victims->pdata[i];
+	for (guint i = 0; i < placement->victims->len; i++) {
+		struct rj_cell_run *run = placement->victims->pdata[i];
 
 		run->victim = false;
-		rj_cell_plan_restore_run(trial->plan, run);
+		rj_cell_plan_restore_run(placement->plan, run);
 	}
-	g_array_free(trial->changes, TRUE);
-	g_ptr_array_free(trial->workers, TRUE);
-	g_ptr_array_free(trial->victims, TRUE);
+	g_array_free(placement->changes, TRUE);
+	g_ptr_array_free(placement->workers, TRUE);
+	g_ptr_array_free(placement->victims, TRUE);
 }
 
 /*
- * Whether what decides on a task's worker is the same for all tasks of its
- * step, or of its gang: it keeps off no worker, and is in no danger of using
- * up its attempts.
+ * Whether the choice of a worker for a task is the same as for the other tasks
+ * of its step or gang: it avoids no worker, and has not failed.
  */
 bool rj_cell_place_is_uniform(const struct rj_cell_plan *plan,
 			      struct rj_cell_task *task)
@@ -458,9 +481,9 @@
 	       !rj_cell_task_head(task)->failures;
 }
 
-/* Whether all of a group's tasks weigh workers alike. */
-static bool are_alike(const struct rj_cell_plan *plan,
-		      struct rj_cell_task **tasks, uint32_t count)
+/* Whether the choice of a worker is the same for all tasks of a group. */
+static bool are_uniform(const struct rj_cell_plan *plan,
+			struct rj_cell_task **tasks, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++)
 		if (!rj_cell_place_is_uniform(plan, tasks[i]))
@@ -468,125 +491,136 @@
 	return true;
 }
 
-/* What placing one more of some tasks in a room costs, or RJ_NEVER_US where it
- * cannot be placed there. */
-static uint64_t cost_of(struct rj_cell_plan *plan,
-			struct rj_cell_plan_worker *room,
-			const struct rj_cell_task_group *unit,
-			struct rj_cell_task *task,
-			const struct rj_cell_demand *want,
-			const struct rj_cell_placement_options *way)
+/* Returns the cost of placing one more of some tasks on a worker, or
+ * RJ_NEVER_US if it can't be placed there. With RJ_CELL_HORIZON_COMPLETIONS the
+ * cost is the delay in microseconds. */
+static uint64_t candidate_cost(struct rj_cell_plan *plan,
+			       struct rj_cell_plan_worker *plan_worker,
+			       const struct rj_cell_task_group *group,
+			       struct rj_cell_task *task,
+			       const struct rj_cell_demand *demand,
+			       const struct rj_cell_placement_options *options)
 {
-	const struct rj_cell_demand *have =
-		way->when == RJ_CELL_HORIZON_NOW ? &room->now : &room->soon;
+	const struct rj_cell_demand *available =
+		options->horizon == RJ_CELL_HORIZON_NOW ?
+			&plan_worker->free_now :
+			&plan_worker->free_after_stops;
 
-	if (has_all_siblings(room, rj_cell_task_step(task)))
+	if (has_max_step_runs(plan_worker, rj_cell_task_step(task)))
 		return RJ_NEVER_US;
-	if (way->when == RJ_CELL_HORIZON_COMPLETIONS)
-		return ready_in_us(plan, room, want);
-	if (!rj_cell_demand_fits(want, have))
+	if (options->horizon == RJ_CELL_HORIZON_COMPLETIONS)
+		return ready_delay_us(plan, plan_worker, demand);
+	if (!rj_cell_demand_fits(demand, available))
 		return RJ_NEVER_US;
-	return placement_cost(plan, room, unit, task, have);
+	return placement_cost(plan, plan_worker, group, task, available);
 }
 
 /*
- * Try to place tasks that weigh workers alike, as many as find a place.
- * Returns how many do. They go where they would go one by one: a room that has
- * taken one only changes its own cost.
+ * Places as many of some uniform tasks as have capacity, and returns how many.
+ * They get the same workers as one by one: a placement only changes the cost of
+ * its own worker.
  */
 uint32_t rj_cell_place_uniform(struct rj_cell_plan *plan,
-			       struct rj_cell_placement *trial,
-			       const struct rj_cell_task_group *unit,
+			       struct rj_cell_placement *placement,
+			       const struct rj_cell_task_group *group,
 			       struct rj_cell_task **tasks, uint32_t count,
-			       const struct rj_cell_placement_options *way)
+			       const struct rj_cell_placement_options *options)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(tasks[0]);
-	struct rj_cell_demand want = rj_cell_step_allocation(step);
+	struct rj_cell_demand demand = rj_cell_step_allocation(step);
 	struct rj_cell_candidates candidates;
-	struct rj_cell_worker_iterator walk;
-	struct rj_cell_plan_worker *room;
+	struct rj_cell_worker_iterator iterator;
+	struct rj_cell_plan_worker *plan_worker;
 	uint32_t placed = 0;
 
-	assert(!way->may_preempt);
+	assert(!options->may_preempt);
 	rj_cell_candidates_init(&candidates);
-	rj_cell_worker_iterator_init(&walk, plan, way, &want);
-	while ((room = rj_cell_worker_iterator_next(&walk))) {
-		uint64_t cost = cost_of(plan, room, unit, tasks[0], &want, way);
+	rj_cell_worker_iterator_init(&iterator, plan, options, &demand);
+	while ((plan_worker = rj_cell_worker_iterator_next(&iterator))) {
+		uint64_t cost = candidate_cost(plan, plan_worker, group,
+					       tasks[0], &demand, options);
 
 		if (cost != RJ_NEVER_US &&
-		    rj_cell_place_is_eligible(plan, room, unit, tasks[0], way))
-			rj_cell_candidates_push(&candidates, cost, room);
+		    rj_cell_place_is_eligible(plan, plan_worker, group,
+					      tasks[0], options))
+			rj_cell_candidates_push(&candidates, cost, plan_worker);
 	}
 	while (placed < count) {
 		struct rj_cell_candidate best =
 			rj_cell_candidates_pop(&candidates);
 		uint64_t cost;
 
-		if (!best.room)
+		if (!best.plan_worker)
 			break;
-		if (way->when == RJ_CELL_HORIZON_COMPLETIONS &&
-		    best.cost > trial->ready_us)
-			trial->ready_us = best.cost;
-		rj_cell_placement_save_worker(trial, best.room);
-		take_room(best.room, step, way->when);
-		g_ptr_array_add(trial->workers, best.room->worker);
+		if (options->horizon == RJ_CELL_HORIZON_COMPLETIONS &&
+		    best.cost > placement->ready_us)
+			placement->ready_us = best.cost;
+		rj_cell_placement_save_worker(placement, best.plan_worker);
+		allocate(best.plan_worker, step, options->horizon);
+		g_ptr_array_add(placement->workers, best.plan_worker->worker);
 		placed++;
-		cost = cost_of(plan, best.room, unit, tasks[0], &want, way);
+		cost = candidate_cost(plan, best.plan_worker, group, tasks[0],
+				      &demand, options);
 		if (cost != RJ_NEVER_US)
-			rj_cell_candidates_push(&candidates, cost, best.room);
+			rj_cell_candidates_push(&candidates, cost,
+						best.plan_worker);
 	}
 	rj_cell_candidates_finish(&candidates);
 	return placed;
 }
 
 /*
- * Try to place all of `tasks`. Returns whether all of them have a place.
+ * Places `tasks` tentatively. Returns whether all of them were placed; if not,
+ * the placement is to be finished without a commit.
  */
 bool rj_cell_place_group(struct rj_cell_plan *plan,
-			 struct rj_cell_placement *trial,
-			 const struct rj_cell_task_group *unit,
+			 struct rj_cell_placement *placement,
+			 const struct rj_cell_task_group *group,
 			 struct rj_cell_task **tasks, uint32_t count,
-			 const struct rj_cell_placement_options *way)
+			 const struct rj_cell_placement_options *options)
 {
-	struct rj_cell_demand want =
+	struct rj_cell_demand demand =
 		rj_cell_step_allocation(rj_cell_task_step(tasks[0]));
 
-	if (!rj_cell_place_may_fit(plan, way, &want, count))
+	if (!rj_cell_place_may_fit(plan, options, &demand, count))
 		return false;
-	if (count > 1 && !way->may_preempt && are_alike(plan, tasks, count))
-		return rj_cell_place_uniform(plan, trial, unit, tasks, count,
-					     way) == count;
+	if (count > 1 && !options->may_preempt &&
+	    are_uniform(plan, tasks, count))
+		return rj_cell_place_uniform(plan, placement, group, tasks,
+					     count, options) == count;
 	for (uint32_t i = 0; i < count; i++) {
-		struct rj_cell_plan_worker *room =
-			way->when == RJ_CELL_HORIZON_COMPLETIONS ?
-				first_ready(plan, trial, unit, tasks[i], way) :
-				best_fit(plan, unit, tasks[i], way);
-
-		if (!room && way->may_preempt)
-			room = rj_cell_reclaim_find_worker(plan, trial, unit,
-							   tasks[i], way);
-		if (!room || trial->loss_milli > way->max_loss_milli)
+		struct rj_cell_plan_worker *plan_worker =
+			options->horizon == RJ_CELL_HORIZON_COMPLETIONS ?
+				earliest_fit(plan, placement, group, tasks[i],
+					     options) :
+				best_fit(plan, group, tasks[i], options);
+
+		if (!plan_worker && options->may_preempt)
+			plan_worker = rj_cell_reclaim_find_worker(
+				plan, placement, group, tasks[i], options);
+		if (!plan_worker ||
+		    placement->loss_milli > options->max_loss_milli)
 			return false;
-		rj_cell_placement_save_worker(trial, room);
-		take_room(room, rj_cell_task_step(tasks[i]), way->when);
-		g_ptr_array_add(trial->workers, room->worker);
+		rj_cell_placement_save_worker(placement, plan_worker);
+		allocate(plan_worker, rj_cell_task_step(tasks[i]),
+			 options->horizon);
+		g_ptr_array_add(placement->workers, plan_worker->worker);
 	}
 	return true;
 }
 
 /*
- * Keep what a trial has changed, and list its victims, which the owner has to
- * stop.
+ * Keeps the changes of a placement, and adds its victims to the plan's stops.
  */
-void rj_cell_placement_commit(struct rj_cell_placement *trial)
+void rj_cell_placement_commit(struct rj_cell_placement *placement)
 {
-	g_array_set_size(trial->changes, 0);
-	for (guint i = 0; i < trial->victims->len; i++) {
-		struct rj_cell_run *run = trial->victims->pdata[i];
+	g_array_set_size(placement->changes, 0);
+	for (guint i = 0; i < placement->victims->len; i++) {
+		struct rj_cell_run *run = placement->victims->pdata[i];
 
 		run->victim = false;
 		run->reason = RJ_CELL_WHY_RECLAIMED;
-		g_ptr_array_add(trial->plan->stops, run);
+		g_ptr_array_add(placement->plan->stops, run);
 	}
-	g_ptr_array_set_size(trial->victims, 0);
+	g_ptr_array_set_size(placement->victims, 0);
 }
--- a/src/libradishjunction/cell/cell_plan.c
+++ b/src/libradishjunction/cell/cell_plan.c
@@ -9,35 +9,37 @@
 #include "private/cell_shortage.h"
 #include "private/cell_task_groups.h"
 
-/* Gangs of lower priority that room is promised to at a time. More would
- * leave too much of it idle. */
-#define PROMISES_MAX 2
-/* Urgent work that has no right to its room may throw away so many times its
- * own work: it is worth about ten times as much a core-second, half of which
- * is left for the wait of those that it stops. */
-#define LOSS_FACTOR 4
-/* Work that is not urgent may stop work of lower priority once it has waited
- * for a while, where that throws away at most this part of its own. */
-#define CHEAP_WAIT_US RJ_US_PER_S
-#define CHEAP_LOSS_PART 8
-/* Urgent groups that room is promised to in one plan; those behind them have
- * to wait for more than the next ends. */
+/* Gangs that are not urgent and hold a promise at a time. More promises would
+ * leave too much capacity idle. */
+#define GANG_PROMISES_MAX 2
+/* Urgent jobs without a guarantee may discard up to this many times their own
+ * work. A core-second of theirs is worth about ten times as much; half of that
+ * is left for the delay of the preempted jobs. */
+#define URGENT_LOSS_FACTOR 4
+/* Jobs that are not urgent may preempt lower priorities once they have waited
+ * this long, if that discards at most one part in PREEMPTION_LOSS_DIVISOR of
+ * their own work. */
+#define PREEMPTION_WAIT_US RJ_US_PER_S
+#define PREEMPTION_LOSS_DIVISOR 8
+/* Urgent groups that get a promise in one plan. Groups behind them have to wait
+ * for more than the next completions. */
 #define URGENT_PROMISES_MAX 16
 /*
- * Searches in one plan that found too little, for room in a share or for work to
- * stop, and the pause before the same group searches for work to stop again.
- * Such a search changes nothing, so that leaving it out only delays the next.
+ * Limit of failed searches in one plan, for capacity within a share or for runs
+ * to preempt, and the delay before the same group searches for runs to preempt
+ * again. A failed search changes nothing, so that skipping one only delays the
+ * next.
  */
-#define FUTILE_MAX 8
-#define FUTILE_PAUSE_US (100 * RJ_US_PER_MS)
+#define FAILED_SEARCHES_MAX 8
+#define SEARCH_RETRY_US (100 * RJ_US_PER_MS)
 
 /*
- * Prepare a plan without inputs.
+ * Initializes a plan; the caller sets the inputs.
  */
 void rj_cell_plan_init(struct rj_cell_plan *plan)
 {
 	memset(plan, 0, sizeof(*plan));
-	plan->next_us = RJ_NEVER_US;
+	plan->next_retry_us = RJ_NEVER_US;
 	plan->starts =
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_planned_start));
 	plan->stops = g_ptr_array_new();
@@ -45,15 +47,15 @@
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_plan_rack));
 	plan->ranges =
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_worker_range));
-	plan->needs = g_hash_table_new(g_str_hash, g_str_equal);
-	plan->units =
+	plan->urgent_needs = g_hash_table_new(g_str_hash, g_str_equal);
+	plan->task_groups =
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_task_group));
 	plan->shortages =
 		g_array_new(FALSE, FALSE, sizeof(struct rj_cell_shortage));
 }
 
 /*
- * Free what the plan holds.
+ * Frees what the plan owns; its tasks, runs and workers are the owner's.
  */
 void rj_cell_plan_finish(struct rj_cell_plan *plan)
 {
@@ -61,21 +63,21 @@
 	g_ptr_array_free(plan->stops, TRUE);
 	g_array_free(plan->racks, TRUE);
 	g_array_free(plan->ranges, TRUE);
-	g_array_free(plan->units, TRUE);
+	g_array_free(plan->task_groups, TRUE);
 	g_array_free(plan->shortages, TRUE);
-	g_hash_table_destroy(plan->needs);
-	TALLOC_FREE(plan->rooms);
+	g_hash_table_destroy(plan->urgent_needs);
+	TALLOC_FREE(plan->workers);
 }
 
-/* One task starts there. */
+/* Starts a task on a worker in this plan. */
 static void add_start(struct rj_cell_plan *plan, struct rj_cell_task *task,
 		      struct rj_cell_worker *worker)
 {
-	struct rj_cell_planned_start choice = { task, worker };
+	struct rj_cell_planned_start start = { task, worker };
 	struct rj_cell_demand used =
 		rj_cell_step_allocation(rj_cell_task_step(task));
 
-	g_array_append_val(plan->starts, choice);
+	g_array_append_val(plan->starts, start);
 	task->planned = true;
 	rj_cell_usage_add(&plan->usage, &used);
 	rj_cell_plan_add_allocation(plan, task->occurrence->job, &used);
@@ -84,8 +86,8 @@
 			rj_cell_task_step(task)->each.accelerators;
 }
 
-/* Whether one trial is better than another: it loses less, or is ready
- * sooner. */
+/* Whether one placement loses less than another, or is ready sooner at the same
+ * loss. */
 static bool is_better(const struct rj_cell_placement *a,
 		      const struct rj_cell_placement *b)
 {
@@ -94,124 +96,134 @@
 	return a->ready_us < b->ready_us;
 }
 
-/* The rack where a group is placed best, or NULL. */
+/* Returns the rack with the best placement of a group, or NULL. */
 static const struct rj_cell_plan_rack *
-best_rack(struct rj_cell_plan *plan, const struct rj_cell_task_group *unit,
+best_rack(struct rj_cell_plan *plan, const struct rj_cell_task_group *group,
 	  struct rj_cell_task **tasks, uint32_t count,
-	  const struct rj_cell_placement_options *way)
+	  const struct rj_cell_placement_options *options)
 {
 	const struct rj_cell_plan_rack *best = NULL;
-	struct rj_cell_placement best_trial = { .loss_milli = 0 };
+	struct rj_cell_placement best_placement = { .loss_milli = 0 };
 
 	for (guint i = 0; i < plan->racks->len; i++) {
-		struct rj_cell_placement_options here = *way;
-		struct rj_cell_placement trial;
+		struct rj_cell_placement_options candidate = *options;
+		struct rj_cell_placement placement;
 
-		here.rack = &g_array_index(plan->racks,
-					   struct rj_cell_plan_rack, i);
-		if (way->domain && here.rack->domain != way->domain)
+		candidate.rack = &g_array_index(plan->racks,
+						struct rj_cell_plan_rack, i);
+		if (options->domain &&
+		    candidate.rack->domain != options->domain)
 			continue;
-		rj_cell_placement_init(&trial, plan);
-		if (rj_cell_place_group(plan, &trial, unit, tasks, count,
-					&here) &&
-		    (!best || is_better(&trial, &best_trial))) {
-			best = here.rack;
-			best_trial.loss_milli = trial.loss_milli;
-			best_trial.ready_us = trial.ready_us;
+		rj_cell_placement_init(&placement, plan);
+		if (rj_cell_place_group(plan, &placement, group, tasks, count,
+					&candidate) &&
+		    (!best || is_better(&placement, &best_placement))) {
+			best = candidate.rack;
+			best_placement.loss_milli = placement.loss_milli;
+			best_placement.ready_us = placement.ready_us;
 		}
-		rj_cell_placement_finish(&trial);
-		/* Nothing is better than a place at once and at no loss. */
-		if (best && !best_trial.loss_milli && !best_trial.ready_us)
+		rj_cell_placement_finish(&placement);
+		/* No rack is better than one with a place at once and at no
+		 * loss. */
+		if (best && !best_placement.loss_milli &&
+		    !best_placement.ready_us)
 			break;
 	}
 	return best;
 }
 
-/* Try to place a group: within one rack if it should be, and else anywhere
- * once it has waited long enough. */
-static bool try_group(struct rj_cell_plan *plan,
-		      const struct rj_cell_task_group *unit,
-		      struct rj_cell_task **tasks, uint32_t count,
-		      const struct rj_cell_placement_options *way,
-		      struct rj_cell_placement *trial)
+/* Places a group tentatively: within one rack if its step asks for that, else
+ * anywhere once it has waited long enough. */
+static bool place_tentatively(struct rj_cell_plan *plan,
+			      const struct rj_cell_task_group *group,
+			      struct rj_cell_task **tasks, uint32_t count,
+			      const struct rj_cell_placement_options *options,
+			      struct rj_cell_placement *placement)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(tasks[0]);
-	struct rj_cell_placement_options chosen = *way;
+	struct rj_cell_placement_options resolved = *options;
 
 	if (step->one_rack && count > 1) {
-		chosen.rack = best_rack(plan, unit, tasks, count, way);
-		if (!chosen.rack && !unit->far)
+		resolved.rack = best_rack(plan, group, tasks, count, options);
+		if (!resolved.rack && !group->remote_allowed)
 			return false;
 	}
-	return rj_cell_place_group(plan, trial, unit, tasks, count, &chosen);
+	return rj_cell_place_group(plan, placement, group, tasks, count,
+				   &resolved);
 }
 
-/* The failure domain with the least urgent work of those where a group finds
- * its place, or NULL. */
+/* Returns the failure domain with the fewest accelerators in use by urgent jobs
+ * among those that have capacity for a group, or NULL. */
 static const struct rj_cell_domain *
-best_domain(struct rj_cell_plan *plan, const struct rj_cell_task_group *unit,
+best_domain(struct rj_cell_plan *plan, const struct rj_cell_task_group *group,
 	    struct rj_cell_task **tasks, uint32_t count,
-	    const struct rj_cell_placement_options *way)
+	    const struct rj_cell_placement_options *options)
 {
 	const GPtrArray *domains = plan->fleet->domains;
 	const struct rj_cell_domain *best = NULL;
 
 	for (guint i = 0; i < domains->len; i++) {
 		const struct rj_cell_domain *domain = domains->pdata[i];
-		struct rj_cell_placement_options here = *way;
-		struct rj_cell_placement trial;
+		struct rj_cell_placement_options candidate = *options;
+		struct rj_cell_placement placement;
 
 		if (best && domain->urgent >= best->urgent)
 			continue;
-		here.domain = domain;
-		rj_cell_placement_init(&trial, plan);
-		if (try_group(plan, unit, tasks, count, &here, &trial))
+		candidate.domain = domain;
+		rj_cell_placement_init(&placement, plan);
+		if (place_tentatively(plan, group, tasks, count, &candidate,
+				      &placement))
 			best = domain;
-		rj_cell_placement_finish(&trial);
+		rj_cell_placement_finish(&placement);
 	}
 	return best;
 }
 
-/* Try one way; when it works out the room is taken, and with RJ_CELL_HORIZON_NOW the
- * tasks start. */
-static bool attempt(struct rj_cell_plan *plan,
-		    const struct rj_cell_task_group *unit,
-		    struct rj_cell_task **tasks, uint32_t count,
-		    const struct rj_cell_placement_options *way)
+/* Places a group and commits the placement; with RJ_CELL_HORIZON_NOW its tasks
+ * start. */
+static bool place_and_commit(struct rj_cell_plan *plan,
+			     const struct rj_cell_task_group *group,
+			     struct rj_cell_task **tasks, uint32_t count,
+			     const struct rj_cell_placement_options *options)
 {
-	struct rj_cell_placement_options chosen = *way;
-	struct rj_cell_placement trial;
+	struct rj_cell_placement_options resolved = *options;
+	struct rj_cell_placement placement;
 	bool placed;
 
-	if (!unit->job->job_spec->priority && way->when == RJ_CELL_HORIZON_NOW)
-		chosen.domain = best_domain(plan, unit, tasks, count, way);
-	rj_cell_placement_init(&trial, plan);
-	placed = try_group(plan, unit, tasks, count, &chosen, &trial);
+	if (!group->job->job_spec->priority &&
+	    options->horizon == RJ_CELL_HORIZON_NOW)
+		resolved.domain =
+			best_domain(plan, group, tasks, count, options);
+	rj_cell_placement_init(&placement, plan);
+	placed = place_tentatively(plan, group, tasks, count, &resolved,
+				   &placement);
 	for (uint32_t i = 0;
-	     placed && way->when == RJ_CELL_HORIZON_NOW && i < count; i++)
-		add_start(plan, tasks[i], trial.workers->pdata[i]);
+	     placed && options->horizon == RJ_CELL_HORIZON_NOW && i < count;
+	     i++)
+		add_start(plan, tasks[i], placement.workers->pdata[i]);
 	if (placed)
-		rj_cell_placement_commit(&trial);
-	rj_cell_placement_finish(&trial);
+		rj_cell_placement_commit(&placement);
+	rj_cell_placement_finish(&placement);
 	return placed;
 }
 
-/* Work that urgent tasks may throw away. */
+/* Returns the work that urgent tasks may discard, in core-milliseconds; no limit
+ * for guaranteed tasks within reclaim_ms. */
 static uint64_t loss_allowed(const struct rj_cell_plan *plan,
-			     const struct rj_cell_task_group *unit,
+			     const struct rj_cell_task_group *group,
 			     uint32_t count)
 {
-	if (unit->guaranteed &&
+	if (group->guaranteed &&
 	    plan->now_us <=
-		    unit->job->accepted_us + plan->reclaim_ms * RJ_US_PER_MS)
+		    group->job->accepted_us + plan->reclaim_ms * RJ_US_PER_MS)
 		return UINT64_MAX;
-	return LOSS_FACTOR *
-	       rj_cell_reclaim_group_cost_milli(plan, unit, count);
+	return URGENT_LOSS_FACTOR *
+	       rj_cell_reclaim_group_cost_milli(plan, group, count);
 }
 
-/* Whether all of some tasks weigh workers alike. */
-static bool are_plain(const struct rj_cell_plan *plan,
-		      struct rj_cell_task **tasks, uint32_t count)
+/* Whether the choice of a worker is the same for all of some tasks. */
+static bool are_uniform(const struct rj_cell_plan *plan,
+			struct rj_cell_task **tasks, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++)
 		if (!rj_cell_place_is_uniform(plan, tasks[i]))
@@ -219,254 +231,262 @@
 	return true;
 }
 
-/* Try to place a group without stopping others, unless others have shown that
- * there is no room. */
-static bool attempt_free(struct rj_cell_plan *plan,
-			 const struct rj_cell_task_group *unit,
-			 struct rj_cell_task **tasks, uint32_t count,
-			 enum rj_cell_horizon when)
+/* Places a group without preemption, unless a shortage already shows that there
+ * is no capacity. */
+static bool place_without_preemption(struct rj_cell_plan *plan,
+				     const struct rj_cell_task_group *group,
+				     struct rj_cell_task **tasks,
+				     uint32_t count,
+				     enum rj_cell_horizon horizon)
 {
-	const struct rj_cell_placement_options way = { .when = when };
+	const struct rj_cell_placement_options options = { .horizon = horizon };
 
-	if (rj_cell_shortage_is_known(plan, unit, count, when))
+	if (rj_cell_shortage_is_known(plan, group, count, horizon))
 		return false;
-	if (attempt(plan, unit, tasks, count, &way))
+	if (place_and_commit(plan, group, tasks, count, &options))
 		return true;
-	if (are_plain(plan, tasks, count))
-		rj_cell_shortage_record(plan, unit, count, when);
+	if (are_uniform(plan, tasks, count))
+		rj_cell_shortage_record(plan, group, count, horizon);
 	return false;
 }
 
 /*
- * Try to place a group where others are stopped, at a loss of at most
- * `max_loss_milli`.
+ * Places a group with preemption, at a loss of at most `max_loss_milli`.
  *
- * Load that it answers: hundreds of urgent groups that wait on a full site.
- * Each search weighs the runs of all workers, and a plan that takes a second
- * has the owner taken for dead.
+ * Guards against long plans with hundreds of urgent groups that wait on a full
+ * site: each search evaluates the runs of all workers, and during a plan that
+ * takes a second the owner is taken for failed.
  */
-static bool attempt_stop(struct rj_cell_plan *plan,
-			 const struct rj_cell_task_group *unit,
-			 struct rj_cell_task **tasks, uint32_t count,
-			 uint64_t max_loss_milli)
+static bool place_with_preemption(struct rj_cell_plan *plan,
+				  const struct rj_cell_task_group *group,
+				  struct rj_cell_task **tasks, uint32_t count,
+				  uint64_t max_loss_milli)
 {
-	const struct rj_cell_placement_options way = {
-		.when = RJ_CELL_HORIZON_STOPS,
+	const struct rj_cell_placement_options options = {
+		.horizon = RJ_CELL_HORIZON_STOPS,
 		.may_preempt = true,
 		.max_loss_milli = max_loss_milli
 	};
 
-	if (plan->futile >= FUTILE_MAX ||
+	if (plan->failed_searches >= FAILED_SEARCHES_MAX ||
 	    plan->now_us < tasks[0]->preemption_due_us)
 		return false;
-	if (attempt(plan, unit, tasks, count, &way))
+	if (place_and_commit(plan, group, tasks, count, &options))
 		return true;
-	plan->futile++;
-	tasks[0]->preemption_due_us = plan->now_us + FUTILE_PAUSE_US;
+	plan->failed_searches++;
+	tasks[0]->preemption_due_us = plan->now_us + SEARCH_RETRY_US;
 	return false;
 }
 
-/* Promise a group what comes free first, if few others have a promise. */
-static void promise(struct rj_cell_plan *plan,
-		    const struct rj_cell_task_group *unit,
-		    struct rj_cell_task **tasks, uint32_t count,
-		    uint32_t *promises, uint32_t promises_max)
+/* Promises a group the capacity that comes free first, unless promises_max
+ * groups have a promise. */
+static void promise_capacity(struct rj_cell_plan *plan,
+			     const struct rj_cell_task_group *group,
+			     struct rj_cell_task **tasks, uint32_t count,
+			     uint32_t *promise_count, uint32_t promises_max)
 {
 	const struct rj_cell_placement_options later = {
-		.when = RJ_CELL_HORIZON_COMPLETIONS
+		.horizon = RJ_CELL_HORIZON_COMPLETIONS
 	};
 
-	if (*promises < promises_max &&
-	    attempt(plan, unit, tasks, count, &later))
-		(*promises)++;
+	if (*promise_count < promises_max &&
+	    place_and_commit(plan, group, tasks, count, &later))
+		(*promise_count)++;
 }
 
 /*
- * Find room for urgent tasks that do not fit now: what is stopping already,
- * what has to be stopped; else what ends first.
+ * Finds capacity for urgent tasks that can't start now: from runs that are
+ * being stopped, by preemption, or else from the earliest completions.
  */
-static void find_urgent(struct rj_cell_plan *plan,
-			const struct rj_cell_task_group *unit,
-			struct rj_cell_task **tasks, uint32_t count)
+static void find_capacity_urgent(struct rj_cell_plan *plan,
+				 const struct rj_cell_task_group *group,
+				 struct rj_cell_task **tasks, uint32_t count)
 {
-	if (attempt_free(plan, unit, tasks, count, RJ_CELL_HORIZON_STOPS) ||
-	    attempt_stop(plan, unit, tasks, count,
-			 loss_allowed(plan, unit, count)))
+	if (place_without_preemption(plan, group, tasks, count,
+				     RJ_CELL_HORIZON_STOPS) ||
+	    place_with_preemption(plan, group, tasks, count,
+				  loss_allowed(plan, group, count)))
 		return;
-	promise(plan, unit, tasks, count, &plan->urgent_promise_count,
-		URGENT_PROMISES_MAX);
+	promise_capacity(plan, group, tasks, count, &plan->urgent_promise_count,
+			 URGENT_PROMISES_MAX);
 }
 
-/* Find room for other tasks that do not fit now: once they have waited for a
- * while, what is stopping already or can be stopped at little loss; for gangs
- * what ends first. */
-static void find_other(struct rj_cell_plan *plan,
-		       const struct rj_cell_task_group *unit,
-		       struct rj_cell_task **tasks, uint32_t count)
+/* Finds capacity for other tasks that can't start now. Once they have waited:
+ * from runs that are being stopped, or by preemption at a small loss. For gangs
+ * also from the earliest completions. */
+static void find_capacity_other(struct rj_cell_plan *plan,
+				const struct rj_cell_task_group *group,
+				struct rj_cell_task **tasks, uint32_t count)
 {
-	uint64_t cheap_milli =
-		rj_cell_reclaim_group_cost_milli(plan, unit, count) /
-		CHEAP_LOSS_PART;
-
-	if (plan->now_us - unit->waiting_us >= CHEAP_WAIT_US &&
-	    (attempt_free(plan, unit, tasks, count, RJ_CELL_HORIZON_STOPS) ||
-	     attempt_stop(plan, unit, tasks, count, cheap_milli)))
+	uint64_t max_loss_milli =
+		rj_cell_reclaim_group_cost_milli(plan, group, count) /
+		PREEMPTION_LOSS_DIVISOR;
+
+	if (plan->now_us - group->waiting_since_us >= PREEMPTION_WAIT_US &&
+	    (place_without_preemption(plan, group, tasks, count,
+				      RJ_CELL_HORIZON_STOPS) ||
+	     place_with_preemption(plan, group, tasks, count, max_loss_milli)))
 		return;
 	if (rj_cell_task_step(tasks[0])->gang)
-		promise(plan, unit, tasks, count, &plan->promises,
-			PROMISES_MAX);
+		promise_capacity(plan, group, tasks, count,
+				 &plan->promise_count, GANG_PROMISES_MAX);
 }
 
 /*
- * Place a group of tasks now; or find room for it that comes free. Returns
- * whether it starts now.
+ * Starts a group of tasks now, or finds capacity for it that comes free later.
+ * Returns whether it starts now.
  */
 static bool place_tasks(struct rj_cell_plan *plan,
-			const struct rj_cell_task_group *unit,
+			const struct rj_cell_task_group *group,
 			struct rj_cell_task **tasks, uint32_t count)
 {
-	if (attempt_free(plan, unit, tasks, count, RJ_CELL_HORIZON_NOW))
+	if (place_without_preemption(plan, group, tasks, count,
+				     RJ_CELL_HORIZON_NOW))
 		return true;
-	if (unit->job->job_spec->priority)
-		find_other(plan, unit, tasks, count);
+	if (group->job->job_spec->priority)
+		find_capacity_other(plan, group, tasks, count);
 	else
-		find_urgent(plan, unit, tasks, count);
+		find_capacity_urgent(plan, group, tasks, count);
 	return false;
 }
 
-/* How many of the first tasks weigh workers alike, so that they can be placed
- * together though each starts by itself. */
-static uint32_t count_plain(const struct rj_cell_plan *plan,
-			    const struct rj_cell_task_group *unit,
-			    struct rj_cell_task **tasks, uint32_t count)
+/* Returns how many of the first tasks are uniform, so that they can be placed
+ * in one pass though each starts by itself. 0 for urgent tasks. */
+static uint32_t count_uniform(const struct rj_cell_plan *plan,
+			      const struct rj_cell_task_group *group,
+			      struct rj_cell_task **tasks, uint32_t count)
 {
-	uint32_t plain = 0;
+	uint32_t uniform = 0;
 
-	if (!unit->job->job_spec->priority)
+	if (!group->job->job_spec->priority)
 		return 0;
-	while (plain < count && are_plain(plan, &tasks[plain], 1))
-		plain++;
-	return plain;
+	while (uniform < count && are_uniform(plan, &tasks[uniform], 1))
+		uniform++;
+	return uniform;
 }
 
 /*
- * Start those of the first tasks of a unit that find a place now. Returns how
- * many.
+ * Starts those of the first, uniform tasks of a group that can be placed now.
+ * Returns how many.
  *
- * Load that it answers: wide jobs of small tasks; each task by itself would
- * weigh all workers.
+ * Guards against long plans with wide jobs of small tasks: placed one by one,
+ * each would evaluate all workers.
  */
-static uint32_t start_plain(struct rj_cell_plan *plan,
-			    const struct rj_cell_task_group *unit,
-			    struct rj_cell_task **tasks, uint32_t count)
+static uint32_t start_uniform(struct rj_cell_plan *plan,
+			      const struct rj_cell_task_group *group,
+			      struct rj_cell_task **tasks, uint32_t count)
 {
 	const struct rj_cell_placement_options now = {
-		.when = RJ_CELL_HORIZON_NOW
+		.horizon = RJ_CELL_HORIZON_NOW
 	};
-	uint32_t plain = count_plain(plan, unit, tasks, count);
-	struct rj_cell_placement trial;
+	uint32_t uniform = count_uniform(plan, group, tasks, count);
+	struct rj_cell_placement placement;
 	uint32_t placed;
 
-	if (!plain)
+	if (!uniform)
 		return 0;
-	rj_cell_placement_init(&trial, plan);
-	placed = rj_cell_place_uniform(plan, &trial, unit, tasks, plain, &now);
+	rj_cell_placement_init(&placement, plan);
+	placed = rj_cell_place_uniform(plan, &placement, group, tasks, uniform,
+				       &now);
 	for (uint32_t i = 0; i < placed; i++)
-		add_start(plan, tasks[i], trial.workers->pdata[i]);
-	rj_cell_placement_commit(&trial);
-	rj_cell_placement_finish(&trial);
+		add_start(plan, tasks[i], placement.workers->pdata[i]);
+	rj_cell_placement_commit(&placement);
+	rj_cell_placement_finish(&placement);
 	return placed;
 }
 
-/* The tasks of a step that wait and that this plan has not started. Returns
+/* Collects the waiting tasks of a step that this plan has not started. Returns
  * how many. */
 static uint32_t collect_waiting(const struct rj_cell_plan *plan,
-				const struct rj_cell_task_group *unit,
+				const struct rj_cell_task_group *group,
 				struct rj_cell_task **tasks)
 {
-	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
-	uint32_t first = rj_cell_job_spec_first_task(job_spec, unit->step);
+	const struct rj_cell_job_spec *spec = group->job->job_spec;
+	uint32_t first = rj_cell_job_spec_first_task(spec, group->step);
 	uint32_t count = 0;
 
 	for (uint32_t i = first;
-	     i < first + job_spec->steps[unit->step].task_count; i++)
-		if (rj_cell_plan_task_waits(plan, &unit->occurrence->tasks[i]))
-			tasks[count++] = &unit->occurrence->tasks[i];
+	     i < first + spec->steps[group->step].task_count; i++)
+		if (rj_cell_plan_task_waits(plan, &group->occurrence->tasks[i]))
+			tasks[count++] = &group->occurrence->tasks[i];
 	return count;
 }
 
-/* Place a gang as a whole. */
+/* Places a gang, all of its tasks or none. */
 static void place_gang(struct rj_cell_plan *plan,
-		       struct rj_cell_task_group *unit,
+		       struct rj_cell_task_group *group,
 		       struct rj_cell_task **tasks, uint32_t count)
 {
-	if (place_tasks(plan, unit, tasks, count))
-		unit->started = count;
+	if (place_tasks(plan, group, tasks, count))
+		group->started_tasks = count;
 	else
-		plan->waiting += count;
+		plan->waiting_tasks += count;
 }
 
-/* Place tasks singly, until one that stands for the others finds no room. */
+/* Places tasks one by one, until one that is representative of the others finds
+ * no capacity. */
 static void place_singly(struct rj_cell_plan *plan,
-			 struct rj_cell_task_group *unit,
+			 struct rj_cell_task_group *group,
 			 struct rj_cell_task **tasks, uint32_t count)
 {
-	uint32_t placed = start_plain(plan, unit, tasks, count);
+	uint32_t placed = start_uniform(plan, group, tasks, count);
 
-	unit->started += placed;
+	group->started_tasks += placed;
 	for (uint32_t i = placed; i < count; i++) {
-		if (place_tasks(plan, unit, &tasks[i], 1)) {
-			unit->started++;
+		if (place_tasks(plan, group, &tasks[i], 1)) {
+			group->started_tasks++;
 			continue;
 		}
-		/* That it is choosy says nothing of the others. */
+		/* Only this task is restricted to healthy workers. */
 		if (rj_cell_place_needs_healthy(plan, tasks[i])) {
-			plan->waiting++;
+			plan->waiting_tasks++;
 			continue;
 		}
-		plan->waiting += count - i;
-		if (unit->job->job_spec->priority)
+		plan->waiting_tasks += count - i;
+		if (group->job->job_spec->priority)
 			break;
 	}
 }
 
-/* Place the waiting tasks of a step. */
-static void place_unit(struct rj_cell_plan *plan,
-		       struct rj_cell_task_group *unit)
+/* Places the waiting tasks of a step. */
+static void place_task_group(struct rj_cell_plan *plan,
+			     struct rj_cell_task_group *group)
 {
-	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
-	const struct rj_cell_step *step = &job_spec->steps[unit->step];
+	const struct rj_cell_job_spec *spec = group->job->job_spec;
+	const struct rj_cell_step *step = &spec->steps[group->step];
 	struct rj_cell_task **tasks;
 	uint32_t count;
 
-	rj_cell_task_group_set_reserved(plan, unit);
-	if (job_spec->priority &&
-	    rj_cell_shortage_is_known(plan, unit, 1, RJ_CELL_HORIZON_NOW)) {
-		plan->waiting += unit->waiting - unit->started;
+	rj_cell_task_group_set_reserved(plan, group);
+	if (spec->priority &&
+	    rj_cell_shortage_is_known(plan, group, 1, RJ_CELL_HORIZON_NOW)) {
+		plan->waiting_tasks +=
+			group->waiting_tasks - group->started_tasks;
 		return;
 	}
-	rj_cell_place_count_step_runs(plan, unit);
+	rj_cell_place_count_step_runs(plan, group);
 	tasks = talloc_array(NULL, struct rj_cell_task *, step->task_count);
-	count = collect_waiting(plan, unit, tasks);
+	count = collect_waiting(plan, group, tasks);
 	if (step->gang && count)
-		place_gang(plan, unit, tasks, count);
+		place_gang(plan, group, tasks, count);
 	else
-		place_singly(plan, unit, tasks, count);
+		place_singly(plan, group, tasks, count);
 	talloc_free(tasks);
 }
 
-/* Start those of some tasks that find a place now. Returns how many. */
-static uint32_t start_free(struct rj_cell_plan *plan,
-			   const struct rj_cell_task_group *unit,
-			   struct rj_cell_task **tasks, uint32_t count)
+/* Starts those of some tasks that can be placed now. Returns how many. */
+static uint32_t start_fitting(struct rj_cell_plan *plan,
+			      const struct rj_cell_task_group *group,
+			      struct rj_cell_task **tasks, uint32_t count)
 {
-	uint32_t first = start_plain(plan, unit, tasks, count);
+	uint32_t first = start_uniform(plan, group, tasks, count);
 	uint32_t started = first;
 
 	for (uint32_t i = first; i < count; i++) {
-		if (attempt_free(plan, unit, &tasks[i], 1, RJ_CELL_HORIZON_NOW))
+		if (place_without_preemption(plan, group, &tasks[i], 1,
+					     RJ_CELL_HORIZON_NOW))
 			started++;
-		/* That it is choosy says nothing of the others. */
+		/* Only this task is restricted to healthy workers. */
 		else if (!rj_cell_place_needs_healthy(plan, tasks[i]))
 			break;
 	}
@@ -474,58 +494,62 @@
 }
 
 /*
- * Start what the share of its priority has room for of an overdue step. A gang
- * may exceed it, as it starts whole or not at all. Returns whether anything
- * starts.
+ * Starts tasks of an overdue step up to the share of its priority. A gang may
+ * exceed it, as it starts whole or not at all. Returns whether anything starts.
  */
-static bool place_in_share(struct rj_cell_plan *plan,
-			   struct rj_cell_task_group *unit, uint32_t tasks_max)
+static bool place_within_share(struct rj_cell_plan *plan,
+			       struct rj_cell_task_group *group,
+			       uint32_t tasks_max)
 {
 	const struct rj_cell_step *step =
-		&unit->job->job_spec->steps[unit->step];
+		&group->job->job_spec->steps[group->step];
 	struct rj_cell_task **tasks;
 	uint32_t count;
 
-	rj_cell_place_count_step_runs(plan, unit);
+	rj_cell_place_count_step_runs(plan, group);
 	tasks = talloc_array(NULL, struct rj_cell_task *, step->task_count);
-	count = collect_waiting(plan, unit, tasks);
+	count = collect_waiting(plan, group, tasks);
 	if (!step->gang)
-		unit->started =
-			start_free(plan, unit, tasks, MIN(count, tasks_max));
-	else if (attempt_free(plan, unit, tasks, count, RJ_CELL_HORIZON_NOW))
-		unit->started = count;
+		group->started_tasks = start_fitting(plan, group, tasks,
+						     MIN(count, tasks_max));
+	else if (place_without_preemption(plan, group, tasks, count,
+					  RJ_CELL_HORIZON_NOW))
+		group->started_tasks = count;
 	talloc_free(tasks);
-	return unit->started;
+	return group->started_tasks;
 }
 
 /*
- * Start overdue work of priorities that hold less than their share.
+ * Starts overdue tasks of priorities that are below their share.
  *
- * Load that it answers: work that goes first and never ends, and holds or is
- * promised all that comes free; the work behind it would starve.
+ * Guards against starvation by a steady stream of tasks that go first and use,
+ * or are promised, all capacity that comes free.
  */
-static void place_shares(struct rj_cell_plan *plan, guint from)
+static void place_overdue(struct rj_cell_plan *plan, guint from)
 {
-	uint32_t futile = 0;
+	uint32_t failed_searches = 0;
 
-	for (guint i = from; i < plan->units->len && futile < FUTILE_MAX; i++) {
-		struct rj_cell_task_group *unit = &g_array_index(
-			plan->units, struct rj_cell_task_group, i);
+	for (guint i = from; i < plan->task_groups->len &&
+			     failed_searches < FAILED_SEARCHES_MAX;
+	     i++) {
+		struct rj_cell_task_group *group = &g_array_index(
+			plan->task_groups, struct rj_cell_task_group, i);
 		uint32_t tasks_max = rj_cell_share_free_tasks(
-			plan, &unit->job->job_spec->steps[unit->step],
-			unit->job);
+			plan, &group->job->job_spec->steps[group->step],
+			group->job);
 
-		rj_cell_task_group_set_reserved(plan, unit);
-		if (unit->overdue && tasks_max &&
-		    !rj_cell_shortage_is_known(plan, unit, 1,
+		rj_cell_task_group_set_reserved(plan, group);
+		if (group->overdue && tasks_max &&
+		    !rj_cell_shortage_is_known(plan, group, 1,
 					       RJ_CELL_HORIZON_NOW) &&
-		    !place_in_share(plan, unit, tasks_max))
-			futile++;
+		    !place_within_share(plan, group, tasks_max))
+			failed_searches++;
 	}
 }
 
-/* The plan has been made: its starts are told from what waits by their runs. */
-static void forget_planned(struct rj_cell_plan *plan)
+/* Clears the marks of planned starts: from here on tasks with a start are told
+ * from waiting ones by their runs. */
+static void clear_planned(struct rj_cell_plan *plan)
 {
 	for (guint i = 0; i < plan->starts->len; i++)
 		g_array_index(plan->starts, struct rj_cell_planned_start, i)
@@ -533,26 +557,26 @@
 }
 
 /*
- * Decide what starts now, and what is stopped to make room.
+ * Computes the plan's starts and stops from its inputs; call it once.
  */
 void rj_cell_plan_make(struct rj_cell_plan *plan)
 {
-	bool shared = false;
+	bool overdue_placed = false;
 
 	rj_cell_task_groups_gather(plan);
-	/* Most plans follow an end that nobody waited for. */
-	if (!plan->units->len)
+	/* Most plans follow a completion while no task waits. */
+	if (!plan->task_groups->len)
 		return;
 	rj_cell_plan_gather_workers(plan);
-	for (guint i = 0; i < plan->units->len; i++) {
-		struct rj_cell_task_group *unit = &g_array_index(
-			plan->units, struct rj_cell_task_group, i);
+	for (guint i = 0; i < plan->task_groups->len; i++) {
+		struct rj_cell_task_group *group = &g_array_index(
+			plan->task_groups, struct rj_cell_task_group, i);
 
-		if (unit->job->job_spec->priority && !shared) {
-			place_shares(plan, i);
-			shared = true;
+		if (group->job->job_spec->priority && !overdue_placed) {
+			place_overdue(plan, i);
+			overdue_placed = true;
 		}
-		place_unit(plan, unit);
+		place_task_group(plan, group);
 	}
-	forget_planned(plan);
+	clear_planned(plan);
 }
--- a/src/libradishjunction/cell/cell_plan_workers.c
+++ b/src/libradishjunction/cell/cell_plan_workers.c
@@ -6,139 +6,141 @@
 #include "private/cell_release.h"
 
 /*
- * Urgent work comes in bursts and has no time to wait, so racks are reserved for
- * it: for this much more than it has used of late, and for one gang more. A
- * gang of the users' median takes 12 accelerators.
+ * Urgent jobs come in bursts and can't wait, so racks are reserved for them:
+ * this many times their recent use, plus one gang. A median gang takes 12
+ * accelerators.
  */
 #define RESERVED_FACTOR 1.8
-#define RESERVED_EXTRA 16.0
+#define RESERVED_EXTRA_ACCELERATORS 16.0
 /*
- * Of what urgent work has used of late this part is closed to all others:
- * there it starts at once, where stopping others first takes some 0.4 s of
- * the 1.5 s that it can wait.
+ * This many times the recent use of urgent jobs is closed to all others. Urgent
+ * tasks start there at once, while preemption takes some 0.4 s of the 1.5 s
+ * that they can wait.
  */
 #define EXCLUSIVE_FACTOR 1.6
-/* Never more than this part of the racks; the rest serves all others. */
+/* Upper limit of the reserved racks; the rest serves all other jobs. */
 #define RESERVED_RACKS_PERCENT 67
 
-/* Gathering a room takes so many times as long as weighing it. */
-#define GATHER_EFFORT 4
+/* Cost of gathering a worker, relative to evaluating it. */
+#define GATHER_WORKER_EFFORT 4
 
-/* Add what some runs hold. */
-static void hold(struct rj_cell_allocation *allocated,
-		 const struct rj_cell_demand *demand)
+static void add_allocation(struct rj_cell_allocation *allocation,
+			   const struct rj_cell_demand *demand)
 {
-	allocated->cpu_milli += demand->cpu_milli;
-	allocated->memory_mb += demand->memory_mb;
-	allocated->accelerators += demand->accelerators;
+	allocation->cpu_milli += demand->cpu_milli;
+	allocation->memory_mb += demand->memory_mb;
+	allocation->accelerators += demand->accelerators;
 }
 
 /*
- * A task of a job is started.
+ * Counts the start of a task as allocated to its job's priority.
  */
 void rj_cell_plan_add_allocation(struct rj_cell_plan *plan,
 				 const struct rj_cell_job *job,
 				 const struct rj_cell_demand *demand)
 {
-	hold(&plan->allocated[rj_cell_job_priority_class(job)], demand);
+	add_allocation(&plan->allocated[rj_cell_job_priority_class(job)],
+		       demand);
 }
 
-/* What the priority of a run holds, or NULL: it is not on one of the plan's
- * rooms, or its job is not known. */
-static struct rj_cell_allocation *
-allocated_by_class(struct rj_cell_plan *plan, const struct rj_cell_run *run)
+/* Returns the allocation that a run counts towards, or NULL if it is not on one
+ * of the plan's workers or its job is unknown. */
+static struct rj_cell_allocation *allocation_of(struct rj_cell_plan *plan,
+						const struct rj_cell_run *run)
 {
-	if (!run->task || !run->worker->room)
+	if (!run->task || !run->worker->plan_worker)
 		return NULL;
 	return &plan->allocated[rj_cell_job_priority_class(
 		run->task->occurrence->job)];
 }
 
 /*
- * A run is not stopped after all, and counts as held again.
+ * Counts a run as allocated again that was a victim of a placement.
  */
 void rj_cell_plan_restore_run(struct rj_cell_plan *plan,
 			      const struct rj_cell_run *run)
 {
-	struct rj_cell_allocation *allocated = allocated_by_class(plan, run);
+	struct rj_cell_allocation *allocation = allocation_of(plan, run);
 
-	if (allocated)
-		hold(allocated, &run->allocated);
+	if (allocation)
+		add_allocation(allocation, &run->allocated);
 }
 
 /*
- * A run is stopped, and does not count as held any more.
+ * Counts a run that is being stopped, or is a victim, as not allocated.
  */
 void rj_cell_plan_release_run(struct rj_cell_plan *plan,
 			      const struct rj_cell_run *run)
 {
-	struct rj_cell_allocation *allocated = allocated_by_class(plan, run);
+	struct rj_cell_allocation *allocation = allocation_of(plan, run);
 
-	if (!allocated)
+	if (!allocation)
 		return;
-	allocated->cpu_milli -= run->allocated.cpu_milli;
-	allocated->memory_mb -= run->allocated.memory_mb;
-	allocated->accelerators -= run->allocated.accelerators;
+	allocation->cpu_milli -= run->allocated.cpu_milli;
+	allocation->memory_mb -= run->allocated.memory_mb;
+	allocation->accelerators -= run->allocated.accelerators;
 }
 
-/* What is left of a capacity. */
-static struct rj_cell_demand room_of(const struct rj_cell_worker *worker)
+/* Returns the free capacity of a worker. */
+static struct rj_cell_demand unallocated(const struct rj_cell_worker *worker)
 {
-	struct rj_cell_demand left = worker->heartbeat.capacity;
+	struct rj_cell_demand available = worker->heartbeat.capacity;
 
-	rj_cell_demand_subtract(&left, &worker->allocated);
-	return left;
+	rj_cell_demand_subtract(&available, &worker->allocated);
+	return available;
 }
 
-/* Room that comes free when what is stopping has gone. */
-static void add_stopping(struct rj_cell_plan *plan,
-			 struct rj_cell_plan_worker *room)
+/* Adds the capacity that comes free when the runs being stopped have ended. */
+static void add_stopping_runs(struct rj_cell_plan *plan,
+			      struct rj_cell_plan_worker *plan_worker)
 {
 	const struct rj_list *at;
 
-	for (at = room->worker->runs.next; at != &room->worker->runs;
-	     at = at->next) {
+	for (at = plan_worker->worker->runs.next;
+	     at != &plan_worker->worker->runs; at = at->next) {
 		const struct rj_cell_run *run =
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
 
 		if (run->state != RJ_CELL_RUN_STOPPING)
 			continue;
-		rj_cell_demand_add(&room->soon, &run->allocated);
+		rj_cell_demand_add(&plan_worker->free_after_stops,
+				   &run->allocated);
 		rj_cell_plan_release_run(plan, run);
 	}
 }
 
 /*
- * Add what is in use.
+ * Adds allocated resources to the usage.
  */
 void rj_cell_usage_add(struct rj_cell_usage *usage,
-		       const struct rj_cell_demand *used)
+		       const struct rj_cell_demand *allocated)
 {
-	usage->cpu.used += used->cpu_milli;
-	usage->memory.used += used->memory_mb;
-	usage->accelerators.used += used->accelerators;
+	usage->cpu.used += allocated->cpu_milli;
+	usage->memory.used += allocated->memory_mb;
+	usage->accelerators.used += allocated->accelerators;
 }
 
-/* Add what one worker has. */
-static void add_worker(struct rj_cell_usage *usage,
-		       const struct rj_cell_worker *worker)
+/* Adds the capacity and the allocation of one worker. */
+static void add_usage(struct rj_cell_usage *usage,
+		      const struct rj_cell_worker *worker)
 {
-	const struct rj_cell_demand *all = &worker->heartbeat.capacity;
+	const struct rj_cell_demand *capacity = &worker->heartbeat.capacity;
 
 	rj_cell_usage_add(usage, &worker->allocated);
-	usage->cpu.all += all->cpu_milli;
-	usage->memory.all += all->memory_mb;
-	usage->accelerators.all += all->accelerators;
+	usage->cpu.total += capacity->cpu_milli;
+	usage->memory.total += capacity->memory_mb;
+	usage->accelerators.total += capacity->accelerators;
 }
 
-/* How much of one kind of room is in use. */
-static uint32_t percent(const struct rj_cell_utilization *share)
+static uint32_t percent(const struct rj_cell_utilization *utilization)
 {
-	return share->all ? (uint32_t)(share->used * 100 / share->all) : 0;
+	return utilization->total ? (uint32_t)(utilization->used * 100 /
+					       utilization->total) :
+				    0;
 }
 
 /*
- * How much of what counts most is in use, in percent.
+ * Returns the usage of the scarcest resource, in percent.
  */
 uint32_t rj_cell_usage_percent(const struct rj_cell_usage *usage)
 {
@@ -146,36 +148,37 @@
 		   MAX(percent(&usage->memory), percent(&usage->accelerators)));
 }
 
-/* Reserve one rack; returns its accelerators. */
+/* Reserves one rack; returns its accelerators. */
 static double reserve_rack(struct rj_cell_plan *plan,
 			   const struct rj_cell_plan_rack *rack, bool exclusive)
 {
 	double accelerators = 0;
 
 	for (uint32_t i = rack->first; i < rack->first + rack->count; i++) {
-		struct rj_cell_plan_worker *room = &plan->rooms[i];
+		struct rj_cell_plan_worker *plan_worker = &plan->workers[i];
 
-		room->reserved = true;
-		room->exclusive = exclusive;
-		accelerators += room->worker->heartbeat.capacity.accelerators;
+		plan_worker->reserved = true;
+		plan_worker->exclusive = exclusive;
+		accelerators +=
+			plan_worker->worker->heartbeat.capacity.accelerators;
 	}
 	return accelerators;
 }
 
 /*
- * Reserve racks for urgent work.
+ * Reserves racks for urgent jobs.
  *
- * Load that it answers: bursts of urgent gangs, of which half must be in one
- * rack, over a site that longer work has filled. Without it each of them
- * stopped work that does not save its progress. Whole racks are reserved, as
- * room that is spread over all racks holds no gang. While other work misses its
- * objective, no more is reserved than urgent work uses, and one gang more.
+ * Guards against preemption by each burst of urgent gangs, of which half must
+ * be in one rack, on a site filled with longer jobs: runs without checkpoints
+ * would lose their work. Whole racks are reserved, as capacity spread over all
+ * racks holds no such gang. While other jobs miss their objectives, no more is
+ * reserved than urgent jobs use, plus one gang.
  */
 static void reserve_racks(struct rj_cell_plan *plan)
 {
 	double urgent = rj_cell_forecast_urgent_accelerators(plan->forecast,
 							     plan->now_us);
-	double need = RESERVED_FACTOR * urgent + RESERVED_EXTRA;
+	double need = RESERVED_FACTOR * urgent + RESERVED_EXTRA_ACCELERATORS;
 	double exclusive = EXCLUSIVE_FACTOR * urgent;
 	guint count = plan->racks->len * RESERVED_RACKS_PERCENT / 100;
 
@@ -183,7 +186,7 @@
 		return;
 	if (plan->misses_objective) {
 		need = MIN(need, (double)plan->allocated[0].accelerators +
-					 RESERVED_EXTRA);
+					 RESERVED_EXTRA_ACCELERATORS);
 		exclusive =
 			MIN(exclusive, (double)plan->allocated[0].accelerators);
 	}
@@ -199,112 +202,121 @@
 	}
 }
 
-/* Racks of different failure domains take turns. */
-static gint by_rank(gconstpointer a, gconstpointer b)
+/* Orders racks by their index within their failure domains. */
+static gint by_domain_rank(gconstpointer a, gconstpointer b)
 {
 	const struct rj_cell_plan_rack *left = a;
 	const struct rj_cell_plan_rack *right = b;
 
-	if (left->rank != right->rank)
-		return left->rank < right->rank ? -1 : 1;
+	if (left->domain_rank != right->domain_rank)
+		return left->domain_rank < right->domain_rank ? -1 : 1;
 	return left->first < right->first ? -1 : 1;
 }
 
 /*
- * Put the racks in an order in which failure domains take turns.
+ * Orders the racks so that failure domains alternate.
  *
- * Load that it answers: the loss of a failure domain. What is reserved for
- * urgent work is at the front of that order.
+ * Guards against the loss of a failure domain that has all racks reserved for
+ * urgent jobs: those are taken from the front of the order.
  */
-static void order_racks(struct rj_cell_plan *plan)
+static void interleave_domains(struct rj_cell_plan *plan)
 {
-	g_array_sort(plan->racks, by_rank);
+	g_array_sort(plan->racks, by_domain_rank);
 }
 
-/* Raise one bound by a room's share of it. */
-static void raise_bound(struct rj_cell_demand *most,
-			const struct rj_cell_demand *have)
+/* Raises upper bounds to at least what is available on one worker. */
+static void raise_bound(struct rj_cell_demand *maximum,
+			const struct rj_cell_demand *available)
 {
-	most->cpu_milli = MAX(most->cpu_milli, have->cpu_milli);
-	most->memory_mb = MAX(most->memory_mb, have->memory_mb);
-	most->accelerators = MAX(most->accelerators, have->accelerators);
+	maximum->cpu_milli = MAX(maximum->cpu_milli, available->cpu_milli);
+	maximum->memory_mb = MAX(maximum->memory_mb, available->memory_mb);
+	maximum->accelerators =
+		MAX(maximum->accelerators, available->accelerators);
 }
 
-/* Add the rooms of one rack, with bounds on what is free there. */
-static void add_range(struct rj_cell_plan *plan,
-		      const struct rj_cell_plan_rack *rack)
+/* Adds the workers of one rack as a range, with bounds of their free
+ * capacity. */
+static void add_worker_range(struct rj_cell_plan *plan,
+			     const struct rj_cell_plan_rack *rack)
 {
-	struct rj_cell_worker_range range = { .domain = rack->mixed ?
+	struct rj_cell_worker_range range = { .domain = rack->mixed_domains ?
 								NULL :
 								rack->domain,
 					      .first = rack->first,
 					      .count = rack->count };
 
 	for (uint32_t i = rack->first; i < rack->first + rack->count; i++) {
-		struct rj_cell_plan_worker *room = &plan->rooms[i];
-
-		room->rack = plan->ranges->len;
-		raise_bound(&range.now.most, &room->now);
-		raise_bound(&range.soon.most, &room->soon);
-		range.now.accelerators += room->now.accelerators;
-		range.soon.accelerators += room->soon.accelerators;
+		struct rj_cell_plan_worker *plan_worker = &plan->workers[i];
+
+		plan_worker->range = plan->ranges->len;
+		raise_bound(&range.free_now.max_per_worker,
+			    &plan_worker->free_now);
+		raise_bound(&range.free_after_stops.max_per_worker,
+			    &plan_worker->free_after_stops);
+		range.free_now.accelerators +=
+			plan_worker->free_now.accelerators;
+		range.free_after_stops.accelerators +=
+			plan_worker->free_after_stops.accelerators;
 	}
 	g_array_append_val(plan->ranges, range);
 }
 
 /*
- * A trial has freed something of a room that comes free soon: the bounds of
- * its rack must not be too low.
+ * Raises the bounds of a worker's rack after a placement has freed capacity of
+ * the worker: they must not be too low.
  */
 void rj_cell_plan_raise_bounds(struct rj_cell_plan *plan,
-			       const struct rj_cell_plan_worker *room)
+			       const struct rj_cell_plan_worker *plan_worker)
 {
 	struct rj_cell_worker_range *range = &g_array_index(
-		plan->ranges, struct rj_cell_worker_range, room->rack);
+		plan->ranges, struct rj_cell_worker_range, plan_worker->range);
 
-	raise_bound(&range->soon.most, &room->soon);
-	range->soon.accelerators +=
-		room->worker->heartbeat.capacity.accelerators;
+	raise_bound(&range->free_after_stops.max_per_worker,
+		    &plan_worker->free_after_stops);
+	range->free_after_stops.accelerators +=
+		plan_worker->worker->heartbeat.capacity.accelerators;
 }
 
-/* Add the room of one worker, if it may get work. */
-static void add_room(struct rj_cell_plan *plan, struct rj_cell_worker *worker)
+/* Adds a worker to the plan, if it is usable. */
+static void add_plan_worker(struct rj_cell_plan *plan,
+			    struct rj_cell_worker *worker)
 {
-	struct rj_cell_plan_worker *room = &plan->rooms[plan->room_count];
+	struct rj_cell_plan_worker *plan_worker =
+		&plan->workers[plan->worker_count];
 
-	worker->room = NULL;
+	worker->plan_worker = NULL;
 	if (!rj_cell_worker_usable(worker, plan->now_us))
 		return;
-	worker->room = room;
-	room->worker = worker;
-	room->now = room_of(worker);
-	room->latency_runs = worker->latency_runs;
-	room->other_runs = worker->other_runs;
-	room->soon = room->now;
+	worker->plan_worker = plan_worker;
+	plan_worker->worker = worker;
+	plan_worker->free_now = unallocated(worker);
+	plan_worker->serving_runs = worker->latency_runs;
+	plan_worker->other_runs = worker->other_runs;
+	plan_worker->free_after_stops = plan_worker->free_now;
 	if (worker->domain)
 		worker->domain->urgent +=
 			worker->allocated_by_class[0].accelerators;
-	add_worker(&plan->usage, worker);
+	add_usage(&plan->usage, worker);
 	for (uint32_t i = 0; i < RJ_CELL_PRIORITY_CLASSES; i++)
-		hold(&plan->allocated[i], &worker->allocated_by_class[i]);
-	add_stopping(plan, room);
-	plan->room_count++;
+		add_allocation(&plan->allocated[i],
+			       &worker->allocated_by_class[i]);
+	add_stopping_runs(plan, plan_worker);
+	plan->worker_count++;
 }
 
 /*
- * Gather the rooms of all workers that may get work, rack by rack in an order
- * that does not change.
+ * Gathers all usable workers, rack by rack in a constant order.
  */
 void rj_cell_plan_gather_workers(struct rj_cell_plan *plan)
 {
 	const GPtrArray *racks = plan->fleet->racks;
 	struct rj_cell_domain *domain;
 
-	plan->rooms = talloc_zero_array(NULL, struct rj_cell_plan_worker,
-					plan->fleet->count);
-	assert(plan->rooms || !plan->fleet->count);
-	plan->releases = talloc_zero_array(plan->rooms, struct rj_cell_releases,
-					   plan->fleet->count);
+	plan->workers = talloc_zero_array(NULL, struct rj_cell_plan_worker,
+					  plan->fleet->count);
+	assert(plan->workers || !plan->fleet->count);
+	plan->releases = talloc_zero_array(
+		plan->workers, struct rj_cell_releases, plan->fleet->count);
 	assert(plan->releases || !plan->fleet->count);
 	for (guint i = 0; i < plan->fleet->domains->len; i++) {
 		domain = plan->fleet->domains->pdata[i];
@@ -313,29 +325,31 @@
 	}
 	for (guint i = 0; i < racks->len; i++) {
 		struct rj_cell_rack *rack = racks->pdata[i];
-		struct rj_cell_plan_rack rooms = { .name = rack->name,
-						   .first = plan->room_count };
+		struct rj_cell_plan_rack plan_rack = {
+			.name = rack->name, .first = plan->worker_count
+		};
 		struct rj_list *at;
 		struct rj_list *next;
 
 		RJ_FOR_EACH (at, next, &rack->workers)
-			add_room(plan, RJ_CONTAINER(at, struct rj_cell_worker,
-						    in_rack));
-		rooms.count = plan->room_count - rooms.first;
-		if (!rooms.count)
+			add_plan_worker(plan,
+					RJ_CONTAINER(at, struct rj_cell_worker,
+						     in_rack));
+		plan_rack.count = plan->worker_count - plan_rack.first;
+		if (!plan_rack.count)
 			continue;
-		domain = plan->rooms[rooms.first].worker->domain;
-		rooms.domain = domain;
-		for (uint32_t j = 1; j < rooms.count; j++)
-			rooms.mixed |=
-				plan->rooms[rooms.first + j].worker->domain !=
-				domain;
-		rooms.rank = domain->racks++;
-		rooms.range = plan->ranges->len;
-		add_range(plan, &rooms);
-		g_array_append_val(plan->racks, rooms);
+		domain = plan->workers[plan_rack.first].worker->domain;
+		plan_rack.domain = domain;
+		for (uint32_t j = 1; j < plan_rack.count; j++)
+			plan_rack.mixed_domains |=
+				plan->workers[plan_rack.first + j]
+					.worker->domain != domain;
+		plan_rack.domain_rank = domain->racks++;
+		plan_rack.range = plan->ranges->len;
+		add_worker_range(plan, &plan_rack);
+		g_array_append_val(plan->racks, plan_rack);
 	}
-	plan->effort += (uint64_t)plan->room_count * GATHER_EFFORT;
-	order_racks(plan);
+	plan->effort += (uint64_t)plan->worker_count * GATHER_WORKER_EFFORT;
+	interleave_domains(plan);
 	reserve_racks(plan);
 }
--- a/src/libradishjunction/cell/cell_share.c
+++ b/src/libradishjunction/cell/cell_share.c
@@ -1,41 +1,45 @@
 #include "private/cell_share.h"
 
-/* Each priority may hold this part of each kind of room. */
-#define SHARE_PART 8
+/* The share of a priority is one part in this many of each resource. */
+#define SHARE_DIVISOR 8
 
-/* How many tasks that take `each` fit between what is held of one kind of room
- * and the share of it; the last one may exceed it. */
-static uint64_t tasks_left(uint64_t allocated, uint64_t all, uint64_t each)
+/* Returns how many tasks that take `each` of a resource fit into the rest of
+ * the share; the last one may exceed it. */
+static uint64_t tasks_below_share(uint64_t allocated, uint64_t total,
+				  uint64_t each)
 {
-	uint64_t share = all / SHARE_PART;
+	uint64_t share = total / SHARE_DIVISOR;
 
-	if (!all)
+	if (!total)
 		return UINT32_MAX;
 	if (allocated >= share)
 		return 0;
 	return each ? (share - allocated + each - 1) / each : UINT32_MAX;
 }
 
-/* The share of a priority holds that many more tasks of a demand. */
-static uint64_t tasks_of(const struct rj_cell_plan *plan,
-			 const struct rj_cell_demand *each,
-			 const struct rj_cell_job *job)
+/* Returns how many more tasks of a demand fit into the share of a priority,
+ * over all resources. */
+static uint64_t free_tasks(const struct rj_cell_plan *plan,
+			   const struct rj_cell_demand *each,
+			   const struct rj_cell_job *job)
 {
 	const struct rj_cell_allocation *allocated =
 		&plan->allocated[rj_cell_job_priority_class(job)];
 	const struct rj_cell_usage *usage = &plan->usage;
-	uint64_t tasks = tasks_left(allocated->cpu_milli, usage->cpu.all,
-				    each->cpu_milli);
+	uint64_t tasks = tasks_below_share(allocated->cpu_milli,
+					   usage->cpu.total, each->cpu_milli);
 
-	tasks = MIN(tasks, tasks_left(allocated->memory_mb, usage->memory.all,
+	tasks = MIN(tasks,
+		    tasks_below_share(allocated->memory_mb, usage->memory.total,
 				      each->memory_mb));
-	return MIN(tasks,
-		   tasks_left(allocated->accelerators, usage->accelerators.all,
-			      each->accelerators));
+	return MIN(tasks, tasks_below_share(allocated->accelerators,
+					    usage->accelerators.total,
+					    each->accelerators));
 }
 
 /*
- * How many more tasks of a step the share of its job's priority holds.
+ * Returns how many more tasks of a step fit into the share of its job's
+ * priority.
  */
 uint32_t rj_cell_share_free_tasks(const struct rj_cell_plan *plan,
 				  const struct rj_cell_step *step,
@@ -43,17 +47,17 @@
 {
 	struct rj_cell_demand each = rj_cell_step_allocation(step);
 
-	return (uint32_t)MIN(tasks_of(plan, &each, job), UINT32_MAX);
+	return (uint32_t)MIN(free_tasks(plan, &each, job), UINT32_MAX);
 }
 
 /*
- * Whether the work of a job's priority holds less than its share, so that other
- * work does not stop it unless that is urgent.
+ * Whether the priority of a job is below its share, so that only urgent jobs
+ * may preempt it.
  */
 bool rj_cell_share_protects(const struct rj_cell_plan *plan,
 			    const struct rj_cell_job *job)
 {
 	const struct rj_cell_demand none = { 0 };
 
-	return tasks_of(plan, &none, job) > 0;
+	return free_tasks(plan, &none, job) > 0;
 }
--- a/src/libradishjunction/cell/cell_task_groups.c
+++ b/src/libradishjunction/cell/cell_task_groups.c
@@ -3,41 +3,42 @@
 #include <string.h>
 
 /*
- * Data that is far away makes a task take three times as long, so it waits
- * for a worker near it for half of its own estimate, and no longer than
- * this: users expect idle capacity to be used within 3 s.
+ * A task runs three times as long away from its data. So it waits for a worker
+ * near its data for half of its estimate, and at most this long, as users
+ * expect idle capacity to be used within 3 s.
  */
-#define FAR_WAIT_MAX_MS 1500
+#define REMOTE_WAIT_MAX_MS 1500
 
 /*
- * What is reserved for urgent work is opened to others that have waited so long
- * when less than this is in use: users expect idle capacity to be used.
+ * Workers reserved for urgent jobs are opened to other tasks that have waited
+ * this long while usage is below this percentage: users expect idle capacity to
+ * be used.
  */
 #define RESERVED_WAIT_US (2 * RJ_US_PER_S)
-#define RESERVED_USED_PERCENT 55
-/* Work that is not urgent and has waited for this part of the time that its
- * objective leaves has a claim on the share of its priority. */
+#define RESERVED_USAGE_MAX_PERCENT 55
+/* A task that is not urgent and has waited for this part of the time that its
+ * objective allows is overdue: it may use the share of its priority. */
 #define OVERDUE_PERCENT 50
-/* Work that has not begun when this part of the time has passed in which it is
- * of any use does not make way for other work of its priority any more. */
-#define LAST_CHANCE_PERCENT 60
+/* A job that has not started by this part of the time in which it is of use
+ * goes ahead of other jobs of its priority. */
+#define LAST_START_PERCENT 60
 
-/* Work goes in this order, whatever its priority. */
+/* First order of task groups, ahead of priority. */
 enum tier {
-	TIER_GUARANTEED, /* its account has a right to the room at once */
-	TIER_USEFUL, /* it can still be of use to its caller */
-	TIER_HOPELESS, /* too late; it only has to end some day */
+	TIER_GUARANTEED, /* the account is guaranteed the capacity */
+	TIER_NORMAL, /* in time to be of use to its caller */
+	TIER_EXPIRED, /* too late; has to complete eventually */
 };
 
-/* Work of one priority that is not urgent goes in this order. */
-enum standing {
-	STANDING_FIRST, /* it has begun, or must begin to be of any use */
-	STANDING_IN_TIME, /* it can still meet its objective */
-	STANDING_LATE,
+/* Order of task groups that are not urgent, within a priority. */
+enum rank {
+	RANK_FIRST, /* has started, or is too late unless it starts soon */
+	RANK_ON_TIME, /* can meet its objective */
+	RANK_LATE,
 };
 
 /*
- * Whether a task waits for room.
+ * Whether a task waits for capacity.
  */
 bool rj_cell_plan_task_waits(const struct rj_cell_plan *plan,
 			     const struct rj_cell_task *task)
@@ -47,25 +48,26 @@
 	       plan->now_us >= task->not_before_us;
 }
 
-/* Note since when the waiting tasks of a step wait. Returns their number;
- * 0 for a gang of which a member still runs or may not start yet. */
+/* Counts the waiting tasks of a step and sets since when the first of them
+ * waits. Returns 0 for a gang while a member runs or may not start yet. */
 static uint32_t count_waiting(struct rj_cell_plan *plan,
 			      struct rj_cell_occurrence *occurrence,
 			      uint32_t step, uint64_t *since_us)
 {
-	const struct rj_cell_job_spec *job_spec = occurrence->job->job_spec;
-	uint32_t first = rj_cell_job_spec_first_task(job_spec, step);
+	const struct rj_cell_job_spec *spec = occurrence->job->job_spec;
+	uint32_t first = rj_cell_job_spec_first_task(spec, step);
 	uint32_t waiting = 0;
 
 	*since_us = plan->now_us;
-	for (uint32_t i = first; i < first + job_spec->steps[step].task_count;
+	for (uint32_t i = first; i < first + spec->steps[step].task_count;
 	     i++) {
 		struct rj_cell_task *task = &occurrence->tasks[i];
 
 		if (plan->now_us < task->not_before_us)
-			plan->next_us = MIN(plan->next_us, task->not_before_us);
+			plan->next_retry_us =
+				MIN(plan->next_retry_us, task->not_before_us);
 		if (!rj_cell_plan_task_waits(plan, task)) {
-			if (job_spec->steps[step].gang)
+			if (spec->steps[step].gang)
 				return 0;
 			continue;
 		}
@@ -78,19 +80,19 @@
 	return waiting;
 }
 
-/* Whether a step has waited long enough to run away from its data, or has
- * nothing to wait for. */
-static bool may_be_far(const struct rj_cell_plan *plan,
-		       const struct rj_cell_step *step, uint64_t since_us)
+/* Whether a step may run away from its data: it has waited long enough, or its
+ * rack is cordoned. */
+static bool may_run_remote(const struct rj_cell_plan *plan,
+			   const struct rj_cell_step *step, uint64_t since_us)
 {
-	uint64_t patience_ms = step->estimate_ms / 2;
+	uint64_t wait_ms = step->estimate_ms / 2;
 
 	if (step->rack[0] &&
 	    rj_cell_fleet_rack_cordoned(plan->fleet, step->rack))
 		return true;
-	if (patience_ms > FAR_WAIT_MAX_MS)
-		patience_ms = FAR_WAIT_MAX_MS;
-	return plan->now_us - since_us >= patience_ms * RJ_US_PER_MS;
+	if (wait_ms > REMOTE_WAIT_MAX_MS)
+		wait_ms = REMOTE_WAIT_MAX_MS;
+	return plan->now_us - since_us >= wait_ms * RJ_US_PER_MS;
 }
 
 /* Whether a job is urgent and has not ended. */
@@ -100,31 +102,31 @@
 	       job->state < RJ_CELL_JOB_COMPLETED;
 }
 
-/* Add up the accelerators that the urgent jobs of each account need. */
-static void sum_needs(struct rj_cell_plan *plan)
+/* Sums up the accelerators that the urgent jobs of each account need. */
+static void sum_urgent_needs(struct rj_cell_plan *plan)
 {
 	const struct rj_list *at;
 
 	for (at = plan->works->next; at != plan->works; at = at->next) {
 		const struct rj_cell_job *job =
 			RJ_CONTAINER(at, struct rj_cell_job, link);
-		const struct rj_cell_job_spec *job_spec = job->job_spec;
-		guint need;
+		const struct rj_cell_job_spec *spec = job->job_spec;
+		guint needed_accelerators;
 
 		if (!is_urgent(job))
 			continue;
-		need = GPOINTER_TO_UINT(
-			g_hash_table_lookup(plan->needs, job_spec->account));
-		for (uint32_t i = 0; i < job_spec->step_count; i++)
-			need += job_spec->steps[i].task_count *
-				job_spec->steps[i].each.accelerators;
-		g_hash_table_insert(plan->needs, (gpointer)job_spec->account,
-				    GUINT_TO_POINTER(need));
+		needed_accelerators = GPOINTER_TO_UINT(
+			g_hash_table_lookup(plan->urgent_needs, spec->account));
+		for (uint32_t i = 0; i < spec->step_count; i++)
+			needed_accelerators += spec->steps[i].task_count *
+					       spec->steps[i].each.accelerators;
+		g_hash_table_insert(plan->urgent_needs, (gpointer)spec->account,
+				    GUINT_TO_POINTER(needed_accelerators));
 	}
 }
 
-/* Whether a job has a right to its room at once: the urgent jobs of its
- * account need no more than is guaranteed to it. */
+/* Whether a job is guaranteed its capacity: the urgent jobs of its account need
+ * no more than the account's guarantee. */
 static bool is_guaranteed(const struct rj_cell_plan *plan,
 			  const struct rj_cell_job *job)
 {
@@ -134,161 +136,170 @@
 			       NULL;
 
 	return is_urgent(job) && account &&
-	       GPOINTER_TO_UINT(
-		       g_hash_table_lookup(plan->needs, account->name)) <=
+	       GPOINTER_TO_UINT(g_hash_table_lookup(plan->urgent_needs,
+						    account->name)) <=
 		       account->guaranteed_accelerators;
 }
 
 /*
- * Whether so much is idle that what is reserved for urgent work is open to a step
- * that has waited for a while. What the plan has started counts as in use, as
- * much work may end at once and make way for the next.
+ * Whether usage is low enough to open reserved workers to a step that has
+ * waited. Starts of this plan count as used: much may complete at once and be
+ * followed by the next tasks.
  */
-static bool is_idle(const struct rj_cell_plan *plan,
-		    const struct rj_cell_task_group *unit)
+static bool has_idle_capacity(const struct rj_cell_plan *plan,
+			      const struct rj_cell_task_group *group)
 {
-	return rj_cell_usage_percent(&plan->usage) < RESERVED_USED_PERCENT &&
-	       plan->now_us - unit->waiting_us >= RESERVED_WAIT_US;
+	return rj_cell_usage_percent(&plan->usage) <
+		       RESERVED_USAGE_MAX_PERCENT &&
+	       plan->now_us - group->waiting_since_us >= RESERVED_WAIT_US;
 }
 
-/* Whether only some workers may run a step, however much room others have. */
-static bool is_confined(const struct rj_cell_task_group *unit)
+/* Whether only some workers may run a step, whatever capacity others have. */
+static bool is_restricted(const struct rj_cell_task_group *group)
 {
-	return unit->job->job_spec->steps[unit->step].label[0] || unit->advised;
+	return group->job->job_spec->steps[group->step].label[0] ||
+	       group->advised;
 }
 
 /*
- * Say what a step may use of what is reserved for urgent work: all of it if it
- * is urgent, or overdue and bound to some workers; the open part if it can be
- * stopped at no loss.
+ * Sets which workers reserved for urgent jobs a step may use: all of them if it
+ * is urgent, if usage is low, or if it is overdue and restricted to some
+ * workers; those that are not exclusive if it can be preempted at no loss.
  */
 void rj_cell_task_group_set_reserved(const struct rj_cell_plan *plan,
-				     struct rj_cell_task_group *unit)
+				     struct rj_cell_task_group *group)
 {
-	const struct rj_cell_job_spec *job_spec = unit->job->job_spec;
-	const struct rj_cell_step *step = &job_spec->steps[unit->step];
-
-	unit->may_use_exclusive = !job_spec->priority || is_idle(plan, unit) ||
-				  (unit->overdue && is_confined(unit));
-	unit->may_use_reserved = unit->may_use_exclusive ||
-				 (step->checkpoints && !step->perpetual);
+	const struct rj_cell_job_spec *spec = group->job->job_spec;
+	const struct rj_cell_step *step = &spec->steps[group->step];
+
+	group->may_use_exclusive = !spec->priority ||
+				   has_idle_capacity(plan, group) ||
+				   (group->overdue && is_restricted(group));
+	group->may_use_reserved = group->may_use_exclusive ||
+				  (step->checkpoints && !step->perpetual);
 }
 
 /*
- * Whether ends that nobody has listed may have used up a gang's attempts.
+ * Whether completions that have not been reported yet may have used up a gang's
+ * attempts.
  *
- * Guards against one attempt too many: a failure on a worker that was cut off
- * is listed once the worker is back.
+ * Guards against one attempt too many: a worker that was unreachable reports a
+ * failure only once it is reachable again.
  */
-static bool may_be_used_up(const struct rj_cell_plan *plan,
+static bool
+may_have_used_all_attempts(const struct rj_cell_plan *plan,
 			   const struct rj_cell_occurrence *occurrence,
 			   uint32_t step)
 {
-	const struct rj_cell_job_spec *job_spec = occurrence->job->job_spec;
+	const struct rj_cell_job_spec *spec = occurrence->job->job_spec;
 	const struct rj_cell_task *head =
-		&occurrence->tasks[rj_cell_job_spec_first_task(job_spec, step)];
+		&occurrence->tasks[rj_cell_job_spec_first_task(spec, step)];
 
-	return job_spec->steps[step].gang && !job_spec->steps[step].perpetual &&
+	return spec->steps[step].gang && !spec->steps[step].perpetual &&
 	       head->unreported && plan->now_us < head->unreported_until_us &&
-	       head->failures + head->unreported >= job_spec->attempts_max;
+	       head->failures + head->unreported >= spec->attempts_max;
 }
 
 /*
- * For how long a step could have been served: since its job was accepted or its
- * occurrence was due; of what lasts, since its tasks wait.
+ * Returns how long a step could have been served, in microseconds: since its
+ * job was accepted or its occurrence was due; for a perpetual step, since its
+ * tasks wait.
  */
-static uint64_t age_of(const struct rj_cell_plan *plan,
-		       const struct rj_cell_task_group *unit)
+static uint64_t service_age_us(const struct rj_cell_plan *plan,
+			       const struct rj_cell_task_group *group)
 {
-	const struct rj_cell_job *job = unit->job;
+	const struct rj_cell_job *job = group->job;
 	uint64_t due_us = job->accepted_us +
-			  rj_cell_occurrence_due_after_us(unit->occurrence);
+			  rj_cell_occurrence_due_after_us(group->occurrence);
 
-	if (job->job_spec->steps[unit->step].perpetual)
-		due_us = unit->waiting_us;
+	if (job->job_spec->steps[group->step].perpetual)
+		due_us = group->waiting_since_us;
 	return plan->now_us - MIN(plan->now_us, due_us);
 }
 
-/* In which tier a step of a job goes. */
-static enum tier tier_of(const struct rj_cell_task_group *unit, uint64_t age_us)
+static enum tier tier_of(const struct rj_cell_task_group *group,
+			 uint64_t age_us)
 {
-	const struct rj_cell_job *job = unit->job;
+	const struct rj_cell_job *job = group->job;
 
-	if (unit->guaranteed)
+	if (group->guaranteed)
 		return TIER_GUARANTEED;
-	if (!job->job_spec->steps[unit->step].perpetual &&
+	if (!job->job_spec->steps[group->step].perpetual &&
 	    age_us > job->late_us - job->accepted_us)
-		return TIER_HOPELESS;
-	return TIER_USEFUL;
+		return TIER_EXPIRED;
+	return TIER_NORMAL;
 }
 
 /*
- * Note how work that is not urgent stands against its objective.
+ * Ranks tasks that are not urgent by their objectives, and marks overdue ones.
  *
- * Load that it answers: more work of a priority than the cell can serve for a
- * while. In the order of acceptance all of it would end late.
+ * Guards against a temporary overload of a priority: in the order of acceptance
+ * all of its jobs would complete late.
  */
-static void set_standing(struct rj_cell_plan *plan,
-			 struct rj_cell_task_group *unit, uint64_t age_us)
+static void set_rank(struct rj_cell_plan *plan,
+		     struct rj_cell_task_group *group, uint64_t age_us)
 {
-	const struct rj_cell_job *job = unit->job;
-	uint64_t chain_us = rj_cell_forecast_critical_path_ms(plan->forecast,
-							      job->job_spec) *
-			    RJ_US_PER_MS;
+	const struct rj_cell_job *job = group->job;
+	uint64_t critical_path_us = rj_cell_forecast_critical_path_ms(
+					    plan->forecast, job->job_spec) *
+				    RJ_US_PER_MS;
 	uint64_t objective_us = job->objective_us - job->accepted_us;
-	uint64_t slack_us = objective_us - MIN(objective_us, chain_us);
+	uint64_t slack_us = objective_us - MIN(objective_us, critical_path_us);
 	uint64_t late_us = job->late_us - job->accepted_us;
 
 	if (!job->job_spec->priority)
 		return;
-	if (job->started || age_us * 100 >= late_us * LAST_CHANCE_PERCENT)
-		unit->standing = STANDING_FIRST;
+	if (job->started || age_us * 100 >= late_us * LAST_START_PERCENT)
+		group->rank = RANK_FIRST;
 	else if (age_us <= slack_us)
-		unit->standing = STANDING_IN_TIME;
+		group->rank = RANK_ON_TIME;
 	else
-		unit->standing = STANDING_LATE;
-	if (unit->tier == TIER_HOPELESS)
+		group->rank = RANK_LATE;
+	if (group->tier == TIER_EXPIRED)
 		return;
-	unit->overdue = age_us * 100 >= slack_us * OVERDUE_PERCENT;
+	group->overdue = age_us * 100 >= slack_us * OVERDUE_PERCENT;
 	plan->misses_objective |=
-		age_us >= slack_us && !is_confined(unit) &&
-		plan->now_us - unit->waiting_us >= RESERVED_WAIT_US;
+		age_us >= slack_us && !is_restricted(group) &&
+		plan->now_us - group->waiting_since_us >= RESERVED_WAIT_US;
 }
 
-/* Note the waiting tasks of one step. */
-static void add_unit(struct rj_cell_plan *plan,
-		     struct rj_cell_occurrence *occurrence, uint32_t step)
+/* Adds the waiting tasks of one step. */
+static void add_task_group(struct rj_cell_plan *plan,
+			   struct rj_cell_occurrence *occurrence, uint32_t step)
 {
 	struct rj_cell_job *job = occurrence->job;
 	const struct rj_cell_queue *queue =
 		plan->config ? rj_cell_config_queue(plan->config,
 						    job->job_spec->queue) :
 			       NULL;
-	struct rj_cell_task_group unit = { .job = job,
-					   .occurrence = occurrence,
-					   .step = step };
+	struct rj_cell_task_group group = { .job = job,
+					    .occurrence = occurrence,
+					    .step = step };
 	uint64_t age_us;
 
-	unit.waiting = count_waiting(plan, occurrence, step, &unit.waiting_us);
-	if (!unit.waiting || may_be_used_up(plan, occurrence, step))
+	group.waiting_tasks =
+		count_waiting(plan, occurrence, step, &group.waiting_since_us);
+	if (!group.waiting_tasks ||
+	    may_have_used_all_attempts(plan, occurrence, step))
 		return;
-	/* A queue that has gone leaves its jobs where it last sent them. */
-	unit.service = g_intern_string(queue ? queue->service :
-					       job->job_spec->service);
-	unit.advised = queue && queue->advised;
-	unit.far =
-		may_be_far(plan, &job->job_spec->steps[step], unit.waiting_us);
-	unit.guaranteed = job->guaranteed;
-	age_us = age_of(plan, &unit);
-	unit.tier = tier_of(&unit, age_us);
-	unit.too_late = unit.tier == TIER_HOPELESS;
-	unit.order_us = job->accepted_us;
-	set_standing(plan, &unit, age_us);
-	g_array_append_val(plan->units, unit);
+	/* After a queue has been removed its jobs stay with their last
+	 * service. */
+	group.service = g_intern_string(queue ? queue->service :
+						job->job_spec->service);
+	group.advised = queue && queue->advised;
+	group.remote_allowed = may_run_remote(plan, &job->job_spec->steps[step],
+					      group.waiting_since_us);
+	group.guaranteed = job->guaranteed;
+	age_us = service_age_us(plan, &group);
+	group.tier = tier_of(&group, age_us);
+	group.expired = group.tier == TIER_EXPIRED;
+	group.accepted_us = job->accepted_us;
+	set_rank(plan, &group, age_us);
+	g_array_append_val(plan->task_groups, group);
 }
 
-/* Gather all steps whose turn has come. */
-static void gather(struct rj_cell_plan *plan)
+/* Gathers all steps that are ready. */
+static void gather_task_groups(struct rj_cell_plan *plan)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -296,27 +307,27 @@
 	RJ_FOR_EACH (at, next, plan->works) {
 		struct rj_cell_job *job =
 			RJ_CONTAINER(at, struct rj_cell_job, link);
-		struct rj_list *round_at;
-		struct rj_list *round_next;
+		struct rj_list *occurrence_at;
+		struct rj_list *occurrence_next;
 
 		if (job->state >= RJ_CELL_JOB_COMPLETED || job->cancelled)
 			continue;
 		job->guaranteed = is_guaranteed(plan, job);
-		RJ_FOR_EACH (round_at, round_next, &job->occurrences) {
+		RJ_FOR_EACH (occurrence_at, occurrence_next,
+			     &job->occurrences) {
 			struct rj_cell_occurrence *occurrence = RJ_CONTAINER(
-				round_at, struct rj_cell_occurrence, link);
+				occurrence_at, struct rj_cell_occurrence, link);
 
 			for (uint32_t i = 0; i < job->job_spec->step_count; i++)
 				if (occurrence->left[i] &&
 				    rj_cell_occurrence_step_ready(occurrence,
 								  i))
-					add_unit(plan, occurrence, i);
+					add_task_group(plan, occurrence, i);
 		}
 	}
 }
 
-/* Useful work first, by priority, then by its standing, then in the order of
- * acceptance. */
+/* Orders by tier, priority, rank and time of acceptance. */
 static gint by_order(gconstpointer a, gconstpointer b)
 {
 	const struct rj_cell_task_group *left = a;
@@ -329,19 +340,19 @@
 				       right->job->job_spec->priority ?
 			       -1 :
 			       1;
-	if (left->standing != right->standing)
-		return left->standing < right->standing ? -1 : 1;
-	if (left->order_us != right->order_us)
-		return left->order_us < right->order_us ? -1 : 1;
+	if (left->rank != right->rank)
+		return left->rank < right->rank ? -1 : 1;
+	if (left->accepted_us != right->accepted_us)
+		return left->accepted_us < right->accepted_us ? -1 : 1;
 	return strcmp(left->job->job_spec->id, right->job->job_spec->id);
 }
 
 /*
- * Gather the steps whose tasks wait for room, those that go first at the front.
+ * Gathers the steps whose tasks wait for capacity, in the order of placement.
  */
 void rj_cell_task_groups_gather(struct rj_cell_plan *plan)
 {
-	sum_needs(plan);
-	gather(plan);
-	g_array_sort(plan->units, by_order);
+	sum_urgent_needs(plan);
+	gather_task_groups(plan);
+	g_array_sort(plan->task_groups, by_order);
 }
--- a/src/libradishjunction/include/private/cell_forecast.h
+++ b/src/libradishjunction/include/private/cell_forecast.h
@@ -1,10 +1,10 @@
 /*
- * What a cell has learnt of its work: how long tasks of a queue run, how much
- * room urgent jobs ask for, and so when the runs of a worker will end.
+ * Forecasts from completed runs: mean run time of a queue's tasks, recent
+ * demand of urgent jobs, and the remaining time of a run.
  *
- * Callers' estimates are off by a factor of two and more, so measured run
- * times replace them as soon as there are some. Life cycle:
- * `rj_cell_forecast_init`, `_learn` at each good end, `_demand` at each urgent
+ * Callers' estimates are off by a factor of two and more, so measured run times
+ * replace them as soon as there are some. Life cycle: `rj_cell_forecast_init`,
+ * `_record_run` at each successful completion, `_record_urgent` at each urgent
  * job, `_finish`. It reads no clock.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_FORECAST_H
@@ -15,9 +15,9 @@
 #include "private/cell_active_job.h"
 
 struct rj_cell_forecast {
-	GHashTable *means; /* name of a queue -> struct mean */
-	double urgent_accelerators; /* accelerators, decayed */
-	uint64_t urgent_updated_us; /* when that was last brought up to date */
+	GHashTable *means; /* queue name -> struct mean */
+	double urgent_accelerators; /* recent demand, decayed */
+	uint64_t urgent_updated_us; /* last update of urgent_accelerators */
 };
 
 void rj_cell_forecast_init(struct rj_cell_forecast *forecast);
@@ -29,16 +29,16 @@
 uint32_t rj_cell_forecast_mean_ms(const struct rj_cell_forecast *forecast,
 				  const char *queue);
 uint64_t rj_cell_forecast_task_ms(const struct rj_cell_forecast *forecast,
-				  const struct rj_cell_job_spec *job_spec,
+				  const struct rj_cell_job_spec *spec,
 				  uint32_t step);
 uint64_t
 rj_cell_forecast_critical_path_ms(const struct rj_cell_forecast *forecast,
-				  const struct rj_cell_job_spec *job_spec);
+				  const struct rj_cell_job_spec *spec);
 uint64_t rj_cell_forecast_remaining_us(const struct rj_cell_forecast *forecast,
 				       const struct rj_cell_run *run,
 				       uint64_t now_us);
 void rj_cell_forecast_record_urgent(struct rj_cell_forecast *forecast,
-				    const struct rj_cell_job_spec *job_spec,
+				    const struct rj_cell_job_spec *spec,
 				    uint64_t now_us);
 double
 rj_cell_forecast_urgent_accelerators(const struct rj_cell_forecast *forecast,
