--- a/src/libradishjunction/cell/cell_admit.c
+++ b/src/libradishjunction/cell/cell_admit.c
@@ -64,7 +64,7 @@
 	const struct rj_list *at;
 	struct load load = { 0, 0, 0 };
 
-	for (at = owner->works.next; at != &owner->works; at = at->next) {
+	for (at = owner->jobs.next; at != &owner->jobs; at = at->next) {
 		const struct rj_cell_job *job =
 			RJ_CONTAINER(at, struct rj_cell_job, link);
 
--- a/src/libradishjunction/cell/cell_advice.c
+++ b/src/libradishjunction/cell/cell_advice.c
@@ -176,7 +176,7 @@
 		return;
 	}
 	owner->now_us = reply->now_us;
-	owner->advice_open = false;
+	owner->advice_pending = false;
 	occurrence = find_occurrence(request);
 	rj_note("advice", RJ_NOTE_TEXT("job", request->job),
 		RJ_NOTE_NUMBER("step", request->step),
@@ -289,7 +289,7 @@
 		workers[i] = request->workers[i];
 	(void)g_snprintf(step, sizeof(step), "%s.%u.%u", request->job,
 			 request->occurrence, request->step);
-	owner->advice_open = true;
+	owner->advice_pending = true;
 	owner->advisor->ops->ask(
 		owner->advisor, step, workers, request->count,
 		(struct rj_cell_advice_done){ ask_done, request });
@@ -318,7 +318,7 @@
 void rj_cell_advice_ask(struct rj_cell_owner *owner,
 			const struct rj_cell_plan *plan)
 {
-	if (!owner->advisor || owner->advice_open ||
+	if (!owner->advisor || owner->advice_pending ||
 	    owner->now_us < owner->advice_due_us || !plan->worker_count)
 		return;
 	for (guint i = 0; i < plan->task_groups->len; i++) {
--- a/src/libradishjunction/cell/cell_ends.c
+++ b/src/libradishjunction/cell/cell_completions.c
@@ -37,14 +37,14 @@
 /*
  * A stop was decided for a run; the order goes out with the next tick.
  */
-void rj_cell_ends_stop_run(struct rj_cell_owner *owner, struct rj_cell_run *run,
-			   const char *reason)
+void rj_cell_completions_stop_run(struct rj_cell_owner *owner,
+				  struct rj_cell_run *run, const char *reason)
 {
 	if (run->state == RJ_CELL_RUN_STOPPING)
 		return;
 	/* Nobody has been told of it: there is nothing to stop. */
 	if (run->state == RJ_CELL_RUN_INTENDED) {
-		rj_cell_owner_dirty(owner, run->task->occurrence->job);
+		rj_cell_owner_mark_dirty(owner, run->task->occurrence->job);
 		rj_cell_run_free(run);
 		return;
 	}
@@ -63,7 +63,7 @@
 	struct rj_list *next;
 
 	RJ_FOR_EACH (at, next, &task->runs)
-		rj_cell_ends_stop_run(
+		rj_cell_completions_stop_run(
 			owner, RJ_CONTAINER(at, struct rj_cell_run, in_task),
 			reason);
 }
@@ -79,14 +79,14 @@
 {
 	const struct job_stop *stop = private_data;
 
-	rj_cell_ends_stop_run(stop->owner, run, stop->reason);
+	rj_cell_completions_stop_run(stop->owner, run, stop->reason);
 }
 
 /*
  * Stop all that runs of a job.
  */
-void rj_cell_ends_stop_work(struct rj_cell_owner *owner,
-			    struct rj_cell_job *job, const char *reason)
+void rj_cell_completions_stop_job(struct rj_cell_owner *owner,
+				  struct rj_cell_job *job, const char *reason)
 {
 	struct job_stop stop = { owner, reason };
 
@@ -96,8 +96,9 @@
 /*
  * A job has ended as `state`: what still runs of it is stopped.
  */
-void rj_cell_ends_close(struct rj_cell_owner *owner, struct rj_cell_job *job,
-			enum rj_cell_job_state state)
+void rj_cell_completions_close_job(struct rj_cell_owner *owner,
+				   struct rj_cell_job *job,
+				   enum rj_cell_job_state state)
 {
 	if (job->state >= RJ_CELL_JOB_COMPLETED)
 		return;
@@ -119,16 +120,16 @@
 		RJ_NOTE_NUMBER("runs_lost", job->runs_lost),
 		RJ_NOTE_NUMBER("split", job->split));
 	if (state != RJ_CELL_JOB_COMPLETED)
-		rj_cell_ends_stop_work(owner, job,
-				       rj_cell_job_state_string[state]);
-	rj_cell_owner_dirty(owner, job);
+		rj_cell_completions_stop_job(owner, job,
+					     rj_cell_job_state_string[state]);
+	rj_cell_owner_mark_dirty(owner, job);
 }
 
 /*
  * Begin the occurrences of a job whose time has come.
  */
-void rj_cell_ends_begin_rounds(struct rj_cell_owner *owner,
-			       struct rj_cell_job *job)
+void rj_cell_completions_begin_occurrences(struct rj_cell_owner *owner,
+					   struct rj_cell_job *job)
 {
 	const struct rj_cell_job_spec *job_spec = job->job_spec;
 	uint32_t occurrences = job_spec->repeats ? job_spec->repeats : 1;
@@ -169,7 +170,8 @@
 		occurrence->closed = true;
 		job->occurrences_done++;
 		if (job->occurrences_done >= occurrences)
-			rj_cell_ends_close(owner, job, RJ_CELL_JOB_COMPLETED);
+			rj_cell_completions_close_job(owner, job,
+						      RJ_CELL_JOB_COMPLETED);
 	}
 	if (is_idle(occurrence)) {
 		rj_list_remove(&occurrence->link);
@@ -214,8 +216,9 @@
  * Guards against a task that waits for ever: where the worker is the only one
  * that may run it, it goes there again after a while.
  */
-void rj_cell_ends_avoid(struct rj_cell_owner *owner, struct rj_cell_task *task,
-			const struct rj_cell_worker *worker)
+void rj_cell_completions_avoid_worker(struct rj_cell_owner *owner,
+				      struct rj_cell_task *task,
+				      const struct rj_cell_worker *worker)
 {
 	g_strlcpy(task->avoid, worker->id, sizeof(task->avoid));
 	task->avoid_until_us = owner->now_us + AVOID_US;
@@ -233,10 +236,10 @@
 	if (head->failed_run != run->number)
 		head->failures++;
 	head->failed_run = run->number;
-	rj_cell_ends_avoid(owner, task, run->worker);
+	rj_cell_completions_avoid_worker(owner, task, run->worker);
 	task->not_before_us = owner->now_us + FAILURE_PAUSE_US * head->failures;
 	if (!step->perpetual && head->failures >= job->job_spec->attempts_max)
-		rj_cell_ends_close(owner, job, RJ_CELL_JOB_FAILED);
+		rj_cell_completions_close_job(owner, job, RJ_CELL_JOB_FAILED);
 }
 
 /* Judge a worker by what has become of a run there. */
@@ -254,7 +257,7 @@
 		return;
 	worker->bad_streak++;
 	if (early)
-		rj_cell_failure_note(&owner->failures, owner->now_us);
+		rj_cell_failure_record_early(&owner->failures, owner->now_us);
 	if (!early && worker->bad_streak < BAD_STREAK_MAX)
 		return;
 	if (owner->now_us >= worker->suspect_until_us)
@@ -351,14 +354,14 @@
 	head->unreported_until_us =
 		MAX(head->unreported_until_us, run->worker->lease_expired_us);
 	run->reason = "gang_over";
-	rj_cell_ends_run(owner, run, RJ_CELL_COMPLETION_LOST, NULL);
+	rj_cell_completions_apply(owner, run, RJ_CELL_COMPLETION_LOST, NULL);
 }
 
 /*
  * End the runs of a worker that does not answer whose gangs have ended.
  */
-void rj_cell_ends_over(struct rj_cell_owner *owner,
-		       struct rj_cell_worker *worker)
+void rj_cell_completions_expire_gangs(struct rj_cell_owner *owner,
+				      struct rj_cell_worker *worker)
 {
 	struct rj_list *at = worker->runs.next;
 
@@ -379,8 +382,9 @@
  * A run has ended: say what that does to its task and its job, and free it.
  * What changes must be stored before the worker forgets the end.
  */
-void rj_cell_ends_run(struct rj_cell_owner *owner, struct rj_cell_run *run,
-		      enum rj_cell_completion end, const char *saved)
+void rj_cell_completions_apply(struct rj_cell_owner *owner,
+			       struct rj_cell_run *run,
+			       enum rj_cell_completion end, const char *saved)
 {
 	struct rj_cell_task *task = run->task;
 	struct rj_cell_worker *worker = run->worker;
@@ -434,7 +438,7 @@
 		if (ends_gang(end))
 			note_members_over(owner, task);
 	}
-	rj_cell_owner_dirty(owner, job);
+	rj_cell_owner_mark_dirty(owner, job);
 	if (!occurrence->steps_left)
 		end_round(owner, occurrence);
 }
@@ -465,8 +469,8 @@
 	job = head->occurrence->job;
 	if (!rj_cell_task_step(head)->perpetual &&
 	    head->failures >= job->job_spec->attempts_max)
-		rj_cell_ends_close(owner, job, RJ_CELL_JOB_FAILED);
-	rj_cell_owner_dirty(owner, job);
+		rj_cell_completions_close_job(owner, job, RJ_CELL_JOB_FAILED);
+	rj_cell_owner_mark_dirty(owner, job);
 }
 
 /*
@@ -475,11 +479,12 @@
  * that ended well is done, and what runs of it since is stopped; of other ends
  * only failures count.
  */
-void rj_cell_ends_orphan(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker,
-			 const struct rj_cell_completion_report *row)
+void rj_cell_completions_apply_orphan(
+	struct rj_cell_owner *owner, struct rj_cell_worker *worker,
+	const struct rj_cell_completion_report *row)
 {
-	struct rj_cell_task *task = rj_cell_owner_task(owner, row->name, NULL);
+	struct rj_cell_task *task =
+		rj_cell_owner_find_task(owner, row->name, NULL);
 	struct rj_cell_occurrence *occurrence;
 
 	rj_note("orphan_end", RJ_NOTE_TEXT("task", row->name),
@@ -493,7 +498,7 @@
 	note_done(owner, task);
 	if (rj_cell_task_step(task)->gang)
 		break_gang(owner, task);
-	rj_cell_owner_dirty(owner, occurrence->job);
+	rj_cell_owner_mark_dirty(owner, occurrence->job);
 	if (!occurrence->steps_left)
 		end_round(owner, occurrence);
 }
--- a/src/libradishjunction/cell/cell_frontend.c
+++ b/src/libradishjunction/cell/cell_frontend.c
@@ -167,9 +167,10 @@
 /* Answers that the log is unavailable and nothing was done. */
 static void answer_unavailable(struct request *request, const char *reason)
 {
-	answer_verdict(request, RJ_CELL_VERDICT_UNAVAILABLE, reason,
-		       rj_cell_contact_come_back_ms(&request->front->contact,
-						    request->front->now_us));
+	answer_verdict(
+		request, RJ_CELL_VERDICT_UNAVAILABLE, reason,
+		rj_cell_log_availability_retry_after_ms(
+			&request->front->contact, request->front->now_us));
 }
 
 /* Parses the last part of the path as a job id. Returns 0, or -1. */
@@ -254,7 +255,7 @@
 		answer_verdict(request, RJ_CELL_VERDICT_CANCELLED, "ended", 0);
 		return;
 	}
-	if (request->front->contact.away_us) {
+	if (request->front->contact.unavailable_since_us) {
 		answer_unavailable(request, "log_away");
 		return;
 	}
@@ -318,7 +319,7 @@
 /* Reads the log to its end before answering. */
 static void sync_and_answer(struct request *request)
 {
-	if (request->front->contact.away_us) {
+	if (request->front->contact.unavailable_since_us) {
 		answer_log_unread(request, find_accepted(request));
 		return;
 	}
@@ -380,7 +381,7 @@
 		answer_verdict(request, RJ_CELL_VERDICT_ACCEPTED, "known", 0);
 		return;
 	}
-	if (front->contact.away_us) {
+	if (front->contact.unavailable_since_us) {
 		answer_unavailable(request, "log_away");
 		return;
 	}
@@ -531,9 +532,11 @@
 		    front->writer->answered_us);
 	bool refuses = front->jobs->failures && front->configs->failures;
 
-	if (answered_us && rj_cell_contact_update(&front->contact, answered_us,
-						  refuses, front->now_us))
-		rj_note(front->contact.away_us ? "log_away" : "log_back",
+	if (answered_us &&
+	    rj_cell_log_availability_update(&front->contact, answered_us,
+					    refuses, front->now_us))
+		rj_note(front->contact.unavailable_since_us ? "log_away" :
+							      "log_back",
 			RJ_NOTE_AGE_MS("silent_ms",
 				       front->now_us - answered_us),
 			RJ_NOTE_NUMBER("refuses", refuses),
@@ -555,7 +558,7 @@
 		struct request *request =
 			RJ_CONTAINER(at, struct request, link);
 
-		if (front->contact.away_us)
+		if (front->contact.unavailable_since_us)
 			answer_unfinished(request, "log_away");
 		else if (now_us >= request->due_us)
 			answer_unfinished(request, "log_slow");
--- a/src/libradishjunction/cell/cell_metrics.c
+++ b/src/libradishjunction/cell/cell_metrics.c
@@ -89,7 +89,7 @@
 	write_number(text, "owner", owner->active);
 	write_number(text, "owner_token", owner->active ? owner->token : 0);
 	write_number(text, "takeovers", counters->takeovers);
-	write_number(text, "resigns", counters->resigns);
+	write_number(text, "resigns", counters->resignations);
 	write_number(text, "starts", counters->starts);
 	write_number(text, "stops", counters->stops);
 	write_number(text, "polls", counters->polls);
@@ -102,11 +102,11 @@
 			       rj_cell_completion_string[i],
 			       counters->completions[i]);
 	for (int i = 0; i < RJ_CELL_PRIORITY_CLASSES; i++)
-		rj_latency_write(&counters->waits[i],
+		rj_latency_write(&counters->first_start_waits[i],
 				 "radishjunction_first_start_ms", "priority",
 				 priorities[i], text);
-	rj_latency_write(&counters->orders, "radishjunction_order_ms", "order",
-			 "start", text);
+	rj_latency_write(&counters->start_latency, "radishjunction_order_ms",
+			 "order", "start", text);
 	if (!owner->active)
 		return;
 	for (int i = 0; i < RJ_CELL_PRIORITY_CLASSES; i++) {
@@ -149,6 +149,6 @@
 	write_frontend(text, &node->front);
 	write_appends(text, "front", &node->writer);
 	write_appends(text, "owner", &node->owner.writer);
-	write_appends(text, "owner_progress", &node->owner.progress);
+	write_appends(text, "owner_progress", &node->owner.progress_writer);
 	write_owner(text, &node->owner, now_us);
 }
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -67,7 +67,7 @@
 		return;
 	node->owner.now_us = node->fleet.now_us;
 	if (!record->value.length) {
-		rj_cell_owner_worker(&node->owner, record->key, NULL, 0);
+		rj_cell_owner_update_worker(&node->owner, record->key, NULL, 0);
 		return;
 	}
 	if (strlen(record->key) >= RJ_NAME_BYTES ||
@@ -77,7 +77,8 @@
 			RJ_NOTE_TEXT("error", err.message));
 		return;
 	}
-	rj_cell_owner_worker(&node->owner, record->key, &heartbeat, written_us);
+	rj_cell_owner_update_worker(&node->owner, record->key, &heartbeat,
+				    written_us);
 }
 
 /* For readers that need no action after a read. */
@@ -94,7 +95,7 @@
 	if (!node->owner.active)
 		return;
 	node->owner.now_us = node->fleet.now_us;
-	rj_cell_polls_loaded(&node->owner);
+	rj_cell_polls_fleet_loaded(&node->owner);
 }
 
 static const struct rj_cell_log_reader_ops fleet_ops = {
@@ -266,7 +267,7 @@
 	entry = rj_cell_view_apply(&node->view, record, node->jobs.now_us);
 	if (entry && node->owner.active && kind != RJ_CELL_RECORD_STATE) {
 		node->owner.now_us = node->jobs.now_us;
-		rj_cell_owner_entry(&node->owner, entry);
+		rj_cell_owner_update_job(&node->owner, entry);
 	}
 }
 
@@ -285,7 +286,7 @@
 /* Whether this instance owns the cell or is taking it over. */
 static bool is_owner(const struct rj_cell_node *node)
 {
-	return node->owner.active || node->owner.taking;
+	return node->owner.active || node->owner.taking_over;
 }
 
 /* Gives up ownership. Decisions that are not stored have not been shown to
@@ -307,22 +308,23 @@
  * meanwhile wait until its lease must have expired. If the former owner was an
  * earlier incarnation of this instance, it renews no leases any more. Owners
  * before it were fenced by its record, and continue without the log for at most
- * RJ_CELL_BLIND_US.
+ * RJ_CELL_LOG_UNAVAILABLE_MAX_US.
  */
 static uint64_t former_renewals_us(const struct rj_cell_node *node)
 {
 	const struct rj_cell_owner_record *former = &node->former;
-	uint64_t settled_us = RJ_CELL_BLIND_US + WALL_CLOCK_STEP_MAX_US;
+	uint64_t settled_us =
+		RJ_CELL_LOG_UNAVAILABLE_MAX_US + WALL_CLOCK_STEP_MAX_US;
 	uint64_t age_us;
 
 	if (strcmp(former->name, node->options.name) != 0 ||
 	    former->incarnation == node->options.incarnation ||
 	    !former->since_ms || node->wall_ms < former->since_ms)
-		return RJ_CELL_BLIND_US;
+		return RJ_CELL_LOG_UNAVAILABLE_MAX_US;
 	age_us = (node->wall_ms - former->since_ms) * RJ_US_PER_MS;
 	if (age_us >= settled_us)
 		return 0;
-	return MIN(RJ_CELL_BLIND_US, settled_us - age_us);
+	return MIN(RJ_CELL_LOG_UNAVAILABLE_MAX_US, settled_us - age_us);
 }
 
 /* Starts a takeover. The log has been read up to the own ownership record. */
@@ -345,8 +347,8 @@
 static void become_owner(struct rj_cell_node *node)
 {
 	rj_cell_takeover_stop(&node->takeover);
-	rj_cell_owner_take(&node->owner, former_renewals_us(node), node->now_us,
-			   node->wall_ms);
+	rj_cell_owner_complete_takeover(&node->owner, former_renewals_us(node),
+					node->now_us, node->wall_ms);
 	rj_cell_log_reader_start(&node->fleet, node->now_us);
 }
 
@@ -595,14 +597,14 @@
 	rj_cell_log_reader_tick(&node->fleet, now_us);
 	rj_cell_writer_tick(&node->writer, now_us);
 	rj_cell_frontend_tick(&node->front, now_us);
-	node->owner.read_us = node->jobs.confirmed_us;
+	node->owner.jobs_read_us = node->jobs.confirmed_us;
 	node->owner.workers_read_us = node->fleet.confirmed_us;
 	node->owner.operators_read_us = node->configs.confirmed_us;
 	rj_cell_takeover_tick(&node->takeover, now_us);
 	if (rj_cell_takeover_is_loaded(&node->takeover))
 		become_owner(node);
 	rj_cell_owner_advance(&node->owner, now_us, wall_ms);
-	if (node->owner.lost)
+	if (node->owner.fenced)
 		step_down(node, "fenced");
 	watch_owner(node);
 }
@@ -614,7 +616,7 @@
 bool rj_cell_node_ready(const struct rj_cell_node *node, uint64_t now_us)
 {
 	return !node->draining && node->jobs.caught_up &&
-	       !node->front.contact.away_us &&
+	       !node->front.contact.unavailable_since_us &&
 	       rj_cell_frontend_keys_fresh(&node->front, now_us);
 }
 
@@ -630,7 +632,7 @@
 	node->draining = true;
 	rj_note("drain", RJ_NOTE_NUMBER("open", node->front.open),
 		RJ_NOTE_NUMBER("owner", is_owner(node)));
-	rj_cell_owner_leave(&node->owner, now_us);
+	rj_cell_owner_release(&node->owner, now_us);
 }
 
 /*
--- a/src/libradishjunction/cell/cell_owner.c
+++ b/src/libradishjunction/cell/cell_owner.c
@@ -40,7 +40,7 @@
 			const char *name, uint64_t incarnation,
 			struct rj_cell_view *view, struct rj_cell_store *store,
 			struct rj_cell_workers *workers,
-			const struct rj_cell_terms *terms)
+			const struct rj_cell_limits *terms)
 {
 	memset(owner, 0, sizeof(*owner));
 	owner->mem = mem;
@@ -63,15 +63,17 @@
 /*
  * Whether the log has been out of reach for too long to renew leases.
  */
-bool rj_cell_owner_blind(const struct rj_cell_owner *owner)
+bool rj_cell_owner_log_unavailable(const struct rj_cell_owner *owner)
 {
-	return owner->now_us > owner->writer.stored_us + RJ_CELL_BLIND_US;
+	return owner->now_us >
+	       owner->writer.stored_us + RJ_CELL_LOG_UNAVAILABLE_MAX_US;
 }
 
 /*
  * A job's progress has changed and is to be stored.
  */
-void rj_cell_owner_dirty(struct rj_cell_owner *owner, struct rj_cell_job *job)
+void rj_cell_owner_mark_dirty(struct rj_cell_owner *owner,
+			      struct rj_cell_job *job)
 {
 	if (!job->dirty)
 		rj_list_append(&owner->dirty, &job->in_dirty);
@@ -83,9 +85,9 @@
  * The task of a name as workers list it, or NULL when it is not under way;
  * `entry` (may be NULL) is that of its job, if that is known.
  */
-struct rj_cell_task *rj_cell_owner_task(struct rj_cell_owner *owner,
-					const char *name,
-					struct rj_cell_view_entry **entry)
+struct rj_cell_task *rj_cell_owner_find_task(struct rj_cell_owner *owner,
+					     const char *name,
+					     struct rj_cell_view_entry **entry)
 {
 	struct rj_cell_view_entry *found;
 	char id[RJ_CELL_ID_BYTES];
@@ -142,12 +144,12 @@
 	/* It has ended and nobody was told, or it was stored by the version
 	 * before. */
 	if (entry->progress.length && !entry->in_progress_log)
-		rj_cell_owner_dirty(owner, job);
+		rj_cell_owner_mark_dirty(owner, job);
 	entry->in_progress_log = true;
 	if (job->state >= RJ_CELL_JOB_COMPLETED)
-		rj_cell_owner_dirty(owner, job);
+		rj_cell_owner_mark_dirty(owner, job);
 	else
-		rj_cell_ends_begin_rounds(owner, job);
+		rj_cell_completions_begin_occurrences(owner, job);
 }
 
 /* Say what has come, with the figures that decide on its first step. */
@@ -183,8 +185,8 @@
 /*
  * A job's definition or a wish to cancel it has come.
  */
-void rj_cell_owner_entry(struct rj_cell_owner *owner,
-			 struct rj_cell_view_entry *entry)
+void rj_cell_owner_update_job(struct rj_cell_owner *owner,
+			      struct rj_cell_view_entry *entry)
 {
 	if (!owner->active || !entry->job_spec ||
 	    entry->summary.state >= RJ_CELL_JOB_COMPLETED)
@@ -199,7 +201,8 @@
 	}
 	if (entry->cancelled && !entry->job->cancelled) {
 		entry->job->cancelled = true;
-		rj_cell_ends_close(owner, entry->job, RJ_CELL_JOB_CANCELLED);
+		rj_cell_completions_close_job(owner, entry->job,
+					      RJ_CELL_JOB_CANCELLED);
 	}
 	owner->plan_wanted = true;
 }
@@ -212,8 +215,9 @@
 			     const struct rj_cell_worker *worker)
 {
 	return worker->heartbeat.draining && worker->written_us &&
-	       owner->now_us < worker->written_us + owner->terms.entry_life_ms *
-							    RJ_US_PER_MS;
+	       owner->now_us <
+		       worker->written_us +
+			       owner->terms.entry_expiry_ms * RJ_US_PER_MS;
 }
 
 /* A worker's entry is gone. */
@@ -234,9 +238,9 @@
  * A worker's entry has changed, and was written after `written_us` (0: not
  * known); NULL when it is gone.
  */
-void rj_cell_owner_worker(struct rj_cell_owner *owner, const char *id,
-			  const struct rj_cell_heartbeat *heartbeat,
-			  uint64_t written_us)
+void rj_cell_owner_update_worker(struct rj_cell_owner *owner, const char *id,
+				 const struct rj_cell_heartbeat *heartbeat,
+				 uint64_t written_us)
 {
 	struct rj_cell_worker *worker = rj_cell_fleet_find(&owner->fleet, id);
 	bool was_draining;
@@ -252,7 +256,7 @@
 	if (worker->incarnation && heartbeat->incarnation &&
 	    worker->incarnation != heartbeat->incarnation) {
 		worker->answers = false;
-		rj_cell_polls_soon(owner, worker);
+		rj_cell_polls_schedule_now(owner, worker);
 	}
 	rj_cell_worker_apply_heartbeat(worker, heartbeat);
 	worker->written_us = written_us;
@@ -264,15 +268,15 @@
 			(written_us ? written_us : owner->now_us) +
 			heartbeat->drain_left_ms * RJ_US_PER_MS;
 	worker->deregistered_us = 0;
-	rj_cell_polls_trust(owner, worker);
+	rj_cell_polls_accept_heartbeat(owner, worker);
 	if (!worker->listed || was_draining != heartbeat->draining) {
 		rj_note("worker_listed", RJ_NOTE_TEXT("worker", id),
 			RJ_NOTE_TEXT("domain", heartbeat->domain),
 			RJ_NOTE_TEXT("rack", heartbeat->rack),
 			RJ_NOTE_NUMBER("draining", heartbeat->draining));
-		/* In a load there is news of all; see rj_cell_polls_loaded. */
+		/* In a load there is news of all; see rj_cell_polls_fleet_loaded. */
 		if (written_us)
-			rj_cell_polls_soon(owner, worker);
+			rj_cell_polls_schedule_now(owner, worker);
 		owner->plan_wanted = true;
 	}
 	worker->listed = true;
@@ -320,11 +324,12 @@
 /*
  * Begin to take the cell over under `token`, writing under `epoch`: this
  * instance shows its life in the log, and decides nothing until
- * rj_cell_owner_take. The progress writer starts behind the fence that the
+ * rj_cell_owner_complete_takeover. The progress writer starts behind the fence that the
  * takeover puts into its log.
  */
-void rj_cell_owner_begin(struct rj_cell_owner *owner, uint64_t token,
-			 uint64_t epoch, uint64_t now_us, uint64_t wall_ms)
+void rj_cell_owner_begin_takeover(struct rj_cell_owner *owner, uint64_t token,
+				  uint64_t epoch, uint64_t now_us,
+				  uint64_t wall_ms)
 {
 	assert(!owner->active && !owner->taking);
 	assert(owner->dirty.next == &owner->dirty);
@@ -335,8 +340,8 @@
 	owner->token = token;
 	owner->now_us = now_us;
 	owner->wall_ms = wall_ms;
-	owner->writes_open = 0;
-	owner->beat_due_us = now_us;
+	owner->writes_pending = 0;
+	owner->heartbeat_due_us = now_us;
 	rj_cell_fleet_init(&owner->fleet, owner->mem, owner->cordons);
 	rj_cell_writer_open(&owner->writer, epoch, 1, now_us);
 	rj_cell_writer_open(&owner->progress, epoch, 0, now_us);
@@ -347,8 +352,9 @@
  * view must be complete up to the ownership record, and hold the progress of
  * all jobs; former owners renew no lease after `renewals_us` from now.
  */
-void rj_cell_owner_take(struct rj_cell_owner *owner, uint64_t renewals_us,
-			uint64_t now_us, uint64_t wall_ms)
+void rj_cell_owner_complete_takeover(struct rj_cell_owner *owner,
+				     uint64_t renewals_us, uint64_t now_us,
+				     uint64_t wall_ms)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -360,8 +366,8 @@
 	owner->read_us = now_us;
 	owner->now_us = now_us;
 	owner->wall_ms = wall_ms;
-	owner->advice_open = false;
-	rj_cell_polls_begin(owner);
+	owner->advice_pending = false;
+	rj_cell_polls_reset_limits(owner);
 	owner->counters.takeovers++;
 	RJ_FOR_EACH (at, next, &owner->view->entries) {
 		struct rj_cell_view_entry *entry =
@@ -370,7 +376,7 @@
 		if (entry->job_spec &&
 		    entry->summary.state < RJ_CELL_JOB_COMPLETED)
 			jobs++;
-		rj_cell_owner_entry(owner, entry);
+		rj_cell_owner_update_job(owner, entry);
 	}
 	rj_cell_view_drop_progress(owner->view);
 	bound_leases(owner, renewals_us);
@@ -400,7 +406,7 @@
 	owner->taking = false;
 	owner->lost = false;
 	owner->generation++;
-	owner->counters.resigns++;
+	owner->counters.resignations++;
 	rj_cell_writer_close(&owner->writer);
 	rj_cell_writer_close(&owner->progress);
 	rj_cell_view_drop_progress(owner->view);
@@ -429,7 +435,7 @@
  * Give the cell away in the log, behind all that is to be stored. Whoever
  * reads it may take over at once; until then this owner goes on.
  */
-void rj_cell_owner_leave(struct rj_cell_owner *owner, uint64_t now_us)
+void rj_cell_owner_release(struct rj_cell_owner *owner, uint64_t now_us)
 {
 	if (!owner->active && !owner->taking)
 		return;
@@ -451,9 +457,9 @@
 			 const struct rj_cell_plan *plan)
 {
 	rj_cell_backlog_sum(plan, &owner->backlog);
-	if (!plan->waiting_tasks || owner->now_us < owner->backlog_due_us)
+	if (!plan->waiting_tasks || owner->now_us < owner->backlog_log_due_us)
 		return;
-	owner->backlog_due_us = owner->now_us + BACKLOG_NOTE_US;
+	owner->backlog_log_due_us = owner->now_us + BACKLOG_NOTE_US;
 	rj_cell_backlog_log(&owner->backlog);
 }
 
@@ -477,13 +483,13 @@
 	note_backlog(owner, &plan);
 	rj_cell_starts_begin(owner, &plan);
 	for (guint i = 0; i < plan.stops->len; i++)
-		rj_cell_ends_stop_run(owner, plan.stops->pdata[i],
-				      RJ_CELL_WHY_RECLAIMED);
+		rj_cell_completions_stop_run(owner, plan.stops->pdata[i],
+					     RJ_CELL_WHY_RECLAIMED);
 	owner->plan_wanted = false;
 	rj_cell_advice_ask(owner, &plan);
 	owner->plan_due_us =
 		MIN(plan.next_retry_us, owner->now_us + PLAN_IDLE_US);
-	owner->plan_from_us =
+	owner->plan_not_before_us =
 		owner->now_us +
 		MAX(PLAN_PAUSE_US,
 		    (1 + PLAN_PAUSE_FACTOR) * plan_took_us(owner, &plan));
@@ -496,16 +502,16 @@
 	struct rj_list *at;
 	struct rj_list *next;
 
-	if (owner->now_us < owner->rounds_due_us)
+	if (owner->now_us < owner->occurrence_check_due_us)
 		return;
-	owner->rounds_due_us = owner->now_us + ROUNDS_CHECK_US;
+	owner->occurrence_check_due_us = owner->now_us + ROUNDS_CHECK_US;
 	RJ_FOR_EACH (at, next, &owner->works) {
 		struct rj_cell_job *job =
 			RJ_CONTAINER(at, struct rj_cell_job, link);
 
 		if (job->job_spec->repeats &&
 		    job->state < RJ_CELL_JOB_COMPLETED)
-			rj_cell_ends_begin_rounds(owner, job);
+			rj_cell_completions_begin_occurrences(owner, job);
 	}
 }
 
@@ -539,10 +545,10 @@
 {
 	begin_rounds(owner);
 	if ((owner->plan_wanted || owner->now_us >= owner->plan_due_us) &&
-	    !owner->writes_open && rj_cell_owner_may_start(owner) &&
-	    owner->now_us >= owner->plan_from_us)
+	    !owner->writes_pending && rj_cell_owner_may_start(owner) &&
+	    owner->now_us >= owner->plan_not_before_us)
 		plan_work(owner);
-	rj_cell_flush_old(owner);
+	rj_cell_flush_expired(owner);
 }
 
 /*
--- a/src/libradishjunction/cell/cell_place.c
+++ b/src/libradishjunction/cell/cell_place.c
@@ -84,8 +84,8 @@
 				 struct rj_cell_task *task)
 {
 	return is_last_attempt(task) &&
-	       rj_cell_failure_wants_sound(&plan->failures, task->waiting_us,
-					   plan->now_us);
+	       rj_cell_failure_requires_healthy(&plan->failures,
+						task->waiting_us, plan->now_us);
 }
 
 /* Whether a worker is too likely to fail a task on its last attempt. */
@@ -97,8 +97,8 @@
 	    !is_last_attempt(task))
 		return false;
 	return worker->bad_streak ||
-	       (!rj_cell_failure_is_sound(&plan->failures,
-					  worker->healthy_us) &&
+	       (!rj_cell_failure_is_healthy(&plan->failures,
+					    worker->healthy_us) &&
 		rj_cell_place_needs_healthy(plan, task));
 }
 
@@ -260,7 +260,7 @@
 		return true;
 	return (failed_before || rj_cell_task_step(task)->gang) &&
 	       rj_cell_failure_is_burst(&plan->failures, plan->now_us) &&
-	       !rj_cell_failure_is_sound(&plan->failures, worker->healthy_us);
+	       !rj_cell_failure_is_healthy(&plan->failures, worker->healthy_us);
 }
 
 /*
--- a/src/libradishjunction/cell/cell_starts.c
+++ b/src/libradishjunction/cell/cell_starts.c
@@ -2,7 +2,7 @@
 
 #include <talloc.h>
 
-#include "private/cell_reach.h"
+#include "private/cell_reachability.h"
 #include "private/note.h"
 
 /* Whether a member of a gang that had better be in one rack starts in another
@@ -42,7 +42,7 @@
 	job->split |= is_split(task, choice->worker);
 	if (job->state == RJ_CELL_JOB_QUEUED)
 		job->state = RJ_CELL_JOB_RUNNING;
-	rj_cell_owner_dirty(owner, job);
+	rj_cell_owner_mark_dirty(owner, job);
 	rj_note("place", RJ_NOTE_TEXT("task", run->name),
 		RJ_NOTE_NUMBER("run", run->number),
 		RJ_NOTE_TEXT("worker", choice->worker->id),
@@ -94,9 +94,9 @@
 			g_array_index(starts, struct rj_cell_planned_start, i)
 				.worker;
 
-		if (rj_cell_reach_proven(owner, worker))
+		if (rj_cell_reachability_confirmed(owner, worker))
 			continue;
-		rj_cell_reach_probe(owner, worker);
+		rj_cell_reachability_probe(owner, worker);
 		proven = false;
 	}
 	return proven;
--- a/src/libradishjunction/include/private/cell_frontend.h
+++ b/src/libradishjunction/include/private/cell_frontend.h
@@ -11,7 +11,7 @@
 #define RADISHJUNCTION_PRIVATE_CELL_FRONTEND_H
 
 #include "private/cell_config.h"
-#include "private/cell_contact.h"
+#include "private/cell_log_availability.h"
 #include "private/cell_log_reader.h"
 #include "private/cell_view.h"
 #include "private/cell_writer.h"
@@ -108,7 +108,7 @@
 	struct rj_cell_owner_heartbeat heartbeat; /* newest one of the owner */
 	uint64_t heartbeat_us; /* when it was read; 0: none yet */
 	uint32_t revoke_ms; /* a removed key may be accepted for this long */
-	struct rj_cell_contact contact; /* with the log */
+	struct rj_cell_log_availability contact; /* with the log */
 	struct rj_list requests;
 	uint32_t open;
 	uint64_t now_us;
--- a/src/libradishjunction/include/private/cell_node.h
+++ b/src/libradishjunction/include/private/cell_node.h
@@ -18,7 +18,7 @@
 	uint64_t incarnation; /* differs after each restart of the process */
 	/* Hundredths of a core; stronger instances are preferred as owner. */
 	uint32_t strength;
-	struct rj_cell_terms terms;
+	struct rj_cell_limits terms;
 	struct rj_cell_store *store;
 	struct rj_cell_workers *workers;
 	struct rj_cell_advisor *advisor; /* NULL: no placement policy */
