--- a/src/libradishjunction/cell/cell_admit.c
+++ b/src/libradishjunction/cell/cell_admit.c
@@ -59,7 +59,7 @@
 	const struct rj_list *at;
 	struct load load = { 0, 0, 0 };
 
-	for (at = owner->works.next; at != &owner->works; at = at->next) {
+	for (at = owner->jobs.next; at != &owner->jobs; at = at->next) {
 		const struct rj_cell_work *work =
 			RJ_CONTAINER(at, struct rj_cell_work, link);
 
--- a/src/libradishjunction/cell/cell_advice.c
+++ b/src/libradishjunction/cell/cell_advice.c
@@ -169,7 +169,7 @@
 		return;
 	}
 	owner->now_us = reply->now_us;
-	owner->advice_open = false;
+	owner->advice_pending = false;
 	round = round_of(question);
 	rj_note("advice", RJ_NOTE_TEXT("job", question->job),
 		RJ_NOTE_NUMBER("step", question->step),
@@ -273,7 +273,7 @@
 		workers[i] = question->workers[i];
 	(void)g_snprintf(step, sizeof(step), "%s.%u.%u", question->job,
 			 question->round, question->step);
-	owner->advice_open = true;
+	owner->advice_pending = true;
 	owner->advisor->ops->ask(
 		owner->advisor, step, workers, question->count,
 		(struct rj_cell_advice_done){ answered, question });
@@ -302,7 +302,7 @@
 void rj_cell_advice_ask(struct rj_cell_owner *owner,
 			const struct rj_cell_plan *plan)
 {
-	if (!owner->advisor || owner->advice_open ||
+	if (!owner->advisor || owner->advice_pending ||
 	    owner->now_us < owner->advice_due_us || !plan->room_count)
 		return;
 	for (guint i = 0; i < plan->units->len; i++) {
--- a/src/libradishjunction/cell/cell_calls.c
+++ b/src/libradishjunction/cell/cell_calls.c
@@ -22,12 +22,13 @@
 /*
  * Remember a call.
  */
-struct rj_cell_call_note *rj_cell_call_new(struct rj_cell_owner *owner,
-					   const struct rj_cell_worker *worker,
-					   const struct rj_cell_run *run)
+struct rj_cell_call_context *
+rj_cell_call_new(struct rj_cell_owner *owner,
+		 const struct rj_cell_worker *worker,
+		 const struct rj_cell_run *run)
 {
-	struct rj_cell_call_note *call =
-		talloc_zero(owner->mem, struct rj_cell_call_note);
+	struct rj_cell_call_context *call =
+		talloc_zero(owner->mem, struct rj_cell_call_context);
 
 	assert(call && worker);
 	call->owner = owner;
@@ -44,8 +45,8 @@
 /*
  * The run of a worker that has this name and number, or NULL.
  */
-struct rj_cell_run *rj_cell_call_run(const struct rj_cell_worker *worker,
-				     const char *name, uint32_t number)
+struct rj_cell_run *rj_cell_call_find_run(const struct rj_cell_worker *worker,
+					  const char *name, uint32_t number)
 {
 	const struct rj_list *at;
 
@@ -62,8 +63,8 @@
 /*
  * Take the worker's clock from an answer.
  */
-void rj_cell_call_clock(struct rj_cell_worker *worker,
-			const struct rj_cell_order_reply *reply)
+void rj_cell_call_update_clock(struct rj_cell_worker *worker,
+			       const struct rj_cell_order_reply *reply)
 {
 	if (!reply->clock_ms)
 		return;
@@ -74,12 +75,12 @@
 /*
  * The deadline that an order carries, or 0 when leases must not grow.
  */
-uint64_t rj_cell_call_deadline(struct rj_cell_owner *owner,
-			       struct rj_cell_worker *worker)
+uint64_t rj_cell_call_next_deadline(struct rj_cell_owner *owner,
+				    struct rj_cell_worker *worker)
 {
 	uint64_t deadline_ms;
 
-	if (!worker->clock_ms || rj_cell_owner_blind(owner))
+	if (!worker->clock_ms || rj_cell_owner_log_unavailable(owner))
 		return 0;
 	deadline_ms = rj_cell_worker_clock_ms(worker, owner->now_us) +
 		      owner->terms.lease_max_ms;
@@ -99,16 +100,16 @@
 			worker->runs.next, struct rj_cell_run, in_worker);
 
 		run->why = why;
-		rj_cell_ends_run(owner, run, RJ_CELL_END_LOST, NULL);
+		rj_cell_completions_apply(owner, run, RJ_CELL_END_LOST, NULL);
 	}
 }
 
 /*
  * A worker has stopped answering, or answers again.
  */
-void rj_cell_call_answers(struct rj_cell_owner *owner,
-			  struct rj_cell_worker *worker, bool answers,
-			  enum rj_cell_order_status status)
+void rj_cell_call_set_answering(struct rj_cell_owner *owner,
+				struct rj_cell_worker *worker, bool answers,
+				enum rj_cell_order_status status)
 {
 	if (worker->answers == answers)
 		return;
@@ -125,8 +126,8 @@
  * The worker whose call this was, unless owner or worker have changed.
  */
 struct rj_cell_worker *
-rj_cell_call_worker(struct rj_cell_call_note *call,
-		    const struct rj_cell_order_reply *reply)
+rj_cell_call_find_worker(struct rj_cell_call_context *call,
+			 const struct rj_cell_order_reply *reply)
 {
 	struct rj_cell_owner *owner = call->owner;
 	struct rj_cell_worker *worker;
@@ -147,9 +148,9 @@
 /*
  * Another life of the worker answers: nothing of the former one is left.
  */
-void rj_cell_call_other_life(struct rj_cell_owner *owner,
-			     struct rj_cell_worker *worker)
+void rj_cell_call_other_incarnation(struct rj_cell_owner *owner,
+				    struct rj_cell_worker *worker)
 {
-	rj_cell_call_answers(owner, worker, false, RJ_CELL_ORDER_OTHER);
+	rj_cell_call_set_answering(owner, worker, false, RJ_CELL_ORDER_OTHER);
 	rj_cell_call_lose_runs(owner, worker, "worker_reborn");
 }
--- a/src/libradishjunction/cell/cell_ends.c
+++ b/src/libradishjunction/cell/cell_completions.c
@@ -34,14 +34,14 @@
 /*
  * A stop was decided for a run; the order goes out with the next tick.
  */
-void rj_cell_ends_stop_run(struct rj_cell_owner *owner, struct rj_cell_run *run,
-			   const char *why)
+void rj_cell_completions_stop_run(struct rj_cell_owner *owner,
+				  struct rj_cell_run *run, const char *why)
 {
 	if (run->state == RJ_CELL_RUN_STOPPING)
 		return;
 	/* Nobody has been told of it: there is nothing to stop. */
 	if (run->state == RJ_CELL_RUN_INTENDED) {
-		rj_cell_owner_dirty(owner, run->task->round->work);
+		rj_cell_owner_mark_dirty(owner, run->task->round->work);
 		rj_cell_run_free(run);
 		return;
 	}
@@ -60,7 +60,7 @@
 	struct rj_list *next;
 
 	RJ_FOR_EACH (at, next, &task->runs)
-		rj_cell_ends_stop_run(
+		rj_cell_completions_stop_run(
 			owner, RJ_CONTAINER(at, struct rj_cell_run, in_task),
 			why);
 }
@@ -76,14 +76,14 @@
 {
 	const struct job_stop *stop = private_data;
 
-	rj_cell_ends_stop_run(stop->owner, run, stop->why);
+	rj_cell_completions_stop_run(stop->owner, run, stop->why);
 }
 
 /*
  * Stop all that runs of a job.
  */
-void rj_cell_ends_stop_work(struct rj_cell_owner *owner,
-			    struct rj_cell_work *work, const char *why)
+void rj_cell_completions_stop_job(struct rj_cell_owner *owner,
+				  struct rj_cell_work *work, const char *why)
 {
 	struct job_stop stop = { owner, why };
 
@@ -93,8 +93,9 @@
 /*
  * A job has ended as `state`: what still runs of it is stopped.
  */
-void rj_cell_ends_close(struct rj_cell_owner *owner, struct rj_cell_work *work,
-			enum rj_cell_job_state state)
+void rj_cell_completions_close_job(struct rj_cell_owner *owner,
+				   struct rj_cell_work *work,
+				   enum rj_cell_job_state state)
 {
 	if (work->state >= RJ_CELL_JOB_COMPLETED)
 		return;
@@ -116,16 +117,16 @@
 		RJ_NOTE_NUMBER("runs_lost", work->runs_lost),
 		RJ_NOTE_NUMBER("split", work->split));
 	if (state != RJ_CELL_JOB_COMPLETED)
-		rj_cell_ends_stop_work(owner, work,
-				       rj_cell_job_state_string[state]);
-	rj_cell_owner_dirty(owner, work);
+		rj_cell_completions_stop_job(owner, work,
+					     rj_cell_job_state_string[state]);
+	rj_cell_owner_mark_dirty(owner, work);
 }
 
 /*
  * Begin the occurrences of a job whose time has come.
  */
-void rj_cell_ends_begin_rounds(struct rj_cell_owner *owner,
-			       struct rj_cell_work *work)
+void rj_cell_completions_begin_occurrences(struct rj_cell_owner *owner,
+					   struct rj_cell_work *work)
 {
 	const struct rj_cell_def *def = work->def;
 	uint32_t rounds = def->repeats ? def->repeats : 1;
@@ -163,7 +164,8 @@
 		round->closed = true;
 		work->rounds_done++;
 		if (work->rounds_done >= rounds)
-			rj_cell_ends_close(owner, work, RJ_CELL_JOB_COMPLETED);
+			rj_cell_completions_close_job(owner, work,
+						      RJ_CELL_JOB_COMPLETED);
 	}
 	if (is_idle(round)) {
 		rj_list_remove(&round->link);
@@ -208,8 +210,9 @@
  * Guards against a task that waits for ever: where the worker is the only one
  * that may run it, it goes there again after a while.
  */
-void rj_cell_ends_avoid(struct rj_cell_owner *owner, struct rj_cell_task *task,
-			const struct rj_cell_worker *worker)
+void rj_cell_completions_avoid_worker(struct rj_cell_owner *owner,
+				      struct rj_cell_task *task,
+				      const struct rj_cell_worker *worker)
 {
 	g_strlcpy(task->avoid, worker->id, sizeof(task->avoid));
 	task->avoid_until_us = owner->now_us + AVOID_US;
@@ -227,10 +230,10 @@
 	if (head->failed_run != run->number)
 		head->failures++;
 	head->failed_run = run->number;
-	rj_cell_ends_avoid(owner, task, run->worker);
+	rj_cell_completions_avoid_worker(owner, task, run->worker);
 	task->not_before_us = owner->now_us + FAILURE_PAUSE_US * head->failures;
 	if (!step->perpetual && head->failures >= work->def->attempts_max)
-		rj_cell_ends_close(owner, work, RJ_CELL_JOB_FAILED);
+		rj_cell_completions_close_job(owner, work, RJ_CELL_JOB_FAILED);
 }
 
 /* Judge a worker by what has become of a run there. */
@@ -247,7 +250,7 @@
 		return;
 	worker->bad_streak++;
 	if (early)
-		rj_cell_failure_note(&owner->failures, owner->now_us);
+		rj_cell_failure_record_early(&owner->failures, owner->now_us);
 	if (!early && worker->bad_streak < BAD_STREAK_MAX)
 		return;
 	if (owner->now_us >= worker->suspect_until_us)
@@ -341,14 +344,14 @@
 	head->unseen_until_us =
 		MAX(head->unseen_until_us, run->worker->lapsed_us);
 	run->why = "gang_over";
-	rj_cell_ends_run(owner, run, RJ_CELL_END_LOST, NULL);
+	rj_cell_completions_apply(owner, run, RJ_CELL_END_LOST, NULL);
 }
 
 /*
  * End the runs of a worker that does not answer whose gangs have ended.
  */
-void rj_cell_ends_over(struct rj_cell_owner *owner,
-		       struct rj_cell_worker *worker)
+void rj_cell_completions_expire_gangs(struct rj_cell_owner *owner,
+				      struct rj_cell_worker *worker)
 {
 	struct rj_list *at = worker->runs.next;
 
@@ -369,8 +372,9 @@
  * A run has ended: say what that does to its task and its job, and free it.
  * What changes must be stored before the worker forgets the end.
  */
-void rj_cell_ends_run(struct rj_cell_owner *owner, struct rj_cell_run *run,
-		      enum rj_cell_end end, const char *saved)
+void rj_cell_completions_apply(struct rj_cell_owner *owner,
+			       struct rj_cell_run *run, enum rj_cell_end end,
+			       const char *saved)
 {
 	struct rj_cell_task *task = run->task;
 	struct rj_cell_worker *worker = run->worker;
@@ -423,7 +427,7 @@
 		if (ends_gang(end))
 			note_members_over(owner, task);
 	}
-	rj_cell_owner_dirty(owner, work);
+	rj_cell_owner_mark_dirty(owner, work);
 	if (!round->steps_left)
 		end_round(owner, round);
 }
@@ -454,8 +458,8 @@
 	work = head->round->work;
 	if (!rj_cell_task_step(head)->perpetual &&
 	    head->failures >= work->def->attempts_max)
-		rj_cell_ends_close(owner, work, RJ_CELL_JOB_FAILED);
-	rj_cell_owner_dirty(owner, work);
+		rj_cell_completions_close_job(owner, work, RJ_CELL_JOB_FAILED);
+	rj_cell_owner_mark_dirty(owner, work);
 }
 
 /*
@@ -464,11 +468,12 @@
  * that ended well is done, and what runs of it since is stopped; of other ends
  * only failures count.
  */
-void rj_cell_ends_orphan(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker,
-			 const struct rj_cell_end_row *row)
+void rj_cell_completions_apply_orphan(struct rj_cell_owner *owner,
+				      struct rj_cell_worker *worker,
+				      const struct rj_cell_end_row *row)
 {
-	struct rj_cell_task *task = rj_cell_owner_task(owner, row->name, NULL);
+	struct rj_cell_task *task =
+		rj_cell_owner_find_task(owner, row->name, NULL);
 	struct rj_cell_round *round;
 
 	rj_note("orphan_end", RJ_NOTE_TEXT("task", row->name),
@@ -482,7 +487,7 @@
 	note_done(owner, task);
 	if (rj_cell_task_step(task)->gang)
 		break_gang(owner, task);
-	rj_cell_owner_dirty(owner, round->work);
+	rj_cell_owner_mark_dirty(owner, round->work);
 	if (!round->steps_left)
 		end_round(owner, round);
 }
--- a/src/libradishjunction/cell/cell_cordon.c
+++ b/src/libradishjunction/cell/cell_cordon.c
@@ -123,8 +123,8 @@
 /*
  * Whether a failure domain is cordoned.
  */
-bool rj_cell_cordons_has(const struct rj_cell_cordons *cordons,
-			 const char *domain)
+bool rj_cell_cordons_contains(const struct rj_cell_cordons *cordons,
+			      const char *domain)
 {
 	return find(cordons, domain) < cordons->cordons->len;
 }
--- a/src/libradishjunction/cell/cell_evacuate.c
+++ b/src/libradishjunction/cell/cell_evacuate.c
@@ -17,8 +17,8 @@
  * as long as it can be stopped in time; any other that cannot end has nothing
  * to win by going on.
  */
-bool rj_cell_evacuate_now(const struct rj_cell_step *step, uint64_t left_us,
-			  uint64_t now_us, uint64_t leaves_us)
+bool rj_cell_evacuate_is_due(const struct rj_cell_step *step, uint64_t left_us,
+			     uint64_t now_us, uint64_t leaves_us)
 {
 	if (step->perpetual)
 		return now_us + STOP_LEAD_US >= leaves_us;
@@ -43,11 +43,12 @@
 		if (!run->task || run->state == RJ_CELL_RUN_STOPPING ||
 		    run->state == RJ_CELL_RUN_INTENDED)
 			continue;
-		if (rj_cell_evacuate_now(
+		if (rj_cell_evacuate_is_due(
 			    rj_cell_task_step(run->task),
 			    rj_cell_forecast_left_us(&owner->forecast, run,
 						     owner->now_us),
 			    owner->now_us, worker->leaves_us))
-			rj_cell_ends_stop_run(owner, run, RJ_CELL_WHY_LEAVES);
+			rj_cell_completions_stop_run(owner, run,
+						     RJ_CELL_WHY_LEAVES);
 	}
 }
--- a/src/libradishjunction/cell/cell_failure.c
+++ b/src/libradishjunction/cell/cell_failure.c
@@ -24,7 +24,8 @@
 /*
  * A run has failed early.
  */
-void rj_cell_failure_note(struct rj_cell_failure_burst *burst, uint64_t now_us)
+void rj_cell_failure_record_early(struct rj_cell_failure_burst *burst,
+				  uint64_t now_us)
 {
 	if (!burst->count || now_us >= burst->last_us + BURST_GAP_US) {
 		burst->since_us = now_us;
@@ -46,14 +47,14 @@
 
 /*
  * Whether a last attempt that has waited since `waiting_us` is to be made only
- * on workers that are sound, see rj_cell_failure_is_sound.
+ * on workers that are sound, see rj_cell_failure_is_healthy.
  *
  * Load that it answers: some of all workers begin to fail what they start. A
  * wide gang meets one of them at each attempt, and would use up its attempts
  * before these workers are known. Other work finds them within seconds.
  */
-bool rj_cell_failure_wants_sound(const struct rj_cell_failure_burst *burst,
-				 uint64_t waiting_us, uint64_t now_us)
+bool rj_cell_failure_requires_healthy(const struct rj_cell_failure_burst *burst,
+				      uint64_t waiting_us, uint64_t now_us)
 {
 	return rj_cell_failure_is_burst(burst, now_us) &&
 	       now_us < waiting_us + HOLD_MAX_US;
@@ -63,8 +64,8 @@
  * Whether what a worker started at `sound_us`, and did not fail, shows that it
  * is none of those that have begun to fail.
  */
-bool rj_cell_failure_is_sound(const struct rj_cell_failure_burst *burst,
-			      uint64_t sound_us)
+bool rj_cell_failure_is_healthy(const struct rj_cell_failure_burst *burst,
+				uint64_t sound_us)
 {
 	return sound_us >= burst->since_us;
 }
--- a/src/libradishjunction/cell/cell_fleet.c
+++ b/src/libradishjunction/cell/cell_fleet.c
@@ -157,8 +157,8 @@
 	domain = talloc_zero(fleet->mem, struct rj_cell_domain);
 	assert(domain);
 	g_strlcpy(domain->name, name, sizeof(domain->name));
-	domain->cordoned =
-		fleet->cordons && rj_cell_cordons_has(fleet->cordons, name);
+	domain->cordoned = fleet->cordons &&
+			   rj_cell_cordons_contains(fleet->cordons, name);
 	g_ptr_array_add(fleet->domains, domain);
 	return domain;
 }
@@ -176,7 +176,7 @@
 		struct rj_cell_domain *domain = fleet->domains->pdata[i];
 
 		domain->cordoned =
-			rj_cell_cordons_has(fleet->cordons, domain->name);
+			rj_cell_cordons_contains(fleet->cordons, domain->name);
 	}
 	return true;
 }
--- a/src/libradishjunction/cell/cell_flush.c
+++ b/src/libradishjunction/cell/cell_flush.c
@@ -92,19 +92,19 @@
 		return;
 	}
 	owner->now_us = write->writer->now_us;
-	owner->writes_open--;
+	owner->writes_pending--;
 	entry = write->id[0] ? rj_cell_view_find(owner->view, write->id) : NULL;
 	if (outcome == RJ_CELL_WRITE_STORED && entry) {
 		take_effect(owner, write, entry);
 	} else if (outcome == RJ_CELL_WRITE_NOT_STORED) {
 		owner->write_failed = true;
 		if (entry && entry->work)
-			rj_cell_owner_dirty(owner, entry->work);
-		owner->beat_due_us = owner->now_us;
+			rj_cell_owner_mark_dirty(owner, entry->work);
+		owner->heartbeat_due_us = owner->now_us;
 	} else if (outcome != RJ_CELL_WRITE_STORED) {
 		owner->lost = true;
 	}
-	if (!owner->writes_open && !owner->lost && !owner->write_failed)
+	if (!owner->writes_pending && !owner->lost && !owner->write_failed)
 		ends_stored(owner);
 	if (entry && entry->work)
 		free_ended(owner, entry->work);
@@ -130,7 +130,7 @@
 	if (summary)
 		write->summary = *summary;
 	rj_cell_record_key(key, kind, id);
-	owner->writes_open++;
+	owner->writes_pending++;
 	rj_cell_writer_add(write->writer, key, value,
 			   (struct rj_cell_write_done){ write_done, write });
 }
@@ -154,14 +154,14 @@
 static void add_beat(struct rj_cell_owner *owner)
 {
 	struct rj_cell_beat beat = { .incarnation = owner->incarnation,
-				     .number = owner->beat_number++ };
+				     .number = owner->heartbeat_number++ };
 	struct rj_bytes value;
 
 	rj_cell_admit_shares(owner, &beat);
 	value = rj_cell_beat_encode(owner->mem, &beat);
 	add_write(owner, RJ_CELL_RECORD_BEAT, "", value, NULL);
 	talloc_free((void *)value.data);
-	owner->beat_due_us = owner->now_us + BEAT_US;
+	owner->heartbeat_due_us = owner->now_us + BEAT_US;
 }
 
 /* Add the record that gives the cell away. */
@@ -226,7 +226,7 @@
  */
 static void flush_beat(struct rj_cell_owner *owner)
 {
-	if (owner->now_us < owner->beat_due_us ||
+	if (owner->now_us < owner->heartbeat_due_us ||
 	    rj_cell_writer_busy(&owner->writer))
 		return;
 	add_beat(owner);
@@ -241,7 +241,7 @@
 	struct rj_list *at;
 	struct rj_list *next;
 
-	if (owner->writes_open) {
+	if (owner->writes_pending) {
 		flush_beat(owner);
 		return;
 	}
@@ -254,7 +254,7 @@
 		rj_list_remove(&work->in_dirty);
 		add_work(owner, work);
 	}
-	if (owner->now_us >= owner->beat_due_us) {
+	if (owner->now_us >= owner->heartbeat_due_us) {
 		add_beat(owner);
 		add_drops(owner);
 	}
@@ -266,7 +266,7 @@
 
 		worker->seen_storing = worker->seen_taken;
 	}
-	if (!owner->writes_open) {
+	if (!owner->writes_pending) {
 		ends_stored(owner);
 		return;
 	}
@@ -277,18 +277,20 @@
 /*
  * Drop the keys of jobs that ended long ago, if it is time to look for them.
  */
-void rj_cell_flush_old(struct rj_cell_owner *owner)
+void rj_cell_flush_expired(struct rj_cell_owner *owner)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	if (owner->writes_open || owner->now_us < owner->drop_due_us)
+	if (owner->writes_pending ||
+	    owner->now_us < owner->retention_check_due_us)
 		return;
-	owner->drop_due_us = owner->now_us + DROP_CHECK_US;
+	owner->retention_check_due_us = owner->now_us + DROP_CHECK_US;
 	RJ_FOR_EACH (at, next, &owner->view->entries) {
 		struct rj_cell_entry *entry =
 			RJ_CONTAINER(at, struct rj_cell_entry, link);
-		uint64_t keep_us = owner->terms.status_ms * RJ_US_PER_MS;
+		uint64_t keep_us =
+			owner->terms.status_retention_ms * RJ_US_PER_MS;
 
 		if (entry->work || !entry->ended_us ||
 		    owner->now_us < entry->ended_us + keep_us)
--- a/src/libradishjunction/cell/cell_front.c
+++ b/src/libradishjunction/cell/cell_front.c
@@ -162,8 +162,8 @@
 static void answer_away(struct request *request, const char *why)
 {
 	answer_plain(request, RJ_CELL_VERDICT_AWAY, why,
-		     rj_cell_contact_come_back_ms(&request->front->contact,
-						  request->front->now_us));
+		     rj_cell_log_availability_retry_after_ms(
+			     &request->front->contact, request->front->now_us));
 }
 
 /* The last part of the path as the id of a job. Returns 0, or -1. */
@@ -247,7 +247,7 @@
 		answer_plain(request, RJ_CELL_VERDICT_CANCELLED, "ended", 0);
 		return;
 	}
-	if (request->front->contact.away_us) {
+	if (request->front->contact.unavailable_since_us) {
 		answer_away(request, "log_away");
 		return;
 	}
@@ -305,7 +305,7 @@
 /* Read the log to its end before the job is said not to exist. */
 static void look_up(struct request *request)
 {
-	if (request->front->contact.away_us) {
+	if (request->front->contact.unavailable_since_us) {
 		answer_unread(request, known(request));
 		return;
 	}
@@ -365,7 +365,7 @@
 		answer_plain(request, RJ_CELL_VERDICT_ACCEPTED, "known", 0);
 		return;
 	}
-	if (front->contact.away_us) {
+	if (front->contact.unavailable_since_us) {
 		answer_away(request, "log_away");
 		return;
 	}
@@ -513,9 +513,11 @@
 		    front->writer->answered_us);
 	bool refuses = front->jobs->failures && front->configs->failures;
 
-	if (answered_us && rj_cell_contact_update(&front->contact, answered_us,
-						  refuses, front->now_us))
-		rj_note(front->contact.away_us ? "log_away" : "log_back",
+	if (answered_us &&
+	    rj_cell_log_availability_update(&front->contact, answered_us,
+					    refuses, front->now_us))
+		rj_note(front->contact.unavailable_since_us ? "log_away" :
+							      "log_back",
 			RJ_NOTE_AGE_MS("silent_ms",
 				       front->now_us - answered_us),
 			RJ_NOTE_NUMBER("refuses", refuses),
@@ -537,7 +539,7 @@
 		struct request *request =
 			RJ_CONTAINER(at, struct request, link);
 
-		if (front->contact.away_us)
+		if (front->contact.unavailable_since_us)
 			answer_open(request, "log_away");
 		else if (now_us >= request->due_us)
 			answer_open(request, "log_slow");
--- a/src/libradishjunction/cell/cell_contact.c
+++ b/src/libradishjunction/cell/cell_log_availability.c
@@ -1,4 +1,4 @@
-#include "private/cell_contact.h"
+#include "private/cell_log_availability.h"
 
 #include <glib.h>
 
@@ -27,26 +27,28 @@
  * with its failure domain, while others serve. Its clients are sent to these
  * at once; held until they give up they would come too late.
  */
-bool rj_cell_contact_update(struct rj_cell_contact *contact,
-			    uint64_t answered_us, bool refuses, uint64_t now_us)
+bool rj_cell_log_availability_update(struct rj_cell_log_availability *contact,
+				     uint64_t answered_us, bool refuses,
+				     uint64_t now_us)
 {
 	uint64_t limit_us = refuses ? REFUSES_US : SILENT_US;
 	bool away = now_us >= answered_us + limit_us;
 
-	if (away == (contact->away_us != 0))
+	if (away == (contact->unavailable_since_us != 0))
 		return false;
-	contact->away_us = away ? now_us : 0;
+	contact->unavailable_since_us = away ? now_us : 0;
 	return true;
 }
 
 /*
  * When a client is to come back, in milliseconds.
  */
-uint32_t rj_cell_contact_come_back_ms(const struct rj_cell_contact *contact,
-				      uint64_t now_us)
+uint32_t rj_cell_log_availability_retry_after_ms(
+	const struct rj_cell_log_availability *contact, uint64_t now_us)
 {
-	uint64_t away_ms = contact->away_us ?
-				   (now_us - contact->away_us) / RJ_US_PER_MS :
+	uint64_t away_ms = contact->unavailable_since_us ?
+				   (now_us - contact->unavailable_since_us) /
+					   RJ_US_PER_MS :
 				   0;
 
 	return (uint32_t)CLAMP(away_ms / COME_BACK_PART, COME_BACK_MS,
--- a/src/libradishjunction/cell/cell_metrics.c
+++ b/src/libradishjunction/cell/cell_metrics.c
@@ -91,7 +91,7 @@
 	number(text, "owner", owner->active);
 	number(text, "owner_token", owner->active ? owner->token : 0);
 	number(text, "takeovers", counters->takeovers);
-	number(text, "resigns", counters->resigns);
+	number(text, "resigns", counters->resignations);
 	number(text, "starts", counters->starts);
 	number(text, "stops", counters->stops);
 	number(text, "polls", counters->polls);
@@ -101,13 +101,13 @@
 	number(text, "jobs_failed", counters->failed);
 	for (int i = 0; i < RJ_CELL_END_COUNT; i++)
 		labelled(text, "run_ends", "end", rj_cell_end_string[i],
-			 counters->ends[i]);
+			 counters->completions[i]);
 	for (int i = 0; i < RJ_CELL_PRIORITIES; i++)
-		rj_latency_write(&counters->waits[i],
+		rj_latency_write(&counters->first_start_waits[i],
 				 "radishjunction_first_start_ms", "priority",
 				 priorities[i], text);
-	rj_latency_write(&counters->orders, "radishjunction_order_ms", "order",
-			 "start", text);
+	rj_latency_write(&counters->start_latency, "radishjunction_order_ms",
+			 "order", "start", text);
 	if (!owner->active)
 		return;
 	for (int i = 0; i < RJ_CELL_PRIORITIES; i++) {
@@ -149,6 +149,6 @@
 	write_front(text, &node->front);
 	write_appends(text, "front", &node->writer);
 	write_appends(text, "owner", &node->owner.writer);
-	write_appends(text, "owner_progress", &node->owner.progress);
+	write_appends(text, "owner_progress", &node->owner.progress_writer);
 	write_owner(text, &node->owner, now_us);
 }
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -65,7 +65,7 @@
 		return;
 	node->owner.now_us = node->fleet.now_us;
 	if (!record->value.length) {
-		rj_cell_owner_worker(&node->owner, record->key, NULL, 0);
+		rj_cell_owner_update_worker(&node->owner, record->key, NULL, 0);
 		return;
 	}
 	if (strlen(record->key) >= RJ_NAME_BYTES ||
@@ -75,7 +75,8 @@
 			RJ_NOTE_TEXT("error", err.message));
 		return;
 	}
-	rj_cell_owner_worker(&node->owner, record->key, &heartbeat, written_us);
+	rj_cell_owner_update_worker(&node->owner, record->key, &heartbeat,
+				    written_us);
 }
 
 /* Nothing more to do when a read has ended. */
@@ -91,7 +92,7 @@
 	if (!node->owner.active)
 		return;
 	node->owner.now_us = node->fleet.now_us;
-	rj_cell_polls_loaded(&node->owner);
+	rj_cell_polls_fleet_loaded(&node->owner);
 }
 
 static const struct rj_cell_follow_ops fleet_ops = {
@@ -262,7 +263,7 @@
 	entry = rj_cell_view_apply(&node->view, record, node->jobs.now_us);
 	if (entry && node->owner.active && kind != RJ_CELL_RECORD_STATE) {
 		node->owner.now_us = node->jobs.now_us;
-		rj_cell_owner_entry(&node->owner, entry);
+		rj_cell_owner_update_job(&node->owner, entry);
 	}
 }
 
@@ -279,7 +280,7 @@
 /* Whether this instance owns the cell, or is taking it over. */
 static bool is_owner(const struct rj_cell_node *node)
 {
-	return node->owner.active || node->owner.taking;
+	return node->owner.active || node->owner.taking_over;
 }
 
 /* Give the cell up. What was decided and not stored has not been shown. */
@@ -305,17 +306,17 @@
 static uint64_t renewals_us(const struct rj_cell_node *node)
 {
 	const struct rj_cell_owner_record *former = &node->former;
-	uint64_t settled_us = RJ_CELL_BLIND_US + CLOCKS_APART_US;
+	uint64_t settled_us = RJ_CELL_LOG_UNAVAILABLE_MAX_US + CLOCKS_APART_US;
 	uint64_t age_us;
 
 	if (strcmp(former->name, node->options.name) != 0 ||
 	    former->incarnation == node->options.incarnation ||
 	    !former->since_ms || node->wall_ms < former->since_ms)
-		return RJ_CELL_BLIND_US;
+		return RJ_CELL_LOG_UNAVAILABLE_MAX_US;
 	age_us = (node->wall_ms - former->since_ms) * RJ_US_PER_MS;
 	if (age_us >= settled_us)
 		return 0;
-	return MIN(RJ_CELL_BLIND_US, settled_us - age_us);
+	return MIN(RJ_CELL_LOG_UNAVAILABLE_MAX_US, settled_us - age_us);
 }
 
 /* Begin to take the cell: the log up to our own record has been read. */
@@ -336,8 +337,8 @@
 static void step_up(struct rj_cell_node *node)
 {
 	rj_cell_takeover_stop(&node->takeover);
-	rj_cell_owner_take(&node->owner, renewals_us(node), node->now_us,
-			   node->wall_ms);
+	rj_cell_owner_complete_takeover(&node->owner, renewals_us(node),
+					node->now_us, node->wall_ms);
 	rj_cell_follow_start(&node->fleet, node->now_us);
 }
 
@@ -581,14 +582,14 @@
 	rj_cell_follow_tick(&node->fleet, now_us);
 	rj_cell_writer_tick(&node->writer, now_us);
 	rj_cell_front_tick(&node->front, now_us);
-	node->owner.read_us = node->jobs.confirmed_us;
+	node->owner.jobs_read_us = node->jobs.confirmed_us;
 	node->owner.workers_read_us = node->fleet.confirmed_us;
 	node->owner.operators_read_us = node->configs.confirmed_us;
 	rj_cell_takeover_tick(&node->takeover, now_us);
 	if (rj_cell_takeover_is_loaded(&node->takeover))
 		step_up(node);
 	rj_cell_owner_advance(&node->owner, now_us, wall_ms);
-	if (node->owner.lost)
+	if (node->owner.fenced)
 		step_down(node, "fenced");
 	watch_owner(node);
 }
@@ -600,7 +601,7 @@
 bool rj_cell_node_ready(const struct rj_cell_node *node, uint64_t now_us)
 {
 	return !node->draining && node->jobs.caught_up &&
-	       !node->front.contact.away_us &&
+	       !node->front.contact.unavailable_since_us &&
 	       rj_cell_front_keys_fresh(&node->front, now_us);
 }
 
@@ -616,7 +617,7 @@
 	node->draining = true;
 	rj_note("drain", RJ_NOTE_NUMBER("open", node->front.open),
 		RJ_NOTE_NUMBER("owner", is_owner(node)));
-	rj_cell_owner_leave(&node->owner, now_us);
+	rj_cell_owner_release(&node->owner, now_us);
 }
 
 /*
--- a/src/libradishjunction/cell/cell_orders.c
+++ b/src/libradishjunction/cell/cell_orders.c
@@ -56,7 +56,7 @@
 	if (run->task)
 		run->task->not_before_us =
 			owner->now_us + refusal_pause_us(status);
-	rj_cell_ends_run(owner, run, RJ_CELL_END_LOST, NULL);
+	rj_cell_completions_apply(owner, run, RJ_CELL_END_LOST, NULL);
 }
 
 /* What a refused start says of its worker. */
@@ -76,21 +76,21 @@
 
 /* The run that an answer is about, with its worker, or NULL if it is of no
  * more interest. */
-static struct rj_cell_run *find_run(struct rj_cell_call_note *call,
+static struct rj_cell_run *find_run(struct rj_cell_call_context *call,
 				    const struct rj_cell_order_reply *reply,
 				    struct rj_cell_worker **worker)
 {
-	*worker = rj_cell_call_worker(call, reply);
+	*worker = rj_cell_call_find_worker(call, reply);
 	if (!*worker)
 		return NULL;
-	return rj_cell_call_run(*worker, call->name, call->number);
+	return rj_cell_call_find_run(*worker, call->name, call->number);
 }
 
 /* The answer to a start. */
 static void start_done(void *private_data,
 		       const struct rj_cell_order_reply *reply)
 {
-	struct rj_cell_call_note *call = private_data;
+	struct rj_cell_call_context *call = private_data;
 	struct rj_cell_owner *owner = call->owner;
 	struct rj_cell_worker *worker;
 	struct rj_cell_run *run = find_run(call, reply, &worker);
@@ -100,7 +100,7 @@
 	if (!run)
 		return;
 	run->start_open = false;
-	rj_cell_call_clock(worker, reply);
+	rj_cell_call_update_clock(worker, reply);
 	if (reply->status == RJ_CELL_ORDER_FENCED) {
 		owner->lost = true;
 		return;
@@ -119,18 +119,18 @@
 	case RJ_CELL_ORDER_LOST:
 		rj_cell_run_order(run, owner->now_us + ORDER_RETRY_US);
 		if (run->order_tries >= START_TRIES_MAX)
-			rj_cell_ends_stop_run(owner, run, "no_answer");
+			rj_cell_completions_stop_run(owner, run, "no_answer");
 		break;
 	case RJ_CELL_ORDER_OTHER:
-		rj_cell_call_other_life(owner, worker);
+		rj_cell_call_other_incarnation(owner, worker);
 		break;
 	case RJ_CELL_ORDER_UNSENT:
 		/* An earlier try of this start may have arrived. */
 		if (run->order_tries > 1) {
-			rj_cell_ends_stop_run(owner, run, "no_answer");
+			rj_cell_completions_stop_run(owner, run, "no_answer");
 			break;
 		}
-		rj_cell_call_answers(owner, worker, false, reply->status);
+		rj_cell_call_set_answering(owner, worker, false, reply->status);
 		withdraw(owner, run, reply->status);
 		break;
 	default:
@@ -138,7 +138,7 @@
 		if (reply->status == RJ_CELL_ORDER_TICKET)
 			rj_cell_advice_void(run->task, worker);
 		if (run->order_tries > 1)
-			rj_cell_ends_stop_run(owner, run, "no_answer");
+			rj_cell_completions_stop_run(owner, run, "no_answer");
 		else
 			withdraw(owner, run, reply->status);
 	}
@@ -157,7 +157,7 @@
 				       .token = owner->token };
 	struct rj_cell_order_done done;
 
-	start.deadline_ms = rj_cell_call_deadline(owner, worker);
+	start.deadline_ms = rj_cell_call_next_deadline(owner, worker);
 	if (!start.deadline_ms)
 		return;
 	done.call = start_done;
@@ -172,7 +172,7 @@
 static void stop_done(void *private_data,
 		      const struct rj_cell_order_reply *reply)
 {
-	struct rj_cell_call_note *call = private_data;
+	struct rj_cell_call_context *call = private_data;
 	struct rj_cell_owner *owner = call->owner;
 	struct rj_cell_worker *worker;
 	struct rj_cell_run *run = find_run(call, reply, &worker);
@@ -181,7 +181,7 @@
 	if (!run)
 		return;
 	run->stop_open = false;
-	rj_cell_call_clock(worker, reply);
+	rj_cell_call_update_clock(worker, reply);
 	switch (reply->status) {
 	case RJ_CELL_ORDER_OK:
 		run->settled_us = owner->now_us;
@@ -190,13 +190,13 @@
 		owner->lost = true;
 		break;
 	case RJ_CELL_ORDER_OTHER:
-		rj_cell_call_other_life(owner, worker);
+		rj_cell_call_other_incarnation(owner, worker);
 		break;
 	default:
 		rj_cell_run_order(run, owner->now_us + ORDER_RETRY_US);
 		if (run->over_us)
-			rj_cell_call_answers(owner, worker, false,
-					     reply->status);
+			rj_cell_call_set_answering(owner, worker, false,
+						   reply->status);
 	}
 }
 
@@ -239,11 +239,11 @@
 				  "worker_leaves";
 
 	if (run->order_tries) {
-		rj_cell_ends_stop_run(owner, run, why);
+		rj_cell_completions_stop_run(owner, run, why);
 		return;
 	}
 	run->why = why;
-	rj_cell_ends_run(owner, run, RJ_CELL_END_LOST, NULL);
+	rj_cell_completions_apply(owner, run, RJ_CELL_END_LOST, NULL);
 }
 
 /*
@@ -347,19 +347,19 @@
 	struct rj_list *at;
 	struct rj_list *next;
 
-	if (owner->now_us < owner->watch_due_us)
+	if (owner->now_us < owner->busy_check_due_us)
 		return;
-	owner->watch_due_us = owner->now_us + WATCH_PAUSE_US;
+	owner->busy_check_due_us = owner->now_us + WATCH_PAUSE_US;
 	RJ_FOR_EACH (at, next, &owner->fleet.watched[RJ_CELL_WATCH_BUSY]) {
 		struct rj_cell_worker *worker =
 			RJ_CONTAINER(at, struct rj_cell_worker, in_watch);
 
 		check_lapse(owner, worker);
 		if (!worker->answers)
-			rj_cell_ends_over(owner, worker);
+			rj_cell_completions_expire_gangs(owner, worker);
 		if (worker->leaves_us)
 			rj_cell_evacuate(owner, worker);
-		rj_cell_polls_busy(owner, worker);
+		rj_cell_polls_poll_busy(owner, worker);
 	}
 }
 
--- a/src/libradishjunction/cell/cell_owner.c
+++ b/src/libradishjunction/cell/cell_owner.c
@@ -40,7 +40,7 @@
 			const char *name, uint64_t incarnation,
 			struct rj_cell_view *view, struct rj_cell_store *store,
 			struct rj_cell_workers *workers,
-			const struct rj_cell_terms *terms)
+			const struct rj_cell_limits *terms)
 {
 	memset(owner, 0, sizeof(*owner));
 	owner->mem = mem;
@@ -63,15 +63,17 @@
 /*
  * Whether the log has been out of reach for too long to renew leases.
  */
-bool rj_cell_owner_blind(const struct rj_cell_owner *owner)
+bool rj_cell_owner_log_unavailable(const struct rj_cell_owner *owner)
 {
-	return owner->now_us > owner->writer.stored_us + RJ_CELL_BLIND_US;
+	return owner->now_us >
+	       owner->writer.stored_us + RJ_CELL_LOG_UNAVAILABLE_MAX_US;
 }
 
 /*
  * A job's progress has changed and is to be stored.
  */
-void rj_cell_owner_dirty(struct rj_cell_owner *owner, struct rj_cell_work *work)
+void rj_cell_owner_mark_dirty(struct rj_cell_owner *owner,
+			      struct rj_cell_work *work)
 {
 	if (!work->dirty)
 		rj_list_append(&owner->dirty, &work->in_dirty);
@@ -83,9 +85,9 @@
  * The task of a name as workers list it, or NULL when it is not under way;
  * `entry` (may be NULL) is that of its job, if that is known.
  */
-struct rj_cell_task *rj_cell_owner_task(struct rj_cell_owner *owner,
-					const char *name,
-					struct rj_cell_entry **entry)
+struct rj_cell_task *rj_cell_owner_find_task(struct rj_cell_owner *owner,
+					     const char *name,
+					     struct rj_cell_entry **entry)
 {
 	struct rj_cell_entry *found;
 	char id[RJ_CELL_ID_BYTES];
@@ -141,12 +143,12 @@
 	/* It has ended and nobody was told, or it was stored by the version
 	 * before. */
 	if (entry->progress.length && !entry->moved)
-		rj_cell_owner_dirty(owner, work);
+		rj_cell_owner_mark_dirty(owner, work);
 	entry->moved = true;
 	if (work->state >= RJ_CELL_JOB_COMPLETED)
-		rj_cell_owner_dirty(owner, work);
+		rj_cell_owner_mark_dirty(owner, work);
 	else
-		rj_cell_ends_begin_rounds(owner, work);
+		rj_cell_completions_begin_occurrences(owner, work);
 }
 
 /* Say what has come, with the figures that decide on its first step. */
@@ -182,8 +184,8 @@
 /*
  * A job's definition or a wish to cancel it has come.
  */
-void rj_cell_owner_entry(struct rj_cell_owner *owner,
-			 struct rj_cell_entry *entry)
+void rj_cell_owner_update_job(struct rj_cell_owner *owner,
+			      struct rj_cell_entry *entry)
 {
 	if (!owner->active || !entry->def ||
 	    entry->told.state >= RJ_CELL_JOB_COMPLETED)
@@ -197,7 +199,8 @@
 	}
 	if (entry->cancelled && !entry->work->cancelled) {
 		entry->work->cancelled = true;
-		rj_cell_ends_close(owner, entry->work, RJ_CELL_JOB_CANCELLED);
+		rj_cell_completions_close_job(owner, entry->work,
+					      RJ_CELL_JOB_CANCELLED);
 	}
 	owner->plan_wanted = true;
 }
@@ -210,8 +213,9 @@
 			     const struct rj_cell_worker *worker)
 {
 	return worker->said.draining && worker->written_us &&
-	       owner->now_us < worker->written_us + owner->terms.entry_life_ms *
-							    RJ_US_PER_MS;
+	       owner->now_us <
+		       worker->written_us +
+			       owner->terms.entry_expiry_ms * RJ_US_PER_MS;
 }
 
 /* A worker's entry is gone. */
@@ -232,9 +236,9 @@
  * A worker's entry has changed, and was written after `written_us` (0: not
  * known); NULL when it is gone.
  */
-void rj_cell_owner_worker(struct rj_cell_owner *owner, const char *id,
-			  const struct rj_cell_heartbeat *heartbeat,
-			  uint64_t written_us)
+void rj_cell_owner_update_worker(struct rj_cell_owner *owner, const char *id,
+				 const struct rj_cell_heartbeat *heartbeat,
+				 uint64_t written_us)
 {
 	struct rj_cell_worker *worker = rj_cell_fleet_find(&owner->fleet, id);
 	bool was_draining;
@@ -250,7 +254,7 @@
 	if (worker->incarnation && heartbeat->incarnation &&
 	    worker->incarnation != heartbeat->incarnation) {
 		worker->answers = false;
-		rj_cell_polls_soon(owner, worker);
+		rj_cell_polls_schedule_now(owner, worker);
 	}
 	rj_cell_worker_say(worker, heartbeat);
 	worker->written_us = written_us;
@@ -261,15 +265,15 @@
 		worker->leaves_us = (written_us ? written_us : owner->now_us) +
 				    heartbeat->drain_left_ms * RJ_US_PER_MS;
 	worker->left_us = 0;
-	rj_cell_polls_trust(owner, worker);
+	rj_cell_polls_accept_heartbeat(owner, worker);
 	if (!worker->listed || was_draining != heartbeat->draining) {
 		rj_note("worker_listed", RJ_NOTE_TEXT("worker", id),
 			RJ_NOTE_TEXT("domain", heartbeat->domain),
 			RJ_NOTE_TEXT("rack", heartbeat->rack),
 			RJ_NOTE_NUMBER("draining", heartbeat->draining));
-		/* In a load there is news of all; see rj_cell_polls_loaded. */
+		/* In a load there is news of all; see rj_cell_polls_fleet_loaded. */
 		if (written_us)
-			rj_cell_polls_soon(owner, worker);
+			rj_cell_polls_schedule_now(owner, worker);
 		owner->plan_wanted = true;
 	}
 	worker->listed = true;
@@ -314,11 +318,12 @@
 /*
  * Begin to take the cell over under `token`, writing under `epoch`: this
  * instance shows its life in the log, and decides nothing until
- * rj_cell_owner_take. The progress writer starts behind the fence that the
+ * rj_cell_owner_complete_takeover. The progress writer starts behind the fence that the
  * takeover puts into its log.
  */
-void rj_cell_owner_begin(struct rj_cell_owner *owner, uint64_t token,
-			 uint64_t epoch, uint64_t now_us, uint64_t wall_ms)
+void rj_cell_owner_begin_takeover(struct rj_cell_owner *owner, uint64_t token,
+				  uint64_t epoch, uint64_t now_us,
+				  uint64_t wall_ms)
 {
 	assert(!owner->active && !owner->taking);
 	assert(owner->dirty.next == &owner->dirty);
@@ -329,8 +334,8 @@
 	owner->token = token;
 	owner->now_us = now_us;
 	owner->wall_ms = wall_ms;
-	owner->writes_open = 0;
-	owner->beat_due_us = now_us;
+	owner->writes_pending = 0;
+	owner->heartbeat_due_us = now_us;
 	rj_cell_fleet_init(&owner->fleet, owner->mem, owner->cordons);
 	rj_cell_writer_open(&owner->writer, epoch, 1, now_us);
 	rj_cell_writer_open(&owner->progress, epoch, 0, now_us);
@@ -341,8 +346,9 @@
  * view must be complete up to the ownership record, and hold the progress of
  * all jobs; former owners renew no lease after `renewals_us` from now.
  */
-void rj_cell_owner_take(struct rj_cell_owner *owner, uint64_t renewals_us,
-			uint64_t now_us, uint64_t wall_ms)
+void rj_cell_owner_complete_takeover(struct rj_cell_owner *owner,
+				     uint64_t renewals_us, uint64_t now_us,
+				     uint64_t wall_ms)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -354,8 +360,8 @@
 	owner->read_us = now_us;
 	owner->now_us = now_us;
 	owner->wall_ms = wall_ms;
-	owner->advice_open = false;
-	rj_cell_polls_begin(owner);
+	owner->advice_pending = false;
+	rj_cell_polls_reset_limits(owner);
 	owner->counters.takeovers++;
 	RJ_FOR_EACH (at, next, &owner->view->entries) {
 		struct rj_cell_entry *entry =
@@ -363,7 +369,7 @@
 
 		if (entry->def && entry->told.state < RJ_CELL_JOB_COMPLETED)
 			jobs++;
-		rj_cell_owner_entry(owner, entry);
+		rj_cell_owner_update_job(owner, entry);
 	}
 	rj_cell_view_drop_progress(owner->view);
 	bound_leases(owner, renewals_us);
@@ -393,7 +399,7 @@
 	owner->taking = false;
 	owner->lost = false;
 	owner->generation++;
-	owner->counters.resigns++;
+	owner->counters.resignations++;
 	rj_cell_writer_close(&owner->writer);
 	rj_cell_writer_close(&owner->progress);
 	rj_cell_view_drop_progress(owner->view);
@@ -422,7 +428,7 @@
  * Give the cell away in the log, behind all that is to be stored. Whoever
  * reads it may take over at once; until then this owner goes on.
  */
-void rj_cell_owner_leave(struct rj_cell_owner *owner, uint64_t now_us)
+void rj_cell_owner_release(struct rj_cell_owner *owner, uint64_t now_us)
 {
 	if (!owner->active && !owner->taking)
 		return;
@@ -444,9 +450,9 @@
 			 const struct rj_cell_plan *plan)
 {
 	rj_cell_backlog_sum(plan, &owner->backlog);
-	if (!plan->waiting || owner->now_us < owner->backlog_due_us)
+	if (!plan->waiting || owner->now_us < owner->backlog_log_due_us)
 		return;
-	owner->backlog_due_us = owner->now_us + BACKLOG_NOTE_US;
+	owner->backlog_log_due_us = owner->now_us + BACKLOG_NOTE_US;
 	rj_cell_backlog_note(&owner->backlog);
 }
 
@@ -470,12 +476,12 @@
 	note_backlog(owner, &plan);
 	rj_cell_starts_begin(owner, &plan);
 	for (guint i = 0; i < plan.stops->len; i++)
-		rj_cell_ends_stop_run(owner, plan.stops->pdata[i],
-				      RJ_CELL_WHY_RECLAIMED);
+		rj_cell_completions_stop_run(owner, plan.stops->pdata[i],
+					     RJ_CELL_WHY_RECLAIMED);
 	owner->plan_wanted = false;
 	rj_cell_advice_ask(owner, &plan);
 	owner->plan_due_us = MIN(plan.next_us, owner->now_us + PLAN_IDLE_US);
-	owner->plan_from_us =
+	owner->plan_not_before_us =
 		owner->now_us +
 		MAX(PLAN_PAUSE_US,
 		    (1 + PLAN_PAUSE_FACTOR) * plan_took_us(owner, &plan));
@@ -488,15 +494,15 @@
 	struct rj_list *at;
 	struct rj_list *next;
 
-	if (owner->now_us < owner->rounds_due_us)
+	if (owner->now_us < owner->occurrence_check_due_us)
 		return;
-	owner->rounds_due_us = owner->now_us + ROUNDS_CHECK_US;
+	owner->occurrence_check_due_us = owner->now_us + ROUNDS_CHECK_US;
 	RJ_FOR_EACH (at, next, &owner->works) {
 		struct rj_cell_work *work =
 			RJ_CONTAINER(at, struct rj_cell_work, link);
 
 		if (work->def->repeats && work->state < RJ_CELL_JOB_COMPLETED)
-			rj_cell_ends_begin_rounds(owner, work);
+			rj_cell_completions_begin_occurrences(owner, work);
 	}
 }
 
@@ -530,10 +536,10 @@
 {
 	begin_rounds(owner);
 	if ((owner->plan_wanted || owner->now_us >= owner->plan_due_us) &&
-	    !owner->writes_open && rj_cell_owner_may_start(owner) &&
-	    owner->now_us >= owner->plan_from_us)
+	    !owner->writes_pending && rj_cell_owner_may_start(owner) &&
+	    owner->now_us >= owner->plan_not_before_us)
 		plan_work(owner);
-	rj_cell_flush_old(owner);
+	rj_cell_flush_expired(owner);
 }
 
 /*
--- a/src/libradishjunction/cell/cell_place.c
+++ b/src/libradishjunction/cell/cell_place.c
@@ -81,8 +81,8 @@
 			       struct rj_cell_task *task)
 {
 	return is_last_attempt(task) &&
-	       rj_cell_failure_wants_sound(&plan->failures, task->waiting_us,
-					   plan->now_us);
+	       rj_cell_failure_requires_healthy(&plan->failures,
+						task->waiting_us, plan->now_us);
 }
 
 /* Whether a worker is too likely to fail a task that must not fail. */
@@ -94,7 +94,8 @@
 	    !is_last_attempt(task))
 		return false;
 	return worker->bad_streak ||
-	       (!rj_cell_failure_is_sound(&plan->failures, worker->sound_us) &&
+	       (!rj_cell_failure_is_healthy(&plan->failures,
+					    worker->sound_us) &&
 		rj_cell_place_wants_sound(plan, task));
 }
 
@@ -242,7 +243,7 @@
 		return true;
 	return (failed_before || rj_cell_task_step(task)->gang) &&
 	       rj_cell_failure_is_burst(&plan->failures, plan->now_us) &&
-	       !rj_cell_failure_is_sound(&plan->failures, worker->sound_us);
+	       !rj_cell_failure_is_healthy(&plan->failures, worker->sound_us);
 }
 
 /*
--- a/src/libradishjunction/cell/cell_polls.c
+++ b/src/libradishjunction/cell/cell_polls.c
@@ -4,7 +4,7 @@
 #include <talloc.h>
 
 #include "private/cell_calls.h"
-#include "private/cell_health.h"
+#include "private/cell_run_health.h"
 #include "private/note.h"
 
 /* A poll waits so long for an end; at most 2,000 by the workers' protocol.
@@ -48,7 +48,7 @@
 	unsigned int step = 0;
 
 	assert(run);
-	(void)rj_cell_owner_task(owner, row->name, &entry);
+	(void)rj_cell_owner_find_task(owner, row->name, &entry);
 	run->worker = worker;
 	run->name = talloc_strdup(run, row->name);
 	run->number = row->number;
@@ -74,10 +74,10 @@
 	for (uint32_t i = 0; i < reply->row_count; i++) {
 		const struct rj_cell_row *row = &reply->rows[i];
 		struct rj_cell_run *run =
-			rj_cell_call_run(worker, row->name, row->number);
+			rj_cell_call_find_run(worker, row->name, row->number);
 
 		if (run)
-			rj_cell_health_progress(owner, run, row);
+			rj_cell_run_health_update(owner, run, row);
 		else
 			stop_orphan(owner, worker, row);
 	}
@@ -148,11 +148,11 @@
 			continue;
 		if (!run->why)
 			run->why = "not_listed";
-		rj_cell_ends_run(owner, run,
-				 run->state == RJ_CELL_RUN_STOPPING ?
-					 RJ_CELL_END_STOPPED :
-					 RJ_CELL_END_LOST,
-				 NULL);
+		rj_cell_completions_apply(owner, run,
+					  run->state == RJ_CELL_RUN_STOPPING ?
+						  RJ_CELL_END_STOPPED :
+						  RJ_CELL_END_LOST,
+					  NULL);
 		next = worker->runs.next;
 	}
 }
@@ -169,11 +169,12 @@
 		if (row->position <= worker->seen_taken)
 			continue;
 		worker->seen_taken = row->position;
-		run = rj_cell_call_run(worker, row->name, row->number);
+		run = rj_cell_call_find_run(worker, row->name, row->number);
 		if (run)
-			rj_cell_ends_run(owner, run, row->end, row->saved);
+			rj_cell_completions_apply(owner, run, row->end,
+						  row->saved);
 		else
-			rj_cell_ends_orphan(owner, worker, row);
+			rj_cell_completions_apply_orphan(owner, worker, row);
 	}
 	if (worker->seen_taken > worker->seen &&
 	    worker->in_unstored.next == &worker->in_unstored)
@@ -236,14 +237,14 @@
 /* A worker's lists have come. */
 static void take_poll(struct rj_cell_owner *owner,
 		      struct rj_cell_worker *worker,
-		      const struct rj_cell_call_note *call,
+		      const struct rj_cell_call_context *call,
 		      const struct rj_cell_order_reply *reply)
 {
-	rj_cell_call_clock(worker, reply);
+	rj_cell_call_update_clock(worker, reply);
 	worker->poll_failures = 0;
 	worker->left_us = 0;
 	worker->given_up_us = 0;
-	rj_cell_call_answers(owner, worker, true, reply->status);
+	rj_cell_call_set_answering(owner, worker, true, reply->status);
 	if (worker->incarnation != reply->incarnation)
 		meet(owner, worker, reply);
 	else
@@ -251,7 +252,7 @@
 	take_ends(owner, worker, reply);
 	take_rows(owner, worker, reply);
 	drop_missing(owner, worker, call->sent_us, reply);
-	rj_cell_health_check(owner, worker);
+	rj_cell_run_health_check(owner, worker);
 	worker->poll_due_us = owner->now_us;
 	if (worker->seen_taken > worker->seen)
 		worker->poll_due_us += POLL_UNSTORED_US;
@@ -272,9 +273,9 @@
 	if (worker->left_us && sent_us >= worker->left_us)
 		rj_cell_call_lose_runs(owner, worker, "worker_left");
 	if (status == RJ_CELL_ORDER_OTHER)
-		rj_cell_call_other_life(owner, worker);
+		rj_cell_call_other_incarnation(owner, worker);
 	else
-		rj_cell_call_answers(owner, worker, false, status);
+		rj_cell_call_set_answering(owner, worker, false, status);
 	if (!is_wanted(owner, worker))
 		delay_us <<= MIN(worker->poll_failures, 3U);
 	worker->poll_failures++;
@@ -285,9 +286,9 @@
 static void poll_done(void *private_data,
 		      const struct rj_cell_order_reply *reply)
 {
-	struct rj_cell_call_note *call = private_data;
+	struct rj_cell_call_context *call = private_data;
 	struct rj_cell_owner *owner = call->owner;
-	struct rj_cell_worker *worker = rj_cell_call_worker(call, reply);
+	struct rj_cell_worker *worker = rj_cell_call_find_worker(call, reply);
 
 	if (!worker)
 		goto free_call;
@@ -320,7 +321,7 @@
 						     POLL_RETRY_TIMEOUT_MS :
 						     POLL_TIMEOUT_MS };
 	struct rj_cell_order_done done;
-	struct rj_cell_call_note *call;
+	struct rj_cell_call_context *call;
 
 	/*
 	 * Guards against ends that are forgotten unseen: a worker that went
@@ -339,7 +340,7 @@
 	 */
 	if (worker->incarnation && worker->answers &&
 	    worker->runs.next != &worker->runs)
-		poll.deadline_ms = rj_cell_call_deadline(owner, worker);
+		poll.deadline_ms = rj_cell_call_next_deadline(owner, worker);
 	call = rj_cell_call_new(owner, worker, NULL);
 	call->seen = poll.seen;
 	done.call = poll_done;
@@ -352,16 +353,16 @@
 /*
  * Nothing has been polled yet: all idle workers may be met.
  */
-void rj_cell_polls_begin(struct rj_cell_owner *owner)
+void rj_cell_polls_reset_limits(struct rj_cell_owner *owner)
 {
-	owner->idle_polls.calls = IDLE_POLLS_AT_ONCE;
-	owner->idle_polls.updated_us = owner->now_us;
-	owner->retried_polls.calls = POLL_RETRIES_AT_ONCE;
-	owner->retried_polls.updated_us = owner->now_us;
+	owner->idle_poll_limit.calls = IDLE_POLLS_AT_ONCE;
+	owner->idle_poll_limit.updated_us = owner->now_us;
+	owner->retry_poll_limit.calls = POLL_RETRIES_AT_ONCE;
+	owner->retry_poll_limit.updated_us = owner->now_us;
 }
 
 /* Add what has come free of an allowance since. */
-static void refill(struct rj_cell_allowance *allowance, uint64_t now_us,
+static void refill(struct rj_cell_rate_limit *allowance, uint64_t now_us,
 		   uint32_t per_s, double most)
 {
 	uint64_t passed_us = now_us - allowance->updated_us;
@@ -372,7 +373,7 @@
 }
 
 /* Take one call out of an allowance, if there is one. */
-static bool take_one(struct rj_cell_allowance *allowance)
+static bool take_one(struct rj_cell_rate_limit *allowance)
 {
 	if (allowance->calls < 1)
 		return false;
@@ -389,8 +390,8 @@
  * the worker's by the age of the entry, so that a lease reckoned from it ends
  * early rather than late, and the first poll renews it.
  */
-void rj_cell_polls_trust(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker)
+void rj_cell_polls_accept_heartbeat(struct rj_cell_owner *owner,
+				    struct rj_cell_worker *worker)
 {
 	if (owner->fleet.count <= KNOWN_CLOSELY_MAX || worker->incarnation ||
 	    worker->poll_failures || !worker->said.clock_ms)
@@ -408,7 +409,7 @@
  * of a core, which would poll thousands of idle workers before it starts
  * anything.
  */
-void rj_cell_polls_loaded(struct rj_cell_owner *owner)
+void rj_cell_polls_fleet_loaded(struct rj_cell_owner *owner)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -420,9 +421,9 @@
 		if (!worker->listed)
 			continue;
 		if (owner->fleet.count > KNOWN_CLOSELY_MAX)
-			rj_cell_polls_trust(owner, worker);
+			rj_cell_polls_accept_heartbeat(owner, worker);
 		else
-			rj_cell_polls_soon(owner, worker);
+			rj_cell_polls_schedule_now(owner, worker);
 	}
 	owner->plan_wanted = true;
 }
@@ -430,8 +431,8 @@
 /*
  * Poll a worker as soon as can be, as there is news of it.
  */
-void rj_cell_polls_soon(struct rj_cell_owner *owner,
-			struct rj_cell_worker *worker)
+void rj_cell_polls_schedule_now(struct rj_cell_owner *owner,
+				struct rj_cell_worker *worker)
 {
 	worker->poll_due_us = owner->now_us;
 	if (worker->watch != RJ_CELL_WATCH_CALLED)
@@ -441,12 +442,12 @@
 /*
  * Poll a worker that holds something, if that is due.
  */
-void rj_cell_polls_busy(struct rj_cell_owner *owner,
-			struct rj_cell_worker *worker)
+void rj_cell_polls_poll_busy(struct rj_cell_owner *owner,
+			     struct rj_cell_worker *worker)
 {
 	if (worker->poll_open || owner->now_us < worker->poll_due_us)
 		return;
-	if (worker->poll_failures && !take_one(&owner->retried_polls))
+	if (worker->poll_failures && !take_one(&owner->retry_poll_limit))
 		return;
 	if (worker->said.address.port &&
 	    (worker->listed || is_wanted(owner, worker)))
@@ -460,7 +461,7 @@
 {
 	struct rj_list *list = &owner->fleet.watched[watch];
 
-	while (owner->idle_polls.calls >= 1 && list->next != list) {
+	while (owner->idle_poll_limit.calls >= 1 && list->next != list) {
 		struct rj_cell_worker *worker = RJ_CONTAINER(
 			list->next, struct rj_cell_worker, in_watch);
 
@@ -471,7 +472,7 @@
 		}
 		if (owner->now_us < worker->poll_due_us)
 			break;
-		(void)take_one(&owner->idle_polls);
+		(void)take_one(&owner->idle_poll_limit);
 		rj_cell_worker_watch(worker, RJ_CELL_WATCH_CALLED);
 		send_poll(owner, worker);
 	}
@@ -490,8 +491,9 @@
 				 IDLE_POLLS_FAR_PER_S :
 				 IDLE_POLLS_PER_S;
 
-	refill(&owner->idle_polls, owner->now_us, per_s, IDLE_POLLS_AT_ONCE);
-	refill(&owner->retried_polls, owner->now_us, POLL_RETRIES_PER_S,
+	refill(&owner->idle_poll_limit, owner->now_us, per_s,
+	       IDLE_POLLS_AT_ONCE);
+	refill(&owner->retry_poll_limit, owner->now_us, POLL_RETRIES_PER_S,
 	       POLL_RETRIES_AT_ONCE);
 	poll_idle(owner, RJ_CELL_WATCH_IDLE);
 	poll_idle(owner, RJ_CELL_WATCH_SILENT);
--- a/src/libradishjunction/cell/cell_reach.c
+++ b/src/libradishjunction/cell/cell_reachability.c
@@ -1,4 +1,4 @@
-#include "private/cell_reach.h"
+#include "private/cell_reachability.h"
 
 #include <talloc.h>
 
@@ -27,8 +27,8 @@
  * which would wait for a probe. Domains are cut off as a whole, and any worker
  * there shows that this one is not.
  */
-bool rj_cell_reach_proven(const struct rj_cell_owner *owner,
-			  const struct rj_cell_worker *worker)
+bool rj_cell_reachability_confirmed(const struct rj_cell_owner *owner,
+				    const struct rj_cell_worker *worker)
 {
 	uint64_t took_us = MAX(owner->writer.took_us, owner->progress.took_us);
 	uint64_t proof_us =
@@ -45,9 +45,9 @@
 static void probe_done(void *private_data,
 		       const struct rj_cell_order_reply *reply)
 {
-	struct rj_cell_call_note *call = private_data;
+	struct rj_cell_call_context *call = private_data;
 	struct rj_cell_owner *owner = call->owner;
-	struct rj_cell_worker *worker = rj_cell_call_worker(call, reply);
+	struct rj_cell_worker *worker = rj_cell_call_find_worker(call, reply);
 
 	talloc_free(call);
 	if (!worker)
@@ -59,10 +59,10 @@
 		return;
 	}
 	if (reply->status != RJ_CELL_ORDER_OK) {
-		rj_cell_call_answers(owner, worker, false, reply->status);
+		rj_cell_call_set_answering(owner, worker, false, reply->status);
 		return;
 	}
-	rj_cell_call_clock(worker, reply);
+	rj_cell_call_update_clock(worker, reply);
 	if (reply->incarnation != worker->incarnation)
 		worker->poll_due_us = owner->now_us;
 }
@@ -71,8 +71,8 @@
  * Ask a worker for a sign of life, unless that is under way. A plan is wanted
  * once it has answered, or has not in time.
  */
-void rj_cell_reach_probe(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker)
+void rj_cell_reachability_probe(struct rj_cell_owner *owner,
+				struct rj_cell_worker *worker)
 {
 	struct rj_cell_poll poll = { .token = owner->token,
 				     .seen = worker->seen,
--- a/src/libradishjunction/cell/cell_health.c
+++ b/src/libradishjunction/cell/cell_run_health.c
@@ -1,4 +1,4 @@
-#include "private/cell_health.h"
+#include "private/cell_run_health.h"
 
 #include <glib.h>
 
@@ -38,9 +38,9 @@
 /*
  * Take in what a listed run says of its progress.
  */
-void rj_cell_health_progress(struct rj_cell_owner *owner,
-			     struct rj_cell_run *run,
-			     const struct rj_cell_row *row)
+void rj_cell_run_health_update(struct rj_cell_owner *owner,
+			       struct rj_cell_run *run,
+			       const struct rj_cell_row *row)
 {
 	if (run->state == RJ_CELL_RUN_PLACED ||
 	    run->state == RJ_CELL_RUN_STARTING) {
@@ -93,11 +93,11 @@
 		    owner->now_us - run->progress_us < STALL_US)
 			continue;
 		worker->suspect_until_us = owner->now_us + STALL_SUSPECT_US;
-		rj_cell_ends_avoid(owner, run->task, worker);
+		rj_cell_completions_avoid_worker(owner, run->task, worker);
 		rj_note("run_stalled", RJ_NOTE_TEXT("task", run->name),
 			RJ_NOTE_TEXT("worker", worker->id),
 			RJ_NOTE_NUMBER("percent", run->percent));
-		rj_cell_ends_stop_run(owner, run, "stalled");
+		rj_cell_completions_stop_run(owner, run, "stalled");
 	}
 }
 
@@ -114,7 +114,8 @@
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
 
 		if (!rj_cell_run_serves(run))
-			rj_cell_ends_stop_run(owner, run, "slows_others");
+			rj_cell_completions_stop_run(owner, run,
+						     "slows_others");
 	}
 }
 
@@ -150,8 +151,8 @@
 /*
  * Stop what does not get on at a worker, and what keeps others from it.
  */
-void rj_cell_health_check(struct rj_cell_owner *owner,
-			  struct rj_cell_worker *worker)
+void rj_cell_run_health_check(struct rj_cell_owner *owner,
+			      struct rj_cell_worker *worker)
 {
 	check_stalls(owner, worker);
 	check_bounds(owner, worker);
--- a/src/libradishjunction/cell/cell_starts.c
+++ b/src/libradishjunction/cell/cell_starts.c
@@ -2,7 +2,7 @@
 
 #include <talloc.h>
 
-#include "private/cell_reach.h"
+#include "private/cell_reachability.h"
 #include "private/note.h"
 
 /* Whether a member of a gang that had better be in one rack starts in another
@@ -41,7 +41,7 @@
 	work->split |= is_split(task, choice->worker);
 	if (work->state == RJ_CELL_JOB_QUEUED)
 		work->state = RJ_CELL_JOB_RUNNING;
-	rj_cell_owner_dirty(owner, work);
+	rj_cell_owner_mark_dirty(owner, work);
 	rj_note("place", RJ_NOTE_TEXT("task", run->name),
 		RJ_NOTE_NUMBER("run", run->number),
 		RJ_NOTE_TEXT("worker", choice->worker->id),
@@ -91,9 +91,9 @@
 		struct rj_cell_worker *worker =
 			g_array_index(starts, struct rj_cell_choice, i).worker;
 
-		if (rj_cell_reach_proven(owner, worker))
+		if (rj_cell_reachability_confirmed(owner, worker))
 			continue;
-		rj_cell_reach_probe(owner, worker);
+		rj_cell_reachability_probe(owner, worker);
 		proven = false;
 	}
 	return proven;
--- a/src/libradishjunction/cell/cell_takeover.c
+++ b/src/libradishjunction/cell/cell_takeover.c
@@ -56,7 +56,7 @@
 	struct rj_cell_owner *owner = takeover->owner;
 	uint64_t now_us = owner->progress.now_us;
 
-	takeover->fence_open = false;
+	takeover->fence_pending = false;
 	if (takeover->state != RJ_CELL_TAKEOVER_FENCING ||
 	    takeover->generation != owner->generation)
 		return;
@@ -86,7 +86,7 @@
 	const struct rj_bytes mark = { (const uint8_t *)"\xc0", 1 };
 	char key[RJ_CELL_KEY_BYTES];
 
-	takeover->fence_open = true;
+	takeover->fence_pending = true;
 	takeover->generation = owner->generation;
 	rj_cell_record_key(key, RJ_CELL_RECORD_OWNER, "");
 	rj_cell_writer_add(&owner->progress, key, mark,
@@ -102,7 +102,8 @@
 {
 	takeover->state = RJ_CELL_TAKEOVER_FENCING;
 	takeover->fence_due_us = now_us;
-	rj_cell_owner_begin(takeover->owner, token, epoch, now_us, wall_ms);
+	rj_cell_owner_begin_takeover(takeover->owner, token, epoch, now_us,
+				     wall_ms);
 	rj_cell_takeover_tick(takeover, now_us);
 }
 
@@ -112,7 +113,7 @@
 void rj_cell_takeover_tick(struct rj_cell_takeover *takeover, uint64_t now_us)
 {
 	if (takeover->state == RJ_CELL_TAKEOVER_FENCING &&
-	    !takeover->fence_open && now_us >= takeover->fence_due_us)
+	    !takeover->fence_pending && now_us >= takeover->fence_due_us)
 		send_fence(takeover, now_us);
 	rj_cell_follow_tick(&takeover->progress, now_us);
 }
--- a/src/libradishjunction/include/private/cell_calls.h
+++ b/src/libradishjunction/include/private/cell_calls.h
@@ -13,7 +13,7 @@
 /* A run is through; a member of a gang then waits for the others. */
 #define RJ_CELL_PERCENT_ALL 100
 
-struct rj_cell_call_note {
+struct rj_cell_call_context {
 	struct rj_cell_owner *owner;
 	uint32_t generation;
 	uint64_t sent_us;
@@ -23,27 +23,28 @@
 	uint64_t seen; /* polls: ends that the worker may forget */
 };
 
-struct rj_cell_call_note *rj_cell_call_new(struct rj_cell_owner *owner,
-					   const struct rj_cell_worker *worker,
-					   const struct rj_cell_run *run);
-struct rj_cell_run *rj_cell_call_run(const struct rj_cell_worker *worker,
-				     const char *name, uint32_t number);
-void rj_cell_call_clock(struct rj_cell_worker *worker,
-			const struct rj_cell_order_reply *reply);
-uint64_t rj_cell_call_deadline(struct rj_cell_owner *owner,
-			       struct rj_cell_worker *worker);
+struct rj_cell_call_context *
+rj_cell_call_new(struct rj_cell_owner *owner,
+		 const struct rj_cell_worker *worker,
+		 const struct rj_cell_run *run);
+struct rj_cell_run *rj_cell_call_find_run(const struct rj_cell_worker *worker,
+					  const char *name, uint32_t number);
+void rj_cell_call_update_clock(struct rj_cell_worker *worker,
+			       const struct rj_cell_order_reply *reply);
+uint64_t rj_cell_call_next_deadline(struct rj_cell_owner *owner,
+				    struct rj_cell_worker *worker);
 void rj_cell_call_lose_runs(struct rj_cell_owner *owner,
 			    struct rj_cell_worker *worker, const char *why);
-void rj_cell_call_answers(struct rj_cell_owner *owner,
-			  struct rj_cell_worker *worker, bool answers,
-			  enum rj_cell_order_status status);
+void rj_cell_call_set_answering(struct rj_cell_owner *owner,
+				struct rj_cell_worker *worker, bool answers,
+				enum rj_cell_order_status status);
 struct rj_cell_worker *
-rj_cell_call_worker(struct rj_cell_call_note *call,
-		    const struct rj_cell_order_reply *reply);
-void rj_cell_call_other_life(struct rj_cell_owner *owner,
+rj_cell_call_find_worker(struct rj_cell_call_context *call,
+			 const struct rj_cell_order_reply *reply);
+void rj_cell_call_other_incarnation(struct rj_cell_owner *owner,
+				    struct rj_cell_worker *worker);
+void rj_cell_polls_poll_busy(struct rj_cell_owner *owner,
 			     struct rj_cell_worker *worker);
-void rj_cell_polls_busy(struct rj_cell_owner *owner,
-			struct rj_cell_worker *worker);
 void rj_cell_polls_tick(struct rj_cell_owner *owner);
 
 #endif
--- a/src/libradishjunction/include/private/cell_cordon.h
+++ b/src/libradishjunction/include/private/cell_cordon.h
@@ -35,7 +35,7 @@
 			   uint64_t version);
 void rj_cell_cordons_load_begin(struct rj_cell_cordons *cordons);
 uint32_t rj_cell_cordons_load_end(struct rj_cell_cordons *cordons);
-bool rj_cell_cordons_has(const struct rj_cell_cordons *cordons,
-			 const char *domain);
+bool rj_cell_cordons_contains(const struct rj_cell_cordons *cordons,
+			      const char *domain);
 
 #endif
--- a/src/libradishjunction/include/private/cell_evacuate.h
+++ b/src/libradishjunction/include/private/cell_evacuate.h
@@ -6,8 +6,8 @@
 
 #include "private/cell_owner.h"
 
-bool rj_cell_evacuate_now(const struct rj_cell_step *step, uint64_t left_us,
-			  uint64_t now_us, uint64_t leaves_us);
+bool rj_cell_evacuate_is_due(const struct rj_cell_step *step, uint64_t left_us,
+			     uint64_t now_us, uint64_t leaves_us);
 void rj_cell_evacuate(struct rj_cell_owner *owner,
 		      struct rj_cell_worker *worker);
 
--- a/src/libradishjunction/include/private/cell_failure.h
+++ b/src/libradishjunction/include/private/cell_failure.h
@@ -18,12 +18,13 @@
 };
 
 bool rj_cell_failure_is_early(uint64_t ran_us);
-void rj_cell_failure_note(struct rj_cell_failure_burst *burst, uint64_t now_us);
+void rj_cell_failure_record_early(struct rj_cell_failure_burst *burst,
+				  uint64_t now_us);
 bool rj_cell_failure_is_burst(const struct rj_cell_failure_burst *burst,
 			      uint64_t now_us);
-bool rj_cell_failure_wants_sound(const struct rj_cell_failure_burst *burst,
-				 uint64_t waiting_us, uint64_t now_us);
-bool rj_cell_failure_is_sound(const struct rj_cell_failure_burst *burst,
-			      uint64_t sound_us);
+bool rj_cell_failure_requires_healthy(const struct rj_cell_failure_burst *burst,
+				      uint64_t waiting_us, uint64_t now_us);
+bool rj_cell_failure_is_healthy(const struct rj_cell_failure_burst *burst,
+				uint64_t sound_us);
 
 #endif
--- a/src/libradishjunction/include/private/cell_flush.h
+++ b/src/libradishjunction/include/private/cell_flush.h
@@ -10,6 +10,6 @@
 #include "private/cell_owner.h"
 
 void rj_cell_flush(struct rj_cell_owner *owner);
-void rj_cell_flush_old(struct rj_cell_owner *owner);
+void rj_cell_flush_expired(struct rj_cell_owner *owner);
 
 #endif
--- a/src/libradishjunction/include/private/cell_front.h
+++ b/src/libradishjunction/include/private/cell_front.h
@@ -11,7 +11,7 @@
 #define RADISHJUNCTION_PRIVATE_CELL_FRONT_H
 
 #include "private/cell_config.h"
-#include "private/cell_contact.h"
+#include "private/cell_log_availability.h"
 #include "private/cell_follow.h"
 #include "private/cell_view.h"
 #include "private/cell_writer.h"
@@ -106,7 +106,7 @@
 	struct rj_cell_beat beat; /* the newest of the owner */
 	uint64_t beat_us; /* when it came; 0: none */
 	uint32_t revoke_ms; /* a key is good so long after its removal */
-	struct rj_cell_contact contact; /* with the log */
+	struct rj_cell_log_availability contact; /* with the log */
 	struct rj_list requests;
 	uint32_t open;
 	uint64_t now_us;
--- /dev/null
+++ b/src/libradishjunction/include/private/cell_log_availability.h
@@ -0,0 +1,24 @@
+/*
+ * Whether an instance reaches the log, and when clients are to come back
+ * while it does not. Pure functions of times.
+ *
+ * Life cycle: a zeroed value; `rj_cell_log_availability_update` every few
+ * milliseconds.
+ */
+#ifndef RADISHJUNCTION_PRIVATE_CELL_CONTACT_H
+#define RADISHJUNCTION_PRIVATE_CELL_CONTACT_H
+
+#include "radishjunction/types.h"
+
+struct rj_cell_log_availability {
+	uint64_t
+		unavailable_since_us; /* since when the log is out of reach, or 0 */
+};
+
+bool rj_cell_log_availability_update(struct rj_cell_log_availability *contact,
+				     uint64_t answered_us, bool refuses,
+				     uint64_t now_us);
+uint32_t rj_cell_log_availability_retry_after_ms(
+	const struct rj_cell_log_availability *contact, uint64_t now_us);
+
+#endif
--- a/src/libradishjunction/include/private/cell_node.h
+++ b/src/libradishjunction/include/private/cell_node.h
@@ -17,7 +17,7 @@
 	char name[RJ_NAME_BYTES];
 	uint64_t incarnation; /* differs in each life of the process */
 	uint32_t strength; /* hundredths of a core; the strongest own */
-	struct rj_cell_terms terms;
+	struct rj_cell_limits terms;
 	struct rj_cell_store *store;
 	struct rj_cell_workers *workers;
 	struct rj_cell_advisor *advisor; /* NULL: there is none */
--- a/src/libradishjunction/include/private/cell_reach.h
+++ b/src/libradishjunction/include/private/cell_reachability.h
@@ -12,9 +12,9 @@
 
 #include "private/cell_owner.h"
 
-bool rj_cell_reach_proven(const struct rj_cell_owner *owner,
-			  const struct rj_cell_worker *worker);
-void rj_cell_reach_probe(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker);
+bool rj_cell_reachability_confirmed(const struct rj_cell_owner *owner,
+				    const struct rj_cell_worker *worker);
+void rj_cell_reachability_probe(struct rj_cell_owner *owner,
+				struct rj_cell_worker *worker);
 
 #endif
--- a/src/libradishjunction/include/private/cell_health.h
+++ b/src/libradishjunction/include/private/cell_run_health.h
@@ -7,10 +7,10 @@
 
 #include "private/cell_owner.h"
 
-void rj_cell_health_progress(struct rj_cell_owner *owner,
-			     struct rj_cell_run *run,
-			     const struct rj_cell_row *row);
-void rj_cell_health_check(struct rj_cell_owner *owner,
-			  struct rj_cell_worker *worker);
+void rj_cell_run_health_update(struct rj_cell_owner *owner,
+			       struct rj_cell_run *run,
+			       const struct rj_cell_row *row);
+void rj_cell_run_health_check(struct rj_cell_owner *owner,
+			      struct rj_cell_worker *worker);
 
 #endif
--- a/src/libradishjunction/include/private/cell_takeover.h
+++ b/src/libradishjunction/include/private/cell_takeover.h
@@ -23,7 +23,7 @@
 	struct rj_cell_owner *owner;
 	enum rj_cell_takeover_state state;
 	uint32_t generation; /* of the owner, when the fence was sent */
-	bool fence_open; /* on its way */
+	bool fence_pending; /* on its way */
 	uint64_t fence_due_us;
 	struct rj_cell_follow progress;
 };
--- a/src/test_libradishjunction/support/cell_world.c
+++ b/src/test_libradishjunction/support/cell_world.c
@@ -354,20 +354,21 @@
 void cell_world_start(struct cell_world *world, uint32_t index)
 {
 	struct cell_world_node *node = &world->nodes[index];
-	struct rj_cell_node_options options = { .strength = 25,
-						.terms = { .status_ms = 120000,
-							   .reclaim_ms = 2900 },
-						.codec = &codec,
-						.store = &node->store,
-						.workers = &node->workers,
-						.advisor = &node->advisor };
+	struct rj_cell_node_options options = {
+		.strength = 25,
+		.terms = { .status_retention_ms = 120000, .reclaim_ms = 2900 },
+		.codec = &codec,
+		.store = &node->store,
+		.workers = &node->workers,
+		.advisor = &node->advisor
+	};
 
 	options.terms.lease_max_ms = world->plan.lease_max_ms;
 	options.terms.revoke_ms = world->plan.revoke_ms;
 	options.terms.drain_ms = DRAIN_MS;
 	options.terms.stop_ms = STOP_MS;
 	options.terms.cordon_ms = CORDON_MS;
-	options.terms.entry_life_ms =
+	options.terms.entry_expiry_ms =
 		CELL_WORLD_HEARTBEAT_MS * CELL_WORLD_ENTRY_BEATS;
 	if (node->up)
 		return;
--- a/src/test_libradishjunction/test_cell_cordon.c
+++ b/src/test_libradishjunction/test_cell_cordon.c
@@ -209,8 +209,8 @@
 	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, 8);
 	cell_world_start(&f->world, (uint32_t)owner);
 	cell_world_run(&f->world, 2 * S);
-	g_assert_true(
-		rj_cell_cordons_has(&f->world.nodes[owner].node.cordons, "d0"));
+	g_assert_true(rj_cell_cordons_contains(
+		&f->world.nodes[owner].node.cordons, "d0"));
 }
 
 /* An owner that cannot read what operators publish starts work in a domain
@@ -271,7 +271,7 @@
 	cell_world_cordon(&f->world, "d0", true);
 	cell_world_cordon(&f->world, "d1", true);
 	cell_world_run(&f->world, 50 * MS);
-	g_assert_true(rj_cell_cordons_has(owner->cordons, "d0"));
+	g_assert_true(rj_cell_cordons_contains(owner->cordons, "d0"));
 	log->reads_silent[RJ_CELL_TOPIC_CONFIG] = true;
 	cell_world_run(&f->world, 1100 * MS);
 	cell_world_cordon(&f->world, "d0", false);
@@ -279,8 +279,8 @@
 		log->records[RJ_CELL_TOPIC_CONFIG]->len;
 	log->reads_silent[RJ_CELL_TOPIC_CONFIG] = false;
 	cell_world_run(&f->world, 3 * S);
-	g_assert_false(rj_cell_cordons_has(owner->cordons, "d0"));
-	g_assert_true(rj_cell_cordons_has(owner->cordons, "d1"));
+	g_assert_false(rj_cell_cordons_contains(owner->cordons, "d0"));
+	g_assert_true(rj_cell_cordons_contains(owner->cordons, "d1"));
 }
 
 /* A domain that is given back and cordoned again within a second counts as
@@ -431,11 +431,11 @@
 	g_assert_false(rj_cell_cordons_set(&cordons, "a", 1));
 	g_assert_true(rj_cell_cordons_set(&cordons, "b", 2));
 	rj_cell_cordons_load_begin(&cordons);
-	g_assert_true(rj_cell_cordons_has(&cordons, "a"));
+	g_assert_true(rj_cell_cordons_contains(&cordons, "a"));
 	g_assert_false(rj_cell_cordons_set(&cordons, "b", 2));
 	g_assert_cmpuint(rj_cell_cordons_load_end(&cordons), ==, 1);
-	g_assert_false(rj_cell_cordons_has(&cordons, "a"));
-	g_assert_true(rj_cell_cordons_has(&cordons, "b"));
+	g_assert_false(rj_cell_cordons_contains(&cordons, "a"));
+	g_assert_true(rj_cell_cordons_contains(&cordons, "b"));
 	g_assert_false(rj_cell_cordons_clear(&cordons, "a", 3));
 	g_assert_true(rj_cell_cordons_clear(&cordons, "b", 4));
 	rj_cell_cordons_finish(&cordons);
--- a/src/test_libradishjunction/test_cell_reach.c
+++ b/src/test_libradishjunction/test_cell_reach.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "private/cell_reach.h"
+#include "private/cell_reachability.h"
 #include "support/cell_fake.h"
 #include "support/cell_fixture.h"
 
@@ -235,38 +235,40 @@
 
 	worker->answered_us = owner->now_us - 400 * MS;
 	owner->writer.took_us = 6 * MS;
-	g_assert_false(rj_cell_reach_proven(owner, worker));
+	g_assert_false(rj_cell_reachability_confirmed(owner, worker));
 	owner->writer.took_us = 300 * MS;
-	g_assert_true(rj_cell_reach_proven(owner, worker));
+	g_assert_true(rj_cell_reachability_confirmed(owner, worker));
 	worker->answered_us = owner->now_us - 700 * MS;
-	g_assert_false(rj_cell_reach_proven(owner, worker));
+	g_assert_false(rj_cell_reachability_confirmed(owner, worker));
 }
 
 /* Clients of an instance that is cut off use up their tries within a second,
  * or wait for seconds although others would serve them. */
 static void test_when_to_come_back(void)
 {
-	struct rj_cell_contact contact = { 0 };
+	struct rj_cell_log_availability contact = { 0 };
 	uint64_t answered_us = 3600 * S;
 
-	g_assert_false(rj_cell_contact_update(&contact, answered_us, false,
-					      answered_us + 900 * MS));
-	g_assert_true(rj_cell_contact_update(&contact, answered_us, true,
-					     answered_us + 250 * MS));
-	g_assert_true(rj_cell_contact_update(&contact, answered_us + S, false,
-					     answered_us + S));
-	g_assert_cmpuint(contact.away_us, ==, 0);
-	g_assert_true(rj_cell_contact_update(&contact, answered_us, false,
-					     answered_us + 1100 * MS));
+	g_assert_false(rj_cell_log_availability_update(
+		&contact, answered_us, false, answered_us + 900 * MS));
+	g_assert_true(rj_cell_log_availability_update(
+		&contact, answered_us, true, answered_us + 250 * MS));
+	g_assert_true(rj_cell_log_availability_update(&contact, answered_us + S,
+						      false, answered_us + S));
+	g_assert_cmpuint(contact.unavailable_since_us, ==, 0);
+	g_assert_true(rj_cell_log_availability_update(
+		&contact, answered_us, false, answered_us + 1100 * MS));
+	g_assert_cmpuint(rj_cell_log_availability_retry_after_ms(
+				 &contact, answered_us + 2 * S),
+			 ==, 1000);
 	g_assert_cmpuint(
-		rj_cell_contact_come_back_ms(&contact, answered_us + 2 * S), ==,
-		1000);
-	g_assert_cmpuint(
-		rj_cell_contact_come_back_ms(&contact, contact.away_us + 6 * S),
+		rj_cell_log_availability_retry_after_ms(
+			&contact, contact.unavailable_since_us + 6 * S),
 		==, 3000);
-	g_assert_cmpuint(rj_cell_contact_come_back_ms(&contact,
-						      contact.away_us + 60 * S),
-			 ==, 4000);
+	g_assert_cmpuint(
+		rj_cell_log_availability_retry_after_ms(
+			&contact, contact.unavailable_since_us + 60 * S),
+		==, 4000);
 }
 
 /* A successor loses each attempt to acquire the cell against records that come all the time. */
@@ -356,7 +358,7 @@
 		runs[i] = RJ_CONTAINER(tasks[i].runs.next, struct rj_cell_run,
 				       in_task);
 	runs[0]->worker->answers = false;
-	rj_cell_ends_run(owner, runs[1], RJ_CELL_END_STOPPED, NULL);
+	rj_cell_completions_apply(owner, runs[1], RJ_CELL_END_STOPPED, NULL);
 	g_assert_true(tasks[0].runs.next == &runs[0]->in_task);
 }
 
@@ -477,8 +479,9 @@
 	struct rj_cell_append late = {
 		.topic = RJ_CELL_TOPIC_PROGRESS,
 		.producer = "owner",
-		.epoch = world->nodes[owner].node.owner.progress.epoch,
-		.sequence = world->nodes[owner].node.owner.progress.sequence,
+		.epoch = world->nodes[owner].node.owner.progress_writer.epoch,
+		.sequence =
+			world->nodes[owner].node.owner.progress_writer.sequence,
 		.records = &record,
 		.count = 1
 	};
--- a/src/test_libradishjunction/test_platform_settings.c
+++ b/src/test_libradishjunction/test_platform_settings.c
@@ -55,13 +55,13 @@
 	g_assert_cmpuint(settings.descriptors_max, ==, 8192);
 	g_assert_cmpuint(settings.link_kbps, ==, 500);
 	g_assert_cmpuint(settings.terms.lease_max_ms, ==, 10000);
-	g_assert_cmpuint(settings.terms.status_ms, ==, 120000);
+	g_assert_cmpuint(settings.terms.status_retention_ms, ==, 120000);
 	g_assert_cmpuint(settings.terms.reclaim_ms, ==, 2900);
 	g_assert_cmpuint(settings.terms.revoke_ms, ==, 5000);
 	g_assert_cmpuint(settings.terms.drain_ms, ==, 2000);
 	g_assert_cmpuint(settings.terms.cordon_ms, ==, 0);
 	g_assert_cmpuint(settings.terms.stop_ms, ==, 1000);
-	g_assert_cmpuint(settings.terms.entry_life_ms, ==, 4500);
+	g_assert_cmpuint(settings.terms.entry_expiry_ms, ==, 4500);
 }
 
 /* A figure that is none is named, with the remedy. */
