--- a/src/libradishjunction/cell/cell_calls.c
+++ b/src/libradishjunction/cell/cell_calls.c
@@ -83,7 +83,7 @@
 	if (!worker->clock_ms || rj_cell_owner_log_unavailable(owner))
 		return 0;
 	deadline_ms = rj_cell_worker_clock_ms(worker, owner->now_us) +
-		      owner->terms.lease_max_ms;
+		      owner->limits.lease_max_ms;
 	rj_cell_worker_note_lease(worker, deadline_ms);
 	return deadline_ms;
 }
@@ -92,14 +92,14 @@
  * Every run of a worker has ended without a trace.
  */
 void rj_cell_call_lose_runs(struct rj_cell_owner *owner,
-			    struct rj_cell_worker *worker, const char *why)
+			    struct rj_cell_worker *worker, const char *reason)
 {
 	/* The end of one run may free others of its gang. */
 	while (worker->runs.next != &worker->runs) {
 		struct rj_cell_run *run = RJ_CONTAINER(
 			worker->runs.next, struct rj_cell_run, in_worker);
 
-		run->why = why;
+		run->why = reason;
 		rj_cell_completions_apply(owner, run, RJ_CELL_END_LOST, NULL);
 	}
 }
--- a/src/libradishjunction/cell/cell_completions.c
+++ b/src/libradishjunction/cell/cell_completions.c
@@ -15,27 +15,27 @@
 
 /* A task that failed starts again after this, times its failures: a worker
  * or a store that is briefly unwell is left alone meanwhile. */
-#define FAILURE_PAUSE_US (50 * RJ_US_PER_MS)
+#define FAILURE_BACKOFF_US (50 * RJ_US_PER_MS)
 /*
  * After so many bad ends in a row a worker gets no work for a while: a
  * worker that fails all that it starts would use up the attempts of every
  * job. Three are rare by chance, as a twentieth of tasks fail at most.
  */
-#define BAD_STREAK_MAX 2
-#define SUSPECT_US (6 * RJ_US_PER_S)
+#define FAILURE_STREAK_MAX 2
+#define SUSPECT_PERIOD_US (6 * RJ_US_PER_S)
 /* One early failure is reason enough for a shorter pause. */
-#define SUSPECT_EARLY_US (2 * RJ_US_PER_S)
+#define SUSPECT_EARLY_PERIOD_US (2 * RJ_US_PER_S)
 /* A task keeps off the worker of its last trouble for so long: users expect
  * idle capacity to be used within 3 s of calm. */
-#define AVOID_US (2 * RJ_US_PER_S)
+#define AVOID_PERIOD_US (2 * RJ_US_PER_S)
 /* Covers the steps in which workers end runs. */
-#define MEMBERS_END_SLACK_US (50 * RJ_US_PER_MS)
+#define GANG_END_SLACK_US (50 * RJ_US_PER_MS)
 
 /*
  * A stop was decided for a run; the order goes out with the next tick.
  */
 void rj_cell_completions_stop_run(struct rj_cell_owner *owner,
-				  struct rj_cell_run *run, const char *why)
+				  struct rj_cell_run *run, const char *reason)
 {
 	if (run->state == RJ_CELL_RUN_STOPPING)
 		return;
@@ -46,7 +46,7 @@
 		return;
 	}
 	run->state = RJ_CELL_RUN_STOPPING;
-	run->why = why;
+	run->why = reason;
 	run->settled_us = 0;
 	run->order_tries = 0;
 	rj_cell_run_order(run, owner->now_us);
@@ -54,7 +54,7 @@
 
 /* Stop all runs of one task. */
 static void stop_task(struct rj_cell_owner *owner, struct rj_cell_task *task,
-		      const char *why)
+		      const char *reason)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -62,90 +62,91 @@
 	RJ_FOR_EACH (at, next, &task->runs)
 		rj_cell_completions_stop_run(
 			owner, RJ_CONTAINER(at, struct rj_cell_run, in_task),
-			why);
+			reason);
 }
 
 /* What stops a whole job. */
 struct job_stop {
 	struct rj_cell_owner *owner;
-	const char *why;
+	const char *reason;
 };
 
 /* Stop one run of it. */
-static void stop_for_job(struct rj_cell_run *run, void *private_data)
+static void stop_run_of_job(struct rj_cell_run *run, void *private_data)
 {
 	const struct job_stop *stop = private_data;
 
-	rj_cell_completions_stop_run(stop->owner, run, stop->why);
+	rj_cell_completions_stop_run(stop->owner, run, stop->reason);
 }
 
 /*
  * Stop all that runs of a job.
  */
 void rj_cell_completions_stop_job(struct rj_cell_owner *owner,
-				  struct rj_cell_work *work, const char *why)
+				  struct rj_cell_work *job, const char *reason)
 {
-	struct job_stop stop = { owner, why };
+	struct job_stop stop = { owner, reason };
 
-	rj_cell_work_each_run(work, stop_for_job, &stop);
+	rj_cell_work_each_run(job, stop_run_of_job, &stop);
 }
 
 /*
  * A job has ended as `state`: what still runs of it is stopped.
  */
 void rj_cell_completions_close_job(struct rj_cell_owner *owner,
-				   struct rj_cell_work *work,
+				   struct rj_cell_work *job,
 				   enum rj_cell_job_state state)
 {
-	if (work->state >= RJ_CELL_JOB_COMPLETED)
+	if (job->state >= RJ_CELL_JOB_COMPLETED)
 		return;
-	work->state = state;
+	job->state = state;
 	if (state == RJ_CELL_JOB_COMPLETED)
 		owner->counters.completed++;
 	if (state == RJ_CELL_JOB_FAILED)
 		owner->counters.failed++;
-	rj_note("job_end", RJ_NOTE_TEXT("job", work->def->id),
-		RJ_NOTE_TEXT("account", work->def->account),
+	rj_note("job_end", RJ_NOTE_TEXT("job", job->def->id),
+		RJ_NOTE_TEXT("account", job->def->account),
 		RJ_NOTE_TEXT("state", rj_cell_job_state_string[state]),
-		RJ_NOTE_AGE_MS("after_ms", owner->now_us - work->accepted_us),
+		RJ_NOTE_AGE_MS("after_ms", owner->now_us - job->accepted_us),
 		RJ_NOTE_AGE_MS("objective_ms",
-			       work->objective_us - work->accepted_us),
+			       job->objective_us - job->accepted_us),
 		RJ_NOTE_AGE_MS("began_ms",
-			       work->began_us ?
-				       work->began_us - work->accepted_us :
+			       job->began_us ?
+				       job->began_us - job->accepted_us :
 				       RJ_NEVER_US),
-		RJ_NOTE_NUMBER("runs_lost", work->runs_lost),
-		RJ_NOTE_NUMBER("split", work->split));
+		RJ_NOTE_NUMBER("runs_lost", job->runs_lost),
+		RJ_NOTE_NUMBER("split", job->split));
 	if (state != RJ_CELL_JOB_COMPLETED)
-		rj_cell_completions_stop_job(owner, work,
+		rj_cell_completions_stop_job(owner, job,
 					     rj_cell_job_state_string[state]);
-	rj_cell_owner_mark_dirty(owner, work);
+	rj_cell_owner_mark_dirty(owner, job);
 }
 
 /*
  * Begin the occurrences of a job whose time has come.
  */
 void rj_cell_completions_begin_occurrences(struct rj_cell_owner *owner,
-					   struct rj_cell_work *work)
+					   struct rj_cell_work *job)
 {
-	const struct rj_cell_def *def = work->def;
-	uint32_t rounds = def->repeats ? def->repeats : 1;
+	const struct rj_cell_def *spec = job->def;
+	uint32_t occurrence_count = spec->repeats ? spec->repeats : 1;
 
-	while (work->rounds_begun < rounds &&
-	       (!def->repeats ||
+	while (job->rounds_begun < occurrence_count &&
+	       (!spec->repeats ||
 		owner->wall_ms >=
-			def->first_run_ms +
-				work->rounds_begun * def->interval_ms)) {
-		rj_cell_work_begin_round(work, work->rounds_begun);
+			spec->first_run_ms +
+				job->rounds_begun * spec->interval_ms)) {
+		rj_cell_work_begin_round(job, job->rounds_begun);
 		owner->plan_wanted = true;
 	}
 }
 
 /* Whether nothing of an occurrence is listed by a worker any more. */
-static bool is_idle(const struct rj_cell_round *round)
+static bool has_no_runs(const struct rj_cell_round *occurrence)
 {
-	for (uint32_t i = 0; i < round->work->def->task_count; i++)
-		if (round->tasks[i].runs.next != &round->tasks[i].runs)
+	for (uint32_t i = 0; i < occurrence->work->def->task_count; i++)
+		if (occurrence->tasks[i].runs.next !=
+		    &occurrence->tasks[i].runs)
 			return false;
 	return true;
 }
@@ -155,26 +156,27 @@
  * that are still listed, members of a gang whose end is not seen yet, keep
  * the occurrence in memory.
  */
-static void end_round(struct rj_cell_owner *owner, struct rj_cell_round *round)
+static void finish_occurrence(struct rj_cell_owner *owner,
+			      struct rj_cell_round *occurrence)
 {
-	struct rj_cell_work *work = round->work;
-	uint32_t rounds = work->def->repeats ? work->def->repeats : 1;
-
-	if (!round->closed) {
-		round->closed = true;
-		work->rounds_done++;
-		if (work->rounds_done >= rounds)
-			rj_cell_completions_close_job(owner, work,
+	struct rj_cell_work *job = occurrence->work;
+	uint32_t occurrence_count = job->def->repeats ? job->def->repeats : 1;
+
+	if (!occurrence->closed) {
+		occurrence->closed = true;
+		job->rounds_done++;
+		if (job->rounds_done >= occurrence_count)
+			rj_cell_completions_close_job(owner, job,
 						      RJ_CELL_JOB_COMPLETED);
 	}
-	if (is_idle(round)) {
-		rj_list_remove(&round->link);
-		talloc_free(round);
+	if (has_no_runs(occurrence)) {
+		rj_list_remove(&occurrence->link);
+		talloc_free(occurrence);
 	}
 }
 
 /* A task has ended well: a gang has as a whole. */
-static void note_done(struct rj_cell_owner *owner, struct rj_cell_task *task)
+static void mark_done(struct rj_cell_owner *owner, struct rj_cell_task *task)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
 	struct rj_cell_task *first = rj_cell_task_head(task);
@@ -191,7 +193,7 @@
 }
 
 /* The saved progress of a run counts for its task, or for its whole gang. */
-static void note_saved(struct rj_cell_task *task, const char *saved)
+static void record_checkpoint(struct rj_cell_task *task, const char *saved)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
 	struct rj_cell_task *first = rj_cell_task_head(task);
@@ -215,30 +217,33 @@
 				      const struct rj_cell_worker *worker)
 {
 	g_strlcpy(task->avoid, worker->id, sizeof(task->avoid));
-	task->avoid_until_us = owner->now_us + AVOID_US;
+	task->avoid_until_us = owner->now_us + AVOID_PERIOD_US;
 }
 
 /* A run failed: the task gets another attempt, elsewhere, or the job ends. */
-static void note_failed(struct rj_cell_owner *owner, struct rj_cell_task *task,
-			const struct rj_cell_run *run)
+static void record_failure(struct rj_cell_owner *owner,
+			   struct rj_cell_task *task,
+			   const struct rj_cell_run *run)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
 	struct rj_cell_task *head = rj_cell_task_head(task);
-	struct rj_cell_work *work = task->round->work;
+	struct rj_cell_work *job = task->round->work;
 
 	/* Members that fail in the same run are one failure of the gang. */
 	if (head->failed_run != run->number)
 		head->failures++;
 	head->failed_run = run->number;
 	rj_cell_completions_avoid_worker(owner, task, run->worker);
-	task->not_before_us = owner->now_us + FAILURE_PAUSE_US * head->failures;
-	if (!step->perpetual && head->failures >= work->def->attempts_max)
-		rj_cell_completions_close_job(owner, work, RJ_CELL_JOB_FAILED);
+	task->not_before_us =
+		owner->now_us + FAILURE_BACKOFF_US * head->failures;
+	if (!step->perpetual && head->failures >= job->def->attempts_max)
+		rj_cell_completions_close_job(owner, job, RJ_CELL_JOB_FAILED);
 }
 
 /* Judge a worker by what has become of a run there. */
-static void judge_worker(struct rj_cell_owner *owner,
-			 const struct rj_cell_run *run, enum rj_cell_end end)
+static void update_worker_health(struct rj_cell_owner *owner,
+				 const struct rj_cell_run *run,
+				 enum rj_cell_end end)
 {
 	struct rj_cell_worker *worker = run->worker;
 	bool early = run->begun_us && !run->adopted &&
@@ -250,8 +255,9 @@
 		return;
 	worker->bad_streak++;
 	if (early)
-		rj_cell_failure_record_early(&owner->failures, owner->now_us);
-	if (!early && worker->bad_streak < BAD_STREAK_MAX)
+		rj_cell_failure_record_early(&owner->failure_burst,
+					     owner->now_us);
+	if (!early && worker->bad_streak < FAILURE_STREAK_MAX)
 		return;
 	if (owner->now_us >= worker->suspect_until_us)
 		rj_note("worker_suspect", RJ_NOTE_TEXT("worker", worker->id),
@@ -259,13 +265,13 @@
 				     early ? "failed_early" : "failures"),
 			RJ_NOTE_NUMBER("streak", worker->bad_streak));
 	worker->suspect_until_us =
-		owner->now_us + (worker->bad_streak < BAD_STREAK_MAX ?
-					 SUSPECT_EARLY_US :
-					 SUSPECT_US);
+		owner->now_us + (worker->bad_streak < FAILURE_STREAK_MAX ?
+					 SUSPECT_EARLY_PERIOD_US :
+					 SUSPECT_PERIOD_US);
 }
 
 /* The other members of a gang of which one has ended without success. */
-static void break_gang(struct rj_cell_owner *owner, struct rj_cell_task *task)
+static void stop_gang(struct rj_cell_owner *owner, struct rj_cell_task *task)
 {
 	struct rj_cell_task *head = rj_cell_task_head(task);
 
@@ -275,7 +281,7 @@
 
 /* Whether a run is known to have begun: a start that was never answered may
  * still arrive at its worker. */
-static bool has_begun(const struct rj_cell_run *run)
+static bool is_known_started(const struct rj_cell_run *run)
 {
 	return run->begun_us && (!run->adopted || run->listed_us);
 }
@@ -285,7 +291,7 @@
  * that we stopped does not: a gang that is not complete yet does not end with
  * its first member.
  */
-static bool ends_gang(enum rj_cell_end end)
+static bool ends_whole_gang(enum rj_cell_end end)
 {
 	return end == RJ_CELL_END_BROKEN || end == RJ_CELL_END_FAILED;
 }
@@ -295,7 +301,7 @@
  * not known: each may be a failure, which the users count when they hear of
  * it.
  */
-static bool has_attempts(const struct rj_cell_task *head)
+static bool has_attempts_left(const struct rj_cell_task *head)
 {
 	return rj_cell_task_step(head)->perpetual ||
 	       head->failures + head->unseen + 1 <
@@ -309,14 +315,14 @@
  * Load that it answers: workers that crash with members of many gangs, which
  * would wait for the end of a lease.
  */
-static void note_members_over(struct rj_cell_owner *owner,
-			      struct rj_cell_task *task)
+static void expect_gang_end(struct rj_cell_owner *owner,
+			    struct rj_cell_task *task)
 {
 	struct rj_cell_task *head = rj_cell_task_head(task);
-	uint64_t members_end_us =
-		owner->terms.stop_ms * RJ_US_PER_MS + MEMBERS_END_SLACK_US;
+	uint64_t gang_end_us =
+		owner->limits.stop_ms * RJ_US_PER_MS + GANG_END_SLACK_US;
 
-	if (!has_attempts(head))
+	if (!has_attempts_left(head))
 		return;
 	for (uint32_t i = 0; i < rj_cell_task_step(task)->task_count; i++) {
 		struct rj_list *at;
@@ -326,14 +332,15 @@
 			struct rj_cell_run *run =
 				RJ_CONTAINER(at, struct rj_cell_run, in_task);
 
-			if (has_begun(run) && !run->over_us)
-				run->over_us = owner->now_us + members_end_us;
+			if (is_known_started(run) && !run->over_us)
+				run->over_us = owner->now_us + gang_end_us;
 		}
 	}
 }
 
 /* A member of a gang that has ended, on a worker that cannot be asked. */
-static void end_over(struct rj_cell_owner *owner, struct rj_cell_run *run)
+static void lose_unreported_run(struct rj_cell_owner *owner,
+				struct rj_cell_run *run)
 {
 	struct rj_cell_task *head = rj_cell_task_head(run->task);
 
@@ -362,7 +369,7 @@
 		at = at->next;
 		if (!run->over_us || owner->now_us < run->over_us)
 			continue;
-		end_over(owner, run);
+		lose_unreported_run(owner, run);
 		/* Others of its gang may have gone with it. */
 		at = worker->runs.next;
 	}
@@ -378,10 +385,10 @@
 {
 	struct rj_cell_task *task = run->task;
 	struct rj_cell_worker *worker = run->worker;
-	struct rj_cell_work *work;
-	struct rj_cell_round *round;
+	struct rj_cell_work *job;
+	struct rj_cell_round *occurrence;
 
-	owner->counters.ends[end]++;
+	owner->counters.completions[end]++;
 	owner->plan_wanted = true;
 	rj_note("run_end", RJ_NOTE_TEXT("task", run->name),
 		RJ_NOTE_NUMBER("run", run->number),
@@ -402,20 +409,20 @@
 	 * that is only intended goes.
 	 */
 	run->state = RJ_CELL_RUN_STOPPING;
-	judge_worker(owner, run, end);
-	round = task->round;
-	work = round->work;
-	work->runs_lost += end != RJ_CELL_END_DONE;
-	note_saved(task, saved && saved[0] ? saved : run->saved);
+	update_worker_health(owner, run, end);
+	occurrence = task->round;
+	job = occurrence->work;
+	job->runs_lost += end != RJ_CELL_END_DONE;
+	record_checkpoint(task, saved && saved[0] ? saved : run->saved);
 	if (end == RJ_CELL_END_DONE && run->begun_us && !run->adopted &&
 	    !run->checkpoint[0])
-		rj_cell_forecast_learn(&owner->forecast, work->def->queue,
+		rj_cell_forecast_learn(&owner->forecast, job->def->queue,
 				       owner->now_us - run->begun_us);
-	if (work->state < RJ_CELL_JOB_COMPLETED && !task->done) {
+	if (job->state < RJ_CELL_JOB_COMPLETED && !task->done) {
 		if (end == RJ_CELL_END_DONE)
-			note_done(owner, task);
+			mark_done(owner, task);
 		else if (end == RJ_CELL_END_FAILED)
-			note_failed(owner, task, run);
+			record_failure(owner, task, run);
 		else
 			task->losses++;
 		task->waiting_us = 0;
@@ -423,19 +430,19 @@
 	rj_cell_run_free(run);
 	if (end != RJ_CELL_END_DONE && rj_cell_task_step(task)->gang &&
 	    !task->done) {
-		break_gang(owner, task);
-		if (ends_gang(end))
-			note_members_over(owner, task);
+		stop_gang(owner, task);
+		if (ends_whole_gang(end))
+			expect_gang_end(owner, task);
 	}
-	rj_cell_owner_mark_dirty(owner, work);
-	if (!round->steps_left)
-		end_round(owner, round);
+	rj_cell_owner_mark_dirty(owner, job);
+	if (!occurrence->steps_left)
+		finish_occurrence(owner, occurrence);
 }
 
 /* Whether a task is done by a run that was given up before: it ended well
  * while its worker was out of reach, and the task has run anew since. */
-static bool was_done_before(const struct rj_cell_task *task,
-			    const struct rj_cell_end_row *row)
+static bool completes_task(const struct rj_cell_task *task,
+			   const struct rj_cell_end_row *row)
 {
 	return task && row->end == RJ_CELL_END_DONE && !task->done &&
 	       row->number <= task->run &&
@@ -444,22 +451,23 @@
 }
 
 /* A failure of a run that was taken to have ended with its gang. */
-static void count_unseen(struct rj_cell_owner *owner, struct rj_cell_task *task,
-			 const struct rj_cell_end_row *row)
+static void count_unreported_failure(struct rj_cell_owner *owner,
+				     struct rj_cell_task *task,
+				     const struct rj_cell_end_row *row)
 {
 	struct rj_cell_task *head = task ? rj_cell_task_head(task) : NULL;
-	struct rj_cell_work *work;
+	struct rj_cell_work *job;
 
 	if (!head || row->end != RJ_CELL_END_FAILED || !head->unseen ||
 	    head->failed_run == row->number)
 		return;
 	head->unseen--;
 	head->failures++;
-	work = head->round->work;
+	job = head->round->work;
 	if (!rj_cell_task_step(head)->perpetual &&
-	    head->failures >= work->def->attempts_max)
-		rj_cell_completions_close_job(owner, work, RJ_CELL_JOB_FAILED);
-	rj_cell_owner_mark_dirty(owner, work);
+	    head->failures >= job->def->attempts_max)
+		rj_cell_completions_close_job(owner, job, RJ_CELL_JOB_FAILED);
+	rj_cell_owner_mark_dirty(owner, job);
 }
 
 /*
@@ -474,20 +482,20 @@
 {
 	struct rj_cell_task *task =
 		rj_cell_owner_find_task(owner, row->name, NULL);
-	struct rj_cell_round *round;
+	struct rj_cell_round *occurrence;
 
 	rj_note("orphan_end", RJ_NOTE_TEXT("task", row->name),
 		RJ_NOTE_NUMBER("run", row->number),
 		RJ_NOTE_TEXT("worker", worker->id),
 		RJ_NOTE_TEXT("end", rj_cell_end_string[row->end]));
-	count_unseen(owner, task, row);
-	if (!was_done_before(task, row))
+	count_unreported_failure(owner, task, row);
+	if (!completes_task(task, row))
 		return;
-	round = task->round;
-	note_done(owner, task);
+	occurrence = task->round;
+	mark_done(owner, task);
 	if (rj_cell_task_step(task)->gang)
-		break_gang(owner, task);
-	rj_cell_owner_mark_dirty(owner, round->work);
-	if (!round->steps_left)
-		end_round(owner, round);
+		stop_gang(owner, task);
+	rj_cell_owner_mark_dirty(owner, occurrence->work);
+	if (!occurrence->steps_left)
+		finish_occurrence(owner, occurrence);
 }
--- a/src/libradishjunction/cell/cell_cordon.c
+++ b/src/libradishjunction/cell/cell_cordon.c
@@ -5,26 +5,27 @@
 #include "private/note.h"
 
 /* The cordon at a place of the list. */
-static struct rj_cell_cordon *at(const struct rj_cell_cordons *cordons,
-				 guint place)
+static struct rj_cell_cordon *cordon_at(const struct rj_cell_cordons *cordons,
+					guint index)
 {
-	return &g_array_index(cordons->cordons, struct rj_cell_cordon, place);
+	return &g_array_index(cordons->cordons, struct rj_cell_cordon, index);
 }
 
 /* The place of a domain's cordon, or the length of the list. */
-static guint find(const struct rj_cell_cordons *cordons, const char *domain)
+static guint find_index(const struct rj_cell_cordons *cordons,
+			const char *domain)
 {
-	guint place = 0;
+	guint index = 0;
 
-	while (place < cordons->cordons->len &&
-	       strcmp(at(cordons, place)->domain, domain) != 0)
-		place++;
-	return place;
+	while (index < cordons->cordons->len &&
+	       strcmp(cordon_at(cordons, index)->domain, domain) != 0)
+		index++;
+	return index;
 }
 
 /* Say what has changed. */
-static void note_change(struct rj_cell_cordons *cordons, const char *domain,
-			uint64_t version, bool cordoned)
+static void log_change(struct rj_cell_cordons *cordons, const char *domain,
+		       uint64_t version, bool cordoned)
 {
 	cordons->changes++;
 	rj_note("cordon", RJ_NOTE_TEXT("domain", domain),
@@ -59,17 +60,18 @@
 bool rj_cell_cordons_set(struct rj_cell_cordons *cordons, const char *domain,
 			 uint64_t version)
 {
-	guint place = find(cordons, domain);
-	struct rj_cell_cordon cordon = { .version = version, .shown = true };
+	guint index = find_index(cordons, domain);
+	struct rj_cell_cordon cordon = { .version = version,
+					 .seen_in_load = true };
 
-	if (place < cordons->cordons->len) {
-		at(cordons, place)->version = version;
-		at(cordons, place)->shown = true;
+	if (index < cordons->cordons->len) {
+		cordon_at(cordons, index)->version = version;
+		cordon_at(cordons, index)->seen_in_load = true;
 		return false;
 	}
 	g_strlcpy(cordon.domain, domain, sizeof(cordon.domain));
 	g_array_append_val(cordons->cordons, cordon);
-	note_change(cordons, domain, version, true);
+	log_change(cordons, domain, version, true);
 	return true;
 }
 
@@ -80,12 +82,12 @@
 bool rj_cell_cordons_clear(struct rj_cell_cordons *cordons, const char *domain,
 			   uint64_t version)
 {
-	guint place = find(cordons, domain);
+	guint index = find_index(cordons, domain);
 
-	if (place >= cordons->cordons->len)
+	if (index >= cordons->cordons->len)
 		return false;
-	g_array_remove_index(cordons->cordons, place);
-	note_change(cordons, domain, version, false);
+	g_array_remove_index(cordons->cordons, index);
+	log_change(cordons, domain, version, false);
 	return true;
 }
 
@@ -97,7 +99,7 @@
 {
 	cordons->loading = true;
 	for (guint i = 0; i < cordons->cordons->len; i++)
-		at(cordons, i)->shown = false;
+		cordon_at(cordons, i)->seen_in_load = false;
 }
 
 /*
@@ -109,9 +111,9 @@
 	uint32_t cleared = 0;
 
 	for (guint i = cordons->cordons->len; i > 0; i--) {
-		struct rj_cell_cordon cordon = *at(cordons, i - 1);
+		struct rj_cell_cordon cordon = *cordon_at(cordons, i - 1);
 
-		if (cordon.shown)
+		if (cordon.seen_in_load)
 			continue;
 		rj_cell_cordons_clear(cordons, cordon.domain, cordon.version);
 		cleared++;
@@ -126,5 +128,5 @@
 bool rj_cell_cordons_contains(const struct rj_cell_cordons *cordons,
 			      const char *domain)
 {
-	return find(cordons, domain) < cordons->cordons->len;
+	return find_index(cordons, domain) < cordons->cordons->len;
 }
--- a/src/libradishjunction/cell/cell_failure.c
+++ b/src/libradishjunction/cell/cell_failure.c
@@ -2,15 +2,15 @@
 
 /* Tasks that fail by themselves do so at any time of their run, which takes
  * seconds. */
-#define EARLY_US (400 * RJ_US_PER_MS)
+#define EARLY_FAILURE_MAX_US (400 * RJ_US_PER_MS)
 /* So many make a burst, as tasks that fail by themselves do so early once in
  * a while; */
-#define BURST_MIN 2
+#define BURST_COUNT_MIN 2
 /* ... it is over once no failure was early for so long. */
 #define BURST_GAP_US (6 * RJ_US_PER_S)
 /* A last attempt waits so long for a worker that is known to be sound: users
  * expect idle capacity to be used within 3 s of calm. */
-#define HOLD_MAX_US (2500 * RJ_US_PER_MS)
+#define LAST_ATTEMPT_HOLD_US (2500 * RJ_US_PER_MS)
 
 /*
  * Whether a run that failed after `ran_us` says more of its worker than of its
@@ -18,7 +18,7 @@
  */
 bool rj_cell_failure_is_early(uint64_t ran_us)
 {
-	return ran_us < EARLY_US;
+	return ran_us < EARLY_FAILURE_MAX_US;
 }
 
 /*
@@ -28,7 +28,7 @@
 				  uint64_t now_us)
 {
 	if (!burst->count || now_us >= burst->last_us + BURST_GAP_US) {
-		burst->since_us = now_us;
+		burst->first_us = now_us;
 		burst->count = 0;
 	}
 	burst->last_us = now_us;
@@ -41,7 +41,7 @@
 bool rj_cell_failure_is_burst(const struct rj_cell_failure_burst *burst,
 			      uint64_t now_us)
 {
-	return burst->count >= BURST_MIN &&
+	return burst->count >= BURST_COUNT_MIN &&
 	       now_us < burst->last_us + BURST_GAP_US;
 }
 
@@ -57,7 +57,7 @@
 				      uint64_t waiting_us, uint64_t now_us)
 {
 	return rj_cell_failure_is_burst(burst, now_us) &&
-	       now_us < waiting_us + HOLD_MAX_US;
+	       now_us < waiting_us + LAST_ATTEMPT_HOLD_US;
 }
 
 /*
@@ -65,7 +65,7 @@
  * is none of those that have begun to fail.
  */
 bool rj_cell_failure_is_healthy(const struct rj_cell_failure_burst *burst,
-				uint64_t sound_us)
+				uint64_t healthy_us)
 {
-	return sound_us >= burst->since_us;
+	return healthy_us >= burst->first_us;
 }
--- a/src/libradishjunction/cell/cell_flush.c
+++ b/src/libradishjunction/cell/cell_flush.c
@@ -9,9 +9,9 @@
 
 /* The owner shows its life in the log so often. Others wait for three of
  * these in vain before they take over. */
-#define BEAT_US (400 * RJ_US_PER_MS)
+#define HEARTBEAT_INTERVAL_US (400 * RJ_US_PER_MS)
 /* Ended jobs are looked through for those to be forgotten so often. */
-#define DROP_CHECK_US (5 * RJ_US_PER_S)
+#define RETENTION_CHECK_INTERVAL_US (5 * RJ_US_PER_S)
 
 /* What a write remembers until it is stored. */
 struct owner_write {
@@ -24,21 +24,22 @@
 };
 
 /* Forget the work of a job that has ended and runs nowhere. */
-static void free_ended(struct rj_cell_owner *owner, struct rj_cell_work *work)
+static void free_ended_job(struct rj_cell_owner *owner,
+			   struct rj_cell_work *job)
 {
-	struct rj_cell_entry *entry = work->entry;
+	struct rj_cell_entry *entry = job->entry;
 
-	if (work->dirty || work->state < RJ_CELL_JOB_COMPLETED ||
+	if (job->dirty || job->state < RJ_CELL_JOB_COMPLETED ||
 	    entry->told.state < RJ_CELL_JOB_COMPLETED ||
-	    !rj_cell_work_idle(work))
+	    !rj_cell_work_idle(job))
 		return;
 	entry->work = NULL;
-	talloc_free(work);
-	g_ptr_array_add(owner->ended, g_strdup(entry->id));
+	talloc_free(job);
+	g_ptr_array_add(owner->ended_jobs, g_strdup(entry->id));
 }
 
 /* The intent of a run is stored: it may be started. */
-static void release_run(struct rj_cell_run *run, void *private_data)
+static void allow_start(struct rj_cell_run *run, void *private_data)
 {
 	const struct rj_cell_owner *owner = private_data;
 
@@ -51,7 +52,7 @@
 }
 
 /* All that was flushed together is stored: workers may forget these ends. */
-static void ends_stored(struct rj_cell_owner *owner)
+static void acknowledge_completions(struct rj_cell_owner *owner)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -70,14 +71,14 @@
 }
 
 /* A record about a job is in the log. */
-static void take_effect(struct rj_cell_owner *owner,
-			const struct owner_write *write,
-			struct rj_cell_entry *entry)
+static void apply_record(struct rj_cell_owner *owner,
+			 const struct owner_write *write,
+			 struct rj_cell_entry *entry)
 {
 	if (write->kind == RJ_CELL_RECORD_STATE)
 		rj_cell_view_tell(entry, &write->summary, owner->now_us);
 	else if (write->kind == RJ_CELL_RECORD_PROGRESS && entry->work)
-		rj_cell_work_each_run(entry->work, release_run, owner);
+		rj_cell_work_each_run(entry->work, allow_start, owner);
 }
 
 /* One record of a flush has ended. */
@@ -95,35 +96,36 @@
 	owner->writes_pending--;
 	entry = write->id[0] ? rj_cell_view_find(owner->view, write->id) : NULL;
 	if (outcome == RJ_CELL_WRITE_STORED && entry) {
-		take_effect(owner, write, entry);
+		apply_record(owner, write, entry);
 	} else if (outcome == RJ_CELL_WRITE_NOT_STORED) {
 		owner->write_failed = true;
 		if (entry && entry->work)
 			rj_cell_owner_mark_dirty(owner, entry->work);
 		owner->heartbeat_due_us = owner->now_us;
 	} else if (outcome != RJ_CELL_WRITE_STORED) {
-		owner->lost = true;
+		owner->fenced = true;
 	}
-	if (!owner->writes_pending && !owner->lost && !owner->write_failed)
-		ends_stored(owner);
+	if (!owner->writes_pending && !owner->fenced && !owner->write_failed)
+		acknowledge_completions(owner);
 	if (entry && entry->work)
-		free_ended(owner, entry->work);
+		free_ended_job(owner, entry->work);
 	talloc_free(write);
 }
 
 /* Add one record to the flush; `summary` is that of a job's state. */
-static void add_write(struct rj_cell_owner *owner,
-		      enum rj_cell_record_kind kind, const char *id,
-		      struct rj_bytes value,
-		      const struct rj_cell_summary *summary)
+static void add_record(struct rj_cell_owner *owner,
+		       enum rj_cell_record_kind kind, const char *id,
+		       struct rj_bytes value,
+		       const struct rj_cell_summary *summary)
 {
 	struct owner_write *write = talloc_zero(owner->mem, struct owner_write);
 	char key[RJ_CELL_KEY_BYTES];
 
 	assert(write);
 	write->owner = owner;
-	write->writer = kind == RJ_CELL_RECORD_PROGRESS ? &owner->progress :
-							  &owner->writer;
+	write->writer = kind == RJ_CELL_RECORD_PROGRESS ?
+				&owner->progress_writer :
+				&owner->writer;
 	write->generation = owner->generation;
 	write->kind = kind;
 	g_strlcpy(write->id, id, sizeof(write->id));
@@ -136,12 +138,12 @@
 }
 
 /* Add the removal of a key. */
-static void add_drop(struct rj_cell_owner *owner, enum rj_cell_record_kind kind,
-		     const char *id)
+static void add_removal(struct rj_cell_owner *owner,
+			enum rj_cell_record_kind kind, const char *id)
 {
 	const struct rj_cell_summary ended = { RJ_CELL_JOB_COMPLETED, true };
 
-	add_write(owner, kind, id, (struct rj_bytes){ NULL, 0 }, &ended);
+	add_record(owner, kind, id, (struct rj_bytes){ NULL, 0 }, &ended);
 }
 
 /* The intent of a run goes out with its job's record. */
@@ -151,21 +153,21 @@
 }
 
 /* Add the owner's heartbeat, with what it tells of the load. */
-static void add_beat(struct rj_cell_owner *owner)
+static void add_heartbeat(struct rj_cell_owner *owner)
 {
-	struct rj_cell_beat beat = { .incarnation = owner->incarnation,
-				     .number = owner->heartbeat_number++ };
+	struct rj_cell_beat heartbeat = { .incarnation = owner->incarnation,
+					  .number = owner->heartbeat_number++ };
 	struct rj_bytes value;
 
-	rj_cell_admit_shares(owner, &beat);
-	value = rj_cell_beat_encode(owner->mem, &beat);
-	add_write(owner, RJ_CELL_RECORD_BEAT, "", value, NULL);
+	rj_cell_admit_shares(owner, &heartbeat);
+	value = rj_cell_beat_encode(owner->mem, &heartbeat);
+	add_record(owner, RJ_CELL_RECORD_BEAT, "", value, NULL);
 	talloc_free((void *)value.data);
-	owner->heartbeat_due_us = owner->now_us + BEAT_US;
+	owner->heartbeat_due_us = owner->now_us + HEARTBEAT_INTERVAL_US;
 }
 
 /* Add the record that gives the cell away. */
-static void add_leave(struct rj_cell_owner *owner)
+static void add_release(struct rj_cell_owner *owner)
 {
 	struct rj_cell_owner_record record = { .incarnation =
 						       owner->incarnation,
@@ -174,28 +176,28 @@
 
 	memcpy(record.name, owner->name, sizeof(record.name));
 	value = rj_cell_owner_encode(owner->mem, &record);
-	add_write(owner, RJ_CELL_RECORD_OWNER, "", value, NULL);
+	add_record(owner, RJ_CELL_RECORD_OWNER, "", value, NULL);
 	talloc_free((void *)value.data);
-	owner->leaving = false;
+	owner->release_pending = false;
 }
 
 /* Add what has changed of a job; its state only where callers are told more
  * by it. */
-static void add_work(struct rj_cell_owner *owner, struct rj_cell_work *work)
+static void add_job(struct rj_cell_owner *owner, struct rj_cell_work *job)
 {
-	const struct rj_cell_entry *entry = work->entry;
-	struct rj_cell_summary summary = { work->state, work->started };
+	const struct rj_cell_entry *entry = job->entry;
+	struct rj_cell_summary summary = { job->state, job->started };
 	struct rj_bytes value;
 
-	rj_cell_work_each_run(work, mark_recording, NULL);
-	value = rj_cell_progress_encode(owner->mem, work);
-	add_write(owner, RJ_CELL_RECORD_PROGRESS, work->def->id, value, NULL);
+	rj_cell_work_each_run(job, mark_recording, NULL);
+	value = rj_cell_progress_encode(owner->mem, job);
+	add_record(owner, RJ_CELL_RECORD_PROGRESS, job->def->id, value, NULL);
 	talloc_free((void *)value.data);
 	if (summary.state <= entry->told.state &&
 	    summary.started == entry->told.started)
 		return;
 	value = rj_cell_summary_encode(owner->mem, &summary);
-	add_write(owner, RJ_CELL_RECORD_STATE, work->def->id, value, &summary);
+	add_record(owner, RJ_CELL_RECORD_STATE, job->def->id, value, &summary);
 	talloc_free((void *)value.data);
 }
 
@@ -206,15 +208,15 @@
  * Load that it answers: all instances start at once, and each loads all that
  * is kept.
  */
-static void add_drops(struct rj_cell_owner *owner)
+static void add_ended_job_removals(struct rj_cell_owner *owner)
 {
-	for (guint i = 0; i < owner->ended->len; i++) {
-		const char *id = owner->ended->pdata[i];
+	for (guint i = 0; i < owner->ended_jobs->len; i++) {
+		const char *id = owner->ended_jobs->pdata[i];
 
-		add_drop(owner, RJ_CELL_RECORD_PROGRESS, id);
-		add_drop(owner, RJ_CELL_RECORD_DEFINITION, id);
+		add_removal(owner, RJ_CELL_RECORD_PROGRESS, id);
+		add_removal(owner, RJ_CELL_RECORD_DEFINITION, id);
 	}
-	g_ptr_array_set_size(owner->ended, 0);
+	g_ptr_array_set_size(owner->ended_jobs, 0);
 }
 
 /*
@@ -224,12 +226,12 @@
  * nobody answers is repeated after a second, and until then nothing else is
  * stored.
  */
-static void flush_beat(struct rj_cell_owner *owner)
+static void flush_heartbeat(struct rj_cell_owner *owner)
 {
 	if (owner->now_us < owner->heartbeat_due_us ||
 	    rj_cell_writer_busy(&owner->writer))
 		return;
-	add_beat(owner);
+	add_heartbeat(owner);
 	rj_cell_writer_flush(&owner->writer, owner->now_us);
 }
 
@@ -242,24 +244,24 @@
 	struct rj_list *next;
 
 	if (owner->writes_pending) {
-		flush_beat(owner);
+		flush_heartbeat(owner);
 		return;
 	}
 	owner->write_failed = false;
-	RJ_FOR_EACH (at, next, &owner->dirty) {
-		struct rj_cell_work *work =
+	RJ_FOR_EACH (at, next, &owner->dirty_jobs) {
+		struct rj_cell_work *job =
 			RJ_CONTAINER(at, struct rj_cell_work, in_dirty);
 
-		work->dirty = false;
-		rj_list_remove(&work->in_dirty);
-		add_work(owner, work);
+		job->dirty = false;
+		rj_list_remove(&job->in_dirty);
+		add_job(owner, job);
 	}
 	if (owner->now_us >= owner->heartbeat_due_us) {
-		add_beat(owner);
-		add_drops(owner);
+		add_heartbeat(owner);
+		add_ended_job_removals(owner);
 	}
-	if (owner->leaving)
-		add_leave(owner);
+	if (owner->release_pending)
+		add_release(owner);
 	RJ_FOR_EACH (at, next, &owner->fleet.unstored) {
 		struct rj_cell_worker *worker =
 			RJ_CONTAINER(at, struct rj_cell_worker, in_unstored);
@@ -267,10 +269,10 @@
 		worker->seen_storing = worker->seen_taken;
 	}
 	if (!owner->writes_pending) {
-		ends_stored(owner);
+		acknowledge_completions(owner);
 		return;
 	}
-	rj_cell_writer_flush(&owner->progress, owner->now_us);
+	rj_cell_writer_flush(&owner->progress_writer, owner->now_us);
 	rj_cell_writer_flush(&owner->writer, owner->now_us);
 }
 
@@ -285,20 +287,21 @@
 	if (owner->writes_pending ||
 	    owner->now_us < owner->retention_check_due_us)
 		return;
-	owner->retention_check_due_us = owner->now_us + DROP_CHECK_US;
+	owner->retention_check_due_us =
+		owner->now_us + RETENTION_CHECK_INTERVAL_US;
 	RJ_FOR_EACH (at, next, &owner->view->entries) {
 		struct rj_cell_entry *entry =
 			RJ_CONTAINER(at, struct rj_cell_entry, link);
-		uint64_t keep_us =
-			owner->terms.status_retention_ms * RJ_US_PER_MS;
+		uint64_t retention_us =
+			owner->limits.status_retention_ms * RJ_US_PER_MS;
 
 		if (entry->work || !entry->ended_us ||
-		    owner->now_us < entry->ended_us + keep_us)
+		    owner->now_us < entry->ended_us + retention_us)
 			continue;
 		for (int kind = RJ_CELL_RECORD_DEFINITION;
 		     kind <= RJ_CELL_RECORD_CANCEL; kind++)
-			add_drop(owner, (enum rj_cell_record_kind)kind,
-				 entry->id);
+			add_removal(owner, (enum rj_cell_record_kind)kind,
+				    entry->id);
 		entry->ended_us = owner->now_us; /* once, unless it fails */
 	}
 }
--- a/src/libradishjunction/cell/cell_orders.c
+++ b/src/libradishjunction/cell/cell_orders.c
@@ -15,11 +15,11 @@
 #define SICK_PAUSE_US (1500 * RJ_US_PER_MS)
 #define FULL_PAUSE_US (300 * RJ_US_PER_MS)
 /* A task that its worker does not understand is not sent again at once. */
-#define BAD_PAUSE_US RJ_US_PER_S
+#define REJECTED_PAUSE_US RJ_US_PER_S
 /* Workers that hold something are visited so often at most. */
-#define WATCH_PAUSE_US (4 * RJ_US_PER_MS)
+#define BUSY_CHECK_INTERVAL_US (4 * RJ_US_PER_MS)
 /* A run of the task may still be listed there. */
-#define OLD_PAUSE_US (100 * RJ_US_PER_MS)
+#define STALE_PAUSE_US (100 * RJ_US_PER_MS)
 
 /*
  * How long a task waits after a refusal that another worker would repeat.
@@ -27,15 +27,15 @@
  * Guards against orders without end: a task that no worker takes has room
  * everywhere, and would be ordered anew with each plan.
  */
-static uint64_t refusal_pause_us(enum rj_cell_order_status status)
+static uint64_t refusal_backoff_us(enum rj_cell_order_status status)
 {
 	switch (status) {
 	case RJ_CELL_ORDER_BAD:
 	case RJ_CELL_ORDER_TICKET:
-		return BAD_PAUSE_US;
+		return REJECTED_PAUSE_US;
 	case RJ_CELL_ORDER_OLD:
 	case RJ_CELL_ORDER_LATE:
-		return OLD_PAUSE_US;
+		return STALE_PAUSE_US;
 	default:
 		return 0;
 	}
@@ -45,8 +45,8 @@
  * A run could not be started: its task waits again, and so does the rest of
  * its gang.
  */
-static void withdraw(struct rj_cell_owner *owner, struct rj_cell_run *run,
-		     enum rj_cell_order_status status)
+static void abort_start(struct rj_cell_owner *owner, struct rj_cell_run *run,
+			enum rj_cell_order_status status)
 {
 	rj_note("start_refused", RJ_NOTE_TEXT("task", run->name),
 		RJ_NOTE_NUMBER("run", run->number),
@@ -55,14 +55,14 @@
 	run->why = rj_cell_order_status_string[status];
 	if (run->task)
 		run->task->not_before_us =
-			owner->now_us + refusal_pause_us(status);
+			owner->now_us + refusal_backoff_us(status);
 	rj_cell_completions_apply(owner, run, RJ_CELL_END_LOST, NULL);
 }
 
 /* What a refused start says of its worker. */
-static void rest_worker(struct rj_cell_owner *owner,
-			struct rj_cell_worker *worker,
-			enum rj_cell_order_status status)
+static void suspend_worker(struct rj_cell_owner *owner,
+			   struct rj_cell_worker *worker,
+			   enum rj_cell_order_status status)
 {
 	uint64_t pause_us = 0;
 
@@ -102,14 +102,14 @@
 	run->start_open = false;
 	rj_cell_call_update_clock(worker, reply);
 	if (reply->status == RJ_CELL_ORDER_FENCED) {
-		owner->lost = true;
+		owner->fenced = true;
 		return;
 	}
 	if (run->state != RJ_CELL_RUN_STARTING)
 		return; /* it is being stopped; the stop settles it */
 	switch (reply->status) {
 	case RJ_CELL_ORDER_OK:
-		rj_latency_add(&owner->counters.orders,
+		rj_latency_add(&owner->counters.start_latency,
 			       owner->now_us - sent_us);
 		run->state = RJ_CELL_RUN_PLACED;
 		run->begun_us = owner->now_us;
@@ -131,16 +131,16 @@
 			break;
 		}
 		rj_cell_call_set_answering(owner, worker, false, reply->status);
-		withdraw(owner, run, reply->status);
+		abort_start(owner, run, reply->status);
 		break;
 	default:
-		rest_worker(owner, worker, reply->status);
+		suspend_worker(owner, worker, reply->status);
 		if (reply->status == RJ_CELL_ORDER_TICKET)
 			rj_cell_advice_void(run->task, worker);
 		if (run->order_tries > 1)
 			rj_cell_completions_stop_run(owner, run, "no_answer");
 		else
-			withdraw(owner, run, reply->status);
+			abort_start(owner, run, reply->status);
 	}
 }
 
@@ -148,10 +148,10 @@
 static void send_start(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
 	struct rj_cell_worker *worker = run->worker;
-	const struct rj_cell_def *def = run->task->round->work->def;
+	const struct rj_cell_def *spec = run->task->round->work->def;
 	struct rj_cell_start start = { .name = run->name,
 				       .number = run->number,
-				       .spec = def->spec,
+				       .spec = spec->spec,
 				       .checkpoint = run->checkpoint,
 				       .ticket = run->ticket ? run->ticket : "",
 				       .token = owner->token };
@@ -187,7 +187,7 @@
 		run->settled_us = owner->now_us;
 		break;
 	case RJ_CELL_ORDER_FENCED:
-		owner->lost = true;
+		owner->fenced = true;
 		break;
 	case RJ_CELL_ORDER_OTHER:
 		rj_cell_call_other_incarnation(owner, worker);
@@ -232,17 +232,17 @@
  * A start must not be sent to its worker any more: the task waits again. A
  * start that was sent before may still arrive, and is stopped.
  */
-static void call_off(struct rj_cell_owner *owner, struct rj_cell_run *run)
+static void cancel_start(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
-	const char *why = rj_cell_worker_cordoned(run->worker) ?
-				  "cordoned" :
-				  "worker_leaves";
+	const char *reason = rj_cell_worker_cordoned(run->worker) ?
+				     "cordoned" :
+				     "worker_leaves";
 
 	if (run->order_tries) {
-		rj_cell_completions_stop_run(owner, run, why);
+		rj_cell_completions_stop_run(owner, run, reason);
 		return;
 	}
-	run->why = why;
+	run->why = reason;
 	rj_cell_completions_apply(owner, run, RJ_CELL_END_LOST, NULL);
 }
 
@@ -252,8 +252,8 @@
  * Guards against starts on workers that said long ago that they leave: between
  * plan and order an owner stores the intent, and may have read more meanwhile.
  */
-static void call_off_starts(struct rj_cell_owner *owner,
-			    struct rj_cell_worker *worker)
+static void cancel_unsent_starts(struct rj_cell_owner *owner,
+				 struct rj_cell_worker *worker)
 {
 	struct rj_list *at = worker->runs.next;
 
@@ -264,7 +264,7 @@
 		at = at->next;
 		if (run->state != RJ_CELL_RUN_STARTING || run->start_open)
 			continue;
-		call_off(owner, run);
+		cancel_start(owner, run);
 		/* Others of its gang may have gone with it. */
 		at = worker->runs.next;
 	}
@@ -281,15 +281,15 @@
 
 /* Send the orders that are due for the runs of a worker. Returns whether
  * there are more. */
-static bool tick_runs(struct rj_cell_owner *owner,
-		      struct rj_cell_worker *worker)
+static bool send_worker_orders(struct rj_cell_owner *owner,
+			       struct rj_cell_worker *worker)
 {
 	bool more = false;
 	struct rj_list *at;
 	struct rj_list *next;
 
 	if (!rj_cell_worker_stays(worker))
-		call_off_starts(owner, worker);
+		cancel_unsent_starts(owner, worker);
 	RJ_FOR_EACH (at, next, &worker->runs) {
 		struct rj_cell_run *run =
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
@@ -308,8 +308,8 @@
  * A worker that has been silent until its leases must have lapsed runs
  * nothing any more.
  */
-static void check_lapse(struct rj_cell_owner *owner,
-			struct rj_cell_worker *worker)
+static void check_lease_expiry(struct rj_cell_owner *owner,
+			       struct rj_cell_worker *worker)
 {
 	if (worker->answers || worker->runs.next == &worker->runs ||
 	    owner->now_us <= worker->lapsed_us)
@@ -336,25 +336,25 @@
 		struct rj_cell_worker *worker =
 			RJ_CONTAINER(at, struct rj_cell_worker, in_ordered);
 
-		if (!tick_runs(owner, worker))
+		if (!send_worker_orders(owner, worker))
 			rj_list_remove(&worker->in_ordered);
 	}
 }
 
 /* Poll the workers that hold something, and see whether leases lapsed. */
-static void watch_busy(struct rj_cell_owner *owner)
+static void check_busy_workers(struct rj_cell_owner *owner)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
 	if (owner->now_us < owner->busy_check_due_us)
 		return;
-	owner->busy_check_due_us = owner->now_us + WATCH_PAUSE_US;
+	owner->busy_check_due_us = owner->now_us + BUSY_CHECK_INTERVAL_US;
 	RJ_FOR_EACH (at, next, &owner->fleet.watched[RJ_CELL_WATCH_BUSY]) {
 		struct rj_cell_worker *worker =
 			RJ_CONTAINER(at, struct rj_cell_worker, in_watch);
 
-		check_lapse(owner, worker);
+		check_lease_expiry(owner, worker);
 		if (!worker->answers)
 			rj_cell_completions_expire_gangs(owner, worker);
 		if (worker->leaves_us)
@@ -369,6 +369,6 @@
 void rj_cell_orders_tick(struct rj_cell_owner *owner)
 {
 	send_orders(owner);
-	watch_busy(owner);
+	check_busy_workers(owner);
 	rj_cell_polls_tick(owner);
 }
--- a/src/libradishjunction/cell/cell_owner.c
+++ b/src/libradishjunction/cell/cell_owner.c
@@ -12,26 +12,26 @@
 
 /* Plans are this far apart at least, so that what ends together is planned
  * for together. */
-#define PLAN_PAUSE_US (8 * RJ_US_PER_MS)
+#define PLAN_INTERVAL_MIN_US (8 * RJ_US_PER_MS)
 /* ... and by so many times what a plan takes, so that most of the time is left
  * for polls, orders and heartbeats. */
-#define PLAN_PAUSE_FACTOR 2
+#define PLAN_IDLE_FACTOR 2
 /* Weighing one worker takes so long on a whole core. */
-#define EFFORT_NS 20
+#define EFFORT_UNIT_NS 20
 /* Without other events a plan is made so often, as waiting changes what may
  * be done. */
-#define PLAN_IDLE_US (200 * RJ_US_PER_MS)
+#define PLAN_INTERVAL_MAX_US (200 * RJ_US_PER_MS)
 /* Nothing starts by knowledge of the log that is older; the owner's own
  * heartbeats make its reads return every 0.4 s. */
-#define READ_AGE_MAX_US (1500 * RJ_US_PER_MS)
+#define JOBS_READ_AGE_MAX_US (1500 * RJ_US_PER_MS)
 /* Nor by knowledge of workers and operators that is older than this part of
  * the bound on what it decides; the rest is for the order's way. */
-#define PUBLISHED_AGE_PERCENT 80
+#define READ_AGE_PERCENT 80
 /* What waits is logged so often at most. */
-#define BACKLOG_NOTE_US RJ_US_PER_S
+#define BACKLOG_LOG_INTERVAL_US RJ_US_PER_S
 /* Jobs with times are looked through for those that have come due so often;
  * an occurrence begins so much late at most. */
-#define ROUNDS_CHECK_US (40 * RJ_US_PER_MS)
+#define OCCURRENCE_CHECK_INTERVAL_US (40 * RJ_US_PER_MS)
 
 /*
  * Prepare an owner that owns nothing yet.
@@ -40,7 +40,7 @@
 			const char *name, uint64_t incarnation,
 			struct rj_cell_view *view, struct rj_cell_store *store,
 			struct rj_cell_workers *workers,
-			const struct rj_cell_limits *terms)
+			const struct rj_cell_limits *limits)
 {
 	memset(owner, 0, sizeof(*owner));
 	owner->mem = mem;
@@ -49,14 +49,14 @@
 	owner->view = view;
 	owner->store = store;
 	owner->workers = workers;
-	owner->terms = *terms;
-	rj_list_init(&owner->works);
-	rj_list_init(&owner->dirty);
+	owner->limits = *limits;
+	rj_list_init(&owner->jobs);
+	rj_list_init(&owner->dirty_jobs);
 	rj_cell_forecast_init(&owner->forecast);
-	owner->ended = g_ptr_array_new_with_free_func(g_free);
+	owner->ended_jobs = g_ptr_array_new_with_free_func(g_free);
 	rj_cell_writer_init(&owner->writer, mem, store, RJ_CELL_TOPIC_JOBS,
 			    "owner");
-	rj_cell_writer_init(&owner->progress, mem, store,
+	rj_cell_writer_init(&owner->progress_writer, mem, store,
 			    RJ_CELL_TOPIC_PROGRESS, "owner");
 }
 
@@ -73,11 +73,11 @@
  * A job's progress has changed and is to be stored.
  */
 void rj_cell_owner_mark_dirty(struct rj_cell_owner *owner,
-			      struct rj_cell_work *work)
+			      struct rj_cell_work *job)
 {
-	if (!work->dirty)
-		rj_list_append(&owner->dirty, &work->in_dirty);
-	work->dirty = true;
+	if (!job->dirty)
+		rj_list_append(&owner->dirty_jobs, &job->in_dirty);
+	job->dirty = true;
 	owner->plan_wanted = true;
 }
 
@@ -91,11 +91,11 @@
 {
 	struct rj_cell_entry *found;
 	char id[RJ_CELL_ID_BYTES];
-	unsigned int round;
+	unsigned int occurrence;
 	unsigned int step;
 	unsigned int index;
 
-	if (sscanf(name, "%16[0-9a-fA-F].%u.%u.%u", id, &round, &step,
+	if (sscanf(name, "%16[0-9a-fA-F].%u.%u.%u", id, &occurrence, &step,
 		   &index) != 4)
 		return NULL;
 	found = rj_cell_view_find(owner->view, id);
@@ -103,66 +103,67 @@
 		*entry = found;
 	if (!found || !found->work)
 		return NULL;
-	return rj_cell_work_find(found->work, round, step, index);
+	return rj_cell_work_find(found->work, occurrence, step, index);
 }
 
 /* Until when a job is of use, by this node's clock. */
-static void set_times(struct rj_cell_owner *owner, struct rj_cell_work *work)
+static void set_objective_times(struct rj_cell_owner *owner,
+				struct rj_cell_work *job)
 {
-	const struct rj_cell_def *def = work->def;
-	uint64_t age_ms = owner->wall_ms > def->accepted_ms ?
-				  owner->wall_ms - def->accepted_ms :
+	const struct rj_cell_def *spec = job->def;
+	uint64_t age_ms = owner->wall_ms > spec->accepted_ms ?
+				  owner->wall_ms - spec->accepted_ms :
 				  0;
-	uint64_t chain_ms = rj_cell_forecast_chain_ms(&owner->forecast, def);
+	uint64_t chain_ms = rj_cell_forecast_chain_ms(&owner->forecast, spec);
 	uint64_t objective_us =
-		(chain_ms * def->stretch_milli / 1000 + def->latency_ms) *
+		(chain_ms * spec->stretch_milli / 1000 + spec->latency_ms) *
 		RJ_US_PER_MS;
 
-	work->accepted_us = owner->now_us > age_ms * RJ_US_PER_MS ?
-				    owner->now_us - age_ms * RJ_US_PER_MS :
-				    0;
-	work->objective_us = work->accepted_us + objective_us;
-	work->late_us = work->accepted_us + RJ_CELL_LATE_FACTOR * objective_us;
+	job->accepted_us = owner->now_us > age_ms * RJ_US_PER_MS ?
+				   owner->now_us - age_ms * RJ_US_PER_MS :
+				   0;
+	job->objective_us = job->accepted_us + objective_us;
+	job->late_us = job->accepted_us + RJ_CELL_LATE_FACTOR * objective_us;
 }
 
 /* Take up a job that has not ended, with what its progress says. */
-static void adopt(struct rj_cell_owner *owner, struct rj_cell_entry *entry)
+static void adopt_job(struct rj_cell_owner *owner, struct rj_cell_entry *entry)
 {
-	struct rj_cell_work *work = rj_cell_work_new(owner->mem, entry->def);
+	struct rj_cell_work *job = rj_cell_work_new(owner->mem, entry->def);
 	struct rj_error err;
 
-	work->entry = entry;
-	entry->work = work;
-	rj_list_append(&owner->works, &work->link);
-	set_times(owner, work);
+	job->entry = entry;
+	entry->work = job;
+	rj_list_append(&owner->jobs, &job->link);
+	set_objective_times(owner, job);
 	if (entry->progress.length &&
-	    rj_cell_progress_decode(entry->progress, work, &owner->fleet,
+	    rj_cell_progress_decode(entry->progress, job, &owner->fleet,
 				    owner->now_us, &err))
 		rj_note("record_bad", RJ_NOTE_TEXT("job", entry->id),
 			RJ_NOTE_TEXT("error", err.message));
 	/* It has ended and nobody was told, or it was stored by the version
 	 * before. */
 	if (entry->progress.length && !entry->moved)
-		rj_cell_owner_mark_dirty(owner, work);
+		rj_cell_owner_mark_dirty(owner, job);
 	entry->moved = true;
-	if (work->state >= RJ_CELL_JOB_COMPLETED)
-		rj_cell_owner_mark_dirty(owner, work);
+	if (job->state >= RJ_CELL_JOB_COMPLETED)
+		rj_cell_owner_mark_dirty(owner, job);
 	else
-		rj_cell_completions_begin_occurrences(owner, work);
+		rj_cell_completions_begin_occurrences(owner, job);
 }
 
 /* Say what has come, with the figures that decide on its first step. */
-static void note_taken(const struct rj_cell_entry *entry)
+static void log_job_accepted(const struct rj_cell_entry *entry)
 {
-	const struct rj_cell_def *def = entry->def;
-	const struct rj_cell_step *step = &def->steps[0];
+	const struct rj_cell_def *spec = entry->def;
+	const struct rj_cell_step *step = &spec->steps[0];
 
 	rj_note("job_taken", RJ_NOTE_TEXT("job", entry->id),
-		RJ_NOTE_TEXT("account", def->account),
-		RJ_NOTE_TEXT("queue", def->queue),
-		RJ_NOTE_NUMBER("priority", def->priority),
-		RJ_NOTE_NUMBER("steps", def->step_count),
-		RJ_NOTE_NUMBER("tasks", def->task_count),
+		RJ_NOTE_TEXT("account", spec->account),
+		RJ_NOTE_TEXT("queue", spec->queue),
+		RJ_NOTE_NUMBER("priority", spec->priority),
+		RJ_NOTE_NUMBER("steps", spec->step_count),
+		RJ_NOTE_NUMBER("tasks", spec->task_count),
 		RJ_NOTE_NUMBER("cpu_milli", step->each.cpu_milli),
 		RJ_NOTE_NUMBER("memory_mb", step->each.memory_mb),
 		RJ_NOTE_NUMBER("accelerators", step->each.accelerators),
@@ -178,7 +179,7 @@
 		RJ_NOTE_NUMBER("per_worker_max", step->per_worker_max),
 		RJ_NOTE_NUMBER("may_miss", step->may_miss),
 		RJ_NOTE_NUMBER("target_ms", step->target_ms),
-		RJ_NOTE_NUMBER("repeats", def->repeats));
+		RJ_NOTE_NUMBER("repeats", spec->repeats));
 }
 
 /*
@@ -191,11 +192,11 @@
 	    entry->told.state >= RJ_CELL_JOB_COMPLETED)
 		return;
 	if (!entry->work) {
-		adopt(owner, entry);
+		adopt_job(owner, entry);
 		if (!entry->def->priority)
 			rj_cell_forecast_demand(&owner->forecast, entry->def,
 						owner->now_us);
-		note_taken(entry);
+		log_job_accepted(entry);
 	}
 	if (entry->cancelled && !entry->work->cancelled) {
 		entry->work->cancelled = true;
@@ -215,11 +216,12 @@
 	return worker->said.draining && worker->written_us &&
 	       owner->now_us <
 		       worker->written_us +
-			       owner->terms.entry_expiry_ms * RJ_US_PER_MS;
+			       owner->limits.entry_expiry_ms * RJ_US_PER_MS;
 }
 
 /* A worker's entry is gone. */
-static void unlist(struct rj_cell_owner *owner, struct rj_cell_worker *worker)
+static void delist_worker(struct rj_cell_owner *owner,
+			  struct rj_cell_worker *worker)
 {
 	worker->listed = false;
 	if (has_deregistered(owner, worker)) {
@@ -245,7 +247,7 @@
 
 	if (!heartbeat) {
 		if (worker && worker->listed)
-			unlist(owner, worker);
+			delist_worker(owner, worker);
 		return;
 	}
 	worker = rj_cell_fleet_obtain(&owner->fleet, id);
@@ -281,17 +283,19 @@
 
 /* Ends that a former owner did not see count no longer than until `lapsed_us`,
  * when every lease that it gave has lapsed. */
-static void bound_unseen(const struct rj_cell_work *work, uint64_t lapsed_us)
+static void bound_unreported_ends(const struct rj_cell_work *job,
+				  uint64_t expired_us)
 {
 	const struct rj_list *at;
 
-	for (at = work->rounds.next; at != &work->rounds; at = at->next) {
-		struct rj_cell_round *round =
+	for (at = job->rounds.next; at != &job->rounds; at = at->next) {
+		struct rj_cell_round *occurrence =
 			RJ_CONTAINER(at, struct rj_cell_round, link);
 
-		for (uint32_t i = 0; i < work->def->task_count; i++)
-			round->tasks[i].unseen_until_us =
-				MIN(round->tasks[i].unseen_until_us, lapsed_us);
+		for (uint32_t i = 0; i < job->def->task_count; i++)
+			occurrence->tasks[i].unseen_until_us =
+				MIN(occurrence->tasks[i].unseen_until_us,
+				    expired_us);
 	}
 }
 
@@ -299,20 +303,22 @@
  * Nothing is known of workers that a former owner has used until they
  * answer; it may renew their leases for `renewals_us` from now.
  */
-static void bound_leases(struct rj_cell_owner *owner, uint64_t renewals_us)
+static void bound_former_leases(struct rj_cell_owner *owner,
+				uint64_t renewals_us)
 {
-	uint64_t lease_us = rj_cell_lease_longest_us(owner->terms.lease_max_ms *
-						     RJ_US_PER_MS);
-	uint64_t lapsed_us = owner->now_us + renewals_us + lease_us;
+	uint64_t lease_us = rj_cell_lease_longest_us(
+		owner->limits.lease_max_ms * RJ_US_PER_MS);
+	uint64_t expired_us = owner->now_us + renewals_us + lease_us;
 	struct rj_list *at;
 	struct rj_list *next;
 
 	RJ_FOR_EACH (at, next, &owner->fleet.workers)
 		RJ_CONTAINER(at, struct rj_cell_worker, link)->lapsed_us =
-			lapsed_us;
-	RJ_FOR_EACH (at, next, &owner->works)
-		bound_unseen(RJ_CONTAINER(at, struct rj_cell_work, link),
-			     lapsed_us);
+			expired_us;
+	RJ_FOR_EACH (at, next, &owner->jobs)
+		bound_unreported_ends(
+			RJ_CONTAINER(at, struct rj_cell_work, link),
+			expired_us);
 }
 
 /*
@@ -325,11 +331,11 @@
 				  uint64_t epoch, uint64_t now_us,
 				  uint64_t wall_ms)
 {
-	assert(!owner->active && !owner->taking);
-	assert(owner->dirty.next == &owner->dirty);
-	owner->taking = true;
-	owner->lost = false;
-	owner->leaving = false;
+	assert(!owner->active && !owner->taking_over);
+	assert(owner->dirty_jobs.next == &owner->dirty_jobs);
+	owner->taking_over = true;
+	owner->fenced = false;
+	owner->release_pending = false;
 	owner->generation++;
 	owner->token = token;
 	owner->now_us = now_us;
@@ -338,7 +344,7 @@
 	owner->heartbeat_due_us = now_us;
 	rj_cell_fleet_init(&owner->fleet, owner->mem, owner->cordons);
 	rj_cell_writer_open(&owner->writer, epoch, 1, now_us);
-	rj_cell_writer_open(&owner->progress, epoch, 0, now_us);
+	rj_cell_writer_open(&owner->progress_writer, epoch, 0, now_us);
 }
 
 /*
@@ -354,10 +360,10 @@
 	struct rj_list *next;
 	uint32_t jobs = 0;
 
-	assert(owner->taking);
-	owner->taking = false;
+	assert(owner->taking_over);
+	owner->taking_over = false;
 	owner->active = true;
-	owner->read_us = now_us;
+	owner->jobs_read_us = now_us;
 	owner->now_us = now_us;
 	owner->wall_ms = wall_ms;
 	owner->advice_pending = false;
@@ -372,7 +378,7 @@
 		rj_cell_owner_update_job(owner, entry);
 	}
 	rj_cell_view_drop_progress(owner->view);
-	bound_leases(owner, renewals_us);
+	bound_former_leases(owner, renewals_us);
 	rj_note("own", RJ_NOTE_NUMBER("token", owner->token),
 		RJ_NOTE_AGE_MS("renewals_ms", renewals_us),
 		RJ_NOTE_NUMBER("jobs", jobs),
@@ -384,32 +390,32 @@
  * takes it over. Callers have been told only what is stored, so the view stays
  * as it is.
  */
-void rj_cell_owner_resign(struct rj_cell_owner *owner, const char *why)
+void rj_cell_owner_resign(struct rj_cell_owner *owner, const char *reason)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	if (!owner->active && !owner->taking)
+	if (!owner->active && !owner->taking_over)
 		return;
 	rj_note("resign", RJ_NOTE_NUMBER("token", owner->token),
-		RJ_NOTE_TEXT("why", why),
+		RJ_NOTE_TEXT("why", reason),
 		RJ_NOTE_AGE_MS("stored_ms",
 			       owner->now_us - owner->writer.stored_us));
 	owner->active = false;
-	owner->taking = false;
-	owner->lost = false;
+	owner->taking_over = false;
+	owner->fenced = false;
 	owner->generation++;
 	owner->counters.resignations++;
 	rj_cell_writer_close(&owner->writer);
-	rj_cell_writer_close(&owner->progress);
+	rj_cell_writer_close(&owner->progress_writer);
 	rj_cell_view_drop_progress(owner->view);
-	g_ptr_array_set_size(owner->ended, 0);
-	RJ_FOR_EACH (at, next, &owner->works) {
-		struct rj_cell_work *work =
+	g_ptr_array_set_size(owner->ended_jobs, 0);
+	RJ_FOR_EACH (at, next, &owner->jobs) {
+		struct rj_cell_work *job =
 			RJ_CONTAINER(at, struct rj_cell_work, link);
 
-		((struct rj_cell_entry *)work->entry)->work = NULL;
-		talloc_free(work);
+		((struct rj_cell_entry *)job->entry)->work = NULL;
+		talloc_free(job);
 	}
 	rj_cell_fleet_finish(&owner->fleet);
 }
@@ -421,7 +427,7 @@
 {
 	rj_cell_owner_resign(owner, "finish");
 	rj_cell_forecast_finish(&owner->forecast);
-	g_ptr_array_free(owner->ended, TRUE);
+	g_ptr_array_free(owner->ended_jobs, TRUE);
 }
 
 /*
@@ -430,79 +436,81 @@
  */
 void rj_cell_owner_release(struct rj_cell_owner *owner, uint64_t now_us)
 {
-	if (!owner->active && !owner->taking)
+	if (!owner->active && !owner->taking_over)
 		return;
 	owner->now_us = now_us;
-	owner->leaving = true;
+	owner->release_pending = true;
 }
 
 /* How long a plan has taken, by what it weighed. */
-static uint64_t plan_took_us(const struct rj_cell_owner *owner,
-			     const struct rj_cell_plan *plan)
+static uint64_t plan_duration_us(const struct rj_cell_owner *owner,
+				 const struct rj_cell_plan *plan)
 {
 	uint64_t strength = owner->strength ? owner->strength : 100;
 
-	return plan->effort * EFFORT_NS * 100 / strength / 1000;
+	return plan->effort * EFFORT_UNIT_NS * 100 / strength / 1000;
 }
 
 /* Keep what a plan leaves waiting for the metrics, and log it now and then. */
-static void note_backlog(struct rj_cell_owner *owner,
-			 const struct rj_cell_plan *plan)
+static void record_backlog(struct rj_cell_owner *owner,
+			   const struct rj_cell_plan *plan)
 {
 	rj_cell_backlog_sum(plan, &owner->backlog);
 	if (!plan->waiting || owner->now_us < owner->backlog_log_due_us)
 		return;
-	owner->backlog_log_due_us = owner->now_us + BACKLOG_NOTE_US;
+	owner->backlog_log_due_us = owner->now_us + BACKLOG_LOG_INTERVAL_US;
 	rj_cell_backlog_note(&owner->backlog);
 }
 
 /* Plan, and note what was decided. */
-static void plan_work(struct rj_cell_owner *owner)
+static void make_plan(struct rj_cell_owner *owner)
 {
 	struct rj_cell_plan plan;
 
 	rj_cell_plan_init(&plan);
 	plan.fleet = &owner->fleet;
-	plan.works = &owner->works;
+	plan.works = &owner->jobs;
 	plan.config = owner->config;
 	plan.forecast = &owner->forecast;
-	plan.failures = owner->failures;
-	plan.reclaim_ms = owner->terms.reclaim_ms;
+	plan.failures = owner->failure_burst;
+	plan.reclaim_ms = owner->limits.reclaim_ms;
 	plan.now_us = owner->now_us;
 	rj_cell_plan_make(&plan);
 	owner->counters.plans++;
 	owner->counters.plan_effort_max =
 		MAX(owner->counters.plan_effort_max, plan.effort);
-	note_backlog(owner, &plan);
+	record_backlog(owner, &plan);
 	rj_cell_starts_begin(owner, &plan);
 	for (guint i = 0; i < plan.stops->len; i++)
 		rj_cell_completions_stop_run(owner, plan.stops->pdata[i],
 					     RJ_CELL_WHY_RECLAIMED);
 	owner->plan_wanted = false;
 	rj_cell_advice_ask(owner, &plan);
-	owner->plan_due_us = MIN(plan.next_us, owner->now_us + PLAN_IDLE_US);
+	owner->plan_due_us =
+		MIN(plan.next_us, owner->now_us + PLAN_INTERVAL_MAX_US);
 	owner->plan_not_before_us =
 		owner->now_us +
-		MAX(PLAN_PAUSE_US,
-		    (1 + PLAN_PAUSE_FACTOR) * plan_took_us(owner, &plan));
+		MAX(PLAN_INTERVAL_MIN_US,
+		    (1 + PLAN_IDLE_FACTOR) * plan_duration_us(owner, &plan));
 	rj_cell_plan_finish(&plan);
 }
 
 /* Begin what has come due of jobs with times. */
-static void begin_rounds(struct rj_cell_owner *owner)
+static void begin_due_occurrences(struct rj_cell_owner *owner)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
 	if (owner->now_us < owner->occurrence_check_due_us)
 		return;
-	owner->occurrence_check_due_us = owner->now_us + ROUNDS_CHECK_US;
-	RJ_FOR_EACH (at, next, &owner->works) {
-		struct rj_cell_work *work =
+	owner->occurrence_check_due_us =
+		owner->now_us + OCCURRENCE_CHECK_INTERVAL_US;
+	RJ_FOR_EACH (at, next, &owner->jobs) {
+		struct rj_cell_work *job =
 			RJ_CONTAINER(at, struct rj_cell_work, link);
 
-		if (work->def->repeats && work->state < RJ_CELL_JOB_COMPLETED)
-			rj_cell_completions_begin_occurrences(owner, work);
+		if (job->def->repeats && job->state < RJ_CELL_JOB_COMPLETED)
+			rj_cell_completions_begin_occurrences(owner, job);
 	}
 }
 
@@ -513,7 +521,7 @@
 {
 	return !bound_ms ||
 	       owner->now_us <= read_us + bound_ms * RJ_US_PER_MS *
-						  PUBLISHED_AGE_PERCENT / 100;
+						  READ_AGE_PERCENT / 100;
 }
 
 /*
@@ -525,20 +533,21 @@
  */
 bool rj_cell_owner_may_start(const struct rj_cell_owner *owner)
 {
-	return owner->now_us <= owner->read_us + READ_AGE_MAX_US &&
-	       is_fresh(owner, owner->workers_read_us, owner->terms.drain_ms) &&
+	return owner->now_us <= owner->jobs_read_us + JOBS_READ_AGE_MAX_US &&
+	       is_fresh(owner, owner->workers_read_us,
+			owner->limits.drain_ms) &&
 	       is_fresh(owner, owner->operators_read_us,
-			owner->terms.cordon_ms);
+			owner->limits.cordon_ms);
 }
 
 /* Decide what is due. */
 static void decide(struct rj_cell_owner *owner)
 {
-	begin_rounds(owner);
+	begin_due_occurrences(owner);
 	if ((owner->plan_wanted || owner->now_us >= owner->plan_due_us) &&
 	    !owner->writes_pending && rj_cell_owner_may_start(owner) &&
 	    owner->now_us >= owner->plan_not_before_us)
-		plan_work(owner);
+		make_plan(owner);
 	rj_cell_flush_expired(owner);
 }
 
@@ -549,7 +558,7 @@
 void rj_cell_owner_advance(struct rj_cell_owner *owner, uint64_t now_us,
 			   uint64_t wall_ms)
 {
-	if ((!owner->active && !owner->taking) || owner->lost)
+	if ((!owner->active && !owner->taking_over) || owner->fenced)
 		return;
 	owner->now_us = now_us;
 	owner->wall_ms = wall_ms;
@@ -560,6 +569,6 @@
 	rj_cell_flush(owner);
 	if (owner->active)
 		rj_cell_orders_tick(owner);
-	rj_cell_writer_tick(&owner->progress, now_us);
+	rj_cell_writer_tick(&owner->progress_writer, now_us);
 	rj_cell_writer_tick(&owner->writer, now_us);
 }
--- a/src/libradishjunction/cell/cell_polls.c
+++ b/src/libradishjunction/cell/cell_polls.c
@@ -21,22 +21,22 @@
 #define POLL_RETRY_MAX_US (1000 * RJ_US_PER_MS)
 /* Retries of all silent workers that hold runs, together. */
 #define POLL_RETRIES_PER_S 200
-#define POLL_RETRIES_AT_ONCE 200
+#define POLL_RETRY_BURST 200
 /* A worker whose lease has lapsed is still polled for so long. */
-#define GIVEN_UP_POLL_US (15 * RJ_US_PER_S)
+#define LOST_RUNS_POLL_US (15 * RJ_US_PER_S)
 /* Ends that cannot be stored make polls return at once; until they are,
  * leases are renewed at this pace. */
-#define POLL_UNSTORED_US (700 * RJ_US_PER_MS)
+#define POLL_UNSTORED_DELAY_US (700 * RJ_US_PER_MS)
 /* Idle workers are polled in turn, all of them together so often a second, and
  * so many at once after a takeover, so that their cost does not follow their
  * number. */
 #define IDLE_POLLS_PER_S 300
-#define IDLE_POLLS_AT_ONCE 450
+#define IDLE_POLL_BURST 450
 /* Of more workers than this no instance is sure to keep a connection to each,
  * so that polls open new ones: fewer of them then, and workers are taken to be
  * as well as their heartbeats say until the first order to them. */
-#define KNOWN_CLOSELY_MAX 1500
-#define IDLE_POLLS_FAR_PER_S 50
+#define POLLED_FLEET_MAX 1500
+#define LARGE_FLEET_IDLE_POLLS_PER_S 50
 
 /* A listed run that is not ours: stop it, and count its room meanwhile. */
 static void stop_orphan(struct rj_cell_owner *owner,
@@ -67,9 +67,9 @@
 }
 
 /* Mark the runs that the worker lists. */
-static void take_rows(struct rj_cell_owner *owner,
-		      struct rj_cell_worker *worker,
-		      const struct rj_cell_order_reply *reply)
+static void process_runs(struct rj_cell_owner *owner,
+			 struct rj_cell_worker *worker,
+			 const struct rj_cell_order_reply *reply)
 {
 	for (uint32_t i = 0; i < reply->row_count; i++) {
 		const struct rj_cell_row *row = &reply->rows[i];
@@ -102,7 +102,8 @@
  * that have started wait for the others for a few seconds; with these they
  * go on, where the whole gang would have to begin anew.
  */
-static bool order_again(struct rj_cell_owner *owner, struct rj_cell_run *run)
+static bool restart_adopted(struct rj_cell_owner *owner,
+			    struct rj_cell_run *run)
 {
 	if (!run->adopted || run->state != RJ_CELL_RUN_PLACED || !run->task ||
 	    !rj_cell_worker_stays(run->worker))
@@ -131,9 +132,9 @@
  * taken over from a former owner are settled from the start, as the fencing
  * token keeps its orders from being carried out.
  */
-static void drop_missing(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker, uint64_t sent_us,
-			 const struct rj_cell_order_reply *reply)
+static void end_missing_runs(struct rj_cell_owner *owner,
+			     struct rj_cell_worker *worker, uint64_t sent_us,
+			     const struct rj_cell_order_reply *reply)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -144,7 +145,7 @@
 		bool settled = run->settled_us && run->settled_us < sent_us;
 
 		if (run->state == RJ_CELL_RUN_INTENDED || !settled ||
-		    is_listed(reply, run) || order_again(owner, run))
+		    is_listed(reply, run) || restart_adopted(owner, run))
 			continue;
 		if (!run->why)
 			run->why = "not_listed";
@@ -158,9 +159,9 @@
 }
 
 /* Take the ends in that are new. */
-static void take_ends(struct rj_cell_owner *owner,
-		      struct rj_cell_worker *worker,
-		      const struct rj_cell_order_reply *reply)
+static void process_completions(struct rj_cell_owner *owner,
+				struct rj_cell_worker *worker,
+				const struct rj_cell_order_reply *reply)
 {
 	for (uint32_t i = 0; i < reply->end_count; i++) {
 		const struct rj_cell_end_row *row = &reply->ends[i];
@@ -187,8 +188,9 @@
  * worker was away may have arrived in its new life, as orders name the worker
  * and not its life. The lists that came with the answer tell.
  */
-static void meet(struct rj_cell_owner *owner, struct rj_cell_worker *worker,
-		 const struct rj_cell_order_reply *reply)
+static void accept_incarnation(struct rj_cell_owner *owner,
+			       struct rj_cell_worker *worker,
+			       const struct rj_cell_order_reply *reply)
 {
 	rj_note("worker_met", RJ_NOTE_TEXT("worker", worker->id),
 		RJ_NOTE_NUMBER("incarnation", reply->incarnation),
@@ -201,7 +203,7 @@
 	worker->seen_told = 0;
 	worker->bad_streak = 0;
 	/* From here on only our orders count, so that no lease is longer. */
-	worker->lease_ms = worker->clock_ms + owner->terms.lease_max_ms;
+	worker->lease_ms = worker->clock_ms + owner->limits.lease_max_ms;
 	worker->lapsed_us = 0;
 	rj_cell_worker_note_lease(worker, worker->lease_ms);
 	owner->plan_wanted = true;
@@ -211,34 +213,34 @@
  * Whether a worker may list completions of runs that were given up: it is
  * polled like one that holds runs, as it may leave soon after it is back.
  */
-static bool may_list_more(const struct rj_cell_owner *owner,
-			  const struct rj_cell_worker *worker)
+static bool may_list_lost_runs(const struct rj_cell_owner *owner,
+			       const struct rj_cell_worker *worker)
 {
 	return worker->given_up_us &&
-	       owner->now_us < worker->given_up_us + GIVEN_UP_POLL_US;
+	       owner->now_us < worker->given_up_us + LOST_RUNS_POLL_US;
 }
 
 /* Whether a worker is polled as long as it is silent. */
-static bool is_wanted(const struct rj_cell_owner *owner,
-		      const struct rj_cell_worker *worker)
+static bool needs_polling(const struct rj_cell_owner *owner,
+			  const struct rj_cell_worker *worker)
 {
 	return worker->runs.next != &worker->runs ||
-	       may_list_more(owner, worker);
+	       may_list_lost_runs(owner, worker);
 }
 
 /* Whether nothing runs on a worker, and all its ends are settled. */
 static bool is_idle(const struct rj_cell_owner *owner,
 		    const struct rj_cell_worker *worker)
 {
-	return !is_wanted(owner, worker) &&
+	return !needs_polling(owner, worker) &&
 	       worker->seen_told >= worker->seen_taken;
 }
 
 /* A worker's lists have come. */
-static void take_poll(struct rj_cell_owner *owner,
-		      struct rj_cell_worker *worker,
-		      const struct rj_cell_call_context *call,
-		      const struct rj_cell_order_reply *reply)
+static void process_poll(struct rj_cell_owner *owner,
+			 struct rj_cell_worker *worker,
+			 const struct rj_cell_call_context *call,
+			 const struct rj_cell_order_reply *reply)
 {
 	rj_cell_call_update_clock(worker, reply);
 	worker->poll_failures = 0;
@@ -246,16 +248,16 @@
 	worker->given_up_us = 0;
 	rj_cell_call_set_answering(owner, worker, true, reply->status);
 	if (worker->incarnation != reply->incarnation)
-		meet(owner, worker, reply);
+		accept_incarnation(owner, worker, reply);
 	else
 		worker->seen_told = call->seen;
-	take_ends(owner, worker, reply);
-	take_rows(owner, worker, reply);
-	drop_missing(owner, worker, call->sent_us, reply);
+	process_completions(owner, worker, reply);
+	process_runs(owner, worker, reply);
+	end_missing_runs(owner, worker, call->sent_us, reply);
 	rj_cell_run_health_check(owner, worker);
 	worker->poll_due_us = owner->now_us;
 	if (worker->seen_taken > worker->seen)
-		worker->poll_due_us += POLL_UNSTORED_US;
+		worker->poll_due_us += POLL_UNSTORED_DELAY_US;
 }
 
 /*
@@ -264,9 +266,9 @@
  * A worker that deregistered ends all its runs. It is polled once more before
  * these are given up, as the inference rests on the timing of its entry.
  */
-static void note_failure(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker, uint64_t sent_us,
-			 enum rj_cell_order_status status)
+static void record_poll_failure(struct rj_cell_owner *owner,
+				struct rj_cell_worker *worker, uint64_t sent_us,
+				enum rj_cell_order_status status)
 {
 	uint64_t delay_us = POLL_RETRY_US;
 
@@ -276,7 +278,7 @@
 		rj_cell_call_other_incarnation(owner, worker);
 	else
 		rj_cell_call_set_answering(owner, worker, false, status);
-	if (!is_wanted(owner, worker))
+	if (!needs_polling(owner, worker))
 		delay_us <<= MIN(worker->poll_failures, 3U);
 	worker->poll_failures++;
 	worker->poll_due_us = owner->now_us + MIN(delay_us, POLL_RETRY_MAX_US);
@@ -294,13 +296,14 @@
 		goto free_call;
 	worker->poll_open = false;
 	if (reply->status == RJ_CELL_ORDER_FENCED) {
-		owner->lost = true;
+		owner->fenced = true;
 		goto free_call;
 	}
 	if (reply->status == RJ_CELL_ORDER_OK)
-		take_poll(owner, worker, call, reply);
+		process_poll(owner, worker, call, reply);
 	else
-		note_failure(owner, worker, call->sent_us, reply->status);
+		record_poll_failure(owner, worker, call->sent_us,
+				    reply->status);
 	if (!is_idle(owner, worker))
 		rj_cell_worker_watch(worker, RJ_CELL_WATCH_BUSY);
 	else if (worker->answers)
@@ -331,7 +334,7 @@
 	if (worker->answers)
 		poll.seen = worker->seen;
 	if (worker->incarnation && worker->answers)
-		poll.wait_ms = MIN(POLL_WAIT_MS, owner->terms.lease_max_ms /
+		poll.wait_ms = MIN(POLL_WAIT_MS, owner->limits.lease_max_ms /
 							 POLL_WAIT_LEASE_PART);
 	/*
 	 * Guards against leases that never lapse: a worker that is silent may
@@ -355,29 +358,29 @@
  */
 void rj_cell_polls_reset_limits(struct rj_cell_owner *owner)
 {
-	owner->idle_poll_limit.calls = IDLE_POLLS_AT_ONCE;
+	owner->idle_poll_limit.available = IDLE_POLL_BURST;
 	owner->idle_poll_limit.updated_us = owner->now_us;
-	owner->retry_poll_limit.calls = POLL_RETRIES_AT_ONCE;
+	owner->retry_poll_limit.available = POLL_RETRY_BURST;
 	owner->retry_poll_limit.updated_us = owner->now_us;
 }
 
 /* Add what has come free of an allowance since. */
-static void refill(struct rj_cell_rate_limit *allowance, uint64_t now_us,
-		   uint32_t per_s, double most)
+static void refill(struct rj_cell_rate_limit *limit, uint64_t now_us,
+		   uint32_t per_s, double burst)
 {
-	uint64_t passed_us = now_us - allowance->updated_us;
+	uint64_t elapsed_us = now_us - limit->updated_us;
 
-	allowance->updated_us = now_us;
-	allowance->calls += (double)passed_us * per_s / RJ_US_PER_S;
-	allowance->calls = MIN(allowance->calls, most);
+	limit->updated_us = now_us;
+	limit->available += (double)elapsed_us * per_s / RJ_US_PER_S;
+	limit->available = MIN(limit->available, burst);
 }
 
 /* Take one call out of an allowance, if there is one. */
-static bool take_one(struct rj_cell_rate_limit *allowance)
+static bool take_call(struct rj_cell_rate_limit *limit)
 {
-	if (allowance->calls < 1)
+	if (limit->available < 1)
 		return false;
-	allowance->calls--;
+	limit->available--;
 	return true;
 }
 
@@ -393,7 +396,7 @@
 void rj_cell_polls_accept_heartbeat(struct rj_cell_owner *owner,
 				    struct rj_cell_worker *worker)
 {
-	if (owner->fleet.count <= KNOWN_CLOSELY_MAX || worker->incarnation ||
+	if (owner->fleet.count <= POLLED_FLEET_MAX || worker->incarnation ||
 	    worker->poll_failures || !worker->said.clock_ms)
 		return;
 	worker->answers = true;
@@ -420,7 +423,7 @@
 
 		if (!worker->listed)
 			continue;
-		if (owner->fleet.count > KNOWN_CLOSELY_MAX)
+		if (owner->fleet.count > POLLED_FLEET_MAX)
 			rj_cell_polls_accept_heartbeat(owner, worker);
 		else
 			rj_cell_polls_schedule_now(owner, worker);
@@ -447,21 +450,22 @@
 {
 	if (worker->poll_open || owner->now_us < worker->poll_due_us)
 		return;
-	if (worker->poll_failures && !take_one(&owner->retry_poll_limit))
+	if (worker->poll_failures && !take_call(&owner->retry_poll_limit))
 		return;
 	if (worker->said.address.port &&
-	    (worker->listed || is_wanted(owner, worker)))
+	    (worker->listed || needs_polling(owner, worker)))
 		send_poll(owner, worker);
-	else if (!is_wanted(owner, worker))
+	else if (!needs_polling(owner, worker))
 		rj_cell_worker_watch(worker, RJ_CELL_WATCH_IDLE); /* to go */
 }
 
 /* Poll idle workers in their order, as far as the allowance goes. */
-static void poll_idle(struct rj_cell_owner *owner, enum rj_cell_watch watch)
+static void poll_idle_workers(struct rj_cell_owner *owner,
+			      enum rj_cell_watch watch)
 {
 	struct rj_list *list = &owner->fleet.watched[watch];
 
-	while (owner->idle_poll_limit.calls >= 1 && list->next != list) {
+	while (owner->idle_poll_limit.available >= 1 && list->next != list) {
 		struct rj_cell_worker *worker = RJ_CONTAINER(
 			list->next, struct rj_cell_worker, in_watch);
 
@@ -472,7 +476,7 @@
 		}
 		if (owner->now_us < worker->poll_due_us)
 			break;
-		(void)take_one(&owner->idle_poll_limit);
+		(void)take_call(&owner->idle_poll_limit);
 		rj_cell_worker_watch(worker, RJ_CELL_WATCH_CALLED);
 		send_poll(owner, worker);
 	}
@@ -487,14 +491,13 @@
  */
 void rj_cell_polls_tick(struct rj_cell_owner *owner)
 {
-	uint32_t per_s = owner->fleet.count > KNOWN_CLOSELY_MAX ?
-				 IDLE_POLLS_FAR_PER_S :
+	uint32_t per_s = owner->fleet.count > POLLED_FLEET_MAX ?
+				 LARGE_FLEET_IDLE_POLLS_PER_S :
 				 IDLE_POLLS_PER_S;
 
-	refill(&owner->idle_poll_limit, owner->now_us, per_s,
-	       IDLE_POLLS_AT_ONCE);
+	refill(&owner->idle_poll_limit, owner->now_us, per_s, IDLE_POLL_BURST);
 	refill(&owner->retry_poll_limit, owner->now_us, POLL_RETRIES_PER_S,
-	       POLL_RETRIES_AT_ONCE);
-	poll_idle(owner, RJ_CELL_WATCH_IDLE);
-	poll_idle(owner, RJ_CELL_WATCH_SILENT);
+	       POLL_RETRY_BURST);
+	poll_idle_workers(owner, RJ_CELL_WATCH_IDLE);
+	poll_idle_workers(owner, RJ_CELL_WATCH_SILENT);
 }
--- a/src/libradishjunction/cell/cell_reachability.c
+++ b/src/libradishjunction/cell/cell_reachability.c
@@ -8,14 +8,14 @@
  * An answer proves the path to its worker for so long, and while the log is
  * slow for as long as some appends take, since plans are made between these.
  */
-#define PROOF_US (100 * RJ_US_PER_MS)
-#define PROOF_APPENDS 2
-#define PROOF_MAX_US (1000 * RJ_US_PER_MS)
+#define CONFIRMATION_US (100 * RJ_US_PER_MS)
+#define CONFIRMATION_APPENDS 2
+#define CONFIRMATION_MAX_US (1000 * RJ_US_PER_MS)
 /*
  * A worker that has answered its last poll is as reachable as its failure
  * domain. Polls are answered within about two seconds.
  */
-#define POLL_PROOF_US (2500 * RJ_US_PER_MS)
+#define POLL_CONFIRMATION_US (2500 * RJ_US_PER_MS)
 /* Many times a round trip between failure domains. */
 #define PROBE_TIMEOUT_MS 150
 
@@ -30,15 +30,16 @@
 bool rj_cell_reachability_confirmed(const struct rj_cell_owner *owner,
 				    const struct rj_cell_worker *worker)
 {
-	uint64_t took_us = MAX(owner->writer.took_us, owner->progress.took_us);
-	uint64_t proof_us =
-		CLAMP(took_us * PROOF_APPENDS, PROOF_US, PROOF_MAX_US);
+	uint64_t append_us =
+		MAX(owner->writer.took_us, owner->progress_writer.took_us);
+	uint64_t confirmation_us = CLAMP(append_us * CONFIRMATION_APPENDS,
+					 CONFIRMATION_US, CONFIRMATION_MAX_US);
 
-	if (owner->now_us <= worker->answered_us + proof_us)
+	if (owner->now_us <= worker->answered_us + confirmation_us)
 		return true;
 	return worker->answers && worker->domain &&
-	       owner->now_us <= worker->answered_us + POLL_PROOF_US &&
-	       owner->now_us <= worker->domain->answered_us + proof_us;
+	       owner->now_us <= worker->answered_us + POLL_CONFIRMATION_US &&
+	       owner->now_us <= worker->domain->answered_us + confirmation_us;
 }
 
 /* The answer to a probe. Its lists are left to the polls, which are in order. */
@@ -55,7 +56,7 @@
 	worker->probe_open = false;
 	owner->plan_wanted = true;
 	if (reply->status == RJ_CELL_ORDER_FENCED) {
-		owner->lost = true;
+		owner->fenced = true;
 		return;
 	}
 	if (reply->status != RJ_CELL_ORDER_OK) {
--- a/src/libradishjunction/cell/cell_run_health.c
+++ b/src/libradishjunction/cell/cell_run_health.c
@@ -7,20 +7,20 @@
 
 /* A run whose percentage does not rise for so long stands still: even at a
  * seventh of the usual speed a task of 11 s gains a percent in a second. */
-#define STALL_US (3 * RJ_US_PER_S)
+#define STALL_TIMEOUT_US (3 * RJ_US_PER_S)
 /*
  * What serves and has been over its bound for so long gets its worker for
  * itself: users allow 4 s on end, of which a stop takes up to half a second,
  * and the worker's figure is of its last half second.
  */
-#define SLOW_US (1500 * RJ_US_PER_MS)
+#define SLOW_TIMEOUT_US (1500 * RJ_US_PER_MS)
 /* Nothing is put beside it for so long then. */
-#define HARMED_US (20 * RJ_US_PER_S)
+#define EXCLUSIVE_PERIOD_US (20 * RJ_US_PER_S)
 /* New work stays off the worker where a run stood still. */
-#define STALL_SUSPECT_US (6 * RJ_US_PER_S)
+#define STALL_SUSPECT_PERIOD_US (6 * RJ_US_PER_S)
 
 /* About when a run that was taken over has begun. */
-static uint64_t begun_by_progress(const struct rj_cell_owner *owner,
+static uint64_t estimate_begin_us(const struct rj_cell_owner *owner,
 				  const struct rj_cell_run *run,
 				  uint32_t percent)
 {
@@ -50,7 +50,7 @@
 			run->begun_us = owner->now_us;
 		if (run->adopted)
 			run->begun_us =
-				begun_by_progress(owner, run, row->percent);
+				estimate_begin_us(owner, run, row->percent);
 	}
 	if (row->percent != run->percent || !run->progress_us)
 		run->progress_us = owner->now_us;
@@ -69,7 +69,7 @@
 
 /* Whether a run may stand still: a member of a gang that is through waits for
  * the others, and what serves for good has no end to get to. */
-static bool may_stand(const struct rj_cell_run *run)
+static bool may_stall(const struct rj_cell_run *run)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(run->task);
 
@@ -89,10 +89,11 @@
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
 
 		if (run->state != RJ_CELL_RUN_SEEN || !run->task ||
-		    may_stand(run) ||
-		    owner->now_us - run->progress_us < STALL_US)
+		    may_stall(run) ||
+		    owner->now_us - run->progress_us < STALL_TIMEOUT_US)
 			continue;
-		worker->suspect_until_us = owner->now_us + STALL_SUSPECT_US;
+		worker->suspect_until_us =
+			owner->now_us + STALL_SUSPECT_PERIOD_US;
 		rj_cell_completions_avoid_worker(owner, run->task, worker);
 		rj_note("run_stalled", RJ_NOTE_TEXT("task", run->name),
 			RJ_NOTE_TEXT("worker", worker->id),
@@ -102,13 +103,13 @@
 }
 
 /* Stop what fills the room of a worker beside work that serves. */
-static void stop_filling(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker)
+static void stop_batch_runs(struct rj_cell_owner *owner,
+			    struct rj_cell_worker *worker)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	worker->harmed_until_us = owner->now_us + HARMED_US;
+	worker->harmed_until_us = owner->now_us + EXCLUSIVE_PERIOD_US;
 	RJ_FOR_EACH (at, next, &worker->runs) {
 		struct rj_cell_run *run =
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
@@ -126,8 +127,8 @@
  * bound and work that fills share workers. What fills goes, as it can be done
  * elsewhere or later.
  */
-static void check_bounds(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker)
+static void check_latency_bounds(struct rj_cell_owner *owner,
+				 struct rj_cell_worker *worker)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -138,12 +139,13 @@
 		struct rj_cell_run *run =
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
 
-		if (!run->slow_us || owner->now_us - run->slow_us < SLOW_US)
+		if (!run->slow_us ||
+		    owner->now_us - run->slow_us < SLOW_TIMEOUT_US)
 			continue;
 		rj_note("bound_missed", RJ_NOTE_TEXT("task", run->name),
 			RJ_NOTE_TEXT("worker", worker->id),
 			RJ_NOTE_NUMBER("beside", worker->filling));
-		stop_filling(owner, worker);
+		stop_batch_runs(owner, worker);
 		return;
 	}
 }
@@ -155,5 +157,5 @@
 			      struct rj_cell_worker *worker)
 {
 	check_stalls(owner, worker);
-	check_bounds(owner, worker);
+	check_latency_bounds(owner, worker);
 }
--- a/src/libradishjunction/cell/cell_starts.c
+++ b/src/libradishjunction/cell/cell_starts.c
@@ -24,7 +24,7 @@
 		      const struct rj_cell_choice *choice)
 {
 	struct rj_cell_task *task = choice->task;
-	struct rj_cell_work *work = task->round->work;
+	struct rj_cell_work *job = task->round->work;
 	struct rj_cell_run *run =
 		rj_cell_run_new(choice->worker, task, task->run + 1);
 
@@ -32,16 +32,18 @@
 	run->ticket = talloc_strdup(
 		run, rj_cell_advice_ticket(task->round, task->step,
 					   choice->worker, owner->now_us));
-	if (!work->started)
-		rj_latency_add(&owner->counters.waits[rj_cell_work_class(work)],
-			       owner->now_us - work->accepted_us);
-	work->started = true;
-	if (!work->began_us)
-		work->began_us = owner->now_us;
-	work->split |= is_split(task, choice->worker);
-	if (work->state == RJ_CELL_JOB_QUEUED)
-		work->state = RJ_CELL_JOB_RUNNING;
-	rj_cell_owner_mark_dirty(owner, work);
+	if (!job->started)
+		rj_latency_add(
+			&owner->counters
+				 .first_start_waits[rj_cell_work_class(job)],
+			owner->now_us - job->accepted_us);
+	job->started = true;
+	if (!job->began_us)
+		job->began_us = owner->now_us;
+	job->split |= is_split(task, choice->worker);
+	if (job->state == RJ_CELL_JOB_QUEUED)
+		job->state = RJ_CELL_JOB_RUNNING;
+	rj_cell_owner_mark_dirty(owner, job);
 	rj_note("place", RJ_NOTE_TEXT("task", run->name),
 		RJ_NOTE_NUMBER("run", run->number),
 		RJ_NOTE_TEXT("worker", choice->worker->id),
@@ -51,7 +53,7 @@
 }
 
 /* The members of a gang start under one number. */
-static void level_gang_runs(const struct rj_cell_plan *plan)
+static void align_gang_run_numbers(const struct rj_cell_plan *plan)
 {
 	for (guint i = 0; i < plan->starts->len; i++) {
 		struct rj_cell_task *task =
@@ -82,10 +84,10 @@
 
 /* Whether all workers of some starts are proven to be reachable; those that
  * are not are probed. */
-static bool are_proven(struct rj_cell_owner *owner, const GArray *starts,
-		       guint first, guint count)
+static bool are_reachable(struct rj_cell_owner *owner, const GArray *starts,
+			  guint first, guint count)
 {
-	bool proven = true;
+	bool reachable = true;
 
 	for (guint i = first; i < first + count; i++) {
 		struct rj_cell_worker *worker =
@@ -94,9 +96,9 @@
 		if (rj_cell_reachability_confirmed(owner, worker))
 			continue;
 		rj_cell_reachability_probe(owner, worker);
-		proven = false;
+		reachable = false;
 	}
-	return proven;
+	return reachable;
 }
 
 /*
@@ -108,10 +110,10 @@
 {
 	guint count;
 
-	level_gang_runs(plan);
+	align_gang_run_numbers(plan);
 	for (guint i = 0; i < plan->starts->len; i += count) {
 		count = group_length(plan->starts, i);
-		if (!are_proven(owner, plan->starts, i, count))
+		if (!are_reachable(owner, plan->starts, i, count))
 			continue;
 		for (guint j = i; j < i + count; j++)
 			begin_run(owner,
--- a/src/libradishjunction/cell/cell_takeover.c
+++ b/src/libradishjunction/cell/cell_takeover.c
@@ -54,7 +54,7 @@
 {
 	struct rj_cell_takeover *takeover = private_data;
 	struct rj_cell_owner *owner = takeover->owner;
-	uint64_t now_us = owner->progress.now_us;
+	uint64_t now_us = owner->progress_writer.now_us;
 
 	takeover->fence_pending = false;
 	if (takeover->state != RJ_CELL_TAKEOVER_FENCING ||
@@ -69,7 +69,7 @@
 		takeover->fence_due_us = now_us + FENCE_RETRY_US;
 		break;
 	default:
-		owner->lost = true;
+		owner->fenced = true;
 	}
 }
 
@@ -89,9 +89,9 @@
 	takeover->fence_pending = true;
 	takeover->generation = owner->generation;
 	rj_cell_record_key(key, RJ_CELL_RECORD_OWNER, "");
-	rj_cell_writer_add(&owner->progress, key, mark,
+	rj_cell_writer_add(&owner->progress_writer, key, mark,
 			   (struct rj_cell_write_done){ fence_done, takeover });
-	rj_cell_writer_flush(&owner->progress, now_us);
+	rj_cell_writer_flush(&owner->progress_writer, now_us);
 }
 
 /*
--- a/src/libradishjunction/include/private/cell_calls.h
+++ b/src/libradishjunction/include/private/cell_calls.h
@@ -34,7 +34,7 @@
 uint64_t rj_cell_call_next_deadline(struct rj_cell_owner *owner,
 				    struct rj_cell_worker *worker);
 void rj_cell_call_lose_runs(struct rj_cell_owner *owner,
-			    struct rj_cell_worker *worker, const char *why);
+			    struct rj_cell_worker *worker, const char *reason);
 void rj_cell_call_set_answering(struct rj_cell_owner *owner,
 				struct rj_cell_worker *worker, bool answers,
 				enum rj_cell_order_status status);
--- a/src/libradishjunction/include/private/cell_cordon.h
+++ b/src/libradishjunction/include/private/cell_cordon.h
@@ -18,7 +18,7 @@
 struct rj_cell_cordon {
 	char domain[RJ_NAME_BYTES];
 	uint64_t version; /* offset of its record in the operators' log */
-	bool shown; /* by the load that is under way */
+	bool seen_in_load; /* by the load that is under way */
 };
 
 struct rj_cell_cordons {
--- a/src/libradishjunction/include/private/cell_failure.h
+++ b/src/libradishjunction/include/private/cell_failure.h
@@ -12,7 +12,7 @@
 
 /* Early failures that follow each other closely. */
 struct rj_cell_failure_burst {
-	uint64_t since_us; /* the first one */
+	uint64_t first_us; /* the first one */
 	uint64_t last_us;
 	uint32_t count;
 };
@@ -25,6 +25,6 @@
 bool rj_cell_failure_requires_healthy(const struct rj_cell_failure_burst *burst,
 				      uint64_t waiting_us, uint64_t now_us);
 bool rj_cell_failure_is_healthy(const struct rj_cell_failure_burst *burst,
-				uint64_t sound_us);
+				uint64_t healthy_us);
 
 #endif
--- a/src/libradishjunction/include/private/cell_log_availability.h
+++ b/src/libradishjunction/include/private/cell_log_availability.h
@@ -15,10 +15,10 @@
 		unavailable_since_us; /* since when the log is out of reach, or 0 */
 };
 
-bool rj_cell_log_availability_update(struct rj_cell_log_availability *contact,
-				     uint64_t answered_us, bool refuses,
-				     uint64_t now_us);
+bool rj_cell_log_availability_update(
+	struct rj_cell_log_availability *availability, uint64_t answered_us,
+	bool refuses_reads, uint64_t now_us);
 uint32_t rj_cell_log_availability_retry_after_ms(
-	const struct rj_cell_log_availability *contact, uint64_t now_us);
+	const struct rj_cell_log_availability *availability, uint64_t now_us);
 
 #endif
--- a/src/libradishjunction/include/private/cell_owner.h
+++ b/src/libradishjunction/include/private/cell_owner.h
@@ -39,12 +39,13 @@
 };
 
 struct rj_cell_owner_counters {
-	struct rj_latency waits[RJ_CELL_PRIORITIES]; /* until the first start */
-	struct rj_latency orders; /* starts that were taken */
+	struct rj_latency first_start_waits
+		[RJ_CELL_PRIORITIES]; /* until the first start */
+	struct rj_latency start_latency; /* starts that were taken */
 	uint64_t starts;
 	uint64_t stops;
 	uint64_t polls;
-	uint64_t ends[RJ_CELL_END_COUNT];
+	uint64_t completions[RJ_CELL_END_COUNT];
 	uint64_t completed;
 	uint64_t failed;
 	uint64_t takeovers;
@@ -55,7 +56,7 @@
 
 /* Calls that may be sent now, and when that was last brought up to date. */
 struct rj_cell_rate_limit {
-	double calls;
+	double available;
 	uint64_t updated_us;
 };
 
@@ -69,23 +70,23 @@
 	struct rj_cell_advisor *advisor; /* NULL: there is none */
 	bool advice_pending; /* a question is on its way */
 	uint64_t advice_due_us; /* when the next one may be sent */
-	struct rj_cell_limits terms;
+	struct rj_cell_limits limits;
 	const struct rj_cell_config *config; /* replaced by the node */
 	const struct rj_cell_cordons *cordons; /* the node's */
-	bool taking; /* the cell is being taken over */
+	bool taking_over; /* the cell is being taken over */
 	bool active;
-	bool leaving; /* says in the log that the cell is free */
-	bool lost; /* fenced: resign as soon as the present event is done */
+	bool release_pending; /* says in the log that the cell is free */
+	bool fenced; /* fenced: resign as soon as the present event is done */
 	uint32_t generation; /* answers to orders of an earlier one are late */
 	uint64_t token;
 	struct rj_cell_writer writer; /* of states, and of its life */
-	struct rj_cell_writer progress;
+	struct rj_cell_writer progress_writer;
 	struct rj_cell_fleet fleet;
-	struct rj_list works;
-	struct rj_list dirty; /* works with changes that are not stored */
-	GPtrArray *ended; /* ids of jobs whose keys may go */
+	struct rj_list jobs;
+	struct rj_list dirty_jobs; /* works with changes that are not stored */
+	GPtrArray *ended_jobs; /* ids of jobs whose keys may go */
 	struct rj_cell_forecast forecast;
-	struct rj_cell_failure_burst failures;
+	struct rj_cell_failure_burst failure_burst;
 	uint32_t strength; /* of the instance, in hundredths of a core */
 	bool plan_wanted;
 	uint64_t plan_due_us; /* without other events */
@@ -105,7 +106,7 @@
 	uint64_t heartbeat_due_us;
 	uint32_t heartbeat_number;
 	/* All that was in these logs then is known. */
-	uint64_t read_us; /* of jobs */
+	uint64_t jobs_read_us; /* of jobs */
 	uint64_t workers_read_us;
 	uint64_t operators_read_us;
 	uint64_t now_us;
@@ -117,7 +118,7 @@
 			const char *name, uint64_t incarnation,
 			struct rj_cell_view *view, struct rj_cell_store *store,
 			struct rj_cell_workers *workers,
-			const struct rj_cell_limits *terms);
+			const struct rj_cell_limits *limits);
 /*
  * An owner that cannot write the log goes on for so long: it keeps what runs,
  * as the log may be away for all, and starts nothing. Then it lets leases
@@ -132,7 +133,7 @@
 void rj_cell_owner_complete_takeover(struct rj_cell_owner *owner,
 				     uint64_t renewals_us, uint64_t now_us,
 				     uint64_t wall_ms);
-void rj_cell_owner_resign(struct rj_cell_owner *owner, const char *why);
+void rj_cell_owner_resign(struct rj_cell_owner *owner, const char *reason);
 void rj_cell_owner_finish(struct rj_cell_owner *owner);
 void rj_cell_owner_release(struct rj_cell_owner *owner, uint64_t now_us);
 void rj_cell_owner_update_job(struct rj_cell_owner *owner,
@@ -145,7 +146,7 @@
 
 /* Between the files of the owner. */
 void rj_cell_owner_mark_dirty(struct rj_cell_owner *owner,
-			      struct rj_cell_work *work);
+			      struct rj_cell_work *job);
 bool rj_cell_owner_may_start(const struct rj_cell_owner *owner);
 bool rj_cell_owner_log_unavailable(const struct rj_cell_owner *owner);
 void rj_cell_orders_tick(struct rj_cell_owner *owner);
@@ -164,17 +165,17 @@
 				      struct rj_cell_worker *worker,
 				      const struct rj_cell_end_row *row);
 void rj_cell_completions_stop_job(struct rj_cell_owner *owner,
-				  struct rj_cell_work *work, const char *why);
+				  struct rj_cell_work *job, const char *reason);
 void rj_cell_completions_stop_run(struct rj_cell_owner *owner,
-				  struct rj_cell_run *run, const char *why);
+				  struct rj_cell_run *run, const char *reason);
 void rj_cell_completions_avoid_worker(struct rj_cell_owner *owner,
 				      struct rj_cell_task *task,
 				      const struct rj_cell_worker *worker);
 void rj_cell_completions_close_job(struct rj_cell_owner *owner,
-				   struct rj_cell_work *work,
+				   struct rj_cell_work *job,
 				   enum rj_cell_job_state state);
 void rj_cell_completions_begin_occurrences(struct rj_cell_owner *owner,
-					   struct rj_cell_work *work);
+					   struct rj_cell_work *job);
 struct rj_cell_task *rj_cell_owner_find_task(struct rj_cell_owner *owner,
 					     const char *name,
 					     struct rj_cell_entry **entry);
