--- a/src/libradishjunction/cell/cell_calls.c
+++ b/src/libradishjunction/cell/cell_calls.c
@@ -20,7 +20,8 @@
 };
 
 /*
- * Remember a call.
+ * Allocates the context of a call to `worker`, about `run` unless that is NULL.
+ * The function that handles the answer frees it.
  */
 struct rj_cell_call_context *
 rj_cell_call_new(struct rj_cell_owner *owner,
@@ -43,7 +44,7 @@
 }
 
 /*
- * The run of a worker that has this name and number, or NULL.
+ * Finds the run of a worker by name and number; NULL if there is none.
  */
 struct rj_cell_run *rj_cell_call_find_run(const struct rj_cell_worker *worker,
 					  const char *name, uint32_t number)
@@ -61,7 +62,7 @@
 }
 
 /*
- * Take the worker's clock from an answer.
+ * Records the worker's clock from an answer.
  */
 void rj_cell_call_update_clock(struct rj_cell_worker *worker,
 			       const struct rj_cell_order_reply *reply)
@@ -73,7 +74,8 @@
 }
 
 /*
- * The deadline that an order carries, or 0 when leases must not grow.
+ * Returns the deadline for an order, by the worker's clock in milliseconds, and
+ * records the longer lease; 0 if leases must not be extended.
  */
 uint64_t rj_cell_call_next_deadline(struct rj_cell_owner *owner,
 				    struct rj_cell_worker *worker)
@@ -89,7 +91,7 @@
 }
 
 /*
- * Every run of a worker has ended without a trace.
+ * Ends all runs of a worker as lost.
  */
 void rj_cell_call_lose_runs(struct rj_cell_owner *owner,
 			    struct rj_cell_worker *worker, const char *reason)
@@ -105,7 +107,7 @@
 }
 
 /*
- * A worker has stopped answering, or answers again.
+ * Records whether the worker answers, and logs a change.
  */
 void rj_cell_call_set_answering(struct rj_cell_owner *owner,
 				struct rj_cell_worker *worker, bool answers,
@@ -123,7 +125,8 @@
 }
 
 /*
- * The worker whose call this was, unless owner or worker have changed.
+ * Returns the worker of an answered call, and records the contact; NULL if the
+ * ownership has changed or the worker is unknown.
  */
 struct rj_cell_worker *
 rj_cell_call_find_worker(struct rj_cell_call_context *call,
@@ -146,7 +149,8 @@
 }
 
 /*
- * Another life of the worker answers: nothing of the former one is left.
+ * Handles an answer from another incarnation of the worker: all runs of the
+ * former one are lost.
  */
 void rj_cell_call_other_incarnation(struct rj_cell_owner *owner,
 				    struct rj_cell_worker *worker)
--- a/src/libradishjunction/cell/cell_completions.c
+++ b/src/libradishjunction/cell/cell_completions.c
@@ -13,33 +13,35 @@
 	[RJ_CELL_END_LOST] = "lost",
 };
 
-/* A task that failed starts again after this, times its failures: a worker
- * or a store that is briefly unwell is left alone meanwhile. */
+/* Delay before a failed task starts again, per failure so far, to spare a
+ * worker or a store with a brief fault. */
 #define FAILURE_BACKOFF_US (50 * RJ_US_PER_MS)
 /*
- * After so many bad ends in a row a worker gets no work for a while: a
- * worker that fails all that it starts would use up the attempts of every
- * job. Three are rare by chance, as a twentieth of tasks fail at most.
+ * Number of failures in a row after which a worker gets no work for a while. A
+ * worker that fails everything it starts would otherwise use up the attempts of
+ * every job. On a healthy worker three in a row are rare, as at most a
+ * twentieth of tasks fail by themselves.
  */
 #define FAILURE_STREAK_MAX 2
 #define SUSPECT_PERIOD_US (6 * RJ_US_PER_S)
-/* One early failure is reason enough for a shorter pause. */
+/* A single early failure leads to this shorter pause. */
 #define SUSPECT_EARLY_PERIOD_US (2 * RJ_US_PER_S)
-/* A task keeps off the worker of its last trouble for so long: users expect
- * idle capacity to be used within 3 s of calm. */
+/* How long a task avoids the worker of its last failure. Idle capacity has to
+ * be in use again within 3 s after the last fault. */
 #define AVOID_PERIOD_US (2 * RJ_US_PER_S)
-/* Covers the steps in which workers end runs. */
+/* Covers the interval at which workers end runs. */
 #define GANG_END_SLACK_US (50 * RJ_US_PER_MS)
 
 /*
- * A stop was decided for a run; the order goes out with the next tick.
+ * Marks a run as to be stopped; the order is sent with the next tick. A run
+ * whose start has not been ordered yet is freed at once.
  */
 void rj_cell_completions_stop_run(struct rj_cell_owner *owner,
 				  struct rj_cell_run *run, const char *reason)
 {
 	if (run->state == RJ_CELL_RUN_STOPPING)
 		return;
-	/* Nobody has been told of it: there is nothing to stop. */
+	/* No start has been sent, so there is nothing to stop. */
 	if (run->state == RJ_CELL_RUN_INTENDED) {
 		rj_cell_owner_mark_dirty(owner, run->task->round->work);
 		rj_cell_run_free(run);
@@ -52,7 +54,6 @@
 	rj_cell_run_order(run, owner->now_us);
 }
 
-/* Stop all runs of one task. */
 static void stop_task(struct rj_cell_owner *owner, struct rj_cell_task *task,
 		      const char *reason)
 {
@@ -65,13 +66,12 @@
 			reason);
 }
 
-/* What stops a whole job. */
+/* Argument of stop_run_of_job. */
 struct job_stop {
 	struct rj_cell_owner *owner;
 	const char *reason;
 };
 
-/* Stop one run of it. */
 static void stop_run_of_job(struct rj_cell_run *run, void *private_data)
 {
 	const struct job_stop *stop = private_data;
@@ -80,7 +80,7 @@
 }
 
 /*
- * Stop all that runs of a job.
+ * Stops all runs of a job; the state of the job stays as it is.
  */
 void rj_cell_completions_stop_job(struct rj_cell_owner *owner,
 				  struct rj_cell_work *job, const char *reason)
@@ -91,7 +91,8 @@
 }
 
 /*
- * A job has ended as `state`: what still runs of it is stopped.
+ * Ends a job as `state`, unless it has ended already, and stops its remaining
+ * runs unless it completed.
  */
 void rj_cell_completions_close_job(struct rj_cell_owner *owner,
 				   struct rj_cell_work *job,
@@ -123,7 +124,8 @@
 }
 
 /*
- * Begin the occurrences of a job whose time has come.
+ * Begins the due occurrences of a job: all whose time has come, or the only one
+ * of a job that is not repeated.
  */
 void rj_cell_completions_begin_occurrences(struct rj_cell_owner *owner,
 					   struct rj_cell_work *job)
@@ -141,7 +143,7 @@
 	}
 }
 
-/* Whether nothing of an occurrence is listed by a worker any more. */
+/* Whether an occurrence has no runs left. */
 static bool has_no_runs(const struct rj_cell_round *occurrence)
 {
 	for (uint32_t i = 0; i < occurrence->work->def->task_count; i++)
@@ -152,9 +154,9 @@
 }
 
 /*
- * All tasks of an occurrence are done; with the last one, the job is. Runs
- * that are still listed, members of a gang whose end is not seen yet, keep
- * the occurrence in memory.
+ * Handles an occurrence of which all tasks are done, and completes the job
+ * after its last one. Runs that are still listed, such as gang members whose
+ * end has not been seen yet, keep the occurrence in memory.
  */
 static void finish_occurrence(struct rj_cell_owner *owner,
 			      struct rj_cell_round *occurrence)
@@ -175,7 +177,7 @@
 	}
 }
 
-/* A task has ended well: a gang has as a whole. */
+/* Marks a task as done, or its whole gang. */
 static void mark_done(struct rj_cell_owner *owner, struct rj_cell_task *task)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
@@ -187,12 +189,12 @@
 	for (uint32_t i = 0; i < count; i++)
 		if (!first[i].done)
 			rj_cell_round_task_done(&first[i]);
-	/* Members of a gang end by themselves; copies have to be stopped. */
+	/* Gang members end by themselves; speculative copies do not. */
 	if (!step->gang)
 		stop_task(owner, task, "copy_done");
 }
 
-/* The saved progress of a run counts for its task, or for its whole gang. */
+/* Records the checkpoint of a run for its task, or for its whole gang. */
 static void record_checkpoint(struct rj_cell_task *task, const char *saved)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
@@ -207,10 +209,10 @@
 }
 
 /*
- * A task has met with trouble on a worker: it is to go elsewhere.
+ * Keeps a task off the worker on which it failed or stalled.
  *
- * Guards against a task that waits for ever: where the worker is the only one
- * that may run it, it goes there again after a while.
+ * This ends after a while, so that a task does not wait for ever if no other
+ * worker can run it.
  */
 void rj_cell_completions_avoid_worker(struct rj_cell_owner *owner,
 				      struct rj_cell_task *task,
@@ -220,7 +222,8 @@
 	task->avoid_until_us = owner->now_us + AVOID_PERIOD_US;
 }
 
-/* A run failed: the task gets another attempt, elsewhere, or the job ends. */
+/* Records a failed run: the task is tried again on another worker, or the job
+ * fails. */
 static void record_failure(struct rj_cell_owner *owner,
 			   struct rj_cell_task *task,
 			   const struct rj_cell_run *run)
@@ -229,7 +232,8 @@
 	struct rj_cell_task *head = rj_cell_task_head(task);
 	struct rj_cell_work *job = task->round->work;
 
-	/* Members that fail in the same run are one failure of the gang. */
+	/* Members that fail in the same run count as one failure of the
+	 * gang. */
 	if (head->failed_run != run->number)
 		head->failures++;
 	head->failed_run = run->number;
@@ -240,7 +244,8 @@
 		rj_cell_completions_close_job(owner, job, RJ_CELL_JOB_FAILED);
 }
 
-/* Judge a worker by what has become of a run there. */
+/* Updates the failure streak of a worker from the completion of a run there,
+ * and suspends the worker if needed. */
 static void update_worker_health(struct rj_cell_owner *owner,
 				 const struct rj_cell_run *run,
 				 enum rj_cell_end end)
@@ -270,7 +275,7 @@
 					 SUSPECT_PERIOD_US);
 }
 
-/* The other members of a gang of which one has ended without success. */
+/* Stops the other members of a gang of which one has ended without success. */
 static void stop_gang(struct rj_cell_owner *owner, struct rj_cell_task *task)
 {
 	struct rj_cell_task *head = rj_cell_task_head(task);
@@ -279,7 +284,7 @@
 		stop_task(owner, &head[i], "gang_broken");
 }
 
-/* Whether a run is known to have begun: a start that was never answered may
+/* Whether a run is known to have started. A start that was never answered may
  * still arrive at its worker. */
 static bool is_known_started(const struct rj_cell_run *run)
 {
@@ -287,8 +292,8 @@
 }
 
 /*
- * Whether an end that a worker lists tells that the whole gang has ended. One
- * that we stopped does not: a gang that is not complete yet does not end with
+ * Whether a completion that a worker lists means that the whole gang has ended.
+ * A stop that the owner ordered does not: an incomplete gang does not end with
  * its first member.
  */
 static bool ends_whole_gang(enum rj_cell_end end)
@@ -297,9 +302,9 @@
 }
 
 /*
- * Whether a gang may start again though the ends of some of its members are
- * not known: each may be a failure, which the users count when they hear of
- * it.
+ * Whether a gang may start again although the completions of some members are
+ * unknown. Each of them may be a failure, which counts as an attempt once it is
+ * reported.
  */
 static bool has_attempts_left(const struct rj_cell_task *head)
 {
@@ -309,11 +314,12 @@
 }
 
 /*
- * A worker has listed the end of a gang: its members end with it, as fast as a
- * stop takes, so that those on workers that do not answer have ended by then.
+ * Expects all members of a gang to end within the time of a stop, after a
+ * worker has listed the gang's end. Members on unreachable workers then count
+ * as ended.
  *
- * Load that it answers: workers that crash with members of many gangs, which
- * would wait for the end of a lease.
+ * Otherwise gangs with members on crashed workers would wait for the leases of
+ * these to expire.
  */
 static void expect_gang_end(struct rj_cell_owner *owner,
 			    struct rj_cell_task *task)
@@ -338,13 +344,14 @@
 	}
 }
 
-/* A member of a gang that has ended, on a worker that cannot be asked. */
+/* Ends a run on an unreachable worker whose gang has ended. Its completion
+ * counts as unreported. */
 static void lose_unreported_run(struct rj_cell_owner *owner,
 				struct rj_cell_run *run)
 {
 	struct rj_cell_task *head = rj_cell_task_head(run->task);
 
-	/* Members of one run are one failure at most. */
+	/* Members of one run count as one failure at most. */
 	if (head->unseen_run != run->number && head->failed_run != run->number)
 		head->unseen++;
 	head->unseen_run = run->number;
@@ -355,7 +362,7 @@
 }
 
 /*
- * End the runs of a worker that does not answer whose gangs have ended.
+ * Ends the runs of an unreachable worker whose gangs have ended.
  */
 void rj_cell_completions_expire_gangs(struct rj_cell_owner *owner,
 				      struct rj_cell_worker *worker)
@@ -370,14 +377,15 @@
 		if (!run->over_us || owner->now_us < run->over_us)
 			continue;
 		lose_unreported_run(owner, run);
-		/* Others of its gang may have gone with it. */
+		/* Other members of its gang may have been freed too. */
 		at = worker->runs.next;
 	}
 }
 
 /*
- * A run has ended: say what that does to its task and its job, and free it.
- * What changes must be stored before the worker forgets the end.
+ * Applies the completion of a run to its task and its job, and frees the run.
+ * The changes must be stored before the completion is acknowledged to the
+ * worker.
  */
 void rj_cell_completions_apply(struct rj_cell_owner *owner,
 			       struct rj_cell_run *run, enum rj_cell_end end,
@@ -403,10 +411,10 @@
 		return;
 	}
 	/*
-	 * Guards against freeing the run twice: an owner that does not know
-	 * yet that it was fenced may see the end of its successor's run under the
-	 * number of one that it only intended, and with the job's end all
-	 * that is only intended goes.
+	 * Prevents a double free. An owner that does not know yet that it was
+	 * fenced may see the completion of a run of its successor under the
+	 * number of a run that it only intended; when the job ends, all
+	 * intended runs are freed.
 	 */
 	run->state = RJ_CELL_RUN_STOPPING;
 	update_worker_health(owner, run, end);
@@ -439,8 +447,9 @@
 		finish_occurrence(owner, occurrence);
 }
 
-/* Whether a task is done by a run that was given up before: it ended well
- * while its worker was out of reach, and the task has run anew since. */
+/* Whether a completion of an abandoned run completes its task: the run ended
+ * well while its worker was unreachable, and the task has been started again
+ * since. */
 static bool completes_task(const struct rj_cell_task *task,
 			   const struct rj_cell_end_row *row)
 {
@@ -450,7 +459,7 @@
 	       task->round->work->state < RJ_CELL_JOB_COMPLETED;
 }
 
-/* A failure of a run that was taken to have ended with its gang. */
+/* Counts a failure of a run that was assumed to have ended with its gang. */
 static void count_unreported_failure(struct rj_cell_owner *owner,
 				     struct rj_cell_task *task,
 				     const struct rj_cell_end_row *row)
@@ -471,10 +480,10 @@
 }
 
 /*
- * An end of a run that is not known at the worker: it was given up when the
- * worker's lease had lapsed or its gang had ended, or was never known. A task
- * that ended well is done, and what runs of it since is stopped; of other ends
- * only failures count.
+ * Applies a completion whose run is not known at the worker: the run was
+ * abandoned when the worker's lease expired or its gang ended, or was never
+ * known. A task that ended well is done, and its newer runs are stopped. Of the
+ * other completions only failures count.
  */
 void rj_cell_completions_apply_orphan(struct rj_cell_owner *owner,
 				      struct rj_cell_worker *worker,
--- a/src/libradishjunction/cell/cell_evacuate.c
+++ b/src/libradishjunction/cell/cell_evacuate.c
@@ -2,20 +2,20 @@
 
 #define RJ_CELL_WHY_LEAVES "worker_leaves"
 
-/* A stop and its confirmation take up to this long. */
+/* Time for a stop and its confirmation. */
 #define STOP_LEAD_US (800 * RJ_US_PER_MS)
-/* Forecasts of a run's end are off by about this much. */
+/* Typical error of the forecast end of a run. */
 #define FORECAST_ERROR_US (500 * RJ_US_PER_MS)
 
 /*
- * Whether a run on a worker that may leave from `leaves_us` on is to be
- * stopped at `now_us`; it would end by itself in `left_us`.
+ * Whether a run is to be stopped at `now_us` on a worker that may leave from
+ * `leaves_us` on; the run is forecast to end in `left_us`.
  *
- * Load that it answers: workers that are taken away at short notice by the
- * hundred. What dies with them starts again only once its lease must have
- * lapsed. A run that saves its progress, or has no end to get to, goes on for
- * as long as it can be stopped in time; any other that cannot end has nothing
- * to win by going on.
+ * Hundreds of workers may leave at short notice. A run that is lost with its
+ * worker starts again only after its lease has expired, so it is stopped in
+ * time. A run that saves checkpoints or is perpetual goes on for as long as it
+ * can still be stopped; any other run that cannot end in time is stopped at
+ * once, as its further work would be lost.
  */
 bool rj_cell_evacuate_is_due(const struct rj_cell_step *step, uint64_t left_us,
 			     uint64_t now_us, uint64_t leaves_us)
@@ -28,7 +28,7 @@
 }
 
 /*
- * Stop what cannot end on a worker before it leaves.
+ * Stops the runs that cannot end before their worker leaves.
  */
 void rj_cell_evacuate(struct rj_cell_owner *owner,
 		      struct rj_cell_worker *worker)
--- a/src/libradishjunction/cell/cell_flush.c
+++ b/src/libradishjunction/cell/cell_flush.c
@@ -7,23 +7,24 @@
 #include "private/cell_admit.h"
 #include "private/note.h"
 
-/* The owner shows its life in the log so often. Others wait for three of
- * these in vain before they take over. */
+/* Interval of the owner's heartbeats. Other instances take over after three
+ * missed ones. */
 #define HEARTBEAT_INTERVAL_US (400 * RJ_US_PER_MS)
-/* Ended jobs are looked through for those to be forgotten so often. */
+/* Interval between checks for ended jobs whose retention has expired. */
 #define RETENTION_CHECK_INTERVAL_US (5 * RJ_US_PER_S)
 
-/* What a write remembers until it is stored. */
+/* Context of a record until it is stored. */
 struct owner_write {
 	struct rj_cell_owner *owner;
 	struct rj_cell_writer *writer;
 	uint32_t generation;
 	enum rj_cell_record_kind kind;
-	char id[RJ_CELL_ID_BYTES]; /* "" for records of no job */
-	struct rj_cell_summary summary; /* of a job's state */
+	char id[RJ_CELL_ID_BYTES]; /* "" unless of a job */
+	struct rj_cell_summary summary; /* of the job's state */
 };
 
-/* Forget the work of a job that has ended and runs nowhere. */
+/* Frees the state of a job that has ended and has no runs left, once its end is
+ * published. */
 static void free_ended_job(struct rj_cell_owner *owner,
 			   struct rj_cell_work *job)
 {
@@ -38,7 +39,7 @@
 	g_ptr_array_add(owner->ended_jobs, g_strdup(entry->id));
 }
 
-/* The intent of a run is stored: it may be started. */
+/* Allows the start of a run, as its intent is stored. */
 static void allow_start(struct rj_cell_run *run, void *private_data)
 {
 	const struct rj_cell_owner *owner = private_data;
@@ -51,7 +52,8 @@
 	rj_cell_run_order(run, owner->now_us);
 }
 
-/* All that was flushed together is stored: workers may forget these ends. */
+/* Acknowledges to workers all completions whose effects are stored, now that no
+ * write is pending. */
 static void acknowledge_completions(struct rj_cell_owner *owner)
 {
 	struct rj_list *at;
@@ -70,7 +72,7 @@
 	}
 }
 
-/* A record about a job is in the log. */
+/* Applies a stored record about a job. */
 static void apply_record(struct rj_cell_owner *owner,
 			 const struct owner_write *write,
 			 struct rj_cell_entry *entry)
@@ -81,7 +83,7 @@
 		rj_cell_work_each_run(entry->work, allow_start, owner);
 }
 
-/* One record of a flush has ended. */
+/* Handles the outcome of one record of a flush. */
 static void write_done(void *private_data, enum rj_cell_write_outcome outcome)
 {
 	struct owner_write *write = private_data;
@@ -112,7 +114,8 @@
 	talloc_free(write);
 }
 
-/* Add one record to the flush; `summary` is that of a job's state. */
+/* Adds one record to the flush; `summary` is the job's state that it publishes,
+ * or NULL. */
 static void add_record(struct rj_cell_owner *owner,
 		       enum rj_cell_record_kind kind, const char *id,
 		       struct rj_bytes value,
@@ -137,7 +140,7 @@
 			   (struct rj_cell_write_done){ write_done, write });
 }
 
-/* Add the removal of a key. */
+/* Adds the removal of a job's key. */
 static void add_removal(struct rj_cell_owner *owner,
 			enum rj_cell_record_kind kind, const char *id)
 {
@@ -146,13 +149,13 @@
 	add_record(owner, kind, id, (struct rj_bytes){ NULL, 0 }, &ended);
 }
 
-/* The intent of a run goes out with its job's record. */
+/* Marks a run as contained in the job record that is about to be written. */
 static void mark_recording(struct rj_cell_run *run, void *unused)
 {
 	run->recording = true;
 }
 
-/* Add the owner's heartbeat, with what it tells of the load. */
+/* Adds the owner's heartbeat, with the admission shares of the queues. */
 static void add_heartbeat(struct rj_cell_owner *owner)
 {
 	struct rj_cell_beat heartbeat = { .incarnation = owner->incarnation,
@@ -166,7 +169,7 @@
 	owner->heartbeat_due_us = owner->now_us + HEARTBEAT_INTERVAL_US;
 }
 
-/* Add the record that gives the cell away. */
+/* Adds the record that releases the cell. */
 static void add_release(struct rj_cell_owner *owner)
 {
 	struct rj_cell_owner_record record = { .incarnation =
@@ -181,8 +184,8 @@
 	owner->release_pending = false;
 }
 
-/* Add what has changed of a job; its state only where callers are told more
- * by it. */
+/* Adds the progress of a job, and its state if that changes what clients may be
+ * told. */
 static void add_job(struct rj_cell_owner *owner, struct rj_cell_work *job)
 {
 	const struct rj_cell_entry *entry = job->entry;
@@ -202,11 +205,9 @@
 }
 
 /*
- * Drop what only the work of a job needs, for jobs that were shown to have
- * ended and run nowhere.
- *
- * Load that it answers: all instances start at once, and each loads all that
- * is kept.
+ * Removes the progress and definitions of jobs that are known to have ended and
+ * have no runs left. All instances start at the same time, and each loads
+ * everything that is kept.
  */
 static void add_ended_job_removals(struct rj_cell_owner *owner)
 {
@@ -220,11 +221,11 @@
 }
 
 /*
- * Show the owner's life while an append to the progress log is on its way.
+ * Writes a heartbeat while an append to the progress log is pending.
  *
- * Guards against an owner that is replaced while it lives: an append that
- * nobody answers is repeated after a second, and until then nothing else is
- * stored.
+ * An append without an answer is repeated after a second, and nothing else is
+ * stored until then. Without the heartbeat another instance would replace a
+ * working owner.
  */
 static void flush_heartbeat(struct rj_cell_owner *owner)
 {
@@ -236,7 +237,7 @@
 }
 
 /*
- * Store all changes, in one append to each log, if none is on its way.
+ * Stores all changes, in one append to each log, unless an append is pending.
  */
 void rj_cell_flush(struct rj_cell_owner *owner)
 {
@@ -277,7 +278,8 @@
 }
 
 /*
- * Drop the keys of jobs that ended long ago, if it is time to look for them.
+ * Removes the keys of jobs that ended longer ago than their status is kept, if
+ * a check is due.
  */
 void rj_cell_flush_expired(struct rj_cell_owner *owner)
 {
@@ -302,6 +304,6 @@
 		     kind <= RJ_CELL_RECORD_CANCEL; kind++)
 			add_removal(owner, (enum rj_cell_record_kind)kind,
 				    entry->id);
-		entry->ended_us = owner->now_us; /* once, unless it fails */
+		entry->ended_us = owner->now_us; /* retries if writes fail */
 	}
 }
--- a/src/libradishjunction/cell/cell_owner.c
+++ b/src/libradishjunction/cell/cell_owner.c
@@ -10,31 +10,33 @@
 #include "private/cell_starts.h"
 #include "private/note.h"
 
-/* Plans are this far apart at least, so that what ends together is planned
- * for together. */
+/* Minimum time between plans, so that one plan handles runs that complete
+ * together. */
 #define PLAN_INTERVAL_MIN_US (8 * RJ_US_PER_MS)
-/* ... and by so many times what a plan takes, so that most of the time is left
- * for polls, orders and heartbeats. */
+/* The pause after a plan is at least this many times its duration, which leaves
+ * most of the time for polls, orders and heartbeats. */
 #define PLAN_IDLE_FACTOR 2
-/* Weighing one worker takes so long on a whole core. */
+/* Time to evaluate one worker in a plan, on a whole core. */
 #define EFFORT_UNIT_NS 20
-/* Without other events a plan is made so often, as waiting changes what may
- * be done. */
+/* Maximum time between plans: without other events, waiting time alone changes
+ * which placements are allowed. */
 #define PLAN_INTERVAL_MAX_US (200 * RJ_US_PER_MS)
-/* Nothing starts by knowledge of the log that is older; the owner's own
- * heartbeats make its reads return every 0.4 s. */
+/* Nothing starts while the last complete read of the log of jobs is older than
+ * this. The owner's own heartbeats make its reads return every 0.4 s. */
 #define JOBS_READ_AGE_MAX_US (1500 * RJ_US_PER_MS)
-/* Nor by knowledge of workers and operators that is older than this part of
- * the bound on what it decides; the rest is for the order's way. */
+/* Nothing starts either while the logs of workers or operators were read longer
+ * ago than this share of their limits (drain_ms, cordon_ms); the rest of the
+ * limit is left for sending the order. */
 #define READ_AGE_PERCENT 80
-/* What waits is logged so often at most. */
+/* Minimum time between log events about the backlog. */
 #define BACKLOG_LOG_INTERVAL_US RJ_US_PER_S
-/* Jobs with times are looked through for those that have come due so often;
- * an occurrence begins so much late at most. */
+/* Interval between checks for due occurrences of repeated jobs, and so the most
+ * by which an occurrence starts late. */
 #define OCCURRENCE_CHECK_INTERVAL_US (40 * RJ_US_PER_MS)
 
 /*
- * Prepare an owner that owns nothing yet.
+ * Initializes an owner that owns nothing yet. `name` and `limits` are copied;
+ * `view`, `store` and `workers` must outlive the owner.
  */
 void rj_cell_owner_init(struct rj_cell_owner *owner, void *mem,
 			const char *name, uint64_t incarnation,
@@ -61,7 +63,7 @@
 }
 
 /*
- * Whether the log has been out of reach for too long to renew leases.
+ * Whether the log has been unavailable for too long to renew leases.
  */
 bool rj_cell_owner_log_unavailable(const struct rj_cell_owner *owner)
 {
@@ -70,7 +72,8 @@
 }
 
 /*
- * A job's progress has changed and is to be stored.
+ * Queues a job whose progress has changed for the next flush, and requests a
+ * plan.
  */
 void rj_cell_owner_mark_dirty(struct rj_cell_owner *owner,
 			      struct rj_cell_work *job)
@@ -82,8 +85,9 @@
 }
 
 /*
- * The task of a name as workers list it, or NULL when it is not under way;
- * `entry` (may be NULL) is that of its job, if that is known.
+ * Finds a task by the name under which workers list it. Returns NULL if its job
+ * is not active. `entry` may be NULL; otherwise it receives the entry of the
+ * job, or NULL if the job is unknown.
  */
 struct rj_cell_task *rj_cell_owner_find_task(struct rj_cell_owner *owner,
 					     const char *name,
@@ -106,7 +110,8 @@
 	return rj_cell_work_find(found->work, occurrence, step, index);
 }
 
-/* Until when a job is of use, by this node's clock. */
+/* Computes the times by which a job should end and after which it is of no use,
+ * by this node's clock. */
 static void set_objective_times(struct rj_cell_owner *owner,
 				struct rj_cell_work *job)
 {
@@ -126,7 +131,7 @@
 	job->late_us = job->accepted_us + RJ_CELL_LATE_FACTOR * objective_us;
 }
 
-/* Take up a job that has not ended, with what its progress says. */
+/* Creates the state of a job that has not ended, from its stored progress. */
 static void adopt_job(struct rj_cell_owner *owner, struct rj_cell_entry *entry)
 {
 	struct rj_cell_work *job = rj_cell_work_new(owner->mem, entry->def);
@@ -141,8 +146,9 @@
 				    owner->now_us, &err))
 		rj_note("record_bad", RJ_NOTE_TEXT("job", entry->id),
 			RJ_NOTE_TEXT("error", err.message));
-	/* It has ended and nobody was told, or it was stored by the version
-	 * before. */
+	/* The job's end may not have been published before the former owner
+	 * stopped, and the previous version stored the progress in another
+	 * log. */
 	if (entry->progress.length && !entry->moved)
 		rj_cell_owner_mark_dirty(owner, job);
 	entry->moved = true;
@@ -152,7 +158,8 @@
 		rj_cell_completions_begin_occurrences(owner, job);
 }
 
-/* Say what has come, with the figures that decide on its first step. */
+/* Logs an accepted job with the figures that decide the placement of its first
+ * step. */
 static void log_job_accepted(const struct rj_cell_entry *entry)
 {
 	const struct rj_cell_def *spec = entry->def;
@@ -183,7 +190,7 @@
 }
 
 /*
- * A job's definition or a wish to cancel it has come.
+ * Applies a new job definition or a request to cancel the job.
  */
 void rj_cell_owner_update_job(struct rj_cell_owner *owner,
 			      struct rj_cell_entry *entry)
@@ -207,8 +214,8 @@
 }
 
 /*
- * Whether a worker whose entry is gone has deregistered: it was draining, and
- * its entry went sooner than it could have expired.
+ * Whether a worker whose entry was removed has deregistered: it was draining,
+ * and the entry was removed before it could have expired.
  */
 static bool has_deregistered(const struct rj_cell_owner *owner,
 			     const struct rj_cell_worker *worker)
@@ -219,7 +226,7 @@
 			       owner->limits.entry_expiry_ms * RJ_US_PER_MS;
 }
 
-/* A worker's entry is gone. */
+/* Handles the removal of a worker's entry. */
 static void delist_worker(struct rj_cell_owner *owner,
 			  struct rj_cell_worker *worker)
 {
@@ -235,8 +242,8 @@
 }
 
 /*
- * A worker's entry has changed, and was written after `written_us` (0: not
- * known); NULL when it is gone.
+ * Applies a change of a worker's entry, which was written after `written_us`
+ * (0: unknown). A NULL heartbeat means that the entry was removed.
  */
 void rj_cell_owner_update_worker(struct rj_cell_owner *owner, const char *id,
 				 const struct rj_cell_heartbeat *heartbeat,
@@ -252,7 +259,7 @@
 	}
 	worker = rj_cell_fleet_obtain(&owner->fleet, id);
 	was_draining = worker->said.draining;
-	/* Another life: nothing is sent there until it has answered. */
+	/* After a restart of the worker, send nothing until it has answered. */
 	if (worker->incarnation && heartbeat->incarnation &&
 	    worker->incarnation != heartbeat->incarnation) {
 		worker->answers = false;
@@ -273,7 +280,8 @@
 			RJ_NOTE_TEXT("domain", heartbeat->domain),
 			RJ_NOTE_TEXT("rack", heartbeat->rack),
 			RJ_NOTE_NUMBER("draining", heartbeat->draining));
-		/* In a load there is news of all; see rj_cell_polls_fleet_loaded. */
+		/* While all entries are being loaded,
+		 * rj_cell_polls_fleet_loaded schedules the first polls. */
 		if (written_us)
 			rj_cell_polls_schedule_now(owner, worker);
 		owner->plan_wanted = true;
@@ -281,8 +289,8 @@
 	worker->listed = true;
 }
 
-/* Ends that a former owner did not see count no longer than until `lapsed_us`,
- * when every lease that it gave has lapsed. */
+/* Completions that the former owner did not see are waited for until
+ * `expired_us` at most, when all leases that it granted have expired. */
 static void bound_unreported_ends(const struct rj_cell_work *job,
 				  uint64_t expired_us)
 {
@@ -300,8 +308,9 @@
 }
 
 /*
- * Nothing is known of workers that a former owner has used until they
- * answer; it may renew their leases for `renewals_us` from now.
+ * Limits how long runs of the former owner may go on. Until a worker answers,
+ * its leases are unknown, and the former owner may renew them for another
+ * `renewals_us`.
  */
 static void bound_former_leases(struct rj_cell_owner *owner,
 				uint64_t renewals_us)
@@ -322,10 +331,10 @@
 }
 
 /*
- * Begin to take the cell over under `token`, writing under `epoch`: this
- * instance shows its life in the log, and decides nothing until
- * rj_cell_owner_complete_takeover. The progress writer starts behind the fence that the
- * takeover puts into its log.
+ * Begins to take the cell over under `token`, writing under `epoch`. The owner
+ * writes heartbeats to the log, and decides nothing until
+ * rj_cell_owner_complete_takeover. The progress writer starts with the fence
+ * record that the takeover appends to its log.
  */
 void rj_cell_owner_begin_takeover(struct rj_cell_owner *owner, uint64_t token,
 				  uint64_t epoch, uint64_t now_us,
@@ -348,9 +357,10 @@
 }
 
 /*
- * Own the cell: adopt every job that has not ended and all that may run. The
- * view must be complete up to the ownership record, and hold the progress of
- * all jobs; former owners renew no lease after `renewals_us` from now.
+ * Completes the takeover: adopts every job that has not ended and all runs that
+ * may exist. The view must be complete up to the ownership record, and hold the
+ * progress of all jobs; former owners renew no lease after `renewals_us` from
+ * now.
  */
 void rj_cell_owner_complete_takeover(struct rj_cell_owner *owner,
 				     uint64_t renewals_us, uint64_t now_us,
@@ -386,9 +396,9 @@
 }
 
 /*
- * Own nothing any more. What ran goes on under its leases until a successor
- * takes it over. Callers have been told only what is stored, so the view stays
- * as it is.
+ * Gives up ownership. Existing runs go on under their leases until a successor
+ * adopts them. Clients were told only of stored changes, so the view stays
+ * valid. No effect on an owner that is neither active nor taking over.
  */
 void rj_cell_owner_resign(struct rj_cell_owner *owner, const char *reason)
 {
@@ -421,7 +431,7 @@
 }
 
 /*
- * End: own nothing any more, and free what the owner holds.
+ * Resigns and frees everything that the owner allocated.
  */
 void rj_cell_owner_finish(struct rj_cell_owner *owner)
 {
@@ -431,8 +441,9 @@
 }
 
 /*
- * Give the cell away in the log, behind all that is to be stored. Whoever
- * reads it may take over at once; until then this owner goes on.
+ * Requests a record in the log that releases the cell, to be written after all
+ * pending changes. An instance that reads it may take over at once; until then
+ * this owner stays active.
  */
 void rj_cell_owner_release(struct rj_cell_owner *owner, uint64_t now_us)
 {
@@ -442,7 +453,7 @@
 	owner->release_pending = true;
 }
 
-/* How long a plan has taken, by what it weighed. */
+/* Estimates the duration of a plan from its effort. */
 static uint64_t plan_duration_us(const struct rj_cell_owner *owner,
 				 const struct rj_cell_plan *plan)
 {
@@ -451,7 +462,7 @@
 	return plan->effort * EFFORT_UNIT_NS * 100 / strength / 1000;
 }
 
-/* Keep what a plan leaves waiting for the metrics, and log it now and then. */
+/* Stores the backlog after a plan for the metrics, and logs it at intervals. */
 static void record_backlog(struct rj_cell_owner *owner,
 			   const struct rj_cell_plan *plan)
 {
@@ -462,7 +473,7 @@
 	rj_cell_backlog_note(&owner->backlog);
 }
 
-/* Plan, and note what was decided. */
+/* Makes a plan and carries out its starts and stops. */
 static void make_plan(struct rj_cell_owner *owner)
 {
 	struct rj_cell_plan plan;
@@ -495,7 +506,7 @@
 	rj_cell_plan_finish(&plan);
 }
 
-/* Begin what has come due of jobs with times. */
+/* Begins the due occurrences of repeated jobs. */
 static void begin_due_occurrences(struct rj_cell_owner *owner)
 {
 	struct rj_list *at;
@@ -514,8 +525,8 @@
 	}
 }
 
-/* Whether knowledge that is complete up to `read_us` is fresh enough to keep
- * a bound of `bound_ms`. */
+/* Whether information read completely up to `read_us` is recent enough to meet
+ * a limit of `bound_ms` (0: none). */
 static bool is_fresh(const struct rj_cell_owner *owner, uint64_t read_us,
 		     uint32_t bound_ms)
 {
@@ -527,9 +538,10 @@
 /*
  * Whether new work may start.
  *
- * Guards against starting what was cancelled long ago, or where nothing may
- * start any more: an owner that was cut off from the log, asleep or overloaded
- * can write it again before it has read what it missed.
+ * An owner that was cut off from the log, suspended or overloaded can write to
+ * the log again before it has read what it missed. Without this check it would
+ * start jobs that were cancelled long ago, or start runs on workers that are
+ * draining or cordoned.
  */
 bool rj_cell_owner_may_start(const struct rj_cell_owner *owner)
 {
@@ -540,7 +552,6 @@
 			owner->limits.cordon_ms);
 }
 
-/* Decide what is due. */
 static void decide(struct rj_cell_owner *owner)
 {
 	begin_due_occurrences(owner);
@@ -552,7 +563,7 @@
 }
 
 /*
- * Do all that is due: orders, plans, stores. To be called after each event
+ * Does everything that is due: plans, writes, orders. Call it after each event
  * and every few milliseconds.
  */
 void rj_cell_owner_advance(struct rj_cell_owner *owner, uint64_t now_us,
--- a/src/libradishjunction/cell/cell_run_health.c
+++ b/src/libradishjunction/cell/cell_run_health.c
@@ -5,21 +5,23 @@
 #include "private/cell_calls.h"
 #include "private/note.h"
 
-/* A run whose percentage does not rise for so long stands still: even at a
- * seventh of the usual speed a task of 11 s gains a percent in a second. */
+/* A run whose percentage does not rise for this long is stalled. Even at a
+ * seventh of the usual speed a task of 11 s advances by a percent in a
+ * second. */
 #define STALL_TIMEOUT_US (3 * RJ_US_PER_S)
 /*
- * What serves and has been over its bound for so long gets its worker for
- * itself: users allow 4 s on end, of which a stop takes up to half a second,
- * and the worker's figure is of its last half second.
+ * How long a serving run may exceed its latency bound before it gets its worker
+ * for itself. A bound may be exceeded for 4 s at a time. Of these a stop takes
+ * up to half a second, and the worker's figure covers its last half second.
  */
 #define SLOW_TIMEOUT_US (1500 * RJ_US_PER_MS)
-/* Nothing is put beside it for so long then. */
+/* After that no batch run is placed beside it for this long. */
 #define EXCLUSIVE_PERIOD_US (20 * RJ_US_PER_S)
-/* New work stays off the worker where a run stood still. */
+/* A worker on which a run stalled gets no new work for this long. */
 #define STALL_SUSPECT_PERIOD_US (6 * RJ_US_PER_S)
 
-/* About when a run that was taken over has begun. */
+/* Estimates when an adopted run began, from its progress and forecast
+ * duration. */
 static uint64_t estimate_begin_us(const struct rj_cell_owner *owner,
 				  const struct rj_cell_run *run,
 				  uint32_t percent)
@@ -36,7 +38,8 @@
 }
 
 /*
- * Take in what a listed run says of its progress.
+ * Updates a run from the row in which its worker lists it: state, progress,
+ * checkpoint, and since when it has exceeded its latency bound.
  */
 void rj_cell_run_health_update(struct rj_cell_owner *owner,
 			       struct rj_cell_run *run,
@@ -67,8 +70,8 @@
 	g_strlcpy(run->saved, row->saved, sizeof(run->saved));
 }
 
-/* Whether a run may stand still: a member of a gang that is through waits for
- * the others, and what serves for good has no end to get to. */
+/* Whether a run may stop making progress: a finished gang member waits for the
+ * others, and a perpetual run has no end. */
 static bool may_stall(const struct rj_cell_run *run)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(run->task);
@@ -77,7 +80,6 @@
 	       (step->gang && run->percent >= RJ_CELL_PERCENT_ALL);
 }
 
-/* Stop runs that do not get on. */
 static void check_stalls(struct rj_cell_owner *owner,
 			 struct rj_cell_worker *worker)
 {
@@ -102,7 +104,8 @@
 	}
 }
 
-/* Stop what fills the room of a worker beside work that serves. */
+/* Stops the batch runs of a worker beside a serving run, and keeps others
+ * away. */
 static void stop_batch_runs(struct rj_cell_owner *owner,
 			    struct rj_cell_worker *worker)
 {
@@ -121,11 +124,9 @@
 }
 
 /*
- * See whether work that serves is kept from its bound.
- *
- * Load that it answers: a full site, on which work that serves users within a
- * bound and work that fills share workers. What fills goes, as it can be done
- * elsewhere or later.
+ * Stops batch runs on a worker where a serving run exceeds its latency bound.
+ * When the cell is full, both kinds share workers; batch work can run elsewhere
+ * or later.
  */
 static void check_latency_bounds(struct rj_cell_owner *owner,
 				 struct rj_cell_worker *worker)
@@ -151,7 +152,8 @@
 }
 
 /*
- * Stop what does not get on at a worker, and what keeps others from it.
+ * Stops runs of a worker that have stalled, and batch runs that slow down
+ * serving ones.
  */
 void rj_cell_run_health_check(struct rj_cell_owner *owner,
 			      struct rj_cell_worker *worker)
--- a/src/libradishjunction/include/private/cell_calls.h
+++ b/src/libradishjunction/include/private/cell_calls.h
@@ -1,16 +1,16 @@
 /*
- * What the owner's calls to workers have in common: what a call remembers,
- * what every answer says of its worker, and the deadline that it carries.
+ * Shared parts of the owner's calls to workers: the context of a call, the
+ * handling of every answer, and the lease deadline that a call carries.
  *
- * A note lives from its call to the answer; by then the run, the worker or
- * the ownership may have gone, so a note names them.
+ * A call context lives from the call to its answer. By then the run, the worker
+ * or the ownership may no longer exist, so the context identifies them by name.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_CALLS_H
 #define RADISHJUNCTION_PRIVATE_CELL_CALLS_H
 
 #include "private/cell_owner.h"
 
-/* A run is through; a member of a gang then waits for the others. */
+/* Progress of a finished run; a gang member then waits for the others. */
 #define RJ_CELL_PERCENT_ALL 100
 
 struct rj_cell_call_context {
@@ -20,7 +20,7 @@
 	char worker[RJ_NAME_BYTES];
 	char *name; /* of the run; NULL for polls */
 	uint32_t number;
-	uint64_t seen; /* polls: ends that the worker may forget */
+	uint64_t seen; /* polls: completions acknowledged up to here */
 };
 
 struct rj_cell_call_context *
--- a/src/libradishjunction/include/private/cell_evacuate.h
+++ b/src/libradishjunction/include/private/cell_evacuate.h
@@ -1,5 +1,5 @@
 /*
- * Moves work off workers that are about to leave.
+ * Stops runs on workers that are about to leave.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_EVACUATE_H
 #define RADISHJUNCTION_PRIVATE_CELL_EVACUATE_H
--- a/src/libradishjunction/include/private/cell_flush.h
+++ b/src/libradishjunction/include/private/cell_flush.h
@@ -1,8 +1,9 @@
 /*
- * Stores what the owner of a cell has decided: the progress of jobs, its
- * heartbeat, and that it leaves. All changes since the last append go together
- * into the next one, and take effect once that is in the log: runs may be
- * started, callers are told, workers may forget the ends.
+ * Stores the decisions of the owner of a cell: the progress of jobs, its
+ * heartbeat and its release of the cell. All changes since the last append go
+ * into the next one together, and take effect once that is stored: runs may be
+ * started, clients may be notified, and completions may be acknowledged to
+ * workers.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_FLUSH_H
 #define RADISHJUNCTION_PRIVATE_CELL_FLUSH_H
--- a/src/libradishjunction/include/private/cell_log_availability.h
+++ b/src/libradishjunction/include/private/cell_log_availability.h
@@ -5,8 +5,8 @@
  * Life cycle: a zeroed value; `rj_cell_log_availability_update` every few
  * milliseconds.
  */
-#ifndef RADISHJUNCTION_PRIVATE_CELL_CONTACT_H
-#define RADISHJUNCTION_PRIVATE_CELL_CONTACT_H
+#ifndef RADISHJUNCTION_PRIVATE_CELL_LOG_AVAILABILITY_H
+#define RADISHJUNCTION_PRIVATE_CELL_LOG_AVAILABILITY_H
 
 #include "radishjunction/types.h"
 
--- a/src/libradishjunction/include/private/cell_owner.h
+++ b/src/libradishjunction/include/private/cell_owner.h
@@ -1,14 +1,15 @@
 /*
- * The owner of a cell: the one instance that orders its workers.
+ * The owner of a cell: the one instance that sends orders to its workers.
  *
- * Life cycle: `rj_cell_owner_init`; `rj_cell_owner_complete_takeover` once the ownership
- * record has been read back, with its offset as the fencing token, which
- * adopts all that runs; `rj_cell_owner_resign` when a higher token is seen or
- * the log has been out of reach too long. Between these, records, workers'
- * entries and ticks come in; everything that must last goes out through the
- * owner's writer before it takes effect.
+ * Life cycle: `rj_cell_owner_init`; `rj_cell_owner_begin_takeover` with the
+ * offset of the ownership record as the fencing token;
+ * `rj_cell_owner_complete_takeover` once the progress of all jobs is loaded,
+ * which adopts all runs; `rj_cell_owner_resign` when a higher token is seen or
+ * the log has been unavailable for too long. Between these calls the owner
+ * receives records, worker entries and ticks. Every decision that must survive
+ * a takeover is stored through the owner's writers before it takes effect.
  *
- * Dependencies go one way: records and replies -> ends (what they do to
+ * Dependencies go one way: records and replies -> completions (their effect on
  * tasks and jobs) -> plan -> orders.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_OWNER_H
@@ -23,25 +24,24 @@
 #include "private/cell_workers.h"
 #include "private/cell_writer.h"
 
-/* What the deployment lays down. */
+/* Limits set by the deployment. */
 struct rj_cell_limits {
 	uint32_t lease_max_ms; /* a worker shortens longer leases */
-	uint32_t status_retention_ms; /* an ended job is remembered so long */
-	uint32_t reclaim_ms; /* guaranteed work begins so soon */
-	uint32_t revoke_ms; /* a key is good so long after its removal */
-	uint32_t
-		entry_expiry_ms; /* a silent worker's entry expires after this */
-	/* Nothing starts on a draining worker, or in a cordoned failure
-	 * domain, so long after that was published; 0: no bound. */
+	uint32_t status_retention_ms; /* status of an ended job is kept */
+	uint32_t reclaim_ms; /* guaranteed work starts within this */
+	uint32_t revoke_ms; /* a removed key stays valid for this long */
+	uint32_t entry_expiry_ms; /* worker's entry without heartbeats */
+	/* Time after publication from which nothing starts on a draining worker
+	 * or in a cordoned failure domain; 0: no limit. */
 	uint32_t drain_ms;
 	uint32_t cordon_ms;
-	uint32_t stop_ms; /* a run that is to end is gone after this */
+	uint32_t stop_ms; /* a run ends within this after its stop */
 };
 
 struct rj_cell_owner_counters {
-	struct rj_latency first_start_waits
-		[RJ_CELL_PRIORITIES]; /* until the first start */
-	struct rj_latency start_latency; /* starts that were taken */
+	/* From acceptance of a job to its first start. */
+	struct rj_latency first_start_waits[RJ_CELL_PRIORITIES];
+	struct rj_latency start_latency; /* accepted starts only */
 	uint64_t starts;
 	uint64_t stops;
 	uint64_t polls;
@@ -51,10 +51,10 @@
 	uint64_t takeovers;
 	uint64_t resignations;
 	uint64_t plans;
-	uint64_t plan_effort_max; /* the most that one plan has weighed */
+	uint64_t plan_effort_max; /* largest effort of one plan */
 };
 
-/* Calls that may be sent now, and when that was last brought up to date. */
+/* Token bucket that limits calls to workers. */
 struct rj_cell_rate_limit {
 	double available;
 	uint64_t updated_us;
@@ -67,50 +67,47 @@
 	struct rj_cell_view *view;
 	struct rj_cell_store *store;
 	struct rj_cell_workers *workers;
-	struct rj_cell_advisor *advisor; /* NULL: there is none */
-	bool advice_pending; /* a question is on its way */
-	uint64_t advice_due_us; /* when the next one may be sent */
+	struct rj_cell_advisor *advisor; /* NULL: none */
+	bool advice_pending;
+	uint64_t advice_due_us; /* earliest time of the next request */
 	struct rj_cell_limits limits;
-	const struct rj_cell_config *config; /* replaced by the node */
-	const struct rj_cell_cordons *cordons; /* the node's */
-	bool taking_over; /* the cell is being taken over */
+	const struct rj_cell_config *config; /* set by the node */
+	const struct rj_cell_cordons *cordons; /* owned by the node */
+	bool taking_over;
 	bool active;
-	bool release_pending; /* says in the log that the cell is free */
-	bool fenced; /* fenced: resign as soon as the present event is done */
-	uint32_t generation; /* answers to orders of an earlier one are late */
+	bool release_pending; /* a release record is to be written */
+	bool fenced; /* resign after the present event */
+	uint32_t generation; /* replies to earlier ones are ignored */
 	uint64_t token;
-	struct rj_cell_writer writer; /* of states, and of its life */
+	struct rj_cell_writer writer; /* job states and heartbeats */
 	struct rj_cell_writer progress_writer;
 	struct rj_cell_fleet fleet;
 	struct rj_list jobs;
-	struct rj_list dirty_jobs; /* works with changes that are not stored */
-	GPtrArray *ended_jobs; /* ids of jobs whose keys may go */
+	struct rj_list dirty_jobs; /* jobs with changes that are not stored */
+	GPtrArray *ended_jobs; /* ids of jobs whose keys may be removed */
 	struct rj_cell_forecast forecast;
 	struct rj_cell_failure_burst failure_burst;
 	uint32_t strength; /* of the instance, in hundredths of a core */
 	bool plan_wanted;
 	uint64_t plan_due_us; /* without other events */
-	uint64_t plan_not_before_us; /* no earlier */
-	struct rj_cell_backlog backlog; /* as the last plan left it */
-	uint64_t backlog_log_due_us; /* when it is logged */
-	uint32_t writes_pending; /* records on their way into the logs */
-	bool write_failed; /* one of the present flush was not stored */
-	uint64_t busy_check_due_us; /* when busy workers are visited */
-	uint64_t
-		occurrence_check_due_us; /* when jobs with times are looked through */
-	struct rj_cell_rate_limit
-		idle_poll_limit; /* at workers that hold nothing */
-	struct rj_cell_rate_limit retry_poll_limit; /* at silent ones that do */
-	uint64_t
-		retention_check_due_us; /* when ended jobs are looked through */
+	uint64_t plan_not_before_us;
+	struct rj_cell_backlog backlog; /* as of the last plan */
+	uint64_t backlog_log_due_us; /* next log event */
+	uint32_t writes_pending; /* records being appended to the logs */
+	bool write_failed; /* by a record of the present flush */
+	uint64_t busy_check_due_us;
+	uint64_t occurrence_check_due_us;
+	struct rj_cell_rate_limit idle_poll_limit; /* idle workers */
+	struct rj_cell_rate_limit retry_poll_limit; /* unreachable, with runs */
+	uint64_t retention_check_due_us; /* next check for expired jobs */
 	uint64_t heartbeat_due_us;
 	uint32_t heartbeat_number;
-	/* All that was in these logs then is known. */
-	uint64_t jobs_read_us; /* of jobs */
+	/* Each log is known completely up to these times. */
+	uint64_t jobs_read_us;
 	uint64_t workers_read_us;
 	uint64_t operators_read_us;
 	uint64_t now_us;
-	uint64_t wall_ms; /* since 1970 */
+	uint64_t wall_ms; /* Unix time */
 	struct rj_cell_owner_counters counters;
 };
 
@@ -120,10 +117,11 @@
 			struct rj_cell_workers *workers,
 			const struct rj_cell_limits *limits);
 /*
- * An owner that cannot write the log goes on for so long: it keeps what runs,
- * as the log may be away for all, and starts nothing. Then it lets leases
- * lapse, so that a successor who cannot reach some workers knows when nothing
- * runs there. The users' log is away for 9 s at most.
+ * How long an owner that cannot write the log keeps renewing leases. It starts
+ * nothing meanwhile, and keeps existing runs because the log may be unavailable
+ * to all instances. After this the leases expire, so that a successor that
+ * cannot reach some workers knows when nothing runs there any more. The
+ * platform's log is unavailable for 9 s at most.
  */
 #define RJ_CELL_LOG_UNAVAILABLE_MAX_US (10 * RJ_US_PER_S)
 
@@ -144,7 +142,7 @@
 void rj_cell_owner_advance(struct rj_cell_owner *owner, uint64_t now_us,
 			   uint64_t wall_ms);
 
-/* Between the files of the owner. */
+/* Shared by the source files of the owner. */
 void rj_cell_owner_mark_dirty(struct rj_cell_owner *owner,
 			      struct rj_cell_work *job);
 bool rj_cell_owner_may_start(const struct rj_cell_owner *owner);
--- a/src/libradishjunction/include/private/cell_reachability.h
+++ b/src/libradishjunction/include/private/cell_reachability.h
@@ -7,8 +7,8 @@
  * it carried has expired. A failure domain from which nothing has been heard
  * since a call to it was lost gets no work.
  */
-#ifndef RADISHJUNCTION_PRIVATE_CELL_REACH_H
-#define RADISHJUNCTION_PRIVATE_CELL_REACH_H
+#ifndef RADISHJUNCTION_PRIVATE_CELL_REACHABILITY_H
+#define RADISHJUNCTION_PRIVATE_CELL_REACHABILITY_H
 
 #include "private/cell_owner.h"
 
--- a/src/libradishjunction/include/private/cell_run_health.h
+++ b/src/libradishjunction/include/private/cell_run_health.h
@@ -1,9 +1,9 @@
 /*
- * Watches the runs that workers list: their progress, those that stand still,
- * and those that serve users and are kept from their bound.
+ * Watches the runs that workers list: their progress, stalled runs, and serving
+ * runs that exceed their latency bound.
  */
-#ifndef RADISHJUNCTION_PRIVATE_CELL_HEALTH_H
-#define RADISHJUNCTION_PRIVATE_CELL_HEALTH_H
+#ifndef RADISHJUNCTION_PRIVATE_CELL_RUN_HEALTH_H
+#define RADISHJUNCTION_PRIVATE_CELL_RUN_HEALTH_H
 
 #include "private/cell_owner.h"
 
