--- a/src/libradishjunction/cell/cell_cordon.c
+++ b/src/libradishjunction/cell/cell_cordon.c
@@ -4,14 +4,13 @@
 
 #include "private/note.h"
 
-/* The cordon at a place of the list. */
 static struct rj_cell_cordon *cordon_at(const struct rj_cell_cordons *cordons,
 					guint index)
 {
 	return &g_array_index(cordons->cordons, struct rj_cell_cordon, index);
 }
 
-/* The place of a domain's cordon, or the length of the list. */
+/* Index of a domain's cordon, or the length of the list if there is none. */
 static guint find_index(const struct rj_cell_cordons *cordons,
 			const char *domain)
 {
@@ -23,7 +22,7 @@
 	return index;
 }
 
-/* Say what has changed. */
+/* Counts and logs a change. */
 static void log_change(struct rj_cell_cordons *cordons, const char *domain,
 		       uint64_t version, bool cordoned)
 {
@@ -35,7 +34,7 @@
 }
 
 /*
- * Begin with no cordons.
+ * Initializes an empty list of cordons.
  */
 void rj_cell_cordons_init(struct rj_cell_cordons *cordons)
 {
@@ -45,7 +44,7 @@
 }
 
 /*
- * Free the list.
+ * Frees the list of cordons.
  */
 void rj_cell_cordons_finish(struct rj_cell_cordons *cordons)
 {
@@ -54,8 +53,8 @@
 }
 
 /*
- * A failure domain is cordoned by the record at `version`, which may be shown
- * again. Returns whether it was not cordoned before.
+ * Cordons a failure domain by the record at `version`, which may be read
+ * repeatedly. Returns whether the domain was not cordoned before.
  */
 bool rj_cell_cordons_set(struct rj_cell_cordons *cordons, const char *domain,
 			 uint64_t version)
@@ -76,8 +75,8 @@
 }
 
 /*
- * A failure domain is given back by the record at `version`. Returns whether
- * it was cordoned.
+ * Lifts the cordon of a failure domain by the record at `version`. Returns
+ * whether it was cordoned.
  */
 bool rj_cell_cordons_clear(struct rj_cell_cordons *cordons, const char *domain,
 			   uint64_t version)
@@ -92,8 +91,8 @@
 }
 
 /*
- * The operators' log is about to be loaded anew. Until that has ended all
- * cordons stay.
+ * Begins to load the operators' log again. All cordons stay until the load has
+ * ended.
  */
 void rj_cell_cordons_load_begin(struct rj_cell_cordons *cordons)
 {
@@ -103,8 +102,8 @@
 }
 
 /*
- * The load has ended: cordons that it did not show were given back while
- * their records could not be read. Returns how many.
+ * Ends a load, and clears the cordons without a record in it: they were lifted
+ * while the operators' log could not be read. Returns how many.
  */
 uint32_t rj_cell_cordons_load_end(struct rj_cell_cordons *cordons)
 {
@@ -122,9 +121,6 @@
 	return cleared;
 }
 
-/*
- * Whether a failure domain is cordoned.
- */
 bool rj_cell_cordons_contains(const struct rj_cell_cordons *cordons,
 			      const char *domain)
 {
--- a/src/libradishjunction/cell/cell_failure.c
+++ b/src/libradishjunction/cell/cell_failure.c
@@ -3,18 +3,18 @@
 /* Tasks that fail by themselves do so at any time of their run, which takes
  * seconds. */
 #define EARLY_FAILURE_MAX_US (400 * RJ_US_PER_MS)
-/* So many make a burst, as tasks that fail by themselves do so early once in
- * a while; */
+/* Number of early failures that make a burst. Tasks that fail by themselves
+ * rarely do so early, but single cases occur. */
 #define BURST_COUNT_MIN 2
-/* ... it is over once no failure was early for so long. */
+/* A burst is over when no early failure has occurred for this long. */
 #define BURST_GAP_US (6 * RJ_US_PER_S)
-/* A last attempt waits so long for a worker that is known to be sound: users
- * expect idle capacity to be used within 3 s of calm. */
+/* How long a last attempt waits for a worker that is known to be healthy. Idle
+ * capacity has to be in use again within 3 s after the last fault. */
 #define LAST_ATTEMPT_HOLD_US (2500 * RJ_US_PER_MS)
 
 /*
- * Whether a run that failed after `ran_us` says more of its worker than of its
- * task.
+ * Whether a run that failed after `ran_us` indicates a fault of its worker
+ * rather than of its task.
  */
 bool rj_cell_failure_is_early(uint64_t ran_us)
 {
@@ -22,7 +22,7 @@
 }
 
 /*
- * A run has failed early.
+ * Records an early failure at `now_us`.
  */
 void rj_cell_failure_record_early(struct rj_cell_failure_burst *burst,
 				  uint64_t now_us)
@@ -36,7 +36,8 @@
 }
 
 /*
- * Whether workers are known to have begun to fail of late.
+ * Whether a burst of early failures is under way, so that some workers must
+ * have a fault.
  */
 bool rj_cell_failure_is_burst(const struct rj_cell_failure_burst *burst,
 			      uint64_t now_us)
@@ -46,12 +47,12 @@
 }
 
 /*
- * Whether a last attempt that has waited since `waiting_us` is to be made only
- * on workers that are sound, see rj_cell_failure_is_healthy.
+ * Whether a last attempt that has waited since `waiting_us` may be made only on
+ * healthy workers, see rj_cell_failure_is_healthy.
  *
- * Load that it answers: some of all workers begin to fail what they start. A
- * wide gang meets one of them at each attempt, and would use up its attempts
- * before these workers are known. Other work finds them within seconds.
+ * When some of the workers begin to fail what they start, each attempt of a
+ * wide gang meets one of them, and the gang would use up its attempts before
+ * these workers are known. Other work finds them within seconds.
  */
 bool rj_cell_failure_requires_healthy(const struct rj_cell_failure_burst *burst,
 				      uint64_t waiting_us, uint64_t now_us)
@@ -61,8 +62,8 @@
 }
 
 /*
- * Whether what a worker started at `sound_us`, and did not fail, shows that it
- * is none of those that have begun to fail.
+ * Whether a run that the worker started at `healthy_us`, and that did not fail
+ * early, shows that it is not one of the workers that have begun to fail.
  */
 bool rj_cell_failure_is_healthy(const struct rj_cell_failure_burst *burst,
 				uint64_t healthy_us)
--- a/src/libradishjunction/cell/cell_flush.c
+++ b/src/libradishjunction/cell/cell_flush.c
@@ -304,6 +304,6 @@
 		     kind <= RJ_CELL_RECORD_CANCEL; kind++)
 			add_removal(owner, (enum rj_cell_record_kind)kind,
 				    entry->id);
-		entry->ended_us = owner->now_us; /* retries if writes fail */
+		entry->ended_us = owner->now_us; /* retry later if not stored */
 	}
 }
--- a/src/libradishjunction/cell/cell_log_availability.c
+++ b/src/libradishjunction/cell/cell_log_availability.c
@@ -3,29 +3,29 @@
 #include <glib.h>
 
 /*
- * The log is out of reach when it has not answered for so long, and for the
- * shorter time when it turns reads away. In between two answers an instance
- * waits for the owner's heartbeat, every 0.4 s, and pauses for 0.3 s.
+ * The log is unavailable when it has not answered for this long; the shorter
+ * limit applies when it refuses reads. Between two answers an instance waits
+ * for the owner's heartbeat, every 0.4 s, and pauses for 0.3 s.
  */
 #define UNANSWERED_LIMIT_US (1000 * RJ_US_PER_MS)
 #define REFUSED_LIMIT_US (200 * RJ_US_PER_MS)
 /*
- * When to come back to an instance that cannot reach the log: health checks
- * take it out of rotation within three seconds, so that the next tries reach
- * others. Where that does not help, the longer the log has been away the
- * later, as clients try only a few times.
+ * Retry-After of an instance that cannot reach the log. Health checks take it
+ * out of rotation within three seconds, so that later retries reach other
+ * instances. If the log stays unavailable, the delay grows with the time since
+ * its last answer, as clients retry only a few times.
  */
 #define RETRY_AFTER_MIN_MS 1000
 #define RETRY_AFTER_MAX_MS 4000
 #define RETRY_AFTER_DIVISOR 2
 
 /*
- * Judge by when the log last answered, and by whether it turns reads away.
- * Returns whether the judgement has changed.
+ * Updates the state from the time of the log's last answer, and from whether it
+ * refuses reads. Returns whether the state has changed.
  *
- * Load that it answers: an instance that is cut off from the log, alone or
- * with its failure domain, while others serve. Its clients are sent to these
- * at once; held until they give up they would come too late.
+ * If an instance is cut off from the log, alone or with its failure domain,
+ * others may still be able to serve its clients. They are sent there at once,
+ * as clients that are kept waiting until they time out would arrive too late.
  */
 bool rj_cell_log_availability_update(
 	struct rj_cell_log_availability *availability, uint64_t answered_us,
@@ -42,7 +42,7 @@
 }
 
 /*
- * When a client is to come back, in milliseconds.
+ * Returns the Retry-After delay for clients, in milliseconds.
  */
 uint32_t rj_cell_log_availability_retry_after_ms(
 	const struct rj_cell_log_availability *availability, uint64_t now_us)
--- a/src/libradishjunction/cell/cell_orders.c
+++ b/src/libradishjunction/cell/cell_orders.c
@@ -6,26 +6,27 @@
 #include "private/cell_evacuate.h"
 #include "private/note.h"
 
-/* An order without an answer is sent again after this. */
+/* Delay before an order without an answer is sent again. */
 #define ORDER_RETRY_US (100 * RJ_US_PER_MS)
-/* A start that got no answer twice is stopped: the task may have to go
- * elsewhere, and the stop keeps a late start from running. */
+/* Number of attempts after which an unanswered start is stopped: the task may
+ * have to run elsewhere, and the stop keeps a late start from running. */
 #define START_TRIES_MAX 2
-/* A worker that turns a start away rests this long. */
+/* How long a worker that refused a start gets no new work. */
 #define SICK_PAUSE_US (1500 * RJ_US_PER_MS)
 #define FULL_PAUSE_US (300 * RJ_US_PER_MS)
-/* A task that its worker does not understand is not sent again at once. */
+/* Delay before a task is sent again that its worker could not parse or whose
+ * ticket it refused. */
 #define REJECTED_PAUSE_US RJ_US_PER_S
-/* Workers that hold something are visited so often at most. */
+/* Minimum time between checks of workers that hold runs. */
 #define BUSY_CHECK_INTERVAL_US (4 * RJ_US_PER_MS)
-/* A run of the task may still be listed there. */
+/* Delay before a task is sent again whose former run may still be listed by the
+ * worker. */
 #define STALE_PAUSE_US (100 * RJ_US_PER_MS)
 
 /*
- * How long a task waits after a refusal that another worker would repeat.
- *
- * Guards against orders without end: a task that no worker takes has room
- * everywhere, and would be ordered anew with each plan.
+ * Delay before a task is started again after a refusal that any other worker
+ * would repeat. Without it, a task that no worker accepts would be sent again
+ * with each plan, as it never uses any capacity.
  */
 static uint64_t refusal_backoff_us(enum rj_cell_order_status status)
 {
@@ -42,8 +43,8 @@
 }
 
 /*
- * A run could not be started: its task waits again, and so does the rest of
- * its gang.
+ * Ends a run that could not be started: its task waits again, and so does the
+ * rest of its gang.
  */
 static void abort_start(struct rj_cell_owner *owner, struct rj_cell_run *run,
 			enum rj_cell_order_status status)
@@ -59,7 +60,8 @@
 	rj_cell_completions_apply(owner, run, RJ_CELL_END_LOST, NULL);
 }
 
-/* What a refused start says of its worker. */
+/* Suspends a worker that refused a start, for a time that depends on the
+ * status. */
 static void suspend_worker(struct rj_cell_owner *owner,
 			   struct rj_cell_worker *worker,
 			   enum rj_cell_order_status status)
@@ -74,8 +76,8 @@
 		worker->suspect_until_us = owner->now_us + pause_us;
 }
 
-/* The run that an answer is about, with its worker, or NULL if it is of no
- * more interest. */
+/* Finds the run that an answer is about, and its worker; NULL if either no
+ * longer exists. */
 static struct rj_cell_run *find_run(struct rj_cell_call_context *call,
 				    const struct rj_cell_order_reply *reply,
 				    struct rj_cell_worker **worker)
@@ -86,7 +88,7 @@
 	return rj_cell_call_find_run(*worker, call->name, call->number);
 }
 
-/* The answer to a start. */
+/* Handles the answer to a start. */
 static void start_done(void *private_data,
 		       const struct rj_cell_order_reply *reply)
 {
@@ -106,7 +108,7 @@
 		return;
 	}
 	if (run->state != RJ_CELL_RUN_STARTING)
-		return; /* it is being stopped; the stop settles it */
+		return; /* being stopped; the answer to the stop decides */
 	switch (reply->status) {
 	case RJ_CELL_ORDER_OK:
 		rj_latency_add(&owner->counters.start_latency,
@@ -125,7 +127,7 @@
 		rj_cell_call_other_incarnation(owner, worker);
 		break;
 	case RJ_CELL_ORDER_UNSENT:
-		/* An earlier try of this start may have arrived. */
+		/* An earlier attempt may have arrived. */
 		if (run->order_tries > 1) {
 			rj_cell_completions_stop_run(owner, run, "no_answer");
 			break;
@@ -144,7 +146,8 @@
 	}
 }
 
-/* Order one start, for the first time or again. */
+/* Sends a start, for the first time or again. Sends nothing while leases must
+ * not be extended. */
 static void send_start(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
 	struct rj_cell_worker *worker = run->worker;
@@ -168,7 +171,7 @@
 	owner->workers->ops->start(owner->workers, worker, &start, done);
 }
 
-/* The answer to a stop. */
+/* Handles the answer to a stop. */
 static void stop_done(void *private_data,
 		      const struct rj_cell_order_reply *reply)
 {
@@ -200,7 +203,7 @@
 	}
 }
 
-/* Order one stop, for the first time or again. */
+/* Sends a stop, for the first time or again. */
 static void send_stop(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
 	struct rj_cell_order_done done;
@@ -219,7 +222,7 @@
 				  run->number, owner->token, done);
 }
 
-/* Whether a run has an order that is not on its way. */
+/* Whether a run has an order to be sent that is not pending. */
 static bool needs_order(const struct rj_cell_run *run)
 {
 	if (run->state == RJ_CELL_RUN_STARTING)
@@ -229,8 +232,8 @@
 }
 
 /*
- * A start must not be sent to its worker any more: the task waits again. A
- * start that was sent before may still arrive, and is stopped.
+ * Cancels a start that must not be sent any more: the task waits again. A start
+ * that was sent before may still arrive, so its run is stopped.
  */
 static void cancel_start(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
@@ -247,10 +250,9 @@
 }
 
 /*
- * Call the unsent starts of a worker off on which nothing may start any more.
- *
- * Guards against starts on workers that said long ago that they leave: between
- * plan and order an owner stores the intent, and may have read more meanwhile.
+ * Cancels the unsent starts of a worker that must not get new work. The owner
+ * stores an intent between plan and order, and may have read meanwhile that the
+ * worker drains; the start would then arrive long after that was published.
  */
 static void cancel_unsent_starts(struct rj_cell_owner *owner,
 				 struct rj_cell_worker *worker)
@@ -265,12 +267,11 @@
 		if (run->state != RJ_CELL_RUN_STARTING || run->start_open)
 			continue;
 		cancel_start(owner, run);
-		/* Others of its gang may have gone with it. */
+		/* Other members of its gang may have been freed too. */
 		at = worker->runs.next;
 	}
 }
 
-/* Send the next order of a run. */
 static void send_order(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
 	if (run->state == RJ_CELL_RUN_STOPPING)
@@ -279,8 +280,8 @@
 		send_start(owner, run);
 }
 
-/* Send the orders that are due for the runs of a worker. Returns whether
- * there are more. */
+/* Sends the due orders for the runs of a worker. Returns whether more are to be
+ * sent later. */
 static bool send_worker_orders(struct rj_cell_owner *owner,
 			       struct rj_cell_worker *worker)
 {
@@ -305,8 +306,8 @@
 }
 
 /*
- * A worker that has been silent until its leases must have lapsed runs
- * nothing any more.
+ * Ends the runs of a worker that has not answered until its leases have
+ * expired.
  */
 static void check_lease_expiry(struct rj_cell_owner *owner,
 			       struct rj_cell_worker *worker)
@@ -322,10 +323,8 @@
 }
 
 /*
- * Send the orders that are due.
- *
- * Load that it answers: thousands of runs, of which a few begin or end between
- * two calls; only workers with an order to be sent are visited.
+ * Sends all due orders. Of thousands of runs only a few begin or end between
+ * two calls, so only workers with an order to be sent are visited.
  */
 static void send_orders(struct rj_cell_owner *owner)
 {
@@ -341,7 +340,8 @@
 	}
 }
 
-/* Poll the workers that hold something, and see whether leases lapsed. */
+/* Polls workers that hold runs, and handles expired leases, ended gangs and
+ * workers that are about to leave. */
 static void check_busy_workers(struct rj_cell_owner *owner)
 {
 	struct rj_list *at;
@@ -364,7 +364,8 @@
 }
 
 /*
- * Send what is due, and take note of leases that have lapsed.
+ * Sends due orders and polls, and ends the runs of workers whose leases have
+ * expired. Call it every few milliseconds.
  */
 void rj_cell_orders_tick(struct rj_cell_owner *owner)
 {
--- a/src/libradishjunction/cell/cell_polls.c
+++ b/src/libradishjunction/cell/cell_polls.c
@@ -7,38 +7,42 @@
 #include "private/cell_run_health.h"
 #include "private/note.h"
 
-/* A poll waits so long for an end; at most 2,000 by the workers' protocol.
- * Shorter ones find a silent worker sooner, but each has its price. */
+/* How long a worker may hold a poll back until a run completes; the workers'
+ * protocol allows at most 2,000. Shorter polls detect an unreachable worker
+ * sooner, but cost more calls. */
 #define POLL_WAIT_MS 1500
-/* ... and no longer than this part of a lease, so that two polls may be lost
- * before it lapses. */
+/* A poll waits for at most this part of a lease, so that two polls may be lost
+ * before the lease expires. */
 #define POLL_WAIT_LEASE_PART 4
-/* A poll may take this much longer than it asks the worker to wait. */
+/* Time for the answer beyond the wait that the poll requests. */
 #define POLL_TIMEOUT_MS 700
-/* Polls of a worker that does not answer; those at idle ones back off. */
+/* Retries of polls at workers that do not answer; those at idle workers back
+ * off. */
 #define POLL_RETRY_TIMEOUT_MS 300
 #define POLL_RETRY_US (150 * RJ_US_PER_MS)
 #define POLL_RETRY_MAX_US (1000 * RJ_US_PER_MS)
-/* Retries of all silent workers that hold runs, together. */
+/* Limit for the retries at all unreachable workers with runs together. */
 #define POLL_RETRIES_PER_S 200
 #define POLL_RETRY_BURST 200
-/* A worker whose lease has lapsed is still polled for so long. */
+/* How long a worker whose lease has expired is still polled. */
 #define LOST_RUNS_POLL_US (15 * RJ_US_PER_S)
-/* Ends that cannot be stored make polls return at once; until they are,
- * leases are renewed at this pace. */
+/* While completions are not stored, polls return at once. Until they are
+ * stored, polls are sent, and leases renewed, at this interval. */
 #define POLL_UNSTORED_DELAY_US (700 * RJ_US_PER_MS)
-/* Idle workers are polled in turn, all of them together so often a second, and
- * so many at once after a takeover, so that their cost does not follow their
- * number. */
+/* Limits for the polls at all idle workers together, per second and in a burst
+ * after a takeover, so that their cost does not grow with the number of
+ * workers. */
 #define IDLE_POLLS_PER_S 300
 #define IDLE_POLL_BURST 450
-/* Of more workers than this no instance is sure to keep a connection to each,
- * so that polls open new ones: fewer of them then, and workers are taken to be
- * as well as their heartbeats say until the first order to them. */
+/* Largest fleet in which an instance can keep a connection to each worker. In a
+ * larger one polls open new connections, so idle workers are polled less often,
+ * and each is assumed to be as its heartbeat reports until the first order to
+ * it. */
 #define POLLED_FLEET_MAX 1500
 #define LARGE_FLEET_IDLE_POLLS_PER_S 50
 
-/* A listed run that is not ours: stop it, and count its room meanwhile. */
+/* Stops a listed run that the owner does not know, and counts its allocation
+ * until it has ended. */
 static void stop_orphan(struct rj_cell_owner *owner,
 			struct rj_cell_worker *worker,
 			const struct rj_cell_row *row)
@@ -66,7 +70,7 @@
 	rj_cell_run_order(run, owner->now_us);
 }
 
-/* Mark the runs that the worker lists. */
+/* Updates the runs that the worker lists, and stops unknown ones. */
 static void process_runs(struct rj_cell_owner *owner,
 			 struct rj_cell_worker *worker,
 			 const struct rj_cell_order_reply *reply)
@@ -83,7 +87,6 @@
 	}
 }
 
-/* Whether a worker lists a run. */
 static bool is_listed(const struct rj_cell_order_reply *reply,
 		      const struct rj_cell_run *run)
 {
@@ -95,12 +98,13 @@
 }
 
 /*
- * Order a run that was taken over and is not there, if its former owner may
- * have been stopped between storing the intent and sending the order.
+ * Sends the start of an adopted run again that its worker does not list, as the
+ * former owner may have stopped between storing the intent and sending the
+ * order. Returns whether the run is started again.
  *
- * Load that it answers: an owner that dies while a gang starts. The members
- * that have started wait for the others for a few seconds; with these they
- * go on, where the whole gang would have to begin anew.
+ * If an owner fails while a gang starts, the members that have started wait a
+ * few seconds for the others. Starting the others lets the gang go on, instead
+ * of beginning again as a whole.
  */
 static bool restart_adopted(struct rj_cell_owner *owner,
 			    struct rj_cell_run *run)
@@ -108,7 +112,8 @@
 	if (!run->adopted || run->state != RJ_CELL_RUN_PLACED || !run->task ||
 	    !rj_cell_worker_stays(run->worker))
 		return false;
-	/* A gang's end speaks for members whose worker was reborn since. */
+	/* The end of a gang also covers members whose worker has been restarted
+	 * since. */
 	if (run->task->done ||
 	    run->task->round->work->state >= RJ_CELL_JOB_COMPLETED)
 		return false;
@@ -125,12 +130,12 @@
 }
 
 /*
- * End the runs that the worker should list and does not.
+ * Ends the runs that the worker should list and does not.
  *
- * Guards against taking a run for lost whose start is still on its way: only
- * a list that was asked for after the order had been answered counts. Runs
- * taken over from a former owner are settled from the start, as the fencing
- * token keeps its orders from being carried out.
+ * A run whose start is still pending must not be taken for lost, so only a list
+ * counts that was requested after the order was answered. Adopted runs are
+ * settled from the beginning, as the fencing token keeps the former owner's
+ * orders from being carried out.
  */
 static void end_missing_runs(struct rj_cell_owner *owner,
 			     struct rj_cell_worker *worker, uint64_t sent_us,
@@ -158,7 +163,7 @@
 	}
 }
 
-/* Take the ends in that are new. */
+/* Applies the completions that the owner has not seen yet. */
 static void process_completions(struct rj_cell_owner *owner,
 				struct rj_cell_worker *worker,
 				const struct rj_cell_order_reply *reply)
@@ -183,10 +188,12 @@
 }
 
 /*
- * A worker has answered with another incarnation, or for the first time. Its
- * runs are not taken for lost by that alone: a start that was sent while the
- * worker was away may have arrived in its new life, as orders name the worker
- * and not its life. The lists that came with the answer tell.
+ * Handles the first answer of a worker or of a new incarnation.
+ *
+ * This alone does not mean that its runs are lost. Orders name the worker and
+ * not its incarnation, so a start that was sent while the worker was
+ * unavailable may have reached the new incarnation. The lists in the answer
+ * decide.
  */
 static void accept_incarnation(struct rj_cell_owner *owner,
 			       struct rj_cell_worker *worker,
@@ -202,7 +209,8 @@
 	worker->seen_storing = 0;
 	worker->seen_told = 0;
 	worker->bad_streak = 0;
-	/* From here on only our orders count, so that no lease is longer. */
+	/* From now on only this owner's orders extend leases, so no lease is
+	 * longer. */
 	worker->lease_ms = worker->clock_ms + owner->limits.lease_max_ms;
 	worker->lapsed_us = 0;
 	rj_cell_worker_note_lease(worker, worker->lease_ms);
@@ -210,8 +218,8 @@
 }
 
 /*
- * Whether a worker may list completions of runs that were given up: it is
- * polled like one that holds runs, as it may leave soon after it is back.
+ * Whether a worker may list completions of abandoned runs. It is then polled
+ * like one that holds runs, as it may leave again soon after it is back.
  */
 static bool may_list_lost_runs(const struct rj_cell_owner *owner,
 			       const struct rj_cell_worker *worker)
@@ -220,7 +228,7 @@
 	       owner->now_us < worker->given_up_us + LOST_RUNS_POLL_US;
 }
 
-/* Whether a worker is polled as long as it is silent. */
+/* Whether a worker is polled even while it is unreachable. */
 static bool needs_polling(const struct rj_cell_owner *owner,
 			  const struct rj_cell_worker *worker)
 {
@@ -228,7 +236,8 @@
 	       may_list_lost_runs(owner, worker);
 }
 
-/* Whether nothing runs on a worker, and all its ends are settled. */
+/* Whether nothing runs on a worker, and it has been sent the acknowledgement of
+ * all its completions. */
 static bool is_idle(const struct rj_cell_owner *owner,
 		    const struct rj_cell_worker *worker)
 {
@@ -236,7 +245,7 @@
 	       worker->seen_told >= worker->seen_taken;
 }
 
-/* A worker's lists have come. */
+/* Handles the lists in the answer to a poll. */
 static void process_poll(struct rj_cell_owner *owner,
 			 struct rj_cell_worker *worker,
 			 const struct rj_cell_call_context *call,
@@ -261,10 +270,11 @@
 }
 
 /*
- * A poll that was sent at `sent_us` has failed.
+ * Handles the failure of a poll that was sent at `sent_us`.
  *
- * A worker that deregistered ends all its runs. It is polled once more before
- * these are given up, as the inference rests on the timing of its entry.
+ * A worker that deregisters ends all its runs. As its deregistration is only
+ * inferred from the time at which its entry was removed, the runs are abandoned
+ * only after one more poll has failed.
  */
 static void record_poll_failure(struct rj_cell_owner *owner,
 				struct rj_cell_worker *worker, uint64_t sent_us,
@@ -284,7 +294,7 @@
 	worker->poll_due_us = owner->now_us + MIN(delay_us, POLL_RETRY_MAX_US);
 }
 
-/* The answer to a poll. */
+/* Handles the answer to a poll. */
 static void poll_done(void *private_data,
 		      const struct rj_cell_order_reply *reply)
 {
@@ -314,7 +324,7 @@
 	talloc_free(call);
 }
 
-/* Ask a worker for its lists, renewing what runs there. */
+/* Requests the lists of a worker, and renews the leases of its runs. */
 static void send_poll(struct rj_cell_owner *owner,
 		      struct rj_cell_worker *worker)
 {
@@ -327,9 +337,10 @@
 	struct rj_cell_call_context *call;
 
 	/*
-	 * Guards against ends that are forgotten unseen: a worker that went
-	 * silent may have been reborn, and its new life counts its ends from
-	 * one again. Until it has answered, nothing counts as seen.
+	 * An unreachable worker may have been restarted, and its new
+	 * incarnation numbers its completions from one again. Until it has
+	 * answered, nothing is acknowledged, so that no completion is dropped
+	 * unseen.
 	 */
 	if (worker->answers)
 		poll.seen = worker->seen;
@@ -337,9 +348,10 @@
 		poll.wait_ms = MIN(POLL_WAIT_MS, owner->limits.lease_max_ms /
 							 POLL_WAIT_LEASE_PART);
 	/*
-	 * Guards against leases that never lapse: a worker that is silent may
-	 * carry a poll out late, so each deadline that was sent counts, and
-	 * with it the time until its tasks may start elsewhere.
+	 * An unreachable worker may still carry out a poll late, so every
+	 * deadline that was sent delays the time at which its tasks may start
+	 * elsewhere. Without an answer no deadline is sent, so that its leases
+	 * expire.
 	 */
 	if (worker->incarnation && worker->answers &&
 	    worker->runs.next != &worker->runs)
@@ -354,7 +366,8 @@
 }
 
 /*
- * Nothing has been polled yet: all idle workers may be met.
+ * Fills the rate limits for polls, so that all idle workers may be polled after
+ * a takeover.
  */
 void rj_cell_polls_reset_limits(struct rj_cell_owner *owner)
 {
@@ -364,7 +377,7 @@
 	owner->retry_poll_limit.updated_us = owner->now_us;
 }
 
-/* Add what has come free of an allowance since. */
+/* Adds the calls that have become available since the last update. */
 static void refill(struct rj_cell_rate_limit *limit, uint64_t now_us,
 		   uint32_t per_s, double burst)
 {
@@ -375,7 +388,7 @@
 	limit->available = MIN(limit->available, burst);
 }
 
-/* Take one call out of an allowance, if there is one. */
+/* Takes one call from a rate limit. Returns whether there was one. */
 static bool take_call(struct rj_cell_rate_limit *limit)
 {
 	if (limit->available < 1)
@@ -385,13 +398,13 @@
 }
 
 /*
- * A heartbeat of a worker has been read: whether that is enough to give it
- * work, before it has answered any call.
+ * Decides from a worker's heartbeat whether it may get work before it has
+ * answered any call, and if so takes its clock from the heartbeat.
  *
- * Load that it answers: a takeover of a large fleet, which would wait until
- * thousands of workers have answered. The clock that the entry names is behind
- * the worker's by the age of the entry, so that a lease reckoned from it ends
- * early rather than late, and the first poll renews it.
+ * Otherwise a takeover of a large fleet would wait until thousands of workers
+ * have answered. The clock in the entry is behind the worker's clock by the age
+ * of the entry, so a lease computed from it ends early rather than late, and
+ * the first poll renews it.
  */
 void rj_cell_polls_accept_heartbeat(struct rj_cell_owner *owner,
 				    struct rj_cell_worker *worker)
@@ -405,12 +418,12 @@
 }
 
 /*
- * All entries of workers have been loaded, so that the size of the fleet is
- * known: a small one is polled at once, a large one is taken at its word.
+ * Prepares the workers once all their entries are loaded and the size of the
+ * fleet is known: a small fleet is polled at once, in a large one the
+ * heartbeats are trusted.
  *
- * Load that it answers: a takeover of a large fleet by an instance with a part
- * of a core, which would poll thousands of idle workers before it starts
- * anything.
+ * Otherwise an instance with a fraction of a core that takes over a large fleet
+ * would poll thousands of idle workers before it starts anything.
  */
 void rj_cell_polls_fleet_loaded(struct rj_cell_owner *owner)
 {
@@ -432,7 +445,7 @@
 }
 
 /*
- * Poll a worker as soon as can be, as there is news of it.
+ * Makes a poll of the worker due now.
  */
 void rj_cell_polls_schedule_now(struct rj_cell_owner *owner,
 				struct rj_cell_worker *worker)
@@ -443,7 +456,8 @@
 }
 
 /*
- * Poll a worker that holds something, if that is due.
+ * Polls a worker that holds runs or unstored completions, if a poll is due and
+ * the retry limit allows it.
  */
 void rj_cell_polls_poll_busy(struct rj_cell_owner *owner,
 			     struct rj_cell_worker *worker)
@@ -456,10 +470,12 @@
 	    (worker->listed || needs_polling(owner, worker)))
 		send_poll(owner, worker);
 	else if (!needs_polling(owner, worker))
-		rj_cell_worker_watch(worker, RJ_CELL_WATCH_IDLE); /* to go */
+		/* poll_idle_workers drops it from there. */
+		rj_cell_worker_watch(worker, RJ_CELL_WATCH_IDLE);
 }
 
-/* Poll idle workers in their order, as far as the allowance goes. */
+/* Polls the idle workers of a watch list in order, as far as the rate limit
+ * allows, and drops workers without an entry. */
 static void poll_idle_workers(struct rj_cell_owner *owner,
 			      enum rj_cell_watch watch)
 {
@@ -469,7 +485,7 @@
 		struct rj_cell_worker *worker = RJ_CONTAINER(
 			list->next, struct rj_cell_worker, in_watch);
 
-		/* Its entry is gone for good, and it holds nothing. */
+		/* The entry was removed, and the worker holds nothing. */
 		if (!worker->listed) {
 			rj_cell_fleet_drop(&owner->fleet, worker);
 			continue;
@@ -483,11 +499,9 @@
 }
 
 /*
- * Poll idle workers.
- *
- * Load that it answers: many more workers than work. Those that hold runs are
- * polled without a break, as their leases and ends depend on it; the rest
- * share an allowance, so that an owner's cost follows its work.
+ * Polls idle workers. Workers with runs are polled continuously, as their
+ * leases and completions depend on it. Idle ones share a rate limit, so that
+ * the cost of polling follows the work even with many more workers than tasks.
  */
 void rj_cell_polls_tick(struct rj_cell_owner *owner)
 {
--- a/src/libradishjunction/cell/cell_reachability.c
+++ b/src/libradishjunction/cell/cell_reachability.c
@@ -5,8 +5,8 @@
 #include "private/cell_calls.h"
 
 /*
- * An answer proves the path to its worker for so long, and while the log is
- * slow for as long as some appends take, since plans are made between these.
+ * How long an answer confirms the path to its worker. While the log is slow
+ * this is as long as a few appends take, since plans are made between appends.
  */
 #define CONFIRMATION_US (100 * RJ_US_PER_MS)
 #define CONFIRMATION_APPENDS 2
@@ -16,16 +16,16 @@
  * domain. Polls are answered within about two seconds.
  */
 #define POLL_CONFIRMATION_US (2500 * RJ_US_PER_MS)
-/* Many times a round trip between failure domains. */
+/* Several times the round trip between failure domains. */
 #define PROBE_TIMEOUT_MS 150
 
 /*
- * Whether a start may be sent to the worker: a moment ago it has answered, or
- * its failure domain has.
+ * Whether a start may be sent to the worker: it has answered recently, or its
+ * failure domain has.
  *
- * Load that it answers: hundreds of starts a second in a large domain, each of
- * which would wait for a probe. Domains are cut off as a whole, and any worker
- * there shows that this one is not.
+ * In a large domain hundreds of starts a second would otherwise each wait for a
+ * probe. Domains are cut off as a whole, so a recent answer of any worker shows
+ * that the domain is not.
  */
 bool rj_cell_reachability_confirmed(const struct rj_cell_owner *owner,
 				    const struct rj_cell_worker *worker)
@@ -42,7 +42,8 @@
 	       owner->now_us <= worker->domain->answered_us + confirmation_us;
 }
 
-/* The answer to a probe. Its lists are left to the polls, which are in order. */
+/* Handles the answer to a probe. Its lists are left to the polls, whose answers
+ * are in order. */
 static void probe_done(void *private_data,
 		       const struct rj_cell_order_reply *reply)
 {
@@ -69,8 +70,8 @@
 }
 
 /*
- * Ask a worker for a sign of life, unless that is under way. A plan is wanted
- * once it has answered, or has not in time.
+ * Sends a probe to a worker, unless one is pending. A plan is requested once it
+ * is answered or has timed out.
  */
 void rj_cell_reachability_probe(struct rj_cell_owner *owner,
 				struct rj_cell_worker *worker)
--- a/src/libradishjunction/cell/cell_starts.c
+++ b/src/libradishjunction/cell/cell_starts.c
@@ -5,8 +5,8 @@
 #include "private/cell_reachability.h"
 #include "private/note.h"
 
-/* Whether a member of a gang that had better be in one rack starts in another
- * rack than the first. */
+/* Whether a member of a gang that prefers one rack starts in another rack than
+ * the gang's first member. */
 static bool is_split(const struct rj_cell_task *task,
 		     const struct rj_cell_worker *worker)
 {
@@ -19,7 +19,8 @@
 	       worker->rack;
 }
 
-/* Note a decided start; it goes out once that is stored. */
+/* Records a planned start as a run; the order is sent once the intent is
+ * stored. */
 static void begin_run(struct rj_cell_owner *owner,
 		      const struct rj_cell_choice *choice)
 {
@@ -52,7 +53,7 @@
 		RJ_NOTE_AGE_MS("waited_ms", owner->now_us - task->waiting_us));
 }
 
-/* The members of a gang start under one number. */
+/* Gives all members of a gang the same run number. */
 static void align_gang_run_numbers(const struct rj_cell_plan *plan)
 {
 	for (guint i = 0; i < plan->starts->len; i++) {
@@ -72,7 +73,8 @@
 	}
 }
 
-/* How many starts from `first` on belong together: a whole gang, or one. */
+/* Number of starts from `first` on that belong together: a whole gang, or
+ * one. */
 static guint group_length(const GArray *starts, guint first)
 {
 	const struct rj_cell_task *task =
@@ -82,8 +84,8 @@
 	return step->gang ? step->task_count : 1;
 }
 
-/* Whether all workers of some starts are proven to be reachable; those that
- * are not are probed. */
+/* Whether the workers of all these starts are confirmed to be reachable. Probes
+ * those that are not. */
 static bool are_reachable(struct rj_cell_owner *owner, const GArray *starts,
 			  guint first, guint count)
 {
@@ -102,8 +104,8 @@
 }
 
 /*
- * Begin the starts of a plan whose workers can be reached. The others are
- * planned anew once their probes have ended, a gang as a whole.
+ * Begins the starts of a plan whose workers are reachable. The others, a gang
+ * as a whole, are planned again once their probes have ended.
  */
 void rj_cell_starts_begin(struct rj_cell_owner *owner,
 			  const struct rj_cell_plan *plan)
--- a/src/libradishjunction/cell/cell_takeover.c
+++ b/src/libradishjunction/cell/cell_takeover.c
@@ -2,10 +2,10 @@
 
 #include <string.h>
 
-/* A fence that the store has turned away is sent again after this. */
+/* Delay before a fence that the store has refused is sent again. */
 #define FENCE_RETRY_US (100 * RJ_US_PER_MS)
 
-/* One record of the progress log. */
+/* Keeps a record of the progress log for its job. */
 static void progress_record(void *private_data,
 			    const struct rj_cell_record *record)
 {
@@ -19,8 +19,8 @@
 	rj_cell_view_keep_progress(takeover->owner->view, id, record->value);
 }
 
-/* A read of the progress log has ended. Behind the fence nobody else writes
- * there, so that its end is reached once. */
+/* Handles the end of a read of the progress log. After the fence no other
+ * instance writes there, so its end needs to be reached only once. */
 static void progress_read(void *private_data, struct rj_cell_follow *follow)
 {
 	struct rj_cell_takeover *takeover = private_data;
@@ -37,7 +37,7 @@
 };
 
 /*
- * Prepare for takeovers by `owner`.
+ * Initializes takeovers by `owner`, which must outlive `takeover`.
  */
 void rj_cell_takeover_init(struct rj_cell_takeover *takeover, void *mem,
 			   struct rj_cell_store *store,
@@ -49,7 +49,7 @@
 			    RJ_CELL_TOPIC_PROGRESS, &progress_ops, takeover);
 }
 
-/* The outcome of the fence. */
+/* Handles the outcome of the fence. */
 static void fence_done(void *private_data, enum rj_cell_write_outcome outcome)
 {
 	struct rj_cell_takeover *takeover = private_data;
@@ -74,11 +74,11 @@
 }
 
 /*
- * Append the fence.
+ * Appends the fence.
  *
- * Guards against an owner that does not know yet that it has been replaced,
- * and stores intents that its successor never reads: the record's epoch makes
- * the log refuse whatever comes after it from former owners.
+ * A former owner that does not know yet that it has been replaced may store
+ * intents that its successor never reads. The epoch of the fence record makes
+ * the log refuse all later records of former owners.
  */
 static void send_fence(struct rj_cell_takeover *takeover, uint64_t now_us)
 {
@@ -95,7 +95,7 @@
 }
 
 /*
- * Begin to take the cell over under `token`, writing under `epoch`.
+ * Begins to take the cell over under `token`, writing under `epoch`.
  */
 void rj_cell_takeover_begin(struct rj_cell_takeover *takeover, uint64_t token,
 			    uint64_t epoch, uint64_t now_us, uint64_t wall_ms)
@@ -108,7 +108,8 @@
 }
 
 /*
- * Send what is due.
+ * Sends the fence if it is due, and reads the progress log. Call it every few
+ * milliseconds.
  */
 void rj_cell_takeover_tick(struct rj_cell_takeover *takeover, uint64_t now_us)
 {
@@ -119,8 +120,8 @@
 }
 
 /*
- * Whether the progress of all jobs is known, so that the owner may take the
- * cell.
+ * Whether the progress of all jobs is loaded, so that the owner may complete
+ * the takeover.
  */
 bool rj_cell_takeover_is_loaded(const struct rj_cell_takeover *takeover)
 {
@@ -128,7 +129,7 @@
 }
 
 /*
- * End a takeover, whether the cell was taken or not.
+ * Ends a takeover, whether it was completed or not.
  */
 void rj_cell_takeover_stop(struct rj_cell_takeover *takeover)
 {
--- a/src/libradishjunction/include/private/cell_cordon.h
+++ b/src/libradishjunction/include/private/cell_cordon.h
@@ -1,11 +1,11 @@
 /*
- * The failure domains that operators have cordoned: nothing starts there
- * until they are given back. What runs there goes on.
+ * The failure domains that operators have cordoned: nothing starts there until
+ * the cordon is lifted. Existing runs go on.
  *
  * Life cycle: `rj_cell_cordons_init`; `rj_cell_cordons_set` and `_clear` for
- * the records of the operators' log; around a load of that log
- * `rj_cell_cordons_load_begin` and `_load_end`, which clears what the load
- * did not show; `rj_cell_cordons_finish`.
+ * the records of the operators' log; `rj_cell_cordons_load_begin` and
+ * `_load_end` around a load of that log, which clears cordons without a record;
+ * `rj_cell_cordons_finish`.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_CORDON_H
 #define RADISHJUNCTION_PRIVATE_CELL_CORDON_H
@@ -14,17 +14,16 @@
 
 #include "radishjunction/types.h"
 
-/* One cordoned failure domain. */
 struct rj_cell_cordon {
 	char domain[RJ_NAME_BYTES];
 	uint64_t version; /* offset of its record in the operators' log */
-	bool seen_in_load; /* by the load that is under way */
+	bool seen_in_load;
 };
 
 struct rj_cell_cordons {
 	GArray *cordons; /* struct rj_cell_cordon */
 	bool loading;
-	uint64_t changes; /* counts each change */
+	uint64_t changes; /* rises with each change */
 };
 
 void rj_cell_cordons_init(struct rj_cell_cordons *cordons);
--- a/src/libradishjunction/include/private/cell_failure.h
+++ b/src/libradishjunction/include/private/cell_failure.h
@@ -1,18 +1,18 @@
 /*
- * Tells workers that fail all that they start from tasks that fail by
- * themselves: the former show by failures soon after the start, on many
- * workers at once.
+ * Distinguishes workers that fail everything they start from tasks that fail by
+ * themselves: such workers cause failures soon after the start, several of them
+ * at the same time.
  *
- * All functions are pure; a burst that is all zero has not begun.
+ * All functions are pure; a zeroed burst is empty.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_FAILURE_H
 #define RADISHJUNCTION_PRIVATE_CELL_FAILURE_H
 
 #include "radishjunction/types.h"
 
-/* Early failures that follow each other closely. */
+/* Early failures in close succession. */
 struct rj_cell_failure_burst {
-	uint64_t first_us; /* the first one */
+	uint64_t first_us;
 	uint64_t last_us;
 	uint32_t count;
 };
--- a/src/libradishjunction/include/private/cell_log_availability.h
+++ b/src/libradishjunction/include/private/cell_log_availability.h
@@ -1,6 +1,6 @@
 /*
- * Whether an instance reaches the log, and when clients are to come back
- * while it does not. Pure functions of times.
+ * Whether the log is available to an instance, and when clients are to retry
+ * while it is not. Pure functions of times.
  *
  * Life cycle: a zeroed value; `rj_cell_log_availability_update` every few
  * milliseconds.
@@ -11,8 +11,7 @@
 #include "radishjunction/types.h"
 
 struct rj_cell_log_availability {
-	uint64_t
-		unavailable_since_us; /* since when the log is out of reach, or 0 */
+	uint64_t unavailable_since_us; /* 0: the log is available */
 };
 
 bool rj_cell_log_availability_update(
--- a/src/libradishjunction/include/private/cell_reachability.h
+++ b/src/libradishjunction/include/private/cell_reachability.h
@@ -1,11 +1,11 @@
 /*
- * The owner's failure detector: which workers can be reached just now.
+ * The owner's failure detector: which workers are reachable at the moment.
  *
- * An answer to any call proves the path to a worker for a moment. A worker
- * that was not heard from for longer is probed before tasks are started on
- * it, as a start that is lost on its way holds its task until the lease that
- * it carried has expired. A failure domain from which nothing has been heard
- * since a call to it was lost gets no work.
+ * An answer to any call confirms the path to a worker for a short time. A
+ * worker without a recent answer is probed before tasks are started on it,
+ * because a start that is lost on its way blocks its task until the lease that
+ * it carried has expired. A failure domain that has not answered since a call
+ * to it was lost gets no work.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_REACHABILITY_H
 #define RADISHJUNCTION_PRIVATE_CELL_REACHABILITY_H
--- a/src/libradishjunction/include/private/cell_starts.h
+++ b/src/libradishjunction/include/private/cell_starts.h
@@ -1,6 +1,6 @@
 /*
- * Begins what a plan has decided to start: each run is noted, and goes out
- * once its intent is stored.
+ * Starts what a plan has placed: each run is recorded, and its start is sent
+ * once that intent is stored.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_STARTS_H
 #define RADISHJUNCTION_PRIVATE_CELL_STARTS_H
--- a/src/libradishjunction/include/private/cell_takeover.h
+++ b/src/libradishjunction/include/private/cell_takeover.h
@@ -2,9 +2,9 @@
  * Takes a cell over once its ownership record has been read back: fences the
  * log of the jobs' progress against the former owner, then loads it.
  *
- * Life cycle: `rj_cell_takeover_init`, `_begin`, `_tick` every few
- * milliseconds until `_is_loaded`, when the owner may take the cell; `_stop`
- * at any time.
+ * Life cycle: `rj_cell_takeover_init`, `_begin`, `_tick` every few milliseconds
+ * until `_is_loaded`, when the owner may complete the takeover; `_stop` at any
+ * time.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_TAKEOVER_H
 #define RADISHJUNCTION_PRIVATE_CELL_TAKEOVER_H
@@ -14,7 +14,7 @@
 
 enum rj_cell_takeover_state {
 	RJ_CELL_TAKEOVER_IDLE,
-	RJ_CELL_TAKEOVER_FENCING, /* the fence is to be sent, or on its way */
+	RJ_CELL_TAKEOVER_FENCING, /* the fence is to be sent, or is pending */
 	RJ_CELL_TAKEOVER_LOADING,
 	RJ_CELL_TAKEOVER_LOADED,
 };
@@ -22,8 +22,8 @@
 struct rj_cell_takeover {
 	struct rj_cell_owner *owner;
 	enum rj_cell_takeover_state state;
-	uint32_t generation; /* of the owner, when the fence was sent */
-	bool fence_pending; /* on its way */
+	uint32_t generation; /* of the owner when the fence was sent */
+	bool fence_pending;
 	uint64_t fence_due_us;
 	struct rj_cell_follow progress;
 };
