--- a/src/libradishjunction/cell/cell_completions.c
+++ b/src/libradishjunction/cell/cell_completions.c
@@ -27,7 +27,7 @@
 /* A single early failure leads to this shorter pause. */
 #define SUSPECT_EARLY_PERIOD_US (2 * RJ_US_PER_S)
 /* How long a task avoids the worker of its last failure. Idle capacity has to
- * be in use again within 3 s after the last fault. */
+ * be used within 3 s once conditions are stable. */
 #define AVOID_PERIOD_US (2 * RJ_US_PER_S)
 /* Covers the interval at which workers end runs. */
 #define GANG_END_SLACK_US (50 * RJ_US_PER_MS)
--- a/src/libradishjunction/cell/cell_failure.c
+++ b/src/libradishjunction/cell/cell_failure.c
@@ -9,7 +9,7 @@
 /* A burst is over when no early failure has occurred for this long. */
 #define BURST_GAP_US (6 * RJ_US_PER_S)
 /* How long a last attempt waits for a worker that is known to be healthy. Idle
- * capacity has to be in use again within 3 s after the last fault. */
+ * capacity has to be used within 3 s once conditions are stable. */
 #define LAST_ATTEMPT_HOLD_US (2500 * RJ_US_PER_MS)
 
 /*
@@ -36,8 +36,8 @@
 }
 
 /*
- * Whether a burst of early failures is under way, so that some workers must
- * have a fault.
+ * Whether a burst of early failures is under way, a sign that workers have
+ * begun to fail.
  */
 bool rj_cell_failure_is_burst(const struct rj_cell_failure_burst *burst,
 			      uint64_t now_us)
--- a/src/libradishjunction/cell/cell_orders.c
+++ b/src/libradishjunction/cell/cell_orders.c
@@ -151,10 +151,10 @@
 static void send_start(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
 	struct rj_cell_worker *worker = run->worker;
-	const struct rj_cell_def *spec = run->task->round->work->def;
+	const struct rj_cell_def *job_spec = run->task->round->work->def;
 	struct rj_cell_start start = { .name = run->name,
 				       .number = run->number,
-				       .spec = spec->spec,
+				       .spec = job_spec->spec,
 				       .checkpoint = run->checkpoint,
 				       .ticket = run->ticket ? run->ticket : "",
 				       .token = owner->token };
--- a/src/libradishjunction/cell/cell_polls.c
+++ b/src/libradishjunction/cell/cell_polls.c
@@ -7,9 +7,9 @@
 #include "private/cell_run_health.h"
 #include "private/note.h"
 
-/* How long a worker may hold a poll back until a run completes; the workers'
- * protocol allows at most 2,000. Shorter polls detect an unreachable worker
- * sooner, but cost more calls. */
+/* How long a worker may delay its answer to a poll until a run completes; the
+ * worker protocol allows at most 2,000 ms. Shorter polls detect an unreachable
+ * worker sooner, but cost more calls. */
 #define POLL_WAIT_MS 1500
 /* A poll waits for at most this part of a lease, so that two polls may be lost
  * before the lease expires. */
@@ -350,8 +350,8 @@
 	/*
 	 * An unreachable worker may still carry out a poll late, so every
 	 * deadline that was sent delays the time at which its tasks may start
-	 * elsewhere. Without an answer no deadline is sent, so that its leases
-	 * expire.
+	 * elsewhere. It gets no deadline until it has answered, so that its
+	 * leases expire.
 	 */
 	if (worker->incarnation && worker->answers &&
 	    worker->runs.next != &worker->runs)
