--- a/src/libradishjunction/cell/cell_log_availability.c
+++ b/src/libradishjunction/cell/cell_log_availability.c
@@ -12,8 +12,8 @@
 /*
  * Retry-After of an instance that cannot reach the log. Health checks take it
  * out of rotation within three seconds, so that later retries reach other
- * instances. If the log stays unavailable, the delay grows with the time since
- * its last answer, as clients retry only a few times.
+ * instances. While the log stays unavailable the delay grows, as clients retry
+ * only a few times.
  */
 #define RETRY_AFTER_MIN_MS 1000
 #define RETRY_AFTER_MAX_MS 4000
