--- a/src/libradishjunction/cell/cell_completions.c
+++ b/src/libradishjunction/cell/cell_completions.c
@@ -16,33 +16,35 @@
 	[RJ_CELL_COMPLETION_LOST] = "lost",
 };
 
-/* A task that failed starts again after this, times its failures: a worker
- * or a store that is briefly unwell is left alone meanwhile. */
-#define FAILURE_PAUSE_US (50 * RJ_US_PER_MS)
+/* Delay before a failed task starts again, per failure so far, to spare a
+ * worker or a store with a brief fault. */
+#define FAILURE_BACKOFF_US (50 * RJ_US_PER_MS)
 /*
- * After so many bad ends in a row a worker gets no work for a while: a
- * worker that fails all that it starts would use up the attempts of every
- * job. Three are rare by chance, as a twentieth of tasks fail at most.
+ * Number of failures in a row after which a worker gets no work for a while. A
+ * worker that fails everything it starts would otherwise use up the attempts of
+ * every job. On a healthy worker three in a row are rare, as at most a
+ * twentieth of tasks fail by themselves.
  */
-#define BAD_STREAK_MAX 2
-#define SUSPECT_US (6 * RJ_US_PER_S)
-/* One early failure is reason enough for a shorter pause. */
-#define SUSPECT_EARLY_US (2 * RJ_US_PER_S)
-/* A task keeps off the worker of its last trouble for so long: users expect
- * idle capacity to be used within 3 s of calm. */
-#define AVOID_US (2 * RJ_US_PER_S)
-/* Covers the steps in which workers end runs. */
-#define MEMBERS_END_SLACK_US (50 * RJ_US_PER_MS)
+#define FAILURE_STREAK_MAX 2
+#define SUSPECT_PERIOD_US (6 * RJ_US_PER_S)
+/* A single early failure leads to this shorter pause. */
+#define SUSPECT_EARLY_PERIOD_US (2 * RJ_US_PER_S)
+/* How long a task avoids the worker of its last failure. Idle capacity has to
+ * be used within 3 s once conditions are stable. */
+#define AVOID_PERIOD_US (2 * RJ_US_PER_S)
+/* Covers the interval at which workers end runs. */
+#define GANG_END_SLACK_US (50 * RJ_US_PER_MS)
 
 /*
- * A stop was decided for a run; the order goes out with the next tick.
+ * Marks a run as to be stopped; the order is sent with the next tick. A run
+ * whose start has not been ordered yet is freed at once.
  */
 void rj_cell_completions_stop_run(struct rj_cell_owner *owner,
 				  struct rj_cell_run *run, const char *reason)
 {
 	if (run->state == RJ_CELL_RUN_STOPPING)
 		return;
-	/* Nobody has been told of it: there is nothing to stop. */
+	/* No start has been sent, so there is nothing to stop. */
 	if (run->state == RJ_CELL_RUN_INTENDED) {
 		rj_cell_owner_mark_dirty(owner, run->task->occurrence->job);
 		rj_cell_run_free(run);
@@ -55,7 +57,6 @@
 	rj_cell_run_schedule_order(run, owner->now_us);
 }
 
-/* Stop all runs of one task. */
 static void stop_task(struct rj_cell_owner *owner, struct rj_cell_task *task,
 		      const char *reason)
 {
@@ -68,14 +69,13 @@
 			reason);
 }
 
-/* What stops a whole job. */
+/* Argument of stop_run_of_job. */
 struct job_stop {
 	struct rj_cell_owner *owner;
 	const char *reason;
 };
 
-/* Stop one run of it. */
-static void stop_for_job(struct rj_cell_run *run, void *private_data)
+static void stop_run_of_job(struct rj_cell_run *run, void *private_data)
 {
 	const struct job_stop *stop = private_data;
 
@@ -83,18 +83,19 @@
 }
 
 /*
- * Stop all that runs of a job.
+ * Stops all runs of a job; the state of the job stays as it is.
  */
 void rj_cell_completions_stop_job(struct rj_cell_owner *owner,
 				  struct rj_cell_job *job, const char *reason)
 {
 	struct job_stop stop = { owner, reason };
 
-	rj_cell_job_each_run(job, stop_for_job, &stop);
+	rj_cell_job_each_run(job, stop_run_of_job, &stop);
 }
 
 /*
- * A job has ended as `state`: what still runs of it is stopped.
+ * Ends a job as `state`, unless it has ended already, and stops its remaining
+ * runs unless it completed.
  */
 void rj_cell_completions_close_job(struct rj_cell_owner *owner,
 				   struct rj_cell_job *job,
@@ -126,26 +127,27 @@
 }
 
 /*
- * Begin the occurrences of a job whose time has come.
+ * Begins the due occurrences of a job: all whose time has come, or the only one
+ * of a job that is not repeated.
  */
 void rj_cell_completions_begin_occurrences(struct rj_cell_owner *owner,
 					   struct rj_cell_job *job)
 {
-	const struct rj_cell_job_spec *job_spec = job->job_spec;
-	uint32_t occurrences = job_spec->repeats ? job_spec->repeats : 1;
-
-	while (job->occurrences_begun < occurrences &&
-	       (!job_spec->repeats ||
-		owner->wall_ms >= job_spec->first_run_ms +
-					  job->occurrences_begun *
-						  job_spec->interval_ms)) {
+	const struct rj_cell_job_spec *spec = job->job_spec;
+	uint32_t occurrence_count = spec->repeats ? spec->repeats : 1;
+
+	while (job->occurrences_begun < occurrence_count &&
+	       (!spec->repeats ||
+		owner->wall_ms >=
+			spec->first_run_ms +
+				job->occurrences_begun * spec->interval_ms)) {
 		rj_cell_job_begin_occurrence(job, job->occurrences_begun);
 		owner->plan_wanted = true;
 	}
 }
 
-/* Whether nothing of an occurrence is listed by a worker any more. */
-static bool is_idle(const struct rj_cell_occurrence *occurrence)
+/* Whether an occurrence has no runs left. */
+static bool has_no_runs(const struct rj_cell_occurrence *occurrence)
 {
 	for (uint32_t i = 0; i < occurrence->job->job_spec->task_count; i++)
 		if (occurrence->tasks[i].runs.next !=
@@ -155,32 +157,32 @@
 }
 
 /*
- * All tasks of an occurrence are done; with the last one, the job is. Runs
- * that are still listed, members of a gang whose end is not seen yet, keep
- * the occurrence in memory.
+ * Handles an occurrence of which all tasks are done, and completes the job
+ * after its last one. Runs that are still listed, such as gang members whose
+ * end has not been seen yet, keep the occurrence in memory.
  */
-static void end_round(struct rj_cell_owner *owner,
-		      struct rj_cell_occurrence *occurrence)
+static void finish_occurrence(struct rj_cell_owner *owner,
+			      struct rj_cell_occurrence *occurrence)
 {
 	struct rj_cell_job *job = occurrence->job;
-	uint32_t occurrences =
+	uint32_t occurrence_count =
 		job->job_spec->repeats ? job->job_spec->repeats : 1;
 
 	if (!occurrence->closed) {
 		occurrence->closed = true;
 		job->occurrences_done++;
-		if (job->occurrences_done >= occurrences)
+		if (job->occurrences_done >= occurrence_count)
 			rj_cell_completions_close_job(owner, job,
 						      RJ_CELL_JOB_COMPLETED);
 	}
-	if (is_idle(occurrence)) {
+	if (has_no_runs(occurrence)) {
 		rj_list_remove(&occurrence->link);
 		talloc_free(occurrence);
 	}
 }
 
-/* A task has ended well: a gang has as a whole. */
-static void note_done(struct rj_cell_owner *owner, struct rj_cell_task *task)
+/* Marks a task as done, or its whole gang. */
+static void mark_done(struct rj_cell_owner *owner, struct rj_cell_task *task)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
 	struct rj_cell_task *first = rj_cell_task_head(task);
@@ -191,13 +193,13 @@
 	for (uint32_t i = 0; i < count; i++)
 		if (!first[i].done)
 			rj_cell_task_complete(&first[i]);
-	/* Members of a gang end by themselves; copies have to be stopped. */
+	/* Gang members end by themselves; speculative copies do not. */
 	if (!step->gang)
 		stop_task(owner, task, "copy_done");
 }
 
-/* The saved progress of a run counts for its task, or for its whole gang. */
-static void note_saved(struct rj_cell_task *task, const char *saved)
+/* Records the checkpoint of a run for its task, or for its whole gang. */
+static void record_checkpoint(struct rj_cell_task *task, const char *saved)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
 	struct rj_cell_task *first = rj_cell_task_head(task);
@@ -211,41 +213,46 @@
 }
 
 /*
- * A task has met with trouble on a worker: it is to go elsewhere.
+ * Keeps a task off the worker on which it failed or stalled.
  *
- * Guards against a task that waits for ever: where the worker is the only one
- * that may run it, it goes there again after a while.
+ * This ends after a while, so that a task does not wait for ever if no other
+ * worker can run it.
  */
 void rj_cell_completions_avoid_worker(struct rj_cell_owner *owner,
 				      struct rj_cell_task *task,
 				      const struct rj_cell_worker *worker)
 {
 	g_strlcpy(task->avoid, worker->id, sizeof(task->avoid));
-	task->avoid_until_us = owner->now_us + AVOID_US;
+	task->avoid_until_us = owner->now_us + AVOID_PERIOD_US;
 }
 
-/* A run failed: the task gets another attempt, elsewhere, or the job ends. */
-static void note_failed(struct rj_cell_owner *owner, struct rj_cell_task *task,
-			const struct rj_cell_run *run)
+/* Records a failed run: the task is tried again on another worker, or the job
+ * fails. */
+static void record_failure(struct rj_cell_owner *owner,
+			   struct rj_cell_task *task,
+			   const struct rj_cell_run *run)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(task);
 	struct rj_cell_task *head = rj_cell_task_head(task);
 	struct rj_cell_job *job = task->occurrence->job;
 
-	/* Members that fail in the same run are one failure of the gang. */
+	/* Members that fail in the same run count as one failure of the
+	 * gang. */
 	if (head->failed_run != run->number)
 		head->failures++;
 	head->failed_run = run->number;
 	rj_cell_completions_avoid_worker(owner, task, run->worker);
-	task->not_before_us = owner->now_us + FAILURE_PAUSE_US * head->failures;
+	task->not_before_us =
+		owner->now_us + FAILURE_BACKOFF_US * head->failures;
 	if (!step->perpetual && head->failures >= job->job_spec->attempts_max)
 		rj_cell_completions_close_job(owner, job, RJ_CELL_JOB_FAILED);
 }
 
-/* Judge a worker by what has become of a run there. */
-static void judge_worker(struct rj_cell_owner *owner,
-			 const struct rj_cell_run *run,
-			 enum rj_cell_completion end)
+/* Updates the failure streak of a worker from the completion of a run there,
+ * and suspends the worker if needed. */
+static void update_worker_health(struct rj_cell_owner *owner,
+				 const struct rj_cell_run *run,
+				 enum rj_cell_completion end)
 {
 	struct rj_cell_worker *worker = run->worker;
 	bool early = run->placed_us && !run->adopted &&
@@ -257,8 +264,9 @@
 		return;
 	worker->bad_streak++;
 	if (early)
-		rj_cell_failure_record_early(&owner->failures, owner->now_us);
-	if (!early && worker->bad_streak < BAD_STREAK_MAX)
+		rj_cell_failure_record_early(&owner->failure_burst,
+					     owner->now_us);
+	if (!early && worker->bad_streak < FAILURE_STREAK_MAX)
 		return;
 	if (owner->now_us >= worker->suspect_until_us)
 		rj_note("worker_suspect", RJ_NOTE_TEXT("worker", worker->id),
@@ -266,13 +274,13 @@
 				     early ? "failed_early" : "failures"),
 			RJ_NOTE_NUMBER("streak", worker->bad_streak));
 	worker->suspect_until_us =
-		owner->now_us + (worker->bad_streak < BAD_STREAK_MAX ?
-					 SUSPECT_EARLY_US :
-					 SUSPECT_US);
+		owner->now_us + (worker->bad_streak < FAILURE_STREAK_MAX ?
+					 SUSPECT_EARLY_PERIOD_US :
+					 SUSPECT_PERIOD_US);
 }
 
-/* The other members of a gang of which one has ended without success. */
-static void break_gang(struct rj_cell_owner *owner, struct rj_cell_task *task)
+/* Stops the other members of a gang of which one has ended without success. */
+static void stop_gang(struct rj_cell_owner *owner, struct rj_cell_task *task)
 {
 	struct rj_cell_task *head = rj_cell_task_head(task);
 
@@ -280,30 +288,30 @@
 		stop_task(owner, &head[i], "gang_broken");
 }
 
-/* Whether a run is known to have begun: a start that was never answered may
+/* Whether a run is known to have started. A start that was never answered may
  * still arrive at its worker. */
-static bool has_begun(const struct rj_cell_run *run)
+static bool is_known_started(const struct rj_cell_run *run)
 {
 	return run->placed_us && (!run->adopted || run->listed_us);
 }
 
 /*
- * Whether an end that a worker lists tells that the whole gang has ended. One
- * that we stopped does not: a gang that is not complete yet does not end with
+ * Whether a completion that a worker lists means that the whole gang has ended.
+ * A stop that the owner ordered does not: an incomplete gang does not end with
  * its first member.
  */
-static bool ends_gang(enum rj_cell_completion end)
+static bool ends_whole_gang(enum rj_cell_completion end)
 {
 	return end == RJ_CELL_COMPLETION_GANG_BROKEN ||
 	       end == RJ_CELL_COMPLETION_FAILED;
 }
 
 /*
- * Whether a gang may start again though the ends of some of its members are
- * not known: each may be a failure, which the users count when they hear of
- * it.
+ * Whether a gang may start again although the completions of some members are
+ * unknown. Each of them may be a failure, which counts as an attempt once it is
+ * reported.
  */
-static bool has_attempts(const struct rj_cell_task *head)
+static bool has_attempts_left(const struct rj_cell_task *head)
 {
 	return rj_cell_task_step(head)->perpetual ||
 	       head->failures + head->unreported + 1 <
@@ -311,20 +319,21 @@
 }
 
 /*
- * A worker has listed the end of a gang: its members end with it, as fast as a
- * stop takes, so that those on workers that do not answer have ended by then.
+ * Expects all members of a gang to end within the time of a stop, after a
+ * worker has listed the gang's end. Members on unreachable workers then count
+ * as ended.
  *
- * Load that it answers: workers that crash with members of many gangs, which
- * would wait for the end of a lease.
+ * Otherwise gangs with members on crashed workers would wait for the leases of
+ * these to expire.
  */
-static void note_members_over(struct rj_cell_owner *owner,
-			      struct rj_cell_task *task)
+static void expect_gang_end(struct rj_cell_owner *owner,
+			    struct rj_cell_task *task)
 {
 	struct rj_cell_task *head = rj_cell_task_head(task);
-	uint64_t members_end_us =
-		owner->terms.stop_ms * RJ_US_PER_MS + MEMBERS_END_SLACK_US;
+	uint64_t gang_end_us =
+		owner->limits.stop_ms * RJ_US_PER_MS + GANG_END_SLACK_US;
 
-	if (!has_attempts(head))
+	if (!has_attempts_left(head))
 		return;
 	for (uint32_t i = 0; i < rj_cell_task_step(task)->task_count; i++) {
 		struct rj_list *at;
@@ -334,19 +343,20 @@
 			struct rj_cell_run *run =
 				RJ_CONTAINER(at, struct rj_cell_run, in_task);
 
-			if (has_begun(run) && !run->ended_by_us)
-				run->ended_by_us =
-					owner->now_us + members_end_us;
+			if (is_known_started(run) && !run->ended_by_us)
+				run->ended_by_us = owner->now_us + gang_end_us;
 		}
 	}
 }
 
-/* A member of a gang that has ended, on a worker that cannot be asked. */
-static void end_over(struct rj_cell_owner *owner, struct rj_cell_run *run)
+/* Ends a run on an unreachable worker whose gang has ended. Its completion
+ * counts as unreported. */
+static void lose_unreported_run(struct rj_cell_owner *owner,
+				struct rj_cell_run *run)
 {
 	struct rj_cell_task *head = rj_cell_task_head(run->task);
 
-	/* Members of one run are one failure at most. */
+	/* Members of one run count as one failure at most. */
 	if (head->unreported_run != run->number &&
 	    head->failed_run != run->number)
 		head->unreported++;
@@ -358,7 +368,7 @@
 }
 
 /*
- * End the runs of a worker that does not answer whose gangs have ended.
+ * Ends the runs of an unreachable worker whose gangs have ended.
  */
 void rj_cell_completions_expire_gangs(struct rj_cell_owner *owner,
 				      struct rj_cell_worker *worker)
@@ -372,15 +382,16 @@
 		at = at->next;
 		if (!run->ended_by_us || owner->now_us < run->ended_by_us)
 			continue;
-		end_over(owner, run);
-		/* Others of its gang may have gone with it. */
+		lose_unreported_run(owner, run);
+		/* Other members of its gang may have been freed too. */
 		at = worker->runs.next;
 	}
 }
 
 /*
- * A run has ended: say what that does to its task and its job, and free it.
- * What changes must be stored before the worker forgets the end.
+ * Applies the completion of a run to its task and its job, and frees the run.
+ * The changes must be stored before the completion is acknowledged to the
+ * worker.
  */
 void rj_cell_completions_apply(struct rj_cell_owner *owner,
 			       struct rj_cell_run *run,
@@ -406,17 +417,17 @@
 		return;
 	}
 	/*
-	 * Guards against freeing the run twice: an owner that does not know
-	 * yet that it was fenced may see the end of its successor's run under the
-	 * number of one that it only intended, and with the job's end all
-	 * that is only intended goes.
+	 * Prevents a double free. An owner that does not know yet that it was
+	 * fenced may see the completion of a run of its successor under the
+	 * number of a run that it only intended; when the job ends, all
+	 * intended runs are freed.
 	 */
 	run->state = RJ_CELL_RUN_STOPPING;
-	judge_worker(owner, run, end);
+	update_worker_health(owner, run, end);
 	occurrence = task->occurrence;
 	job = occurrence->job;
 	job->runs_lost += end != RJ_CELL_COMPLETION_DONE;
-	note_saved(task, saved && saved[0] ? saved : run->saved);
+	record_checkpoint(task, saved && saved[0] ? saved : run->saved);
 	if (end == RJ_CELL_COMPLETION_DONE && run->placed_us && !run->adopted &&
 	    !run->checkpoint[0])
 		rj_cell_forecast_record_run(&owner->forecast,
@@ -424,9 +435,9 @@
 					    owner->now_us - run->placed_us);
 	if (job->state < RJ_CELL_JOB_COMPLETED && !task->done) {
 		if (end == RJ_CELL_COMPLETION_DONE)
-			note_done(owner, task);
+			mark_done(owner, task);
 		else if (end == RJ_CELL_COMPLETION_FAILED)
-			note_failed(owner, task, run);
+			record_failure(owner, task, run);
 		else
 			task->losses++;
 		task->waiting_us = 0;
@@ -434,19 +445,20 @@
 	rj_cell_run_free(run);
 	if (end != RJ_CELL_COMPLETION_DONE && rj_cell_task_step(task)->gang &&
 	    !task->done) {
-		break_gang(owner, task);
-		if (ends_gang(end))
-			note_members_over(owner, task);
+		stop_gang(owner, task);
+		if (ends_whole_gang(end))
+			expect_gang_end(owner, task);
 	}
 	rj_cell_owner_mark_dirty(owner, job);
 	if (!occurrence->steps_left)
-		end_round(owner, occurrence);
+		finish_occurrence(owner, occurrence);
 }
 
-/* Whether a task is done by a run that was given up before: it ended well
- * while its worker was out of reach, and the task has run anew since. */
-static bool was_done_before(const struct rj_cell_task *task,
-			    const struct rj_cell_completion_report *row)
+/* Whether a completion of an abandoned run completes its task: the run ended
+ * well while its worker was unreachable, and the task has been started again
+ * since. */
+static bool completes_task(const struct rj_cell_task *task,
+			   const struct rj_cell_completion_report *row)
 {
 	return task && row->end == RJ_CELL_COMPLETION_DONE && !task->done &&
 	       row->number <= task->run &&
@@ -454,8 +466,9 @@
 	       task->occurrence->job->state < RJ_CELL_JOB_COMPLETED;
 }
 
-/* A failure of a run that was taken to have ended with its gang. */
-static void count_unseen(struct rj_cell_owner *owner, struct rj_cell_task *task,
+/* Counts a failure of a run that was assumed to have ended with its gang. */
+static void
+count_unreported_failure(struct rj_cell_owner *owner, struct rj_cell_task *task,
 			 const struct rj_cell_completion_report *row)
 {
 	struct rj_cell_task *head = task ? rj_cell_task_head(task) : NULL;
@@ -474,10 +487,10 @@
 }
 
 /*
- * An end of a run that is not known at the worker: it was given up when the
- * worker's lease had lapsed or its gang had ended, or was never known. A task
- * that ended well is done, and what runs of it since is stopped; of other ends
- * only failures count.
+ * Applies a completion whose run is not known at the worker: the run was
+ * abandoned when the worker's lease expired or its gang ended, or was never
+ * known. A task that ended well is done, and its newer runs are stopped. Of the
+ * other completions only failures count.
  */
 void rj_cell_completions_apply_orphan(
 	struct rj_cell_owner *owner, struct rj_cell_worker *worker,
@@ -491,14 +504,14 @@
 		RJ_NOTE_NUMBER("run", row->number),
 		RJ_NOTE_TEXT("worker", worker->id),
 		RJ_NOTE_TEXT("end", rj_cell_completion_string[row->end]));
-	count_unseen(owner, task, row);
-	if (!was_done_before(task, row))
+	count_unreported_failure(owner, task, row);
+	if (!completes_task(task, row))
 		return;
 	occurrence = task->occurrence;
-	note_done(owner, task);
+	mark_done(owner, task);
 	if (rj_cell_task_step(task)->gang)
-		break_gang(owner, task);
+		stop_gang(owner, task);
 	rj_cell_owner_mark_dirty(owner, occurrence->job);
 	if (!occurrence->steps_left)
-		end_round(owner, occurrence);
+		finish_occurrence(owner, occurrence);
 }
--- a/src/libradishjunction/cell/cell_failure.c
+++ b/src/libradishjunction/cell/cell_failure.c
@@ -2,33 +2,33 @@
 
 /* Tasks that fail by themselves do so at any time of their run, which takes
  * seconds. */
-#define EARLY_US (400 * RJ_US_PER_MS)
-/* So many make a burst, as tasks that fail by themselves do so early once in
- * a while; */
-#define BURST_MIN 2
-/* ... it is over once no failure was early for so long. */
+#define EARLY_FAILURE_MAX_US (400 * RJ_US_PER_MS)
+/* Number of early failures that make a burst. Tasks that fail by themselves
+ * rarely do so early, but single cases occur. */
+#define BURST_COUNT_MIN 2
+/* A burst is over when no early failure has occurred for this long. */
 #define BURST_GAP_US (6 * RJ_US_PER_S)
-/* A last attempt waits so long for a worker that is known to be sound: users
- * expect idle capacity to be used within 3 s of calm. */
-#define HOLD_MAX_US (2500 * RJ_US_PER_MS)
+/* How long a last attempt waits for a worker that is known to be healthy. Idle
+ * capacity has to be used within 3 s once conditions are stable. */
+#define LAST_ATTEMPT_HOLD_US (2500 * RJ_US_PER_MS)
 
 /*
- * Whether a run that failed after `ran_us` says more of its worker than of its
- * task.
+ * Whether a run that failed after `ran_us` indicates a fault of its worker
+ * rather than of its task.
  */
 bool rj_cell_failure_is_early(uint64_t ran_us)
 {
-	return ran_us < EARLY_US;
+	return ran_us < EARLY_FAILURE_MAX_US;
 }
 
 /*
- * A run has failed early.
+ * Records an early failure at `now_us`.
  */
 void rj_cell_failure_record_early(struct rj_cell_failure_burst *burst,
 				  uint64_t now_us)
 {
 	if (!burst->count || now_us >= burst->last_us + BURST_GAP_US) {
-		burst->since_us = now_us;
+		burst->first_us = now_us;
 		burst->count = 0;
 	}
 	burst->last_us = now_us;
@@ -36,36 +36,37 @@
 }
 
 /*
- * Whether workers are known to have begun to fail of late.
+ * Whether a burst of early failures is under way, a sign that workers have
+ * begun to fail.
  */
 bool rj_cell_failure_is_burst(const struct rj_cell_failure_burst *burst,
 			      uint64_t now_us)
 {
-	return burst->count >= BURST_MIN &&
+	return burst->count >= BURST_COUNT_MIN &&
 	       now_us < burst->last_us + BURST_GAP_US;
 }
 
 /*
- * Whether a last attempt that has waited since `waiting_us` is to be made only
- * on workers that are sound, see rj_cell_failure_is_healthy.
+ * Whether a last attempt that has waited since `waiting_us` may be made only on
+ * healthy workers, see rj_cell_failure_is_healthy.
  *
- * Load that it answers: some of all workers begin to fail what they start. A
- * wide gang meets one of them at each attempt, and would use up its attempts
- * before these workers are known. Other work finds them within seconds.
+ * When some of the workers begin to fail what they start, each attempt of a
+ * wide gang meets one of them, and the gang would use up its attempts before
+ * these workers are known. Other work finds them within seconds.
  */
 bool rj_cell_failure_requires_healthy(const struct rj_cell_failure_burst *burst,
 				      uint64_t waiting_us, uint64_t now_us)
 {
 	return rj_cell_failure_is_burst(burst, now_us) &&
-	       now_us < waiting_us + HOLD_MAX_US;
+	       now_us < waiting_us + LAST_ATTEMPT_HOLD_US;
 }
 
 /*
- * Whether what a worker started at `healthy_us`, and did not fail, shows that it
- * is none of those that have begun to fail.
+ * Whether a run that the worker started at `healthy_us`, and that did not fail
+ * early, shows that it is not one of the workers that have begun to fail.
  */
 bool rj_cell_failure_is_healthy(const struct rj_cell_failure_burst *burst,
 				uint64_t healthy_us)
 {
-	return healthy_us >= burst->since_us;
+	return healthy_us >= burst->first_us;
 }
--- a/src/libradishjunction/cell/cell_flush.c
+++ b/src/libradishjunction/cell/cell_flush.c
@@ -7,24 +7,25 @@
 #include "private/cell_admit.h"
 #include "private/note.h"
 
-/* The owner shows its life in the log so often. Others wait for three of
- * these in vain before they take over. */
-#define BEAT_US (400 * RJ_US_PER_MS)
-/* Ended jobs are looked through for those to be forgotten so often. */
-#define DROP_CHECK_US (5 * RJ_US_PER_S)
+/* Interval of the owner's heartbeats. Other instances take over after three
+ * missed ones. */
+#define HEARTBEAT_INTERVAL_US (400 * RJ_US_PER_MS)
+/* Interval between checks for ended jobs whose retention has expired. */
+#define RETENTION_CHECK_INTERVAL_US (5 * RJ_US_PER_S)
 
-/* What a write remembers until it is stored. */
+/* Context of a record until it is stored. */
 struct owner_write {
 	struct rj_cell_owner *owner;
 	struct rj_cell_writer *writer;
 	uint32_t generation;
 	enum rj_cell_record_kind kind;
-	char id[RJ_CELL_ID_BYTES]; /* "" for records of no job */
-	struct rj_cell_summary summary; /* of a job's state */
+	char id[RJ_CELL_ID_BYTES]; /* "" unless of a job */
+	struct rj_cell_summary summary; /* of the job's state */
 };
 
-/* Forget the work of a job that has ended and runs nowhere. */
-static void free_ended(struct rj_cell_owner *owner, struct rj_cell_job *job)
+/* Frees the state of a job that has ended and has no runs left, once its end is
+ * published. */
+static void free_ended_job(struct rj_cell_owner *owner, struct rj_cell_job *job)
 {
 	struct rj_cell_view_entry *entry = job->entry;
 
@@ -34,11 +35,11 @@
 		return;
 	entry->job = NULL;
 	talloc_free(job);
-	g_ptr_array_add(owner->ended, g_strdup(entry->id));
+	g_ptr_array_add(owner->ended_jobs, g_strdup(entry->id));
 }
 
-/* The intent of a run is stored: it may be started. */
-static void release_run(struct rj_cell_run *run, void *private_data)
+/* Allows the start of a run, as its intent is stored. */
+static void allow_start(struct rj_cell_run *run, void *private_data)
 {
 	const struct rj_cell_owner *owner = private_data;
 
@@ -50,8 +51,9 @@
 	rj_cell_run_schedule_order(run, owner->now_us);
 }
 
-/* All that was flushed together is stored: workers may forget these ends. */
-static void ends_stored(struct rj_cell_owner *owner)
+/* Acknowledges to workers all completions whose effects are stored, now that no
+ * write is pending. */
+static void acknowledge_completions(struct rj_cell_owner *owner)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -69,18 +71,18 @@
 	}
 }
 
-/* A record about a job is in the log. */
-static void take_effect(struct rj_cell_owner *owner,
-			const struct owner_write *write,
-			struct rj_cell_view_entry *entry)
+/* Applies a stored record about a job. */
+static void apply_record(struct rj_cell_owner *owner,
+			 const struct owner_write *write,
+			 struct rj_cell_view_entry *entry)
 {
 	if (write->kind == RJ_CELL_RECORD_STATE)
 		rj_cell_view_set_summary(entry, &write->summary, owner->now_us);
 	else if (write->kind == RJ_CELL_RECORD_PROGRESS && entry->job)
-		rj_cell_job_each_run(entry->job, release_run, owner);
+		rj_cell_job_each_run(entry->job, allow_start, owner);
 }
 
-/* One record of a flush has ended. */
+/* Handles the outcome of one record of a flush. */
 static void write_done(void *private_data, enum rj_cell_write_outcome outcome)
 {
 	struct owner_write *write = private_data;
@@ -95,35 +97,37 @@
 	owner->writes_pending--;
 	entry = write->id[0] ? rj_cell_view_find(owner->view, write->id) : NULL;
 	if (outcome == RJ_CELL_WRITE_STORED && entry) {
-		take_effect(owner, write, entry);
+		apply_record(owner, write, entry);
 	} else if (outcome == RJ_CELL_WRITE_NOT_STORED) {
 		owner->write_failed = true;
 		if (entry && entry->job)
 			rj_cell_owner_mark_dirty(owner, entry->job);
 		owner->heartbeat_due_us = owner->now_us;
 	} else if (outcome != RJ_CELL_WRITE_STORED) {
-		owner->lost = true;
+		owner->fenced = true;
 	}
-	if (!owner->writes_pending && !owner->lost && !owner->write_failed)
-		ends_stored(owner);
+	if (!owner->writes_pending && !owner->fenced && !owner->write_failed)
+		acknowledge_completions(owner);
 	if (entry && entry->job)
-		free_ended(owner, entry->job);
+		free_ended_job(owner, entry->job);
 	talloc_free(write);
 }
 
-/* Add one record to the flush; `summary` is that of a job's state. */
-static void add_write(struct rj_cell_owner *owner,
-		      enum rj_cell_record_kind kind, const char *id,
-		      struct rj_bytes value,
-		      const struct rj_cell_summary *summary)
+/* Adds one record to the flush; `summary` is the job's state that it publishes,
+ * or NULL. */
+static void add_record(struct rj_cell_owner *owner,
+		       enum rj_cell_record_kind kind, const char *id,
+		       struct rj_bytes value,
+		       const struct rj_cell_summary *summary)
 {
 	struct owner_write *write = talloc_zero(owner->mem, struct owner_write);
 	char key[RJ_CELL_KEY_BYTES];
 
 	assert(write);
 	write->owner = owner;
-	write->writer = kind == RJ_CELL_RECORD_PROGRESS ? &owner->progress :
-							  &owner->writer;
+	write->writer = kind == RJ_CELL_RECORD_PROGRESS ?
+				&owner->progress_writer :
+				&owner->writer;
 	write->generation = owner->generation;
 	write->kind = kind;
 	g_strlcpy(write->id, id, sizeof(write->id));
@@ -135,23 +139,23 @@
 			   (struct rj_cell_write_done){ write_done, write });
 }
 
-/* Add the removal of a key. */
-static void add_drop(struct rj_cell_owner *owner, enum rj_cell_record_kind kind,
-		     const char *id)
+/* Adds the removal of a job's key. */
+static void add_removal(struct rj_cell_owner *owner,
+			enum rj_cell_record_kind kind, const char *id)
 {
 	const struct rj_cell_summary ended = { RJ_CELL_JOB_COMPLETED, true };
 
-	add_write(owner, kind, id, (struct rj_bytes){ NULL, 0 }, &ended);
+	add_record(owner, kind, id, (struct rj_bytes){ NULL, 0 }, &ended);
 }
 
-/* The intent of a run goes out with its job's record. */
+/* Marks a run as contained in the job record that is about to be written. */
 static void mark_recording(struct rj_cell_run *run, void *unused)
 {
 	run->recording = true;
 }
 
-/* Add the owner's heartbeat, with what it tells of the load. */
-static void add_beat(struct rj_cell_owner *owner)
+/* Adds the owner's heartbeat, with the admission shares of the queues. */
+static void add_heartbeat(struct rj_cell_owner *owner)
 {
 	struct rj_cell_owner_heartbeat heartbeat = {
 		.incarnation = owner->incarnation,
@@ -161,13 +165,13 @@
 
 	rj_cell_admit_queues(owner, &heartbeat);
 	value = rj_cell_owner_heartbeat_encode(owner->mem, &heartbeat);
-	add_write(owner, RJ_CELL_RECORD_HEARTBEAT, "", value, NULL);
+	add_record(owner, RJ_CELL_RECORD_HEARTBEAT, "", value, NULL);
 	talloc_free((void *)value.data);
-	owner->heartbeat_due_us = owner->now_us + BEAT_US;
+	owner->heartbeat_due_us = owner->now_us + HEARTBEAT_INTERVAL_US;
 }
 
-/* Add the record that gives the cell away. */
-static void add_leave(struct rj_cell_owner *owner)
+/* Adds the record that releases the cell. */
+static void add_release(struct rj_cell_owner *owner)
 {
 	struct rj_cell_owner_record record = { .incarnation =
 						       owner->incarnation,
@@ -176,14 +180,14 @@
 
 	memcpy(record.name, owner->name, sizeof(record.name));
 	value = rj_cell_owner_encode(owner->mem, &record);
-	add_write(owner, RJ_CELL_RECORD_OWNER, "", value, NULL);
+	add_record(owner, RJ_CELL_RECORD_OWNER, "", value, NULL);
 	talloc_free((void *)value.data);
-	owner->leaving = false;
+	owner->release_pending = false;
 }
 
-/* Add what has changed of a job; its state only where callers are told more
- * by it. */
-static void add_work(struct rj_cell_owner *owner, struct rj_cell_job *job)
+/* Adds the progress of a job, and its state if that changes what clients may be
+ * told. */
+static void add_job(struct rj_cell_owner *owner, struct rj_cell_job *job)
 {
 	const struct rj_cell_view_entry *entry = job->entry;
 	struct rj_cell_summary summary = { job->state, job->started };
@@ -191,54 +195,52 @@
 
 	rj_cell_job_each_run(job, mark_recording, NULL);
 	value = rj_cell_progress_encode(owner->mem, job);
-	add_write(owner, RJ_CELL_RECORD_PROGRESS, job->job_spec->id, value,
-		  NULL);
+	add_record(owner, RJ_CELL_RECORD_PROGRESS, job->job_spec->id, value,
+		   NULL);
 	talloc_free((void *)value.data);
 	if (summary.state <= entry->summary.state &&
 	    summary.started == entry->summary.started)
 		return;
 	value = rj_cell_summary_encode(owner->mem, &summary);
-	add_write(owner, RJ_CELL_RECORD_STATE, job->job_spec->id, value,
-		  &summary);
+	add_record(owner, RJ_CELL_RECORD_STATE, job->job_spec->id, value,
+		   &summary);
 	talloc_free((void *)value.data);
 }
 
 /*
- * Drop what only the work of a job needs, for jobs that were shown to have
- * ended and run nowhere.
- *
- * Load that it answers: all instances start at once, and each loads all that
- * is kept.
+ * Removes the progress and definitions of jobs that are known to have ended and
+ * have no runs left. All instances start at the same time, and each loads
+ * everything that is kept.
  */
-static void add_drops(struct rj_cell_owner *owner)
+static void add_ended_job_removals(struct rj_cell_owner *owner)
 {
-	for (guint i = 0; i < owner->ended->len; i++) {
-		const char *id = owner->ended->pdata[i];
+	for (guint i = 0; i < owner->ended_jobs->len; i++) {
+		const char *id = owner->ended_jobs->pdata[i];
 
-		add_drop(owner, RJ_CELL_RECORD_PROGRESS, id);
-		add_drop(owner, RJ_CELL_RECORD_JOB_SPEC, id);
+		add_removal(owner, RJ_CELL_RECORD_PROGRESS, id);
+		add_removal(owner, RJ_CELL_RECORD_JOB_SPEC, id);
 	}
-	g_ptr_array_set_size(owner->ended, 0);
+	g_ptr_array_set_size(owner->ended_jobs, 0);
 }
 
 /*
- * Show the owner's life while an append to the progress log is on its way.
+ * Writes a heartbeat while an append to the progress log is pending.
  *
- * Guards against an owner that is replaced while it lives: an append that
- * nobody answers is repeated after a second, and until then nothing else is
- * stored.
+ * An append without an answer is repeated after a second, and nothing else is
+ * stored until then. Without the heartbeat another instance would replace a
+ * working owner.
  */
-static void flush_beat(struct rj_cell_owner *owner)
+static void flush_heartbeat(struct rj_cell_owner *owner)
 {
 	if (owner->now_us < owner->heartbeat_due_us ||
 	    rj_cell_writer_busy(&owner->writer))
 		return;
-	add_beat(owner);
+	add_heartbeat(owner);
 	rj_cell_writer_flush(&owner->writer, owner->now_us);
 }
 
 /*
- * Store all changes, in one append to each log, if none is on its way.
+ * Stores all changes, in one append to each log, unless an append is pending.
  */
 void rj_cell_flush(struct rj_cell_owner *owner)
 {
@@ -246,24 +248,24 @@
 	struct rj_list *next;
 
 	if (owner->writes_pending) {
-		flush_beat(owner);
+		flush_heartbeat(owner);
 		return;
 	}
 	owner->write_failed = false;
-	RJ_FOR_EACH (at, next, &owner->dirty) {
+	RJ_FOR_EACH (at, next, &owner->dirty_jobs) {
 		struct rj_cell_job *job =
 			RJ_CONTAINER(at, struct rj_cell_job, in_dirty);
 
 		job->dirty = false;
 		rj_list_remove(&job->in_dirty);
-		add_work(owner, job);
+		add_job(owner, job);
 	}
 	if (owner->now_us >= owner->heartbeat_due_us) {
-		add_beat(owner);
-		add_drops(owner);
+		add_heartbeat(owner);
+		add_ended_job_removals(owner);
 	}
-	if (owner->leaving)
-		add_leave(owner);
+	if (owner->release_pending)
+		add_release(owner);
 	RJ_FOR_EACH (at, next, &owner->fleet.unstored) {
 		struct rj_cell_worker *worker =
 			RJ_CONTAINER(at, struct rj_cell_worker, in_unstored);
@@ -271,15 +273,16 @@
 		worker->storing_position = worker->applied_position;
 	}
 	if (!owner->writes_pending) {
-		ends_stored(owner);
+		acknowledge_completions(owner);
 		return;
 	}
-	rj_cell_writer_flush(&owner->progress, owner->now_us);
+	rj_cell_writer_flush(&owner->progress_writer, owner->now_us);
 	rj_cell_writer_flush(&owner->writer, owner->now_us);
 }
 
 /*
- * Drop the keys of jobs that ended long ago, if it is time to look for them.
+ * Removes the keys of jobs that ended longer ago than their status is kept, if
+ * a check is due.
  */
 void rj_cell_flush_expired(struct rj_cell_owner *owner)
 {
@@ -289,20 +292,21 @@
 	if (owner->writes_pending ||
 	    owner->now_us < owner->retention_check_due_us)
 		return;
-	owner->retention_check_due_us = owner->now_us + DROP_CHECK_US;
+	owner->retention_check_due_us =
+		owner->now_us + RETENTION_CHECK_INTERVAL_US;
 	RJ_FOR_EACH (at, next, &owner->view->entries) {
 		struct rj_cell_view_entry *entry =
 			RJ_CONTAINER(at, struct rj_cell_view_entry, link);
-		uint64_t keep_us =
-			owner->terms.status_retention_ms * RJ_US_PER_MS;
+		uint64_t retention_us =
+			owner->limits.status_retention_ms * RJ_US_PER_MS;
 
 		if (entry->job || !entry->ended_us ||
-		    owner->now_us < entry->ended_us + keep_us)
+		    owner->now_us < entry->ended_us + retention_us)
 			continue;
 		for (int kind = RJ_CELL_RECORD_JOB_SPEC;
 		     kind <= RJ_CELL_RECORD_CANCEL; kind++)
-			add_drop(owner, (enum rj_cell_record_kind)kind,
-				 entry->id);
-		entry->ended_us = owner->now_us; /* once, unless it fails */
+			add_removal(owner, (enum rj_cell_record_kind)kind,
+				    entry->id);
+		entry->ended_us = owner->now_us; /* retry later if not stored */
 	}
 }
--- a/src/libradishjunction/cell/cell_orders.c
+++ b/src/libradishjunction/cell/cell_orders.c
@@ -6,47 +6,48 @@
 #include "private/cell_evacuate.h"
 #include "private/note.h"
 
-/* An order without an answer is sent again after this. */
+/* Delay before an order without an answer is sent again. */
 #define ORDER_RETRY_US (100 * RJ_US_PER_MS)
-/* A start that got no answer twice is stopped: the task may have to go
- * elsewhere, and the stop keeps a late start from running. */
+/* Number of attempts after which an unanswered start is stopped: the task may
+ * have to run elsewhere, and the stop keeps a late start from running. */
 #define START_TRIES_MAX 2
-/* A worker that turns a start away rests this long. */
+/* How long a worker that refused a start gets no new work. */
 #define SICK_PAUSE_US (1500 * RJ_US_PER_MS)
 #define FULL_PAUSE_US (300 * RJ_US_PER_MS)
-/* A task that its worker does not understand is not sent again at once. */
-#define BAD_PAUSE_US RJ_US_PER_S
-/* Workers that hold something are visited so often at most. */
-#define WATCH_PAUSE_US (4 * RJ_US_PER_MS)
-/* A run of the task may still be listed there. */
-#define OLD_PAUSE_US (100 * RJ_US_PER_MS)
+/* Delay before a task is sent again that its worker could not parse or whose
+ * ticket it refused. */
+#define REJECTED_PAUSE_US RJ_US_PER_S
+/* Minimum time between checks of workers that hold runs. */
+#define BUSY_CHECK_INTERVAL_US (4 * RJ_US_PER_MS)
+/* Delay before a task is sent again whose former run may still be listed by the
+ * worker. */
+#define STALE_PAUSE_US (100 * RJ_US_PER_MS)
 
 /*
- * How long a task waits after a refusal that another worker would repeat.
- *
- * Guards against orders without end: a task that no worker takes has room
- * everywhere, and would be ordered anew with each plan.
+ * Delay before a task is started again after a refusal that any other worker
+ * would repeat. Without it, a task that no worker accepts would be sent again
+ * with each plan, as it never uses any capacity.
  */
-static uint64_t refusal_pause_us(enum rj_cell_order_status status)
+static uint64_t refusal_backoff_us(enum rj_cell_order_status status)
 {
 	switch (status) {
 	case RJ_CELL_ORDER_MALFORMED:
 	case RJ_CELL_ORDER_TICKET_INVALID:
-		return BAD_PAUSE_US;
+		return REJECTED_PAUSE_US;
 	case RJ_CELL_ORDER_STALE:
 	case RJ_CELL_ORDER_DEADLINE_PASSED:
-		return OLD_PAUSE_US;
+		return STALE_PAUSE_US;
 	default:
 		return 0;
 	}
 }
 
 /*
- * A run could not be started: its task waits again, and so does the rest of
- * its gang.
+ * Ends a run that could not be started: its task waits again, and so does the
+ * rest of its gang.
  */
-static void withdraw(struct rj_cell_owner *owner, struct rj_cell_run *run,
-		     enum rj_cell_order_status status)
+static void abort_start(struct rj_cell_owner *owner, struct rj_cell_run *run,
+			enum rj_cell_order_status status)
 {
 	rj_note("start_refused", RJ_NOTE_TEXT("task", run->name),
 		RJ_NOTE_NUMBER("run", run->number),
@@ -55,14 +56,15 @@
 	run->reason = rj_cell_order_status_string[status];
 	if (run->task)
 		run->task->not_before_us =
-			owner->now_us + refusal_pause_us(status);
+			owner->now_us + refusal_backoff_us(status);
 	rj_cell_completions_apply(owner, run, RJ_CELL_COMPLETION_LOST, NULL);
 }
 
-/* What a refused start says of its worker. */
-static void rest_worker(struct rj_cell_owner *owner,
-			struct rj_cell_worker *worker,
-			enum rj_cell_order_status status)
+/* Suspends a worker that refused a start, for a time that depends on the
+ * status. */
+static void suspend_worker(struct rj_cell_owner *owner,
+			   struct rj_cell_worker *worker,
+			   enum rj_cell_order_status status)
 {
 	uint64_t pause_us = 0;
 
@@ -75,8 +77,8 @@
 		worker->suspect_until_us = owner->now_us + pause_us;
 }
 
-/* The run that an answer is about, with its worker, or NULL if it is of no
- * more interest. */
+/* Finds the run that an answer is about, and its worker; NULL if either no
+ * longer exists. */
 static struct rj_cell_run *find_run(struct rj_cell_call_context *call,
 				    const struct rj_cell_order_reply *reply,
 				    struct rj_cell_worker **worker)
@@ -87,7 +89,7 @@
 	return rj_cell_call_find_run(*worker, call->name, call->number);
 }
 
-/* The answer to a start. */
+/* Handles the answer to a start. */
 static void start_done(void *private_data,
 		       const struct rj_cell_order_reply *reply)
 {
@@ -103,14 +105,14 @@
 	run->start_in_flight = false;
 	rj_cell_call_update_clock(worker, reply);
 	if (reply->status == RJ_CELL_ORDER_FENCED) {
-		owner->lost = true;
+		owner->fenced = true;
 		return;
 	}
 	if (run->state != RJ_CELL_RUN_STARTING)
-		return; /* it is being stopped; the stop settles it */
+		return; /* being stopped; the answer to the stop decides */
 	switch (reply->status) {
 	case RJ_CELL_ORDER_OK:
-		rj_latency_add(&owner->counters.orders,
+		rj_latency_add(&owner->counters.start_latency,
 			       owner->now_us - sent_us);
 		run->state = RJ_CELL_RUN_PLACED;
 		run->placed_us = owner->now_us;
@@ -126,26 +128,27 @@
 		rj_cell_call_other_incarnation(owner, worker);
 		break;
 	case RJ_CELL_ORDER_UNSENT:
-		/* An earlier try of this start may have arrived. */
+		/* An earlier attempt may have arrived. */
 		if (run->order_tries > 1) {
 			rj_cell_completions_stop_run(owner, run, "no_answer");
 			break;
 		}
 		rj_cell_call_set_answering(owner, worker, false, reply->status);
-		withdraw(owner, run, reply->status);
+		abort_start(owner, run, reply->status);
 		break;
 	default:
-		rest_worker(owner, worker, reply->status);
+		suspend_worker(owner, worker, reply->status);
 		if (reply->status == RJ_CELL_ORDER_TICKET_INVALID)
 			rj_cell_advice_invalidate(run->task, worker);
 		if (run->order_tries > 1)
 			rj_cell_completions_stop_run(owner, run, "no_answer");
 		else
-			withdraw(owner, run, reply->status);
+			abort_start(owner, run, reply->status);
 	}
 }
 
-/* Order one start, for the first time or again. */
+/* Sends a start, for the first time or again. Sends nothing while leases must
+ * not be extended. */
 static void send_start(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
 	struct rj_cell_worker *worker = run->worker;
@@ -170,7 +173,7 @@
 	owner->workers->ops->start(owner->workers, worker, &start, done);
 }
 
-/* The answer to a stop. */
+/* Handles the answer to a stop. */
 static void stop_done(void *private_data,
 		      const struct rj_cell_order_reply *reply)
 {
@@ -189,7 +192,7 @@
 		run->settled_us = owner->now_us;
 		break;
 	case RJ_CELL_ORDER_FENCED:
-		owner->lost = true;
+		owner->fenced = true;
 		break;
 	case RJ_CELL_ORDER_OTHER_INCARNATION:
 		rj_cell_call_other_incarnation(owner, worker);
@@ -202,7 +205,7 @@
 	}
 }
 
-/* Order one stop, for the first time or again. */
+/* Sends a stop, for the first time or again. */
 static void send_stop(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
 	struct rj_cell_order_done done;
@@ -221,7 +224,7 @@
 				  run->number, owner->token, done);
 }
 
-/* Whether a run has an order that is not on its way. */
+/* Whether a run has an order to be sent that is not pending. */
 static bool needs_order(const struct rj_cell_run *run)
 {
 	if (run->state == RJ_CELL_RUN_STARTING)
@@ -231,10 +234,10 @@
 }
 
 /*
- * A start must not be sent to its worker any more: the task waits again. A
- * start that was sent before may still arrive, and is stopped.
+ * Cancels a start that must not be sent any more: the task waits again. A start
+ * that was sent before may still arrive, so its run is stopped.
  */
-static void call_off(struct rj_cell_owner *owner, struct rj_cell_run *run)
+static void cancel_start(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
 	const char *reason = rj_cell_worker_cordoned(run->worker) ?
 				     "cordoned" :
@@ -249,13 +252,12 @@
 }
 
 /*
- * Call the unsent starts of a worker off on which nothing may start any more.
- *
- * Guards against starts on workers that said long ago that they leave: between
- * plan and order an owner stores the intent, and may have read more meanwhile.
+ * Cancels the unsent starts of a worker that must not get new work. The owner
+ * stores an intent between plan and order, and may have read meanwhile that the
+ * worker drains; the start would then arrive long after that was published.
  */
-static void call_off_starts(struct rj_cell_owner *owner,
-			    struct rj_cell_worker *worker)
+static void cancel_unsent_starts(struct rj_cell_owner *owner,
+				 struct rj_cell_worker *worker)
 {
 	struct rj_list *at = worker->runs.next;
 
@@ -266,13 +268,12 @@
 		at = at->next;
 		if (run->state != RJ_CELL_RUN_STARTING || run->start_in_flight)
 			continue;
-		call_off(owner, run);
-		/* Others of its gang may have gone with it. */
+		cancel_start(owner, run);
+		/* Other members of its gang may have been freed too. */
 		at = worker->runs.next;
 	}
 }
 
-/* Send the next order of a run. */
 static void send_order(struct rj_cell_owner *owner, struct rj_cell_run *run)
 {
 	if (run->state == RJ_CELL_RUN_STOPPING)
@@ -281,17 +282,17 @@
 		send_start(owner, run);
 }
 
-/* Send the orders that are due for the runs of a worker. Returns whether
- * there are more. */
-static bool tick_runs(struct rj_cell_owner *owner,
-		      struct rj_cell_worker *worker)
+/* Sends the due orders for the runs of a worker. Returns whether more are to be
+ * sent later. */
+static bool send_worker_orders(struct rj_cell_owner *owner,
+			       struct rj_cell_worker *worker)
 {
 	bool more = false;
 	struct rj_list *at;
 	struct rj_list *next;
 
 	if (!rj_cell_worker_schedulable(worker))
-		call_off_starts(owner, worker);
+		cancel_unsent_starts(owner, worker);
 	RJ_FOR_EACH (at, next, &worker->runs) {
 		struct rj_cell_run *run =
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
@@ -307,11 +308,11 @@
 }
 
 /*
- * A worker that has been silent until its leases must have lapsed runs
- * nothing any more.
+ * Ends the runs of a worker that has not answered until its leases have
+ * expired.
  */
-static void check_lapse(struct rj_cell_owner *owner,
-			struct rj_cell_worker *worker)
+static void check_lease_expiry(struct rj_cell_owner *owner,
+			       struct rj_cell_worker *worker)
 {
 	if (worker->answers || worker->runs.next == &worker->runs ||
 	    owner->now_us <= worker->lease_expired_us)
@@ -324,10 +325,8 @@
 }
 
 /*
- * Send the orders that are due.
- *
- * Load that it answers: thousands of runs, of which a few begin or end between
- * two calls; only workers with an order to be sent are visited.
+ * Sends all due orders. Of thousands of runs only a few begin or end between
+ * two calls, so only workers with an order to be sent are visited.
  */
 static void send_orders(struct rj_cell_owner *owner)
 {
@@ -338,26 +337,27 @@
 		struct rj_cell_worker *worker =
 			RJ_CONTAINER(at, struct rj_cell_worker, in_order_queue);
 
-		if (!tick_runs(owner, worker))
+		if (!send_worker_orders(owner, worker))
 			rj_list_remove(&worker->in_order_queue);
 	}
 }
 
-/* Poll the workers that hold something, and see whether leases lapsed. */
-static void watch_busy(struct rj_cell_owner *owner)
+/* Polls workers that hold runs, and handles expired leases, ended gangs and
+ * workers that are about to leave. */
+static void check_busy_workers(struct rj_cell_owner *owner)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
 	if (owner->now_us < owner->busy_check_due_us)
 		return;
-	owner->busy_check_due_us = owner->now_us + WATCH_PAUSE_US;
+	owner->busy_check_due_us = owner->now_us + BUSY_CHECK_INTERVAL_US;
 	RJ_FOR_EACH (at, next,
 		     &owner->fleet.by_poll_state[RJ_CELL_POLL_STATE_BUSY]) {
 		struct rj_cell_worker *worker =
 			RJ_CONTAINER(at, struct rj_cell_worker, in_poll_state);
 
-		check_lapse(owner, worker);
+		check_lease_expiry(owner, worker);
 		if (!worker->answers)
 			rj_cell_completions_expire_gangs(owner, worker);
 		if (worker->departure_us)
@@ -367,11 +367,12 @@
 }
 
 /*
- * Send what is due, and take note of leases that have lapsed.
+ * Sends due orders and polls, and ends the runs of workers whose leases have
+ * expired. Call it every few milliseconds.
  */
 void rj_cell_orders_tick(struct rj_cell_owner *owner)
 {
 	send_orders(owner);
-	watch_busy(owner);
+	check_busy_workers(owner);
 	rj_cell_polls_tick(owner);
 }
--- a/src/libradishjunction/cell/cell_owner.c
+++ b/src/libradishjunction/cell/cell_owner.c
@@ -10,37 +10,39 @@
 #include "private/cell_starts.h"
 #include "private/note.h"
 
-/* Plans are this far apart at least, so that what ends together is planned
- * for together. */
-#define PLAN_PAUSE_US (8 * RJ_US_PER_MS)
-/* ... and by so many times what a plan takes, so that most of the time is left
- * for polls, orders and heartbeats. */
-#define PLAN_PAUSE_FACTOR 2
-/* Weighing one worker takes so long on a whole core. */
-#define EFFORT_NS 20
-/* Without other events a plan is made so often, as waiting changes what may
- * be done. */
-#define PLAN_IDLE_US (200 * RJ_US_PER_MS)
-/* Nothing starts by knowledge of the log that is older; the owner's own
- * heartbeats make its reads return every 0.4 s. */
-#define READ_AGE_MAX_US (1500 * RJ_US_PER_MS)
-/* Nor by knowledge of workers and operators that is older than this part of
- * the bound on what it decides; the rest is for the order's way. */
-#define PUBLISHED_AGE_PERCENT 80
-/* What waits is logged so often at most. */
-#define BACKLOG_NOTE_US RJ_US_PER_S
-/* Jobs with times are looked through for those that have come due so often;
- * an occurrence begins so much late at most. */
-#define ROUNDS_CHECK_US (40 * RJ_US_PER_MS)
+/* Minimum time between plans, so that one plan handles runs that complete
+ * together. */
+#define PLAN_INTERVAL_MIN_US (8 * RJ_US_PER_MS)
+/* The pause after a plan is at least this many times its duration, which leaves
+ * most of the time for polls, orders and heartbeats. */
+#define PLAN_IDLE_FACTOR 2
+/* Time to evaluate one worker in a plan, on a whole core. */
+#define EFFORT_UNIT_NS 20
+/* Maximum time between plans: without other events, waiting time alone changes
+ * which placements are allowed. */
+#define PLAN_INTERVAL_MAX_US (200 * RJ_US_PER_MS)
+/* Nothing starts while the last complete read of the log of jobs is older than
+ * this. The owner's own heartbeats make its reads return every 0.4 s. */
+#define JOBS_READ_AGE_MAX_US (1500 * RJ_US_PER_MS)
+/* Nothing starts either while the logs of workers or operators were read longer
+ * ago than this share of their limits (drain_ms, cordon_ms); the rest of the
+ * limit is left for sending the order. */
+#define READ_AGE_PERCENT 80
+/* Minimum time between log events about the backlog. */
+#define BACKLOG_LOG_INTERVAL_US RJ_US_PER_S
+/* Interval between checks for due occurrences of repeated jobs, and so the most
+ * by which an occurrence starts late. */
+#define OCCURRENCE_CHECK_INTERVAL_US (40 * RJ_US_PER_MS)
 
 /*
- * Prepare an owner that owns nothing yet.
+ * Initializes an owner that owns nothing yet. `name` and `limits` are copied;
+ * `view`, `store` and `workers` must outlive the owner.
  */
 void rj_cell_owner_init(struct rj_cell_owner *owner, void *mem,
 			const char *name, uint64_t incarnation,
 			struct rj_cell_view *view, struct rj_cell_store *store,
 			struct rj_cell_workers *workers,
-			const struct rj_cell_limits *terms)
+			const struct rj_cell_limits *limits)
 {
 	memset(owner, 0, sizeof(*owner));
 	owner->mem = mem;
@@ -49,19 +51,19 @@
 	owner->view = view;
 	owner->store = store;
 	owner->workers = workers;
-	owner->terms = *terms;
-	rj_list_init(&owner->works);
-	rj_list_init(&owner->dirty);
+	owner->limits = *limits;
+	rj_list_init(&owner->jobs);
+	rj_list_init(&owner->dirty_jobs);
 	rj_cell_forecast_init(&owner->forecast);
-	owner->ended = g_ptr_array_new_with_free_func(g_free);
+	owner->ended_jobs = g_ptr_array_new_with_free_func(g_free);
 	rj_cell_writer_init(&owner->writer, mem, store, RJ_CELL_TOPIC_JOBS,
 			    "owner");
-	rj_cell_writer_init(&owner->progress, mem, store,
+	rj_cell_writer_init(&owner->progress_writer, mem, store,
 			    RJ_CELL_TOPIC_PROGRESS, "owner");
 }
 
 /*
- * Whether the log has been out of reach for too long to renew leases.
+ * Whether the log has been unavailable for too long to renew leases.
  */
 bool rj_cell_owner_log_unavailable(const struct rj_cell_owner *owner)
 {
@@ -70,20 +72,22 @@
 }
 
 /*
- * A job's progress has changed and is to be stored.
+ * Queues a job whose progress has changed for the next flush, and requests a
+ * plan.
  */
 void rj_cell_owner_mark_dirty(struct rj_cell_owner *owner,
 			      struct rj_cell_job *job)
 {
 	if (!job->dirty)
-		rj_list_append(&owner->dirty, &job->in_dirty);
+		rj_list_append(&owner->dirty_jobs, &job->in_dirty);
 	job->dirty = true;
 	owner->plan_wanted = true;
 }
 
 /*
- * The task of a name as workers list it, or NULL when it is not under way;
- * `entry` (may be NULL) is that of its job, if that is known.
+ * Finds a task by the name under which workers list it. Returns NULL if its job
+ * is not active. `entry` may be NULL; otherwise it receives the entry of the
+ * job, or NULL if the job is unknown.
  */
 struct rj_cell_task *rj_cell_owner_find_task(struct rj_cell_owner *owner,
 					     const char *name,
@@ -106,18 +110,20 @@
 	return rj_cell_job_find_task(found->job, occurrence, step, index);
 }
 
-/* Until when a job is of use, by this node's clock. */
-static void set_times(struct rj_cell_owner *owner, struct rj_cell_job *job)
+/* Computes the times by which a job should end and after which it is of no use,
+ * by this node's clock. */
+static void set_objective_times(struct rj_cell_owner *owner,
+				struct rj_cell_job *job)
 {
-	const struct rj_cell_job_spec *job_spec = job->job_spec;
-	uint64_t age_ms = owner->wall_ms > job_spec->accepted_ms ?
-				  owner->wall_ms - job_spec->accepted_ms :
+	const struct rj_cell_job_spec *spec = job->job_spec;
+	uint64_t age_ms = owner->wall_ms > spec->accepted_ms ?
+				  owner->wall_ms - spec->accepted_ms :
 				  0;
 	uint64_t chain_ms =
-		rj_cell_forecast_critical_path_ms(&owner->forecast, job_spec);
-	uint64_t objective_us = (chain_ms * job_spec->stretch_milli / 1000 +
-				 job_spec->latency_ms) *
-				RJ_US_PER_MS;
+		rj_cell_forecast_critical_path_ms(&owner->forecast, spec);
+	uint64_t objective_us =
+		(chain_ms * spec->stretch_milli / 1000 + spec->latency_ms) *
+		RJ_US_PER_MS;
 
 	job->accepted_us = owner->now_us > age_ms * RJ_US_PER_MS ?
 				   owner->now_us - age_ms * RJ_US_PER_MS :
@@ -126,23 +132,25 @@
 	job->late_us = job->accepted_us + RJ_CELL_LATE_FACTOR * objective_us;
 }
 
-/* Take up a job that has not ended, with what its progress says. */
-static void adopt(struct rj_cell_owner *owner, struct rj_cell_view_entry *entry)
+/* Creates the state of a job that has not ended, from its stored progress. */
+static void adopt_job(struct rj_cell_owner *owner,
+		      struct rj_cell_view_entry *entry)
 {
 	struct rj_cell_job *job = rj_cell_job_new(owner->mem, entry->job_spec);
 	struct rj_error err;
 
 	job->entry = entry;
 	entry->job = job;
-	rj_list_append(&owner->works, &job->link);
-	set_times(owner, job);
+	rj_list_append(&owner->jobs, &job->link);
+	set_objective_times(owner, job);
 	if (entry->progress.length &&
 	    rj_cell_progress_decode(entry->progress, job, &owner->fleet,
 				    owner->now_us, &err))
 		rj_note("record_bad", RJ_NOTE_TEXT("job", entry->id),
 			RJ_NOTE_TEXT("error", err.message));
-	/* It has ended and nobody was told, or it was stored by the version
-	 * before. */
+	/* The job's end may not have been published before the former owner
+	 * stopped, and the previous version stored the progress in another
+	 * log. */
 	if (entry->progress.length && !entry->in_progress_log)
 		rj_cell_owner_mark_dirty(owner, job);
 	entry->in_progress_log = true;
@@ -152,18 +160,19 @@
 		rj_cell_completions_begin_occurrences(owner, job);
 }
 
-/* Say what has come, with the figures that decide on its first step. */
-static void note_taken(const struct rj_cell_view_entry *entry)
+/* Logs an accepted job with the figures that decide the placement of its first
+ * step. */
+static void log_job_accepted(const struct rj_cell_view_entry *entry)
 {
-	const struct rj_cell_job_spec *job_spec = entry->job_spec;
-	const struct rj_cell_step *step = &job_spec->steps[0];
+	const struct rj_cell_job_spec *spec = entry->job_spec;
+	const struct rj_cell_step *step = &spec->steps[0];
 
 	rj_note("job_taken", RJ_NOTE_TEXT("job", entry->id),
-		RJ_NOTE_TEXT("account", job_spec->account),
-		RJ_NOTE_TEXT("queue", job_spec->queue),
-		RJ_NOTE_NUMBER("priority", job_spec->priority),
-		RJ_NOTE_NUMBER("steps", job_spec->step_count),
-		RJ_NOTE_NUMBER("tasks", job_spec->task_count),
+		RJ_NOTE_TEXT("account", spec->account),
+		RJ_NOTE_TEXT("queue", spec->queue),
+		RJ_NOTE_NUMBER("priority", spec->priority),
+		RJ_NOTE_NUMBER("steps", spec->step_count),
+		RJ_NOTE_NUMBER("tasks", spec->task_count),
 		RJ_NOTE_NUMBER("cpu_milli", step->each.cpu_milli),
 		RJ_NOTE_NUMBER("memory_mb", step->each.memory_mb),
 		RJ_NOTE_NUMBER("accelerators", step->each.accelerators),
@@ -179,11 +188,11 @@
 		RJ_NOTE_NUMBER("per_worker_max", step->per_worker_max),
 		RJ_NOTE_NUMBER("may_miss", step->may_miss),
 		RJ_NOTE_NUMBER("target_ms", step->target_ms),
-		RJ_NOTE_NUMBER("repeats", job_spec->repeats));
+		RJ_NOTE_NUMBER("repeats", spec->repeats));
 }
 
 /*
- * A job's definition or a wish to cancel it has come.
+ * Applies a new job definition or a request to cancel the job.
  */
 void rj_cell_owner_update_job(struct rj_cell_owner *owner,
 			      struct rj_cell_view_entry *entry)
@@ -192,12 +201,12 @@
 	    entry->summary.state >= RJ_CELL_JOB_COMPLETED)
 		return;
 	if (!entry->job) {
-		adopt(owner, entry);
+		adopt_job(owner, entry);
 		if (!entry->job_spec->priority)
 			rj_cell_forecast_record_urgent(&owner->forecast,
 						       entry->job_spec,
 						       owner->now_us);
-		note_taken(entry);
+		log_job_accepted(entry);
 	}
 	if (entry->cancelled && !entry->job->cancelled) {
 		entry->job->cancelled = true;
@@ -208,8 +217,8 @@
 }
 
 /*
- * Whether a worker whose entry is gone has deregistered: it was draining, and
- * its entry went sooner than it could have expired.
+ * Whether a worker whose entry was removed has deregistered: it was draining,
+ * and the entry was removed before it could have expired.
  */
 static bool has_deregistered(const struct rj_cell_owner *owner,
 			     const struct rj_cell_worker *worker)
@@ -217,11 +226,12 @@
 	return worker->heartbeat.draining && worker->written_us &&
 	       owner->now_us <
 		       worker->written_us +
-			       owner->terms.entry_expiry_ms * RJ_US_PER_MS;
+			       owner->limits.entry_expiry_ms * RJ_US_PER_MS;
 }
 
-/* A worker's entry is gone. */
-static void unlist(struct rj_cell_owner *owner, struct rj_cell_worker *worker)
+/* Handles the removal of a worker's entry. */
+static void delist_worker(struct rj_cell_owner *owner,
+			  struct rj_cell_worker *worker)
 {
 	worker->listed = false;
 	if (has_deregistered(owner, worker)) {
@@ -235,8 +245,8 @@
 }
 
 /*
- * A worker's entry has changed, and was written after `written_us` (0: not
- * known); NULL when it is gone.
+ * Applies a change of a worker's entry, which was written after `written_us`
+ * (0: unknown). A NULL heartbeat means that the entry was removed.
  */
 void rj_cell_owner_update_worker(struct rj_cell_owner *owner, const char *id,
 				 const struct rj_cell_heartbeat *heartbeat,
@@ -247,12 +257,12 @@
 
 	if (!heartbeat) {
 		if (worker && worker->listed)
-			unlist(owner, worker);
+			delist_worker(owner, worker);
 		return;
 	}
 	worker = rj_cell_fleet_obtain(&owner->fleet, id);
 	was_draining = worker->heartbeat.draining;
-	/* Another life: nothing is sent there until it has answered. */
+	/* After a restart of the worker, send nothing until it has answered. */
 	if (worker->incarnation && heartbeat->incarnation &&
 	    worker->incarnation != heartbeat->incarnation) {
 		worker->answers = false;
@@ -274,7 +284,8 @@
 			RJ_NOTE_TEXT("domain", heartbeat->domain),
 			RJ_NOTE_TEXT("rack", heartbeat->rack),
 			RJ_NOTE_NUMBER("draining", heartbeat->draining));
-		/* In a load there is news of all; see rj_cell_polls_fleet_loaded. */
+		/* While all entries are being loaded,
+		 * rj_cell_polls_fleet_loaded schedules the first polls. */
 		if (written_us)
 			rj_cell_polls_schedule_now(owner, worker);
 		owner->plan_wanted = true;
@@ -282,10 +293,10 @@
 	worker->listed = true;
 }
 
-/* Ends that a former owner did not see count no longer than until `lease_expired_us`,
- * when every lease that it gave has lapsed. */
-static void bound_unseen(const struct rj_cell_job *job,
-			 uint64_t lease_expired_us)
+/* Completions that the former owner did not see are waited for until
+ * `expired_us` at most, when all leases that it granted have expired. */
+static void bound_unreported_ends(const struct rj_cell_job *job,
+				  uint64_t expired_us)
 {
 	const struct rj_list *at;
 
@@ -297,45 +308,47 @@
 		for (uint32_t i = 0; i < job->job_spec->task_count; i++)
 			occurrence->tasks[i].unreported_until_us =
 				MIN(occurrence->tasks[i].unreported_until_us,
-				    lease_expired_us);
+				    expired_us);
 	}
 }
 
 /*
- * Nothing is known of workers that a former owner has used until they
- * answer; it may renew their leases for `renewals_us` from now.
+ * Limits how long runs of the former owner may go on. Until a worker answers,
+ * its leases are unknown, and the former owner may renew them for another
+ * `renewals_us`.
  */
-static void bound_leases(struct rj_cell_owner *owner, uint64_t renewals_us)
+static void bound_former_leases(struct rj_cell_owner *owner,
+				uint64_t renewals_us)
 {
 	uint64_t lease_us =
-		rj_cell_lease_max_us(owner->terms.lease_max_ms * RJ_US_PER_MS);
-	uint64_t lease_expired_us = owner->now_us + renewals_us + lease_us;
+		rj_cell_lease_max_us(owner->limits.lease_max_ms * RJ_US_PER_MS);
+	uint64_t expired_us = owner->now_us + renewals_us + lease_us;
 	struct rj_list *at;
 	struct rj_list *next;
 
 	RJ_FOR_EACH (at, next, &owner->fleet.workers)
 		RJ_CONTAINER(at, struct rj_cell_worker, link)
-			->lease_expired_us = lease_expired_us;
-	RJ_FOR_EACH (at, next, &owner->works)
-		bound_unseen(RJ_CONTAINER(at, struct rj_cell_job, link),
-			     lease_expired_us);
+			->lease_expired_us = expired_us;
+	RJ_FOR_EACH (at, next, &owner->jobs)
+		bound_unreported_ends(
+			RJ_CONTAINER(at, struct rj_cell_job, link), expired_us);
 }
 
 /*
- * Begin to take the cell over under `token`, writing under `epoch`: this
- * instance shows its life in the log, and decides nothing until
- * rj_cell_owner_complete_takeover. The progress writer starts behind the fence that the
- * takeover puts into its log.
+ * Begins to take the cell over under `token`, writing under `epoch`. The owner
+ * writes heartbeats to the log, and decides nothing until
+ * rj_cell_owner_complete_takeover. The progress writer starts with the fence
+ * record that the takeover appends to its log.
  */
 void rj_cell_owner_begin_takeover(struct rj_cell_owner *owner, uint64_t token,
 				  uint64_t epoch, uint64_t now_us,
 				  uint64_t wall_ms)
 {
-	assert(!owner->active && !owner->taking);
-	assert(owner->dirty.next == &owner->dirty);
-	owner->taking = true;
-	owner->lost = false;
-	owner->leaving = false;
+	assert(!owner->active && !owner->taking_over);
+	assert(owner->dirty_jobs.next == &owner->dirty_jobs);
+	owner->taking_over = true;
+	owner->fenced = false;
+	owner->release_pending = false;
 	owner->generation++;
 	owner->token = token;
 	owner->now_us = now_us;
@@ -344,13 +357,14 @@
 	owner->heartbeat_due_us = now_us;
 	rj_cell_fleet_init(&owner->fleet, owner->mem, owner->cordons);
 	rj_cell_writer_open(&owner->writer, epoch, 1, now_us);
-	rj_cell_writer_open(&owner->progress, epoch, 0, now_us);
+	rj_cell_writer_open(&owner->progress_writer, epoch, 0, now_us);
 }
 
 /*
- * Own the cell: adopt every job that has not ended and all that may run. The
- * view must be complete up to the ownership record, and hold the progress of
- * all jobs; former owners renew no lease after `renewals_us` from now.
+ * Completes the takeover: adopts every job that has not ended and all runs that
+ * may exist. The view must be complete up to the ownership record, and hold the
+ * progress of all jobs; former owners renew no lease after `renewals_us` from
+ * now.
  */
 void rj_cell_owner_complete_takeover(struct rj_cell_owner *owner,
 				     uint64_t renewals_us, uint64_t now_us,
@@ -360,10 +374,10 @@
 	struct rj_list *next;
 	uint32_t jobs = 0;
 
-	assert(owner->taking);
-	owner->taking = false;
+	assert(owner->taking_over);
+	owner->taking_over = false;
 	owner->active = true;
-	owner->read_us = now_us;
+	owner->jobs_read_us = now_us;
 	owner->now_us = now_us;
 	owner->wall_ms = wall_ms;
 	owner->advice_pending = false;
@@ -379,7 +393,7 @@
 		rj_cell_owner_update_job(owner, entry);
 	}
 	rj_cell_view_drop_progress(owner->view);
-	bound_leases(owner, renewals_us);
+	bound_former_leases(owner, renewals_us);
 	rj_note("own", RJ_NOTE_NUMBER("token", owner->token),
 		RJ_NOTE_AGE_MS("renewals_ms", renewals_us),
 		RJ_NOTE_NUMBER("jobs", jobs),
@@ -387,31 +401,31 @@
 }
 
 /*
- * Own nothing any more. What ran goes on under its leases until a successor
- * takes it over. Callers have been told only what is stored, so the view stays
- * as it is.
+ * Gives up ownership. Existing runs go on under their leases until a successor
+ * adopts them. Clients were told only of stored changes, so the view stays
+ * valid. No effect on an owner that is neither active nor taking over.
  */
 void rj_cell_owner_resign(struct rj_cell_owner *owner, const char *reason)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	if (!owner->active && !owner->taking)
+	if (!owner->active && !owner->taking_over)
 		return;
 	rj_note("resign", RJ_NOTE_NUMBER("token", owner->token),
 		RJ_NOTE_TEXT("why", reason),
 		RJ_NOTE_AGE_MS("stored_ms",
 			       owner->now_us - owner->writer.stored_us));
 	owner->active = false;
-	owner->taking = false;
-	owner->lost = false;
+	owner->taking_over = false;
+	owner->fenced = false;
 	owner->generation++;
 	owner->counters.resignations++;
 	rj_cell_writer_close(&owner->writer);
-	rj_cell_writer_close(&owner->progress);
+	rj_cell_writer_close(&owner->progress_writer);
 	rj_cell_view_drop_progress(owner->view);
-	g_ptr_array_set_size(owner->ended, 0);
-	RJ_FOR_EACH (at, next, &owner->works) {
+	g_ptr_array_set_size(owner->ended_jobs, 0);
+	RJ_FOR_EACH (at, next, &owner->jobs) {
 		struct rj_cell_job *job =
 			RJ_CONTAINER(at, struct rj_cell_job, link);
 
@@ -422,65 +436,66 @@
 }
 
 /*
- * End: own nothing any more, and free what the owner holds.
+ * Resigns and frees everything that the owner allocated.
  */
 void rj_cell_owner_finish(struct rj_cell_owner *owner)
 {
 	rj_cell_owner_resign(owner, "finish");
 	rj_cell_forecast_finish(&owner->forecast);
-	g_ptr_array_free(owner->ended, TRUE);
+	g_ptr_array_free(owner->ended_jobs, TRUE);
 }
 
 /*
- * Give the cell away in the log, behind all that is to be stored. Whoever
- * reads it may take over at once; until then this owner goes on.
+ * Requests a record in the log that releases the cell, to be written after all
+ * pending changes. An instance that reads it may take over at once; until then
+ * this owner stays active.
  */
 void rj_cell_owner_release(struct rj_cell_owner *owner, uint64_t now_us)
 {
-	if (!owner->active && !owner->taking)
+	if (!owner->active && !owner->taking_over)
 		return;
 	owner->now_us = now_us;
-	owner->leaving = true;
+	owner->release_pending = true;
 }
 
-/* How long a plan has taken, by what it weighed. */
-static uint64_t plan_took_us(const struct rj_cell_owner *owner,
-			     const struct rj_cell_plan *plan)
+/* Estimates the duration of a plan from its effort. */
+static uint64_t plan_duration_us(const struct rj_cell_owner *owner,
+				 const struct rj_cell_plan *plan)
 {
 	uint64_t strength = owner->strength ? owner->strength : 100;
 
-	return plan->effort * EFFORT_NS * 100 / strength / 1000;
+	return plan->effort * EFFORT_UNIT_NS * 100 / strength / 1000;
 }
 
-/* Keep what a plan leaves waiting for the metrics, and log it now and then. */
-static void note_backlog(struct rj_cell_owner *owner,
-			 const struct rj_cell_plan *plan)
+/* Stores the backlog after a plan for the metrics, and logs it at intervals. */
+static void record_backlog(struct rj_cell_owner *owner,
+			   const struct rj_cell_plan *plan)
 {
 	rj_cell_backlog_sum(plan, &owner->backlog);
 	if (!plan->waiting_tasks || owner->now_us < owner->backlog_log_due_us)
 		return;
-	owner->backlog_log_due_us = owner->now_us + BACKLOG_NOTE_US;
+	owner->backlog_log_due_us = owner->now_us + BACKLOG_LOG_INTERVAL_US;
 	rj_cell_backlog_log(&owner->backlog);
 }
 
-/* Plan, and note what was decided. */
-static void plan_work(struct rj_cell_owner *owner)
+/* Makes a plan and carries out its starts and stops. */
+static void make_plan(struct rj_cell_owner *owner)
 {
 	struct rj_cell_plan plan;
 
 	rj_cell_plan_init(&plan);
 	plan.fleet = &owner->fleet;
-	plan.works = &owner->works;
+	plan.works = &owner->jobs;
 	plan.config = owner->config;
 	plan.forecast = &owner->forecast;
-	plan.failures = owner->failures;
-	plan.reclaim_ms = owner->terms.reclaim_ms;
+	plan.failures = owner->failure_burst;
+	plan.reclaim_ms = owner->limits.reclaim_ms;
 	plan.now_us = owner->now_us;
 	rj_cell_plan_make(&plan);
 	owner->counters.plans++;
 	owner->counters.plan_effort_max =
 		MAX(owner->counters.plan_effort_max, plan.effort);
-	note_backlog(owner, &plan);
+	record_backlog(owner, &plan);
 	rj_cell_starts_begin(owner, &plan);
 	for (guint i = 0; i < plan.stops->len; i++)
 		rj_cell_completions_stop_run(owner, plan.stops->pdata[i],
@@ -488,24 +503,25 @@
 	owner->plan_wanted = false;
 	rj_cell_advice_ask(owner, &plan);
 	owner->plan_due_us =
-		MIN(plan.next_retry_us, owner->now_us + PLAN_IDLE_US);
+		MIN(plan.next_retry_us, owner->now_us + PLAN_INTERVAL_MAX_US);
 	owner->plan_not_before_us =
 		owner->now_us +
-		MAX(PLAN_PAUSE_US,
-		    (1 + PLAN_PAUSE_FACTOR) * plan_took_us(owner, &plan));
+		MAX(PLAN_INTERVAL_MIN_US,
+		    (1 + PLAN_IDLE_FACTOR) * plan_duration_us(owner, &plan));
 	rj_cell_plan_finish(&plan);
 }
 
-/* Begin what has come due of jobs with times. */
-static void begin_rounds(struct rj_cell_owner *owner)
+/* Begins the due occurrences of repeated jobs. */
+static void begin_due_occurrences(struct rj_cell_owner *owner)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
 	if (owner->now_us < owner->occurrence_check_due_us)
 		return;
-	owner->occurrence_check_due_us = owner->now_us + ROUNDS_CHECK_US;
-	RJ_FOR_EACH (at, next, &owner->works) {
+	owner->occurrence_check_due_us =
+		owner->now_us + OCCURRENCE_CHECK_INTERVAL_US;
+	RJ_FOR_EACH (at, next, &owner->jobs) {
 		struct rj_cell_job *job =
 			RJ_CONTAINER(at, struct rj_cell_job, link);
 
@@ -515,50 +531,51 @@
 	}
 }
 
-/* Whether knowledge that is complete up to `read_us` is fresh enough to keep
- * a bound of `bound_ms`. */
+/* Whether information read completely up to `read_us` is recent enough to meet
+ * a limit of `bound_ms` (0: none). */
 static bool is_fresh(const struct rj_cell_owner *owner, uint64_t read_us,
 		     uint32_t bound_ms)
 {
 	return !bound_ms ||
 	       owner->now_us <= read_us + bound_ms * RJ_US_PER_MS *
-						  PUBLISHED_AGE_PERCENT / 100;
+						  READ_AGE_PERCENT / 100;
 }
 
 /*
  * Whether new work may start.
  *
- * Guards against starting what was cancelled long ago, or where nothing may
- * start any more: an owner that was cut off from the log, asleep or overloaded
- * can write it again before it has read what it missed.
+ * An owner that was cut off from the log, suspended or overloaded can write to
+ * the log again before it has read what it missed. Without this check it would
+ * start jobs that were cancelled long ago, or start runs on workers that are
+ * draining or cordoned.
  */
 bool rj_cell_owner_may_start(const struct rj_cell_owner *owner)
 {
-	return owner->now_us <= owner->read_us + READ_AGE_MAX_US &&
-	       is_fresh(owner, owner->workers_read_us, owner->terms.drain_ms) &&
+	return owner->now_us <= owner->jobs_read_us + JOBS_READ_AGE_MAX_US &&
+	       is_fresh(owner, owner->workers_read_us,
+			owner->limits.drain_ms) &&
 	       is_fresh(owner, owner->operators_read_us,
-			owner->terms.cordon_ms);
+			owner->limits.cordon_ms);
 }
 
-/* Decide what is due. */
 static void decide(struct rj_cell_owner *owner)
 {
-	begin_rounds(owner);
+	begin_due_occurrences(owner);
 	if ((owner->plan_wanted || owner->now_us >= owner->plan_due_us) &&
 	    !owner->writes_pending && rj_cell_owner_may_start(owner) &&
 	    owner->now_us >= owner->plan_not_before_us)
-		plan_work(owner);
+		make_plan(owner);
 	rj_cell_flush_expired(owner);
 }
 
 /*
- * Do all that is due: orders, plans, stores. To be called after each event
+ * Does everything that is due: plans, writes, orders. Call it after each event
  * and every few milliseconds.
  */
 void rj_cell_owner_advance(struct rj_cell_owner *owner, uint64_t now_us,
 			   uint64_t wall_ms)
 {
-	if ((!owner->active && !owner->taking) || owner->lost)
+	if ((!owner->active && !owner->taking_over) || owner->fenced)
 		return;
 	owner->now_us = now_us;
 	owner->wall_ms = wall_ms;
@@ -569,6 +586,6 @@
 	rj_cell_flush(owner);
 	if (owner->active)
 		rj_cell_orders_tick(owner);
-	rj_cell_writer_tick(&owner->progress, now_us);
+	rj_cell_writer_tick(&owner->progress_writer, now_us);
 	rj_cell_writer_tick(&owner->writer, now_us);
 }
--- a/src/libradishjunction/cell/cell_polls.c
+++ b/src/libradishjunction/cell/cell_polls.c
@@ -7,38 +7,42 @@
 #include "private/cell_run_health.h"
 #include "private/note.h"
 
-/* A poll waits so long for an end; at most 2,000 by the workers' protocol.
- * Shorter ones find a silent worker sooner, but each has its price. */
+/* How long a worker may delay its answer to a poll until a run completes; the
+ * worker protocol allows at most 2,000 ms. Shorter polls detect an unreachable
+ * worker sooner, but cost more calls. */
 #define POLL_WAIT_MS 1500
-/* ... and no longer than this part of a lease, so that two polls may be lost
- * before it lapses. */
+/* A poll waits for at most this part of a lease, so that two polls may be lost
+ * before the lease expires. */
 #define POLL_WAIT_LEASE_PART 4
-/* A poll may take this much longer than it asks the worker to wait. */
+/* Time for the answer beyond the wait that the poll requests. */
 #define POLL_TIMEOUT_MS 700
-/* Polls of a worker that does not answer; those at idle ones back off. */
+/* Retries of polls at workers that do not answer; those at idle workers back
+ * off. */
 #define POLL_RETRY_TIMEOUT_MS 300
 #define POLL_RETRY_US (150 * RJ_US_PER_MS)
 #define POLL_RETRY_MAX_US (1000 * RJ_US_PER_MS)
-/* Retries of all silent workers that hold runs, together. */
+/* Limit for the retries at all unreachable workers with runs together. */
 #define POLL_RETRIES_PER_S 200
-#define POLL_RETRIES_AT_ONCE 200
-/* A worker whose lease has lapsed is still polled for so long. */
-#define GIVEN_UP_POLL_US (15 * RJ_US_PER_S)
-/* Ends that cannot be stored make polls return at once; until they are,
- * leases are renewed at this pace. */
-#define POLL_UNSTORED_US (700 * RJ_US_PER_MS)
-/* Idle workers are polled in turn, all of them together so often a second, and
- * so many at once after a takeover, so that their cost does not follow their
- * number. */
+#define POLL_RETRY_BURST 200
+/* How long a worker whose lease has expired is still polled. */
+#define LOST_RUNS_POLL_US (15 * RJ_US_PER_S)
+/* While completions are not stored, polls return at once. Until they are
+ * stored, polls are sent, and leases renewed, at this interval. */
+#define POLL_UNSTORED_DELAY_US (700 * RJ_US_PER_MS)
+/* Limits for the polls at all idle workers together, per second and in a burst
+ * after a takeover, so that their cost does not grow with the number of
+ * workers. */
 #define IDLE_POLLS_PER_S 300
-#define IDLE_POLLS_AT_ONCE 450
-/* Of more workers than this no instance is sure to keep a connection to each,
- * so that polls open new ones: fewer of them then, and workers are taken to be
- * as well as their heartbeats say until the first order to them. */
-#define KNOWN_CLOSELY_MAX 1500
-#define IDLE_POLLS_FAR_PER_S 50
-
-/* A listed run that is not ours: stop it, and count its room meanwhile. */
+#define IDLE_POLL_BURST 450
+/* Largest fleet in which an instance can keep a connection to each worker. In a
+ * larger one polls open new connections, so idle workers are polled less often,
+ * and each is assumed to be as its heartbeat reports until the first order to
+ * it. */
+#define POLLED_FLEET_MAX 1500
+#define LARGE_FLEET_IDLE_POLLS_PER_S 50
+
+/* Stops a listed run that the owner does not know, and counts its allocation
+ * until it has ended. */
 static void stop_orphan(struct rj_cell_owner *owner,
 			struct rj_cell_worker *worker,
 			const struct rj_cell_run_report *row)
@@ -66,10 +70,10 @@
 	rj_cell_run_schedule_order(run, owner->now_us);
 }
 
-/* Mark the runs that the worker lists. */
-static void take_rows(struct rj_cell_owner *owner,
-		      struct rj_cell_worker *worker,
-		      const struct rj_cell_order_reply *reply)
+/* Updates the runs that the worker lists, and stops unknown ones. */
+static void process_runs(struct rj_cell_owner *owner,
+			 struct rj_cell_worker *worker,
+			 const struct rj_cell_order_reply *reply)
 {
 	for (uint32_t i = 0; i < reply->row_count; i++) {
 		const struct rj_cell_run_report *row = &reply->rows[i];
@@ -83,7 +87,6 @@
 	}
 }
 
-/* Whether a worker lists a run. */
 static bool is_listed(const struct rj_cell_order_reply *reply,
 		      const struct rj_cell_run *run)
 {
@@ -95,19 +98,22 @@
 }
 
 /*
- * Order a run that was taken over and is not there, if its former owner may
- * have been stopped between storing the intent and sending the order.
+ * Sends the start of an adopted run again that its worker does not list, as the
+ * former owner may have stopped between storing the intent and sending the
+ * order. Returns whether the run is started again.
  *
- * Load that it answers: an owner that dies while a gang starts. The members
- * that have started wait for the others for a few seconds; with these they
- * go on, where the whole gang would have to begin anew.
+ * If an owner fails while a gang starts, the members that have started wait a
+ * few seconds for the others. Starting the others lets the gang go on, instead
+ * of beginning again as a whole.
  */
-static bool order_again(struct rj_cell_owner *owner, struct rj_cell_run *run)
+static bool restart_adopted(struct rj_cell_owner *owner,
+			    struct rj_cell_run *run)
 {
 	if (!run->adopted || run->state != RJ_CELL_RUN_PLACED || !run->task ||
 	    !rj_cell_worker_schedulable(run->worker))
 		return false;
-	/* A gang's end speaks for members whose worker was reborn since. */
+	/* The end of a gang also covers members whose worker has been restarted
+	 * since. */
 	if (run->task->done ||
 	    run->task->occurrence->job->state >= RJ_CELL_JOB_COMPLETED)
 		return false;
@@ -124,16 +130,16 @@
 }
 
 /*
- * End the runs that the worker should list and does not.
+ * Ends the runs that the worker should list and does not.
  *
- * Guards against taking a run for lost whose start is still on its way: only
- * a list that was asked for after the order had been answered counts. Runs
- * taken over from a former owner are settled from the start, as the fencing
- * token keeps its orders from being carried out.
+ * A run whose start is still pending must not be taken for lost, so only a list
+ * counts that was requested after the order was answered. Adopted runs are
+ * settled from the beginning, as the fencing token keeps the former owner's
+ * orders from being carried out.
  */
-static void drop_missing(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker, uint64_t sent_us,
-			 const struct rj_cell_order_reply *reply)
+static void end_missing_runs(struct rj_cell_owner *owner,
+			     struct rj_cell_worker *worker, uint64_t sent_us,
+			     const struct rj_cell_order_reply *reply)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -144,7 +150,7 @@
 		bool settled = run->settled_us && run->settled_us < sent_us;
 
 		if (run->state == RJ_CELL_RUN_INTENDED || !settled ||
-		    is_listed(reply, run) || order_again(owner, run))
+		    is_listed(reply, run) || restart_adopted(owner, run))
 			continue;
 		if (!run->reason)
 			run->reason = "not_listed";
@@ -157,10 +163,10 @@
 	}
 }
 
-/* Take the ends in that are new. */
-static void take_ends(struct rj_cell_owner *owner,
-		      struct rj_cell_worker *worker,
-		      const struct rj_cell_order_reply *reply)
+/* Applies the completions that the owner has not seen yet. */
+static void process_completions(struct rj_cell_owner *owner,
+				struct rj_cell_worker *worker,
+				const struct rj_cell_order_reply *reply)
 {
 	for (uint32_t i = 0; i < reply->completion_count; i++) {
 		const struct rj_cell_completion_report *row =
@@ -183,13 +189,16 @@
 }
 
 /*
- * A worker has answered with another incarnation, or for the first time. Its
- * runs are not taken for lost by that alone: a start that was sent while the
- * worker was away may have arrived in its new life, as orders name the worker
- * and not its life. The lists that came with the answer tell.
+ * Handles the first answer of a worker or of a new incarnation.
+ *
+ * This alone does not mean that its runs are lost. Orders name the worker and
+ * not its incarnation, so a start that was sent while the worker was
+ * unavailable may have reached the new incarnation. The lists in the answer
+ * decide.
  */
-static void meet(struct rj_cell_owner *owner, struct rj_cell_worker *worker,
-		 const struct rj_cell_order_reply *reply)
+static void accept_incarnation(struct rj_cell_owner *owner,
+			       struct rj_cell_worker *worker,
+			       const struct rj_cell_order_reply *reply)
 {
 	rj_note("worker_met", RJ_NOTE_TEXT("worker", worker->id),
 		RJ_NOTE_NUMBER("incarnation", reply->incarnation),
@@ -201,45 +210,47 @@
 	worker->storing_position = 0;
 	worker->acknowledged_position = 0;
 	worker->bad_streak = 0;
-	/* From here on only our orders count, so that no lease is longer. */
-	worker->lease_ms = worker->clock_ms + owner->terms.lease_max_ms;
+	/* From now on only this owner's orders extend leases, so no lease is
+	 * longer. */
+	worker->lease_ms = worker->clock_ms + owner->limits.lease_max_ms;
 	worker->lease_expired_us = 0;
 	rj_cell_worker_extend_lease(worker, worker->lease_ms);
 	owner->plan_wanted = true;
 }
 
 /*
- * Whether a worker may list completions of runs that were given up: it is
- * polled like one that holds runs, as it may leave soon after it is back.
+ * Whether a worker may list completions of abandoned runs. It is then polled
+ * like one that holds runs, as it may leave again soon after it is back.
  */
-static bool may_list_more(const struct rj_cell_owner *owner,
-			  const struct rj_cell_worker *worker)
+static bool may_list_lost_runs(const struct rj_cell_owner *owner,
+			       const struct rj_cell_worker *worker)
 {
 	return worker->abandoned_us &&
-	       owner->now_us < worker->abandoned_us + GIVEN_UP_POLL_US;
+	       owner->now_us < worker->abandoned_us + LOST_RUNS_POLL_US;
 }
 
-/* Whether a worker is polled as long as it is silent. */
-static bool is_wanted(const struct rj_cell_owner *owner,
-		      const struct rj_cell_worker *worker)
+/* Whether a worker is polled even while it is unreachable. */
+static bool needs_polling(const struct rj_cell_owner *owner,
+			  const struct rj_cell_worker *worker)
 {
 	return worker->runs.next != &worker->runs ||
-	       may_list_more(owner, worker);
+	       may_list_lost_runs(owner, worker);
 }
 
-/* Whether nothing runs on a worker, and all its ends are settled. */
+/* Whether nothing runs on a worker, and it has been sent the acknowledgement of
+ * all its completions. */
 static bool is_idle(const struct rj_cell_owner *owner,
 		    const struct rj_cell_worker *worker)
 {
-	return !is_wanted(owner, worker) &&
+	return !needs_polling(owner, worker) &&
 	       worker->acknowledged_position >= worker->applied_position;
 }
 
-/* A worker's lists have come. */
-static void take_poll(struct rj_cell_owner *owner,
-		      struct rj_cell_worker *worker,
-		      const struct rj_cell_call_context *call,
-		      const struct rj_cell_order_reply *reply)
+/* Handles the lists in the answer to a poll. */
+static void process_poll(struct rj_cell_owner *owner,
+			 struct rj_cell_worker *worker,
+			 const struct rj_cell_call_context *call,
+			 const struct rj_cell_order_reply *reply)
 {
 	rj_cell_call_update_clock(worker, reply);
 	worker->poll_failures = 0;
@@ -247,27 +258,28 @@
 	worker->abandoned_us = 0;
 	rj_cell_call_set_answering(owner, worker, true, reply->status);
 	if (worker->incarnation != reply->incarnation)
-		meet(owner, worker, reply);
+		accept_incarnation(owner, worker, reply);
 	else
 		worker->acknowledged_position = call->stored_position;
-	take_ends(owner, worker, reply);
-	take_rows(owner, worker, reply);
-	drop_missing(owner, worker, call->sent_us, reply);
+	process_completions(owner, worker, reply);
+	process_runs(owner, worker, reply);
+	end_missing_runs(owner, worker, call->sent_us, reply);
 	rj_cell_run_health_check(owner, worker);
 	worker->poll_due_us = owner->now_us;
 	if (worker->applied_position > worker->stored_position)
-		worker->poll_due_us += POLL_UNSTORED_US;
+		worker->poll_due_us += POLL_UNSTORED_DELAY_US;
 }
 
 /*
- * A poll that was sent at `sent_us` has failed.
+ * Handles the failure of a poll that was sent at `sent_us`.
  *
- * A worker that deregistered ends all its runs. It is polled once more before
- * these are given up, as the inference rests on the timing of its entry.
+ * A worker that deregisters ends all its runs. As its deregistration is only
+ * inferred from the time at which its entry was removed, the runs are abandoned
+ * only after one more poll has failed.
  */
-static void note_failure(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker, uint64_t sent_us,
-			 enum rj_cell_order_status status)
+static void record_poll_failure(struct rj_cell_owner *owner,
+				struct rj_cell_worker *worker, uint64_t sent_us,
+				enum rj_cell_order_status status)
 {
 	uint64_t delay_us = POLL_RETRY_US;
 
@@ -277,13 +289,13 @@
 		rj_cell_call_other_incarnation(owner, worker);
 	else
 		rj_cell_call_set_answering(owner, worker, false, status);
-	if (!is_wanted(owner, worker))
+	if (!needs_polling(owner, worker))
 		delay_us <<= MIN(worker->poll_failures, 3U);
 	worker->poll_failures++;
 	worker->poll_due_us = owner->now_us + MIN(delay_us, POLL_RETRY_MAX_US);
 }
 
-/* The answer to a poll. */
+/* Handles the answer to a poll. */
 static void poll_done(void *private_data,
 		      const struct rj_cell_order_reply *reply)
 {
@@ -295,13 +307,14 @@
 		goto free_call;
 	worker->poll_in_flight = false;
 	if (reply->status == RJ_CELL_ORDER_FENCED) {
-		owner->lost = true;
+		owner->fenced = true;
 		goto free_call;
 	}
 	if (reply->status == RJ_CELL_ORDER_OK)
-		take_poll(owner, worker, call, reply);
+		process_poll(owner, worker, call, reply);
 	else
-		note_failure(owner, worker, call->sent_us, reply->status);
+		record_poll_failure(owner, worker, call->sent_us,
+				    reply->status);
 	if (!is_idle(owner, worker))
 		rj_cell_worker_set_poll_state(worker, RJ_CELL_POLL_STATE_BUSY);
 	else if (worker->answers)
@@ -313,7 +326,7 @@
 	talloc_free(call);
 }
 
-/* Ask a worker for its lists, renewing what runs there. */
+/* Requests the lists of a worker, and renews the leases of its runs. */
 static void send_poll(struct rj_cell_owner *owner,
 		      struct rj_cell_worker *worker)
 {
@@ -326,19 +339,21 @@
 	struct rj_cell_call_context *call;
 
 	/*
-	 * Guards against ends that are forgotten unseen: a worker that went
-	 * silent may have been reborn, and its new life counts its ends from
-	 * one again. Until it has answered, nothing counts as seen.
+	 * An unreachable worker may have been restarted, and its new
+	 * incarnation numbers its completions from one again. Until it has
+	 * answered, nothing is acknowledged, so that no completion is dropped
+	 * unseen.
 	 */
 	if (worker->answers)
 		poll.stored_position = worker->stored_position;
 	if (worker->incarnation && worker->answers)
-		poll.wait_ms = MIN(POLL_WAIT_MS, owner->terms.lease_max_ms /
+		poll.wait_ms = MIN(POLL_WAIT_MS, owner->limits.lease_max_ms /
 							 POLL_WAIT_LEASE_PART);
 	/*
-	 * Guards against leases that never lapse: a worker that is silent may
-	 * carry a poll out late, so each deadline that was sent counts, and
-	 * with it the time until its tasks may start elsewhere.
+	 * An unreachable worker may still carry out a poll late, so every
+	 * deadline that was sent delays the time at which its tasks may start
+	 * elsewhere. It gets no deadline until it has answered, so that its
+	 * leases expire.
 	 */
 	if (worker->incarnation && worker->answers &&
 	    worker->runs.next != &worker->runs)
@@ -353,49 +368,50 @@
 }
 
 /*
- * Nothing has been polled yet: all idle workers may be met.
+ * Fills the rate limits for polls, so that all idle workers may be polled after
+ * a takeover.
  */
 void rj_cell_polls_reset_limits(struct rj_cell_owner *owner)
 {
-	owner->idle_poll_limit.calls = IDLE_POLLS_AT_ONCE;
+	owner->idle_poll_limit.available = IDLE_POLL_BURST;
 	owner->idle_poll_limit.updated_us = owner->now_us;
-	owner->retry_poll_limit.calls = POLL_RETRIES_AT_ONCE;
+	owner->retry_poll_limit.available = POLL_RETRY_BURST;
 	owner->retry_poll_limit.updated_us = owner->now_us;
 }
 
-/* Add what has come free of an allowance since. */
-static void refill(struct rj_cell_rate_limit *allowance, uint64_t now_us,
-		   uint32_t per_s, double most)
+/* Adds the calls that have become available since the last update. */
+static void refill(struct rj_cell_rate_limit *limit, uint64_t now_us,
+		   uint32_t per_s, double burst)
 {
-	uint64_t passed_us = now_us - allowance->updated_us;
+	uint64_t elapsed_us = now_us - limit->updated_us;
 
-	allowance->updated_us = now_us;
-	allowance->calls += (double)passed_us * per_s / RJ_US_PER_S;
-	allowance->calls = MIN(allowance->calls, most);
+	limit->updated_us = now_us;
+	limit->available += (double)elapsed_us * per_s / RJ_US_PER_S;
+	limit->available = MIN(limit->available, burst);
 }
 
-/* Take one call out of an allowance, if there is one. */
-static bool take_one(struct rj_cell_rate_limit *allowance)
+/* Takes one call from a rate limit. Returns whether there was one. */
+static bool take_call(struct rj_cell_rate_limit *limit)
 {
-	if (allowance->calls < 1)
+	if (limit->available < 1)
 		return false;
-	allowance->calls--;
+	limit->available--;
 	return true;
 }
 
 /*
- * A heartbeat of a worker has been read: whether that is enough to give it
- * work, before it has answered any call.
+ * Decides from a worker's heartbeat whether it may get work before it has
+ * answered any call, and if so takes its clock from the heartbeat.
  *
- * Load that it answers: a takeover of a large fleet, which would wait until
- * thousands of workers have answered. The clock that the entry names is behind
- * the worker's by the age of the entry, so that a lease reckoned from it ends
- * early rather than late, and the first poll renews it.
+ * Otherwise a takeover of a large fleet would wait until thousands of workers
+ * have answered. The clock in the entry is behind the worker's clock by the age
+ * of the entry, so a lease computed from it ends early rather than late, and
+ * the first poll renews it.
  */
 void rj_cell_polls_accept_heartbeat(struct rj_cell_owner *owner,
 				    struct rj_cell_worker *worker)
 {
-	if (owner->fleet.count <= KNOWN_CLOSELY_MAX || worker->incarnation ||
+	if (owner->fleet.count <= POLLED_FLEET_MAX || worker->incarnation ||
 	    worker->poll_failures || !worker->heartbeat.clock_ms)
 		return;
 	worker->answers = true;
@@ -404,12 +420,12 @@
 }
 
 /*
- * All entries of workers have been loaded, so that the size of the fleet is
- * known: a small one is polled at once, a large one is taken at its word.
+ * Prepares the workers once all their entries are loaded and the size of the
+ * fleet is known: a small fleet is polled at once, in a large one the
+ * heartbeats are trusted.
  *
- * Load that it answers: a takeover of a large fleet by an instance with a part
- * of a core, which would poll thousands of idle workers before it starts
- * anything.
+ * Otherwise an instance with a fraction of a core that takes over a large fleet
+ * would poll thousands of idle workers before it starts anything.
  */
 void rj_cell_polls_fleet_loaded(struct rj_cell_owner *owner)
 {
@@ -422,7 +438,7 @@
 
 		if (!worker->listed)
 			continue;
-		if (owner->fleet.count > KNOWN_CLOSELY_MAX)
+		if (owner->fleet.count > POLLED_FLEET_MAX)
 			rj_cell_polls_accept_heartbeat(owner, worker);
 		else
 			rj_cell_polls_schedule_now(owner, worker);
@@ -431,7 +447,7 @@
 }
 
 /*
- * Poll a worker as soon as can be, as there is news of it.
+ * Makes a poll of the worker due now.
  */
 void rj_cell_polls_schedule_now(struct rj_cell_owner *owner,
 				struct rj_cell_worker *worker)
@@ -442,41 +458,43 @@
 }
 
 /*
- * Poll a worker that holds something, if that is due.
+ * Polls a worker that holds runs or unstored completions, if a poll is due and
+ * the retry limit allows it.
  */
 void rj_cell_polls_poll_busy(struct rj_cell_owner *owner,
 			     struct rj_cell_worker *worker)
 {
 	if (worker->poll_in_flight || owner->now_us < worker->poll_due_us)
 		return;
-	if (worker->poll_failures && !take_one(&owner->retry_poll_limit))
+	if (worker->poll_failures && !take_call(&owner->retry_poll_limit))
 		return;
 	if (worker->heartbeat.address.port &&
-	    (worker->listed || is_wanted(owner, worker)))
+	    (worker->listed || needs_polling(owner, worker)))
 		send_poll(owner, worker);
-	else if (!is_wanted(owner, worker))
-		rj_cell_worker_set_poll_state(
-			worker, RJ_CELL_POLL_STATE_IDLE); /* to go */
+	else if (!needs_polling(owner, worker))
+		/* poll_idle_workers drops it from there. */
+		rj_cell_worker_set_poll_state(worker, RJ_CELL_POLL_STATE_IDLE);
 }
 
-/* Poll idle workers in their order, as far as the allowance goes. */
-static void poll_idle(struct rj_cell_owner *owner,
-		      enum rj_cell_poll_state poll_state)
+/* Polls the idle workers of a watch list in order, as far as the rate limit
+ * allows, and drops workers without an entry. */
+static void poll_idle_workers(struct rj_cell_owner *owner,
+			      enum rj_cell_poll_state poll_state)
 {
 	struct rj_list *list = &owner->fleet.by_poll_state[poll_state];
 
-	while (owner->idle_poll_limit.calls >= 1 && list->next != list) {
+	while (owner->idle_poll_limit.available >= 1 && list->next != list) {
 		struct rj_cell_worker *worker = RJ_CONTAINER(
 			list->next, struct rj_cell_worker, in_poll_state);
 
-		/* Its entry is gone for good, and it holds nothing. */
+		/* The entry was removed, and the worker holds nothing. */
 		if (!worker->listed) {
 			rj_cell_fleet_drop(&owner->fleet, worker);
 			continue;
 		}
 		if (owner->now_us < worker->poll_due_us)
 			break;
-		(void)take_one(&owner->idle_poll_limit);
+		(void)take_call(&owner->idle_poll_limit);
 		rj_cell_worker_set_poll_state(worker,
 					      RJ_CELL_POLL_STATE_POLLING);
 		send_poll(owner, worker);
@@ -484,22 +502,19 @@
 }
 
 /*
- * Poll idle workers.
- *
- * Load that it answers: many more workers than work. Those that hold runs are
- * polled without a break, as their leases and ends depend on it; the rest
- * share an allowance, so that an owner's cost follows its work.
+ * Polls idle workers. Workers with runs are polled continuously, as their
+ * leases and completions depend on it. Idle ones share a rate limit, so that
+ * the cost of polling follows the work even with many more workers than tasks.
  */
 void rj_cell_polls_tick(struct rj_cell_owner *owner)
 {
-	uint32_t per_s = owner->fleet.count > KNOWN_CLOSELY_MAX ?
-				 IDLE_POLLS_FAR_PER_S :
+	uint32_t per_s = owner->fleet.count > POLLED_FLEET_MAX ?
+				 LARGE_FLEET_IDLE_POLLS_PER_S :
 				 IDLE_POLLS_PER_S;
 
-	refill(&owner->idle_poll_limit, owner->now_us, per_s,
-	       IDLE_POLLS_AT_ONCE);
+	refill(&owner->idle_poll_limit, owner->now_us, per_s, IDLE_POLL_BURST);
 	refill(&owner->retry_poll_limit, owner->now_us, POLL_RETRIES_PER_S,
-	       POLL_RETRIES_AT_ONCE);
-	poll_idle(owner, RJ_CELL_POLL_STATE_IDLE);
-	poll_idle(owner, RJ_CELL_POLL_STATE_UNREACHABLE);
+	       POLL_RETRY_BURST);
+	poll_idle_workers(owner, RJ_CELL_POLL_STATE_IDLE);
+	poll_idle_workers(owner, RJ_CELL_POLL_STATE_UNREACHABLE);
 }
--- a/src/libradishjunction/cell/cell_run_health.c
+++ b/src/libradishjunction/cell/cell_run_health.c
@@ -5,22 +5,24 @@
 #include "private/cell_calls.h"
 #include "private/note.h"
 
-/* A run whose percentage does not rise for so long stands still: even at a
- * seventh of the usual speed a task of 11 s gains a percent in a second. */
-#define STALL_US (3 * RJ_US_PER_S)
+/* A run whose percentage does not rise for this long is stalled. Even at a
+ * seventh of the usual speed a task of 11 s advances by a percent in a
+ * second. */
+#define STALL_TIMEOUT_US (3 * RJ_US_PER_S)
 /*
- * What serves and has been over its bound for so long gets its worker for
- * itself: users allow 4 s on end, of which a stop takes up to half a second,
- * and the worker's figure is of its last half second.
+ * How long a serving run may exceed its latency bound before it gets its worker
+ * for itself. A bound may be exceeded for 4 s at a time. Of these a stop takes
+ * up to half a second, and the worker's figure covers its last half second.
  */
-#define SLOW_US (1500 * RJ_US_PER_MS)
-/* Nothing is put beside it for so long then. */
-#define HARMED_US (20 * RJ_US_PER_S)
-/* New work stays off the worker where a run stood still. */
-#define STALL_SUSPECT_US (6 * RJ_US_PER_S)
-
-/* About when a run that was taken over has begun. */
-static uint64_t begun_by_progress(const struct rj_cell_owner *owner,
+#define SLOW_TIMEOUT_US (1500 * RJ_US_PER_MS)
+/* After that no batch run is placed beside it for this long. */
+#define EXCLUSIVE_PERIOD_US (20 * RJ_US_PER_S)
+/* A worker on which a run stalled gets no new work for this long. */
+#define STALL_SUSPECT_PERIOD_US (6 * RJ_US_PER_S)
+
+/* Estimates when an adopted run began, from its progress and forecast
+ * duration. */
+static uint64_t estimate_begin_us(const struct rj_cell_owner *owner,
 				  const struct rj_cell_run *run,
 				  uint32_t percent)
 {
@@ -36,7 +38,8 @@
 }
 
 /*
- * Take in what a listed run says of its progress.
+ * Updates a run from the row in which its worker lists it: state, progress,
+ * checkpoint, and since when it has exceeded its latency bound.
  */
 void rj_cell_run_health_update(struct rj_cell_owner *owner,
 			       struct rj_cell_run *run,
@@ -50,7 +53,7 @@
 			run->placed_us = owner->now_us;
 		if (run->adopted)
 			run->placed_us =
-				begun_by_progress(owner, run, row->percent);
+				estimate_begin_us(owner, run, row->percent);
 	}
 	if (row->percent != run->percent || !run->progress_us)
 		run->progress_us = owner->now_us;
@@ -67,9 +70,9 @@
 	g_strlcpy(run->saved, row->saved, sizeof(run->saved));
 }
 
-/* Whether a run may stand still: a member of a gang that is through waits for
- * the others, and what serves for good has no end to get to. */
-static bool may_stand(const struct rj_cell_run *run)
+/* Whether a run may stop making progress: a finished gang member waits for the
+ * others, and a perpetual run has no end. */
+static bool may_stall(const struct rj_cell_run *run)
 {
 	const struct rj_cell_step *step = rj_cell_task_step(run->task);
 
@@ -77,7 +80,6 @@
 	       (step->gang && run->percent >= RJ_CELL_PERCENT_ALL);
 }
 
-/* Stop runs that do not get on. */
 static void check_stalls(struct rj_cell_owner *owner,
 			 struct rj_cell_worker *worker)
 {
@@ -89,10 +91,11 @@
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
 
 		if (run->state != RJ_CELL_RUN_LISTED || !run->task ||
-		    may_stand(run) ||
-		    owner->now_us - run->progress_us < STALL_US)
+		    may_stall(run) ||
+		    owner->now_us - run->progress_us < STALL_TIMEOUT_US)
 			continue;
-		worker->suspect_until_us = owner->now_us + STALL_SUSPECT_US;
+		worker->suspect_until_us =
+			owner->now_us + STALL_SUSPECT_PERIOD_US;
 		rj_cell_completions_avoid_worker(owner, run->task, worker);
 		rj_note("run_stalled", RJ_NOTE_TEXT("task", run->name),
 			RJ_NOTE_TEXT("worker", worker->id),
@@ -101,14 +104,15 @@
 	}
 }
 
-/* Stop what fills the room of a worker beside work that serves. */
-static void stop_filling(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker)
+/* Stops the batch runs of a worker beside a serving run, and keeps others
+ * away. */
+static void stop_batch_runs(struct rj_cell_owner *owner,
+			    struct rj_cell_worker *worker)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	worker->exclusive_until_us = owner->now_us + HARMED_US;
+	worker->exclusive_until_us = owner->now_us + EXCLUSIVE_PERIOD_US;
 	RJ_FOR_EACH (at, next, &worker->runs) {
 		struct rj_cell_run *run =
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
@@ -120,14 +124,12 @@
 }
 
 /*
- * See whether work that serves is kept from its bound.
- *
- * Load that it answers: a full site, on which work that serves users within a
- * bound and work that fills share workers. What fills goes, as it can be done
- * elsewhere or later.
+ * Stops batch runs on a worker where a serving run exceeds its latency bound.
+ * When the cell is full, both kinds share workers; batch work can run elsewhere
+ * or later.
  */
-static void check_bounds(struct rj_cell_owner *owner,
-			 struct rj_cell_worker *worker)
+static void check_latency_bounds(struct rj_cell_owner *owner,
+				 struct rj_cell_worker *worker)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -138,22 +140,24 @@
 		struct rj_cell_run *run =
 			RJ_CONTAINER(at, struct rj_cell_run, in_worker);
 
-		if (!run->slow_us || owner->now_us - run->slow_us < SLOW_US)
+		if (!run->slow_us ||
+		    owner->now_us - run->slow_us < SLOW_TIMEOUT_US)
 			continue;
 		rj_note("bound_missed", RJ_NOTE_TEXT("task", run->name),
 			RJ_NOTE_TEXT("worker", worker->id),
 			RJ_NOTE_NUMBER("beside", worker->other_runs));
-		stop_filling(owner, worker);
+		stop_batch_runs(owner, worker);
 		return;
 	}
 }
 
 /*
- * Stop what does not get on at a worker, and what keeps others from it.
+ * Stops runs of a worker that have stalled, and batch runs that slow down
+ * serving ones.
  */
 void rj_cell_run_health_check(struct rj_cell_owner *owner,
 			      struct rj_cell_worker *worker)
 {
 	check_stalls(owner, worker);
-	check_bounds(owner, worker);
+	check_latency_bounds(owner, worker);
 }
