--- a/src/test_libradishjunction/support/cell_check.c
+++ b/src/test_libradishjunction/support/cell_check.c
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 /* A start after a cancel's acknowledgement is allowed for so long. */
 #define CANCEL_US (3 * S)
@@ -18,7 +18,7 @@
 #define DRAIN_US (2 * S)
 
 /* What has been seen of one task. */
-struct cell_task_log {
+struct cell_task_stats {
 	uint32_t running; /* on workers that are up */
 	uint32_t failed_ends;
 	uint32_t failures; /* of them, those that the owner has noted */
@@ -30,7 +30,7 @@
 /*
  * Note a broken rule.
  */
-void cell_world_violation(struct cell_world *world, const char *format, ...)
+void cell_sim_violation(struct cell_sim *world, const char *format, ...)
 {
 	va_list args;
 	char *text;
@@ -48,9 +48,9 @@
 /*
  * The job of a task's name, or NULL; and the task's place in it.
  */
-struct cell_client_job *cell_check_job(struct cell_world *world,
-				       const char *name, uint32_t *step,
-				       uint32_t *index)
+struct cell_client_job *cell_check_find_job(struct cell_sim *world,
+					    const char *name, uint32_t *step,
+					    uint32_t *index)
 {
 	struct cell_client_job *job;
 	char id[RJ_CELL_ID_BYTES];
@@ -66,13 +66,13 @@
 }
 
 /* The log of a task. */
-static struct cell_task_log *task_log(struct cell_client_job *job,
-				      const char *name)
+static struct cell_task_stats *task_log(struct cell_client_job *job,
+					const char *name)
 {
-	struct cell_task_log *log = g_hash_table_lookup(job->tasks, name);
+	struct cell_task_stats *log = g_hash_table_lookup(job->tasks, name);
 
 	if (!log) {
-		log = g_new0(struct cell_task_log, 1);
+		log = g_new0(struct cell_task_stats, 1);
 		g_hash_table_insert(job->tasks, g_strdup(name), log);
 	}
 	return log;
@@ -80,13 +80,13 @@
 
 /* The log of the task that has this name, with its job and its step, or NULL
  * if no client knows the job. */
-static struct cell_task_log *log_of(struct cell_world *world, const char *name,
-				    struct cell_client_job **job,
-				    uint32_t *step)
+static struct cell_task_stats *log_of(struct cell_sim *world, const char *name,
+				      struct cell_client_job **job,
+				      uint32_t *step)
 {
 	uint32_t index = 0;
 
-	*job = cell_check_job(world, name, step, &index);
+	*job = cell_check_find_job(world, name, step, &index);
 	return *job ? task_log(*job, name) : NULL;
 }
 
@@ -114,7 +114,7 @@
 }
 
 /* Whether the tasks of the first step have all begun. */
-static void note_begun(struct cell_world *world, struct cell_client_job *job)
+static void note_begun(struct cell_sim *world, struct cell_client_job *job)
 {
 	const struct rj_cell_step *step = &job->job_spec->steps[0];
 
@@ -146,30 +146,30 @@
 	uint32_t count = 0;
 
 	for (guint i = 0; i < worker->runs->len; i++)
-		if (are_siblings(cell_fake_row_at(worker, i).name, name))
+		if (are_siblings(cell_fake_run_info_at(worker, i).name, name))
 			count++;
 	return count;
 }
 
 /* Whether a worker that does not guard itself is overfilled. */
-static void check_room(struct cell_world *world,
-		       struct cell_fake_worker *worker,
+static void check_room(struct cell_sim *world, struct cell_fake_worker *worker,
 		       const struct rj_cell_step *step, const char *name)
 {
 	struct rj_cell_demand sum = rj_cell_step_allocation(step);
 
 	for (guint i = 0; i < worker->runs->len; i++) {
-		struct rj_cell_demand held = cell_fake_row_at(worker, i).held;
+		struct rj_cell_demand held =
+			cell_fake_run_info_at(worker, i).held;
 
 		rj_cell_demand_add(&sum, &held);
 	}
 	if (!rj_cell_demand_fits(&sum, &worker->heartbeat.capacity))
-		cell_world_violation(world, "capacity: %s on %s", name,
-				     worker->id);
+		cell_sim_violation(world, "capacity: %s on %s", name,
+				   worker->id);
 }
 
 /* Whether the failure domain of a worker has been cordoned for too long. */
-static void check_cordon(struct cell_world *world,
+static void check_cordon(struct cell_sim *world,
 			 const struct cell_fake_worker *worker,
 			 const char *name, uint64_t sent_us)
 {
@@ -177,19 +177,18 @@
 		g_hash_table_lookup(world->cordons, worker->heartbeat.domain);
 
 	if (since_us && sent_us > *since_us + CORDON_US)
-		cell_world_violation(world, "cordon: %s on %s in %s", name,
-				     worker->id, worker->heartbeat.domain);
+		cell_sim_violation(world, "cordon: %s on %s in %s", name,
+				   worker->id, worker->heartbeat.domain);
 }
 
 /* Whether a worker has been draining for too long. */
-static void check_drain(struct cell_world *world,
+static void check_drain(struct cell_sim *world,
 			const struct cell_fake_worker *worker, const char *name,
 			uint64_t sent_us)
 {
 	if (worker->heartbeat.draining &&
 	    sent_us > worker->drained_us + DRAIN_US)
-		cell_world_violation(world, "drain: %s on %s", name,
-				     worker->id);
+		cell_sim_violation(world, "drain: %s on %s", name, worker->id);
 }
 
 /*
@@ -197,19 +196,19 @@
  * for what is cancelled counts for the sending: a worker may carry an order
  * out late, and then has to be told to stop.
  */
-void cell_check_start(struct cell_world *world, struct cell_fake_worker *worker,
+void cell_check_start(struct cell_sim *world, struct cell_fake_worker *worker,
 		      const struct rj_cell_start *start, uint64_t sent_us)
 {
 	uint32_t step = 0;
 	uint32_t index = 0;
 	struct cell_client_job *job =
-		cell_check_job(world, start->name, &step, &index);
-	struct cell_task_log *log;
+		cell_check_find_job(world, start->name, &step, &index);
+	struct cell_task_stats *log;
 	const struct rj_cell_step *of;
 
 	world->starts++;
 	if (!job) {
-		cell_world_violation(world, "unasked: %s", start->name);
+		cell_sim_violation(world, "unasked: %s", start->name);
 		return;
 	}
 	of = &job->job_spec->steps[step];
@@ -217,26 +216,26 @@
 	log->starts++;
 	job->starts++;
 	if (log->running && !of->speculative)
-		cell_world_violation(world, "twice: %s run %u on %s, %u run",
-				     start->name, start->number, worker->id,
-				     log->running);
+		cell_sim_violation(world, "twice: %s run %u on %s, %u run",
+				   start->name, start->number, worker->id,
+				   log->running);
 	if (log->done_seen && !of->perpetual)
-		cell_world_violation(world, "twice: %s run %u after its end",
-				     start->name, start->number);
+		cell_sim_violation(world, "twice: %s run %u after its end",
+				   start->name, start->number);
 	if (log->failures >= job->job_spec->attempts_max && !of->perpetual)
-		cell_world_violation(world, "attempts: %s run %u", start->name,
-				     start->number);
+		cell_sim_violation(world, "attempts: %s run %u", start->name,
+				   start->number);
 	if (job->cancelled && sent_us > job->cancelled_us + CANCEL_US)
-		cell_world_violation(world, "unasked: %s is cancelled",
-				     start->name);
+		cell_sim_violation(world, "unasked: %s is cancelled",
+				   start->name);
 	if (!job->accepted && job->refusals && job->refusals == job->tries)
-		cell_world_violation(world, "refused: %s", start->name);
+		cell_sim_violation(world, "refused: %s", start->name);
 	for (uint32_t i = 0; i < of->after_count; i++)
 		if (!step_done(job, start->name, of->after[i]))
-			cell_world_violation(world, "order: %s", start->name);
+			cell_sim_violation(world, "order: %s", start->name);
 	if (of->per_worker_max &&
 	    siblings_on(worker, start->name) >= of->per_worker_max)
-		cell_world_violation(
+		cell_sim_violation(
 			world, "route: %s beside %u on %s", start->name,
 			siblings_on(worker, start->name), worker->id);
 	check_cordon(world, worker, start->name, sent_us);
@@ -249,12 +248,13 @@
 /*
  * A run has ended at its worker.
  */
-void cell_check_end(struct cell_world *world, struct cell_fake_worker *worker,
-		    const char *name, uint32_t run, enum rj_cell_completion end)
+void cell_check_completion(struct cell_sim *world,
+			   struct cell_fake_worker *worker, const char *name,
+			   uint32_t run, enum rj_cell_completion end)
 {
 	uint32_t step = 0;
 	struct cell_client_job *job;
-	struct cell_task_log *log = log_of(world, name, &job, &step);
+	struct cell_task_stats *log = log_of(world, name, &job, &step);
 
 	if (!log)
 		return;
@@ -269,13 +269,13 @@
 /*
  * The owner has noted an end.
  */
-void cell_check_seen(struct cell_world *world, struct cell_fake_worker *worker,
-		     const char *name, uint32_t run,
-		     enum rj_cell_completion end)
+void cell_check_acknowledged(struct cell_sim *world,
+			     struct cell_fake_worker *worker, const char *name,
+			     uint32_t run, enum rj_cell_completion end)
 {
 	uint32_t step = 0;
 	struct cell_client_job *job;
-	struct cell_task_log *log = log_of(world, name, &job, &step);
+	struct cell_task_stats *log = log_of(world, name, &job, &step);
 
 	if (!log)
 		return;
@@ -283,10 +283,10 @@
 		log->done_seen = true;
 		if (log->running && !job->job_spec->steps[step].speculative &&
 		    !job->job_spec->steps[step].perpetual)
-			cell_world_violation(world,
-					     "twice: %s run %u noted done "
-					     "while it runs",
-					     name, run);
+			cell_sim_violation(world,
+					   "twice: %s run %u noted done "
+					   "while it runs",
+					   name, run);
 	}
 	if (end == RJ_CELL_COMPLETION_FAILED)
 		log->failures++;
@@ -314,20 +314,21 @@
 }
 
 /* Nothing of a job that has ended runs any more. */
-static void check_leftovers(struct cell_world *world)
+static void check_leftovers(struct cell_sim *world)
 {
 	for (uint32_t i = 0; i < world->plan.workers; i++) {
 		struct cell_fake_worker *worker = &world->workers[i];
 
 		for (guint j = 0; j < worker->runs->len; j++) {
-			const char *name = cell_fake_row_at(worker, j).name;
+			const char *name =
+				cell_fake_run_info_at(worker, j).name;
 			uint32_t step = 0;
 			uint32_t index = 0;
 			const struct cell_client_job *job =
-				cell_check_job(world, name, &step, &index);
+				cell_check_find_job(world, name, &step, &index);
 
 			if (!job || job->shown >= RJ_CELL_JOB_COMPLETED)
-				cell_world_violation(
+				cell_sim_violation(
 					world, "unasked: %s still runs on %s",
 					name, worker->id);
 		}
@@ -339,7 +340,7 @@
  * is known and has ended, no task of a completed job is missing, and nothing
  * of an ended job runs.
  */
-void cell_world_check_end(struct cell_world *world)
+void cell_sim_check_final(struct cell_sim *world)
 {
 	check_leftovers(world);
 	for (guint i = 0; i < world->job_list->len; i++) {
@@ -348,27 +349,27 @@
 		if (!job->accepted)
 			continue;
 		if (job->gone)
-			cell_world_violation(world, "lost: %s is not known",
-					     job->id);
+			cell_sim_violation(world, "lost: %s is not known",
+					   job->id);
 		if (!job->has_shown || job->shown < RJ_CELL_JOB_COMPLETED)
-			cell_world_violation(
+			cell_sim_violation(
 				world, "lost: %s is %s", job->id,
 				job->has_shown ?
 					rj_cell_job_state_string[job->shown] :
 					"never shown");
 		if (job->shown == RJ_CELL_JOB_FAILED && !has_cause(job))
-			cell_world_violation(world, "lost: %s has failed",
-					     job->id);
+			cell_sim_violation(world, "lost: %s has failed",
+					   job->id);
 		if (job->shown == RJ_CELL_JOB_CANCELLED && !job->cancel_sent)
-			cell_world_violation(world, "lost: %s is cancelled",
-					     job->id);
+			cell_sim_violation(world, "lost: %s is cancelled",
+					   job->id);
 		for (uint32_t j = 0; job->shown == RJ_CELL_JOB_COMPLETED &&
 				     j < job->job_spec->step_count;
 		     j++) {
 			char *name = g_strdup_printf("%s.0.%u.0", job->id, j);
 
 			if (!step_done(job, name, j))
-				cell_world_violation(
+				cell_sim_violation(
 					world, "mixed: %s is not done", name);
 			g_free(name);
 		}
--- a/src/test_libradishjunction/support/cell_fake.h
+++ b/src/test_libradishjunction/support/cell_fake.h
@@ -7,10 +7,10 @@
 #define TEST_SUPPORT_CELL_FAKE_H
 
 #include "private/cell_workers.h"
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 /* A stop takes so long. */
-#define CELL_FAKE_STOP_US (150 * MS)
+#define CELL_FAKE_STOP_DELAY_US (150 * MS)
 
 /* One run on a worker. */
 struct cell_fake_run {
@@ -34,7 +34,7 @@
 };
 
 /* One end that is listed. */
-struct cell_fake_end {
+struct cell_fake_completion {
 	uint64_t position;
 	char name[64];
 	uint32_t number;
@@ -44,25 +44,27 @@
 };
 
 /* Runs and ends. */
-uint64_t cell_fake_clock_ms(const struct cell_world *world,
+uint64_t cell_fake_clock_ms(const struct cell_sim *world,
 			    const struct cell_fake_worker *worker);
-struct cell_fake_run *cell_fake_run_of(const struct cell_fake_worker *worker,
-				       const char *name);
-uint32_t cell_fake_tail_ms(const struct cell_fake_worker *worker,
-			   const struct cell_fake_run *run);
-void cell_fake_bar(struct cell_fake_worker *worker, const char *name,
-		   uint32_t number);
-void cell_fake_begin(struct cell_world *world, struct cell_fake_worker *worker,
-		     const struct rj_cell_start *start);
-bool cell_fake_is_full(struct cell_world *world,
-		       struct cell_fake_worker *worker, const char *name);
-void cell_fake_forget(struct cell_world *world, struct cell_fake_worker *worker,
-		      uint64_t seen);
+struct cell_fake_run *cell_fake_find_run(const struct cell_fake_worker *worker,
+					 const char *name);
+uint32_t cell_fake_tail_latency_ms(const struct cell_fake_worker *worker,
+				   const struct cell_fake_run *run);
+void cell_fake_mark_ended(struct cell_fake_worker *worker, const char *name,
+			  uint32_t number);
+void cell_fake_start_run(struct cell_sim *world,
+			 struct cell_fake_worker *worker,
+			 const struct rj_cell_start *start);
+bool cell_fake_is_full(struct cell_sim *world, struct cell_fake_worker *worker,
+		       const char *name);
+void cell_fake_drop_acknowledged(struct cell_sim *world,
+				 struct cell_fake_worker *worker,
+				 uint64_t seen);
 
 /* Polls that wait. */
-void cell_fake_wake_polls(struct cell_fake_worker *worker);
-void cell_fake_end_polls(struct cell_world *world,
-			 struct cell_fake_worker *worker);
-void cell_fake_lose_polls(struct cell_fake_worker *worker);
+void cell_fake_answer_polls(struct cell_fake_worker *worker);
+void cell_fake_expire_polls(struct cell_sim *world,
+			    struct cell_fake_worker *worker);
+void cell_fake_drop_polls(struct cell_fake_worker *worker);
 
 #endif
--- a/src/test_libradishjunction/support/cell_fake_advice.c
+++ b/src/test_libradishjunction/support/cell_fake_advice.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 #define DECIDE_US (30 * MS)
 #define PER_WORKER_US (2 * MS)
@@ -16,7 +16,7 @@
 
 /* A question on its way. */
 struct question {
-	struct cell_world_node *node;
+	struct cell_sim_node *node;
 	uint32_t life;
 	struct rj_cell_advice_done done;
 	struct rj_cell_advice_reply reply;
@@ -37,7 +37,7 @@
 /*
  * Whether a start's ticket is good for its worker's present life.
  */
-bool cell_advice_accepts(struct cell_world *world,
+bool cell_advice_accepts(struct cell_sim *world,
 			 const struct cell_fake_worker *worker,
 			 const struct rj_cell_start *start)
 {
@@ -51,8 +51,8 @@
 			g_ascii_strtoull(parts[2], NULL, 10) + VALID_MS * MS;
 
 	if (good && !cell_advice_allows(step, worker->id))
-		cell_world_violation(world, "route: %s may not run on %s",
-				     start->name, worker->id);
+		cell_sim_violation(world, "route: %s may not run on %s",
+				   start->name, worker->id);
 	g_strfreev(parts);
 	g_free(step);
 	return good;
@@ -62,16 +62,16 @@
 static void deliver(void *data)
 {
 	struct question *question = data;
-	struct cell_world_node *node = question->node;
+	struct cell_sim_node *node = question->node;
 
-	if (cell_world_waits(node, deliver, question))
+	if (cell_sim_defer_if_paused(node, deliver, question))
 		return;
-	if (cell_world_reaches(node, question->life)) {
-		cell_world_enter(node);
+	if (cell_sim_node_is_current(node, question->life)) {
+		cell_sim_node_enter(node);
 		question->reply.now_us = node->world->now_us;
 		question->done.call(question->done.private_data,
 				    &question->reply);
-		cell_world_leave(node);
+		cell_sim_node_leave(node);
 	}
 	talloc_free(question);
 }
@@ -81,9 +81,9 @@
 		const char *const *workers, uint32_t count,
 		struct rj_cell_advice_done done)
 {
-	struct cell_world_node *node =
-		RJ_CONTAINER(advisor, struct cell_world_node, advisor);
-	struct cell_world *world = node->world;
+	struct cell_sim_node *node =
+		RJ_CONTAINER(advisor, struct cell_sim_node, advisor);
+	struct cell_sim *world = node->world;
 	struct question *question = talloc_zero(world->mem, struct question);
 	struct rj_cell_ticket *tickets =
 		talloc_zero_array(question, struct rj_cell_ticket, count);
@@ -93,7 +93,7 @@
 	question->done = done;
 	world->questions++;
 	if (world->advice_silent) {
-		cell_world_at(world, TIMEOUT_US, deliver, question);
+		cell_sim_schedule(world, TIMEOUT_US, deliver, question);
 		return;
 	}
 	question->reply.answered = true;
@@ -111,8 +111,8 @@
 			step, world->workers[index].incarnation,
 			(uint64_t)(world->now_us + DECIDE_US));
 	}
-	cell_world_at(world, DECIDE_US + count * PER_WORKER_US, deliver,
-		      question);
+	cell_sim_schedule(world, DECIDE_US + count * PER_WORKER_US, deliver,
+			  question);
 }
 
 const struct rj_cell_advisor_ops cell_advice_ops = { .ask = ask };
--- a/src/test_libradishjunction/support/cell_fake_log.c
+++ b/src/test_libradishjunction/support/cell_fake_log.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 /* A producer's repeats of so many last appends are answered again. */
 #define REPEATS 5
@@ -22,7 +22,7 @@
 
 /* A long poll or any other call on its way. */
 struct call {
-	struct cell_world_node *node;
+	struct cell_sim_node *node;
 	uint32_t life;
 	struct rj_cell_store_done done;
 	enum rj_cell_topic topic;
@@ -41,7 +41,7 @@
 /*
  * Make an empty log.
  */
-void cell_log_init(struct cell_world *world)
+void cell_log_init(struct cell_sim *world)
 {
 	for (int i = 0; i < RJ_CELL_TOPIC_COUNT; i++)
 		world->log.records[i] = g_ptr_array_new();
@@ -53,7 +53,7 @@
 /*
  * Free it.
  */
-void cell_log_finish(struct cell_world *world)
+void cell_log_finish(struct cell_sim *world)
 {
 	for (int i = 0; i < RJ_CELL_TOPIC_COUNT; i++) {
 		GPtrArray *records = world->log.records[i];
@@ -74,7 +74,7 @@
 /*
  * Append one record at once, as operators and workers do.
  */
-void cell_log_put(struct cell_world *world, enum rj_cell_topic topic,
+void cell_log_put(struct cell_sim *world, enum rj_cell_topic topic,
 		  const char *key, const void *value, size_t length)
 {
 	struct cell_log_record *record = g_new0(struct cell_log_record, 1);
@@ -88,39 +88,39 @@
 static void deliver(void *data)
 {
 	struct call *call = data;
-	struct cell_world_node *node = call->node;
+	struct cell_sim_node *node = call->node;
 
-	if (!cell_world_reaches(node, call->life)) {
+	if (!cell_sim_node_is_current(node, call->life)) {
 		talloc_free(call);
 		return;
 	}
-	if (cell_world_waits(node, deliver, call))
+	if (cell_sim_defer_if_paused(node, deliver, call))
 		return;
-	cell_world_enter(node);
+	cell_sim_node_enter(node);
 	call->reply.now_us = node->world->now_us;
 	call->done.call(call->done.private_data, &call->reply);
 	rj_cell_node_advance(&node->node, node->world->now_us,
-			     cell_world_wall_ms(node->world));
-	cell_world_leave(node);
+			     cell_sim_wall_ms(node->world));
+	cell_sim_node_leave(node);
 	talloc_free(call);
 }
 
 /* The answer is on its way back. */
 static void answer(struct call *call, enum rj_cell_store_status status)
 {
-	struct cell_world *world = call->node->world;
+	struct cell_sim *world = call->node->world;
 
 	call->reply.status = status;
-	cell_world_at(world, world->log.latency_us / 2, deliver, call);
+	cell_sim_schedule(world, world->log.latency_us / 2, deliver, call);
 }
 
 /* A call that gets no answer. */
 static void lose(struct call *call)
 {
 	call->reply.status = RJ_CELL_STORE_LOST;
-	cell_world_at(call->node->world,
-		      TIMEOUT_US + (call->until_us ? 1000 * MS : 0), deliver,
-		      call);
+	cell_sim_schedule(call->node->world,
+			  TIMEOUT_US + (call->until_us ? 1000 * MS : 0),
+			  deliver, call);
 }
 
 /* Put one record into a reply. */
@@ -153,15 +153,15 @@
 static void try_read(void *data)
 {
 	struct call *call = data;
-	struct cell_world *world = call->node->world;
+	struct cell_sim *world = call->node->world;
 	GPtrArray *log = world->log.records[call->topic];
 	GArray *records;
 
-	if (!cell_world_reaches(call->node, call->life)) {
+	if (!cell_sim_node_is_current(call->node, call->life)) {
 		talloc_free(call);
 		return;
 	}
-	if (world->log.modes[call->node->index] == CELL_LOG_SILENT ||
+	if (world->log.modes[call->node->index] == CELL_LOG_UNREACHABLE ||
 	    world->log.reads_silent[call->topic]) {
 		lose(call);
 		return;
@@ -173,7 +173,7 @@
 	if ((call->from >= log->len ||
 	     world->now_us < world->log.deaf_until_us) &&
 	    world->now_us < call->until_us) {
-		cell_world_at(world, 2 * MS, try_read, call);
+		cell_sim_schedule(world, 2 * MS, try_read, call);
 		return;
 	}
 	records = g_array_new(FALSE, FALSE, sizeof(struct rj_cell_record));
@@ -195,7 +195,7 @@
 static void do_newest(void *data)
 {
 	struct call *call = data;
-	struct cell_world *world = call->node->world;
+	struct cell_sim *world = call->node->world;
 	GPtrArray *log = world->log.records[call->topic];
 	GHashTable *newest = g_hash_table_new(g_str_hash, g_str_equal);
 	GPtrArray *keys = g_ptr_array_new();
@@ -231,7 +231,7 @@
 	set_records(call, records);
 	g_ptr_array_free(keys, TRUE);
 	g_hash_table_destroy(newest);
-	if (world->log.modes[call->node->index] == CELL_LOG_SILENT ||
+	if (world->log.modes[call->node->index] == CELL_LOG_UNREACHABLE ||
 	    world->log.reads_silent[call->topic])
 		lose(call);
 	else
@@ -268,7 +268,7 @@
 }
 
 /* The producer of a name in one topic, made when it is new. */
-static struct producer *obtain_producer(struct cell_world *world,
+static struct producer *obtain_producer(struct cell_sim *world,
 					enum rj_cell_topic topic,
 					const char *name)
 {
@@ -286,7 +286,7 @@
 }
 
 /* Carry an append out. */
-static enum rj_cell_store_status apply(struct cell_world *world,
+static enum rj_cell_store_status apply(struct cell_sim *world,
 				       struct call *call)
 {
 	const struct rj_cell_append *append = &call->append;
@@ -325,21 +325,21 @@
 static void do_append(void *data)
 {
 	struct call *call = data;
-	struct cell_world *world = call->node->world;
+	struct cell_sim *world = call->node->world;
 	struct cell_log *log = &world->log;
 
 	log->appends++;
-	if (log->modes[call->node->index] == CELL_LOG_SILENT ||
+	if (log->modes[call->node->index] == CELL_LOG_UNREACHABLE ||
 	    (log->progress_silent &&
 	     call->append.topic == RJ_CELL_TOPIC_PROGRESS)) {
 		lose(call);
 		return;
 	}
-	if (log->modes[call->node->index] == CELL_LOG_REFUSES) {
+	if (log->modes[call->node->index] == CELL_LOG_REFUSING) {
 		answer(call, RJ_CELL_STORE_REFUSED);
 		return;
 	}
-	if (cell_world_random(world, 100) >= log->lose_percent) {
+	if (cell_sim_random(world, 100) >= log->lose_percent) {
 		answer(call, apply(world, call));
 		return;
 	}
@@ -351,7 +351,7 @@
 		late->records = talloc_steal(late, call->records);
 		late->append.producer =
 			talloc_strdup(late, call->append.producer);
-		cell_world_at(world, log->late_us, apply_late, late);
+		cell_sim_schedule(world, log->late_us, apply_late, late);
 	} else {
 		apply(world, call);
 	}
@@ -362,7 +362,7 @@
 static struct call *call_new(struct rj_cell_store *store,
 			     struct rj_cell_store_done done)
 {
-	struct cell_world_node *node = (struct cell_world_node *)store;
+	struct cell_sim_node *node = (struct cell_sim_node *)store;
 	struct call *call = talloc_zero(node->world->mem, struct call);
 
 	call->node = node;
@@ -390,8 +390,9 @@
 			append->records[i].value.length);
 		call->records[i].value.length = append->records[i].value.length;
 	}
-	cell_world_at(call->node->world, call->node->world->log.latency_us / 2,
-		      do_append, call);
+	cell_sim_schedule(call->node->world,
+			  call->node->world->log.latency_us / 2, do_append,
+			  call);
 }
 
 /* A read of a node. */
@@ -400,17 +401,18 @@
 		     struct rj_cell_store_done done)
 {
 	struct call *call = call_new(store, done);
-	struct cell_world *world = call->node->world;
+	struct cell_sim *world = call->node->world;
 
 	world->log.reads++;
 	call->topic = topic;
 	call->from = from;
 	call->reply.next = from;
 	call->until_us = wait_ms ? world->now_us + wait_ms * MS : 0;
-	if (world->log.modes[call->node->index] == CELL_LOG_REFUSES)
+	if (world->log.modes[call->node->index] == CELL_LOG_REFUSING)
 		answer(call, RJ_CELL_STORE_REFUSED);
 	else
-		cell_world_at(world, world->log.latency_us / 2, try_read, call);
+		cell_sim_schedule(world, world->log.latency_us / 2, try_read,
+				  call);
 }
 
 /* A load of a node. */
@@ -418,16 +420,16 @@
 		       const char *after, struct rj_cell_store_done done)
 {
 	struct call *call = call_new(store, done);
-	struct cell_world *world = call->node->world;
+	struct cell_sim *world = call->node->world;
 
 	world->log.reads++;
 	call->topic = topic;
 	call->after = talloc_strdup(call, after);
-	if (world->log.modes[call->node->index] == CELL_LOG_REFUSES)
+	if (world->log.modes[call->node->index] == CELL_LOG_REFUSING)
 		answer(call, RJ_CELL_STORE_REFUSED);
 	else
-		cell_world_at(world, world->log.latency_us / 2, do_newest,
-			      call);
+		cell_sim_schedule(world, world->log.latency_us / 2, do_newest,
+				  call);
 }
 
 const struct rj_cell_store_ops cell_log_ops = {
--- a/src/test_libradishjunction/support/cell_fake_orders.c
+++ b/src/test_libradishjunction/support/cell_fake_orders.c
@@ -21,7 +21,7 @@
 
 /* An order on its way. */
 struct order {
-	struct cell_world_node *node;
+	struct cell_sim_node *node;
 	uint32_t life;
 	struct cell_fake_worker *worker;
 	uint64_t incarnation;
@@ -39,20 +39,20 @@
 static void deliver(void *data)
 {
 	struct order *order = data;
-	struct cell_world_node *node = order->node;
+	struct cell_sim_node *node = order->node;
 
-	if (!cell_world_reaches(node, order->life)) {
+	if (!cell_sim_node_is_current(node, order->life)) {
 		talloc_free(order);
 		return;
 	}
-	if (cell_world_waits(node, deliver, order))
+	if (cell_sim_defer_if_paused(node, deliver, order))
 		return;
-	cell_world_enter(node);
+	cell_sim_node_enter(node);
 	order->reply.now_us = node->world->now_us;
 	order->done.call(order->done.private_data, &order->reply);
 	rj_cell_node_advance(&node->node, node->world->now_us,
-			     cell_world_wall_ms(node->world));
-	cell_world_leave(node);
+			     cell_sim_wall_ms(node->world));
+	cell_sim_node_leave(node);
 	talloc_free(order);
 }
 
@@ -68,13 +68,14 @@
 static void lose(struct order *order)
 {
 	order->reply.status = RJ_CELL_ORDER_LOST;
-	cell_world_at(order->node->world, timeout_us(order), deliver, order);
+	cell_sim_schedule(order->node->world, timeout_us(order), deliver,
+			  order);
 }
 
 /* The answer is on its way back. */
 static void answer(struct order *order, enum rj_cell_order_status status)
 {
-	struct cell_world *world = order->node->world;
+	struct cell_sim *world = order->node->world;
 
 	if (order->late) {
 		talloc_free(order);
@@ -87,7 +88,7 @@
 	order->reply.status = status;
 	order->reply.clock_ms = cell_fake_clock_ms(world, order->worker);
 	order->reply.incarnation = order->worker->incarnation;
-	cell_world_at(world, LATENCY_US, deliver, order);
+	cell_sim_schedule(world, LATENCY_US, deliver, order);
 }
 
 /* List the runs. */
@@ -105,7 +106,7 @@
 		rows[i].saved = talloc_strdup(order, run->saved);
 		rows[i].percent =
 			(uint32_t)MIN(100, run->done_us * 100 / run->work_us);
-		rows[i].measurement = cell_fake_tail_ms(worker, run);
+		rows[i].measurement = cell_fake_tail_latency_ms(worker, run);
 	}
 	order->reply.rows = rows;
 	order->reply.row_count = worker->runs->len;
@@ -120,8 +121,8 @@
 				  worker->completions->len);
 
 	for (guint i = 0; i < worker->completions->len; i++) {
-		struct cell_fake_end *end = &g_array_index(
-			worker->completions, struct cell_fake_end, i);
+		struct cell_fake_completion *end = &g_array_index(
+			worker->completions, struct cell_fake_completion, i);
 
 		completions[i].position = end->position;
 		completions[i].name = talloc_strdup(order, end->name);
@@ -144,7 +145,7 @@
 /*
  * Answer the polls that wait, as something has ended.
  */
-void cell_fake_wake_polls(struct cell_fake_worker *worker)
+void cell_fake_answer_polls(struct cell_fake_worker *worker)
 {
 	while (worker->polls->len) {
 		struct order *order = worker->polls->pdata[0];
@@ -157,8 +158,8 @@
 /*
  * End the polls that have waited long enough.
  */
-void cell_fake_end_polls(struct cell_world *world,
-			 struct cell_fake_worker *worker)
+void cell_fake_expire_polls(struct cell_sim *world,
+			    struct cell_fake_worker *worker)
 {
 	for (guint i = 0; i < worker->polls->len;) {
 		struct order *order = worker->polls->pdata[i];
@@ -175,7 +176,7 @@
 /*
  * The polls that wait get no answer, as the worker has gone.
  */
-void cell_fake_lose_polls(struct cell_fake_worker *worker)
+void cell_fake_drop_polls(struct cell_fake_worker *worker)
 {
 	while (worker->polls->len) {
 		struct order *order = worker->polls->pdata[0];
@@ -186,26 +187,26 @@
 }
 
 /* Whether a start lacks a good ticket that its queue asks for. */
-static bool wants_ticket(struct cell_world *world,
+static bool wants_ticket(struct cell_sim *world,
 			 const struct cell_fake_worker *worker,
 			 const struct rj_cell_start *start)
 {
 	uint32_t step = 0;
 	uint32_t index = 0;
 	const struct cell_client_job *job =
-		cell_check_job(world, start->name, &step, &index);
+		cell_check_find_job(world, start->name, &step, &index);
 
 	return job && !strcmp(job->job_spec->queue, "advised") &&
 	       !cell_advice_accepts(world, worker, start);
 }
 
 /* A start arrives. */
-static enum rj_cell_order_status do_start(struct cell_world *world,
+static enum rj_cell_order_status do_start(struct cell_sim *world,
 					  struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
 	const struct rj_cell_start *start = &order->start;
-	struct cell_fake_run *run = cell_fake_run_of(worker, start->name);
+	struct cell_fake_run *run = cell_fake_find_run(worker, start->name);
 	uint64_t longest_ms =
 		cell_fake_clock_ms(world, worker) + world->plan.lease_max_ms;
 
@@ -231,28 +232,29 @@
 	if (cell_fake_is_full(world, worker, start->name))
 		return RJ_CELL_ORDER_NO_CAPACITY;
 	cell_check_start(world, worker, start, order->sent_us);
-	cell_fake_begin(world, worker, start);
+	cell_fake_start_run(world, worker, start);
 	return RJ_CELL_ORDER_OK;
 }
 
 /* A stop arrives. */
-static enum rj_cell_order_status do_stop(struct cell_world *world,
+static enum rj_cell_order_status do_stop(struct cell_sim *world,
 					 struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
-	struct cell_fake_run *run = cell_fake_run_of(worker, order->start.name);
+	struct cell_fake_run *run =
+		cell_fake_find_run(worker, order->start.name);
 
 	if (order->start.token < worker->token)
 		return RJ_CELL_ORDER_FENCED;
 	worker->token = order->start.token;
-	cell_fake_bar(worker, order->start.name, order->start.number);
+	cell_fake_mark_ended(worker, order->start.name, order->start.number);
 	if (run && run->number == order->start.number && !run->stopped_us)
-		run->stopped_us = world->now_us + CELL_FAKE_STOP_US;
+		run->stopped_us = world->now_us + CELL_FAKE_STOP_DELAY_US;
 	return RJ_CELL_ORDER_OK;
 }
 
 /* A poll arrives: it may wait for an end. */
-static void do_poll(struct cell_world *world, struct order *order)
+static void do_poll(struct cell_sim *world, struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
 	const struct rj_cell_poll *poll = &order->poll;
@@ -267,7 +269,7 @@
 	if (poll->deadline_ms)
 		worker->lease_ms = MAX(worker->lease_ms,
 				       MIN(poll->deadline_ms, longest_ms));
-	cell_fake_forget(world, worker, poll->stored_position);
+	cell_fake_drop_acknowledged(world, worker, poll->stored_position);
 	if (!poll->wait_ms || worker->completions->len || order->late) {
 		answer_poll(order);
 		return;
@@ -280,7 +282,7 @@
 static void arrive(void *data)
 {
 	struct order *order = data;
-	struct cell_world *world = order->node->world;
+	struct cell_sim *world = order->node->world;
 	struct cell_fake_worker *worker = order->worker;
 
 	if (!worker->up) {
@@ -289,7 +291,7 @@
 			return;
 		}
 		order->reply.status = RJ_CELL_ORDER_UNSENT;
-		cell_world_at(world, LATENCY_US, deliver, order);
+		cell_sim_schedule(world, LATENCY_US, deliver, order);
 		return;
 	}
 	if (worker->cut[order->node->index] && !order->late) {
@@ -299,7 +301,7 @@
 			return;
 		}
 		order->reply.status = RJ_CELL_ORDER_UNSENT;
-		cell_world_at(world, timeout_us(order), deliver, order);
+		cell_sim_schedule(world, timeout_us(order), deliver, order);
 		return;
 	}
 	if (order->incarnation && order->incarnation != worker->incarnation) {
@@ -317,11 +319,11 @@
 /* Send an order; some are carried out late, and never answered. */
 static void send(struct order *order)
 {
-	struct cell_world *world = order->node->world;
+	struct cell_sim *world = order->node->world;
 	struct cell_fake_worker *worker = order->worker;
 
 	if (order->kind != ORDER_POLL && worker->leave_percent &&
-	    cell_world_random(world, 100) < worker->leave_percent) {
+	    cell_sim_random(world, 100) < worker->leave_percent) {
 		struct order *late =
 			talloc_memdup(world->mem, order, sizeof(*order));
 
@@ -334,15 +336,15 @@
 		late->start.checkpoint = talloc_strdup(
 			late,
 			order->start.checkpoint ? order->start.checkpoint : "");
-		cell_world_at(world,
-			      (LATE_MIN_MS +
-			       cell_world_random(world, LATE_SPREAD_MS)) *
-				      MS,
-			      arrive, late);
+		cell_sim_schedule(
+			world,
+			(LATE_MIN_MS + cell_sim_random(world, LATE_SPREAD_MS)) *
+				MS,
+			arrive, late);
 		lose(order);
 		return;
 	}
-	cell_world_at(world, LATENCY_US, arrive, order);
+	cell_sim_schedule(world, LATENCY_US, arrive, order);
 }
 
 /* Remember one order. */
@@ -351,9 +353,9 @@
 			       enum order_kind kind,
 			       struct rj_cell_order_done done)
 {
-	struct cell_world_node *node =
-		RJ_CONTAINER(workers, struct cell_world_node, workers);
-	struct cell_world *world = node->world;
+	struct cell_sim_node *node =
+		RJ_CONTAINER(workers, struct cell_sim_node, workers);
+	struct cell_sim *world = node->world;
 	struct order *order = talloc_zero(world->mem, struct order);
 	uint32_t index;
 
--- a/src/test_libradishjunction/support/cell_fake_workers.c
+++ b/src/test_libradishjunction/support/cell_fake_workers.c
@@ -17,18 +17,18 @@
 /*
  * A run of a worker, as the checker needs it.
  */
-struct cell_fake_row cell_fake_row_at(struct cell_fake_worker *worker,
-				      guint place)
+struct cell_fake_run_info cell_fake_run_info_at(struct cell_fake_worker *worker,
+						guint place)
 {
 	const struct cell_fake_run *run = worker->runs->pdata[place];
 
-	return (struct cell_fake_row){ run->name, run->held };
+	return (struct cell_fake_run_info){ run->name, run->held };
 }
 
 /*
  * What the worker's clock shows.
  */
-uint64_t cell_fake_clock_ms(const struct cell_world *world,
+uint64_t cell_fake_clock_ms(const struct cell_sim *world,
 			    const struct cell_fake_worker *worker)
 {
 	return 1000 + (uint64_t)((double)(world->now_us - worker->born_us) *
@@ -38,8 +38,8 @@
 /*
  * The run of a name, or NULL.
  */
-struct cell_fake_run *cell_fake_run_of(const struct cell_fake_worker *worker,
-				       const char *name)
+struct cell_fake_run *cell_fake_find_run(const struct cell_fake_worker *worker,
+					 const char *name)
 {
 	for (guint i = 0; i < worker->runs->len; i++) {
 		struct cell_fake_run *run = worker->runs->pdata[i];
@@ -53,8 +53,8 @@
 /*
  * The tail of what serves: over its bound when work that fills is beside.
  */
-uint32_t cell_fake_tail_ms(const struct cell_fake_worker *worker,
-			   const struct cell_fake_run *run)
+uint32_t cell_fake_tail_latency_ms(const struct cell_fake_worker *worker,
+				   const struct cell_fake_run *run)
 {
 	for (guint i = 0; i < worker->runs->len; i++) {
 		const struct cell_fake_run *other = worker->runs->pdata[i];
@@ -68,8 +68,8 @@
 /*
  * Bar a run of a name and all before it.
  */
-void cell_fake_bar(struct cell_fake_worker *worker, const char *name,
-		   uint32_t number)
+void cell_fake_mark_ended(struct cell_fake_worker *worker, const char *name,
+			  uint32_t number)
 {
 	guint before =
 		GPOINTER_TO_UINT(g_hash_table_lookup(worker->barred, name));
@@ -80,7 +80,7 @@
 }
 
 /* Free a run. */
-static void run_free(struct cell_world *world, struct cell_fake_run *run)
+static void run_free(struct cell_sim *world, struct cell_fake_run *run)
 {
 	if (run->gang)
 		g_ptr_array_remove(g_hash_table_lookup(world->gangs, run->gang),
@@ -91,13 +91,13 @@
 }
 
 /* A run ends: it is listed until it is seen. */
-static void end_run(struct cell_world *world, struct cell_fake_worker *worker,
+static void end_run(struct cell_sim *world, struct cell_fake_worker *worker,
 		    struct cell_fake_run *run, enum rj_cell_completion how)
 {
-	struct cell_fake_end end = { .position = ++worker->ends_count,
-				     .number = run->number,
-				     .end = how,
-				     .ended_us = world->now_us };
+	struct cell_fake_completion end = { .position = ++worker->ends_count,
+					    .number = run->number,
+					    .end = how,
+					    .ended_us = world->now_us };
 
 	g_strlcpy(end.name, run->name, sizeof(end.name));
 	if (how == RJ_CELL_COMPLETION_STOPPED && run->saves)
@@ -105,13 +105,13 @@
 				 "%016" G_GINT64_MODIFIER "x", run->done_us);
 	g_strlcpy(end.saved, run->saved, sizeof(end.saved));
 	g_array_append_val(worker->completions, end);
-	cell_fake_bar(worker, run->name, run->number);
+	cell_fake_mark_ended(worker, run->name, run->number);
 	if (how != RJ_CELL_COMPLETION_DONE)
 		world->wasted_us += run->done_us;
-	cell_check_end(world, worker, run->name, run->number, how);
+	cell_check_completion(world, worker, run->name, run->number, how);
 	g_ptr_array_remove(worker->runs, run);
 	run_free(world, run);
-	cell_fake_wake_polls(worker);
+	cell_fake_answer_polls(worker);
 }
 
 /* Runs of earlier workers come first; of one worker, those that began first. */
@@ -126,7 +126,7 @@
 }
 
 /* The runs of a gang, on all workers. */
-static GPtrArray *gang_of(struct cell_world *world, const char *gang,
+static GPtrArray *gang_of(struct cell_sim *world, const char *gang,
 			  GPtrArray *workers)
 {
 	const GPtrArray *members = g_hash_table_lookup(world->gangs, gang);
@@ -144,7 +144,7 @@
 }
 
 /* Members of a gang end with the first that ends without success. */
-static void break_gang(struct cell_world *world, const char *gang)
+static void break_gang(struct cell_sim *world, const char *gang)
 {
 	GPtrArray *workers = g_ptr_array_new();
 	GPtrArray *runs = gang_of(world, gang, workers);
@@ -163,7 +163,7 @@
 }
 
 /* A run ends, and with it its gang, unless that is through. */
-static void end_with_gang(struct cell_world *world,
+static void end_with_gang(struct cell_sim *world,
 			  struct cell_fake_worker *worker,
 			  struct cell_fake_run *run,
 			  enum rj_cell_completion how)
@@ -177,8 +177,8 @@
 }
 
 /* Whether all members of a run's gang are there. */
-static bool is_complete(struct cell_world *world,
-			const struct cell_fake_run *run, bool *all_through)
+static bool is_complete(struct cell_sim *world, const struct cell_fake_run *run,
+			bool *all_through)
 {
 	GPtrArray *runs;
 	bool complete;
@@ -199,7 +199,7 @@
 }
 
 /* All members of a gang are through: they end together. */
-static void end_gang(struct cell_world *world, struct cell_fake_run *run)
+static void end_gang(struct cell_sim *world, struct cell_fake_run *run)
 {
 	GPtrArray *workers = g_ptr_array_new();
 	GPtrArray *runs = gang_of(world, run->gang, workers);
@@ -212,7 +212,7 @@
 }
 
 /* One run works on. Returns false when it has ended. */
-static bool step_run(struct cell_world *world, struct cell_fake_worker *worker,
+static bool step_run(struct cell_sim *world, struct cell_fake_worker *worker,
 		     struct cell_fake_run *run)
 {
 	bool all_through;
@@ -238,7 +238,7 @@
 			      RJ_CELL_COMPLETION_GANG_INCOMPLETE);
 		return false;
 	}
-	run->slow_us = cell_fake_tail_ms(worker, run) > run->target_ms ?
+	run->slow_us = cell_fake_tail_latency_ms(worker, run) > run->target_ms ?
 			       run->slow_us + STEP_US :
 			       0;
 	world->harmed_us = MAX(world->harmed_us, run->slow_us);
@@ -267,7 +267,7 @@
 /* All workers work on, and polls that have waited long enough end. */
 static void step_all(void *data)
 {
-	struct cell_world *world = data;
+	struct cell_sim *world = data;
 
 	for (uint32_t i = 0; i < world->plan.workers; i++) {
 		struct cell_fake_worker *worker = &world->workers[i];
@@ -283,19 +283,18 @@
 			else if (worker->runs->len != before - 1)
 				j = 0; /* others of its gang went with it */
 		}
-		cell_fake_end_polls(world, worker);
+		cell_fake_expire_polls(world, worker);
 	}
-	cell_world_at(world, STEP_US, step_all, world);
+	cell_sim_schedule(world, STEP_US, step_all, world);
 }
 
 /* A worker shows in the log that it lives. */
 static void beat(void *data)
 {
 	struct cell_fake_worker *worker = data;
-	struct cell_world *world =
-		(struct cell_world *)(void *)((char *)(worker - worker->index) -
-					      offsetof(struct cell_world,
-						       workers));
+	struct cell_sim *world =
+		(struct cell_sim *)(void *)((char *)(worker - worker->index) -
+					    offsetof(struct cell_sim, workers));
 
 	if (worker->up && !worker->cut_from_log) {
 		worker->listed = true;
@@ -304,16 +303,16 @@
 		cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id,
 			     &worker->heartbeat, sizeof(worker->heartbeat));
 	} else if (worker->listed && !worker->wrote &&
-		   ++worker->beats_missed >= CELL_WORLD_ENTRY_BEATS) {
+		   ++worker->beats_missed >= CELL_SIM_ENTRY_HEARTBEATS) {
 		worker->listed = false;
 		cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id, NULL, 0);
 	}
 	worker->wrote = false;
-	cell_world_at(world, CELL_WORLD_HEARTBEAT_MS * MS, beat, worker);
+	cell_sim_schedule(world, CELL_SIM_HEARTBEAT_MS * MS, beat, worker);
 }
 
 /* Count a run among the members of its gang. */
-static void join_gang(struct cell_world *world, struct cell_fake_run *run)
+static void join_gang(struct cell_sim *world, struct cell_fake_run *run)
 {
 	GPtrArray *members = g_hash_table_lookup(world->gangs, run->gang);
 
@@ -327,8 +326,9 @@
 /*
  * A run of a start that is accepted.
  */
-void cell_fake_begin(struct cell_world *world, struct cell_fake_worker *worker,
-		     const struct rj_cell_start *start)
+void cell_fake_start_run(struct cell_sim *world,
+			 struct cell_fake_worker *worker,
+			 const struct rj_cell_start *start)
 {
 	struct cell_fake_run *run = g_new0(struct cell_fake_run, 1);
 	const struct rj_cell_step *step = NULL;
@@ -340,7 +340,7 @@
 	run->name = g_strdup(start->name);
 	run->number = start->number;
 	run->placed_us = world->now_us;
-	job = cell_check_job(world, start->name, &step_number, &index);
+	job = cell_check_find_job(world, start->name, &step_number, &index);
 	run->work_us = job ? job->work_us : S;
 	if (job) {
 		step = &job->job_spec->steps[step_number];
@@ -370,15 +370,15 @@
 /*
  * Whether a start does not fit a worker that guards its room.
  */
-bool cell_fake_is_full(struct cell_world *world,
-		       struct cell_fake_worker *worker, const char *name)
+bool cell_fake_is_full(struct cell_sim *world, struct cell_fake_worker *worker,
+		       const char *name)
 {
 	struct rj_cell_demand left = worker->heartbeat.capacity;
 	struct cell_client_job *job;
 	uint32_t step = 0;
 	uint32_t index = 0;
 
-	job = cell_check_job(world, name, &step, &index);
+	job = cell_check_find_job(world, name, &step, &index);
 	if (!world->plan.enforces_limits || !job)
 		return false;
 	for (guint i = 0; i < worker->runs->len; i++)
@@ -391,25 +391,25 @@
 /*
  * Ends that have been seen are forgotten.
  */
-void cell_fake_forget(struct cell_world *world, struct cell_fake_worker *worker,
-		      uint64_t seen)
+void cell_fake_drop_acknowledged(struct cell_sim *world,
+				 struct cell_fake_worker *worker, uint64_t seen)
 {
 	while (worker->completions->len) {
-		struct cell_fake_end *end = &g_array_index(
-			worker->completions, struct cell_fake_end, 0);
+		struct cell_fake_completion *end = &g_array_index(
+			worker->completions, struct cell_fake_completion, 0);
 
 		if (end->position > seen)
 			break;
 		/* What ended before a lease lapsed is not noted by this. */
 		if (worker->lapsed_us < end->ended_us)
-			cell_check_seen(world, worker, end->name, end->number,
-					end->end);
+			cell_check_acknowledged(world, worker, end->name,
+						end->number, end->end);
 		g_array_remove_index(worker->completions, 0);
 	}
 }
 
 /* Begin a life of a worker. */
-static void be_born(struct cell_world *world, struct cell_fake_worker *worker)
+static void be_born(struct cell_sim *world, struct cell_fake_worker *worker)
 {
 	worker->up = true;
 	worker->born_us = world->now_us;
@@ -423,7 +423,7 @@
 /*
  * Make all workers; their racks and speeds follow from their place.
  */
-void cell_workers_init(struct cell_world *world)
+void cell_workers_init(struct cell_sim *world)
 {
 	static const double speeds[] = { 1.0, 0.8, 1.25 };
 
@@ -443,26 +443,26 @@
 		worker->speed = speeds[i % G_N_ELEMENTS(speeds)];
 		worker->clock_rate = i % 2 ? 1.0 : 0.98;
 		worker->runs = g_ptr_array_new();
-		worker->completions =
-			g_array_new(FALSE, FALSE, sizeof(struct cell_fake_end));
+		worker->completions = g_array_new(
+			FALSE, FALSE, sizeof(struct cell_fake_completion));
 		worker->barred = g_hash_table_new_full(g_str_hash, g_str_equal,
 						       g_free, NULL);
 		worker->polls = g_ptr_array_new();
 		be_born(world, worker);
-		cell_world_at(world, i * MS, beat, worker);
+		cell_sim_schedule(world, i * MS, beat, worker);
 	}
-	cell_world_at(world, STEP_US, step_all, world);
+	cell_sim_schedule(world, STEP_US, step_all, world);
 }
 
 /* All runs of a worker end unseen. */
-static void drop_runs(struct cell_world *world, struct cell_fake_worker *worker)
+static void drop_runs(struct cell_sim *world, struct cell_fake_worker *worker)
 {
 	while (worker->runs->len) {
 		struct cell_fake_run *run = worker->runs->pdata[0];
 		char *gang = g_strdup(run->gang);
 
-		cell_check_end(world, worker, run->name, run->number,
-			       RJ_CELL_COMPLETION_LOST);
+		cell_check_completion(world, worker, run->name, run->number,
+				      RJ_CELL_COMPLETION_LOST);
 		world->wasted_us += run->done_us;
 		g_ptr_array_remove_index(worker->runs, 0);
 		run_free(world, run);
@@ -477,21 +477,21 @@
 /*
  * A worker crashes: nothing runs there any more, and nobody is told.
  */
-void cell_world_worker_kill(struct cell_world *world, uint32_t index)
+void cell_sim_worker_kill(struct cell_sim *world, uint32_t index)
 {
 	struct cell_fake_worker *worker = &world->workers[index];
 
 	if (!worker->up)
 		return;
 	worker->up = false;
-	cell_fake_lose_polls(worker);
+	cell_fake_drop_polls(worker);
 	drop_runs(world, worker);
 }
 
 /*
  * A worker starts again, under its old id, with another incarnation.
  */
-void cell_world_worker_start(struct cell_world *world, uint32_t index)
+void cell_sim_worker_start(struct cell_sim *world, uint32_t index)
 {
 	struct cell_fake_worker *worker = &world->workers[index];
 
@@ -502,7 +502,7 @@
 /*
  * A worker is cut off from all nodes and from the log, or is back.
  */
-void cell_world_worker_cut(struct cell_world *world, uint32_t index, bool cut)
+void cell_sim_worker_partition(struct cell_sim *world, uint32_t index, bool cut)
 {
 	for (uint32_t i = 0; i < world->plan.nodes; i++)
 		world->workers[index].cut[i] = cut;
@@ -512,14 +512,14 @@
 /*
  * A worker leaves as planned: it says that it drains, and deregisters.
  */
-void cell_world_worker_leave(struct cell_world *world, uint32_t index)
+void cell_sim_worker_deregister(struct cell_sim *world, uint32_t index)
 {
 	struct cell_fake_worker *worker = &world->workers[index];
 
 	worker->heartbeat.draining = true;
 	cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id,
 		     &worker->heartbeat, sizeof(worker->heartbeat));
-	cell_world_worker_kill(world, index);
+	cell_sim_worker_kill(world, index);
 	worker->listed = false;
 	cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id, NULL, 0);
 }
@@ -527,7 +527,7 @@
 /*
  * The first worker on which something runs; there must be one.
  */
-uint32_t cell_world_busy_worker(const struct cell_world *world)
+uint32_t cell_sim_busy_worker(const struct cell_sim *world)
 {
 	uint32_t index = 0;
 
@@ -540,8 +540,8 @@
 /*
  * A worker says that it drains, and stays for `left_ms` at least.
  */
-void cell_world_worker_drain(struct cell_world *world, uint32_t index,
-			     uint32_t left_ms)
+void cell_sim_worker_drain(struct cell_sim *world, uint32_t index,
+			   uint32_t left_ms)
 {
 	struct cell_fake_worker *worker = &world->workers[index];
 
@@ -558,7 +558,7 @@
 /*
  * Free all workers.
  */
-void cell_workers_finish(struct cell_world *world)
+void cell_workers_finish(struct cell_sim *world)
 {
 	for (uint32_t i = 0; i < world->plan.workers; i++) {
 		struct cell_fake_worker *worker = &world->workers[i];
--- a/src/test_libradishjunction/support/cell_fixture.c
+++ b/src/test_libradishjunction/support/cell_fixture.c
@@ -8,9 +8,9 @@
  */
 void cell_fixture_setup(struct cell_fixture *f, const void *plan)
 {
-	cell_world_init(&f->world, plan);
-	cell_world_run(&f->world, SETTLE_US);
-	g_assert_cmpint(cell_world_owner(&f->world), >=, 0);
+	cell_sim_init(&f->world, plan);
+	cell_sim_run(&f->world, SETTLE_US);
+	g_assert_cmpint(cell_sim_owner(&f->world), >=, 0);
 }
 
 /*
@@ -21,5 +21,5 @@
 	for (guint i = 0; i < f->world.violations->len; i++)
 		g_test_message("%s", (char *)f->world.violations->pdata[i]);
 	g_assert_cmpuint(f->world.violations->len, ==, 0);
-	cell_world_finish(&f->world);
+	cell_sim_finish(&f->world);
 }
--- a/src/test_libradishjunction/support/cell_fixture.h
+++ b/src/test_libradishjunction/support/cell_fixture.h
@@ -8,16 +8,16 @@
 #ifndef TEST_SUPPORT_CELL_FIXTURE_H
 #define TEST_SUPPORT_CELL_FIXTURE_H
 
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 struct cell_fixture {
-	struct cell_world world;
+	struct cell_sim world;
 };
 
 void cell_fixture_setup(struct cell_fixture *f, const void *plan);
 void cell_fixture_teardown(struct cell_fixture *f, const void *plan);
 
-/* Add a test of a site; `plan` is a struct cell_world_plan. */
+/* Add a test of a site; `plan` is a struct cell_sim_options. */
 #define CELL_TEST(path, plan, function)                                 \
 	g_test_add(path, struct cell_fixture, plan, cell_fixture_setup, \
 		   function, cell_fixture_teardown)
--- a/src/test_libradishjunction/support/cell_load.c
+++ b/src/test_libradishjunction/support/cell_load.c
@@ -10,31 +10,30 @@
 /*
  * Hand one job in, at a node that changes.
  */
-struct cell_client_job *cell_load_hand_in(struct cell_world *world,
-					  const char *queue,
-					  const char *account,
-					  const struct rj_cell_step *step,
-					  uint64_t work_us)
+struct cell_client_job *cell_load_submit(struct cell_sim *world,
+					 const char *queue, const char *account,
+					 const struct rj_cell_step *step,
+					 uint64_t work_us)
 {
 	struct cell_client_job *job =
-		cell_world_job(world, queue, account, step, 1, work_us);
+		cell_sim_job_new(world, queue, account, step, 1, work_us);
 
-	cell_world_submit(world, world->job_count % world->plan.nodes, job);
+	cell_sim_submit(world, world->job_count % world->plan.nodes, job);
 	return job;
 }
 
 /*
  * Let time pass while clients ask for their jobs.
  */
-void cell_load_follow(struct cell_world *world, uint64_t for_us)
+void cell_load_run(struct cell_sim *world, uint64_t for_us)
 {
 	for (uint64_t ran_us = 0; ran_us < for_us; ran_us += 100 * MS) {
-		cell_world_run(world, 100 * MS);
+		cell_sim_run(world, 100 * MS);
 		for (guint i = 0; i < world->job_list->len; i++) {
 			struct cell_client_job *job = world->job_list->pdata[i];
 
 			if (job->accepted && !job->ended_us)
-				cell_world_ask(world, i % world->plan.nodes,
+				cell_sim_query(world, i % world->plan.nodes,
 					       job);
 		}
 	}
@@ -44,41 +43,42 @@
  * Hand in bulk jobs of 24 tasks with one accelerator each; eight of them
  * fill the site.
  */
-void cell_load_fill(struct cell_world *world, uint32_t jobs, bool saves,
+void cell_load_fill(struct cell_sim *world, uint32_t jobs, bool saves,
 		    uint64_t work_us)
 {
-	struct rj_cell_step step = cell_world_step(24, 1, 6000);
+	struct rj_cell_step step = cell_sim_plain_step(24, 1, 6000);
 
 	step.checkpoints = saves;
 	for (uint32_t i = 0; i < jobs; i++)
-		cell_load_hand_in(world, "bulk", "b", &step, work_us);
-	cell_load_follow(world, 2 * S);
+		cell_load_submit(world, "bulk", "b", &step, work_us);
+	cell_load_run(world, 2 * S);
 }
 
 /* Hand in what has come due of a stream, `ran_us` after the load's begin. */
-static void hand_in_due(struct cell_world *world,
+static void hand_in_due(struct cell_sim *world,
 			const struct cell_load_stream *stream, uint64_t ran_us)
 {
 	if (ran_us < stream->first_us ||
 	    (stream->until_us && ran_us >= stream->until_us) ||
 	    (ran_us - stream->first_us) % stream->every_us >= PLAY_STEP_US)
 		return;
-	cell_load_hand_in(world, stream->queue, stream->account, &stream->step,
-			  stream->work_us);
+	cell_load_submit(world, stream->queue, stream->account, &stream->step,
+			 stream->work_us);
 }
 
 /*
  * Let streams of jobs come for a while, with clients that ask for them, and
  * call `check` (may be NULL) now and then.
  */
-void cell_load_play(struct cell_world *world,
-		    const struct cell_load_stream *streams, uint32_t count,
-		    uint64_t for_us, void (*check)(struct cell_world *world))
+void cell_load_run_streams(struct cell_sim *world,
+			   const struct cell_load_stream *streams,
+			   uint32_t count, uint64_t for_us,
+			   void (*check)(struct cell_sim *world))
 {
 	for (uint64_t ran_us = 0; ran_us < for_us; ran_us += PLAY_STEP_US) {
 		for (uint32_t i = 0; i < count; i++)
 			hand_in_due(world, &streams[i], ran_us);
-		cell_load_follow(world, PLAY_STEP_US);
+		cell_load_run(world, PLAY_STEP_US);
 		if (check)
 			check(world);
 	}
@@ -87,17 +87,17 @@
 /*
  * What the owner's last plan has left waiting and idle.
  */
-const struct rj_cell_backlog *cell_load_backlog(const struct cell_world *world)
+const struct rj_cell_backlog *cell_load_backlog(const struct cell_sim *world)
 {
-	return &world->nodes[cell_world_owner(world)].node.owner.backlog;
+	return &world->nodes[cell_sim_owner(world)].node.owner.backlog;
 }
 
 /* When a job should have ended, after it was sent. */
-static uint64_t objective_of(const struct cell_world *world,
+static uint64_t objective_of(const struct cell_sim *world,
 			     const struct cell_client_job *job)
 {
 	const struct rj_cell_node *node =
-		&world->nodes[cell_world_owner(world)].node;
+		&world->nodes[cell_sim_owner(world)].node;
 	const struct rj_cell_queue *queue =
 		rj_cell_config_queue(node->config, job->job_spec->queue);
 
@@ -106,7 +106,7 @@
 }
 
 /* What a client has of its job, in percent: all in time, less when late. */
-static uint32_t use_of(const struct cell_world *world,
+static uint32_t use_of(const struct cell_sim *world,
 		       const struct cell_client_job *job)
 {
 	uint64_t objective_us = objective_of(world, job);
@@ -122,8 +122,8 @@
  * What the clients of a queue have of the jobs that they handed in before a
  * time, in percent of what they would have if all had ended in time.
  */
-uint32_t cell_load_earned_percent(const struct cell_world *world,
-				  const char *queue, uint64_t sent_before_us)
+uint32_t cell_load_utility_percent(const struct cell_sim *world,
+				   const char *queue, uint64_t sent_before_us)
 {
 	uint32_t owed = 0;
 	uint32_t earned = 0;
--- a/src/test_libradishjunction/support/cell_load.h
+++ b/src/test_libradishjunction/support/cell_load.h
@@ -5,7 +5,7 @@
 #ifndef TEST_SUPPORT_CELL_LOAD_H
 #define TEST_SUPPORT_CELL_LOAD_H
 
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 /* Jobs of one kind that come at a steady rate. */
 struct cell_load_stream {
@@ -18,19 +18,19 @@
 	uint64_t until_us; /* 0: as long as the load lasts */
 };
 
-struct cell_client_job *cell_load_hand_in(struct cell_world *world,
-					  const char *queue,
-					  const char *account,
-					  const struct rj_cell_step *step,
-					  uint64_t work_us);
-void cell_load_follow(struct cell_world *world, uint64_t for_us);
-void cell_load_fill(struct cell_world *world, uint32_t jobs, bool saves,
+struct cell_client_job *cell_load_submit(struct cell_sim *world,
+					 const char *queue, const char *account,
+					 const struct rj_cell_step *step,
+					 uint64_t work_us);
+void cell_load_run(struct cell_sim *world, uint64_t for_us);
+void cell_load_fill(struct cell_sim *world, uint32_t jobs, bool saves,
 		    uint64_t work_us);
-void cell_load_play(struct cell_world *world,
-		    const struct cell_load_stream *streams, uint32_t count,
-		    uint64_t for_us, void (*check)(struct cell_world *world));
-const struct rj_cell_backlog *cell_load_backlog(const struct cell_world *world);
-uint32_t cell_load_earned_percent(const struct cell_world *world,
-				  const char *queue, uint64_t sent_before_us);
+void cell_load_run_streams(struct cell_sim *world,
+			   const struct cell_load_stream *streams,
+			   uint32_t count, uint64_t for_us,
+			   void (*check)(struct cell_sim *world));
+const struct rj_cell_backlog *cell_load_backlog(const struct cell_sim *world);
+uint32_t cell_load_utility_percent(const struct cell_sim *world,
+				   const char *queue, uint64_t sent_before_us);
 
 #endif
--- a/src/test_libradishjunction/support/cell_world.c
+++ b/src/test_libradishjunction/support/cell_sim.c
@@ -1,4 +1,4 @@
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -24,7 +24,7 @@
 /* A call in so many still carries the key that was removed last. */
 #define OLD_KEY_ONE_IN 7
 
-struct cell_world_event {
+struct cell_sim_event {
 	uint64_t at_us;
 	uint64_t sequence;
 	void (*call)(void *);
@@ -34,8 +34,8 @@
 /* Earlier events first, in the order in which they were made. */
 static gint by_time(gconstpointer a, gconstpointer b, gpointer unused)
 {
-	const struct cell_world_event *left = a;
-	const struct cell_world_event *right = b;
+	const struct cell_sim_event *left = a;
+	const struct cell_sim_event *right = b;
 
 	if (left->at_us != right->at_us)
 		return left->at_us < right->at_us ? -1 : 1;
@@ -45,10 +45,10 @@
 /*
  * Call a function in `delay_us`.
  */
-void cell_world_at(struct cell_world *world, uint64_t delay_us,
-		   void (*call)(void *), void *data)
+void cell_sim_schedule(struct cell_sim *world, uint64_t delay_us,
+		       void (*call)(void *), void *data)
 {
-	struct cell_world_event *event = g_new0(struct cell_world_event, 1);
+	struct cell_sim_event *event = g_new0(struct cell_sim_event, 1);
 
 	event->at_us = world->now_us + delay_us;
 	event->sequence = world->sequence++;
@@ -60,7 +60,7 @@
 /*
  * A number below a bound, the same in every run of a seed.
  */
-uint32_t cell_world_random(struct cell_world *world, uint32_t below)
+uint32_t cell_sim_random(struct cell_sim *world, uint32_t below)
 {
 	return below ? (uint32_t)(rj_random64(&world->random) % below) : 0;
 }
@@ -68,7 +68,7 @@
 /*
  * Milliseconds since 1970 by the world's clock.
  */
-uint64_t cell_world_wall_ms(const struct cell_world *world)
+uint64_t cell_sim_wall_ms(const struct cell_sim *world)
 {
 	return WALL_MS + world->now_us / MS;
 }
@@ -76,13 +76,13 @@
 /*
  * Let time pass.
  */
-void cell_world_run(struct cell_world *world, uint64_t for_us)
+void cell_sim_run(struct cell_sim *world, uint64_t for_us)
 {
 	uint64_t until_us = world->now_us + for_us;
 
 	for (;;) {
 		GSequenceIter *first = g_sequence_get_begin_iter(world->events);
-		struct cell_world_event *event;
+		struct cell_sim_event *event;
 
 		if (g_sequence_iter_is_end(first))
 			break;
@@ -100,7 +100,7 @@
 /*
  * Whether a node still is the process that made a call.
  */
-bool cell_world_reaches(const struct cell_world_node *node, uint32_t life)
+bool cell_sim_node_is_current(const struct cell_sim_node *node, uint32_t life)
 {
 	return node->up && node->life == life;
 }
@@ -108,15 +108,15 @@
 /*
  * Whether a node stands still just now: `call` is made again once it goes on.
  */
-bool cell_world_waits(struct cell_world_node *node, void (*call)(void *),
-		      void *data)
+bool cell_sim_defer_if_paused(struct cell_sim_node *node, void (*call)(void *),
+			      void *data)
 {
 	uint64_t now_us = node->world->now_us;
 
 	if (node->paused_until_us <= now_us)
 		return false;
-	cell_world_at(node->world, node->paused_until_us - now_us + 1, call,
-		      data);
+	cell_sim_schedule(node->world, node->paused_until_us - now_us + 1, call,
+			  data);
 	return true;
 }
 
@@ -221,7 +221,7 @@
 /*
  * Operators publish a new version, in which only `key` is good.
  */
-void cell_world_publish(struct cell_world *world, const char *key)
+void cell_sim_publish(struct cell_sim *world, const char *key)
 {
 	struct rj_packer out;
 	struct rj_bytes text;
@@ -246,8 +246,7 @@
 /*
  * Operators cordon a failure domain, or give it back.
  */
-void cell_world_cordon(struct cell_world *world, const char *domain,
-		       bool cordoned)
+void cell_sim_cordon(struct cell_sim *world, const char *domain, bool cordoned)
 {
 	char *key = g_strconcat(CORDON_PREFIX, domain, NULL);
 	uint64_t *since_us = g_hash_table_lookup(world->cordons, domain);
@@ -267,8 +266,8 @@
 
 /* Whose notes are printed, and who speaks just now. */
 static struct {
-	struct cell_world *world;
-	const struct cell_world_node *node;
+	struct cell_sim *world;
+	const struct cell_sim_node *node;
 } trace;
 
 /* Print one note. */
@@ -300,7 +299,7 @@
 /*
  * Print the notes of this world from now on; once in a process.
  */
-void cell_world_trace(struct cell_world *world)
+void cell_sim_trace(struct cell_sim *world)
 {
 	trace.world = world;
 	g_log_set_writer_func(print_note, NULL, NULL);
@@ -320,7 +319,7 @@
  * The code of a node runs from here on: notes are its own, and so is the
  * processor time.
  */
-void cell_world_enter(struct cell_world_node *node)
+void cell_sim_node_enter(struct cell_sim_node *node)
 {
 	trace.node = node;
 	node->cpu_ns -= cpu_now_ns();
@@ -329,7 +328,7 @@
 /*
  * The code of a node has returned.
  */
-void cell_world_leave(struct cell_world_node *node)
+void cell_sim_node_leave(struct cell_sim_node *node)
 {
 	node->cpu_ns += cpu_now_ns();
 }
@@ -337,23 +336,23 @@
 /* A node polls for what is due. */
 static void tick(void *data)
 {
-	struct cell_world_node *node = data;
-	struct cell_world *world = node->world;
+	struct cell_sim_node *node = data;
+	struct cell_sim *world = node->world;
 
-	cell_world_enter(node);
+	cell_sim_node_enter(node);
 	if (node->up && node->paused_until_us <= world->now_us)
 		rj_cell_node_advance(&node->node, world->now_us,
-				     cell_world_wall_ms(world));
-	cell_world_leave(node);
-	cell_world_at(world, TICK_US, tick, node);
+				     cell_sim_wall_ms(world));
+	cell_sim_node_leave(node);
+	cell_sim_schedule(world, TICK_US, tick, node);
 }
 
 /*
  * A node's process starts, with nothing of its former life.
  */
-void cell_world_start(struct cell_world *world, uint32_t index)
+void cell_sim_node_start(struct cell_sim *world, uint32_t index)
 {
-	struct cell_world_node *node = &world->nodes[index];
+	struct cell_sim_node *node = &world->nodes[index];
 	struct rj_cell_node_options options = {
 		.strength = 25,
 		.terms = { .status_retention_ms = 120000, .reclaim_ms = 2900 },
@@ -369,27 +368,26 @@
 	options.terms.stop_ms = STOP_MS;
 	options.terms.cordon_ms = CORDON_MS;
 	options.terms.entry_expiry_ms =
-		CELL_WORLD_HEARTBEAT_MS * CELL_WORLD_ENTRY_BEATS;
+		CELL_SIM_HEARTBEAT_MS * CELL_SIM_ENTRY_HEARTBEATS;
 	if (node->up)
 		return;
-	cell_world_enter(node);
+	cell_sim_node_enter(node);
 	node->up = true;
 	node->life++;
 	node->mem = talloc_named_const(world->mem, 0, "node");
 	(void)g_snprintf(options.name, sizeof(options.name), "n%u", index);
 	options.incarnation = node->life * 100 + index + 1;
 	rj_cell_node_init(&node->node, node->mem, &options);
-	rj_cell_node_start(&node->node, world->now_us,
-			   cell_world_wall_ms(world));
-	cell_world_leave(node);
+	rj_cell_node_start(&node->node, world->now_us, cell_sim_wall_ms(world));
+	cell_sim_node_leave(node);
 }
 
 /*
  * A node's process is killed: its clients hear nothing more.
  */
-void cell_world_kill(struct cell_world *world, uint32_t index)
+void cell_sim_node_kill(struct cell_sim *world, uint32_t index)
 {
-	struct cell_world_node *node = &world->nodes[index];
+	struct cell_sim_node *node = &world->nodes[index];
 
 	if (!node->up)
 		return;
@@ -401,7 +399,8 @@
 /*
  * A node stands still for a while; what comes meanwhile waits.
  */
-void cell_world_pause(struct cell_world *world, uint32_t index, uint64_t for_us)
+void cell_sim_node_pause(struct cell_sim *world, uint32_t index,
+			 uint64_t for_us)
 {
 	world->nodes[index].paused_until_us = world->now_us + for_us;
 }
@@ -409,7 +408,7 @@
 /*
  * The node that owns the cell by its own belief, or -1.
  */
-int cell_world_owner(const struct cell_world *world)
+int cell_sim_owner(const struct cell_sim *world)
 {
 	for (uint32_t i = 0; i < world->plan.nodes; i++)
 		if (world->nodes[i].up && world->nodes[i].node.owner.active)
@@ -420,8 +419,7 @@
 /*
  * Make a site and start all of it. Clients may come after a second or two.
  */
-void cell_world_init(struct cell_world *world,
-		     const struct cell_world_plan *plan)
+void cell_sim_init(struct cell_sim *world, const struct cell_sim_options *plan)
 {
 	memset(world, 0, sizeof(*world));
 	world->plan = *plan;
@@ -444,29 +442,29 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	cell_log_init(world);
 	cell_workers_init(world);
-	cell_world_publish(world, "k1");
+	cell_sim_publish(world, "k1");
 	for (uint32_t i = 0; i < plan->nodes; i++) {
-		struct cell_world_node *node = &world->nodes[i];
+		struct cell_sim_node *node = &world->nodes[i];
 
 		node->world = world;
 		node->index = i;
 		node->store.ops = &cell_log_ops;
 		node->workers.ops = &cell_workers_ops;
 		node->advisor.ops = &cell_advice_ops;
-		cell_world_start(world, i);
-		cell_world_at(world, TICK_US, tick, node);
+		cell_sim_node_start(world, i);
+		cell_sim_schedule(world, TICK_US, tick, node);
 	}
 }
 
 /*
  * Stop all and free it.
  */
-void cell_world_finish(struct cell_world *world)
+void cell_sim_finish(struct cell_sim *world)
 {
 	GSequenceIter *at;
 
 	for (uint32_t i = 0; i < world->plan.nodes; i++)
-		cell_world_kill(world, i);
+		cell_sim_node_kill(world, i);
 	for (at = g_sequence_get_begin_iter(world->events);
 	     !g_sequence_iter_is_end(at); at = g_sequence_iter_next(at))
 		g_free(g_sequence_get(at));
@@ -488,8 +486,8 @@
 /*
  * A step of plain tasks.
  */
-struct rj_cell_step cell_world_step(uint32_t tasks, uint32_t accelerators,
-				    uint32_t estimate_ms)
+struct rj_cell_step cell_sim_plain_step(uint32_t tasks, uint32_t accelerators,
+					uint32_t estimate_ms)
 {
 	struct rj_cell_step step = { .task_count = tasks,
 				     .each = { 1000, 1000, accelerators },
@@ -501,10 +499,10 @@
 /*
  * A job that a client may hand in; `work_us` is what each task really takes.
  */
-struct cell_client_job *cell_world_job(struct cell_world *world,
-				       const char *queue, const char *account,
-				       const struct rj_cell_step *steps,
-				       uint32_t step_count, uint64_t work_us)
+struct cell_client_job *cell_sim_job_new(struct cell_sim *world,
+					 const char *queue, const char *account,
+					 const struct rj_cell_step *steps,
+					 uint32_t step_count, uint64_t work_us)
 {
 	struct cell_client_job *job =
 		talloc_zero(world->mem, struct cell_client_job);
@@ -538,8 +536,8 @@
 /* One call of a client. */
 struct client_call {
 	struct rj_cell_call call;
-	struct cell_world *world;
-	struct cell_world_node *node;
+	struct cell_sim *world;
+	struct cell_sim_node *node;
 	uint32_t life;
 	struct cell_client_job *job;
 	bool removed; /* its key had been removed for too long when sent */
@@ -553,15 +551,15 @@
 {
 	struct client_call *call = (struct client_call *)base;
 	struct cell_client_job *job = call->job;
-	struct cell_world *world = call->world;
+	struct cell_sim *world = call->world;
 
-	if (!cell_world_reaches(call->node, call->life)) {
+	if (!cell_sim_node_is_current(call->node, call->life)) {
 		talloc_free(call);
 		return;
 	}
 	if (call->removed && answer->verdict <= RJ_CELL_VERDICT_CANCELLED)
-		cell_world_violation(world, "key: %s is served with %s",
-				     job->id, call->key);
+		cell_sim_violation(world, "key: %s is served with %s", job->id,
+				   call->key);
 	switch (answer->verdict) {
 	case RJ_CELL_VERDICT_ACCEPTED:
 		if (!job->accepted)
@@ -584,7 +582,7 @@
 		if (job->has_shown && answer->state < job->shown) {
 			if (base->now_us > job->shown_us &&
 			    job->shown >= RJ_CELL_JOB_COMPLETED)
-				cell_world_violation(
+				cell_sim_violation(
 					world, "mixed: %s was %s", job->id,
 					rj_cell_job_state_string[job->shown]);
 			break;
@@ -607,10 +605,10 @@
 }
 
 /* Send one call to a node; one that is down answers nothing. */
-static void send_call(struct cell_world *world, uint32_t index,
+static void send_call(struct cell_sim *world, uint32_t index,
 		      struct cell_client_job *job, enum rj_cell_verb verb)
 {
-	struct cell_world_node *node = &world->nodes[index];
+	struct cell_sim_node *node = &world->nodes[index];
 	struct client_call *call;
 	const char *key = world->key;
 	const char *prefix = "";
@@ -640,20 +638,20 @@
 	call->call.key = call->key;
 	call->call.wait_ms = 3000;
 	call->call.now_us = world->now_us;
-	call->call.wall_ms = cell_world_wall_ms(world);
+	call->call.wall_ms = cell_sim_wall_ms(world);
 	call->call.answer = answered;
 	if (verb == RJ_CELL_VERB_SUBMIT)
 		call->call.body = rj_cell_job_spec_encode(call, job->job_spec);
-	cell_world_enter(node);
+	cell_sim_node_enter(node);
 	rj_cell_frontend_handle(&node->node.front, &call->call);
-	cell_world_leave(node);
+	cell_sim_node_leave(node);
 }
 
 /*
  * Hand a job in, for the first time or again.
  */
-void cell_world_submit(struct cell_world *world, uint32_t node,
-		       struct cell_client_job *job)
+void cell_sim_submit(struct cell_sim *world, uint32_t node,
+		     struct cell_client_job *job)
 {
 	if (!job->sent_us)
 		job->sent_us = world->now_us;
@@ -664,7 +662,7 @@
 /*
  * Ask for a job's state.
  */
-void cell_world_ask(struct cell_world *world, uint32_t node,
+void cell_sim_query(struct cell_sim *world, uint32_t node,
 		    struct cell_client_job *job)
 {
 	send_call(world, node, job, RJ_CELL_VERB_QUERY);
@@ -673,8 +671,8 @@
 /*
  * Ask for a job to be cancelled.
  */
-void cell_world_cancel(struct cell_world *world, uint32_t node,
-		       struct cell_client_job *job)
+void cell_sim_cancel(struct cell_sim *world, uint32_t node,
+		     struct cell_client_job *job)
 {
 	job->cancel_sent = true;
 	send_call(world, node, job, RJ_CELL_VERB_CANCEL);
--- a/src/test_libradishjunction/support/cell_world.h
+++ b/src/test_libradishjunction/support/cell_sim.h
@@ -3,26 +3,26 @@
  * fake workers that speak the platform's contracts, with a checker of the
  * users' rules.
  *
- * Life cycle: `cell_world_init` with a plan of the site, then calls that run
- * time on, strike, or speak as a client; `cell_world_finish` frees all. The
+ * Life cycle: `cell_sim_init` with a plan of the site, then calls that run
+ * time on, strike, or speak as a client; `cell_sim_finish` frees all. The
  * same seed gives the same run.
  */
-#ifndef TEST_SUPPORT_CELL_WORLD_H
-#define TEST_SUPPORT_CELL_WORLD_H
+#ifndef TEST_SUPPORT_CELL_SIM_H
+#define TEST_SUPPORT_CELL_SIM_H
 
 #include <glib.h>
 
 #include "private/cell_node.h"
 
-#define CELL_WORLD_NODES_MAX 16
-#define CELL_WORLD_WORKERS_MAX 8192
+#define CELL_SIM_NODES_MAX 16
+#define CELL_SIM_WORKERS_MAX 8192
 /* Workers write their entries so often; one expires after so many misses. */
-#define CELL_WORLD_HEARTBEAT_MS 1500
-#define CELL_WORLD_ENTRY_BEATS 3
+#define CELL_SIM_HEARTBEAT_MS 1500
+#define CELL_SIM_ENTRY_HEARTBEATS 3
 #define MS RJ_US_PER_MS
 #define S RJ_US_PER_S
 
-struct cell_world;
+struct cell_sim;
 
 /* What a client was told last of a job it has handed in. */
 struct cell_client_job {
@@ -46,14 +46,14 @@
 	/* how the fake workers treat its tasks */
 	uint64_t work_us; /* of each task */
 	uint32_t fail_times; /* the first runs of each task fail */
-	GHashTable *tasks; /* name -> struct cell_task_log, by the checker */
+	GHashTable *tasks; /* name -> struct cell_task_stats, by the checker */
 };
 
 /* How the log treats the calls of a node. */
 enum cell_log_mode {
-	CELL_LOG_OK,
-	CELL_LOG_REFUSES,
-	CELL_LOG_SILENT,
+	CELL_LOG_AVAILABLE,
+	CELL_LOG_REFUSING,
+	CELL_LOG_UNREACHABLE,
 };
 
 struct cell_log_record {
@@ -69,16 +69,16 @@
 	bool reads_silent[RJ_CELL_TOPIC_COUNT]; /* reads get no answer */
 	uint32_t lose_percent; /* appends done and not answered */
 	uint64_t late_us; /* lost appends are done so much later; 0: at once */
-	enum cell_log_mode modes[CELL_WORLD_NODES_MAX];
+	enum cell_log_mode modes[CELL_SIM_NODES_MAX];
 	uint64_t first_kept[RJ_CELL_TOPIC_COUNT]; /* older records are gone */
 	uint64_t deaf_until_us; /* until then no append wakes a long poll */
 	uint64_t appends;
 	uint64_t reads;
-	uint64_t read_bytes[CELL_WORLD_NODES_MAX]; /* of values, by node */
+	uint64_t read_bytes[CELL_SIM_NODES_MAX]; /* of values, by node */
 };
 
 /* A row of a worker's list of runs. */
-struct cell_fake_row {
+struct cell_fake_run_info {
 	const char *name;
 	struct rj_cell_demand held;
 };
@@ -90,7 +90,7 @@
 	struct rj_cell_heartbeat heartbeat;
 	bool up;
 	bool listed;
-	bool cut[CELL_WORLD_NODES_MAX]; /* its calls get no answer */
+	bool cut[CELL_SIM_NODES_MAX]; /* its calls get no answer */
 	bool cut_from_log; /* its entry lapses, it runs on */
 	bool wants_ticket; /* starts without one are turned away */
 	bool refuses; /* starts: it says it is not well */
@@ -109,17 +109,17 @@
 	bool wrote; /* something else since its last heartbeat was due */
 	uint32_t beats_missed; /* in a row; its entry expires after three */
 	GPtrArray *runs; /* struct cell_fake_run */
-	GArray *completions; /* struct cell_fake_end */
+	GArray *completions; /* struct cell_fake_completion */
 	uint64_t ends_count;
 	GHashTable *barred; /* name -> highest run that ended or was stopped */
 	GPtrArray *polls; /* struct cell_fake_poll that wait */
 };
 
-struct cell_world_node {
+struct cell_sim_node {
 	struct rj_cell_store store; /* first member: found from the vtable */
 	struct rj_cell_workers workers;
 	struct rj_cell_advisor advisor;
-	struct cell_world *world;
+	struct cell_sim *world;
 	uint32_t index;
 	uint32_t life;
 	bool up;
@@ -129,7 +129,7 @@
 	uint64_t cpu_ns; /* that its code has taken */
 };
 
-struct cell_world_plan {
+struct cell_sim_options {
 	uint64_t seed;
 	uint32_t nodes;
 	uint32_t workers;
@@ -143,16 +143,16 @@
 	uint64_t break_us; /* members of a gang end so long after the first */
 };
 
-struct cell_world {
-	struct cell_world_plan plan;
+struct cell_sim {
+	struct cell_sim_options plan;
 	void *mem;
 	uint64_t now_us;
 	uint64_t random;
 	uint64_t sequence; /* of events */
 	GSequence *events;
 	struct cell_log log;
-	struct cell_fake_worker workers[CELL_WORLD_WORKERS_MAX];
-	struct cell_world_node nodes[CELL_WORLD_NODES_MAX];
+	struct cell_fake_worker workers[CELL_SIM_WORKERS_MAX];
+	struct cell_sim_node nodes[CELL_SIM_NODES_MAX];
 	GHashTable *jobs; /* id -> struct cell_client_job */
 	GHashTable *gangs; /* name -> GPtrArray of struct cell_fake_run */
 	GPtrArray *job_list;
@@ -172,83 +172,83 @@
 };
 
 /* Print every note of a world, with its time and node. */
-void cell_world_trace(struct cell_world *world);
-void cell_world_enter(struct cell_world_node *node);
-void cell_world_leave(struct cell_world_node *node);
-void cell_world_init(struct cell_world *world,
-		     const struct cell_world_plan *plan);
-void cell_world_finish(struct cell_world *world);
-void cell_world_run(struct cell_world *world, uint64_t for_us);
-void cell_world_at(struct cell_world *world, uint64_t delay_us,
-		   void (*call)(void *), void *data);
-uint32_t cell_world_random(struct cell_world *world, uint32_t below);
+void cell_sim_trace(struct cell_sim *world);
+void cell_sim_node_enter(struct cell_sim_node *node);
+void cell_sim_node_leave(struct cell_sim_node *node);
+void cell_sim_init(struct cell_sim *world, const struct cell_sim_options *plan);
+void cell_sim_finish(struct cell_sim *world);
+void cell_sim_run(struct cell_sim *world, uint64_t for_us);
+void cell_sim_schedule(struct cell_sim *world, uint64_t delay_us,
+		       void (*call)(void *), void *data);
+uint32_t cell_sim_random(struct cell_sim *world, uint32_t below);
 
 /* Clients. */
-struct rj_cell_step cell_world_step(uint32_t tasks, uint32_t accelerators,
-				    uint32_t estimate_ms);
-struct cell_client_job *cell_world_job(struct cell_world *world,
-				       const char *queue, const char *account,
-				       const struct rj_cell_step *steps,
-				       uint32_t step_count, uint64_t work_us);
-void cell_world_submit(struct cell_world *world, uint32_t node,
-		       struct cell_client_job *job);
-void cell_world_ask(struct cell_world *world, uint32_t node,
+struct rj_cell_step cell_sim_plain_step(uint32_t tasks, uint32_t accelerators,
+					uint32_t estimate_ms);
+struct cell_client_job *cell_sim_job_new(struct cell_sim *world,
+					 const char *queue, const char *account,
+					 const struct rj_cell_step *steps,
+					 uint32_t step_count, uint64_t work_us);
+void cell_sim_submit(struct cell_sim *world, uint32_t node,
+		     struct cell_client_job *job);
+void cell_sim_query(struct cell_sim *world, uint32_t node,
 		    struct cell_client_job *job);
-void cell_world_cancel(struct cell_world *world, uint32_t node,
-		       struct cell_client_job *job);
+void cell_sim_cancel(struct cell_sim *world, uint32_t node,
+		     struct cell_client_job *job);
 
 /* Strikes. */
-void cell_world_kill(struct cell_world *world, uint32_t node);
-void cell_world_start(struct cell_world *world, uint32_t node);
-void cell_world_pause(struct cell_world *world, uint32_t node, uint64_t for_us);
-int cell_world_owner(const struct cell_world *world);
-void cell_world_publish(struct cell_world *world, const char *key);
-void cell_world_cordon(struct cell_world *world, const char *domain,
-		       bool cordoned);
-void cell_world_worker_kill(struct cell_world *world, uint32_t worker);
-void cell_world_worker_start(struct cell_world *world, uint32_t worker);
-void cell_world_worker_cut(struct cell_world *world, uint32_t worker, bool cut);
-uint32_t cell_world_busy_worker(const struct cell_world *world);
-void cell_world_worker_drain(struct cell_world *world, uint32_t worker,
-			     uint32_t left_ms);
-void cell_world_worker_leave(struct cell_world *world, uint32_t worker);
+void cell_sim_node_kill(struct cell_sim *world, uint32_t node);
+void cell_sim_node_start(struct cell_sim *world, uint32_t node);
+void cell_sim_node_pause(struct cell_sim *world, uint32_t node,
+			 uint64_t for_us);
+int cell_sim_owner(const struct cell_sim *world);
+void cell_sim_publish(struct cell_sim *world, const char *key);
+void cell_sim_cordon(struct cell_sim *world, const char *domain, bool cordoned);
+void cell_sim_worker_kill(struct cell_sim *world, uint32_t worker);
+void cell_sim_worker_start(struct cell_sim *world, uint32_t worker);
+void cell_sim_worker_partition(struct cell_sim *world, uint32_t worker,
+			       bool cut);
+uint32_t cell_sim_busy_worker(const struct cell_sim *world);
+void cell_sim_worker_drain(struct cell_sim *world, uint32_t worker,
+			   uint32_t left_ms);
+void cell_sim_worker_deregister(struct cell_sim *world, uint32_t worker);
 
 /* Judgement. */
-void cell_world_violation(struct cell_world *world, const char *format, ...)
+void cell_sim_violation(struct cell_sim *world, const char *format, ...)
 	G_GNUC_PRINTF(2, 3);
-void cell_world_check_end(struct cell_world *world);
+void cell_sim_check_final(struct cell_sim *world);
 
 /* Between the files of the world. */
-struct cell_world_event;
-void cell_log_init(struct cell_world *world);
-void cell_log_finish(struct cell_world *world);
-void cell_log_put(struct cell_world *world, enum rj_cell_topic topic,
+struct cell_sim_event;
+void cell_log_init(struct cell_sim *world);
+void cell_log_finish(struct cell_sim *world);
+void cell_log_put(struct cell_sim *world, enum rj_cell_topic topic,
 		  const char *key, const void *value, size_t length);
 extern const struct rj_cell_store_ops cell_log_ops;
-void cell_workers_init(struct cell_world *world);
-void cell_workers_finish(struct cell_world *world);
+void cell_workers_init(struct cell_sim *world);
+void cell_workers_finish(struct cell_sim *world);
 extern const struct rj_cell_workers_ops cell_workers_ops;
-struct cell_fake_row cell_fake_row_at(struct cell_fake_worker *worker,
-				      guint place);
+struct cell_fake_run_info cell_fake_run_info_at(struct cell_fake_worker *worker,
+						guint place);
 extern const struct rj_cell_advisor_ops cell_advice_ops;
 bool cell_advice_allows(const char *step, const char *worker);
-bool cell_advice_accepts(struct cell_world *world,
+bool cell_advice_accepts(struct cell_sim *world,
 			 const struct cell_fake_worker *worker,
 			 const struct rj_cell_start *start);
-bool cell_world_reaches(const struct cell_world_node *node, uint32_t life);
-bool cell_world_waits(struct cell_world_node *node, void (*call)(void *),
-		      void *data);
-uint64_t cell_world_wall_ms(const struct cell_world *world);
-void cell_check_start(struct cell_world *world, struct cell_fake_worker *worker,
+bool cell_sim_node_is_current(const struct cell_sim_node *node, uint32_t life);
+bool cell_sim_defer_if_paused(struct cell_sim_node *node, void (*call)(void *),
+			      void *data);
+uint64_t cell_sim_wall_ms(const struct cell_sim *world);
+void cell_check_start(struct cell_sim *world, struct cell_fake_worker *worker,
 		      const struct rj_cell_start *start, uint64_t sent_us);
-void cell_check_end(struct cell_world *world, struct cell_fake_worker *worker,
-		    const char *name, uint32_t run,
-		    enum rj_cell_completion end);
-void cell_check_seen(struct cell_world *world, struct cell_fake_worker *worker,
-		     const char *name, uint32_t run,
-		     enum rj_cell_completion end);
-struct cell_client_job *cell_check_job(struct cell_world *world,
-				       const char *name, uint32_t *step,
-				       uint32_t *index);
+void cell_check_completion(struct cell_sim *world,
+			   struct cell_fake_worker *worker, const char *name,
+			   uint32_t run, enum rj_cell_completion end);
+void cell_check_acknowledged(struct cell_sim *world,
+			     struct cell_fake_worker *worker, const char *name,
+			     uint32_t run, enum rj_cell_completion end);
+struct cell_client_job *cell_check_find_job(struct cell_sim *world,
+					    const char *name, uint32_t *step,
+					    uint32_t *index);
 
 #endif
--- a/src/test_libradishjunction/test_cell_advice.c
+++ b/src/test_libradishjunction/test_cell_advice.c
@@ -3,7 +3,7 @@
  */
 #include "support/cell_fixture.h"
 
-static const struct cell_world_plan site = {
+static const struct cell_sim_options site = {
 	.seed = 11,
 	.nodes = 3,
 	.workers = 60,
@@ -18,9 +18,9 @@
 				       uint64_t work_us)
 {
 	struct cell_client_job *job =
-		cell_world_job(&f->world, "advised", "a", step, 1, work_us);
+		cell_sim_job_new(&f->world, "advised", "a", step, 1, work_us);
 
-	cell_world_submit(&f->world, 0, job);
+	cell_sim_submit(&f->world, 0, job);
 	return job;
 }
 
@@ -29,8 +29,8 @@
 		   uint32_t seconds)
 {
 	for (uint32_t i = 0; i < seconds * 10 && !job->ended_us; i++) {
-		cell_world_run(&f->world, 100 * MS);
-		cell_world_ask(&f->world, 1, job);
+		cell_sim_run(&f->world, 100 * MS);
+		cell_sim_query(&f->world, 1, job);
 	}
 }
 
@@ -42,7 +42,7 @@
 static void test_a_gang_runs_where_it_may(struct cell_fixture *f,
 					  const void *data)
 {
-	struct rj_cell_step step = cell_world_step(40, 8, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(40, 8, 2000);
 	struct cell_client_job *job;
 
 	step.gang = true;
@@ -61,7 +61,7 @@
  */
 static void test_tickets_are_renewed(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(120, 8, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(120, 8, 2000);
 	struct cell_client_job *job = hand_in(f, &step, 4 * S);
 
 	follow(f, job, 40);
@@ -75,18 +75,18 @@
  */
 static void test_silent_policy(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 2, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(2, 2, 1000);
 	struct cell_client_job *job;
-	uint32_t owner = (uint32_t)cell_world_owner(&f->world);
+	uint32_t owner = (uint32_t)cell_sim_owner(&f->world);
 
 	f->world.advice_silent = true;
 	job = hand_in(f, &step, S);
 	follow(f, job, 2);
 	g_assert_cmpuint(job->starts, ==, 0);
-	cell_world_kill(&f->world, owner);
+	cell_sim_node_kill(&f->world, owner);
 	f->world.advice_silent = false;
-	cell_world_run(&f->world, S);
-	cell_world_start(&f->world, owner);
+	cell_sim_run(&f->world, S);
+	cell_sim_node_start(&f->world, owner);
 	follow(f, job, 12);
 	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
 }
--- a/src/test_libradishjunction/test_cell_cordon.c
+++ b/src/test_libradishjunction/test_cell_cordon.c
@@ -10,12 +10,12 @@
 
 /* Twelve workers of eight accelerators in three racks, one for each failure
  * domain; three nodes. */
-static const struct cell_world_plan site = { .seed = 5,
-					     .nodes = 3,
-					     .workers = 12,
-					     .rack_workers = 4,
-					     .capacity = { 64000, 64000, 8 },
-					     .guaranteed = 32 };
+static const struct cell_sim_options site = { .seed = 5,
+					      .nodes = 3,
+					      .workers = 12,
+					      .rack_workers = 4,
+					      .capacity = { 64000, 64000, 8 },
+					      .guaranteed = 32 };
 
 static const char *const domains[] = { "d0", "d1", "d2" };
 
@@ -23,7 +23,7 @@
 #define CORDON_BOUND_US (5 * S)
 
 /* Runs on the workers of a failure domain. */
-static guint runs_in(const struct cell_world *world, const char *domain)
+static guint runs_in(const struct cell_sim *world, const char *domain)
 {
 	guint runs = 0;
 
@@ -34,26 +34,26 @@
 }
 
 /* Hand in a job of one step. */
-static struct cell_client_job *hand_in(struct cell_world *world,
+static struct cell_client_job *hand_in(struct cell_sim *world,
 				       const char *queue,
 				       const struct rj_cell_step *step,
 				       uint64_t work_us)
 {
 	struct cell_client_job *job =
-		cell_world_job(world, queue, "a", step, 1, work_us);
+		cell_sim_job_new(world, queue, "a", step, 1, work_us);
 
-	cell_world_submit(world, (uint32_t)cell_world_owner(world), job);
+	cell_sim_submit(world, (uint32_t)cell_sim_owner(world), job);
 	return job;
 }
 
 /* The owner of the cell. */
-static struct rj_cell_owner *owner_of(struct cell_world *world)
+static struct rj_cell_owner *owner_of(struct cell_sim *world)
 {
-	return &world->nodes[cell_world_owner(world)].node.owner;
+	return &world->nodes[cell_sim_owner(world)].node.owner;
 }
 
 /* Accelerators that the owner has given to runs in a failure domain. */
-static uint32_t held_in(struct cell_world *world, const char *domain)
+static uint32_t held_in(struct cell_sim *world, const char *domain)
 {
 	const struct rj_list *workers = &owner_of(world)->fleet.workers;
 	const struct rj_list *at;
@@ -74,58 +74,58 @@
 static void test_nothing_starts_in_a_cordoned_domain(struct cell_fixture *f,
 						     const void *data)
 {
-	struct rj_cell_step step = cell_world_step(12, 4, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(12, 4, 3000);
 	struct cell_client_job *before =
 		hand_in(&f->world, "normal", &step, 4 * S);
 	struct cell_client_job *after;
 	guint runs;
 
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->world, 300 * MS);
 	runs = runs_in(&f->world, "d1");
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_run(&f->world, 30 * MS);
+	cell_sim_cordon(&f->world, "d1", true);
+	cell_sim_run(&f->world, 30 * MS);
 	after = hand_in(&f->world, "normal", &step, 3 * S);
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->world, 300 * MS);
 	g_assert_cmpuint(before->starts, ==, 12);
 	g_assert_cmpuint(after->starts, <, 12);
 	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, runs);
-	cell_world_run(&f->world, 8 * S);
+	cell_sim_run(&f->world, 8 * S);
 	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, 0);
 	g_assert_cmpuint(before->starts, ==, 12);
-	cell_world_cordon(&f->world, "d1", false);
-	cell_world_run(&f->world, 30 * MS);
+	cell_sim_cordon(&f->world, "d1", false);
+	cell_sim_run(&f->world, 30 * MS);
 	after = hand_in(&f->world, "normal", &step, 3 * S);
 	hand_in(&f->world, "normal", &step, 3 * S);
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->world, 300 * MS);
 	g_assert_cmpuint(after->starts, ==, 12);
 	g_assert_cmpuint(runs_in(&f->world, "d1"), >, 0);
 }
 
 /* Hand in an urgent gang while the log is slow, until its starts are planned
  * and their intent is on its way into the log. */
-static struct cell_client_job *plan_gang(struct cell_world *world)
+static struct cell_client_job *plan_gang(struct cell_sim *world)
 {
-	struct rj_cell_step step = cell_world_step(6, 4, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(6, 4, 3000);
 	struct cell_client_job *job;
 
 	step.gang = true;
 	world->log.latency_us = 240 * MS;
-	cell_world_run(world, 2 * S);
+	cell_sim_run(world, 2 * S);
 	job = hand_in(world, "urgent", &step, 3 * S);
 	while (!held_in(world, "d0") && !held_in(world, "d1") &&
 	       !held_in(world, "d2"))
-		cell_world_run(world, 5 * MS);
+		cell_sim_run(world, 5 * MS);
 	g_assert_cmpuint(job->starts, ==, 0);
 	return job;
 }
 
 /* Cordon the failure domain in which something is planned. */
-static const char *cordon_planned(struct cell_world *world)
+static const char *cordon_planned(struct cell_sim *world)
 {
 	for (guint i = 0; i < G_N_ELEMENTS(domains); i++) {
 		if (!held_in(world, domains[i]))
 			continue;
-		cell_world_cordon(world, domains[i], true);
+		cell_sim_cordon(world, domains[i], true);
 		return domains[i];
 	}
 	g_assert_not_reached();
@@ -138,11 +138,11 @@
 	struct cell_client_job *job = plan_gang(&f->world);
 	const char *domain = cordon_planned(&f->world);
 
-	cell_world_run(&f->world, 3 * S);
+	cell_sim_run(&f->world, 3 * S);
 	g_assert_cmpuint(runs_in(&f->world, domain), ==, 0);
 	g_assert_cmpuint(job->starts, ==, 6);
 	f->world.log.latency_us = 4 * MS;
-	cell_world_run(&f->world, S);
+	cell_sim_run(&f->world, S);
 }
 
 /* A successor orders again in a cordoned domain what its predecessor had
@@ -157,10 +157,10 @@
 	guint stored = progress->len;
 
 	while (progress->len == stored)
-		cell_world_run(&f->world, MS);
-	cell_world_kill(&f->world, (uint32_t)cell_world_owner(&f->world));
+		cell_sim_run(&f->world, MS);
+	cell_sim_node_kill(&f->world, (uint32_t)cell_sim_owner(&f->world));
 	f->world.log.latency_us = 4 * MS;
-	cell_world_run(&f->world, 6 * S);
+	cell_sim_run(&f->world, 6 * S);
 	g_assert_cmpuint(runs_in(&f->world, domain), ==, 0);
 	g_assert_cmpuint(job->starts, ==, 6);
 }
@@ -170,18 +170,18 @@
 static void test_lost_starts_are_not_repeated(struct cell_fixture *f,
 					      const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 8, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(1, 8, 3000);
 	struct cell_client_job *job;
 
 	for (uint32_t i = 0; i < site.workers; i++)
 		f->world.workers[i].leave_percent = 100;
 	job = hand_in(&f->world, "urgent", &step, 2 * S);
-	cell_world_run(&f->world, 60 * MS);
-	cell_world_cordon(&f->world, "d0", true);
-	cell_world_cordon(&f->world, "d1", true);
+	cell_sim_run(&f->world, 60 * MS);
+	cell_sim_cordon(&f->world, "d0", true);
+	cell_sim_cordon(&f->world, "d1", true);
 	for (uint32_t i = 0; i < site.workers; i++)
 		f->world.workers[i].leave_percent = 0;
-	cell_world_run(&f->world, 8 * S);
+	cell_sim_run(&f->world, 8 * S);
 	g_assert_cmpuint(runs_in(&f->world, "d0"), ==, 0);
 	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, 0);
 	g_assert_cmpuint(job->starts, >=, 1);
@@ -192,23 +192,23 @@
 static void test_a_successor_knows_the_cordons(struct cell_fixture *f,
 					       const void *data)
 {
-	struct rj_cell_step step = cell_world_step(12, 4, 3000);
-	int owner = cell_world_owner(&f->world);
+	struct rj_cell_step step = cell_sim_plain_step(12, 4, 3000);
+	int owner = cell_sim_owner(&f->world);
 
 	hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 40 * MS);
-	cell_world_cordon(&f->world, "d0", true);
-	cell_world_cordon(&f->world, "d2", true);
-	cell_world_kill(&f->world, (uint32_t)owner);
-	cell_world_run(&f->world, 6 * S);
-	g_assert_cmpint(cell_world_owner(&f->world), !=, owner);
+	cell_sim_run(&f->world, 40 * MS);
+	cell_sim_cordon(&f->world, "d0", true);
+	cell_sim_cordon(&f->world, "d2", true);
+	cell_sim_node_kill(&f->world, (uint32_t)owner);
+	cell_sim_run(&f->world, 6 * S);
+	g_assert_cmpint(cell_sim_owner(&f->world), !=, owner);
 	hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->world, 300 * MS);
 	g_assert_cmpuint(runs_in(&f->world, "d0"), ==, 0);
 	g_assert_cmpuint(runs_in(&f->world, "d2"), ==, 0);
 	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, 8);
-	cell_world_start(&f->world, (uint32_t)owner);
-	cell_world_run(&f->world, 2 * S);
+	cell_sim_node_start(&f->world, (uint32_t)owner);
+	cell_sim_run(&f->world, 2 * S);
 	g_assert_true(rj_cell_cordons_contains(
 		&f->world.nodes[owner].node.cordons, "d0"));
 }
@@ -218,22 +218,22 @@
 static void test_unread_cordons_stop_all_starts(struct cell_fixture *f,
 						const void *data)
 {
-	struct rj_cell_step step = cell_world_step(12, 4, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(12, 4, 3000);
 	struct cell_client_job *job;
 
 	f->world.log.reads_silent[RJ_CELL_TOPIC_CONFIG] = true;
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_run(&f->world, 1100 * MS);
+	cell_sim_cordon(&f->world, "d1", true);
+	cell_sim_run(&f->world, 1100 * MS);
 	hand_in(&f->world, "normal", &step, 500 * MS);
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->world, 300 * MS);
 	g_assert_cmpuint(runs_in(&f->world, "d0"), >, 0);
 	hand_in(&f->world, "normal", &step, 500 * MS);
-	cell_world_run(&f->world, CORDON_BOUND_US);
-	job = cell_world_job(&f->world, "normal", "a", &step, 1, 500 * MS);
+	cell_sim_run(&f->world, CORDON_BOUND_US);
+	job = cell_sim_job_new(&f->world, "normal", "a", &step, 1, 500 * MS);
 	f->world.log.reads_silent[RJ_CELL_TOPIC_CONFIG] = false;
-	cell_world_run(&f->world, 3 * S);
-	cell_world_submit(&f->world, 0, job);
-	cell_world_run(&f->world, 2 * S);
+	cell_sim_run(&f->world, 3 * S);
+	cell_sim_submit(&f->world, 0, job);
+	cell_sim_run(&f->world, 2 * S);
 	g_assert_cmpuint(job->starts, ==, 12);
 }
 
@@ -242,22 +242,22 @@
 static void test_waiting_work_keeps_the_bound(struct cell_fixture *f,
 					      const void *data)
 {
-	struct rj_cell_step step = cell_world_step(300, 4, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(300, 4, 2000);
 
 	hand_in(&f->world, "normal", &step, 700 * MS);
 	f->world.log.reads_silent[RJ_CELL_TOPIC_CONFIG] = true;
-	cell_world_run(&f->world, 50 * MS);
-	cell_world_cordon(&f->world, "d0", true);
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_cordon(&f->world, "d2", true);
-	cell_world_run(&f->world, 9 * S);
+	cell_sim_run(&f->world, 50 * MS);
+	cell_sim_cordon(&f->world, "d0", true);
+	cell_sim_cordon(&f->world, "d1", true);
+	cell_sim_cordon(&f->world, "d2", true);
+	cell_sim_run(&f->world, 9 * S);
 	f->world.log.reads_silent[RJ_CELL_TOPIC_CONFIG] = false;
-	cell_world_run(&f->world, 3 * S);
+	cell_sim_run(&f->world, 3 * S);
 	for (guint i = 0; i < G_N_ELEMENTS(domains); i++) {
 		g_assert_cmpuint(runs_in(&f->world, domains[i]), ==, 0);
-		cell_world_cordon(&f->world, domains[i], false);
+		cell_sim_cordon(&f->world, domains[i], false);
 	}
-	cell_world_run(&f->world, 15 * S);
+	cell_sim_run(&f->world, 15 * S);
 }
 
 /* A domain stays cordoned for ever: the record that gives it back was dropped
@@ -268,17 +268,17 @@
 	struct cell_log *log = &f->world.log;
 	const struct rj_cell_owner *owner = owner_of(&f->world);
 
-	cell_world_cordon(&f->world, "d0", true);
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_run(&f->world, 50 * MS);
+	cell_sim_cordon(&f->world, "d0", true);
+	cell_sim_cordon(&f->world, "d1", true);
+	cell_sim_run(&f->world, 50 * MS);
 	g_assert_true(rj_cell_cordons_contains(owner->cordons, "d0"));
 	log->reads_silent[RJ_CELL_TOPIC_CONFIG] = true;
-	cell_world_run(&f->world, 1100 * MS);
-	cell_world_cordon(&f->world, "d0", false);
+	cell_sim_run(&f->world, 1100 * MS);
+	cell_sim_cordon(&f->world, "d0", false);
 	log->first_kept[RJ_CELL_TOPIC_CONFIG] =
 		log->records[RJ_CELL_TOPIC_CONFIG]->len;
 	log->reads_silent[RJ_CELL_TOPIC_CONFIG] = false;
-	cell_world_run(&f->world, 3 * S);
+	cell_sim_run(&f->world, 3 * S);
 	g_assert_false(rj_cell_cordons_contains(owner->cordons, "d0"));
 	g_assert_true(rj_cell_cordons_contains(owner->cordons, "d1"));
 }
@@ -287,20 +287,20 @@
  * free, or one that is given back as cordoned. */
 static void test_quick_changes(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(12, 4, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(12, 4, 3000);
 
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_run(&f->world, 100 * MS);
-	cell_world_cordon(&f->world, "d1", false);
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_run(&f->world, 100 * MS);
+	cell_sim_cordon(&f->world, "d1", true);
+	cell_sim_run(&f->world, 100 * MS);
+	cell_sim_cordon(&f->world, "d1", false);
+	cell_sim_cordon(&f->world, "d1", true);
+	cell_sim_run(&f->world, 100 * MS);
 	hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->world, 300 * MS);
 	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, 0);
-	cell_world_cordon(&f->world, "d1", false);
-	cell_world_run(&f->world, 6 * S);
+	cell_sim_cordon(&f->world, "d1", false);
+	cell_sim_run(&f->world, 6 * S);
 	hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->world, 300 * MS);
 	g_assert_cmpuint(runs_in(&f->world, "d1"), >, 0);
 }
 
@@ -308,18 +308,18 @@
  * another kind keeps the others from being served. */
 static void test_odd_records(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(12, 4, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(12, 4, 3000);
 	struct cell_client_job *job;
 	char *long_name = g_strnfill(300, 'x');
 
-	cell_world_cordon(&f->world, "nowhere", true);
-	cell_world_cordon(&f->world, "", true);
-	cell_world_cordon(&f->world, long_name, true);
+	cell_sim_cordon(&f->world, "nowhere", true);
+	cell_sim_cordon(&f->world, "", true);
+	cell_sim_cordon(&f->world, long_name, true);
 	cell_log_put(&f->world, RJ_CELL_TOPIC_CONFIG, "wave/1", "{}", 2);
-	cell_world_cordon(&f->world, "d2", true);
-	cell_world_run(&f->world, 50 * MS);
+	cell_sim_cordon(&f->world, "d2", true);
+	cell_sim_run(&f->world, 50 * MS);
 	job = hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 400 * MS);
+	cell_sim_run(&f->world, 400 * MS);
 	g_assert_cmpuint(job->starts, ==, 12);
 	g_assert_cmpuint(runs_in(&f->world, "d2"), ==, 0);
 	g_assert_cmpuint(owner_of(&f->world)->cordons->cordons->len, ==, 2);
@@ -330,16 +330,15 @@
 static void test_data_in_a_cordoned_domain(struct cell_fixture *f,
 					   const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 4, 4000);
+	struct rj_cell_step step = cell_sim_plain_step(2, 4, 4000);
 	struct cell_client_job *job;
 
 	g_strlcpy(step.rack, f->world.workers[0].heartbeat.rack,
 		  sizeof(step.rack));
-	cell_world_cordon(&f->world, f->world.workers[0].heartbeat.domain,
-			  true);
-	cell_world_run(&f->world, 50 * MS);
+	cell_sim_cordon(&f->world, f->world.workers[0].heartbeat.domain, true);
+	cell_sim_run(&f->world, 50 * MS);
 	job = hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 200 * MS);
+	cell_sim_run(&f->world, 200 * MS);
 	g_assert_cmpuint(job->starts, ==, 2);
 }
 
@@ -347,23 +346,23 @@
  * never starts once they are given back. */
 static void test_all_domains(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 4, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(2, 4, 1000);
 	struct cell_client_job *job;
 
 	hand_in(&f->world, "normal", &step, S);
-	cell_world_run(&f->world, 3 * S);
+	cell_sim_run(&f->world, 3 * S);
 	for (guint i = 0; i < G_N_ELEMENTS(domains); i++)
-		cell_world_cordon(&f->world, domains[i], true);
-	cell_world_run(&f->world, 2 * S);
+		cell_sim_cordon(&f->world, domains[i], true);
+	cell_sim_run(&f->world, 2 * S);
 	job = hand_in(&f->world, "normal", &step, S);
-	cell_world_run(&f->world, 500 * MS);
+	cell_sim_run(&f->world, 500 * MS);
 	g_assert_false(job->accepted);
 	g_assert_cmpuint(job->refusals, ==, 1);
 	for (guint i = 0; i < G_N_ELEMENTS(domains); i++)
-		cell_world_cordon(&f->world, domains[i], false);
-	cell_world_run(&f->world, 1500 * MS);
-	cell_world_submit(&f->world, 0, job);
-	cell_world_run(&f->world, 500 * MS);
+		cell_sim_cordon(&f->world, domains[i], false);
+	cell_sim_run(&f->world, 1500 * MS);
+	cell_sim_submit(&f->world, 0, job);
+	cell_sim_run(&f->world, 500 * MS);
 	g_assert_cmpuint(job->starts, ==, 2);
 }
 
@@ -372,34 +371,33 @@
 static void test_guarantees_hold_beside_a_cordon(struct cell_fixture *f,
 						 const void *data)
 {
-	struct rj_cell_step filling = cell_world_step(24, 4, 8000);
-	struct rj_cell_step urgent = cell_world_step(4, 8, 2000);
+	struct rj_cell_step filling = cell_sim_plain_step(24, 4, 8000);
+	struct rj_cell_step urgent = cell_sim_plain_step(4, 8, 2000);
 	struct cell_client_job *job;
 
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_run(&f->world, 50 * MS);
-	job = cell_world_job(&f->world, "bulk", "b", &filling, 1, 8 * S);
-	cell_world_submit(&f->world, 0, job);
-	cell_world_run(&f->world, 3 * S);
+	cell_sim_cordon(&f->world, "d1", true);
+	cell_sim_run(&f->world, 50 * MS);
+	job = cell_sim_job_new(&f->world, "bulk", "b", &filling, 1, 8 * S);
+	cell_sim_submit(&f->world, 0, job);
+	cell_sim_run(&f->world, 3 * S);
 	job = hand_in(&f->world, "urgent", &urgent, 2 * S);
-	cell_world_run(&f->world, 2900 * MS);
+	cell_sim_run(&f->world, 2900 * MS);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 }
 
 /* A worker that joins a cordoned domain gets work. */
 static void test_a_worker_joins(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(12, 4, 3000);
-
-	cell_world_worker_kill(&f->world, 4);
-	cell_world_run(&f->world, 6 * S);
-	cell_world_cordon(&f->world, f->world.workers[4].heartbeat.domain,
-			  true);
-	cell_world_run(&f->world, 100 * MS);
-	cell_world_worker_start(&f->world, 4);
-	cell_world_run(&f->world, 2 * S);
+	struct rj_cell_step step = cell_sim_plain_step(12, 4, 3000);
+
+	cell_sim_worker_kill(&f->world, 4);
+	cell_sim_run(&f->world, 6 * S);
+	cell_sim_cordon(&f->world, f->world.workers[4].heartbeat.domain, true);
+	cell_sim_run(&f->world, 100 * MS);
+	cell_sim_worker_start(&f->world, 4);
+	cell_sim_run(&f->world, 2 * S);
 	hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 500 * MS);
+	cell_sim_run(&f->world, 500 * MS);
 	g_assert_cmpuint(f->world.workers[4].runs->len, ==, 0);
 }
 
@@ -408,19 +406,19 @@
 static void test_cold_workers_come_last(struct cell_fixture *f,
 					const void *data)
 {
-	struct rj_cell_step step = cell_world_step(8, 8, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(8, 8, 2000);
 	struct cell_client_job *job;
 
 	for (uint32_t i = 0; i < site.workers; i++)
 		if (!strcmp(f->world.workers[i].heartbeat.domain, "d0"))
 			f->world.workers[i].heartbeat.cold_left_ms = 10000;
-	cell_world_run(&f->world, 2 * S);
+	cell_sim_run(&f->world, 2 * S);
 	job = hand_in(&f->world, "normal", &step, 3 * S);
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->world, 300 * MS);
 	g_assert_cmpuint(job->starts, ==, 8);
 	g_assert_cmpuint(runs_in(&f->world, "d0"), ==, 0);
 	hand_in(&f->world, "normal", &step, 3 * S);
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->world, 300 * MS);
 	g_assert_cmpuint(runs_in(&f->world, "d0"), ==, 4);
 }
 
--- a/src/test_libradishjunction/test_cell_faults.c
+++ b/src/test_libradishjunction/test_cell_faults.c
@@ -21,7 +21,7 @@
 	for (uint64_t seed = from; seed < from + count; seed++) {
 		struct cell_fault_result result;
 
-		cell_faults_play(seed, false, &result);
+		cell_faults_run(seed, false, &result);
 		accepted += result.accepted;
 		completed += result.completed;
 		if (result.violations) {
@@ -70,7 +70,7 @@
 	if (argc == 3 && !strcmp(argv[1], "--trace")) {
 		struct cell_fault_result result;
 
-		cell_faults_play(strtoull(argv[2], NULL, 10), true, &result);
+		cell_faults_run(strtoull(argv[2], NULL, 10), true, &result);
 		printf("%u: %s\n", result.violations,
 		       result.first ? result.first : "");
 		return result.violations != 0;
--- a/src/test_libradishjunction/test_cell_load.c
+++ b/src/test_libradishjunction/test_cell_load.c
@@ -12,9 +12,9 @@
 #define SITE                                                     \
 	.seed = 7, .nodes = 3, .workers = 24, .rack_workers = 4, \
 	.capacity = { 64000, 64000, 8 }, .guaranteed = 64
-static const struct cell_world_plan site = { SITE };
+static const struct cell_sim_options site = { SITE };
 /* The same with tasks that may fail once. */
-static const struct cell_world_plan two_attempts = { SITE, .attempts_max = 2 };
+static const struct cell_sim_options two_attempts = { SITE, .attempts_max = 2 };
 /* Begun so soon after the acceptance, as the site's terms say. */
 #define RECLAIM_US (2900 * MS)
 /* Work that serves may be over its bound for so long on end. */
@@ -29,14 +29,14 @@
 static void test_guaranteed_gang_on_a_full_site(struct cell_fixture *f,
 						const void *data)
 {
-	struct rj_cell_step step = cell_world_step(4, 8, 2500);
+	struct rj_cell_step step = cell_sim_plain_step(4, 8, 2500);
 	struct cell_client_job *job;
 
 	step.gang = true;
 	step.one_rack = true;
 	cell_load_fill(&f->world, 8, false, 60 * S);
-	job = cell_load_hand_in(&f->world, "urgent", "a", &step, 2500 * MS);
-	cell_load_follow(&f->world, 4 * S);
+	job = cell_load_submit(&f->world, "urgent", "a", &step, 2500 * MS);
+	cell_load_run(&f->world, 4 * S);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 	g_assert_cmpuint(job->begun_us - job->accepted_us, <, RECLAIM_US);
 	/* 32 tasks that had run for at most 6 s. */
@@ -72,7 +72,7 @@
 static void test_later_gangs_find_kept_racks(struct cell_fixture *f,
 					     const void *data)
 {
-	struct rj_cell_step step = cell_world_step(4, 8, 2500);
+	struct rj_cell_step step = cell_sim_plain_step(4, 8, 2500);
 	struct cell_client_job *job = NULL;
 	uint64_t wasted_us = 0;
 
@@ -82,9 +82,9 @@
 	for (uint32_t i = 0; i < 8; i++) {
 		if (i == 4)
 			wasted_us = f->world.wasted_us;
-		job = cell_load_hand_in(&f->world, "urgent", i % 2 ? "a" : "b",
-					&step, 2500 * MS);
-		cell_load_follow(&f->world, 3 * S);
+		job = cell_load_submit(&f->world, "urgent", i % 2 ? "a" : "b",
+				       &step, 2500 * MS);
+		cell_load_run(&f->world, 3 * S);
 		cell_load_fill(&f->world, 5, false, 10 * S);
 	}
 	g_assert_cmpuint(job->begun_us - job->accepted_us, <, 500 * MS);
@@ -99,13 +99,13 @@
 static void test_work_that_saves_is_stopped_first(struct cell_fixture *f,
 						  const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 8, 2500);
+	struct rj_cell_step step = cell_sim_plain_step(2, 8, 2500);
 
 	step.gang = true;
 	cell_load_fill(&f->world, 4, true, 12 * S);
 	cell_load_fill(&f->world, 4, false, 12 * S);
-	cell_load_hand_in(&f->world, "urgent", "a", &step, 2500 * MS);
-	cell_load_follow(&f->world, 40 * S);
+	cell_load_submit(&f->world, "urgent", "a", &step, 2500 * MS);
+	cell_load_run(&f->world, 40 * S);
 	for (guint i = 0; i < f->world.job_list->len; i++) {
 		const struct cell_client_job *job = f->world.job_list->pdata[i];
 
@@ -125,16 +125,16 @@
 static void test_wide_gang_among_small_tasks(struct cell_fixture *f,
 					     const void *data)
 {
-	struct rj_cell_step small = cell_world_step(30, 1, 6000);
-	struct rj_cell_step wide = cell_world_step(4, 8, 6000);
+	struct rj_cell_step small = cell_sim_plain_step(30, 1, 6000);
+	struct rj_cell_step wide = cell_sim_plain_step(4, 8, 6000);
 	struct cell_client_job *job;
 
 	wide.gang = true;
 	cell_load_fill(&f->world, 8, false, 6 * S);
-	job = cell_load_hand_in(&f->world, "normal", "a", &wide, 6 * S);
+	job = cell_load_submit(&f->world, "normal", "a", &wide, 6 * S);
 	for (uint32_t i = 0; i < 20; i++) {
-		cell_load_hand_in(&f->world, "bulk", "b", &small, 6 * S);
-		cell_load_follow(&f->world, 600 * MS);
+		cell_load_submit(&f->world, "bulk", "b", &small, 6 * S);
+		cell_load_run(&f->world, 600 * MS);
 	}
 	g_assert_cmpuint(job->begun_us, !=, 0);
 	g_assert_cmpuint(job->begun_us - job->accepted_us, <, 12 * S);
@@ -149,23 +149,23 @@
 static void test_overload_is_turned_away_at_once(struct cell_fixture *f,
 						 const void *data)
 {
-	struct rj_cell_step step = cell_world_step(40, 1, 6000);
-	struct rj_cell_step urgent_step = cell_world_step(2, 4, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(40, 1, 6000);
+	struct rj_cell_step urgent_step = cell_sim_plain_step(2, 4, 1000);
 	struct cell_client_job *urgent;
 	uint32_t refused = 0;
 	uint32_t late = 0;
 	uint32_t accepted = 0;
 
 	cell_load_fill(&f->world, 4, false, 6 * S);
-	cell_load_follow(&f->world, 6 * S); /* run times have been learnt */
+	cell_load_run(&f->world, 6 * S); /* run times have been learnt */
 	for (uint32_t i = 0; i < 120; i++) {
-		cell_load_hand_in(&f->world, "bulk", "b", &step, 6 * S);
-		cell_load_follow(&f->world, 300 * MS);
+		cell_load_submit(&f->world, "bulk", "b", &step, 6 * S);
+		cell_load_run(&f->world, 300 * MS);
 	}
-	urgent = cell_load_hand_in(&f->world, "urgent", "a", &urgent_step, S);
-	cell_world_run(&f->world, 50 * MS);
+	urgent = cell_load_submit(&f->world, "urgent", "a", &urgent_step, S);
+	cell_sim_run(&f->world, 50 * MS);
 	g_assert_true(urgent->accepted);
-	cell_load_follow(&f->world, 80 * S);
+	cell_load_run(&f->world, 80 * S);
 	for (guint i = 0; i < f->world.job_list->len; i++) {
 		const struct cell_client_job *job = f->world.job_list->pdata[i];
 		/* Three times the objective of the bulk queue. */
@@ -192,15 +192,15 @@
 static void test_a_worker_that_fails_all_is_left_alone(struct cell_fixture *f,
 						       const void *data)
 {
-	struct rj_cell_step step = cell_world_step(6, 1, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(6, 1, 1000);
 
 	for (uint32_t i = 0; i < 4; i++)
 		f->world.workers[i * 5].fails_all = true;
 	for (uint32_t i = 0; i < 60; i++) {
-		cell_load_hand_in(&f->world, "normal", "a", &step, S);
-		cell_load_follow(&f->world, 100 * MS);
+		cell_load_submit(&f->world, "normal", "a", &step, S);
+		cell_load_run(&f->world, 100 * MS);
 	}
-	cell_load_follow(&f->world, 10 * S);
+	cell_load_run(&f->world, 10 * S);
 	for (guint i = 0; i < f->world.job_list->len; i++)
 		g_assert_cmpint(
 			((struct cell_client_job *)f->world.job_list->pdata[i])
@@ -215,13 +215,13 @@
 static void test_tasks_that_stand_still_are_moved(struct cell_fixture *f,
 						  const void *data)
 {
-	struct rj_cell_step step = cell_world_step(24, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(24, 1, 2000);
 	struct cell_client_job *job;
 
 	for (uint32_t i = 0; i < 4; i++)
 		f->world.workers[i].stands_still = true;
-	job = cell_load_hand_in(&f->world, "normal", "a", &step, 2 * S);
-	cell_load_follow(&f->world, 12 * S);
+	job = cell_load_submit(&f->world, "normal", "a", &step, 2 * S);
+	cell_load_run(&f->world, 12 * S);
 	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
 }
 
@@ -234,25 +234,25 @@
 static void test_tasks_that_never_end_are_moved(struct cell_fixture *f,
 						const void *data)
 {
-	struct rj_cell_step step = cell_world_step(8, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(8, 1, 2000);
 	struct cell_client_job *job;
 
 	for (uint32_t i = 0; i < site.workers; i += 2)
 		f->world.workers[i].never_ends = true;
-	job = cell_load_hand_in(&f->world, "normal", "a", &step, 2 * S);
-	cell_load_follow(&f->world, 20 * S);
+	job = cell_load_submit(&f->world, "normal", "a", &step, 2 * S);
+	cell_load_run(&f->world, 20 * S);
 	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
 }
 
 /* Hand in a job whose tasks serve users of their own until it is cancelled. */
-static struct cell_client_job *serve_users(struct cell_world *world,
+static struct cell_client_job *serve_users(struct cell_sim *world,
 					   uint32_t tasks)
 {
-	struct rj_cell_step step = cell_world_step(tasks, 1, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(tasks, 1, 1000);
 
 	step.perpetual = true;
 	step.target_ms = 100;
-	return cell_load_hand_in(world, "normal", "a", &step, S);
+	return cell_load_submit(world, "normal", "a", &step, S);
 }
 
 /*
@@ -265,7 +265,7 @@
 	struct cell_client_job *job = serve_users(&f->world, 4);
 
 	cell_load_fill(&f->world, 6, true, 3 * S);
-	cell_load_follow(&f->world, 12 * S);
+	cell_load_run(&f->world, 12 * S);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 	g_assert_cmpuint(f->world.harmed_us, ==, 0);
 }
@@ -284,7 +284,7 @@
 	cell_load_fill(&f->world, 8, true, 20 * S);
 	job = serve_users(&f->world, 4);
 	cell_load_fill(&f->world, 2, true, 20 * S);
-	cell_load_follow(&f->world, 20 * S);
+	cell_load_run(&f->world, 20 * S);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 	g_assert_cmpuint(f->world.harmed_us, >, 0);
 	g_assert_cmpuint(f->world.harmed_us, <, HARM_US);
@@ -299,20 +299,20 @@
 static void test_gangs_outlast_workers_that_fail_all(struct cell_fixture *f,
 						     const void *data)
 {
-	struct rj_cell_step wide = cell_world_step(8, 4, 4000);
-	struct rj_cell_step single = cell_world_step(6, 1, 2000);
+	struct rj_cell_step wide = cell_sim_plain_step(8, 4, 4000);
+	struct rj_cell_step single = cell_sim_plain_step(6, 1, 2000);
 
 	wide.gang = true;
 	for (uint32_t i = 0; i < 40; i++) {
 		for (uint32_t j = 0; i == 10 && j < 4; j++)
 			f->world.workers[j * 5].fails_all = true;
-		cell_load_hand_in(&f->world, "bulk", "b", &single, 2 * S);
+		cell_load_submit(&f->world, "bulk", "b", &single, 2 * S);
 		if (i % 3 == 0)
-			cell_load_hand_in(&f->world, "normal", "a", &wide,
-					  4 * S);
-		cell_load_follow(&f->world, 300 * MS);
+			cell_load_submit(&f->world, "normal", "a", &wide,
+					 4 * S);
+		cell_load_run(&f->world, 300 * MS);
 	}
-	cell_load_follow(&f->world, 20 * S);
+	cell_load_run(&f->world, 20 * S);
 	for (guint i = 0; i < f->world.job_list->len; i++)
 		g_assert_cmpint(
 			((struct cell_client_job *)f->world.job_list->pdata[i])
@@ -323,16 +323,16 @@
 /* A job of one task that has run for a second, on a worker that then says it
  * stays for 1.6 s more. */
 static struct cell_client_job *
-run_on_leaving(struct cell_world *world, uint64_t work_us, uint32_t *worker)
+run_on_leaving(struct cell_sim *world, uint64_t work_us, uint32_t *worker)
 {
 	struct rj_cell_step step =
-		cell_world_step(1, 8, (uint32_t)(work_us / MS));
+		cell_sim_plain_step(1, 8, (uint32_t)(work_us / MS));
 	struct cell_client_job *job =
-		cell_load_hand_in(world, "normal", "a", &step, work_us);
+		cell_load_submit(world, "normal", "a", &step, work_us);
 
-	cell_load_follow(world, S);
-	*worker = cell_world_busy_worker(world);
-	cell_world_worker_drain(world, *worker, 1600);
+	cell_load_run(world, S);
+	*worker = cell_sim_busy_worker(world);
+	cell_sim_worker_drain(world, *worker, 1600);
 	return job;
 }
 
@@ -347,10 +347,10 @@
 	uint32_t worker;
 	struct cell_client_job *job = run_on_leaving(&f->world, 6 * S, &worker);
 
-	cell_world_run(&f->world, 1600 * MS);
-	cell_world_worker_kill(&f->world, worker);
+	cell_sim_run(&f->world, 1600 * MS);
+	cell_sim_worker_kill(&f->world, worker);
 	g_assert_cmpuint(job->starts, ==, 2);
-	cell_load_follow(&f->world, 9 * S);
+	cell_load_run(&f->world, 9 * S);
 	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
 }
 
@@ -364,7 +364,7 @@
 	uint32_t worker;
 	struct cell_client_job *job = run_on_leaving(&f->world, 2 * S, &worker);
 
-	cell_load_follow(&f->world, 1600 * MS);
+	cell_load_run(&f->world, 1600 * MS);
 	g_assert_cmpuint(job->starts, ==, 1);
 	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
 }
--- a/src/test_libradishjunction/test_cell_reach.c
+++ b/src/test_libradishjunction/test_cell_reach.c
@@ -17,20 +17,20 @@
 #define SITE                                                     \
 	.seed = 3, .nodes = 3, .workers = 12, .rack_workers = 4, \
 	.capacity = { 64000, 64000, 8 }, .guaranteed = 32
-static const struct cell_world_plan site = { SITE };
+static const struct cell_sim_options site = { SITE };
 /* The same with tasks that may fail once. */
-static const struct cell_world_plan two_attempts = { SITE, .attempts_max = 2 };
+static const struct cell_sim_options two_attempts = { SITE, .attempts_max = 2 };
 
 /* A failure domain is cut off from all nodes, or is back. */
-static void cut_domain(struct cell_world *world, const char *domain, bool cut)
+static void cut_domain(struct cell_sim *world, const char *domain, bool cut)
 {
 	for (uint32_t i = 0; i < world->plan.workers; i++)
 		if (!strcmp(world->workers[i].heartbeat.domain, domain))
-			cell_world_worker_cut(world, i, cut);
+			cell_sim_worker_partition(world, i, cut);
 }
 
 /* Runs on the workers of a failure domain. */
-static guint runs_in(const struct cell_world *world, const char *domain)
+static guint runs_in(const struct cell_sim *world, const char *domain)
 {
 	guint runs = 0;
 
@@ -41,19 +41,19 @@
 }
 
 /* A node that does not own the cell. */
-static uint32_t other_node(const struct cell_world *world)
+static uint32_t other_node(const struct cell_sim *world)
 {
-	return (uint32_t)(cell_world_owner(world) + 1) % world->plan.nodes;
+	return (uint32_t)(cell_sim_owner(world) + 1) % world->plan.nodes;
 }
 
 /* Hand in an urgent job of one step. */
-static struct cell_client_job *hand_in(struct cell_world *world, uint32_t node,
+static struct cell_client_job *hand_in(struct cell_sim *world, uint32_t node,
 				       const struct rj_cell_step *step)
 {
 	struct cell_client_job *job =
-		cell_world_job(world, "urgent", "a", step, 1, 2 * S);
+		cell_sim_job_new(world, "urgent", "a", step, 1, 2 * S);
 
-	cell_world_submit(world, node, job);
+	cell_sim_submit(world, node, job);
 	return job;
 }
 
@@ -63,41 +63,41 @@
 					   const void *data)
 {
 	static const char *const domains[] = { "d0", "d1", "d2" };
-	struct rj_cell_step step = cell_world_step(4, 4, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(4, 4, 2000);
 
 	step.gang = true;
 	for (guint i = 0; i < G_N_ELEMENTS(domains); i++) {
 		struct cell_client_job *job;
 
 		cut_domain(&f->world, domains[i], true);
-		cell_world_run(&f->world, 30 * MS);
+		cell_sim_run(&f->world, 30 * MS);
 		job = hand_in(&f->world, 0, &step);
-		cell_world_run(&f->world, 300 * MS);
+		cell_sim_run(&f->world, 300 * MS);
 		g_assert_cmpuint(job->begun_us, !=, 0);
 		g_assert_cmpuint(runs_in(&f->world, domains[i]), ==, 0);
 		cut_domain(&f->world, domains[i], false);
-		cell_world_run(&f->world, 4 * S);
+		cell_sim_run(&f->world, 4 * S);
 	}
 }
 
 /* One task ends behind a cut of `cut_us`, and its worker leaves half a second
  * after that has healed. */
-static void end_behind_cut(struct cell_world *world, uint64_t cut_us)
+static void end_behind_cut(struct cell_sim *world, uint64_t cut_us)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
 	struct cell_client_job *job = hand_in(world, 0, &step);
 	uint32_t worker;
 
-	cell_world_run(world, S);
-	worker = cell_world_busy_worker(world);
-	cell_world_worker_cut(world, worker, true);
-	cell_world_run(world, cut_us);
-	cell_world_worker_cut(world, worker, false);
-	cell_world_run(world, 500 * MS);
-	cell_world_worker_leave(world, worker);
-	cell_world_run(world, 2 * S);
-	cell_world_ask(world, 1, job);
-	cell_world_run(world, 100 * MS);
+	cell_sim_run(world, S);
+	worker = cell_sim_busy_worker(world);
+	cell_sim_worker_partition(world, worker, true);
+	cell_sim_run(world, cut_us);
+	cell_sim_worker_partition(world, worker, false);
+	cell_sim_run(world, 500 * MS);
+	cell_sim_worker_deregister(world, worker);
+	cell_sim_run(world, 2 * S);
+	cell_sim_query(world, 1, job);
+	cell_sim_run(world, 100 * MS);
 	g_assert_cmpuint(job->starts, ==, 1);
 	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
 }
@@ -116,22 +116,22 @@
 static void test_a_completion_that_comes_late(struct cell_fixture *f,
 					      const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
 	struct cell_client_job *job = hand_in(&f->world, 0, &step);
 	uint32_t worker;
 
-	cell_world_run(&f->world, S);
-	worker = cell_world_busy_worker(&f->world);
+	cell_sim_run(&f->world, S);
+	worker = cell_sim_busy_worker(&f->world);
 	job->work_us = 30 * S; /* of the second run */
-	cell_world_worker_cut(&f->world, worker, true);
-	cell_world_run(&f->world, 8 * S);
+	cell_sim_worker_partition(&f->world, worker, true);
+	cell_sim_run(&f->world, 8 * S);
 	g_assert_cmpuint(job->starts, ==, 2);
-	cell_world_worker_cut(&f->world, worker, false);
-	cell_world_run(&f->world, 500 * MS);
-	cell_world_worker_leave(&f->world, worker);
-	cell_world_run(&f->world, 1500 * MS);
-	cell_world_ask(&f->world, 1, job);
-	cell_world_run(&f->world, 100 * MS);
+	cell_sim_worker_partition(&f->world, worker, false);
+	cell_sim_run(&f->world, 500 * MS);
+	cell_sim_worker_deregister(&f->world, worker);
+	cell_sim_run(&f->world, 1500 * MS);
+	cell_sim_query(&f->world, 1, job);
+	cell_sim_run(&f->world, 100 * MS);
 	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
 	for (uint32_t i = 0; i < site.workers; i++)
 		g_assert_cmpuint(f->world.workers[i].runs->len, ==, 0);
@@ -142,14 +142,14 @@
 static void test_urgent_work_spreads_over_domains(struct cell_fixture *f,
 						  const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 4, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(2, 4, 2000);
 
 	step.gang = true;
 	for (uint32_t i = 0; i < 6; i++) {
 		hand_in(&f->world, i % site.nodes, &step);
-		cell_world_run(&f->world, 50 * MS);
+		cell_sim_run(&f->world, 50 * MS);
 	}
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->world, 300 * MS);
 	g_assert_cmpuint(runs_in(&f->world, "d0"), ==, 4);
 	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, 4);
 	g_assert_cmpuint(runs_in(&f->world, "d2"), ==, 4);
@@ -160,23 +160,23 @@
 static void test_an_instance_without_the_log(struct cell_fixture *f,
 					     const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
 	uint32_t node = other_node(&f->world);
 	const struct rj_cell_node *cut = &f->world.nodes[node].node;
 	struct cell_client_job *job;
 
 	g_assert_true(rj_cell_node_ready(cut, f->world.now_us));
-	f->world.log.modes[node] = CELL_LOG_SILENT;
-	cell_world_run(&f->world, 1100 * MS);
+	f->world.log.modes[node] = CELL_LOG_UNREACHABLE;
+	cell_sim_run(&f->world, 1100 * MS);
 	g_assert_false(rj_cell_node_ready(cut, f->world.now_us));
 	job = hand_in(&f->world, node, &step);
-	cell_world_run(&f->world, 10 * MS);
+	cell_sim_run(&f->world, 10 * MS);
 	g_assert_cmpuint(job->refusals, ==, 1);
-	f->world.log.modes[node] = CELL_LOG_OK;
-	cell_world_run(&f->world, 2 * S);
+	f->world.log.modes[node] = CELL_LOG_AVAILABLE;
+	cell_sim_run(&f->world, 2 * S);
 	g_assert_true(rj_cell_node_ready(cut, f->world.now_us));
-	cell_world_submit(&f->world, node, job);
-	cell_world_run(&f->world, 50 * MS);
+	cell_sim_submit(&f->world, node, job);
+	cell_sim_run(&f->world, 50 * MS);
 	g_assert_true(job->accepted);
 }
 
@@ -186,8 +186,8 @@
 {
 	uint32_t node = other_node(&f->world);
 
-	f->world.log.modes[node] = CELL_LOG_REFUSES;
-	cell_world_run(&f->world, 1300 * MS);
+	f->world.log.modes[node] = CELL_LOG_REFUSING;
+	cell_sim_run(&f->world, 1300 * MS);
 	g_assert_false(rj_cell_node_ready(&f->world.nodes[node].node,
 					  f->world.now_us));
 }
@@ -196,15 +196,15 @@
 static void test_a_log_that_wakes_nobody(struct cell_fixture *f,
 					 const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
 	struct cell_client_job *job;
 
-	cell_world_run(&f->world, S);
+	cell_sim_run(&f->world, S);
 	f->world.log.deaf_until_us = f->world.now_us + 6 * S;
-	cell_world_run(&f->world, 200 * MS);
+	cell_sim_run(&f->world, 200 * MS);
 	for (uint32_t i = 0; i < 10; i++) {
 		job = hand_in(&f->world, other_node(&f->world), &step);
-		cell_world_run(&f->world, 550 * MS);
+		cell_sim_run(&f->world, 550 * MS);
 		g_assert_cmpuint(job->begun_us, !=, 0);
 	}
 }
@@ -213,13 +213,13 @@
 static void test_a_killed_owner_is_replaced_in_time(struct cell_fixture *f,
 						    const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
 	uint32_t node = other_node(&f->world);
 	struct cell_client_job *job;
 
-	cell_world_kill(&f->world, (uint32_t)cell_world_owner(&f->world));
+	cell_sim_node_kill(&f->world, (uint32_t)cell_sim_owner(&f->world));
 	job = hand_in(&f->world, node, &step);
-	cell_world_run(&f->world, 1350 * MS);
+	cell_sim_run(&f->world, 1350 * MS);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 }
 
@@ -229,7 +229,7 @@
 					     const void *data)
 {
 	struct rj_cell_owner *owner =
-		&f->world.nodes[cell_world_owner(&f->world)].node.owner;
+		&f->world.nodes[cell_sim_owner(&f->world)].node.owner;
 	struct rj_cell_worker *worker = RJ_CONTAINER(
 		owner->fleet.workers.next, struct rj_cell_worker, link);
 
@@ -275,35 +275,35 @@
 static void test_a_busy_log_is_taken_over(struct cell_fixture *f,
 					  const void *data)
 {
-	struct cell_world *world = &f->world;
-	int owner = cell_world_owner(world);
+	struct cell_sim *world = &f->world;
+	int owner = cell_sim_owner(world);
 	uint64_t silent_us = world->now_us;
 
-	cell_world_kill(world, (uint32_t)owner);
-	while (cell_world_owner(world) < 0 &&
+	cell_sim_node_kill(world, (uint32_t)owner);
+	while (cell_sim_owner(world) < 0 &&
 	       world->now_us < silent_us + TAKEOVER_MAX_US) {
 		cell_log_put(world, RJ_CELL_TOPIC_JOBS, "c00000000000000ff",
 			     "\xc0", 1);
-		cell_world_run(world, MS);
+		cell_sim_run(world, MS);
 	}
-	g_assert_cmpint(cell_world_owner(world), >=, 0);
+	g_assert_cmpint(cell_sim_owner(world), >=, 0);
 }
 
 /* A gang that lost a member with its worker waits for the end of a lease. */
 static void test_a_gang_does_not_wait_for_a_dead_worker(struct cell_fixture *f,
 							const void *data)
 {
-	struct rj_cell_step step = cell_world_step(4, 8, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(4, 8, 3000);
 	struct cell_client_job *job;
 	uint32_t worker;
 
 	step.gang = true;
 	job = hand_in(&f->world, other_node(&f->world), &step);
-	cell_world_run(&f->world, S);
+	cell_sim_run(&f->world, S);
 	g_assert_cmpuint(job->starts, ==, 4);
-	worker = cell_world_busy_worker(&f->world);
-	cell_world_worker_kill(&f->world, worker);
-	cell_world_run(&f->world, 1500 * MS);
+	worker = cell_sim_busy_worker(&f->world);
+	cell_sim_worker_kill(&f->world, worker);
+	cell_sim_run(&f->world, 1500 * MS);
 	g_assert_cmpuint(job->starts, ==, 8);
 }
 
@@ -312,7 +312,7 @@
 static void test_members_take_a_moment_to_end(struct cell_fixture *f,
 					      const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 8, 6000);
+	struct rj_cell_step step = cell_sim_plain_step(2, 8, 6000);
 	struct cell_client_job *job;
 	uint32_t members[2];
 	uint32_t found = 0;
@@ -320,21 +320,21 @@
 
 	f->world.plan.break_us = 190 * MS;
 	step.gang = true;
-	job = cell_world_job(&f->world, "urgent", "a", &step, 1, 6 * S);
-	cell_world_submit(&f->world, 0, job);
-	cell_world_run(&f->world, 500 * MS);
+	job = cell_sim_job_new(&f->world, "urgent", "a", &step, 1, 6 * S);
+	cell_sim_submit(&f->world, 0, job);
+	cell_sim_run(&f->world, 500 * MS);
 	for (uint32_t i = 0; i < site.workers && found < 2; i++)
 		if (f->world.workers[i].runs->len)
 			members[found++] = i;
 	g_assert_cmpuint(found, ==, 2);
-	cell_world_worker_cut(&f->world, members[1], true);
-	cell_world_run(&f->world, 3500 * MS);
+	cell_sim_worker_partition(&f->world, members[1], true);
+	cell_sim_run(&f->world, 3500 * MS);
 	run = f->world.workers[members[0]].runs->pdata[0];
 	run->fails_at_us = run->done_us;
-	cell_world_run(&f->world, 700 * MS);
+	cell_sim_run(&f->world, 700 * MS);
 	g_assert_cmpuint(job->starts, ==, 4);
-	cell_world_worker_cut(&f->world, members[1], false);
-	cell_world_run(&f->world, 8 * S);
+	cell_sim_worker_partition(&f->world, members[1], false);
+	cell_sim_run(&f->world, 8 * S);
 }
 
 /* A gang that is not complete yet runs on where its worker is silent, though
@@ -343,15 +343,15 @@
 						const void *data)
 {
 	struct rj_cell_owner *owner =
-		&f->world.nodes[cell_world_owner(&f->world)].node.owner;
-	struct rj_cell_step step = cell_world_step(2, 8, 2000);
+		&f->world.nodes[cell_sim_owner(&f->world)].node.owner;
+	struct rj_cell_step step = cell_sim_plain_step(2, 8, 2000);
 	struct cell_client_job *job;
 	struct rj_cell_task *tasks;
 	struct rj_cell_run *runs[2];
 
 	step.gang = true;
 	job = hand_in(&f->world, 0, &step);
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->world, 300 * MS);
 	tasks = rj_cell_job_find_task(
 		rj_cell_view_find(owner->view, job->id)->job, 0, 0, 0);
 	for (uint32_t i = 0; i < 2; i++)
@@ -368,33 +368,34 @@
 static void test_unseen_failures_count(struct cell_fixture *f, const void *data)
 {
 	for (uint32_t cut = 0; cut < 2; cut++) {
-		struct rj_cell_step step = cell_world_step(2, 8, 2000);
+		struct rj_cell_step step = cell_sim_plain_step(2, 8, 2000);
 		struct cell_client_job *job;
 		uint32_t members[2];
 		uint32_t found = 0;
 
 		step.gang = true;
-		job = cell_world_job(&f->world, "normal", "a", &step, 1, 2 * S);
+		job = cell_sim_job_new(&f->world, "normal", "a", &step, 1,
+				       2 * S);
 		job->fail_times = 9;
-		cell_world_submit(&f->world, 0, job);
-		cell_world_run(&f->world, 500 * MS);
+		cell_sim_submit(&f->world, 0, job);
+		cell_sim_run(&f->world, 500 * MS);
 		for (uint32_t i = 0; i < site.workers && found < 2; i++)
 			if (f->world.workers[i].runs->len)
 				members[found++] = i;
 		g_assert_cmpuint(found, ==, 2);
-		cell_world_worker_cut(&f->world, members[cut], true);
-		cell_world_run(&f->world, 4 * S);
-		cell_world_worker_cut(&f->world, members[cut], false);
-		cell_world_run(&f->world, 12 * S);
-		cell_world_ask(&f->world, 0, job);
-		cell_world_run(&f->world, 100 * MS);
+		cell_sim_worker_partition(&f->world, members[cut], true);
+		cell_sim_run(&f->world, 4 * S);
+		cell_sim_worker_partition(&f->world, members[cut], false);
+		cell_sim_run(&f->world, 12 * S);
+		cell_sim_query(&f->world, 0, job);
+		cell_sim_run(&f->world, 100 * MS);
 		g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_FAILED);
 		g_assert_cmpuint(job->starts, ==, 4);
 	}
 }
 
 /* Let the first member of a job's gang fail in a moment. Returns its worker. */
-static uint32_t fail_first_member(struct cell_world *world,
+static uint32_t fail_first_member(struct cell_sim *world,
 				  const struct cell_client_job *job)
 {
 	char *name = g_strdup_printf("%s.0.0.0", job->id);
@@ -402,7 +403,7 @@
 	uint32_t worker = 0;
 
 	for (uint32_t i = 0; i < world->plan.workers && !run; i++) {
-		run = cell_fake_run_of(&world->workers[i], name);
+		run = cell_fake_find_run(&world->workers[i], name);
 		worker = i;
 	}
 	g_assert_nonnull(run);
@@ -416,30 +417,30 @@
 static void test_unseen_failures_outlast_an_owner(struct cell_fixture *f,
 						  const void *data)
 {
-	struct cell_world *world = &f->world;
-	struct rj_cell_step step = cell_world_step(2, 8, 8000);
-	uint32_t owner = (uint32_t)cell_world_owner(world);
+	struct cell_sim *world = &f->world;
+	struct rj_cell_step step = cell_sim_plain_step(2, 8, 8000);
+	uint32_t owner = (uint32_t)cell_sim_owner(world);
 	struct cell_client_job *job;
 	uint32_t worker;
 
 	step.gang = true;
-	job = cell_world_job(world, "normal", "a", &step, 1, 8 * S);
-	cell_world_submit(world, other_node(world), job);
-	cell_world_run(world, 500 * MS);
+	job = cell_sim_job_new(world, "normal", "a", &step, 1, 8 * S);
+	cell_sim_submit(world, other_node(world), job);
+	cell_sim_run(world, 500 * MS);
 	worker = fail_first_member(world, job);
-	cell_world_worker_cut(world, worker, true);
+	cell_sim_worker_partition(world, worker, true);
 	for (uint32_t i = 0; i < 400 && job->starts < 4; i++)
-		cell_world_run(world, 10 * MS);
+		cell_sim_run(world, 10 * MS);
 	g_assert_cmpuint(job->starts, ==, 4);
-	cell_world_kill(world, owner);
-	cell_world_run(world, TAKEOVER_MAX_US);
-	g_assert_cmpint(cell_world_owner(world), >=, 0);
-	cell_world_worker_cut(world, worker, false);
-	cell_world_run(world, S);
+	cell_sim_node_kill(world, owner);
+	cell_sim_run(world, TAKEOVER_MAX_US);
+	g_assert_cmpint(cell_sim_owner(world), >=, 0);
+	cell_sim_worker_partition(world, worker, false);
+	cell_sim_run(world, S);
 	(void)fail_first_member(world, job);
-	cell_world_run(world, 4 * S);
-	cell_world_ask(world, (uint32_t)cell_world_owner(world), job);
-	cell_world_run(world, 100 * MS);
+	cell_sim_run(world, 4 * S);
+	cell_sim_query(world, (uint32_t)cell_sim_owner(world), job);
+	cell_sim_run(world, 100 * MS);
 	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_FAILED);
 	g_assert_cmpuint(job->starts, ==, 4);
 }
@@ -449,16 +450,16 @@
 static void test_an_owner_shows_its_life(struct cell_fixture *f,
 					 const void *data)
 {
-	struct rj_cell_step step = cell_world_step(4, 1, 2000);
-	int owner = cell_world_owner(&f->world);
+	struct rj_cell_step step = cell_sim_plain_step(4, 1, 2000);
+	int owner = cell_sim_owner(&f->world);
 
-	cell_world_run(&f->world, S);
+	cell_sim_run(&f->world, S);
 	f->world.log.progress_silent = true;
 	hand_in(&f->world, other_node(&f->world), &step);
-	cell_world_run(&f->world, 3 * S);
-	g_assert_cmpint(cell_world_owner(&f->world), ==, owner);
+	cell_sim_run(&f->world, 3 * S);
+	g_assert_cmpint(cell_sim_owner(&f->world), ==, owner);
 	f->world.log.progress_silent = false;
-	cell_world_run(&f->world, 6 * S);
+	cell_sim_run(&f->world, 6 * S);
 }
 
 /* What the store has answered. */
@@ -472,8 +473,8 @@
 static void test_a_former_owner_stores_no_progress(struct cell_fixture *f,
 						   const void *data)
 {
-	struct cell_world *world = &f->world;
-	int owner = cell_world_owner(world);
+	struct cell_sim *world = &f->world;
+	int owner = cell_sim_owner(world);
 	enum rj_cell_store_status status = RJ_CELL_STORE_OK;
 	struct rj_cell_record record = { .key = "s00000000000000ff",
 					 .value = { (const uint8_t *)"x", 1 } };
@@ -486,15 +487,15 @@
 		.records = &record,
 		.count = 1
 	};
-	struct cell_world_node *other = &world->nodes[other_node(world)];
+	struct cell_sim_node *other = &world->nodes[other_node(world)];
 
-	cell_world_kill(world, (uint32_t)owner);
-	cell_world_run(world, TAKEOVER_MAX_US);
-	g_assert_cmpint(cell_world_owner(world), >=, 0);
+	cell_sim_node_kill(world, (uint32_t)owner);
+	cell_sim_run(world, TAKEOVER_MAX_US);
+	g_assert_cmpint(cell_sim_owner(world), >=, 0);
 	other->store.ops->append(
 		&other->store, &late,
 		(struct rj_cell_store_done){ note_status, &status });
-	cell_world_run(world, 50 * MS);
+	cell_sim_run(world, 50 * MS);
 	g_assert_cmpint(status, ==, RJ_CELL_STORE_FENCED);
 }
 
@@ -504,25 +505,25 @@
 test_starts_on_draining_workers_are_called_off(struct cell_fixture *f,
 					       const void *data)
 {
-	struct rj_cell_step step = cell_world_step(8, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(8, 1, 2000);
 	struct cell_client_job *job;
 	uint32_t drained = 0;
 
 	f->world.log.latency_us = 240 * MS;
-	cell_world_run(&f->world, 2 * S);
+	cell_sim_run(&f->world, 2 * S);
 	job = hand_in(&f->world, 0, &step);
-	cell_world_run(&f->world, 600 * MS);
+	cell_sim_run(&f->world, 600 * MS);
 	f->world.log.progress_silent = true;
 	for (uint32_t i = 0; i < site.workers; i++) {
-		if (cell_world_random(&f->world, 2))
+		if (cell_sim_random(&f->world, 2))
 			continue;
-		cell_world_worker_drain(&f->world, i, 0);
+		cell_sim_worker_drain(&f->world, i, 0);
 		drained++;
 	}
-	cell_world_run(&f->world, 3200 * MS);
+	cell_sim_run(&f->world, 3200 * MS);
 	f->world.log.progress_silent = false;
 	f->world.log.latency_us = 4 * MS;
-	cell_world_run(&f->world, 4 * S);
+	cell_sim_run(&f->world, 4 * S);
 	g_assert_cmpuint(drained, >, 0);
 	g_assert_cmpuint(job->starts, ==, 8);
 }
@@ -532,19 +533,19 @@
 static void test_unread_workers_stop_all_starts(struct cell_fixture *f,
 						const void *data)
 {
-	struct rj_cell_step step = cell_world_step(200, 4, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(200, 4, 1000);
 	struct cell_client_job *job =
-		cell_world_job(&f->world, "normal", "a", &step, 1, 500 * MS);
+		cell_sim_job_new(&f->world, "normal", "a", &step, 1, 500 * MS);
 
-	cell_world_submit(&f->world, 0, job);
+	cell_sim_submit(&f->world, 0, job);
 	f->world.log.reads_silent[RJ_CELL_TOPIC_WORKERS] = true;
-	cell_world_run(&f->world, 20 * MS);
+	cell_sim_run(&f->world, 20 * MS);
 	for (uint32_t i = 0; i < site.workers; i += 2)
-		cell_world_worker_drain(&f->world, i, 0);
-	cell_world_run(&f->world, 6 * S);
+		cell_sim_worker_drain(&f->world, i, 0);
+	cell_sim_run(&f->world, 6 * S);
 	g_assert_cmpuint(job->starts, <, 200);
 	f->world.log.reads_silent[RJ_CELL_TOPIC_WORKERS] = false;
-	cell_world_run(&f->world, 15 * S);
+	cell_sim_run(&f->world, 15 * S);
 	g_assert_cmpuint(job->starts, ==, 200);
 }
 
--- a/src/test_libradishjunction/test_cell_starvation.c
+++ b/src/test_libradishjunction/test_cell_starvation.c
@@ -6,7 +6,7 @@
 #include "support/cell_load.h"
 
 /* 24 workers of eight accelerators in six racks, three nodes. */
-static const struct cell_world_plan site = {
+static const struct cell_sim_options site = {
 	.seed = 11,
 	.nodes = 3,
 	.workers = 24,
@@ -26,23 +26,23 @@
 				   uint32_t estimate_ms)
 {
 	struct rj_cell_step step =
-		cell_world_step(tasks, accelerators, estimate_ms);
+		cell_sim_plain_step(tasks, accelerators, estimate_ms);
 
 	step.gang = true;
 	return step;
 }
 
 /* Play a load; batch work that came in its first part earns its floor. */
-static void assert_batch_earns(struct cell_world *world,
+static void assert_batch_earns(struct cell_sim *world,
 			       const struct cell_load_stream *streams,
 			       uint32_t count, uint64_t for_us)
 {
 	uint64_t judged_until_us =
 		world->now_us + for_us * JUDGED_PERCENT / 100;
 
-	cell_load_play(world, streams, count, for_us, NULL);
+	cell_load_run_streams(world, streams, count, for_us, NULL);
 	g_assert_cmpuint(
-		cell_load_earned_percent(world, "bulk", judged_until_us), >=,
+		cell_load_utility_percent(world, "bulk", judged_until_us), >=,
 		FLOOR_PERCENT);
 }
 
@@ -56,8 +56,8 @@
 	const struct cell_load_stream streams[] = {
 		{ "urgent", "a", gang_of(4, 4, 2500), 2500 * MS, S, 0, 0 },
 		{ "normal", "a", gang_of(6, 4, 6000), 6 * S, 1800 * MS, 0, 0 },
-		{ "bulk", "b", cell_world_step(16, 1, 9000), 9 * S, 3600 * MS,
-		  0, 0 },
+		{ "bulk", "b", cell_sim_plain_step(16, 1, 9000), 9 * S,
+		  3600 * MS, 0, 0 },
 	};
 
 	assert_batch_earns(&f->world, streams, G_N_ELEMENTS(streams), 75 * S);
@@ -72,8 +72,8 @@
 {
 	const struct cell_load_stream streams[] = {
 		{ "normal", "a", gang_of(6, 4, 6000), 6 * S, 600 * MS, 0, 0 },
-		{ "bulk", "b", cell_world_step(16, 1, 9000), 9 * S, 3600 * MS,
-		  0, 0 },
+		{ "bulk", "b", cell_sim_plain_step(16, 1, 9000), 9 * S,
+		  3600 * MS, 0, 0 },
 	};
 
 	assert_batch_earns(&f->world, streams, G_N_ELEMENTS(streams), 90 * S);
@@ -90,12 +90,13 @@
 {
 	struct cell_load_stream streams[] = {
 		{ "normal", "a", gang_of(3, 4, 6000), 6 * S, 700 * MS, 0, 0 },
-		{ "bulk", "b", cell_world_step(20, 1, 6000), 6 * S, 2 * S, 0,
-		  0 },
+		{ "bulk", "b", cell_sim_plain_step(20, 1, 6000), 6 * S, 2 * S,
+		  0, 0 },
 	};
 
 	streams[1].step.per_worker_max = 1;
-	cell_load_play(&f->world, streams, G_N_ELEMENTS(streams), 60 * S, NULL);
+	cell_load_run_streams(&f->world, streams, G_N_ELEMENTS(streams), 60 * S,
+			      NULL);
 }
 
 /* When normal work of 6 s, on workers of different speeds, has waited for this
@@ -106,7 +107,7 @@
 #define RESERVED_SPARE (16 + 32)
 
 /* While normal work misses its objective no more is reserved than needed. */
-static void check_reserved(struct cell_world *world)
+static void check_reserved(struct cell_sim *world)
 {
 	const struct rj_cell_backlog *backlog = cell_load_backlog(world);
 
@@ -131,18 +132,18 @@
 		{ "normal", "a", gang_of(3, 4, 6000), 6 * S, 800 * MS, 0, 0 },
 	};
 
-	cell_load_play(&f->world, streams, G_N_ELEMENTS(streams), 75 * S,
-		       check_reserved);
+	cell_load_run_streams(&f->world, streams, G_N_ELEMENTS(streams), 75 * S,
+			      check_reserved);
 }
 
 /* A gang that takes the whole site, handed in while another runs. */
-static struct cell_client_job *whole_site(struct cell_world *world,
+static struct cell_client_job *whole_site(struct cell_sim *world,
 					  const char *queue, uint64_t work_us)
 {
 	struct rj_cell_step step =
 		gang_of(site.workers, 8, (uint32_t)(work_us / MS));
 
-	return cell_load_hand_in(world, queue, "a", &step, work_us);
+	return cell_load_submit(world, queue, "a", &step, work_us);
 }
 
 /* How fast the slowest fake worker is. */
@@ -150,18 +151,18 @@
 
 /* Two jobs wait, the second for 2 s, for a site that comes free when the first
  * has waited for `wait_us`. Returns whether the first one begins first. */
-static bool older_begins_first(struct cell_world *world, uint64_t wait_us)
+static bool older_begins_first(struct cell_sim *world, uint64_t wait_us)
 {
 	struct cell_client_job *older;
 	struct cell_client_job *younger;
 
 	(void)whole_site(world, "urgent",
 			 (wait_us + 500 * MS) * SLOWEST_PERCENT / 100);
-	cell_load_follow(world, 500 * MS);
+	cell_load_run(world, 500 * MS);
 	older = whole_site(world, "normal", S);
-	cell_load_follow(world, wait_us - 2 * S);
+	cell_load_run(world, wait_us - 2 * S);
 	younger = whole_site(world, "normal", S);
-	cell_load_follow(world, 6 * S);
+	cell_load_run(world, 6 * S);
 	g_assert_cmpint(older->shown, ==, RJ_CELL_JOB_COMPLETED);
 	g_assert_cmpint(younger->shown, ==, RJ_CELL_JOB_COMPLETED);
 	return older->begun_us < younger->begun_us;
@@ -214,12 +215,12 @@
 	const struct cell_load_stream normal = {
 		"normal", "a", gang_of(1, 8, 6000), 6 * S, 200 * MS, 0, 0
 	};
-	struct rj_cell_step step = cell_world_step(8, 1, 6000);
+	struct rj_cell_step step = cell_sim_plain_step(8, 1, 6000);
 	struct cell_client_job *job;
 
-	cell_load_play(&f->world, &normal, 1, 10 * S, NULL);
-	job = cell_load_hand_in(&f->world, "bulk", "b", &step, 6 * S);
-	cell_load_play(&f->world, &normal, 1, 40 * S, NULL);
+	cell_load_run_streams(&f->world, &normal, 1, 10 * S, NULL);
+	job = cell_load_submit(&f->world, "bulk", "b", &step, 6 * S);
+	cell_load_run_streams(&f->world, &normal, 1, 40 * S, NULL);
 	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
 	g_assert_cmpuint(job->starts, ==, job->job_spec->task_count);
 }
@@ -241,10 +242,10 @@
 				       .estimate_ms = 6000 };
 	struct cell_client_job *job;
 
-	(void)cell_load_hand_in(&f->world, "bulk", "b", &batch, 30 * S);
-	cell_load_follow(&f->world, 2 * S);
-	job = cell_load_hand_in(&f->world, "normal", "a", &normal, 6 * S);
-	cell_load_follow(&f->world, 10 * S);
+	(void)cell_load_submit(&f->world, "bulk", "b", &batch, 30 * S);
+	cell_load_run(&f->world, 2 * S);
+	job = cell_load_submit(&f->world, "normal", "a", &normal, 6 * S);
+	cell_load_run(&f->world, 10 * S);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 }
 
@@ -256,15 +257,15 @@
 static void test_a_scheduled_job_is_not_late_early(struct cell_fixture *f,
 						   const void *data)
 {
-	struct rj_cell_step step = cell_world_step(4, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(4, 1, 2000);
 	struct cell_client_job *job =
-		cell_world_job(&f->world, "bulk", "b", &step, 1, 2 * S);
+		cell_sim_job_new(&f->world, "bulk", "b", &step, 1, 2 * S);
 
 	job->job_spec->repeats = 1;
-	job->job_spec->first_run_ms = cell_world_wall_ms(&f->world) + 45000;
+	job->job_spec->first_run_ms = cell_sim_wall_ms(&f->world) + 45000;
 	job->job_spec->interval_ms = 1000;
-	cell_world_submit(&f->world, 0, job);
-	cell_load_play(&f->world, overload(), 1, 75 * S, NULL);
+	cell_sim_submit(&f->world, 0, job);
+	cell_load_run_streams(&f->world, overload(), 1, 75 * S, NULL);
 	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
 }
 
@@ -277,25 +278,25 @@
 static void test_lasting_work_is_started_again(struct cell_fixture *f,
 					       const void *data)
 {
-	struct rj_cell_step step = cell_world_step(4, 1, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(4, 1, 1000);
 	struct cell_client_job *job;
 
 	step.perpetual = true;
-	job = cell_load_hand_in(&f->world, "bulk", "b", &step, S);
-	cell_load_follow(&f->world, S);
+	job = cell_load_submit(&f->world, "bulk", "b", &step, S);
+	cell_load_run(&f->world, S);
 	g_assert_cmpuint(job->starts, ==, 4);
-	cell_load_play(&f->world, overload(), 1, 45 * S, NULL);
+	cell_load_run_streams(&f->world, overload(), 1, 45 * S, NULL);
 	g_assert_cmpuint(job->starts, ==, 4);
 	for (uint32_t i = 0; i < site.workers; i++)
 		for (guint j = 0; j < f->world.workers[i].runs->len; j++)
-			if (g_str_has_prefix(
-				    cell_fake_row_at(&f->world.workers[i], j)
-					    .name,
-				    job->id)) {
-				cell_world_worker_kill(&f->world, i);
+			if (g_str_has_prefix(cell_fake_run_info_at(
+						     &f->world.workers[i], j)
+						     .name,
+					     job->id)) {
+				cell_sim_worker_kill(&f->world, i);
 				break;
 			}
-	cell_load_play(&f->world, overload(), 1, 30 * S, NULL);
+	cell_load_run_streams(&f->world, overload(), 1, 30 * S, NULL);
 	g_assert_cmpuint(job->starts, ==, 8);
 }
 
@@ -309,15 +310,15 @@
 						      const void *data)
 {
 	struct rj_cell_step urgent = gang_of(1, 1, 500);
-	struct rj_cell_step step = cell_world_step(4, 1, 6000);
+	struct rj_cell_step step = cell_sim_plain_step(4, 1, 6000);
 	struct cell_client_job *job;
 
-	(void)cell_load_hand_in(&f->world, "urgent", "a", &urgent, 500 * MS);
-	cell_load_play(&f->world, overload(), 1, 10 * S, NULL);
+	(void)cell_load_submit(&f->world, "urgent", "a", &urgent, 500 * MS);
+	cell_load_run_streams(&f->world, overload(), 1, 10 * S, NULL);
 	g_strlcpy(step.label, f->world.workers[0].heartbeat.rack,
 		  sizeof(step.label));
-	job = cell_load_hand_in(&f->world, "bulk", "b", &step, 6 * S);
-	cell_load_play(&f->world, overload(), 1, 25 * S, NULL);
+	job = cell_load_submit(&f->world, "bulk", "b", &step, 6 * S);
+	cell_load_run_streams(&f->world, overload(), 1, 25 * S, NULL);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 }
 
