--- a/src/bench/cell.c
+++ b/src/bench/cell.c
@@ -10,7 +10,7 @@
 #include <talloc.h>
 
 #include "bench.h"
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 #include "support/quantile.h"
 
 #define INSTANCES 4
@@ -62,7 +62,7 @@
 };
 
 /* Hand in the jobs of one step of the load. */
-static void hand_in(struct cell_world *world, const struct load *load,
+static void hand_in(struct cell_sim *world, const struct load *load,
 		    double *due)
 {
 	static const char *const queues[] = { "urgent", "normal", "bulk" };
@@ -70,20 +70,20 @@
 	*due += (double)load->tasks_per_s / TASKS_A_JOB / STEPS_PER_S;
 	for (; *due >= 1; (*due)--) {
 		uint32_t number = world->job_count;
-		struct rj_cell_step step =
-			cell_world_step(TASKS_A_JOB, 1U << number % 4, TASK_MS);
+		struct rj_cell_step step = cell_sim_plain_step(
+			TASKS_A_JOB, 1U << number % 4, TASK_MS);
 
 		step.gang = load->gangs && number % 2;
 		step.one_rack = step.gang;
-		cell_world_submit(world, number % INSTANCES,
-				  cell_world_job(world, queues[number % 3],
+		cell_sim_submit(world, number % INSTANCES,
+				cell_sim_job_new(world, queues[number % 3],
 						 number % 2 ? "a" : "b", &step,
 						 1, TASK_MS * MS));
 	}
 }
 
 /* Hand in the jobs of one step of a mixed load. */
-static void hand_in_mixed(struct cell_world *world, const struct load *load,
+static void hand_in_mixed(struct cell_sim *world, const struct load *load,
 			  double due[G_N_ELEMENTS(kinds)])
 {
 	for (guint i = 0; i < G_N_ELEMENTS(kinds); i++) {
@@ -93,7 +93,7 @@
 			  kind->tasks / STEPS_PER_S;
 		for (; due[i] >= 1; due[i]--) {
 			uint32_t number = world->job_count;
-			struct rj_cell_step step = cell_world_step(
+			struct rj_cell_step step = cell_sim_plain_step(
 				kind->tasks,
 				MIN(kind->accelerators_max, 1U << number % 4),
 				kind->task_ms);
@@ -103,8 +103,8 @@
 			step.each.memory_mb = kind->memory_mb;
 			if (!kind->gang && number % 8 == 0)
 				step.per_worker_max = 1;
-			cell_world_submit(world, number % INSTANCES,
-					  cell_world_job(world, kind->queue,
+			cell_sim_submit(world, number % INSTANCES,
+					cell_sim_job_new(world, kind->queue,
 							 number % 2 ? "a" : "b",
 							 &step, 1,
 							 kind->task_ms * MS));
@@ -113,7 +113,7 @@
 }
 
 /* Play on under the load. */
-static void play(struct cell_world *world, const struct load *load,
+static void play(struct cell_sim *world, const struct load *load,
 		 uint64_t for_us)
 {
 	uint64_t end_us = world->now_us + for_us;
@@ -124,14 +124,14 @@
 			hand_in_mixed(world, load, due);
 		else
 			hand_in(world, load, &due[0]);
-		cell_world_run(world, STEP_US);
+		cell_sim_run(world, STEP_US);
 	}
 }
 
 /* Read all counters. */
-static struct counted count(const struct cell_world *world)
+static struct counted count(const struct cell_sim *world)
 {
-	int owner = cell_world_owner(world);
+	int owner = cell_sim_owner(world);
 	struct counted counted = { .appends = world->log.appends,
 				   .reads = world->log.reads,
 				   .jobs = world->job_count };
@@ -147,7 +147,7 @@
 
 /* How long jobs handed in since `first` waited for their first step, in
  * milliseconds; a job that has not begun has waited until now. */
-static double wait_ms(const struct cell_world *world, uint32_t first, double at)
+static double wait_ms(const struct cell_sim *world, uint32_t first, double at)
 {
 	GArray *waits = g_array_new(FALSE, FALSE, sizeof(double));
 	double result;
@@ -171,7 +171,7 @@
 /* Measure one size and load. */
 static void measure(const struct load *load)
 {
-	const struct cell_world_plan plan = {
+	const struct cell_sim_options plan = {
 		.seed = 1,
 		.nodes = INSTANCES,
 		.workers = load->workers,
@@ -179,13 +179,13 @@
 		.capacity = { 64000, 64000, 8 },
 		.guaranteed = load->workers * 2,
 	};
-	struct cell_world *world = g_new0(struct cell_world, 1);
+	struct cell_sim *world = g_new0(struct cell_sim, 1);
 	double seconds = (double)MEASURED_US / S;
 	struct counted before;
 	struct counted after;
 
-	cell_world_init(world, &plan);
-	cell_world_run(world, 3 * S);
+	cell_sim_init(world, &plan);
+	cell_sim_run(world, 3 * S);
 	play(world, load, WARM_UP_US);
 	before = count(world);
 	play(world, load, MEASURED_US);
@@ -206,11 +206,11 @@
 	       (double)(after.plans - before.plans) / seconds,
 	       (double)(after.appends - before.appends) / seconds,
 	       (double)(after.reads - before.reads) / seconds,
-	       talloc_total_size(world->nodes[cell_world_owner(world)].mem),
+	       talloc_total_size(world->nodes[cell_sim_owner(world)].mem),
 	       wait_ms(world, before.jobs, 0.5),
 	       wait_ms(world, before.jobs, 0.99));
 	fflush(stdout);
-	cell_world_finish(world);
+	cell_sim_finish(world);
 	g_free(world);
 }
 
@@ -240,7 +240,7 @@
 	};
 	int status = 0;
 
-	if (errors || help->count || load.workers > CELL_WORLD_WORKERS_MAX) {
+	if (errors || help->count || load.workers > CELL_SIM_WORKERS_MAX) {
 		status = bench_usage("cell", table, help->count > 0);
 	} else if (load.workers) {
 		measure(&load);
--- a/src/test_libradishjunction/support/cell_check.c
+++ b/src/test_libradishjunction/support/cell_check.c
@@ -8,29 +8,30 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 /* A start after a cancel's acknowledgement is allowed for so long. */
-#define CANCEL_US (3 * S)
+#define CANCEL_GRACE_US (3 * S)
 /* ... and after its failure domain was cordoned. */
-#define CORDON_US (5 * S)
+#define CORDON_GRACE_US (5 * S)
 /* ... and after its worker said that it drains. */
-#define DRAIN_US (2 * S)
+#define DRAIN_GRACE_US (2 * S)
 
 /* What has been seen of one task. */
-struct cell_task_log {
+struct cell_task_stats {
 	uint32_t running; /* on workers that are up */
-	uint32_t failed_ends;
-	uint32_t failures; /* of them, those that the owner has noted */
+	uint32_t failed_runs;
+	uint32_t
+		failures_acknowledged; /* of them, those that the owner has noted */
 	bool done;
-	bool done_seen; /* and noted by the owner */
+	bool done_acknowledged; /* and noted by the owner */
 	uint32_t starts;
 };
 
 /*
  * Note a broken rule.
  */
-void cell_world_violation(struct cell_world *world, const char *format, ...)
+void cell_sim_violation(struct cell_sim *sim, const char *format, ...)
 {
 	va_list args;
 	char *text;
@@ -38,41 +39,41 @@
 	va_start(args, format);
 	text = g_strdup_vprintf(format, args);
 	va_end(args);
-	g_ptr_array_add(world->violations,
+	g_ptr_array_add(sim->violations,
 			g_strdup_printf("%.3f s: %s",
-					(double)world->now_us / (double)S,
-					text));
+					(double)sim->now_us / (double)S, text));
 	g_free(text);
 }
 
 /*
  * The job of a task's name, or NULL; and the task's place in it.
  */
-struct cell_client_job *cell_check_job(struct cell_world *world,
-				       const char *name, uint32_t *step,
-				       uint32_t *index)
+struct cell_client_job *cell_check_find_job(struct cell_sim *sim,
+					    const char *name, uint32_t *step,
+					    uint32_t *index)
 {
 	struct cell_client_job *job;
 	char id[RJ_CELL_ID_BYTES];
-	unsigned int round;
+	unsigned int occurrence;
 
-	if (sscanf(name, "%16[0-9a-f].%u.%u.%u", id, &round, step, index) != 4)
+	if (sscanf(name, "%16[0-9a-f].%u.%u.%u", id, &occurrence, step,
+		   index) != 4)
 		return NULL;
-	job = g_hash_table_lookup(world->jobs, id);
-	if (!job || *step >= job->def->step_count ||
-	    *index >= job->def->steps[*step].task_count)
+	job = g_hash_table_lookup(sim->jobs, id);
+	if (!job || *step >= job->spec->step_count ||
+	    *index >= job->spec->steps[*step].task_count)
 		return NULL;
 	return job;
 }
 
 /* The log of a task. */
-static struct cell_task_log *task_log(struct cell_client_job *job,
-				      const char *name)
+static struct cell_task_stats *task_stats(struct cell_client_job *job,
+					  const char *name)
 {
-	struct cell_task_log *log = g_hash_table_lookup(job->tasks, name);
+	struct cell_task_stats *log = g_hash_table_lookup(job->tasks, name);
 
 	if (!log) {
-		log = g_new0(struct cell_task_log, 1);
+		log = g_new0(struct cell_task_stats, 1);
 		g_hash_table_insert(job->tasks, g_strdup(name), log);
 	}
 	return log;
@@ -80,14 +81,15 @@
 
 /* The log of the task that has this name, with its job and its step, or NULL
  * if no client knows the job. */
-static struct cell_task_log *log_of(struct cell_world *world, const char *name,
-				    struct cell_client_job **job,
-				    uint32_t *step)
+static struct cell_task_stats *find_task_stats(struct cell_sim *sim,
+					       const char *name,
+					       struct cell_client_job **job,
+					       uint32_t *step)
 {
 	uint32_t index = 0;
 
-	*job = cell_check_job(world, name, step, &index);
-	return *job ? task_log(*job, name) : NULL;
+	*job = cell_check_find_job(sim, name, step, &index);
+	return *job ? task_stats(*job, name) : NULL;
 }
 
 /* Whether all tasks of a step have ended well; for a gang one end speaks
@@ -96,16 +98,16 @@
 		      uint32_t step)
 {
 	const char *dot = strchr(name, '.');
-	unsigned int round = 0;
+	unsigned int occurrence = 0;
 
-	sscanf(dot + 1, "%u", &round);
-	for (uint32_t i = 0; i < job->def->steps[step].task_count; i++) {
-		char *other =
-			g_strdup_printf("%s.%u.%u.%u", job->id, round, step, i);
-		bool done = task_log(job, other)->done;
+	sscanf(dot + 1, "%u", &occurrence);
+	for (uint32_t i = 0; i < job->spec->steps[step].task_count; i++) {
+		char *other = g_strdup_printf("%s.%u.%u.%u", job->id,
+					      occurrence, step, i);
+		bool done = task_stats(job, other)->done;
 
 		g_free(other);
-		if (done && job->def->steps[step].gang)
+		if (done && job->spec->steps[step].gang)
 			return true;
 		if (!done)
 			return false;
@@ -114,21 +116,21 @@
 }
 
 /* Whether the tasks of the first step have all begun. */
-static void note_begun(struct cell_world *world, struct cell_client_job *job)
+static void update_begun(struct cell_sim *sim, struct cell_client_job *job)
 {
-	const struct rj_cell_step *step = &job->def->steps[0];
+	const struct rj_cell_step *step = &job->spec->steps[0];
 
 	if (job->begun_us)
 		return;
 	for (uint32_t i = 0; i < step->task_count; i++) {
 		char *name = g_strdup_printf("%s.0.0.%u", job->id, i);
-		bool begun = task_log(job, name)->starts > 0;
+		bool begun = task_stats(job, name)->starts > 0;
 
 		g_free(name);
 		if (!begun)
 			return;
 	}
-	job->begun_us = world->now_us;
+	job->begun_us = sim->now_us;
 }
 
 /* Whether two names are of one step and occurrence. */
@@ -146,49 +148,49 @@
 	uint32_t count = 0;
 
 	for (guint i = 0; i < worker->runs->len; i++)
-		if (are_siblings(cell_fake_row_at(worker, i).name, name))
+		if (are_siblings(cell_fake_run_info_at(worker, i).name, name))
 			count++;
 	return count;
 }
 
 /* Whether a worker that does not guard itself is overfilled. */
-static void check_room(struct cell_world *world,
-		       struct cell_fake_worker *worker,
-		       const struct rj_cell_step *step, const char *name)
+static void check_capacity(struct cell_sim *sim,
+			   struct cell_fake_worker *worker,
+			   const struct rj_cell_step *step, const char *name)
 {
 	struct rj_cell_demand sum = rj_cell_step_counted(step);
 
 	for (guint i = 0; i < worker->runs->len; i++) {
-		struct rj_cell_demand held = cell_fake_row_at(worker, i).held;
+		struct rj_cell_demand allocated =
+			cell_fake_run_info_at(worker, i).allocated;
 
-		rj_cell_demand_give(&sum, &held);
+		rj_cell_demand_give(&sum, &allocated);
 	}
-	if (!rj_cell_demand_fits(&sum, &worker->said.capacity))
-		cell_world_violation(world, "capacity: %s on %s", name,
-				     worker->id);
+	if (!rj_cell_demand_fits(&sum, &worker->reported.capacity))
+		cell_sim_violation(sim, "capacity: %s on %s", name, worker->id);
 }
 
 /* Whether the failure domain of a worker has been cordoned for too long. */
-static void check_cordon(struct cell_world *world,
+static void check_cordon(struct cell_sim *sim,
 			 const struct cell_fake_worker *worker,
 			 const char *name, uint64_t sent_us)
 {
 	const uint64_t *since_us =
-		g_hash_table_lookup(world->cordons, worker->said.domain);
+		g_hash_table_lookup(sim->cordons, worker->reported.domain);
 
-	if (since_us && sent_us > *since_us + CORDON_US)
-		cell_world_violation(world, "cordon: %s on %s in %s", name,
-				     worker->id, worker->said.domain);
+	if (since_us && sent_us > *since_us + CORDON_GRACE_US)
+		cell_sim_violation(sim, "cordon: %s on %s in %s", name,
+				   worker->id, worker->reported.domain);
 }
 
 /* Whether a worker has been draining for too long. */
-static void check_drain(struct cell_world *world,
+static void check_drain(struct cell_sim *sim,
 			const struct cell_fake_worker *worker, const char *name,
 			uint64_t sent_us)
 {
-	if (worker->said.draining && sent_us > worker->drained_us + DRAIN_US)
-		cell_world_violation(world, "drain: %s on %s", name,
-				     worker->id);
+	if (worker->reported.draining &&
+	    sent_us > worker->drain_reported_us + DRAIN_GRACE_US)
+		cell_sim_violation(sim, "drain: %s on %s", name, worker->id);
 }
 
 /*
@@ -196,137 +198,142 @@
  * for what is cancelled counts for the sending: a worker may carry an order
  * out late, and then has to be told to stop.
  */
-void cell_check_start(struct cell_world *world, struct cell_fake_worker *worker,
+void cell_check_start(struct cell_sim *sim, struct cell_fake_worker *worker,
 		      const struct rj_cell_start *start, uint64_t sent_us)
 {
 	uint32_t step = 0;
 	uint32_t index = 0;
 	struct cell_client_job *job =
-		cell_check_job(world, start->name, &step, &index);
-	struct cell_task_log *log;
+		cell_check_find_job(sim, start->name, &step, &index);
+	struct cell_task_stats *log;
 	const struct rj_cell_step *of;
 
-	world->starts++;
+	sim->starts++;
 	if (!job) {
-		cell_world_violation(world, "unasked: %s", start->name);
+		cell_sim_violation(sim, "unasked: %s", start->name);
 		return;
 	}
-	of = &job->def->steps[step];
-	log = task_log(job, start->name);
+	of = &job->spec->steps[step];
+	log = task_stats(job, start->name);
 	log->starts++;
 	job->starts++;
 	if (log->running && !of->speculative)
-		cell_world_violation(world, "twice: %s run %u on %s, %u run",
-				     start->name, start->number, worker->id,
-				     log->running);
-	if (log->done_seen && !of->perpetual)
-		cell_world_violation(world, "twice: %s run %u after its end",
-				     start->name, start->number);
-	if (log->failures >= job->def->attempts_max && !of->perpetual)
-		cell_world_violation(world, "attempts: %s run %u", start->name,
-				     start->number);
-	if (job->cancelled && sent_us > job->cancelled_us + CANCEL_US)
-		cell_world_violation(world, "unasked: %s is cancelled",
-				     start->name);
-	if (!job->accepted && job->refusals && job->refusals == job->tries)
-		cell_world_violation(world, "refused: %s", start->name);
+		cell_sim_violation(sim, "twice: %s run %u on %s, %u run",
+				   start->name, start->number, worker->id,
+				   log->running);
+	if (log->done_acknowledged && !of->perpetual)
+		cell_sim_violation(sim, "twice: %s run %u after its end",
+				   start->name, start->number);
+	if (log->failures_acknowledged >= job->spec->attempts_max &&
+	    !of->perpetual)
+		cell_sim_violation(sim, "attempts: %s run %u", start->name,
+				   start->number);
+	if (job->cancelled && sent_us > job->cancelled_us + CANCEL_GRACE_US)
+		cell_sim_violation(sim, "unasked: %s is cancelled",
+				   start->name);
+	if (!job->accepted && job->refusals &&
+	    job->refusals == job->submissions)
+		cell_sim_violation(sim, "refused: %s", start->name);
 	for (uint32_t i = 0; i < of->after_count; i++)
 		if (!step_done(job, start->name, of->after[i]))
-			cell_world_violation(world, "order: %s", start->name);
+			cell_sim_violation(sim, "order: %s", start->name);
 	if (of->per_worker_max &&
 	    siblings_on(worker, start->name) >= of->per_worker_max)
-		cell_world_violation(
-			world, "route: %s beside %u on %s", start->name,
+		cell_sim_violation(
+			sim, "route: %s beside %u on %s", start->name,
 			siblings_on(worker, start->name), worker->id);
-	check_cordon(world, worker, start->name, sent_us);
-	check_drain(world, worker, start->name, sent_us);
-	check_room(world, worker, of, start->name);
+	check_cordon(sim, worker, start->name, sent_us);
+	check_drain(sim, worker, start->name, sent_us);
+	check_capacity(sim, worker, of, start->name);
 	log->running++;
-	note_begun(world, job);
+	update_begun(sim, job);
 }
 
 /*
  * A run has ended at its worker.
  */
-void cell_check_end(struct cell_world *world, struct cell_fake_worker *worker,
-		    const char *name, uint32_t run, enum rj_cell_end end)
+void cell_check_completion(struct cell_sim *sim,
+			   struct cell_fake_worker *worker, const char *name,
+			   uint32_t run, enum rj_cell_end outcome)
 {
 	uint32_t step = 0;
 	struct cell_client_job *job;
-	struct cell_task_log *log = log_of(world, name, &job, &step);
+	struct cell_task_stats *log = find_task_stats(sim, name, &job, &step);
 
 	if (!log)
 		return;
 	if (log->running)
 		log->running--;
-	if (end == RJ_CELL_END_DONE)
+	if (outcome == RJ_CELL_END_DONE)
 		log->done = true;
-	if (end == RJ_CELL_END_FAILED)
-		log->failed_ends++;
+	if (outcome == RJ_CELL_END_FAILED)
+		log->failed_runs++;
 }
 
 /*
  * The owner has noted an end.
  */
-void cell_check_seen(struct cell_world *world, struct cell_fake_worker *worker,
-		     const char *name, uint32_t run, enum rj_cell_end end)
+void cell_check_acknowledged(struct cell_sim *sim,
+			     struct cell_fake_worker *worker, const char *name,
+			     uint32_t run, enum rj_cell_end outcome)
 {
 	uint32_t step = 0;
 	struct cell_client_job *job;
-	struct cell_task_log *log = log_of(world, name, &job, &step);
+	struct cell_task_stats *log = find_task_stats(sim, name, &job, &step);
 
 	if (!log)
 		return;
-	if (end == RJ_CELL_END_DONE) {
-		log->done_seen = true;
-		if (log->running && !job->def->steps[step].speculative &&
-		    !job->def->steps[step].perpetual)
-			cell_world_violation(world,
-					     "twice: %s run %u noted done "
-					     "while it runs",
-					     name, run);
+	if (outcome == RJ_CELL_END_DONE) {
+		log->done_acknowledged = true;
+		if (log->running && !job->spec->steps[step].speculative &&
+		    !job->spec->steps[step].perpetual)
+			cell_sim_violation(sim,
+					   "twice: %s run %u noted done "
+					   "while it runs",
+					   name, run);
 	}
-	if (end == RJ_CELL_END_FAILED)
-		log->failures++;
+	if (outcome == RJ_CELL_END_FAILED)
+		log->failures_acknowledged++;
 }
 
 /* Whether some task, or some gang, has failed as often as it may. */
-static bool has_cause(struct cell_client_job *job)
+static bool has_exhausted_attempts(struct cell_client_job *job)
 {
-	for (uint32_t i = 0; i < job->def->step_count; i++) {
-		const struct rj_cell_step *step = &job->def->steps[i];
+	for (uint32_t i = 0; i < job->spec->step_count; i++) {
+		const struct rj_cell_step *step = &job->spec->steps[i];
 		uint32_t sum = 0;
 
 		for (uint32_t j = 0; j < step->task_count; j++) {
 			char *name =
 				g_strdup_printf("%s.0.%u.%u", job->id, i, j);
-			uint32_t failures = task_log(job, name)->failed_ends;
+			uint32_t failures = task_stats(job, name)->failed_runs;
 
 			g_free(name);
 			sum = step->gang ? sum + failures : MAX(sum, failures);
 		}
-		if (sum >= job->def->attempts_max)
+		if (sum >= job->spec->attempts_max)
 			return true;
 	}
 	return false;
 }
 
 /* Nothing of a job that has ended runs any more. */
-static void check_leftovers(struct cell_world *world)
+static void check_leftovers(struct cell_sim *sim)
 {
-	for (uint32_t i = 0; i < world->plan.workers; i++) {
-		struct cell_fake_worker *worker = &world->workers[i];
+	for (uint32_t i = 0; i < sim->options.workers; i++) {
+		struct cell_fake_worker *worker = &sim->workers[i];
 
 		for (guint j = 0; j < worker->runs->len; j++) {
-			const char *name = cell_fake_row_at(worker, j).name;
+			const char *name =
+				cell_fake_run_info_at(worker, j).name;
 			uint32_t step = 0;
 			uint32_t index = 0;
 			const struct cell_client_job *job =
-				cell_check_job(world, name, &step, &index);
+				cell_check_find_job(sim, name, &step, &index);
 
-			if (!job || job->shown >= RJ_CELL_JOB_COMPLETED)
-				cell_world_violation(
-					world, "unasked: %s still runs on %s",
+			if (!job || job->state >= RJ_CELL_JOB_COMPLETED)
+				cell_sim_violation(
+					sim, "unasked: %s still runs on %s",
 					name, worker->id);
 		}
 	}
@@ -337,37 +344,37 @@
  * is known and has ended, no task of a completed job is missing, and nothing
  * of an ended job runs.
  */
-void cell_world_check_end(struct cell_world *world)
+void cell_sim_check_final(struct cell_sim *sim)
 {
-	check_leftovers(world);
-	for (guint i = 0; i < world->job_list->len; i++) {
-		struct cell_client_job *job = world->job_list->pdata[i];
+	check_leftovers(sim);
+	for (guint i = 0; i < sim->job_list->len; i++) {
+		struct cell_client_job *job = sim->job_list->pdata[i];
 
 		if (!job->accepted)
 			continue;
-		if (job->gone)
-			cell_world_violation(world, "lost: %s is not known",
-					     job->id);
-		if (!job->has_shown || job->shown < RJ_CELL_JOB_COMPLETED)
-			cell_world_violation(
-				world, "lost: %s is %s", job->id,
-				job->has_shown ?
-					rj_cell_job_state_string[job->shown] :
+		if (job->not_found)
+			cell_sim_violation(sim, "lost: %s is not known",
+					   job->id);
+		if (!job->has_state || job->state < RJ_CELL_JOB_COMPLETED)
+			cell_sim_violation(
+				sim, "lost: %s is %s", job->id,
+				job->has_state ?
+					rj_cell_job_state_string[job->state] :
 					"never shown");
-		if (job->shown == RJ_CELL_JOB_FAILED && !has_cause(job))
-			cell_world_violation(world, "lost: %s has failed",
-					     job->id);
-		if (job->shown == RJ_CELL_JOB_CANCELLED && !job->cancel_sent)
-			cell_world_violation(world, "lost: %s is cancelled",
-					     job->id);
-		for (uint32_t j = 0; job->shown == RJ_CELL_JOB_COMPLETED &&
-				     j < job->def->step_count;
+		if (job->state == RJ_CELL_JOB_FAILED &&
+		    !has_exhausted_attempts(job))
+			cell_sim_violation(sim, "lost: %s has failed", job->id);
+		if (job->state == RJ_CELL_JOB_CANCELLED && !job->cancel_sent)
+			cell_sim_violation(sim, "lost: %s is cancelled",
+					   job->id);
+		for (uint32_t j = 0; job->state == RJ_CELL_JOB_COMPLETED &&
+				     j < job->spec->step_count;
 		     j++) {
 			char *name = g_strdup_printf("%s.0.%u.0", job->id, j);
 
 			if (!step_done(job, name, j))
-				cell_world_violation(
-					world, "mixed: %s is not done", name);
+				cell_sim_violation(sim, "mixed: %s is not done",
+						   name);
 			g_free(name);
 		}
 	}
--- a/src/test_libradishjunction/support/cell_fake.h
+++ b/src/test_libradishjunction/support/cell_fake.h
@@ -7,10 +7,10 @@
 #define TEST_SUPPORT_CELL_FAKE_H
 
 #include "private/cell_workers.h"
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 /* A stop takes so long. */
-#define CELL_FAKE_STOP_US (150 * MS)
+#define CELL_FAKE_STOP_DELAY_US (150 * MS)
 
 /* One run on a worker. */
 struct cell_fake_run {
@@ -18,51 +18,52 @@
 	uint32_t number;
 	char *gang; /* what its members share, or NULL */
 	struct cell_fake_worker *worker;
-	uint32_t members;
-	uint64_t work_us; /* to be done */
-	uint64_t done_us;
-	uint64_t fails_at_us; /* of done_us; 0: never */
-	bool saves;
-	char saved[RJ_CELL_CHECKPOINT_BYTES];
-	uint64_t placed_us;
-	uint64_t stopped_us; /* when it is to be gone; 0: not stopped */
-	uint64_t broken_us; /* ... as another member of its gang has ended */
-	struct rj_cell_demand held;
-	bool unguarded; /* its job is not known to the world */
+	uint32_t member_count;
+	uint64_t duration_us; /* to be done */
+	uint64_t progress_us;
+	uint64_t fails_at_us; /* of progress_us; 0: never */
+	bool checkpoints;
+	char checkpoint[RJ_CELL_CHECKPOINT_BYTES];
+	uint64_t started_us;
+	uint64_t stop_at_us; /* when it is to be gone; 0: not stopped */
+	uint64_t break_at_us; /* ... as another member of its gang has ended */
+	struct rj_cell_demand allocated;
+	bool unknown_job; /* its job is not known to the world */
 	uint32_t target_ms; /* it serves within this bound; 0: it fills */
-	uint64_t slow_us; /* for so long it has been over that */
+	uint64_t over_target_us; /* for so long it has been over that */
 };
 
 /* One end that is listed. */
-struct cell_fake_end {
+struct cell_fake_completion {
 	uint64_t position;
 	char name[64];
 	uint32_t number;
-	enum rj_cell_end end;
-	char saved[RJ_CELL_CHECKPOINT_BYTES];
+	enum rj_cell_end outcome;
+	char checkpoint[RJ_CELL_CHECKPOINT_BYTES];
 	uint64_t ended_us;
 };
 
 /* Runs and ends. */
-uint64_t cell_fake_clock_ms(const struct cell_world *world,
+uint64_t cell_fake_clock_ms(const struct cell_sim *sim,
 			    const struct cell_fake_worker *worker);
-struct cell_fake_run *cell_fake_run_of(const struct cell_fake_worker *worker,
-				       const char *name);
-uint32_t cell_fake_tail_ms(const struct cell_fake_worker *worker,
-			   const struct cell_fake_run *run);
-void cell_fake_bar(struct cell_fake_worker *worker, const char *name,
-		   uint32_t number);
-void cell_fake_begin(struct cell_world *world, struct cell_fake_worker *worker,
-		     const struct rj_cell_start *start);
-bool cell_fake_is_full(struct cell_world *world,
-		       struct cell_fake_worker *worker, const char *name);
-void cell_fake_forget(struct cell_world *world, struct cell_fake_worker *worker,
-		      uint64_t seen);
+struct cell_fake_run *cell_fake_find_run(const struct cell_fake_worker *worker,
+					 const char *name);
+uint32_t cell_fake_tail_latency_ms(const struct cell_fake_worker *worker,
+				   const struct cell_fake_run *run);
+void cell_fake_mark_ended(struct cell_fake_worker *worker, const char *name,
+			  uint32_t number);
+void cell_fake_start_run(struct cell_sim *sim, struct cell_fake_worker *worker,
+			 const struct rj_cell_start *start);
+bool cell_fake_is_full(struct cell_sim *sim, struct cell_fake_worker *worker,
+		       const char *name);
+void cell_fake_drop_acknowledged(struct cell_sim *sim,
+				 struct cell_fake_worker *worker,
+				 uint64_t acknowledged);
 
 /* Polls that wait. */
-void cell_fake_wake_polls(struct cell_fake_worker *worker);
-void cell_fake_end_polls(struct cell_world *world,
-			 struct cell_fake_worker *worker);
+void cell_fake_answer_polls(struct cell_fake_worker *worker);
+void cell_fake_expire_polls(struct cell_sim *sim,
+			    struct cell_fake_worker *worker);
 void cell_fake_lose_polls(struct cell_fake_worker *worker);
 
 #endif
--- a/src/test_libradishjunction/support/cell_fake_advice.c
+++ b/src/test_libradishjunction/support/cell_fake_advice.c
@@ -6,18 +6,18 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
-#define DECIDE_US (30 * MS)
-#define PER_WORKER_US (2 * MS)
+#define DECISION_BASE_US (30 * MS)
+#define DECISION_PER_WORKER_US (2 * MS)
 #define VALID_MS 3000
 /* A question that is not answered ends so late. */
 #define TIMEOUT_US (5 * S)
 
 /* A question on its way. */
-struct question {
-	struct cell_world_node *node;
-	uint32_t life;
+struct advice_call {
+	struct cell_sim_node *node;
+	uint32_t node_incarnation;
 	struct rj_cell_advice_done done;
 	struct rj_cell_advice_reply reply;
 };
@@ -37,7 +37,7 @@
 /*
  * Whether a start's ticket is good for its worker's present life.
  */
-bool cell_advice_accepts(struct cell_world *world,
+bool cell_advice_accepts(struct cell_sim *sim,
 			 const struct cell_fake_worker *worker,
 			 const struct rj_cell_start *start)
 {
@@ -47,12 +47,12 @@
 	bool good =
 		g_strv_length(parts) == 3 && !strcmp(parts[0], step) &&
 		g_ascii_strtoull(parts[1], NULL, 10) == worker->incarnation &&
-		world->now_us <=
+		sim->now_us <=
 			g_ascii_strtoull(parts[2], NULL, 10) + VALID_MS * MS;
 
 	if (good && !cell_advice_allows(step, worker->id))
-		cell_world_violation(world, "route: %s may not run on %s",
-				     start->name, worker->id);
+		cell_sim_violation(sim, "route: %s may not run on %s",
+				   start->name, worker->id);
 	g_strfreev(parts);
 	g_free(step);
 	return good;
@@ -61,19 +61,19 @@
 /* The answer arrives. */
 static void deliver(void *data)
 {
-	struct question *question = data;
-	struct cell_world_node *node = question->node;
+	struct advice_call *advice_call = data;
+	struct cell_sim_node *node = advice_call->node;
 
-	if (cell_world_waits(node, deliver, question))
+	if (cell_sim_defer_if_paused(node, deliver, advice_call))
 		return;
-	if (cell_world_reaches(node, question->life)) {
-		cell_world_enter(node);
-		question->reply.now_us = node->world->now_us;
-		question->done.call(question->done.private_data,
-				    &question->reply);
-		cell_world_leave(node);
+	if (cell_sim_node_is_current(node, advice_call->node_incarnation)) {
+		cell_sim_node_enter(node);
+		advice_call->reply.now_us = node->sim->now_us;
+		advice_call->done.call(advice_call->done.private_data,
+				       &advice_call->reply);
+		cell_sim_node_leave(node);
 	}
-	talloc_free(question);
+	talloc_free(advice_call);
 }
 
 /* A node asks. */
@@ -81,38 +81,41 @@
 		const char *const *workers, uint32_t count,
 		struct rj_cell_advice_done done)
 {
-	struct cell_world_node *node =
-		RJ_CONTAINER(advisor, struct cell_world_node, advisor);
-	struct cell_world *world = node->world;
-	struct question *question = talloc_zero(world->mem, struct question);
+	struct cell_sim_node *node =
+		RJ_CONTAINER(advisor, struct cell_sim_node, advisor);
+	struct cell_sim *sim = node->sim;
+	struct advice_call *advice_call =
+		talloc_zero(sim->mem, struct advice_call);
 	struct rj_cell_ticket *tickets =
-		talloc_zero_array(question, struct rj_cell_ticket, count);
+		talloc_zero_array(advice_call, struct rj_cell_ticket, count);
 
-	question->node = node;
-	question->life = node->life;
-	question->done = done;
-	world->questions++;
-	if (world->advice_silent) {
-		cell_world_at(world, TIMEOUT_US, deliver, question);
+	advice_call->node = node;
+	advice_call->node_incarnation = node->incarnation;
+	advice_call->done = done;
+	sim->advice_requests++;
+	if (sim->advisor_unreachable) {
+		cell_sim_schedule(sim, TIMEOUT_US, deliver, advice_call);
 		return;
 	}
-	question->reply.answered = true;
-	question->reply.valid_ms = VALID_MS;
-	question->reply.tickets = tickets;
+	advice_call->reply.answered = true;
+	advice_call->reply.valid_ms = VALID_MS;
+	advice_call->reply.tickets = tickets;
 	for (uint32_t i = 0; i < count; i++) {
 		uint64_t index = g_ascii_strtoull(workers[i] + 1, NULL, 10);
 
 		if (!cell_advice_allows(step, workers[i]))
 			continue;
-		tickets[question->reply.count].worker =
-			talloc_strdup(question, workers[i]);
-		tickets[question->reply.count++].ticket = talloc_asprintf(
-			question, "%s/%" G_GUINT64_FORMAT "/%" G_GUINT64_FORMAT,
-			step, world->workers[index].incarnation,
-			(uint64_t)(world->now_us + DECIDE_US));
+		tickets[advice_call->reply.count].worker =
+			talloc_strdup(advice_call, workers[i]);
+		tickets[advice_call->reply.count++].ticket = talloc_asprintf(
+			advice_call,
+			"%s/%" G_GUINT64_FORMAT "/%" G_GUINT64_FORMAT, step,
+			sim->workers[index].incarnation,
+			(uint64_t)(sim->now_us + DECISION_BASE_US));
 	}
-	cell_world_at(world, DECIDE_US + count * PER_WORKER_US, deliver,
-		      question);
+	cell_sim_schedule(sim,
+			  DECISION_BASE_US + count * DECISION_PER_WORKER_US,
+			  deliver, advice_call);
 }
 
 const struct rj_cell_advisor_ops cell_advice_ops = { .ask = ask };
--- a/src/test_libradishjunction/support/cell_fake_log.c
+++ b/src/test_libradishjunction/support/cell_fake_log.c
@@ -5,25 +5,25 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 /* A producer's repeats of so many last appends are answered again. */
-#define REPEATS 5
+#define REPEATS_MAX 5
 #define PAGE_RECORDS 40
-/* Without an answer a call ends so late, as adapters give up. */
+/* Without an answer a call ends so delayed, as adapters give up. */
 #define TIMEOUT_US (900 * MS)
 
 struct producer {
 	uint64_t epoch;
 	bool has_appended;
 	uint64_t sequence; /* of the last append */
-	uint64_t ends[REPEATS]; /* the answers to the last appends */
+	uint64_t end_offsets[REPEATS_MAX]; /* the answers to the last appends */
 };
 
 /* A long poll or any other call on its way. */
 struct call {
-	struct cell_world_node *node;
-	uint32_t life;
+	struct cell_sim_node *node;
+	uint32_t node_incarnation;
 	struct rj_cell_store_done done;
 	enum rj_cell_topic topic;
 	uint64_t from;
@@ -41,22 +41,22 @@
 /*
  * Make an empty log.
  */
-void cell_log_init(struct cell_world *world)
+void cell_log_init(struct cell_sim *sim)
 {
 	for (int i = 0; i < RJ_CELL_TOPIC_COUNT; i++)
-		world->log.records[i] = g_ptr_array_new();
-	world->log.producers =
+		sim->log.records[i] = g_ptr_array_new();
+	sim->log.producers =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	world->log.latency_us = 4 * MS;
+	sim->log.latency_us = 4 * MS;
 }
 
 /*
  * Free it.
  */
-void cell_log_finish(struct cell_world *world)
+void cell_log_finish(struct cell_sim *sim)
 {
 	for (int i = 0; i < RJ_CELL_TOPIC_COUNT; i++) {
-		GPtrArray *records = world->log.records[i];
+		GPtrArray *records = sim->log.records[i];
 
 		for (guint j = 0; j < records->len; j++) {
 			struct cell_log_record *record = records->pdata[j];
@@ -68,59 +68,59 @@
 		}
 		g_ptr_array_free(records, TRUE);
 	}
-	g_hash_table_destroy(world->log.producers);
+	g_hash_table_destroy(sim->log.producers);
 }
 
 /*
  * Append one record at once, as operators and workers do.
  */
-void cell_log_put(struct cell_world *world, enum rj_cell_topic topic,
+void cell_log_put(struct cell_sim *sim, enum rj_cell_topic topic,
 		  const char *key, const void *value, size_t length)
 {
 	struct cell_log_record *record = g_new0(struct cell_log_record, 1);
 
 	record->key = g_strdup(key);
 	record->value = length ? g_bytes_new(value, length) : NULL;
-	g_ptr_array_add(world->log.records[topic], record);
+	g_ptr_array_add(sim->log.records[topic], record);
 }
 
 /* Whether the node that called still waits for the answer. */
 static void deliver(void *data)
 {
 	struct call *call = data;
-	struct cell_world_node *node = call->node;
+	struct cell_sim_node *node = call->node;
 
-	if (!cell_world_reaches(node, call->life)) {
+	if (!cell_sim_node_is_current(node, call->node_incarnation)) {
 		talloc_free(call);
 		return;
 	}
-	if (cell_world_waits(node, deliver, call))
+	if (cell_sim_defer_if_paused(node, deliver, call))
 		return;
-	cell_world_enter(node);
-	call->reply.now_us = node->world->now_us;
+	cell_sim_node_enter(node);
+	call->reply.now_us = node->sim->now_us;
 	call->done.call(call->done.private_data, &call->reply);
-	rj_cell_node_advance(&node->node, node->world->now_us,
-			     cell_world_wall_ms(node->world));
-	cell_world_leave(node);
+	rj_cell_node_advance(&node->node, node->sim->now_us,
+			     cell_sim_wall_ms(node->sim));
+	cell_sim_node_leave(node);
 	talloc_free(call);
 }
 
 /* The answer is on its way back. */
 static void answer(struct call *call, enum rj_cell_store_status status)
 {
-	struct cell_world *world = call->node->world;
+	struct cell_sim *sim = call->node->sim;
 
 	call->reply.status = status;
-	cell_world_at(world, world->log.latency_us / 2, deliver, call);
+	cell_sim_schedule(sim, sim->log.latency_us / 2, deliver, call);
 }
 
 /* A call that gets no answer. */
-static void lose(struct call *call)
+static void drop_answer(struct call *call)
 {
 	call->reply.status = RJ_CELL_STORE_LOST;
-	cell_world_at(call->node->world,
-		      TIMEOUT_US + (call->until_us ? 1000 * MS : 0), deliver,
-		      call);
+	cell_sim_schedule(call->node->sim,
+			  TIMEOUT_US + (call->until_us ? 1000 * MS : 0),
+			  deliver, call);
 }
 
 /* Put one record into a reply. */
@@ -135,7 +135,7 @@
 	copy.key = talloc_strdup(call, record->key);
 	copy.value.data = talloc_memdup(call, data, length);
 	copy.value.length = (uint32_t)length;
-	call->node->world->log.read_bytes[call->node->index] += length;
+	call->node->sim->log.read_bytes[call->node->index] += length;
 	g_array_append_val(records, copy);
 }
 
@@ -153,27 +153,27 @@
 static void try_read(void *data)
 {
 	struct call *call = data;
-	struct cell_world *world = call->node->world;
-	GPtrArray *log = world->log.records[call->topic];
+	struct cell_sim *sim = call->node->sim;
+	GPtrArray *log = sim->log.records[call->topic];
 	GArray *records;
 
-	if (!cell_world_reaches(call->node, call->life)) {
+	if (!cell_sim_node_is_current(call->node, call->node_incarnation)) {
 		talloc_free(call);
 		return;
 	}
-	if (world->log.modes[call->node->index] == CELL_LOG_SILENT ||
-	    world->log.reads_silent[call->topic]) {
-		lose(call);
+	if (sim->log.modes[call->node->index] == CELL_LOG_UNREACHABLE ||
+	    sim->log.reads_unreachable[call->topic]) {
+		drop_answer(call);
 		return;
 	}
-	if (call->from < world->log.first_kept[call->topic]) {
+	if (call->from < sim->log.first_retained[call->topic]) {
 		answer(call, RJ_CELL_STORE_GONE);
 		return;
 	}
 	if ((call->from >= log->len ||
-	     world->now_us < world->log.deaf_until_us) &&
-	    world->now_us < call->until_us) {
-		cell_world_at(world, 2 * MS, try_read, call);
+	     sim->now_us < sim->log.no_wakeup_until_us) &&
+	    sim->now_us < call->until_us) {
+		cell_sim_schedule(sim, 2 * MS, try_read, call);
 		return;
 	}
 	records = g_array_new(FALSE, FALSE, sizeof(struct rj_cell_record));
@@ -195,8 +195,8 @@
 static void do_newest(void *data)
 {
 	struct call *call = data;
-	struct cell_world *world = call->node->world;
-	GPtrArray *log = world->log.records[call->topic];
+	struct cell_sim *sim = call->node->sim;
+	GPtrArray *log = sim->log.records[call->topic];
 	GHashTable *newest = g_hash_table_new(g_str_hash, g_str_equal);
 	GPtrArray *keys = g_ptr_array_new();
 	GArray *records =
@@ -231,16 +231,16 @@
 	set_records(call, records);
 	g_ptr_array_free(keys, TRUE);
 	g_hash_table_destroy(newest);
-	if (world->log.modes[call->node->index] == CELL_LOG_SILENT ||
-	    world->log.reads_silent[call->topic])
-		lose(call);
+	if (sim->log.modes[call->node->index] == CELL_LOG_UNREACHABLE ||
+	    sim->log.reads_unreachable[call->topic])
+		drop_answer(call);
 	else
 		answer(call, RJ_CELL_STORE_OK);
 }
 
 /* Whether an append may be done; else its status. */
-static enum rj_cell_store_status judge(const struct call *call,
-				       struct producer *producer)
+static enum rj_cell_store_status check_sequence(const struct call *call,
+						struct producer *producer)
 {
 	const struct rj_cell_append *append = &call->append;
 
@@ -264,60 +264,60 @@
 
 	return producer->has_appended && append->epoch == producer->epoch &&
 	       append->sequence <= producer->sequence &&
-	       producer->sequence - append->sequence < REPEATS;
+	       producer->sequence - append->sequence < REPEATS_MAX;
 }
 
 /* The producer of a name in one topic, made when it is new. */
-static struct producer *obtain_producer(struct cell_world *world,
+static struct producer *obtain_producer(struct cell_sim *sim,
 					enum rj_cell_topic topic,
 					const char *name)
 {
 	char *key = g_strdup_printf("%d %s", topic, name);
 	struct producer *producer =
-		g_hash_table_lookup(world->log.producers, key);
+		g_hash_table_lookup(sim->log.producers, key);
 
 	if (producer) {
 		g_free(key);
 		return producer;
 	}
 	producer = g_new0(struct producer, 1);
-	g_hash_table_insert(world->log.producers, key, producer);
+	g_hash_table_insert(sim->log.producers, key, producer);
 	return producer;
 }
 
 /* Carry an append out. */
-static enum rj_cell_store_status apply(struct cell_world *world,
-				       struct call *call)
+static enum rj_cell_store_status apply(struct cell_sim *sim, struct call *call)
 {
 	const struct rj_cell_append *append = &call->append;
 	struct producer *producer =
-		obtain_producer(world, append->topic, append->producer);
+		obtain_producer(sim, append->topic, append->producer);
 	enum rj_cell_store_status status;
 
 	if (is_repeat(call, producer)) {
-		call->reply.end = producer->ends[append->sequence % REPEATS];
+		call->reply.end =
+			producer->end_offsets[append->sequence % REPEATS_MAX];
 		return RJ_CELL_STORE_OK;
 	}
-	status = judge(call, producer);
+	status = check_sequence(call, producer);
 	if (status != RJ_CELL_STORE_OK)
 		return status;
 	for (uint32_t i = 0; i < append->count; i++)
-		cell_log_put(world, append->topic, call->records[i].key,
+		cell_log_put(sim, append->topic, call->records[i].key,
 			     call->records[i].value.data,
 			     call->records[i].value.length);
 	producer->has_appended = true;
 	producer->sequence = append->sequence;
-	call->reply.end = world->log.records[append->topic]->len;
-	producer->ends[append->sequence % REPEATS] = call->reply.end;
+	call->reply.end = sim->log.records[append->topic]->len;
+	producer->end_offsets[append->sequence % REPEATS_MAX] = call->reply.end;
 	return RJ_CELL_STORE_OK;
 }
 
 /* A lost append is carried out late. */
-static void apply_late(void *data)
+static void apply_delayed(void *data)
 {
 	struct call *call = data;
 
-	apply(call->node->world, call);
+	apply(call->node->sim, call);
 	talloc_free(call);
 }
 
@@ -325,48 +325,49 @@
 static void do_append(void *data)
 {
 	struct call *call = data;
-	struct cell_world *world = call->node->world;
-	struct cell_log *log = &world->log;
+	struct cell_sim *sim = call->node->sim;
+	struct cell_log *log = &sim->log;
 
 	log->appends++;
-	if (log->modes[call->node->index] == CELL_LOG_SILENT ||
-	    (log->progress_silent &&
+	if (log->modes[call->node->index] == CELL_LOG_UNREACHABLE ||
+	    (log->progress_unreachable &&
 	     call->append.topic == RJ_CELL_TOPIC_PROGRESS)) {
-		lose(call);
+		drop_answer(call);
 		return;
 	}
-	if (log->modes[call->node->index] == CELL_LOG_REFUSES) {
+	if (log->modes[call->node->index] == CELL_LOG_REFUSING) {
 		answer(call, RJ_CELL_STORE_REFUSED);
 		return;
 	}
-	if (cell_world_random(world, 100) >= log->lose_percent) {
-		answer(call, apply(world, call));
+	if (cell_sim_random(sim, 100) >= log->lost_answer_percent) {
+		answer(call, apply(sim, call));
 		return;
 	}
-	if (log->late_us) {
-		struct call *late =
-			talloc_memdup(world->mem, call, sizeof(*call));
+	if (log->apply_delay_us) {
+		struct call *delayed =
+			talloc_memdup(sim->mem, call, sizeof(*call));
 
 		/* The records outlive the answer. */
-		late->records = talloc_steal(late, call->records);
-		late->append.producer =
-			talloc_strdup(late, call->append.producer);
-		cell_world_at(world, log->late_us, apply_late, late);
+		delayed->records = talloc_steal(delayed, call->records);
+		delayed->append.producer =
+			talloc_strdup(delayed, call->append.producer);
+		cell_sim_schedule(sim, log->apply_delay_us, apply_delayed,
+				  delayed);
 	} else {
-		apply(world, call);
+		apply(sim, call);
 	}
-	lose(call);
+	drop_answer(call);
 }
 
 /* Remember one call. */
 static struct call *call_new(struct rj_cell_store *store,
 			     struct rj_cell_store_done done)
 {
-	struct cell_world_node *node = (struct cell_world_node *)store;
-	struct call *call = talloc_zero(node->world->mem, struct call);
+	struct cell_sim_node *node = (struct cell_sim_node *)store;
+	struct call *call = talloc_zero(node->sim->mem, struct call);
 
 	call->node = node;
-	call->life = node->life;
+	call->node_incarnation = node->incarnation;
 	call->done = done;
 	return call;
 }
@@ -390,8 +391,8 @@
 			append->records[i].value.length);
 		call->records[i].value.length = append->records[i].value.length;
 	}
-	cell_world_at(call->node->world, call->node->world->log.latency_us / 2,
-		      do_append, call);
+	cell_sim_schedule(call->node->sim, call->node->sim->log.latency_us / 2,
+			  do_append, call);
 }
 
 /* A read of a node. */
@@ -400,17 +401,17 @@
 		     struct rj_cell_store_done done)
 {
 	struct call *call = call_new(store, done);
-	struct cell_world *world = call->node->world;
+	struct cell_sim *sim = call->node->sim;
 
-	world->log.reads++;
+	sim->log.reads++;
 	call->topic = topic;
 	call->from = from;
 	call->reply.next = from;
-	call->until_us = wait_ms ? world->now_us + wait_ms * MS : 0;
-	if (world->log.modes[call->node->index] == CELL_LOG_REFUSES)
+	call->until_us = wait_ms ? sim->now_us + wait_ms * MS : 0;
+	if (sim->log.modes[call->node->index] == CELL_LOG_REFUSING)
 		answer(call, RJ_CELL_STORE_REFUSED);
 	else
-		cell_world_at(world, world->log.latency_us / 2, try_read, call);
+		cell_sim_schedule(sim, sim->log.latency_us / 2, try_read, call);
 }
 
 /* A load of a node. */
@@ -418,16 +419,16 @@
 		       const char *after, struct rj_cell_store_done done)
 {
 	struct call *call = call_new(store, done);
-	struct cell_world *world = call->node->world;
+	struct cell_sim *sim = call->node->sim;
 
-	world->log.reads++;
+	sim->log.reads++;
 	call->topic = topic;
 	call->after = talloc_strdup(call, after);
-	if (world->log.modes[call->node->index] == CELL_LOG_REFUSES)
+	if (sim->log.modes[call->node->index] == CELL_LOG_REFUSING)
 		answer(call, RJ_CELL_STORE_REFUSED);
 	else
-		cell_world_at(world, world->log.latency_us / 2, do_newest,
-			      call);
+		cell_sim_schedule(sim, sim->log.latency_us / 2, do_newest,
+				  call);
 }
 
 const struct rj_cell_store_ops cell_log_ops = {
--- a/src/test_libradishjunction/support/cell_fake_orders.c
+++ b/src/test_libradishjunction/support/cell_fake_orders.c
@@ -10,8 +10,8 @@
 #define LATENCY_US (3 * MS)
 #define TIMEOUT_US (700 * MS)
 /* A lost order is carried out between these. */
-#define LATE_MIN_MS 2000
-#define LATE_SPREAD_MS 6000
+#define DELAY_MIN_MS 2000
+#define DELAY_SPREAD_MS 6000
 
 enum order_kind {
 	ORDER_START,
@@ -21,16 +21,16 @@
 
 /* An order on its way. */
 struct order {
-	struct cell_world_node *node;
-	uint32_t life;
+	struct cell_sim_node *node;
+	uint32_t node_incarnation;
 	struct cell_fake_worker *worker;
-	uint64_t incarnation;
+	uint64_t worker_incarnation;
 	enum order_kind kind;
 	uint64_t sent_us;
 	struct rj_cell_order_done done;
 	struct rj_cell_start start;
 	struct rj_cell_poll poll;
-	bool late; /* it is carried out, and nobody hears of it */
+	bool delayed; /* it is carried out, and nobody hears of it */
 	uint64_t until_us;
 	struct rj_cell_order_reply reply;
 };
@@ -39,20 +39,20 @@
 static void deliver(void *data)
 {
 	struct order *order = data;
-	struct cell_world_node *node = order->node;
+	struct cell_sim_node *node = order->node;
 
-	if (!cell_world_reaches(node, order->life)) {
+	if (!cell_sim_node_is_current(node, order->node_incarnation)) {
 		talloc_free(order);
 		return;
 	}
-	if (cell_world_waits(node, deliver, order))
+	if (cell_sim_defer_if_paused(node, deliver, order))
 		return;
-	cell_world_enter(node);
-	order->reply.now_us = node->world->now_us;
+	cell_sim_node_enter(node);
+	order->reply.now_us = node->sim->now_us;
 	order->done.call(order->done.private_data, &order->reply);
-	rj_cell_node_advance(&node->node, node->world->now_us,
-			     cell_world_wall_ms(node->world));
-	cell_world_leave(node);
+	rj_cell_node_advance(&node->node, node->sim->now_us,
+			     cell_sim_wall_ms(node->sim));
+	cell_sim_node_leave(node);
 	talloc_free(order);
 }
 
@@ -65,29 +65,29 @@
 }
 
 /* The order gets no answer. */
-static void lose(struct order *order)
+static void drop_answer(struct order *order)
 {
 	order->reply.status = RJ_CELL_ORDER_LOST;
-	cell_world_at(order->node->world, timeout_us(order), deliver, order);
+	cell_sim_schedule(order->node->sim, timeout_us(order), deliver, order);
 }
 
 /* The answer is on its way back. */
 static void answer(struct order *order, enum rj_cell_order_status status)
 {
-	struct cell_world *world = order->node->world;
+	struct cell_sim *sim = order->node->sim;
 
-	if (order->late) {
+	if (order->delayed) {
 		talloc_free(order);
 		return;
 	}
-	if (order->worker->cut[order->node->index]) {
-		lose(order);
+	if (order->worker->partitioned[order->node->index]) {
+		drop_answer(order);
 		return;
 	}
 	order->reply.status = status;
-	order->reply.clock_ms = cell_fake_clock_ms(world, order->worker);
+	order->reply.clock_ms = cell_fake_clock_ms(sim, order->worker);
 	order->reply.incarnation = order->worker->incarnation;
-	cell_world_at(world, LATENCY_US, deliver, order);
+	cell_sim_schedule(sim, LATENCY_US, deliver, order);
 }
 
 /* List the runs. */
@@ -102,48 +102,49 @@
 
 		rows[i].name = talloc_strdup(order, run->name);
 		rows[i].number = run->number;
-		rows[i].saved = talloc_strdup(order, run->saved);
-		rows[i].percent =
-			(uint32_t)MIN(100, run->done_us * 100 / run->work_us);
-		rows[i].figure = cell_fake_tail_ms(worker, run);
+		rows[i].saved = talloc_strdup(order, run->checkpoint);
+		rows[i].percent = (uint32_t)MIN(100, run->progress_us * 100 /
+							     run->duration_us);
+		rows[i].figure = cell_fake_tail_latency_ms(worker, run);
 	}
 	order->reply.rows = rows;
 	order->reply.row_count = worker->runs->len;
 }
 
 /* List the ends. */
-static void list_ends(struct order *order)
+static void list_completions(struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
-	struct rj_cell_end_row *ends = talloc_zero_array(
-		order, struct rj_cell_end_row, worker->ends->len);
-
-	for (guint i = 0; i < worker->ends->len; i++) {
-		struct cell_fake_end *end =
-			&g_array_index(worker->ends, struct cell_fake_end, i);
-
-		ends[i].position = end->position;
-		ends[i].name = talloc_strdup(order, end->name);
-		ends[i].number = end->number;
-		ends[i].end = end->end;
-		ends[i].saved = talloc_strdup(order, end->saved);
+	struct rj_cell_end_row *completions = talloc_zero_array(
+		order, struct rj_cell_end_row, worker->completions->len);
+
+	for (guint i = 0; i < worker->completions->len; i++) {
+		struct cell_fake_completion *completion = &g_array_index(
+			worker->completions, struct cell_fake_completion, i);
+
+		completions[i].position = completion->position;
+		completions[i].name = talloc_strdup(order, completion->name);
+		completions[i].number = completion->number;
+		completions[i].end = completion->outcome;
+		completions[i].saved =
+			talloc_strdup(order, completion->checkpoint);
 	}
-	order->reply.ends = ends;
-	order->reply.end_count = worker->ends->len;
+	order->reply.ends = completions;
+	order->reply.end_count = worker->completions->len;
 }
 
 /* Answer a poll with both lists. */
 static void answer_poll(struct order *order)
 {
 	list_runs(order);
-	list_ends(order);
+	list_completions(order);
 	answer(order, RJ_CELL_ORDER_OK);
 }
 
 /*
  * Answer the polls that wait, as something has ended.
  */
-void cell_fake_wake_polls(struct cell_fake_worker *worker)
+void cell_fake_answer_polls(struct cell_fake_worker *worker)
 {
 	while (worker->polls->len) {
 		struct order *order = worker->polls->pdata[0];
@@ -156,13 +157,13 @@
 /*
  * End the polls that have waited long enough.
  */
-void cell_fake_end_polls(struct cell_world *world,
-			 struct cell_fake_worker *worker)
+void cell_fake_expire_polls(struct cell_sim *sim,
+			    struct cell_fake_worker *worker)
 {
 	for (guint i = 0; i < worker->polls->len;) {
 		struct order *order = worker->polls->pdata[i];
 
-		if (world->now_us < order->until_us) {
+		if (sim->now_us < order->until_us) {
 			i++;
 			continue;
 		}
@@ -180,83 +181,84 @@
 		struct order *order = worker->polls->pdata[0];
 
 		g_ptr_array_remove_index(worker->polls, 0);
-		lose(order);
+		drop_answer(order);
 	}
 }
 
 /* Whether a start lacks a good ticket that its queue asks for. */
-static bool wants_ticket(struct cell_world *world,
+static bool lacks_ticket(struct cell_sim *sim,
 			 const struct cell_fake_worker *worker,
 			 const struct rj_cell_start *start)
 {
 	uint32_t step = 0;
 	uint32_t index = 0;
 	const struct cell_client_job *job =
-		cell_check_job(world, start->name, &step, &index);
+		cell_check_find_job(sim, start->name, &step, &index);
 
-	return job && !strcmp(job->def->queue, "advised") &&
-	       !cell_advice_accepts(world, worker, start);
+	return job && !strcmp(job->spec->queue, "advised") &&
+	       !cell_advice_accepts(sim, worker, start);
 }
 
 /* A start arrives. */
-static enum rj_cell_order_status do_start(struct cell_world *world,
+static enum rj_cell_order_status do_start(struct cell_sim *sim,
 					  struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
 	const struct rj_cell_start *start = &order->start;
-	struct cell_fake_run *run = cell_fake_run_of(worker, start->name);
+	struct cell_fake_run *run = cell_fake_find_run(worker, start->name);
 	uint64_t longest_ms =
-		cell_fake_clock_ms(world, worker) + world->plan.lease_max_ms;
+		cell_fake_clock_ms(sim, worker) + sim->options.lease_max_ms;
 
-	if (worker->refuses)
+	if (worker->unhealthy)
 		return RJ_CELL_ORDER_SICK;
-	if (worker->wants_ticket || wants_ticket(world, worker, start)) {
-		world->refused_starts++;
+	if (worker->requires_ticket || lacks_ticket(sim, worker, start)) {
+		sim->refused_starts++;
 		return RJ_CELL_ORDER_TICKET;
 	}
 	if (start->token < worker->token)
 		return RJ_CELL_ORDER_FENCED;
 	worker->token = start->token;
-	if (cell_fake_clock_ms(world, worker) > start->deadline_ms)
+	if (cell_fake_clock_ms(sim, worker) > start->deadline_ms)
 		return RJ_CELL_ORDER_LATE;
 	worker->lease_ms =
 		MAX(worker->lease_ms, MIN(start->deadline_ms, longest_ms));
 	if (run && run->number == start->number)
 		return RJ_CELL_ORDER_OK;
 	if (GPOINTER_TO_UINT(g_hash_table_lookup(
-		    worker->barred, start->name)) >= start->number ||
+		    worker->highest_ended, start->name)) >= start->number ||
 	    run)
 		return RJ_CELL_ORDER_OLD;
-	if (cell_fake_is_full(world, worker, start->name))
+	if (cell_fake_is_full(sim, worker, start->name))
 		return RJ_CELL_ORDER_FULL;
-	cell_check_start(world, worker, start, order->sent_us);
-	cell_fake_begin(world, worker, start);
+	cell_check_start(sim, worker, start, order->sent_us);
+	cell_fake_start_run(sim, worker, start);
 	return RJ_CELL_ORDER_OK;
 }
 
 /* A stop arrives. */
-static enum rj_cell_order_status do_stop(struct cell_world *world,
+static enum rj_cell_order_status do_stop(struct cell_sim *sim,
 					 struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
-	struct cell_fake_run *run = cell_fake_run_of(worker, order->start.name);
+	struct cell_fake_run *run =
+		cell_fake_find_run(worker, order->start.name);
 
 	if (order->start.token < worker->token)
 		return RJ_CELL_ORDER_FENCED;
 	worker->token = order->start.token;
-	cell_fake_bar(worker, order->start.name, order->start.number);
-	if (run && run->number == order->start.number && !run->stopped_us)
-		run->stopped_us = world->now_us + CELL_FAKE_STOP_US;
+	cell_fake_mark_ended(worker, order->start.name, order->start.number);
+	if (run && run->number == order->start.number && !run->stop_at_us)
+		run->stop_at_us = sim->now_us + CELL_FAKE_STOP_DELAY_US;
 	return RJ_CELL_ORDER_OK;
 }
 
 /* A poll arrives: it may wait for an end. */
-static void do_poll(struct cell_world *world, struct order *order)
+static void do_poll(struct cell_sim *sim, struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
 	const struct rj_cell_poll *poll = &order->poll;
 	uint64_t longest_ms =
-		cell_fake_clock_ms(world, worker) + world->plan.lease_max_ms;
+		cell_fake_clock_ms(sim, worker) + sim->options.lease_max_ms;
 
 	if (poll->token < worker->token) {
 		answer(order, RJ_CELL_ORDER_FENCED);
@@ -266,12 +268,12 @@
 	if (poll->deadline_ms)
 		worker->lease_ms = MAX(worker->lease_ms,
 				       MIN(poll->deadline_ms, longest_ms));
-	cell_fake_forget(world, worker, poll->seen);
-	if (!poll->wait_ms || worker->ends->len || order->late) {
+	cell_fake_drop_acknowledged(sim, worker, poll->seen);
+	if (!poll->wait_ms || worker->completions->len || order->delayed) {
 		answer_poll(order);
 		return;
 	}
-	order->until_us = world->now_us + poll->wait_ms * MS;
+	order->until_us = sim->now_us + poll->wait_ms * MS;
 	g_ptr_array_add(worker->polls, order);
 }
 
@@ -279,69 +281,71 @@
 static void arrive(void *data)
 {
 	struct order *order = data;
-	struct cell_world *world = order->node->world;
+	struct cell_sim *sim = order->node->sim;
 	struct cell_fake_worker *worker = order->worker;
 
 	if (!worker->up) {
-		if (order->late) {
+		if (order->delayed) {
 			talloc_free(order);
 			return;
 		}
 		order->reply.status = RJ_CELL_ORDER_UNSENT;
-		cell_world_at(world, LATENCY_US, deliver, order);
+		cell_sim_schedule(sim, LATENCY_US, deliver, order);
 		return;
 	}
-	if (worker->cut[order->node->index] && !order->late) {
+	if (worker->partitioned[order->node->index] && !order->delayed) {
 		/* Kept connections hang; new ones are never made. */
 		if (worker->index % 2) {
-			lose(order);
+			drop_answer(order);
 			return;
 		}
 		order->reply.status = RJ_CELL_ORDER_UNSENT;
-		cell_world_at(world, timeout_us(order), deliver, order);
+		cell_sim_schedule(sim, timeout_us(order), deliver, order);
 		return;
 	}
-	if (order->incarnation && order->incarnation != worker->incarnation) {
+	if (order->worker_incarnation &&
+	    order->worker_incarnation != worker->incarnation) {
 		answer(order, RJ_CELL_ORDER_OTHER);
 		return;
 	}
 	if (order->kind == ORDER_START)
-		answer(order, do_start(world, order));
+		answer(order, do_start(sim, order));
 	else if (order->kind == ORDER_STOP)
-		answer(order, do_stop(world, order));
+		answer(order, do_stop(sim, order));
 	else
-		do_poll(world, order);
+		do_poll(sim, order);
 }
 
-/* Send an order; some are carried out late, and never answered. */
+/* Send an order; some are carried out delayed, and never answered. */
 static void send(struct order *order)
 {
-	struct cell_world *world = order->node->world;
+	struct cell_sim *sim = order->node->sim;
 	struct cell_fake_worker *worker = order->worker;
 
-	if (order->kind != ORDER_POLL && worker->leave_percent &&
-	    cell_world_random(world, 100) < worker->leave_percent) {
-		struct order *late =
-			talloc_memdup(world->mem, order, sizeof(*order));
+	if (order->kind != ORDER_POLL && worker->delayed_percent &&
+	    cell_sim_random(sim, 100) < worker->delayed_percent) {
+		struct order *delayed =
+			talloc_memdup(sim->mem, order, sizeof(*order));
 
-		late->late = true;
+		delayed->delayed = true;
 		/* No order reaches another life than it was sent to late. */
-		late->incarnation = worker->incarnation;
-		late->start.name = talloc_strdup(late, order->start.name);
-		late->start.ticket = talloc_strdup(
-			late, order->start.ticket ? order->start.ticket : "");
-		late->start.checkpoint = talloc_strdup(
-			late,
+		delayed->worker_incarnation = worker->incarnation;
+		delayed->start.name = talloc_strdup(delayed, order->start.name);
+		delayed->start.ticket = talloc_strdup(
+			delayed,
+			order->start.ticket ? order->start.ticket : "");
+		delayed->start.checkpoint = talloc_strdup(
+			delayed,
 			order->start.checkpoint ? order->start.checkpoint : "");
-		cell_world_at(world,
-			      (LATE_MIN_MS +
-			       cell_world_random(world, LATE_SPREAD_MS)) *
-				      MS,
-			      arrive, late);
-		lose(order);
+		cell_sim_schedule(
+			sim,
+			(DELAY_MIN_MS + cell_sim_random(sim, DELAY_SPREAD_MS)) *
+				MS,
+			arrive, delayed);
+		drop_answer(order);
 		return;
 	}
-	cell_world_at(world, LATENCY_US, arrive, order);
+	cell_sim_schedule(sim, LATENCY_US, arrive, order);
 }
 
 /* Remember one order. */
@@ -350,20 +354,20 @@
 			       enum order_kind kind,
 			       struct rj_cell_order_done done)
 {
-	struct cell_world_node *node =
-		RJ_CONTAINER(workers, struct cell_world_node, workers);
-	struct cell_world *world = node->world;
-	struct order *order = talloc_zero(world->mem, struct order);
+	struct cell_sim_node *node =
+		RJ_CONTAINER(workers, struct cell_sim_node, workers);
+	struct cell_sim *sim = node->sim;
+	struct order *order = talloc_zero(sim->mem, struct order);
 	uint32_t index;
 
 	order->node = node;
-	order->life = node->life;
+	order->node_incarnation = node->incarnation;
 	order->kind = kind;
-	order->sent_us = world->now_us;
+	order->sent_us = sim->now_us;
 	order->done = done;
 	index = (uint32_t)g_ascii_strtoull(worker->id + 1, NULL, 10);
-	g_assert_cmpuint(index, <, world->plan.workers);
-	order->worker = &world->workers[index];
+	g_assert_cmpuint(index, <, sim->options.workers);
+	order->worker = &sim->workers[index];
 	return order;
 }
 
--- a/src/test_libradishjunction/support/cell_fake_workers.c
+++ b/src/test_libradishjunction/support/cell_fake_workers.c
@@ -9,37 +9,37 @@
 #include "support/cell_fake.h"
 
 #define STEP_US (20 * MS)
-#define GANG_WAIT_US (3 * S)
-#define SAVE_EVERY_US (2 * S)
+#define GANG_FORM_TIMEOUT_US (3 * S)
+#define CHECKPOINT_INTERVAL_US (2 * S)
 /* Racks belong to these failure domains in turn. */
 #define DOMAINS 3
 
 /*
  * A run of a worker, as the checker needs it.
  */
-struct cell_fake_row cell_fake_row_at(struct cell_fake_worker *worker,
-				      guint place)
+struct cell_fake_run_info cell_fake_run_info_at(struct cell_fake_worker *worker,
+						guint place)
 {
 	const struct cell_fake_run *run = worker->runs->pdata[place];
 
-	return (struct cell_fake_row){ run->name, run->held };
+	return (struct cell_fake_run_info){ run->name, run->allocated };
 }
 
 /*
  * What the worker's clock shows.
  */
-uint64_t cell_fake_clock_ms(const struct cell_world *world,
+uint64_t cell_fake_clock_ms(const struct cell_sim *sim,
 			    const struct cell_fake_worker *worker)
 {
-	return 1000 + (uint64_t)((double)(world->now_us - worker->born_us) *
+	return 1000 + (uint64_t)((double)(sim->now_us - worker->started_us) *
 				 worker->clock_rate / 1000.0);
 }
 
 /*
  * The run of a name, or NULL.
  */
-struct cell_fake_run *cell_fake_run_of(const struct cell_fake_worker *worker,
-				       const char *name)
+struct cell_fake_run *cell_fake_find_run(const struct cell_fake_worker *worker,
+					 const char *name)
 {
 	for (guint i = 0; i < worker->runs->len; i++) {
 		struct cell_fake_run *run = worker->runs->pdata[i];
@@ -53,8 +53,8 @@
 /*
  * The tail of what serves: over its bound when work that fills is beside.
  */
-uint32_t cell_fake_tail_ms(const struct cell_fake_worker *worker,
-			   const struct cell_fake_run *run)
+uint32_t cell_fake_tail_latency_ms(const struct cell_fake_worker *worker,
+				   const struct cell_fake_run *run)
 {
 	for (guint i = 0; i < worker->runs->len; i++) {
 		const struct cell_fake_run *other = worker->runs->pdata[i];
@@ -68,22 +68,22 @@
 /*
  * Bar a run of a name and all before it.
  */
-void cell_fake_bar(struct cell_fake_worker *worker, const char *name,
-		   uint32_t number)
+void cell_fake_mark_ended(struct cell_fake_worker *worker, const char *name,
+			  uint32_t number)
 {
-	guint before =
-		GPOINTER_TO_UINT(g_hash_table_lookup(worker->barred, name));
+	guint before = GPOINTER_TO_UINT(
+		g_hash_table_lookup(worker->highest_ended, name));
 
 	if (number > before)
-		g_hash_table_insert(worker->barred, g_strdup(name),
+		g_hash_table_insert(worker->highest_ended, g_strdup(name),
 				    GUINT_TO_POINTER(number));
 }
 
 /* Free a run. */
-static void run_free(struct cell_world *world, struct cell_fake_run *run)
+static void run_free(struct cell_sim *sim, struct cell_fake_run *run)
 {
 	if (run->gang)
-		g_ptr_array_remove(g_hash_table_lookup(world->gangs, run->gang),
+		g_ptr_array_remove(g_hash_table_lookup(sim->gangs, run->gang),
 				   run);
 	g_free(run->name);
 	g_free(run->gang);
@@ -91,27 +91,31 @@
 }
 
 /* A run ends: it is listed until it is seen. */
-static void end_run(struct cell_world *world, struct cell_fake_worker *worker,
-		    struct cell_fake_run *run, enum rj_cell_end how)
+static void complete_run(struct cell_sim *sim, struct cell_fake_worker *worker,
+			 struct cell_fake_run *run, enum rj_cell_end outcome)
 {
-	struct cell_fake_end end = { .position = ++worker->ends_count,
-				     .number = run->number,
-				     .end = how,
-				     .ended_us = world->now_us };
-
-	g_strlcpy(end.name, run->name, sizeof(end.name));
-	if (how == RJ_CELL_END_STOPPED && run->saves)
-		(void)g_snprintf(run->saved, sizeof(run->saved),
-				 "%016" G_GINT64_MODIFIER "x", run->done_us);
-	g_strlcpy(end.saved, run->saved, sizeof(end.saved));
-	g_array_append_val(worker->ends, end);
-	cell_fake_bar(worker, run->name, run->number);
-	if (how != RJ_CELL_END_DONE)
-		world->wasted_us += run->done_us;
-	cell_check_end(world, worker, run->name, run->number, how);
+	struct cell_fake_completion completion = {
+		.position = ++worker->completion_count,
+		.number = run->number,
+		.outcome = outcome,
+		.ended_us = sim->now_us
+	};
+
+	g_strlcpy(completion.name, run->name, sizeof(completion.name));
+	if (outcome == RJ_CELL_END_STOPPED && run->checkpoints)
+		(void)g_snprintf(run->checkpoint, sizeof(run->checkpoint),
+				 "%016" G_GINT64_MODIFIER "x",
+				 run->progress_us);
+	g_strlcpy(completion.checkpoint, run->checkpoint,
+		  sizeof(completion.checkpoint));
+	g_array_append_val(worker->completions, completion);
+	cell_fake_mark_ended(worker, run->name, run->number);
+	if (outcome != RJ_CELL_END_DONE)
+		sim->wasted_us += run->progress_us;
+	cell_check_completion(sim, worker, run->name, run->number, outcome);
 	g_ptr_array_remove(worker->runs, run);
-	run_free(world, run);
-	cell_fake_wake_polls(worker);
+	run_free(sim, run);
+	cell_fake_answer_polls(worker);
 }
 
 /* Runs of earlier workers come first; of one worker, those that began first. */
@@ -126,10 +130,10 @@
 }
 
 /* The runs of a gang, on all workers. */
-static GPtrArray *gang_of(struct cell_world *world, const char *gang,
+static GPtrArray *gang_of(struct cell_sim *sim, const char *gang,
 			  GPtrArray *workers)
 {
-	const GPtrArray *members = g_hash_table_lookup(world->gangs, gang);
+	const GPtrArray *members = g_hash_table_lookup(sim->gangs, gang);
 	GPtrArray *runs = g_ptr_array_new();
 
 	for (guint i = 0; members && i < members->len; i++)
@@ -144,180 +148,185 @@
 }
 
 /* Members of a gang end with the first that ends without success. */
-static void break_gang(struct cell_world *world, const char *gang)
+static void stop_gang(struct cell_sim *sim, const char *gang)
 {
 	GPtrArray *workers = g_ptr_array_new();
-	GPtrArray *runs = gang_of(world, gang, workers);
+	GPtrArray *runs = gang_of(sim, gang, workers);
 
 	for (guint i = 0; i < runs->len; i++) {
 		struct cell_fake_run *run = runs->pdata[i];
 
-		if (!world->plan.break_us)
-			end_run(world, workers->pdata[i], run,
-				RJ_CELL_END_BROKEN);
-		else if (!run->broken_us)
-			run->broken_us = world->now_us + world->plan.break_us;
+		if (!sim->options.gang_break_us)
+			complete_run(sim, workers->pdata[i], run,
+				     RJ_CELL_END_BROKEN);
+		else if (!run->break_at_us)
+			run->break_at_us =
+				sim->now_us + sim->options.gang_break_us;
 	}
 	g_ptr_array_free(runs, TRUE);
 	g_ptr_array_free(workers, TRUE);
 }
 
 /* A run ends, and with it its gang, unless that is through. */
-static void end_with_gang(struct cell_world *world,
-			  struct cell_fake_worker *worker,
-			  struct cell_fake_run *run, enum rj_cell_end how)
+static void complete_run_and_gang(struct cell_sim *sim,
+				  struct cell_fake_worker *worker,
+				  struct cell_fake_run *run,
+				  enum rj_cell_end outcome)
 {
 	char *gang = g_strdup(run->gang);
 
-	end_run(world, worker, run, how);
-	if (gang && how != RJ_CELL_END_DONE)
-		break_gang(world, gang);
+	complete_run(sim, worker, run, outcome);
+	if (gang && outcome != RJ_CELL_END_DONE)
+		stop_gang(sim, gang);
 	g_free(gang);
 }
 
 /* Whether all members of a run's gang are there. */
-static bool is_complete(struct cell_world *world,
-			const struct cell_fake_run *run, bool *all_through)
+static bool is_complete(struct cell_sim *sim, const struct cell_fake_run *run,
+			bool *all_finished)
 {
 	GPtrArray *runs;
 	bool complete;
 
-	*all_through = true;
+	*all_finished = true;
 	if (!run->gang)
 		return true;
-	runs = gang_of(world, run->gang, NULL);
-	complete = runs->len >= run->members;
+	runs = gang_of(sim, run->gang, NULL);
+	complete = runs->len >= run->member_count;
 	for (guint i = 0; i < runs->len; i++) {
 		const struct cell_fake_run *member = runs->pdata[i];
 
-		if (member->done_us < member->work_us)
-			*all_through = false;
+		if (member->progress_us < member->duration_us)
+			*all_finished = false;
 	}
 	g_ptr_array_free(runs, TRUE);
 	return complete;
 }
 
 /* All members of a gang are through: they end together. */
-static void end_gang(struct cell_world *world, struct cell_fake_run *run)
+static void complete_gang(struct cell_sim *sim, struct cell_fake_run *run)
 {
 	GPtrArray *workers = g_ptr_array_new();
-	GPtrArray *runs = gang_of(world, run->gang, workers);
+	GPtrArray *runs = gang_of(sim, run->gang, workers);
 
 	for (guint i = 0; i < runs->len; i++)
-		end_run(world, workers->pdata[i], runs->pdata[i],
-			RJ_CELL_END_DONE);
+		complete_run(sim, workers->pdata[i], runs->pdata[i],
+			     RJ_CELL_END_DONE);
 	g_ptr_array_free(runs, TRUE);
 	g_ptr_array_free(workers, TRUE);
 }
 
 /* One run works on. Returns false when it has ended. */
-static bool step_run(struct cell_world *world, struct cell_fake_worker *worker,
-		     struct cell_fake_run *run)
+static bool advance_run(struct cell_sim *sim, struct cell_fake_worker *worker,
+			struct cell_fake_run *run)
 {
-	bool all_through;
+	bool all_finished;
 
-	if (run->broken_us) {
-		if (world->now_us < run->broken_us)
+	if (run->break_at_us) {
+		if (sim->now_us < run->break_at_us)
 			return true;
-		end_run(world, worker, run, RJ_CELL_END_BROKEN);
+		complete_run(sim, worker, run, RJ_CELL_END_BROKEN);
 		return false;
 	}
-	if (run->stopped_us && world->now_us >= run->stopped_us) {
-		end_with_gang(world, worker, run, RJ_CELL_END_STOPPED);
+	if (run->stop_at_us && sim->now_us >= run->stop_at_us) {
+		complete_run_and_gang(sim, worker, run, RJ_CELL_END_STOPPED);
 		return false;
 	}
-	if (cell_fake_clock_ms(world, worker) > worker->lease_ms) {
-		end_with_gang(world, worker, run, RJ_CELL_END_LAPSED);
+	if (cell_fake_clock_ms(sim, worker) > worker->lease_ms) {
+		complete_run_and_gang(sim, worker, run, RJ_CELL_END_LAPSED);
 		return false;
 	}
-	if (!is_complete(world, run, &all_through)) {
-		if (world->now_us - run->placed_us < GANG_WAIT_US)
+	if (!is_complete(sim, run, &all_finished)) {
+		if (sim->now_us - run->started_us < GANG_FORM_TIMEOUT_US)
 			return true;
-		end_with_gang(world, worker, run, RJ_CELL_END_ALONE);
+		complete_run_and_gang(sim, worker, run, RJ_CELL_END_ALONE);
 		return false;
 	}
-	run->slow_us = cell_fake_tail_ms(worker, run) > run->target_ms ?
-			       run->slow_us + STEP_US :
-			       0;
-	world->harmed_us = MAX(world->harmed_us, run->slow_us);
-	if (!worker->stands_still)
-		run->done_us += (uint64_t)(STEP_US * worker->speed);
-	if (run->saves && run->done_us / SAVE_EVERY_US)
-		(void)g_snprintf(run->saved, sizeof(run->saved),
-				 "%016" G_GINT64_MODIFIER "x",
-				 (uint64_t)(run->done_us / SAVE_EVERY_US *
-					    SAVE_EVERY_US));
-	if (run->fails_at_us && run->done_us >= run->fails_at_us) {
-		end_with_gang(world, worker, run, RJ_CELL_END_FAILED);
+	run->over_target_us =
+		cell_fake_tail_latency_ms(worker, run) > run->target_ms ?
+			run->over_target_us + STEP_US :
+			0;
+	sim->over_target_max_us =
+		MAX(sim->over_target_max_us, run->over_target_us);
+	if (!worker->stalled)
+		run->progress_us += (uint64_t)(STEP_US * worker->speed);
+	if (run->checkpoints && run->progress_us / CHECKPOINT_INTERVAL_US)
+		(void)g_snprintf(
+			run->checkpoint, sizeof(run->checkpoint),
+			"%016" G_GINT64_MODIFIER "x",
+			(uint64_t)(run->progress_us / CHECKPOINT_INTERVAL_US *
+				   CHECKPOINT_INTERVAL_US));
+	if (run->fails_at_us && run->progress_us >= run->fails_at_us) {
+		complete_run_and_gang(sim, worker, run, RJ_CELL_END_FAILED);
 		return false;
 	}
-	if (run->done_us < run->work_us || worker->never_ends)
+	if (run->progress_us < run->duration_us || worker->never_completes)
 		return true;
-	if (run->gang && !all_through)
+	if (run->gang && !all_finished)
 		return true;
 	if (run->gang)
-		end_gang(world, run);
+		complete_gang(sim, run);
 	else
-		end_run(world, worker, run, RJ_CELL_END_DONE);
+		complete_run(sim, worker, run, RJ_CELL_END_DONE);
 	return false;
 }
 
 /* All workers work on, and polls that have waited long enough end. */
-static void step_all(void *data)
+static void advance_all(void *data)
 {
-	struct cell_world *world = data;
+	struct cell_sim *sim = data;
 
-	for (uint32_t i = 0; i < world->plan.workers; i++) {
-		struct cell_fake_worker *worker = &world->workers[i];
+	for (uint32_t i = 0; i < sim->options.workers; i++) {
+		struct cell_fake_worker *worker = &sim->workers[i];
 
 		if (worker->up &&
-		    cell_fake_clock_ms(world, worker) > worker->lease_ms)
-			worker->lapsed_us = world->now_us;
+		    cell_fake_clock_ms(sim, worker) > worker->lease_ms)
+			worker->lease_expired_us = sim->now_us;
 		for (guint j = 0; worker->up && j < worker->runs->len;) {
 			guint before = worker->runs->len;
 
-			if (step_run(world, worker, worker->runs->pdata[j]))
+			if (advance_run(sim, worker, worker->runs->pdata[j]))
 				j++;
 			else if (worker->runs->len != before - 1)
 				j = 0; /* others of its gang went with it */
 		}
-		cell_fake_end_polls(world, worker);
+		cell_fake_expire_polls(sim, worker);
 	}
-	cell_world_at(world, STEP_US, step_all, world);
+	cell_sim_schedule(sim, STEP_US, advance_all, sim);
 }
 
 /* A worker shows in the log that it lives. */
-static void beat(void *data)
+static void write_heartbeat(void *data)
 {
 	struct cell_fake_worker *worker = data;
-	struct cell_world *world =
-		(struct cell_world *)(void *)((char *)(worker - worker->index) -
-					      offsetof(struct cell_world,
-						       workers));
+	struct cell_sim *sim =
+		(struct cell_sim *)(void *)((char *)(worker - worker->index) -
+					    offsetof(struct cell_sim, workers));
 
-	if (worker->up && !worker->cut_from_log) {
+	if (worker->up && !worker->partitioned_from_log) {
 		worker->listed = true;
-		worker->beats_missed = 0;
-		worker->said.clock_ms = cell_fake_clock_ms(world, worker);
-		cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id,
-			     &worker->said, sizeof(worker->said));
-	} else if (worker->listed && !worker->wrote &&
-		   ++worker->beats_missed >= CELL_WORLD_ENTRY_BEATS) {
+		worker->heartbeats_missed = 0;
+		worker->reported.clock_ms = cell_fake_clock_ms(sim, worker);
+		cell_log_put(sim, RJ_CELL_TOPIC_WORKERS, worker->id,
+			     &worker->reported, sizeof(worker->reported));
+	} else if (worker->listed && !worker->wrote_entry &&
+		   ++worker->heartbeats_missed >= CELL_SIM_ENTRY_HEARTBEATS) {
 		worker->listed = false;
-		cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id, NULL, 0);
+		cell_log_put(sim, RJ_CELL_TOPIC_WORKERS, worker->id, NULL, 0);
 	}
-	worker->wrote = false;
-	cell_world_at(world, CELL_WORLD_HEARTBEAT_MS * MS, beat, worker);
+	worker->wrote_entry = false;
+	cell_sim_schedule(sim, CELL_SIM_HEARTBEAT_MS * MS, write_heartbeat,
+			  worker);
 }
 
 /* Count a run among the members of its gang. */
-static void join_gang(struct cell_world *world, struct cell_fake_run *run)
+static void join_gang(struct cell_sim *sim, struct cell_fake_run *run)
 {
-	GPtrArray *members = g_hash_table_lookup(world->gangs, run->gang);
+	GPtrArray *members = g_hash_table_lookup(sim->gangs, run->gang);
 
 	if (!members) {
 		members = g_ptr_array_new();
-		g_hash_table_insert(world->gangs, g_strdup(run->gang), members);
+		g_hash_table_insert(sim->gangs, g_strdup(run->gang), members);
 	}
 	g_ptr_array_add(members, run);
 }
@@ -325,8 +334,8 @@
 /*
  * A run of a start that is accepted.
  */
-void cell_fake_begin(struct cell_world *world, struct cell_fake_worker *worker,
-		     const struct rj_cell_start *start)
+void cell_fake_start_run(struct cell_sim *sim, struct cell_fake_worker *worker,
+			 const struct rj_cell_start *start)
 {
 	struct cell_fake_run *run = g_new0(struct cell_fake_run, 1);
 	const struct rj_cell_step *step = NULL;
@@ -337,18 +346,18 @@
 	run->worker = worker;
 	run->name = g_strdup(start->name);
 	run->number = start->number;
-	run->placed_us = world->now_us;
-	job = cell_check_job(world, start->name, &step_number, &index);
-	run->work_us = job ? job->work_us : S;
+	run->started_us = sim->now_us;
+	job = cell_check_find_job(sim, start->name, &step_number, &index);
+	run->duration_us = job ? job->duration_us : S;
 	if (job) {
-		step = &job->def->steps[step_number];
-		run->held = step->each;
-		run->saves = step->checkpoints;
+		step = &job->spec->steps[step_number];
+		run->allocated = step->each;
+		run->checkpoints = step->checkpoints;
 		run->target_ms = step->target_ms;
-		if (step->perpetual && !job->fail_times)
-			run->work_us = RJ_NEVER_US / 200;
-		if (start->number <= job->fail_times)
-			run->fails_at_us = run->work_us / 2;
+		if (step->perpetual && !job->failing_runs)
+			run->duration_us = RJ_NEVER_US / 200;
+		if (start->number <= job->failing_runs)
+			run->fails_at_us = run->duration_us / 2;
 	}
 	if (worker->fails_all)
 		run->fails_at_us = 100 * MS;
@@ -357,217 +366,221 @@
 
 		run->gang = g_strdup_printf("%.*s/%u", (int)(dot - run->name),
 					    run->name, run->number);
-		run->members = step->task_count;
-		join_gang(world, run);
+		run->member_count = step->task_count;
+		join_gang(sim, run);
 	}
-	g_strlcpy(run->saved, start->checkpoint, sizeof(run->saved));
-	run->done_us = g_ascii_strtoull(start->checkpoint, NULL, 16);
+	g_strlcpy(run->checkpoint, start->checkpoint, sizeof(run->checkpoint));
+	run->progress_us = g_ascii_strtoull(start->checkpoint, NULL, 16);
 	g_ptr_array_add(worker->runs, run);
 }
 
 /*
  * Whether a start does not fit a worker that guards its room.
  */
-bool cell_fake_is_full(struct cell_world *world,
-		       struct cell_fake_worker *worker, const char *name)
+bool cell_fake_is_full(struct cell_sim *sim, struct cell_fake_worker *worker,
+		       const char *name)
 {
-	struct rj_cell_demand left = worker->said.capacity;
+	struct rj_cell_demand left = worker->reported.capacity;
 	struct cell_client_job *job;
 	uint32_t step = 0;
 	uint32_t index = 0;
 
-	job = cell_check_job(world, name, &step, &index);
-	if (!world->plan.guarded || !job)
+	job = cell_check_find_job(sim, name, &step, &index);
+	if (!sim->options.enforces_capacity || !job)
 		return false;
 	for (guint i = 0; i < worker->runs->len; i++)
 		rj_cell_demand_take(
 			&left, &((struct cell_fake_run *)worker->runs->pdata[i])
-					->held);
-	return !rj_cell_demand_fits(&job->def->steps[step].each, &left);
+					->allocated);
+	return !rj_cell_demand_fits(&job->spec->steps[step].each, &left);
 }
 
 /*
  * Ends that have been seen are forgotten.
  */
-void cell_fake_forget(struct cell_world *world, struct cell_fake_worker *worker,
-		      uint64_t seen)
+void cell_fake_drop_acknowledged(struct cell_sim *sim,
+				 struct cell_fake_worker *worker,
+				 uint64_t acknowledged)
 {
-	while (worker->ends->len) {
-		struct cell_fake_end *end =
-			&g_array_index(worker->ends, struct cell_fake_end, 0);
+	while (worker->completions->len) {
+		struct cell_fake_completion *completion = &g_array_index(
+			worker->completions, struct cell_fake_completion, 0);
 
-		if (end->position > seen)
+		if (completion->position > acknowledged)
 			break;
 		/* What ended before a lease lapsed is not noted by this. */
-		if (worker->lapsed_us < end->ended_us)
-			cell_check_seen(world, worker, end->name, end->number,
-					end->end);
-		g_array_remove_index(worker->ends, 0);
+		if (worker->lease_expired_us < completion->ended_us)
+			cell_check_acknowledged(sim, worker, completion->name,
+						completion->number,
+						completion->outcome);
+		g_array_remove_index(worker->completions, 0);
 	}
 }
 
 /* Begin a life of a worker. */
-static void be_born(struct cell_world *world, struct cell_fake_worker *worker)
+static void start_incarnation(struct cell_sim *sim,
+			      struct cell_fake_worker *worker)
 {
 	worker->up = true;
-	worker->born_us = world->now_us;
-	worker->incarnation = 1000 + world->now_us + worker->index;
-	worker->said.incarnation = worker->incarnation;
+	worker->started_us = sim->now_us;
+	worker->incarnation = 1000 + sim->now_us + worker->index;
+	worker->reported.incarnation = worker->incarnation;
 	worker->token = 0;
 	worker->lease_ms = 0;
-	worker->ends_count = 0;
+	worker->completion_count = 0;
 }
 
 /*
  * Make all workers; their racks and speeds follow from their place.
  */
-void cell_workers_init(struct cell_world *world)
+void cell_workers_init(struct cell_sim *sim)
 {
 	static const double speeds[] = { 1.0, 0.8, 1.25 };
 
-	for (uint32_t i = 0; i < world->plan.workers; i++) {
-		struct cell_fake_worker *worker = &world->workers[i];
+	for (uint32_t i = 0; i < sim->options.workers; i++) {
+		struct cell_fake_worker *worker = &sim->workers[i];
 
 		worker->index = i;
 		(void)g_snprintf(worker->id, sizeof(worker->id), "w%02u", i);
-		g_strlcpy(worker->said.service, "render", RJ_NAME_BYTES);
-		g_strlcpy(worker->said.kind, "a", RJ_NAME_BYTES);
-		(void)g_snprintf(worker->said.rack, RJ_NAME_BYTES, "r%u",
-				 i / world->plan.rack_workers);
-		(void)g_snprintf(worker->said.domain, RJ_NAME_BYTES, "d%u",
-				 i / world->plan.rack_workers % DOMAINS);
-		worker->said.address.port = (uint16_t)(1000 + i);
-		worker->said.capacity = world->plan.capacity;
+		g_strlcpy(worker->reported.service, "render", RJ_NAME_BYTES);
+		g_strlcpy(worker->reported.kind, "a", RJ_NAME_BYTES);
+		(void)g_snprintf(worker->reported.rack, RJ_NAME_BYTES, "r%u",
+				 i / sim->options.rack_workers);
+		(void)g_snprintf(worker->reported.domain, RJ_NAME_BYTES, "d%u",
+				 i / sim->options.rack_workers % DOMAINS);
+		worker->reported.address.port = (uint16_t)(1000 + i);
+		worker->reported.capacity = sim->options.capacity;
 		worker->speed = speeds[i % G_N_ELEMENTS(speeds)];
 		worker->clock_rate = i % 2 ? 1.0 : 0.98;
 		worker->runs = g_ptr_array_new();
-		worker->ends =
-			g_array_new(FALSE, FALSE, sizeof(struct cell_fake_end));
-		worker->barred = g_hash_table_new_full(g_str_hash, g_str_equal,
-						       g_free, NULL);
+		worker->completions = g_array_new(
+			FALSE, FALSE, sizeof(struct cell_fake_completion));
+		worker->highest_ended = g_hash_table_new_full(
+			g_str_hash, g_str_equal, g_free, NULL);
 		worker->polls = g_ptr_array_new();
-		be_born(world, worker);
-		cell_world_at(world, i * MS, beat, worker);
+		start_incarnation(sim, worker);
+		cell_sim_schedule(sim, i * MS, write_heartbeat, worker);
 	}
-	cell_world_at(world, STEP_US, step_all, world);
+	cell_sim_schedule(sim, STEP_US, advance_all, sim);
 }
 
 /* All runs of a worker end unseen. */
-static void drop_runs(struct cell_world *world, struct cell_fake_worker *worker)
+static void drop_runs(struct cell_sim *sim, struct cell_fake_worker *worker)
 {
 	while (worker->runs->len) {
 		struct cell_fake_run *run = worker->runs->pdata[0];
 		char *gang = g_strdup(run->gang);
 
-		cell_check_end(world, worker, run->name, run->number,
-			       RJ_CELL_END_LOST);
-		world->wasted_us += run->done_us;
+		cell_check_completion(sim, worker, run->name, run->number,
+				      RJ_CELL_END_LOST);
+		sim->wasted_us += run->progress_us;
 		g_ptr_array_remove_index(worker->runs, 0);
-		run_free(world, run);
+		run_free(sim, run);
 		if (gang)
-			break_gang(world, gang);
+			stop_gang(sim, gang);
 		g_free(gang);
 	}
-	g_array_set_size(worker->ends, 0);
-	g_hash_table_remove_all(worker->barred);
+	g_array_set_size(worker->completions, 0);
+	g_hash_table_remove_all(worker->highest_ended);
 }
 
 /*
  * A worker crashes: nothing runs there any more, and nobody is told.
  */
-void cell_world_worker_kill(struct cell_world *world, uint32_t index)
+void cell_sim_worker_kill(struct cell_sim *sim, uint32_t index)
 {
-	struct cell_fake_worker *worker = &world->workers[index];
+	struct cell_fake_worker *worker = &sim->workers[index];
 
 	if (!worker->up)
 		return;
 	worker->up = false;
 	cell_fake_lose_polls(worker);
-	drop_runs(world, worker);
+	drop_runs(sim, worker);
 }
 
 /*
  * A worker starts again, under its old id, with another incarnation.
  */
-void cell_world_worker_start(struct cell_world *world, uint32_t index)
+void cell_sim_worker_start(struct cell_sim *sim, uint32_t index)
 {
-	struct cell_fake_worker *worker = &world->workers[index];
+	struct cell_fake_worker *worker = &sim->workers[index];
 
 	if (!worker->up)
-		be_born(world, worker);
+		start_incarnation(sim, worker);
 }
 
 /*
  * A worker is cut off from all nodes and from the log, or is back.
  */
-void cell_world_worker_cut(struct cell_world *world, uint32_t index, bool cut)
+void cell_sim_worker_partition(struct cell_sim *sim, uint32_t index,
+			       bool partitioned)
 {
-	for (uint32_t i = 0; i < world->plan.nodes; i++)
-		world->workers[index].cut[i] = cut;
-	world->workers[index].cut_from_log = cut;
+	for (uint32_t i = 0; i < sim->options.nodes; i++)
+		sim->workers[index].partitioned[i] = partitioned;
+	sim->workers[index].partitioned_from_log = partitioned;
 }
 
 /*
  * A worker leaves as planned: it says that it drains, and deregisters.
  */
-void cell_world_worker_leave(struct cell_world *world, uint32_t index)
+void cell_sim_worker_deregister(struct cell_sim *sim, uint32_t index)
 {
-	struct cell_fake_worker *worker = &world->workers[index];
+	struct cell_fake_worker *worker = &sim->workers[index];
 
-	worker->said.draining = true;
-	cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id, &worker->said,
-		     sizeof(worker->said));
-	cell_world_worker_kill(world, index);
+	worker->reported.draining = true;
+	cell_log_put(sim, RJ_CELL_TOPIC_WORKERS, worker->id, &worker->reported,
+		     sizeof(worker->reported));
+	cell_sim_worker_kill(sim, index);
 	worker->listed = false;
-	cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id, NULL, 0);
+	cell_log_put(sim, RJ_CELL_TOPIC_WORKERS, worker->id, NULL, 0);
 }
 
 /*
  * The first worker on which something runs; there must be one.
  */
-uint32_t cell_world_busy_worker(const struct cell_world *world)
+uint32_t cell_sim_busy_worker(const struct cell_sim *sim)
 {
 	uint32_t index = 0;
 
-	while (index < world->plan.workers && !world->workers[index].runs->len)
+	while (index < sim->options.workers && !sim->workers[index].runs->len)
 		index++;
-	g_assert_cmpuint(index, <, world->plan.workers);
+	g_assert_cmpuint(index, <, sim->options.workers);
 	return index;
 }
 
 /*
  * A worker says that it drains, and stays for `left_ms` at least.
  */
-void cell_world_worker_drain(struct cell_world *world, uint32_t index,
-			     uint32_t left_ms)
+void cell_sim_worker_drain(struct cell_sim *sim, uint32_t index,
+			   uint32_t left_ms)
 {
-	struct cell_fake_worker *worker = &world->workers[index];
-
-	if (!worker->said.draining)
-		worker->drained_us = world->now_us;
-	worker->said.draining = true;
-	worker->said.drain_left_ms = left_ms;
-	worker->wrote = true;
-	worker->beats_missed = 0;
-	cell_log_put(world, RJ_CELL_TOPIC_WORKERS, worker->id, &worker->said,
-		     sizeof(worker->said));
+	struct cell_fake_worker *worker = &sim->workers[index];
+
+	if (!worker->reported.draining)
+		worker->drain_reported_us = sim->now_us;
+	worker->reported.draining = true;
+	worker->reported.drain_left_ms = left_ms;
+	worker->wrote_entry = true;
+	worker->heartbeats_missed = 0;
+	cell_log_put(sim, RJ_CELL_TOPIC_WORKERS, worker->id, &worker->reported,
+		     sizeof(worker->reported));
 }
 
 /*
  * Free all workers.
  */
-void cell_workers_finish(struct cell_world *world)
+void cell_workers_finish(struct cell_sim *sim)
 {
-	for (uint32_t i = 0; i < world->plan.workers; i++) {
-		struct cell_fake_worker *worker = &world->workers[i];
+	for (uint32_t i = 0; i < sim->options.workers; i++) {
+		struct cell_fake_worker *worker = &sim->workers[i];
 
 		while (worker->runs->len) {
-			run_free(world, worker->runs->pdata[0]);
+			run_free(sim, worker->runs->pdata[0]);
 			g_ptr_array_remove_index(worker->runs, 0);
 		}
 		g_ptr_array_free(worker->runs, TRUE);
-		g_array_free(worker->ends, TRUE);
-		g_hash_table_destroy(worker->barred);
+		g_array_free(worker->completions, TRUE);
+		g_hash_table_destroy(worker->highest_ended);
 		g_ptr_array_free(worker->polls, TRUE);
 	}
 }
--- a/src/test_libradishjunction/support/cell_faults.c
+++ b/src/test_libradishjunction/support/cell_faults.c
@@ -2,422 +2,422 @@
 
 #include <string.h>
 
-#define TROUBLE_S 25
-#define CALM_S 80
+#define FAULTS_S 25
+#define RECOVERY_S 80
 #define STEP_US (100 * MS)
-#define KEYS 3
+#define KEY_COUNT 3
 /* On such a part of the days an outside policy has its say. */
-#define ADVISED_ONE_IN 4
+#define ADVISED_SEED_MOD 4
 /* ... and on such a part operators cordon failure domains, and reads of one
  * log may fail. */
-#define CORDONS_ONE_IN 2
+#define CORDON_SEED_MOD 2
 /* ... and members of a gang end so long after the first. */
-#define BREAK_US (190 * MS)
+#define GANG_BREAK_US (190 * MS)
 
 /* What a strike does, and what ends it. */
-struct strike {
-	struct cell_world *world;
+struct fault {
+	struct cell_sim *sim;
 	uint32_t target;
 };
 
 /* Remember the target of a strike until it ends. */
-static struct strike *strike_new(struct cell_world *world, uint32_t target)
+static struct fault *fault_new(struct cell_sim *sim, uint32_t target)
 {
-	struct strike *strike = g_new0(struct strike, 1);
+	struct fault *fault = g_new0(struct fault, 1);
 
-	strike->world = world;
-	strike->target = target;
-	return strike;
+	fault->sim = sim;
+	fault->target = target;
+	return fault;
 }
 
 /* A killed node starts again. */
-static void restart(void *data)
+static void restart_node(void *data)
 {
-	struct strike *strike = data;
+	struct fault *fault = data;
 
-	cell_world_start(strike->world, strike->target);
-	g_free(strike);
+	cell_sim_node_start(fault->sim, fault->target);
+	g_free(fault);
 }
 
 /* A node is killed, most often the owner. */
-static void strike_kill(struct cell_world *world)
+static void inject_node_kill(struct cell_sim *sim)
 {
-	int owner = cell_world_owner(world);
-	uint32_t target = cell_world_random(world, world->plan.nodes);
+	int owner = cell_sim_owner(sim);
+	uint32_t target = cell_sim_random(sim, sim->options.nodes);
 
-	if (owner >= 0 && cell_world_random(world, 2))
+	if (owner >= 0 && cell_sim_random(sim, 2))
 		target = (uint32_t)owner;
-	cell_world_kill(world, target);
-	cell_world_at(world, (200 + cell_world_random(world, 3000)) * MS,
-		      restart, strike_new(world, target));
+	cell_sim_node_kill(sim, target);
+	cell_sim_schedule(sim, (200 + cell_sim_random(sim, 3000)) * MS,
+			  restart_node, fault_new(sim, target));
 }
 
 /* All nodes are killed at once. */
-static void strike_kill_all(struct cell_world *world)
+static void inject_all_nodes_kill(struct cell_sim *sim)
 {
-	uint64_t down_us = (500 + cell_world_random(world, 1500)) * MS;
+	uint64_t down_us = (500 + cell_sim_random(sim, 1500)) * MS;
 
-	for (uint32_t i = 0; i < world->plan.nodes; i++) {
-		cell_world_kill(world, i);
-		cell_world_at(world, down_us + i * MS, restart,
-			      strike_new(world, i));
+	for (uint32_t i = 0; i < sim->options.nodes; i++) {
+		cell_sim_node_kill(sim, i);
+		cell_sim_schedule(sim, down_us + i * MS, restart_node,
+				  fault_new(sim, i));
 	}
 }
 
 /* A node stands still, most often the owner. */
-static void strike_pause(struct cell_world *world)
+static void inject_node_pause(struct cell_sim *sim)
 {
-	int owner = cell_world_owner(world);
-	uint32_t target = cell_world_random(world, world->plan.nodes);
+	int owner = cell_sim_owner(sim);
+	uint32_t target = cell_sim_random(sim, sim->options.nodes);
 
-	if (owner >= 0 && cell_world_random(world, 2))
+	if (owner >= 0 && cell_sim_random(sim, 2))
 		target = (uint32_t)owner;
-	cell_world_pause(world, target,
-			 (500 + cell_world_random(world, 5000)) * MS);
+	cell_sim_node_pause(sim, target,
+			    (500 + cell_sim_random(sim, 5000)) * MS);
 }
 
 /* The log serves a node again. */
-static void heal_log(void *data)
+static void restore_log(void *data)
 {
-	struct strike *strike = data;
+	struct fault *fault = data;
 
-	strike->world->log.modes[strike->target] = CELL_LOG_OK;
-	g_free(strike);
+	fault->sim->log.modes[fault->target] = CELL_LOG_AVAILABLE;
+	g_free(fault);
 }
 
 /* The log turns some nodes away, or all. */
-static void strike_log(struct cell_world *world)
+static void inject_log_outage(struct cell_sim *sim)
 {
-	enum cell_log_mode mode = cell_world_random(world, 2) ?
-					  CELL_LOG_SILENT :
-					  CELL_LOG_REFUSES;
-	uint64_t for_us = (1000 + cell_world_random(world, 6000)) * MS;
-	bool all = cell_world_random(world, 3) == 0;
-	int owner = cell_world_owner(world);
-	uint32_t only = owner >= 0 && cell_world_random(world, 2) ?
+	enum cell_log_mode mode = cell_sim_random(sim, 2) ?
+					  CELL_LOG_UNREACHABLE :
+					  CELL_LOG_REFUSING;
+	uint64_t for_us = (1000 + cell_sim_random(sim, 6000)) * MS;
+	bool all = cell_sim_random(sim, 3) == 0;
+	int owner = cell_sim_owner(sim);
+	uint32_t only = owner >= 0 && cell_sim_random(sim, 2) ?
 				(uint32_t)owner :
-				cell_world_random(world, world->plan.nodes);
+				cell_sim_random(sim, sim->options.nodes);
 
-	for (uint32_t i = 0; i < world->plan.nodes; i++) {
+	for (uint32_t i = 0; i < sim->options.nodes; i++) {
 		if (!all && i != only)
 			continue;
-		world->log.modes[i] = mode;
-		cell_world_at(world, for_us, heal_log, strike_new(world, i));
+		sim->log.modes[i] = mode;
+		cell_sim_schedule(sim, for_us, restore_log, fault_new(sim, i));
 	}
 }
 
 /* The log answers as before. */
-static void heal_answers(void *data)
+static void restore_answers(void *data)
 {
-	struct strike *strike = data;
+	struct fault *fault = data;
 
-	strike->world->log.lose_percent = 0;
-	strike->world->log.late_us = 0;
-	strike->world->log.latency_us = 4 * MS;
-	g_free(strike);
+	fault->sim->log.lost_answer_percent = 0;
+	fault->sim->log.apply_delay_us = 0;
+	fault->sim->log.latency_us = 4 * MS;
+	g_free(fault);
 }
 
 /* Answers of the log are lost or slow. */
-static void strike_answers(struct cell_world *world)
+static void inject_lost_answers(struct cell_sim *sim)
 {
-	if (cell_world_random(world, 2)) {
-		world->log.lose_percent = 35;
-		world->log.late_us =
-			cell_world_random(world, 2) ?
-				(1000 + cell_world_random(world, 4000)) * MS :
+	if (cell_sim_random(sim, 2)) {
+		sim->log.lost_answer_percent = 35;
+		sim->log.apply_delay_us =
+			cell_sim_random(sim, 2) ?
+				(1000 + cell_sim_random(sim, 4000)) * MS :
 				0;
 	} else {
-		world->log.latency_us = 240 * MS;
+		sim->log.latency_us = 240 * MS;
 	}
-	cell_world_at(world, (1000 + cell_world_random(world, 4000)) * MS,
-		      heal_answers, strike_new(world, 0));
+	cell_sim_schedule(sim, (1000 + cell_sim_random(sim, 4000)) * MS,
+			  restore_answers, fault_new(sim, 0));
 }
 
 /* The history of a log is dropped. */
-static void strike_history(struct cell_world *world)
+static void inject_log_truncation(struct cell_sim *sim)
 {
-	enum rj_cell_topic topic = (enum rj_cell_topic)cell_world_random(
-		world, RJ_CELL_TOPIC_COUNT);
+	enum rj_cell_topic topic =
+		(enum rj_cell_topic)cell_sim_random(sim, RJ_CELL_TOPIC_COUNT);
 
-	world->log.first_kept[topic] = world->log.records[topic]->len;
+	sim->log.first_retained[topic] = sim->log.records[topic]->len;
 }
 
 /* A crashed worker is back. */
-static void rebirth(void *data)
+static void restart_worker(void *data)
 {
-	struct strike *strike = data;
+	struct fault *fault = data;
 
-	cell_world_worker_start(strike->world, strike->target);
-	g_free(strike);
+	cell_sim_worker_start(fault->sim, fault->target);
+	g_free(fault);
 }
 
 /* A worker crashes; some start again at once, under their old id. */
-static void strike_worker(struct cell_world *world)
+static void inject_worker_crash(struct cell_sim *sim)
 {
-	uint32_t target = cell_world_random(world, world->plan.workers);
+	uint32_t target = cell_sim_random(sim, sim->options.workers);
 
-	cell_world_worker_kill(world, target);
-	cell_world_at(world, (50 + cell_world_random(world, 8000)) * MS,
-		      rebirth, strike_new(world, target));
+	cell_sim_worker_kill(sim, target);
+	cell_sim_schedule(sim, (50 + cell_sim_random(sim, 8000)) * MS,
+			  restart_worker, fault_new(sim, target));
 }
 
 /* A cut worker is reached again. */
-static void heal_worker(void *data)
+static void restore_worker(void *data)
 {
-	struct strike *strike = data;
-	struct cell_fake_worker *worker =
-		&strike->world->workers[strike->target];
+	struct fault *fault = data;
+	struct cell_fake_worker *worker = &fault->sim->workers[fault->target];
 
-	cell_world_worker_cut(strike->world, strike->target, false);
-	worker->leave_percent = 0;
+	cell_sim_worker_partition(fault->sim, fault->target, false);
+	worker->delayed_percent = 0;
 	worker->fails_all = false;
-	worker->stands_still = false;
-	worker->refuses = false;
-	g_free(strike);
+	worker->stalled = false;
+	worker->unhealthy = false;
+	g_free(fault);
 }
 
 /* Workers are cut off, for all nodes or for one, or behave badly. */
-static void strike_workers(struct cell_world *world)
+static void inject_worker_faults(struct cell_sim *sim)
 {
-	uint32_t count = 1 + cell_world_random(world, 3);
-	uint32_t how = cell_world_random(world, 6);
-	uint64_t for_us = (1000 + cell_world_random(world, 7000)) * MS;
+	uint32_t count = 1 + cell_sim_random(sim, 3);
+	uint32_t how = cell_sim_random(sim, 6);
+	uint64_t for_us = (1000 + cell_sim_random(sim, 7000)) * MS;
 
 	for (uint32_t i = 0; i < count; i++) {
-		uint32_t target = cell_world_random(world, world->plan.workers);
-		struct cell_fake_worker *worker = &world->workers[target];
+		uint32_t target = cell_sim_random(sim, sim->options.workers);
+		struct cell_fake_worker *worker = &sim->workers[target];
 
 		if (how == 0)
-			cell_world_worker_cut(world, target, true);
+			cell_sim_worker_partition(sim, target, true);
 		else if (how == 1)
-			worker->cut[cell_world_random(
-				world, world->plan.nodes)] = true;
+			worker->partitioned[cell_sim_random(
+				sim, sim->options.nodes)] = true;
 		else if (how == 2)
-			worker->leave_percent = 40;
+			worker->delayed_percent = 40;
 		else if (how == 3)
 			worker->fails_all = true;
 		else if (how == 4)
-			worker->stands_still = true;
+			worker->stalled = true;
 		else
-			worker->refuses = true;
-		cell_world_at(world, for_us, heal_worker,
-			      strike_new(world, target));
+			worker->unhealthy = true;
+		cell_sim_schedule(sim, for_us, restore_worker,
+				  fault_new(sim, target));
 	}
 }
 
 /* A worker that has left is replaced, under its old id. */
-static void replace(void *data)
+static void replace_worker(void *data)
 {
-	struct strike *strike = data;
+	struct fault *fault = data;
 
-	strike->world->workers[strike->target].said.draining = false;
-	cell_world_worker_start(strike->world, strike->target);
-	g_free(strike);
+	fault->sim->workers[fault->target].reported.draining = false;
+	cell_sim_worker_start(fault->sim, fault->target);
+	g_free(fault);
 }
 
 /* A worker that said so leaves. */
-static void leave(void *data)
+static void remove_worker(void *data)
 {
-	struct strike *strike = data;
-	struct cell_world *world = strike->world;
+	struct fault *fault = data;
+	struct cell_sim *sim = fault->sim;
 
-	cell_world_worker_cut(world, strike->target, false);
-	cell_world_worker_kill(world, strike->target);
-	cell_world_at(world, 3 * S, replace, strike);
+	cell_sim_worker_partition(sim, fault->target, false);
+	cell_sim_worker_kill(sim, fault->target);
+	cell_sim_schedule(sim, 3 * S, replace_worker, fault);
 }
 
 /*
  * Workers are taken away: they say so, serve on for some seconds, and leave;
  * some are cut off meanwhile, so that their entries lapse while they run.
  */
-static void strike_drain(struct cell_world *world)
+static void inject_worker_drain(struct cell_sim *sim)
 {
-	uint32_t target = cell_world_random(world, world->plan.workers);
-	struct cell_fake_worker *worker = &world->workers[target];
+	uint32_t target = cell_sim_random(sim, sim->options.workers);
+	struct cell_fake_worker *worker = &sim->workers[target];
 
-	if (!worker->up || worker->said.draining)
+	if (!worker->up || worker->reported.draining)
 		return;
-	cell_world_worker_drain(world, target, 0);
-	if (cell_world_random(world, 2))
-		cell_world_worker_cut(world, target, true);
-	cell_world_at(world, (2000 + cell_world_random(world, 8000)) * MS,
-		      leave, strike_new(world, target));
+	cell_sim_worker_drain(sim, target, 0);
+	if (cell_sim_random(sim, 2))
+		cell_sim_worker_partition(sim, target, true);
+	cell_sim_schedule(sim, (2000 + cell_sim_random(sim, 8000)) * MS,
+			  remove_worker, fault_new(sim, target));
 }
 
 /* Operators take a key away and give another. */
-static void strike_key(struct cell_world *world)
+static void inject_key_change(struct cell_sim *sim)
 {
-	static const char *const keys[KEYS] = { "k1", "k2", "k3" };
+	static const char *const keys[KEY_COUNT] = { "k1", "k2", "k3" };
 
-	cell_world_publish(world, keys[cell_world_random(world, KEYS)]);
+	cell_sim_publish(sim, keys[cell_sim_random(sim, KEY_COUNT)]);
 }
 
 /* A cordoned failure domain is given back. */
-static void give_back(void *data)
+static void uncordon(void *data)
 {
-	struct strike *strike = data;
+	struct fault *fault = data;
 
-	cell_world_cordon(strike->world,
-			  strike->world->workers[strike->target].said.domain,
-			  false);
-	g_free(strike);
+	cell_sim_cordon(fault->sim,
+			fault->sim->workers[fault->target].reported.domain,
+			false);
+	g_free(fault);
 }
 
 /* Operators cordon a failure domain; several may be at a time. */
-static void strike_cordon(struct cell_world *world)
+static void inject_cordon(struct cell_sim *sim)
 {
-	uint32_t target = cell_world_random(world, world->plan.workers);
+	uint32_t target = cell_sim_random(sim, sim->options.workers);
 
-	cell_world_cordon(world, world->workers[target].said.domain, true);
-	cell_world_at(world, (500 + cell_world_random(world, 12000)) * MS,
-		      give_back, strike_new(world, target));
+	cell_sim_cordon(sim, sim->workers[target].reported.domain, true);
+	cell_sim_schedule(sim, (500 + cell_sim_random(sim, 12000)) * MS,
+			  uncordon, fault_new(sim, target));
 }
 
 /* Reads of one log are answered again. */
-static void heal_reads(void *data)
+static void restore_reads(void *data)
 {
-	struct strike *strike = data;
+	struct fault *fault = data;
 
-	strike->world->log.reads_silent[strike->target] = false;
-	g_free(strike);
+	fault->sim->log.reads_unreachable[fault->target] = false;
+	g_free(fault);
 }
 
 /* Reads of one log get no answer. */
-static void strike_reads(struct cell_world *world)
+static void inject_read_loss(struct cell_sim *sim)
 {
-	uint32_t topic = cell_world_random(world, RJ_CELL_TOPIC_COUNT);
+	uint32_t topic = cell_sim_random(sim, RJ_CELL_TOPIC_COUNT);
 
-	world->log.reads_silent[topic] = true;
-	cell_world_at(world, (1000 + cell_world_random(world, 8000)) * MS,
-		      heal_reads, strike_new(world, topic));
+	sim->log.reads_unreachable[topic] = true;
+	cell_sim_schedule(sim, (1000 + cell_sim_random(sim, 8000)) * MS,
+			  restore_reads, fault_new(sim, topic));
 }
 
-static void (*const strikes[])(struct cell_world *) = {
-	strike_kill,	strike_kill,	strike_kill_all, strike_pause,
-	strike_pause,	strike_log,	strike_log,	 strike_answers,
-	strike_history, strike_worker,	strike_worker,	 strike_workers,
-	strike_workers, strike_workers, strike_key,	 strike_drain,
-	strike_drain,
+static void (*const faults[])(struct cell_sim *) = {
+	inject_node_kill,     inject_node_kill,	    inject_all_nodes_kill,
+	inject_node_pause,    inject_node_pause,    inject_log_outage,
+	inject_log_outage,    inject_lost_answers,  inject_log_truncation,
+	inject_worker_crash,  inject_worker_crash,  inject_worker_faults,
+	inject_worker_faults, inject_worker_faults, inject_key_change,
+	inject_worker_drain,  inject_worker_drain,
 };
 
 /* A random job. */
-static struct cell_client_job *random_job(struct cell_world *world)
+static struct cell_client_job *random_job(struct cell_sim *sim)
 {
-	static const char *const plain[] = { "urgent", "normal", "bulk" };
-	static const char *const advised[] = { "urgent", "advised", "bulk" };
-	const char *const *queues =
-		world->plan.seed % ADVISED_ONE_IN == 1 ? advised : plain;
-	uint32_t queue = cell_world_random(world, 3);
+	static const char *const without_advice[] = { "urgent", "normal",
+						      "bulk" };
+	static const char *const with_advice[] = { "urgent", "advised",
+						   "bulk" };
+	const char *const *queues = sim->options.seed % ADVISED_SEED_MOD == 1 ?
+					    with_advice :
+					    without_advice;
+	uint32_t queue = cell_sim_random(sim, 3);
 	uint32_t first = 0;
 	struct rj_cell_step steps[2];
-	uint32_t count = 1 + (cell_world_random(world, 4) == 0);
+	uint32_t count = 1 + (cell_sim_random(sim, 4) == 0);
 	struct cell_client_job *job;
 
 	for (uint32_t i = 0; i < count; i++) {
 		struct rj_cell_step *step = &steps[i];
 
-		*step = cell_world_step(1 + cell_world_random(world, 6),
-					1U << cell_world_random(world, 4),
-					500 + cell_world_random(world, 4000));
-		step->gang = cell_world_random(world, 2);
-		step->one_rack = cell_world_random(world, 2);
-		step->checkpoints = cell_world_random(world, 2);
-		if (!step->gang && !cell_world_random(world, 4))
+		*step = cell_sim_plain_step(1 + cell_sim_random(sim, 6),
+					    1U << cell_sim_random(sim, 4),
+					    500 + cell_sim_random(sim, 4000));
+		step->gang = cell_sim_random(sim, 2);
+		step->one_rack = cell_sim_random(sim, 2);
+		step->checkpoints = cell_sim_random(sim, 2);
+		if (!step->gang && !cell_sim_random(sim, 4))
 			step->per_worker_max = 1;
-		step->each.memory_mb = 1000 + cell_world_random(world, 20000);
+		step->each.memory_mb = 1000 + cell_sim_random(sim, 20000);
 	}
 	if (count > 1) {
 		steps[1].after = &first;
 		steps[1].after_count = 1;
 	}
-	job = cell_world_job(
-		world, queues[queue], cell_world_random(world, 2) ? "a" : "b",
-		steps, count, (500 + cell_world_random(world, 4000)) * MS);
-	if (cell_world_random(world, 10) == 0)
-		job->fail_times = 1 + cell_world_random(world, 4);
+	job = cell_sim_job_new(sim, queues[queue],
+			       cell_sim_random(sim, 2) ? "a" : "b", steps,
+			       count, (500 + cell_sim_random(sim, 4000)) * MS);
+	if (cell_sim_random(sim, 10) == 0)
+		job->failing_runs = 1 + cell_sim_random(sim, 4);
 	return job;
 }
 
 /* One step of the clients: new jobs, repeats, cancels, questions. */
-static void clients(struct cell_world *world, bool trouble)
+static void clients(struct cell_sim *sim, bool inject)
 {
-	if (trouble && cell_world_random(world, 8) == 0)
-		cell_world_submit(world,
-				  cell_world_random(world, world->plan.nodes),
-				  random_job(world));
-	for (guint i = 0; i < world->job_list->len; i++) {
-		struct cell_client_job *job = world->job_list->pdata[i];
-		uint32_t node = cell_world_random(world, world->plan.nodes);
+	if (inject && cell_sim_random(sim, 8) == 0)
+		cell_sim_submit(sim, cell_sim_random(sim, sim->options.nodes),
+				random_job(sim));
+	for (guint i = 0; i < sim->job_list->len; i++) {
+		struct cell_client_job *job = sim->job_list->pdata[i];
+		uint32_t node = cell_sim_random(sim, sim->options.nodes);
 
 		if (job->ended_us)
 			continue;
-		if (!job->accepted && job->tries < 5 &&
-		    world->now_us > job->sent_us + job->tries * 3200 * MS)
-			cell_world_submit(world, node, job);
-		else if (job->accepted && cell_world_random(world, 4) == 0)
-			cell_world_ask(world, node, job);
-		if (trouble && job->accepted &&
-		    cell_world_random(world, 300) == 0)
-			cell_world_cancel(world, node, job);
+		if (!job->accepted && job->submissions < 5 &&
+		    sim->now_us > job->sent_us + job->submissions * 3200 * MS)
+			cell_sim_submit(sim, node, job);
+		else if (job->accepted && cell_sim_random(sim, 4) == 0)
+			cell_sim_query(sim, node, job);
+		if (inject && job->accepted && cell_sim_random(sim, 300) == 0)
+			cell_sim_cancel(sim, node, job);
 	}
 }
 
 /*
  * Play one day; with `trace` its notes are printed.
  */
-void cell_faults_play(uint64_t seed, bool trace,
-		      struct cell_fault_result *result)
+void cell_faults_run(uint64_t seed, bool trace,
+		     struct cell_fault_result *result)
 {
-	static const struct cell_world_plan plan = {
+	static const struct cell_sim_options defaults = {
 		.nodes = 4,
 		.workers = 12,
 		.rack_workers = 4,
 		.capacity = { 64000, 64000, 8 },
 		.guaranteed = 32,
 	};
-	struct cell_world *world = g_new0(struct cell_world, 1);
-	struct cell_world_plan seeded = plan;
+	struct cell_sim *sim = g_new0(struct cell_sim, 1);
+	struct cell_sim_options options = defaults;
 	bool cordons;
 
-	seeded.seed = seed;
-	seeded.guarded = seed % 3 == 0;
-	cordons = seed % CORDONS_ONE_IN == 1;
-	seeded.break_us = cordons ? BREAK_US : 0;
+	options.seed = seed;
+	options.enforces_capacity = seed % 3 == 0;
+	cordons = seed % CORDON_SEED_MOD == 1;
+	options.gang_break_us = cordons ? GANG_BREAK_US : 0;
 	memset(result, 0, sizeof(*result));
 	if (trace)
-		cell_world_trace(world);
-	cell_world_init(world, &seeded);
-	cell_world_run(world, 3 * S);
-	for (uint32_t i = 0; i < TROUBLE_S * S / STEP_US; i++) {
-		if (cell_world_random(world, 14) == 0) {
-			strikes[cell_world_random(
-				world, G_N_ELEMENTS(strikes))](world);
-			result->strikes++;
+		cell_sim_trace(sim);
+	cell_sim_init(sim, &options);
+	cell_sim_run(sim, 3 * S);
+	for (uint32_t i = 0; i < FAULTS_S * S / STEP_US; i++) {
+		if (cell_sim_random(sim, 14) == 0) {
+			faults[cell_sim_random(sim, G_N_ELEMENTS(faults))](sim);
+			result->faults++;
 		}
-		if (cordons && cell_world_random(world, 40) == 0)
-			strike_cordon(world);
-		if (cordons && cell_world_random(world, 80) == 0)
-			strike_reads(world);
-		clients(world, true);
-		cell_world_run(world, STEP_US);
+		if (cordons && cell_sim_random(sim, 40) == 0)
+			inject_cordon(sim);
+		if (cordons && cell_sim_random(sim, 80) == 0)
+			inject_read_loss(sim);
+		clients(sim, true);
+		cell_sim_run(sim, STEP_US);
 	}
-	for (uint32_t i = 0; i < CALM_S * S / STEP_US; i++) {
-		clients(world, false);
-		cell_world_run(world, STEP_US);
+	for (uint32_t i = 0; i < RECOVERY_S * S / STEP_US; i++) {
+		clients(sim, false);
+		cell_sim_run(sim, STEP_US);
 	}
-	cell_world_check_end(world);
-	result->jobs = world->job_list->len;
-	for (guint i = 0; i < world->job_list->len; i++) {
-		const struct cell_client_job *job = world->job_list->pdata[i];
+	cell_sim_check_final(sim);
+	result->jobs = sim->job_list->len;
+	for (guint i = 0; i < sim->job_list->len; i++) {
+		const struct cell_client_job *job = sim->job_list->pdata[i];
 
 		result->accepted += job->accepted;
 		result->completed +=
-			job->has_shown && job->shown == RJ_CELL_JOB_COMPLETED;
+			job->has_state && job->state == RJ_CELL_JOB_COMPLETED;
 	}
-	result->starts = world->starts;
-	result->violations = world->violations->len;
-	if (world->violations->len)
-		result->first = g_strdup(world->violations->pdata[0]);
-	cell_world_finish(world);
-	g_free(world);
+	result->starts = sim->starts;
+	result->violations = sim->violations->len;
+	if (sim->violations->len)
+		result->first_violation = g_strdup(sim->violations->pdata[0]);
+	cell_sim_finish(sim);
+	g_free(sim);
 }
--- a/src/test_libradishjunction/support/cell_faults.h
+++ b/src/test_libradishjunction/support/cell_faults.h
@@ -1,23 +1,23 @@
 /*
- * Seeded days of trouble in a cell_world: random jobs, random strikes that
+ * Seeded days of trouble in a cell_sim: random jobs, random strikes that
  * overlap, then calm, then judgement. One call plays one day.
  */
 #ifndef TEST_SUPPORT_CELL_FAULTS_H
 #define TEST_SUPPORT_CELL_FAULTS_H
 
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 struct cell_fault_result {
 	uint32_t jobs;
 	uint32_t accepted;
 	uint32_t completed;
-	uint32_t strikes;
+	uint32_t faults;
 	uint64_t starts;
 	uint32_t violations;
-	char *first; /* text of the first violation, or NULL; g_free */
+	char *first_violation; /* text of the first violation, or NULL; g_free */
 };
 
-void cell_faults_play(uint64_t seed, bool trace,
-		      struct cell_fault_result *result);
+void cell_faults_run(uint64_t seed, bool trace,
+		     struct cell_fault_result *result);
 
 #endif
--- a/src/test_libradishjunction/support/cell_fixture.h
+++ b/src/test_libradishjunction/support/cell_fixture.h
@@ -8,18 +8,18 @@
 #ifndef TEST_SUPPORT_CELL_FIXTURE_H
 #define TEST_SUPPORT_CELL_FIXTURE_H
 
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 struct cell_fixture {
-	struct cell_world world;
+	struct cell_sim sim;
 };
 
-void cell_fixture_setup(struct cell_fixture *f, const void *plan);
-void cell_fixture_teardown(struct cell_fixture *f, const void *plan);
+void cell_fixture_setup(struct cell_fixture *f, const void *options);
+void cell_fixture_teardown(struct cell_fixture *f, const void *options);
 
-/* Add a test of a site; `plan` is a struct cell_world_plan. */
-#define CELL_TEST(path, plan, function)                                 \
-	g_test_add(path, struct cell_fixture, plan, cell_fixture_setup, \
+/* Add a test of a site; `plan` is a struct cell_sim_options. */
+#define CELL_TEST(path, options, function)                                 \
+	g_test_add(path, struct cell_fixture, options, cell_fixture_setup, \
 		   function, cell_fixture_teardown)
 
 #endif
--- a/src/test_libradishjunction/support/cell_load.h
+++ b/src/test_libradishjunction/support/cell_load.h
@@ -5,32 +5,32 @@
 #ifndef TEST_SUPPORT_CELL_LOAD_H
 #define TEST_SUPPORT_CELL_LOAD_H
 
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 /* Jobs of one kind that come at a steady rate. */
 struct cell_load_stream {
 	const char *queue;
 	const char *account;
 	struct rj_cell_step step;
-	uint64_t work_us; /* of each task */
+	uint64_t duration_us; /* of each task */
 	uint64_t every_us;
 	uint64_t first_us; /* after the begin */
 	uint64_t until_us; /* 0: as long as the load lasts */
 };
 
-struct cell_client_job *cell_load_hand_in(struct cell_world *world,
-					  const char *queue,
-					  const char *account,
-					  const struct rj_cell_step *step,
-					  uint64_t work_us);
-void cell_load_follow(struct cell_world *world, uint64_t for_us);
-void cell_load_fill(struct cell_world *world, uint32_t jobs, bool saves,
-		    uint64_t work_us);
-void cell_load_play(struct cell_world *world,
-		    const struct cell_load_stream *streams, uint32_t count,
-		    uint64_t for_us, void (*check)(struct cell_world *world));
-const struct rj_cell_backlog *cell_load_backlog(const struct cell_world *world);
-uint32_t cell_load_earned_percent(const struct cell_world *world,
-				  const char *queue, uint64_t sent_before_us);
+struct cell_client_job *cell_load_submit(struct cell_sim *sim,
+					 const char *queue, const char *account,
+					 const struct rj_cell_step *step,
+					 uint64_t duration_us);
+void cell_load_run(struct cell_sim *sim, uint64_t for_us);
+void cell_load_fill(struct cell_sim *sim, uint32_t jobs, bool checkpoints,
+		    uint64_t duration_us);
+void cell_load_run_streams(struct cell_sim *sim,
+			   const struct cell_load_stream *streams,
+			   uint32_t count, uint64_t for_us,
+			   void (*check)(struct cell_sim *sim));
+const struct rj_cell_backlog *cell_load_backlog(const struct cell_sim *sim);
+uint32_t cell_load_utility_percent(const struct cell_sim *sim,
+				   const char *queue, uint64_t sent_before_us);
 
 #endif
--- a/src/test_libradishjunction/support/cell_world.c
+++ b/src/test_libradishjunction/support/cell_sim.c
@@ -1,4 +1,4 @@
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -22,9 +22,9 @@
 #define STOP_MS 200
 #define CORDON_MS 5000
 /* A call in so many still carries the key that was removed last. */
-#define OLD_KEY_ONE_IN 7
+#define REMOVED_KEY_ONE_IN 7
 
-struct cell_world_event {
+struct cell_sim_event {
 	uint64_t at_us;
 	uint64_t sequence;
 	void (*call)(void *);
@@ -34,8 +34,8 @@
 /* Earlier events first, in the order in which they were made. */
 static gint by_time(gconstpointer a, gconstpointer b, gpointer unused)
 {
-	const struct cell_world_event *left = a;
-	const struct cell_world_event *right = b;
+	const struct cell_sim_event *left = a;
+	const struct cell_sim_event *right = b;
 
 	if (left->at_us != right->at_us)
 		return left->at_us < right->at_us ? -1 : 1;
@@ -45,78 +45,79 @@
 /*
  * Call a function in `delay_us`.
  */
-void cell_world_at(struct cell_world *world, uint64_t delay_us,
-		   void (*call)(void *), void *data)
+void cell_sim_schedule(struct cell_sim *sim, uint64_t delay_us,
+		       void (*call)(void *), void *data)
 {
-	struct cell_world_event *event = g_new0(struct cell_world_event, 1);
+	struct cell_sim_event *event = g_new0(struct cell_sim_event, 1);
 
-	event->at_us = world->now_us + delay_us;
-	event->sequence = world->sequence++;
+	event->at_us = sim->now_us + delay_us;
+	event->sequence = sim->sequence++;
 	event->call = call;
 	event->data = data;
-	g_sequence_insert_sorted(world->events, event, by_time, NULL);
+	g_sequence_insert_sorted(sim->events, event, by_time, NULL);
 }
 
 /*
  * A number below a bound, the same in every run of a seed.
  */
-uint32_t cell_world_random(struct cell_world *world, uint32_t below)
+uint32_t cell_sim_random(struct cell_sim *sim, uint32_t below)
 {
-	return below ? (uint32_t)(rj_random64(&world->random) % below) : 0;
+	return below ? (uint32_t)(rj_random64(&sim->random) % below) : 0;
 }
 
 /*
  * Milliseconds since 1970 by the world's clock.
  */
-uint64_t cell_world_wall_ms(const struct cell_world *world)
+uint64_t cell_sim_wall_ms(const struct cell_sim *sim)
 {
-	return WALL_MS + world->now_us / MS;
+	return WALL_MS + sim->now_us / MS;
 }
 
 /*
  * Let time pass.
  */
-void cell_world_run(struct cell_world *world, uint64_t for_us)
+void cell_sim_run(struct cell_sim *sim, uint64_t for_us)
 {
-	uint64_t until_us = world->now_us + for_us;
+	uint64_t until_us = sim->now_us + for_us;
 
 	for (;;) {
-		GSequenceIter *first = g_sequence_get_begin_iter(world->events);
-		struct cell_world_event *event;
+		GSequenceIter *first = g_sequence_get_begin_iter(sim->events);
+		struct cell_sim_event *event;
 
 		if (g_sequence_iter_is_end(first))
 			break;
 		event = g_sequence_get(first);
 		if (event->at_us > until_us)
 			break;
-		world->now_us = event->at_us;
+		sim->now_us = event->at_us;
 		g_sequence_remove(first);
 		event->call(event->data);
 		g_free(event);
 	}
-	world->now_us = until_us;
+	sim->now_us = until_us;
 }
 
 /*
  * Whether a node still is the process that made a call.
  */
-bool cell_world_reaches(const struct cell_world_node *node, uint32_t life)
+bool cell_sim_node_is_current(const struct cell_sim_node *node,
+			      uint32_t incarnation)
 {
-	return node->up && node->life == life;
+	return node->up && node->incarnation == incarnation;
 }
 
 /*
  * Whether a node stands still just now: `call` is made again once it goes on.
  */
-bool cell_world_waits(struct cell_world_node *node, void (*call)(void *),
-		      void *data)
+bool cell_sim_defer_if_paused(struct cell_sim_node *node, void (*call)(void *),
+			      void *data)
 {
-	uint64_t now_us = node->world->now_us;
+	uint64_t now_us = node->sim->now_us;
 
 	if (node->paused_until_us <= now_us)
 		return false;
-	cell_world_at(node->world, node->paused_until_us - now_us + 1, call,
-		      data);
+	cell_sim_schedule(node->sim, node->paused_until_us - now_us + 1, call,
+			  data);
 	return true;
 }
 
@@ -221,60 +222,59 @@
 /*
  * Operators publish a new version, in which only `key` is good.
  */
-void cell_world_publish(struct cell_world *world, const char *key)
+void cell_sim_publish(struct cell_sim *sim, const char *key)
 {
 	struct rj_packer out;
 	struct rj_bytes text;
 
 	rj_pack_init(&out);
-	rj_pack_number(&out, ++world->config_version);
+	rj_pack_number(&out, ++sim->config_version);
 	rj_pack_text(&out, key);
-	rj_pack_number(&out, world->plan.guaranteed);
-	rj_pack_number(&out, world->plan.guaranteed);
-	rj_pack_number(&out, world->plan.attempts_max);
-	text = rj_pack_finish(&out, world->mem);
-	cell_log_put(world, RJ_CELL_TOPIC_CONFIG, CONFIG_KEY, text.data,
+	rj_pack_number(&out, sim->options.guaranteed);
+	rj_pack_number(&out, sim->options.guaranteed);
+	rj_pack_number(&out, sim->options.attempts_max);
+	text = rj_pack_finish(&out, sim->mem);
+	cell_log_put(sim, RJ_CELL_TOPIC_CONFIG, CONFIG_KEY, text.data,
 		     text.length);
-	if (world->key && strcmp(world->key, key) != 0) {
-		world->old_key = world->key;
-		world->removed_us = world->now_us;
+	if (sim->key && strcmp(sim->key, key) != 0) {
+		sim->removed_key = sim->key;
+		sim->key_removed_us = sim->now_us;
 	}
-	world->key = key;
+	sim->key = key;
 	talloc_free((void *)text.data);
 }
 
 /*
  * Operators cordon a failure domain, or give it back.
  */
-void cell_world_cordon(struct cell_world *world, const char *domain,
-		       bool cordoned)
+void cell_sim_cordon(struct cell_sim *sim, const char *domain, bool cordoned)
 {
 	char *key = g_strconcat(CORDON_PREFIX, domain, NULL);
-	uint64_t *since_us = g_hash_table_lookup(world->cordons, domain);
+	uint64_t *since_us = g_hash_table_lookup(sim->cordons, domain);
 
-	cell_log_put(world, RJ_CELL_TOPIC_CONFIG, key, "{}", cordoned ? 2 : 0);
+	cell_log_put(sim, RJ_CELL_TOPIC_CONFIG, key, "{}", cordoned ? 2 : 0);
 	g_free(key);
 	if (!cordoned) {
-		g_hash_table_remove(world->cordons, domain);
+		g_hash_table_remove(sim->cordons, domain);
 		return;
 	}
 	if (since_us)
 		return;
 	since_us = g_new(uint64_t, 1);
-	*since_us = world->now_us;
-	g_hash_table_insert(world->cordons, g_strdup(domain), since_us);
+	*since_us = sim->now_us;
+	g_hash_table_insert(sim->cordons, g_strdup(domain), since_us);
 }
 
 /* Whose notes are printed, and who speaks just now. */
 static struct {
-	struct cell_world *world;
-	const struct cell_world_node *node;
+	struct cell_sim *sim;
+	const struct cell_sim_node *node;
 } trace;
 
 /* Print one note. */
-static GLogWriterOutput print_note(GLogLevelFlags level,
-				   const GLogField *fields, gsize count,
-				   gpointer unused)
+static GLogWriterOutput print_log_event(GLogLevelFlags level,
+					const GLogField *fields, gsize count,
+					gpointer unused)
 {
 	const struct rj_note_field *field;
 
@@ -284,7 +284,7 @@
 		if (strcmp(fields[i].key, RJ_NOTE_FIELD) != 0)
 			continue;
 		printf("%9.3f n%u %s",
-		       (double)trace.world->now_us / (double)S - 3600,
+		       (double)trace.sim->now_us / (double)S - 3600,
 		       trace.node ? trace.node->index : 99, note->event);
 		for (field = note->fields; field->name; field++)
 			if (field->text)
@@ -300,10 +300,10 @@
 /*
  * Print the notes of this world from now on; once in a process.
  */
-void cell_world_trace(struct cell_world *world)
+void cell_sim_trace(struct cell_sim *sim)
 {
-	trace.world = world;
-	g_log_set_writer_func(print_note, NULL, NULL);
+	trace.sim = sim;
+	g_log_set_writer_func(print_log_event, NULL, NULL);
 }
 
 /* The processor time of this thread. */
@@ -320,7 +320,7 @@
  * The code of a node runs from here on: notes are its own, and so is the
  * processor time.
  */
-void cell_world_enter(struct cell_world_node *node)
+void cell_sim_node_enter(struct cell_sim_node *node)
 {
 	trace.node = node;
 	node->cpu_ns -= cpu_now_ns();
@@ -329,7 +329,7 @@
 /*
  * The code of a node has returned.
  */
-void cell_world_leave(struct cell_world_node *node)
+void cell_sim_node_leave(struct cell_sim_node *node)
 {
 	node->cpu_ns += cpu_now_ns();
 }
@@ -337,23 +337,23 @@
 /* A node polls for what is due. */
 static void tick(void *data)
 {
-	struct cell_world_node *node = data;
-	struct cell_world *world = node->world;
+	struct cell_sim_node *node = data;
+	struct cell_sim *sim = node->sim;
 
-	cell_world_enter(node);
-	if (node->up && node->paused_until_us <= world->now_us)
-		rj_cell_node_advance(&node->node, world->now_us,
-				     cell_world_wall_ms(world));
-	cell_world_leave(node);
-	cell_world_at(world, TICK_US, tick, node);
+	cell_sim_node_enter(node);
+	if (node->up && node->paused_until_us <= sim->now_us)
+		rj_cell_node_advance(&node->node, sim->now_us,
+				     cell_sim_wall_ms(sim));
+	cell_sim_node_leave(node);
+	cell_sim_schedule(sim, TICK_US, tick, node);
 }
 
 /*
  * A node's process starts, with nothing of its former life.
  */
-void cell_world_start(struct cell_world *world, uint32_t index)
+void cell_sim_node_start(struct cell_sim *sim, uint32_t index)
 {
-	struct cell_world_node *node = &world->nodes[index];
+	struct cell_sim_node *node = &sim->nodes[index];
 	struct rj_cell_node_options options = { .strength = 25,
 						.terms = { .status_ms = 120000,
 							   .reclaim_ms = 2900 },
@@ -362,33 +362,32 @@
 						.workers = &node->workers,
 						.advisor = &node->advisor };
 
-	options.terms.lease_max_ms = world->plan.lease_max_ms;
-	options.terms.revoke_ms = world->plan.revoke_ms;
+	options.terms.lease_max_ms = sim->options.lease_max_ms;
+	options.terms.revoke_ms = sim->options.revoke_ms;
 	options.terms.drain_ms = DRAIN_MS;
 	options.terms.stop_ms = STOP_MS;
 	options.terms.cordon_ms = CORDON_MS;
 	options.terms.entry_life_ms =
-		CELL_WORLD_HEARTBEAT_MS * CELL_WORLD_ENTRY_BEATS;
+		CELL_SIM_HEARTBEAT_MS * CELL_SIM_ENTRY_HEARTBEATS;
 	if (node->up)
 		return;
-	cell_world_enter(node);
+	cell_sim_node_enter(node);
 	node->up = true;
-	node->life++;
-	node->mem = talloc_named_const(world->mem, 0, "node");
+	node->incarnation++;
+	node->mem = talloc_named_const(sim->mem, 0, "node");
 	(void)g_snprintf(options.name, sizeof(options.name), "n%u", index);
-	options.incarnation = node->life * 100 + index + 1;
+	options.incarnation = node->incarnation * 100 + index + 1;
 	rj_cell_node_init(&node->node, node->mem, &options);
-	rj_cell_node_start(&node->node, world->now_us,
-			   cell_world_wall_ms(world));
-	cell_world_leave(node);
+	rj_cell_node_start(&node->node, sim->now_us, cell_sim_wall_ms(sim));
+	cell_sim_node_leave(node);
 }
 
 /*
  * A node's process is killed: its clients hear nothing more.
  */
-void cell_world_kill(struct cell_world *world, uint32_t index)
+void cell_sim_node_kill(struct cell_sim *sim, uint32_t index)
 {
-	struct cell_world_node *node = &world->nodes[index];
+	struct cell_sim_node *node = &sim->nodes[index];
 
 	if (!node->up)
 		return;
@@ -400,18 +399,18 @@
 /*
  * A node stands still for a while; what comes meanwhile waits.
  */
-void cell_world_pause(struct cell_world *world, uint32_t index, uint64_t for_us)
+void cell_sim_node_pause(struct cell_sim *sim, uint32_t index, uint64_t for_us)
 {
-	world->nodes[index].paused_until_us = world->now_us + for_us;
+	sim->nodes[index].paused_until_us = sim->now_us + for_us;
 }
 
 /*
  * The node that owns the cell by its own belief, or -1.
  */
-int cell_world_owner(const struct cell_world *world)
+int cell_sim_owner(const struct cell_sim *sim)
 {
-	for (uint32_t i = 0; i < world->plan.nodes; i++)
-		if (world->nodes[i].up && world->nodes[i].node.owner.active)
+	for (uint32_t i = 0; i < sim->options.nodes; i++)
+		if (sim->nodes[i].up && sim->nodes[i].node.owner.active)
 			return (int)i;
 	return -1;
 }
@@ -419,76 +418,75 @@
 /*
  * Make a site and start all of it. Clients may come after a second or two.
  */
-void cell_world_init(struct cell_world *world,
-		     const struct cell_world_plan *plan)
-{
-	memset(world, 0, sizeof(*world));
-	world->plan = *plan;
-	if (!plan->attempts_max)
-		world->plan.attempts_max = ATTEMPTS_MAX;
-	if (!plan->lease_max_ms)
-		world->plan.lease_max_ms = LEASE_MAX_MS;
-	if (!plan->revoke_ms)
-		world->plan.revoke_ms = REVOKE_MS;
-	world->mem = talloc_named_const(NULL, 0, "cell world");
-	world->random = plan->seed ^ 0x9e3779b97f4a7c15ULL;
-	world->now_us = 3600 * S;
-	world->events = g_sequence_new(NULL);
-	world->jobs = g_hash_table_new(g_str_hash, g_str_equal);
-	world->gangs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					     (GDestroyNotify)g_ptr_array_unref);
-	world->job_list = g_ptr_array_new();
-	world->violations = g_ptr_array_new_with_free_func(g_free);
-	world->cordons =
+void cell_sim_init(struct cell_sim *sim, const struct cell_sim_options *options)
+{
+	memset(sim, 0, sizeof(*sim));
+	sim->options = *options;
+	if (!options->attempts_max)
+		sim->options.attempts_max = ATTEMPTS_MAX;
+	if (!options->lease_max_ms)
+		sim->options.lease_max_ms = LEASE_MAX_MS;
+	if (!options->revoke_ms)
+		sim->options.revoke_ms = REVOKE_MS;
+	sim->mem = talloc_named_const(NULL, 0, "cell world");
+	sim->random = options->seed ^ 0x9e3779b97f4a7c15ULL;
+	sim->now_us = 3600 * S;
+	sim->events = g_sequence_new(NULL);
+	sim->jobs = g_hash_table_new(g_str_hash, g_str_equal);
+	sim->gangs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+					   (GDestroyNotify)g_ptr_array_unref);
+	sim->job_list = g_ptr_array_new();
+	sim->violations = g_ptr_array_new_with_free_func(g_free);
+	sim->cordons =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	cell_log_init(world);
-	cell_workers_init(world);
-	cell_world_publish(world, "k1");
-	for (uint32_t i = 0; i < plan->nodes; i++) {
-		struct cell_world_node *node = &world->nodes[i];
+	cell_log_init(sim);
+	cell_workers_init(sim);
+	cell_sim_publish(sim, "k1");
+	for (uint32_t i = 0; i < options->nodes; i++) {
+		struct cell_sim_node *node = &sim->nodes[i];
 
-		node->world = world;
+		node->sim = sim;
 		node->index = i;
 		node->store.ops = &cell_log_ops;
 		node->workers.ops = &cell_workers_ops;
 		node->advisor.ops = &cell_advice_ops;
-		cell_world_start(world, i);
-		cell_world_at(world, TICK_US, tick, node);
+		cell_sim_node_start(sim, i);
+		cell_sim_schedule(sim, TICK_US, tick, node);
 	}
 }
 
 /*
  * Stop all and free it.
  */
-void cell_world_finish(struct cell_world *world)
+void cell_sim_finish(struct cell_sim *sim)
 {
 	GSequenceIter *at;
 
-	for (uint32_t i = 0; i < world->plan.nodes; i++)
-		cell_world_kill(world, i);
-	for (at = g_sequence_get_begin_iter(world->events);
+	for (uint32_t i = 0; i < sim->options.nodes; i++)
+		cell_sim_node_kill(sim, i);
+	for (at = g_sequence_get_begin_iter(sim->events);
 	     !g_sequence_iter_is_end(at); at = g_sequence_iter_next(at))
 		g_free(g_sequence_get(at));
-	g_sequence_free(world->events);
-	cell_workers_finish(world);
-	g_hash_table_destroy(world->gangs);
-	cell_log_finish(world);
-	for (guint i = 0; i < world->job_list->len; i++)
+	g_sequence_free(sim->events);
+	cell_workers_finish(sim);
+	g_hash_table_destroy(sim->gangs);
+	cell_log_finish(sim);
+	for (guint i = 0; i < sim->job_list->len; i++)
 		g_hash_table_destroy(
-			((struct cell_client_job *)world->job_list->pdata[i])
+			((struct cell_client_job *)sim->job_list->pdata[i])
 				->tasks);
-	g_ptr_array_free(world->job_list, TRUE);
-	g_hash_table_destroy(world->jobs);
-	g_hash_table_destroy(world->cordons);
-	g_ptr_array_free(world->violations, TRUE);
-	talloc_free(world->mem);
+	g_ptr_array_free(sim->job_list, TRUE);
+	g_hash_table_destroy(sim->jobs);
+	g_hash_table_destroy(sim->cordons);
+	g_ptr_array_free(sim->violations, TRUE);
+	talloc_free(sim->mem);
 }
 
 /*
  * A step of plain tasks.
  */
-struct rj_cell_step cell_world_step(uint32_t tasks, uint32_t accelerators,
-				    uint32_t estimate_ms)
+struct rj_cell_step cell_sim_plain_step(uint32_t tasks, uint32_t accelerators,
+					uint32_t estimate_ms)
 {
 	struct rj_cell_step step = { .task_count = tasks,
 				     .each = { 1000, 1000, accelerators },
@@ -498,46 +496,47 @@
 }
 
 /*
- * A job that a client may hand in; `work_us` is what each task really takes.
+ * A job that a client may hand in; `duration_us` is what each task really takes.
  */
-struct cell_client_job *cell_world_job(struct cell_world *world,
-				       const char *queue, const char *account,
-				       const struct rj_cell_step *steps,
-				       uint32_t step_count, uint64_t work_us)
+struct cell_client_job *cell_sim_job_new(struct cell_sim *sim,
+					 const char *queue, const char *account,
+					 const struct rj_cell_step *steps,
+					 uint32_t step_count,
+					 uint64_t duration_us)
 {
 	struct cell_client_job *job =
-		talloc_zero(world->mem, struct cell_client_job);
-	struct rj_cell_def *def = talloc_zero(job, struct rj_cell_def);
+		talloc_zero(sim->mem, struct cell_client_job);
+	struct rj_cell_def *spec = talloc_zero(job, struct rj_cell_def);
 	struct rj_error err;
 
-	(void)g_snprintf(job->id, sizeof(job->id), "%016x", ++world->job_count);
-	memcpy(def->id, job->id, sizeof(def->id));
-	g_strlcpy(def->queue, queue, RJ_NAME_BYTES);
-	g_strlcpy(def->account, account, RJ_NAME_BYTES);
-	def->spec = talloc_strdup(def, "spec");
-	def->attempts_max = world->plan.attempts_max;
-	def->steps = talloc_memdup(def, steps, sizeof(*steps) * step_count);
-	def->step_count = step_count;
+	(void)g_snprintf(job->id, sizeof(job->id), "%016x", ++sim->job_count);
+	memcpy(spec->id, job->id, sizeof(spec->id));
+	g_strlcpy(spec->queue, queue, RJ_NAME_BYTES);
+	g_strlcpy(spec->account, account, RJ_NAME_BYTES);
+	spec->spec = talloc_strdup(spec, "spec");
+	spec->attempts_max = sim->options.attempts_max;
+	spec->steps = talloc_memdup(spec, steps, sizeof(*steps) * step_count);
+	spec->step_count = step_count;
 	for (uint32_t i = 0; i < step_count; i++)
-		def->steps[i].after =
-			talloc_memdup(def, steps[i].after,
+		spec->steps[i].after =
+			talloc_memdup(spec, steps[i].after,
 				      sizeof(uint32_t) * steps[i].after_count);
-	g_assert_false(rj_cell_def_check(def, &err));
-	job->def = def;
-	job->work_us = work_us;
+	g_assert_false(rj_cell_def_check(spec, &err));
+	job->spec = spec;
+	job->duration_us = duration_us;
 	job->tasks =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g_hash_table_insert(world->jobs, job->id, job);
-	g_ptr_array_add(world->job_list, job);
+	g_hash_table_insert(sim->jobs, job->id, job);
+	g_ptr_array_add(sim->job_list, job);
 	return job;
 }
 
 /* One call of a client. */
 struct client_call {
 	struct rj_cell_call call;
-	struct cell_world *world;
-	struct cell_world_node *node;
-	uint32_t life;
+	struct cell_sim *sim;
+	struct cell_sim_node *node;
+	uint32_t node_incarnation;
 	struct cell_client_job *job;
 	bool removed; /* its key had been removed for too long when sent */
 	char path[64];
@@ -550,19 +549,19 @@
 {
 	struct client_call *call = (struct client_call *)base;
 	struct cell_client_job *job = call->job;
-	struct cell_world *world = call->world;
+	struct cell_sim *sim = call->sim;
 
-	if (!cell_world_reaches(call->node, call->life)) {
+	if (!cell_sim_node_is_current(call->node, call->node_incarnation)) {
 		talloc_free(call);
 		return;
 	}
 	if (call->removed && answer->verdict <= RJ_CELL_VERDICT_CANCELLED)
-		cell_world_violation(world, "key: %s is served with %s",
-				     job->id, call->key);
+		cell_sim_violation(sim, "key: %s is served with %s", job->id,
+				   call->key);
 	switch (answer->verdict) {
 	case RJ_CELL_VERDICT_ACCEPTED:
 		if (!job->accepted)
-			job->accepted_us = world->now_us;
+			job->accepted_us = sim->now_us;
 		job->accepted = true;
 		break;
 	case RJ_CELL_VERDICT_BUSY:
@@ -572,30 +571,30 @@
 		break;
 	case RJ_CELL_VERDICT_CANCELLED:
 		if (!job->cancelled)
-			job->cancelled_us = world->now_us;
+			job->cancelled_us = sim->now_us;
 		job->cancelled = true;
 		break;
 	case RJ_CELL_VERDICT_STATE:
 		/* A call that began before the end was shown may still tell
 		 * the earlier state; one that began after may not. */
-		if (job->has_shown && answer->state < job->shown) {
-			if (base->now_us > job->shown_us &&
-			    job->shown >= RJ_CELL_JOB_COMPLETED)
-				cell_world_violation(
-					world, "mixed: %s was %s", job->id,
-					rj_cell_job_state_string[job->shown]);
+		if (job->has_state && answer->state < job->state) {
+			if (base->now_us > job->state_us &&
+			    job->state >= RJ_CELL_JOB_COMPLETED)
+				cell_sim_violation(
+					sim, "mixed: %s was %s", job->id,
+					rj_cell_job_state_string[job->state]);
 			break;
 		}
-		if (!job->has_shown || answer->state > job->shown)
-			job->shown_us = world->now_us;
-		job->has_shown = true;
-		job->shown = answer->state;
+		if (!job->has_state || answer->state > job->state)
+			job->state_us = sim->now_us;
+		job->has_state = true;
+		job->state = answer->state;
 		if (answer->state >= RJ_CELL_JOB_COMPLETED && !job->ended_us)
-			job->ended_us = world->now_us;
+			job->ended_us = sim->now_us;
 		break;
 	case RJ_CELL_VERDICT_NO_JOB:
 		if (job->accepted && base->verb == RJ_CELL_VERB_ASK)
-			job->gone = true;
+			job->not_found = true;
 		break;
 	default:
 		break;
@@ -604,75 +603,76 @@
 }
 
 /* Send one call to a node; one that is down answers nothing. */
-static void send_call(struct cell_world *world, uint32_t index,
+static void send_call(struct cell_sim *sim, uint32_t index,
 		      struct cell_client_job *job, enum rj_cell_verb verb)
 {
-	struct cell_world_node *node = &world->nodes[index];
+	struct cell_sim_node *node = &sim->nodes[index];
 	struct client_call *call;
-	const char *key = world->key;
+	const char *key = sim->key;
 	const char *prefix = "";
 
-	if (!node->up || node->paused_until_us > world->now_us)
+	if (!node->up || node->paused_until_us > sim->now_us)
 		return;
-	call = talloc_zero(world->mem, struct client_call);
+	call = talloc_zero(sim->mem, struct client_call);
 	for (uint32_t i = 0; i < G_N_ELEMENTS(queues); i++)
-		if (!strcmp(queues[i].name, job->def->queue))
+		if (!strcmp(queues[i].name, job->spec->queue))
 			prefix = queues[i].prefix;
 	(void)g_snprintf(call->path, sizeof(call->path), "%s%s", prefix,
 			 job->id);
-	if (world->old_key && world->now_us / MS % OLD_KEY_ONE_IN == 0) {
-		key = world->old_key;
-		call->removed = world->now_us >
-				world->removed_us + world->plan.revoke_ms * MS;
+	if (sim->removed_key && sim->now_us / MS % REMOVED_KEY_ONE_IN == 0) {
+		key = sim->removed_key;
+		call->removed =
+			sim->now_us >
+			sim->key_removed_us + sim->options.revoke_ms * MS;
 	}
 	(void)g_snprintf(call->key, sizeof(call->key), "%s-%s", key,
-			 job->def->account);
-	call->world = world;
+			 job->spec->account);
+	call->sim = sim;
 	call->node = node;
-	call->life = node->life;
+	call->node_incarnation = node->incarnation;
 	call->job = job;
 	call->call.verb = verb;
 	call->call.host = "host:80";
 	call->call.path = call->path;
 	call->call.key = call->key;
 	call->call.wait_ms = 3000;
-	call->call.now_us = world->now_us;
-	call->call.wall_ms = cell_world_wall_ms(world);
+	call->call.now_us = sim->now_us;
+	call->call.wall_ms = cell_sim_wall_ms(sim);
 	call->call.answer = answered;
 	if (verb == RJ_CELL_VERB_SUBMIT)
-		call->call.body = rj_cell_def_encode(call, job->def);
-	cell_world_enter(node);
+		call->call.body = rj_cell_def_encode(call, job->spec);
+	cell_sim_node_enter(node);
 	rj_cell_front_take(&node->node.front, &call->call);
-	cell_world_leave(node);
+	cell_sim_node_leave(node);
 }
 
 /*
  * Hand a job in, for the first time or again.
  */
-void cell_world_submit(struct cell_world *world, uint32_t node,
-		       struct cell_client_job *job)
+void cell_sim_submit(struct cell_sim *sim, uint32_t node,
+		     struct cell_client_job *job)
 {
 	if (!job->sent_us)
-		job->sent_us = world->now_us;
-	job->tries++;
-	send_call(world, node, job, RJ_CELL_VERB_SUBMIT);
+		job->sent_us = sim->now_us;
+	job->submissions++;
+	send_call(sim, node, job, RJ_CELL_VERB_SUBMIT);
 }
 
 /*
  * Ask for a job's state.
  */
-void cell_world_ask(struct cell_world *world, uint32_t node,
+void cell_sim_query(struct cell_sim *sim, uint32_t node,
 		    struct cell_client_job *job)
 {
-	send_call(world, node, job, RJ_CELL_VERB_ASK);
+	send_call(sim, node, job, RJ_CELL_VERB_ASK);
 }
 
 /*
  * Ask for a job to be cancelled.
  */
-void cell_world_cancel(struct cell_world *world, uint32_t node,
-		       struct cell_client_job *job)
+void cell_sim_cancel(struct cell_sim *sim, uint32_t node,
+		     struct cell_client_job *job)
 {
 	job->cancel_sent = true;
-	send_call(world, node, job, RJ_CELL_VERB_CANCEL);
+	send_call(sim, node, job, RJ_CELL_VERB_CANCEL);
 }
--- a/src/test_libradishjunction/test_cell_advice.c
+++ b/src/test_libradishjunction/test_cell_advice.c
@@ -3,7 +3,7 @@
  */
 #include "support/cell_fixture.h"
 
-static const struct cell_world_plan site = {
+static const struct cell_sim_options site = {
 	.seed = 11,
 	.nodes = 3,
 	.workers = 60,
@@ -13,14 +13,14 @@
 };
 
 /* Hand a job of an advised queue in. */
-static struct cell_client_job *hand_in(struct cell_fixture *f,
-				       const struct rj_cell_step *step,
-				       uint64_t work_us)
+static struct cell_client_job *submit_job(struct cell_fixture *f,
+					  const struct rj_cell_step *step,
+					  uint64_t duration_us)
 {
 	struct cell_client_job *job =
-		cell_world_job(&f->world, "advised", "a", step, 1, work_us);
+		cell_sim_job_new(&f->sim, "advised", "a", step, 1, duration_us);
 
-	cell_world_submit(&f->world, 0, job);
+	cell_sim_submit(&f->sim, 0, job);
 	return job;
 }
 
@@ -29,8 +29,8 @@
 		   uint32_t seconds)
 {
 	for (uint32_t i = 0; i < seconds * 10 && !job->ended_us; i++) {
-		cell_world_run(&f->world, 100 * MS);
-		cell_world_ask(&f->world, 1, job);
+		cell_sim_run(&f->sim, 100 * MS);
+		cell_sim_query(&f->sim, 1, job);
 	}
 }
 
@@ -39,19 +39,19 @@
  * Three of four workers may run it, and they take no start without a ticket.
  * Cause: nobody asked the policy.
  */
-static void test_a_gang_runs_where_it_may(struct cell_fixture *f,
-					  const void *data)
+static void test_gang_runs_on_allowed_workers(struct cell_fixture *f,
+					      const void *data)
 {
-	struct rj_cell_step step = cell_world_step(40, 8, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(40, 8, 2000);
 	struct cell_client_job *job;
 
 	step.gang = true;
-	job = hand_in(f, &step, 2 * S);
+	job = submit_job(f, &step, 2 * S);
 	follow(f, job, 10);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
-	g_assert_cmpuint(f->world.refused_starts, ==, 0);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpuint(f->sim.refused_starts, ==, 0);
 	/* Two questions name all workers. */
-	g_assert_cmpuint(f->world.questions, <=, 3);
+	g_assert_cmpuint(f->sim.advice_requests, <=, 3);
 }
 
 /*
@@ -61,41 +61,42 @@
  */
 static void test_tickets_are_renewed(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(120, 8, 2000);
-	struct cell_client_job *job = hand_in(f, &step, 4 * S);
+	struct rj_cell_step step = cell_sim_plain_step(120, 8, 2000);
+	struct cell_client_job *job = submit_job(f, &step, 4 * S);
 
 	follow(f, job, 40);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
-	g_assert_cmpuint(f->world.refused_starts, ==, 0);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpuint(f->sim.refused_starts, ==, 0);
 }
 
 /*
  * The policy does not answer for some seconds, and its owner dies meanwhile.
  * The job runs once it answers again.
  */
-static void test_silent_policy(struct cell_fixture *f, const void *data)
+static void test_unreachable_advisor(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 2, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(2, 2, 1000);
 	struct cell_client_job *job;
-	uint32_t owner = (uint32_t)cell_world_owner(&f->world);
+	uint32_t owner = (uint32_t)cell_sim_owner(&f->sim);
 
-	f->world.advice_silent = true;
-	job = hand_in(f, &step, S);
+	f->sim.advisor_unreachable = true;
+	job = submit_job(f, &step, S);
 	follow(f, job, 2);
 	g_assert_cmpuint(job->starts, ==, 0);
-	cell_world_kill(&f->world, owner);
-	f->world.advice_silent = false;
-	cell_world_run(&f->world, S);
-	cell_world_start(&f->world, owner);
+	cell_sim_node_kill(&f->sim, owner);
+	f->sim.advisor_unreachable = false;
+	cell_sim_run(&f->sim, S);
+	cell_sim_node_start(&f->sim, owner);
 	follow(f, job, 12);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	CELL_TEST("/cell_advice/gang", &site, test_a_gang_runs_where_it_may);
+	CELL_TEST("/cell_advice/gang", &site,
+		  test_gang_runs_on_allowed_workers);
 	CELL_TEST("/cell_advice/renewed", &site, test_tickets_are_renewed);
-	CELL_TEST("/cell_advice/silent", &site, test_silent_policy);
+	CELL_TEST("/cell_advice/silent", &site, test_unreachable_advisor);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_cell_cordon.c
+++ b/src/test_libradishjunction/test_cell_cordon.c
@@ -10,12 +10,12 @@
 
 /* Twelve workers of eight accelerators in three racks, one for each failure
  * domain; three nodes. */
-static const struct cell_world_plan site = { .seed = 5,
-					     .nodes = 3,
-					     .workers = 12,
-					     .rack_workers = 4,
-					     .capacity = { 64000, 64000, 8 },
-					     .guaranteed = 32 };
+static const struct cell_sim_options site = { .seed = 5,
+					      .nodes = 3,
+					      .workers = 12,
+					      .rack_workers = 4,
+					      .capacity = { 64000, 64000, 8 },
+					      .guaranteed = 32 };
 
 static const char *const domains[] = { "d0", "d1", "d2" };
 
@@ -23,39 +23,39 @@
 #define CORDON_BOUND_US (5 * S)
 
 /* Runs on the workers of a failure domain. */
-static guint runs_in(const struct cell_world *world, const char *domain)
+static guint runs_in(const struct cell_sim *sim, const char *domain)
 {
 	guint runs = 0;
 
-	for (uint32_t i = 0; i < world->plan.workers; i++)
-		if (!strcmp(world->workers[i].said.domain, domain))
-			runs += world->workers[i].runs->len;
+	for (uint32_t i = 0; i < sim->options.workers; i++)
+		if (!strcmp(sim->workers[i].reported.domain, domain))
+			runs += sim->workers[i].runs->len;
 	return runs;
 }
 
 /* Hand in a job of one step. */
-static struct cell_client_job *hand_in(struct cell_world *world,
-				       const char *queue,
-				       const struct rj_cell_step *step,
-				       uint64_t work_us)
+static struct cell_client_job *submit_job(struct cell_sim *sim,
+					  const char *queue,
+					  const struct rj_cell_step *step,
+					  uint64_t duration_us)
 {
 	struct cell_client_job *job =
-		cell_world_job(world, queue, "a", step, 1, work_us);
+		cell_sim_job_new(sim, queue, "a", step, 1, duration_us);
 
-	cell_world_submit(world, (uint32_t)cell_world_owner(world), job);
+	cell_sim_submit(sim, (uint32_t)cell_sim_owner(sim), job);
 	return job;
 }
 
 /* The owner of the cell. */
-static struct rj_cell_owner *owner_of(struct cell_world *world)
+static struct rj_cell_owner *owner_of(struct cell_sim *sim)
 {
-	return &world->nodes[cell_world_owner(world)].node.owner;
+	return &sim->nodes[cell_sim_owner(sim)].node.owner;
 }
 
 /* Accelerators that the owner has given to runs in a failure domain. */
-static uint32_t held_in(struct cell_world *world, const char *domain)
+static uint32_t allocated_in(struct cell_sim *sim, const char *domain)
 {
-	const struct rj_list *workers = &owner_of(world)->fleet.workers;
+	const struct rj_list *workers = &owner_of(sim)->fleet.workers;
 	const struct rj_list *at;
 	uint32_t sum = 0;
 
@@ -74,94 +74,93 @@
 static void test_nothing_starts_in_a_cordoned_domain(struct cell_fixture *f,
 						     const void *data)
 {
-	struct rj_cell_step step = cell_world_step(12, 4, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(12, 4, 3000);
 	struct cell_client_job *before =
-		hand_in(&f->world, "normal", &step, 4 * S);
+		submit_job(&f->sim, "normal", &step, 4 * S);
 	struct cell_client_job *after;
 	guint runs;
 
-	cell_world_run(&f->world, 300 * MS);
-	runs = runs_in(&f->world, "d1");
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_run(&f->world, 30 * MS);
-	after = hand_in(&f->world, "normal", &step, 3 * S);
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->sim, 300 * MS);
+	runs = runs_in(&f->sim, "d1");
+	cell_sim_cordon(&f->sim, "d1", true);
+	cell_sim_run(&f->sim, 30 * MS);
+	after = submit_job(&f->sim, "normal", &step, 3 * S);
+	cell_sim_run(&f->sim, 300 * MS);
 	g_assert_cmpuint(before->starts, ==, 12);
 	g_assert_cmpuint(after->starts, <, 12);
-	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, runs);
-	cell_world_run(&f->world, 8 * S);
-	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, 0);
+	g_assert_cmpuint(runs_in(&f->sim, "d1"), ==, runs);
+	cell_sim_run(&f->sim, 8 * S);
+	g_assert_cmpuint(runs_in(&f->sim, "d1"), ==, 0);
 	g_assert_cmpuint(before->starts, ==, 12);
-	cell_world_cordon(&f->world, "d1", false);
-	cell_world_run(&f->world, 30 * MS);
-	after = hand_in(&f->world, "normal", &step, 3 * S);
-	hand_in(&f->world, "normal", &step, 3 * S);
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_cordon(&f->sim, "d1", false);
+	cell_sim_run(&f->sim, 30 * MS);
+	after = submit_job(&f->sim, "normal", &step, 3 * S);
+	submit_job(&f->sim, "normal", &step, 3 * S);
+	cell_sim_run(&f->sim, 300 * MS);
 	g_assert_cmpuint(after->starts, ==, 12);
-	g_assert_cmpuint(runs_in(&f->world, "d1"), >, 0);
+	g_assert_cmpuint(runs_in(&f->sim, "d1"), >, 0);
 }
 
 /* Hand in an urgent gang while the log is slow, until its starts are planned
  * and their intent is on its way into the log. */
-static struct cell_client_job *plan_gang(struct cell_world *world)
+static struct cell_client_job *submit_planned_gang(struct cell_sim *sim)
 {
-	struct rj_cell_step step = cell_world_step(6, 4, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(6, 4, 3000);
 	struct cell_client_job *job;
 
 	step.gang = true;
-	world->log.latency_us = 240 * MS;
-	cell_world_run(world, 2 * S);
-	job = hand_in(world, "urgent", &step, 3 * S);
-	while (!held_in(world, "d0") && !held_in(world, "d1") &&
-	       !held_in(world, "d2"))
-		cell_world_run(world, 5 * MS);
+	sim->log.latency_us = 240 * MS;
+	cell_sim_run(sim, 2 * S);
+	job = submit_job(sim, "urgent", &step, 3 * S);
+	while (!allocated_in(sim, "d0") && !allocated_in(sim, "d1") &&
+	       !allocated_in(sim, "d2"))
+		cell_sim_run(sim, 5 * MS);
 	g_assert_cmpuint(job->starts, ==, 0);
 	return job;
 }
 
 /* Cordon the failure domain in which something is planned. */
-static const char *cordon_planned(struct cell_world *world)
+static const char *cordon_planned(struct cell_sim *sim)
 {
 	for (guint i = 0; i < G_N_ELEMENTS(domains); i++) {
-		if (!held_in(world, domains[i]))
+		if (!allocated_in(sim, domains[i]))
 			continue;
-		cell_world_cordon(world, domains[i], true);
+		cell_sim_cordon(sim, domains[i], true);
 		return domains[i];
 	}
 	g_assert_not_reached();
 }
 
 /* A start that was planned before the cordon is sent after it. */
-static void test_planned_starts_are_called_off(struct cell_fixture *f,
-					       const void *data)
+static void test_planned_starts_are_cancelled(struct cell_fixture *f,
+					      const void *data)
 {
-	struct cell_client_job *job = plan_gang(&f->world);
-	const char *domain = cordon_planned(&f->world);
+	struct cell_client_job *job = submit_planned_gang(&f->sim);
+	const char *domain = cordon_planned(&f->sim);
 
-	cell_world_run(&f->world, 3 * S);
-	g_assert_cmpuint(runs_in(&f->world, domain), ==, 0);
+	cell_sim_run(&f->sim, 3 * S);
+	g_assert_cmpuint(runs_in(&f->sim, domain), ==, 0);
 	g_assert_cmpuint(job->starts, ==, 6);
-	f->world.log.latency_us = 4 * MS;
-	cell_world_run(&f->world, S);
+	f->sim.log.latency_us = 4 * MS;
+	cell_sim_run(&f->sim, S);
 }
 
 /* A successor orders again in a cordoned domain what its predecessor had
  * stored and not sent. */
-static void test_stored_starts_are_called_off(struct cell_fixture *f,
-					      const void *data)
+static void test_stored_starts_are_cancelled(struct cell_fixture *f,
+					     const void *data)
 {
-	const GPtrArray *progress =
-		f->world.log.records[RJ_CELL_TOPIC_PROGRESS];
-	struct cell_client_job *job = plan_gang(&f->world);
-	const char *domain = cordon_planned(&f->world);
+	const GPtrArray *progress = f->sim.log.records[RJ_CELL_TOPIC_PROGRESS];
+	struct cell_client_job *job = submit_planned_gang(&f->sim);
+	const char *domain = cordon_planned(&f->sim);
 	guint stored = progress->len;
 
 	while (progress->len == stored)
-		cell_world_run(&f->world, MS);
-	cell_world_kill(&f->world, (uint32_t)cell_world_owner(&f->world));
-	f->world.log.latency_us = 4 * MS;
-	cell_world_run(&f->world, 6 * S);
-	g_assert_cmpuint(runs_in(&f->world, domain), ==, 0);
+		cell_sim_run(&f->sim, MS);
+	cell_sim_node_kill(&f->sim, (uint32_t)cell_sim_owner(&f->sim));
+	f->sim.log.latency_us = 4 * MS;
+	cell_sim_run(&f->sim, 6 * S);
+	g_assert_cmpuint(runs_in(&f->sim, domain), ==, 0);
 	g_assert_cmpuint(job->starts, ==, 6);
 }
 
@@ -170,47 +169,47 @@
 static void test_lost_starts_are_not_repeated(struct cell_fixture *f,
 					      const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 8, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(1, 8, 3000);
 	struct cell_client_job *job;
 
 	for (uint32_t i = 0; i < site.workers; i++)
-		f->world.workers[i].leave_percent = 100;
-	job = hand_in(&f->world, "urgent", &step, 2 * S);
-	cell_world_run(&f->world, 60 * MS);
-	cell_world_cordon(&f->world, "d0", true);
-	cell_world_cordon(&f->world, "d1", true);
+		f->sim.workers[i].delayed_percent = 100;
+	job = submit_job(&f->sim, "urgent", &step, 2 * S);
+	cell_sim_run(&f->sim, 60 * MS);
+	cell_sim_cordon(&f->sim, "d0", true);
+	cell_sim_cordon(&f->sim, "d1", true);
 	for (uint32_t i = 0; i < site.workers; i++)
-		f->world.workers[i].leave_percent = 0;
-	cell_world_run(&f->world, 8 * S);
-	g_assert_cmpuint(runs_in(&f->world, "d0"), ==, 0);
-	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, 0);
+		f->sim.workers[i].delayed_percent = 0;
+	cell_sim_run(&f->sim, 8 * S);
+	g_assert_cmpuint(runs_in(&f->sim, "d0"), ==, 0);
+	g_assert_cmpuint(runs_in(&f->sim, "d1"), ==, 0);
 	g_assert_cmpuint(job->starts, >=, 1);
 }
 
 /* A successor starts work in a domain that was cordoned before its time, or
  * orders again there what its predecessor had planned. */
-static void test_a_successor_knows_the_cordons(struct cell_fixture *f,
-					       const void *data)
+static void test_successor_applies_cordons(struct cell_fixture *f,
+					   const void *data)
 {
-	struct rj_cell_step step = cell_world_step(12, 4, 3000);
-	int owner = cell_world_owner(&f->world);
-
-	hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 40 * MS);
-	cell_world_cordon(&f->world, "d0", true);
-	cell_world_cordon(&f->world, "d2", true);
-	cell_world_kill(&f->world, (uint32_t)owner);
-	cell_world_run(&f->world, 6 * S);
-	g_assert_cmpint(cell_world_owner(&f->world), !=, owner);
-	hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 300 * MS);
-	g_assert_cmpuint(runs_in(&f->world, "d0"), ==, 0);
-	g_assert_cmpuint(runs_in(&f->world, "d2"), ==, 0);
-	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, 8);
-	cell_world_start(&f->world, (uint32_t)owner);
-	cell_world_run(&f->world, 2 * S);
+	struct rj_cell_step step = cell_sim_plain_step(12, 4, 3000);
+	int owner = cell_sim_owner(&f->sim);
+
+	submit_job(&f->sim, "normal", &step, 2 * S);
+	cell_sim_run(&f->sim, 40 * MS);
+	cell_sim_cordon(&f->sim, "d0", true);
+	cell_sim_cordon(&f->sim, "d2", true);
+	cell_sim_node_kill(&f->sim, (uint32_t)owner);
+	cell_sim_run(&f->sim, 6 * S);
+	g_assert_cmpint(cell_sim_owner(&f->sim), !=, owner);
+	submit_job(&f->sim, "normal", &step, 2 * S);
+	cell_sim_run(&f->sim, 300 * MS);
+	g_assert_cmpuint(runs_in(&f->sim, "d0"), ==, 0);
+	g_assert_cmpuint(runs_in(&f->sim, "d2"), ==, 0);
+	g_assert_cmpuint(runs_in(&f->sim, "d1"), ==, 8);
+	cell_sim_node_start(&f->sim, (uint32_t)owner);
+	cell_sim_run(&f->sim, 2 * S);
 	g_assert_true(
-		rj_cell_cordons_has(&f->world.nodes[owner].node.cordons, "d0"));
+		rj_cell_cordons_has(&f->sim.nodes[owner].node.cordons, "d0"));
 }
 
 /* An owner that cannot read what operators publish starts work in a domain
@@ -218,111 +217,112 @@
 static void test_unread_cordons_stop_all_starts(struct cell_fixture *f,
 						const void *data)
 {
-	struct rj_cell_step step = cell_world_step(12, 4, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(12, 4, 3000);
 	struct cell_client_job *job;
 
-	f->world.log.reads_silent[RJ_CELL_TOPIC_CONFIG] = true;
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_run(&f->world, 1100 * MS);
-	hand_in(&f->world, "normal", &step, 500 * MS);
-	cell_world_run(&f->world, 300 * MS);
-	g_assert_cmpuint(runs_in(&f->world, "d0"), >, 0);
-	hand_in(&f->world, "normal", &step, 500 * MS);
-	cell_world_run(&f->world, CORDON_BOUND_US);
-	job = cell_world_job(&f->world, "normal", "a", &step, 1, 500 * MS);
-	f->world.log.reads_silent[RJ_CELL_TOPIC_CONFIG] = false;
-	cell_world_run(&f->world, 3 * S);
-	cell_world_submit(&f->world, 0, job);
-	cell_world_run(&f->world, 2 * S);
+	f->sim.log.reads_unreachable[RJ_CELL_TOPIC_CONFIG] = true;
+	cell_sim_cordon(&f->sim, "d1", true);
+	cell_sim_run(&f->sim, 1100 * MS);
+	submit_job(&f->sim, "normal", &step, 500 * MS);
+	cell_sim_run(&f->sim, 300 * MS);
+	g_assert_cmpuint(runs_in(&f->sim, "d0"), >, 0);
+	submit_job(&f->sim, "normal", &step, 500 * MS);
+	cell_sim_run(&f->sim, CORDON_BOUND_US);
+	job = cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 500 * MS);
+	f->sim.log.reads_unreachable[RJ_CELL_TOPIC_CONFIG] = false;
+	cell_sim_run(&f->sim, 3 * S);
+	cell_sim_submit(&f->sim, 0, job);
+	cell_sim_run(&f->sim, 2 * S);
 	g_assert_cmpuint(job->starts, ==, 12);
 }
 
 /* Each moment at which an owner's operators' log falls silent keeps the bound
  * for what is still waiting then. */
-static void test_waiting_work_keeps_the_bound(struct cell_fixture *f,
-					      const void *data)
+static void test_waiting_jobs_keep_the_cordon_bound(struct cell_fixture *f,
+						    const void *data)
 {
-	struct rj_cell_step step = cell_world_step(300, 4, 2000);
-
-	hand_in(&f->world, "normal", &step, 700 * MS);
-	f->world.log.reads_silent[RJ_CELL_TOPIC_CONFIG] = true;
-	cell_world_run(&f->world, 50 * MS);
-	cell_world_cordon(&f->world, "d0", true);
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_cordon(&f->world, "d2", true);
-	cell_world_run(&f->world, 9 * S);
-	f->world.log.reads_silent[RJ_CELL_TOPIC_CONFIG] = false;
-	cell_world_run(&f->world, 3 * S);
+	struct rj_cell_step step = cell_sim_plain_step(300, 4, 2000);
+
+	submit_job(&f->sim, "normal", &step, 700 * MS);
+	f->sim.log.reads_unreachable[RJ_CELL_TOPIC_CONFIG] = true;
+	cell_sim_run(&f->sim, 50 * MS);
+	cell_sim_cordon(&f->sim, "d0", true);
+	cell_sim_cordon(&f->sim, "d1", true);
+	cell_sim_cordon(&f->sim, "d2", true);
+	cell_sim_run(&f->sim, 9 * S);
+	f->sim.log.reads_unreachable[RJ_CELL_TOPIC_CONFIG] = false;
+	cell_sim_run(&f->sim, 3 * S);
 	for (guint i = 0; i < G_N_ELEMENTS(domains); i++) {
-		g_assert_cmpuint(runs_in(&f->world, domains[i]), ==, 0);
-		cell_world_cordon(&f->world, domains[i], false);
+		g_assert_cmpuint(runs_in(&f->sim, domains[i]), ==, 0);
+		cell_sim_cordon(&f->sim, domains[i], false);
 	}
-	cell_world_run(&f->world, 15 * S);
+	cell_sim_run(&f->sim, 15 * S);
 }
 
 /* A domain stays cordoned for ever: the record that gives it back was dropped
  * before it was read. */
-static void test_a_load_gives_domains_back(struct cell_fixture *f,
-					   const void *data)
+static void test_reload_clears_cordons(struct cell_fixture *f, const void *data)
 {
-	struct cell_log *log = &f->world.log;
-	const struct rj_cell_owner *owner = owner_of(&f->world);
+	struct cell_log *log = &f->sim.log;
+	const struct rj_cell_owner *owner = owner_of(&f->sim);
 
-	cell_world_cordon(&f->world, "d0", true);
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_run(&f->world, 50 * MS);
+	cell_sim_cordon(&f->sim, "d0", true);
+	cell_sim_cordon(&f->sim, "d1", true);
+	cell_sim_run(&f->sim, 50 * MS);
 	g_assert_true(rj_cell_cordons_has(owner->cordons, "d0"));
-	log->reads_silent[RJ_CELL_TOPIC_CONFIG] = true;
-	cell_world_run(&f->world, 1100 * MS);
-	cell_world_cordon(&f->world, "d0", false);
-	log->first_kept[RJ_CELL_TOPIC_CONFIG] =
+	log->reads_unreachable[RJ_CELL_TOPIC_CONFIG] = true;
+	cell_sim_run(&f->sim, 1100 * MS);
+	cell_sim_cordon(&f->sim, "d0", false);
+	log->first_retained[RJ_CELL_TOPIC_CONFIG] =
 		log->records[RJ_CELL_TOPIC_CONFIG]->len;
-	log->reads_silent[RJ_CELL_TOPIC_CONFIG] = false;
-	cell_world_run(&f->world, 3 * S);
+	log->reads_unreachable[RJ_CELL_TOPIC_CONFIG] = false;
+	cell_sim_run(&f->sim, 3 * S);
 	g_assert_false(rj_cell_cordons_has(owner->cordons, "d0"));
 	g_assert_true(rj_cell_cordons_has(owner->cordons, "d1"));
 }
 
 /* A domain that is given back and cordoned again within a second counts as
  * free, or one that is given back as cordoned. */
-static void test_quick_changes(struct cell_fixture *f, const void *data)
+static void test_cordon_toggled_within_a_second(struct cell_fixture *f,
+						const void *data)
 {
-	struct rj_cell_step step = cell_world_step(12, 4, 3000);
-
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_run(&f->world, 100 * MS);
-	cell_world_cordon(&f->world, "d1", false);
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_run(&f->world, 100 * MS);
-	hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 300 * MS);
-	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, 0);
-	cell_world_cordon(&f->world, "d1", false);
-	cell_world_run(&f->world, 6 * S);
-	hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 300 * MS);
-	g_assert_cmpuint(runs_in(&f->world, "d1"), >, 0);
+	struct rj_cell_step step = cell_sim_plain_step(12, 4, 3000);
+
+	cell_sim_cordon(&f->sim, "d1", true);
+	cell_sim_run(&f->sim, 100 * MS);
+	cell_sim_cordon(&f->sim, "d1", false);
+	cell_sim_cordon(&f->sim, "d1", true);
+	cell_sim_run(&f->sim, 100 * MS);
+	submit_job(&f->sim, "normal", &step, 2 * S);
+	cell_sim_run(&f->sim, 300 * MS);
+	g_assert_cmpuint(runs_in(&f->sim, "d1"), ==, 0);
+	cell_sim_cordon(&f->sim, "d1", false);
+	cell_sim_run(&f->sim, 6 * S);
+	submit_job(&f->sim, "normal", &step, 2 * S);
+	cell_sim_run(&f->sim, 300 * MS);
+	g_assert_cmpuint(runs_in(&f->sim, "d1"), >, 0);
 }
 
 /* A record of a domain that does not exist, one without a name, or one of
  * another kind keeps the others from being served. */
-static void test_odd_records(struct cell_fixture *f, const void *data)
+static void test_invalid_cordon_records(struct cell_fixture *f,
+					const void *data)
 {
-	struct rj_cell_step step = cell_world_step(12, 4, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(12, 4, 3000);
 	struct cell_client_job *job;
 	char *long_name = g_strnfill(300, 'x');
 
-	cell_world_cordon(&f->world, "nowhere", true);
-	cell_world_cordon(&f->world, "", true);
-	cell_world_cordon(&f->world, long_name, true);
-	cell_log_put(&f->world, RJ_CELL_TOPIC_CONFIG, "wave/1", "{}", 2);
-	cell_world_cordon(&f->world, "d2", true);
-	cell_world_run(&f->world, 50 * MS);
-	job = hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 400 * MS);
+	cell_sim_cordon(&f->sim, "nowhere", true);
+	cell_sim_cordon(&f->sim, "", true);
+	cell_sim_cordon(&f->sim, long_name, true);
+	cell_log_put(&f->sim, RJ_CELL_TOPIC_CONFIG, "wave/1", "{}", 2);
+	cell_sim_cordon(&f->sim, "d2", true);
+	cell_sim_run(&f->sim, 50 * MS);
+	job = submit_job(&f->sim, "normal", &step, 2 * S);
+	cell_sim_run(&f->sim, 400 * MS);
 	g_assert_cmpuint(job->starts, ==, 12);
-	g_assert_cmpuint(runs_in(&f->world, "d2"), ==, 0);
-	g_assert_cmpuint(owner_of(&f->world)->cordons->cordons->len, ==, 2);
+	g_assert_cmpuint(runs_in(&f->sim, "d2"), ==, 0);
+	g_assert_cmpuint(owner_of(&f->sim)->cordons->cordons->len, ==, 2);
 	g_free(long_name);
 }
 
@@ -330,38 +330,39 @@
 static void test_data_in_a_cordoned_domain(struct cell_fixture *f,
 					   const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 4, 4000);
+	struct rj_cell_step step = cell_sim_plain_step(2, 4, 4000);
 	struct cell_client_job *job;
 
-	g_strlcpy(step.rack, f->world.workers[0].said.rack, sizeof(step.rack));
-	cell_world_cordon(&f->world, f->world.workers[0].said.domain, true);
-	cell_world_run(&f->world, 50 * MS);
-	job = hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 200 * MS);
+	g_strlcpy(step.rack, f->sim.workers[0].reported.rack,
+		  sizeof(step.rack));
+	cell_sim_cordon(&f->sim, f->sim.workers[0].reported.domain, true);
+	cell_sim_run(&f->sim, 50 * MS);
+	job = submit_job(&f->sim, "normal", &step, 2 * S);
+	cell_sim_run(&f->sim, 200 * MS);
 	g_assert_cmpuint(job->starts, ==, 2);
 }
 
 /* All domains are cordoned, and work is accepted that nobody can start; or it
  * never starts once they are given back. */
-static void test_all_domains(struct cell_fixture *f, const void *data)
+static void test_all_domains_cordoned(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 4, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(2, 4, 1000);
 	struct cell_client_job *job;
 
-	hand_in(&f->world, "normal", &step, S);
-	cell_world_run(&f->world, 3 * S);
+	submit_job(&f->sim, "normal", &step, S);
+	cell_sim_run(&f->sim, 3 * S);
 	for (guint i = 0; i < G_N_ELEMENTS(domains); i++)
-		cell_world_cordon(&f->world, domains[i], true);
-	cell_world_run(&f->world, 2 * S);
-	job = hand_in(&f->world, "normal", &step, S);
-	cell_world_run(&f->world, 500 * MS);
+		cell_sim_cordon(&f->sim, domains[i], true);
+	cell_sim_run(&f->sim, 2 * S);
+	job = submit_job(&f->sim, "normal", &step, S);
+	cell_sim_run(&f->sim, 500 * MS);
 	g_assert_false(job->accepted);
 	g_assert_cmpuint(job->refusals, ==, 1);
 	for (guint i = 0; i < G_N_ELEMENTS(domains); i++)
-		cell_world_cordon(&f->world, domains[i], false);
-	cell_world_run(&f->world, 1500 * MS);
-	cell_world_submit(&f->world, 0, job);
-	cell_world_run(&f->world, 500 * MS);
+		cell_sim_cordon(&f->sim, domains[i], false);
+	cell_sim_run(&f->sim, 1500 * MS);
+	cell_sim_submit(&f->sim, 0, job);
+	cell_sim_run(&f->sim, 500 * MS);
 	g_assert_cmpuint(job->starts, ==, 2);
 }
 
@@ -370,59 +371,60 @@
 static void test_guarantees_hold_beside_a_cordon(struct cell_fixture *f,
 						 const void *data)
 {
-	struct rj_cell_step filling = cell_world_step(24, 4, 8000);
-	struct rj_cell_step urgent = cell_world_step(4, 8, 2000);
+	struct rj_cell_step filling = cell_sim_plain_step(24, 4, 8000);
+	struct rj_cell_step urgent = cell_sim_plain_step(4, 8, 2000);
 	struct cell_client_job *job;
 
-	cell_world_cordon(&f->world, "d1", true);
-	cell_world_run(&f->world, 50 * MS);
-	job = cell_world_job(&f->world, "bulk", "b", &filling, 1, 8 * S);
-	cell_world_submit(&f->world, 0, job);
-	cell_world_run(&f->world, 3 * S);
-	job = hand_in(&f->world, "urgent", &urgent, 2 * S);
-	cell_world_run(&f->world, 2900 * MS);
+	cell_sim_cordon(&f->sim, "d1", true);
+	cell_sim_run(&f->sim, 50 * MS);
+	job = cell_sim_job_new(&f->sim, "bulk", "b", &filling, 1, 8 * S);
+	cell_sim_submit(&f->sim, 0, job);
+	cell_sim_run(&f->sim, 3 * S);
+	job = submit_job(&f->sim, "urgent", &urgent, 2 * S);
+	cell_sim_run(&f->sim, 2900 * MS);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 }
 
 /* A worker that joins a cordoned domain gets work. */
-static void test_a_worker_joins(struct cell_fixture *f, const void *data)
+static void test_worker_joins_cordoned_domain(struct cell_fixture *f,
+					      const void *data)
 {
-	struct rj_cell_step step = cell_world_step(12, 4, 3000);
-
-	cell_world_worker_kill(&f->world, 4);
-	cell_world_run(&f->world, 6 * S);
-	cell_world_cordon(&f->world, f->world.workers[4].said.domain, true);
-	cell_world_run(&f->world, 100 * MS);
-	cell_world_worker_start(&f->world, 4);
-	cell_world_run(&f->world, 2 * S);
-	hand_in(&f->world, "normal", &step, 2 * S);
-	cell_world_run(&f->world, 500 * MS);
-	g_assert_cmpuint(f->world.workers[4].runs->len, ==, 0);
+	struct rj_cell_step step = cell_sim_plain_step(12, 4, 3000);
+
+	cell_sim_worker_kill(&f->sim, 4);
+	cell_sim_run(&f->sim, 6 * S);
+	cell_sim_cordon(&f->sim, f->sim.workers[4].reported.domain, true);
+	cell_sim_run(&f->sim, 100 * MS);
+	cell_sim_worker_start(&f->sim, 4);
+	cell_sim_run(&f->sim, 2 * S);
+	submit_job(&f->sim, "normal", &step, 2 * S);
+	cell_sim_run(&f->sim, 500 * MS);
+	g_assert_cmpuint(f->sim.workers[4].runs->len, ==, 0);
 }
 
 /* A domain that is given back gets work at once though its workers are slow
  * after their start and others are free. */
-static void test_cold_workers_come_last(struct cell_fixture *f,
-					const void *data)
+static void test_cold_workers_are_used_last(struct cell_fixture *f,
+					    const void *data)
 {
-	struct rj_cell_step step = cell_world_step(8, 8, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(8, 8, 2000);
 	struct cell_client_job *job;
 
 	for (uint32_t i = 0; i < site.workers; i++)
-		if (!strcmp(f->world.workers[i].said.domain, "d0"))
-			f->world.workers[i].said.cold_left_ms = 10000;
-	cell_world_run(&f->world, 2 * S);
-	job = hand_in(&f->world, "normal", &step, 3 * S);
-	cell_world_run(&f->world, 300 * MS);
+		if (!strcmp(f->sim.workers[i].reported.domain, "d0"))
+			f->sim.workers[i].reported.cold_left_ms = 10000;
+	cell_sim_run(&f->sim, 2 * S);
+	job = submit_job(&f->sim, "normal", &step, 3 * S);
+	cell_sim_run(&f->sim, 300 * MS);
 	g_assert_cmpuint(job->starts, ==, 8);
-	g_assert_cmpuint(runs_in(&f->world, "d0"), ==, 0);
-	hand_in(&f->world, "normal", &step, 3 * S);
-	cell_world_run(&f->world, 300 * MS);
-	g_assert_cmpuint(runs_in(&f->world, "d0"), ==, 4);
+	g_assert_cmpuint(runs_in(&f->sim, "d0"), ==, 0);
+	submit_job(&f->sim, "normal", &step, 3 * S);
+	cell_sim_run(&f->sim, 300 * MS);
+	g_assert_cmpuint(runs_in(&f->sim, "d0"), ==, 4);
 }
 
 /* A cordon that a load does not show again ends before the load has. */
-static void test_cordons_of_a_load(void)
+static void test_cordons_missing_from_a_reload(void)
 {
 	struct rj_cell_cordons cordons;
 
@@ -446,21 +448,22 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/cell_cordon/load", test_cordons_of_a_load);
+	g_test_add_func("/cell_cordon/load",
+			test_cordons_missing_from_a_reload);
 	ADD("starts", test_nothing_starts_in_a_cordoned_domain);
-	ADD("planned", test_planned_starts_are_called_off);
-	ADD("stored", test_stored_starts_are_called_off);
+	ADD("planned", test_planned_starts_are_cancelled);
+	ADD("stored", test_stored_starts_are_cancelled);
 	ADD("lost_start", test_lost_starts_are_not_repeated);
-	ADD("successor", test_a_successor_knows_the_cordons);
+	ADD("successor", test_successor_applies_cordons);
 	ADD("unread", test_unread_cordons_stop_all_starts);
-	ADD("bound", test_waiting_work_keeps_the_bound);
-	ADD("reload", test_a_load_gives_domains_back);
-	ADD("quick", test_quick_changes);
-	ADD("odd_records", test_odd_records);
+	ADD("bound", test_waiting_jobs_keep_the_cordon_bound);
+	ADD("reload", test_reload_clears_cordons);
+	ADD("quick", test_cordon_toggled_within_a_second);
+	ADD("odd_records", test_invalid_cordon_records);
 	ADD("data", test_data_in_a_cordoned_domain);
-	ADD("all", test_all_domains);
+	ADD("all", test_all_domains_cordoned);
 	ADD("guarantee", test_guarantees_hold_beside_a_cordon);
-	ADD("cold", test_cold_workers_come_last);
-	ADD("joins", test_a_worker_joins);
+	ADD("cold", test_cold_workers_are_used_last);
+	ADD("joins", test_worker_joins_cordoned_domain);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_cell_faults.c
+++ b/src/test_libradishjunction/test_cell_faults.c
@@ -21,15 +21,15 @@
 	for (uint64_t seed = from; seed < from + count; seed++) {
 		struct cell_fault_result result;
 
-		cell_faults_play(seed, false, &result);
+		cell_faults_run(seed, false, &result);
 		accepted += result.accepted;
 		completed += result.completed;
 		if (result.violations) {
 			broken++;
 			printf("# seed %" G_GUINT64_FORMAT ": %u: %s\n", seed,
-			       result.violations, result.first);
+			       result.violations, result.first_violation);
 		}
-		g_free(result.first);
+		g_free(result.first_violation);
 	}
 	if (verbose)
 		printf("{\"seeds\":%" G_GUINT64_FORMAT ",\"broken\":%u,"
@@ -49,7 +49,7 @@
  * that had said that it drains was taken off the list before its entry could
  * expire.
  */
-static void test_kept_seeds(void)
+static void test_regression_seeds(void)
 {
 	g_assert_cmpuint(play(16012, 1, false), ==, 0);
 	g_assert_cmpuint(play(72140, 1, false), ==, 0);
@@ -70,13 +70,13 @@
 	if (argc == 3 && !strcmp(argv[1], "--trace")) {
 		struct cell_fault_result result;
 
-		cell_faults_play(strtoull(argv[2], NULL, 10), true, &result);
+		cell_faults_run(strtoull(argv[2], NULL, 10), true, &result);
 		printf("%u: %s\n", result.violations,
-		       result.first ? result.first : "");
+		       result.first_violation ? result.first_violation : "");
 		return result.violations != 0;
 	}
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/cell_faults/kept", test_kept_seeds);
+	g_test_add_func("/cell_faults/kept", test_regression_seeds);
 	g_test_add_func("/cell_faults/short", test_short_run);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_cell_path.c
+++ b/src/test_libradishjunction/test_cell_path.c
@@ -8,7 +8,7 @@
 #include "support/cell_fixture.h"
 
 /* Twelve workers of eight accelerators in three racks, three nodes. */
-static const struct cell_world_plan small = {
+static const struct cell_sim_options small = {
 	.seed = 1,
 	.nodes = 3,
 	.workers = 12,
@@ -18,13 +18,13 @@
 };
 
 /* Let time pass while a client asks for each job now and then. */
-static void follow(struct cell_world *world, uint64_t for_us)
+static void follow(struct cell_sim *sim, uint64_t for_us)
 {
 	for (uint64_t ran_us = 0; ran_us < for_us; ran_us += 200 * MS) {
-		cell_world_run(world, 200 * MS);
-		for (guint i = 0; i < world->job_list->len; i++)
-			cell_world_ask(world, (i + 1) % world->plan.nodes,
-				       world->job_list->pdata[i]);
+		cell_sim_run(sim, 200 * MS);
+		for (guint i = 0; i < sim->job_list->len; i++)
+			cell_sim_query(sim, (i + 1) % sim->options.nodes,
+				       sim->job_list->pdata[i]);
 	}
 }
 
@@ -33,88 +33,88 @@
 static void test_a_job_runs(struct cell_fixture *f, const void *data)
 {
 	uint32_t first = 0;
-	struct rj_cell_step steps[2] = { cell_world_step(4, 1, 1000),
-					 cell_world_step(2, 2, 1000) };
+	struct rj_cell_step steps[2] = { cell_sim_plain_step(4, 1, 1000),
+					 cell_sim_plain_step(2, 2, 1000) };
 	struct cell_client_job *job;
 
 	steps[1].after = &first;
 	steps[1].after_count = 1;
-	job = cell_world_job(&f->world, "normal", "a", steps, 2, S);
-	cell_world_submit(&f->world, 0, job);
-	cell_world_run(&f->world, 50 * MS);
+	job = cell_sim_job_new(&f->sim, "normal", "a", steps, 2, S);
+	cell_sim_submit(&f->sim, 0, job);
+	cell_sim_run(&f->sim, 50 * MS);
 	g_assert_true(job->accepted);
-	follow(&f->world, 6 * S);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
-	cell_world_check_end(&f->world);
+	follow(&f->sim, 6 * S);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
+	cell_sim_check_final(&f->sim);
 }
 
 /* A gang over two workers of a rack works together and ends as one. */
 static void test_a_gang_runs(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(3, 8, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(3, 8, 1000);
 	struct cell_client_job *job;
 
 	step.gang = true;
 	step.one_rack = true;
-	job = cell_world_job(&f->world, "urgent", "a", &step, 1, 2 * S);
-	cell_world_submit(&f->world, 1, job);
-	follow(&f->world, 5 * S);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
-	g_assert_cmpuint(f->world.starts, ==, 3);
-	cell_world_check_end(&f->world);
+	job = cell_sim_job_new(&f->sim, "urgent", "a", &step, 1, 2 * S);
+	cell_sim_submit(&f->sim, 1, job);
+	follow(&f->sim, 5 * S);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpuint(f->sim.starts, ==, 3);
+	cell_sim_check_final(&f->sim);
 }
 
 /* What is cancelled stops, and is shown so. */
 static void test_a_cancelled_job_stops(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(4, 1, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(4, 1, 1000);
 	struct cell_client_job *job =
-		cell_world_job(&f->world, "bulk", "a", &step, 1, 60 * S);
+		cell_sim_job_new(&f->sim, "bulk", "a", &step, 1, 60 * S);
 
-	cell_world_submit(&f->world, 0, job);
-	follow(&f->world, S);
-	cell_world_cancel(&f->world, 2, job);
-	follow(&f->world, 2 * S);
+	cell_sim_submit(&f->sim, 0, job);
+	follow(&f->sim, S);
+	cell_sim_cancel(&f->sim, 2, job);
+	follow(&f->sim, 2 * S);
 	g_assert_true(job->cancelled);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_CANCELLED);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_CANCELLED);
 	for (uint32_t i = 0; i < small.workers; i++)
-		g_assert_cmpuint(f->world.workers[i].runs->len, ==, 0);
+		g_assert_cmpuint(f->sim.workers[i].runs->len, ==, 0);
 }
 
 /* A job whose tasks fail three times ends on the fourth attempt; one that
  * always fails is shown as failed after its attempts. */
 static void test_attempts_are_counted(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 500);
-	struct cell_client_job *lucky =
-		cell_world_job(&f->world, "normal", "a", &step, 1, 500 * MS);
-	struct cell_client_job *hopeless =
-		cell_world_job(&f->world, "normal", "a", &step, 1, 500 * MS);
-
-	lucky->fail_times = 3;
-	hopeless->fail_times = 99;
-	cell_world_submit(&f->world, 0, lucky);
-	cell_world_submit(&f->world, 0, hopeless);
-	follow(&f->world, 8 * S);
-	g_assert_cmpint(lucky->shown, ==, RJ_CELL_JOB_COMPLETED);
-	g_assert_cmpint(hopeless->shown, ==, RJ_CELL_JOB_FAILED);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 500);
+	struct cell_client_job *recovering =
+		cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 500 * MS);
+	struct cell_client_job *failing =
+		cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 500 * MS);
+
+	recovering->failing_runs = 3;
+	failing->failing_runs = 99;
+	cell_sim_submit(&f->sim, 0, recovering);
+	cell_sim_submit(&f->sim, 0, failing);
+	follow(&f->sim, 8 * S);
+	g_assert_cmpint(recovering->state, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpint(failing->state, ==, RJ_CELL_JOB_FAILED);
 }
 
 /* A submission that is repeated, also after the end, stays one job. */
 static void test_a_repeated_submission_is_one_job(struct cell_fixture *f,
 						  const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 1, 500);
+	struct rj_cell_step step = cell_sim_plain_step(2, 1, 500);
 	struct cell_client_job *job =
-		cell_world_job(&f->world, "normal", "a", &step, 1, 500 * MS);
-
-	cell_world_submit(&f->world, 0, job);
-	cell_world_submit(&f->world, 1, job);
-	follow(&f->world, 3 * S);
-	cell_world_submit(&f->world, 2, job);
-	follow(&f->world, 3 * S);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
-	g_assert_cmpuint(f->world.starts, ==, 2);
+		cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 500 * MS);
+
+	cell_sim_submit(&f->sim, 0, job);
+	cell_sim_submit(&f->sim, 1, job);
+	follow(&f->sim, 3 * S);
+	cell_sim_submit(&f->sim, 2, job);
+	follow(&f->sim, 3 * S);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpuint(f->sim.starts, ==, 2);
 }
 
 /*
@@ -125,14 +125,14 @@
 static void test_tasks_kept_apart_in_one_plan(struct cell_fixture *f,
 					      const void *data)
 {
-	struct rj_cell_step step = cell_world_step(6, 1, 500);
+	struct rj_cell_step step = cell_sim_plain_step(6, 1, 500);
 	struct cell_client_job *job;
 
 	step.per_worker_max = 1;
-	job = cell_world_job(&f->world, "bulk", "a", &step, 1, S);
-	cell_world_submit(&f->world, 0, job);
-	follow(&f->world, 3 * S);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
+	job = cell_sim_job_new(&f->sim, "bulk", "a", &step, 1, S);
+	cell_sim_submit(&f->sim, 0, job);
+	follow(&f->sim, 3 * S);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
 /*
@@ -140,18 +140,18 @@
  * Its members run at different speeds; the fast ones are through and wait,
  * their percentage stands at 100, and they were taken for stuck.
  */
-static void test_a_member_that_is_through_is_not_stuck(struct cell_fixture *f,
-						       const void *data)
+static void test_finished_member_is_not_stalled(struct cell_fixture *f,
+						const void *data)
 {
-	struct rj_cell_step step = cell_world_step(3, 8, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(3, 8, 1000);
 	struct cell_client_job *job;
 
 	step.gang = true;
-	job = cell_world_job(&f->world, "normal", "a", &step, 1, 16 * S);
-	cell_world_submit(&f->world, 0, job);
-	follow(&f->world, 24 * S);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
-	g_assert_cmpuint(f->world.starts, ==, 3);
+	job = cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 16 * S);
+	cell_sim_submit(&f->sim, 0, job);
+	follow(&f->sim, 24 * S);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpuint(f->sim.starts, ==, 3);
 }
 
 /*
@@ -161,17 +161,17 @@
 static void test_refusals_are_not_repeated_at_once(struct cell_fixture *f,
 						   const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 500);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 500);
 	struct cell_client_job *job =
-		cell_world_job(&f->world, "normal", "a", &step, 1, S);
+		cell_sim_job_new(&f->sim, "normal", "a", &step, 1, S);
 
 	for (uint32_t i = 0; i < small.workers; i++)
-		f->world.workers[i].wants_ticket = true;
-	cell_world_submit(&f->world, 0, job);
-	cell_world_run(&f->world, 5 * S);
+		f->sim.workers[i].requires_ticket = true;
+	cell_sim_submit(&f->sim, 0, job);
+	cell_sim_run(&f->sim, 5 * S);
 	g_assert_true(job->accepted);
-	g_assert_cmpuint(f->world.refused_starts, >, 0);
-	g_assert_cmpuint(f->world.refused_starts, <, 10);
+	g_assert_cmpuint(f->sim.refused_starts, >, 0);
+	g_assert_cmpuint(f->sim.refused_starts, <, 10);
 }
 
 /* An occurrence starts when it is due, not before; the last one ends the
@@ -179,23 +179,23 @@
 static void test_occurrences_start_when_due(struct cell_fixture *f,
 					    const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 1, 300);
+	struct rj_cell_step step = cell_sim_plain_step(2, 1, 300);
 	struct cell_client_job *job =
-		cell_world_job(&f->world, "normal", "a", &step, 1, 300 * MS);
+		cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 300 * MS);
 
-	job->def->repeats = 3;
-	job->def->first_run_ms = cell_world_wall_ms(&f->world) + 2000;
-	job->def->interval_ms = 1500;
-	cell_world_submit(&f->world, 0, job);
-	cell_world_run(&f->world, 1900 * MS);
+	job->spec->repeats = 3;
+	job->spec->first_run_ms = cell_sim_wall_ms(&f->sim) + 2000;
+	job->spec->interval_ms = 1500;
+	cell_sim_submit(&f->sim, 0, job);
+	cell_sim_run(&f->sim, 1900 * MS);
 	g_assert_cmpuint(job->starts, ==, 0);
-	cell_world_run(&f->world, 300 * MS);
+	cell_sim_run(&f->sim, 300 * MS);
 	g_assert_cmpuint(job->starts, ==, 2);
-	follow(&f->world, 2 * S);
+	follow(&f->sim, 2 * S);
 	g_assert_cmpuint(job->starts, ==, 4);
-	follow(&f->world, 3 * S);
+	follow(&f->sim, 3 * S);
 	g_assert_cmpuint(job->starts, ==, 6);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
 /*
@@ -203,23 +203,23 @@
  * The first run failed there, by the job's own fault.
  * Cause: a task never went back to the worker of its last failure.
  */
-static void test_the_only_worker_is_tried_again(struct cell_fixture *f,
-						const void *data)
+static void test_only_matching_worker_is_retried(struct cell_fixture *f,
+						 const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 500);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 500);
 	struct cell_client_job *job;
 
-	g_strlcpy(step.label, f->world.workers[0].said.rack,
+	g_strlcpy(step.label, f->sim.workers[0].reported.rack,
 		  sizeof(step.label));
 	for (uint32_t i = 1; i < small.rack_workers; i++)
-		cell_world_worker_kill(&f->world, i);
-	follow(&f->world, 6 * S);
-	job = cell_world_job(&f->world, "normal", "a", &step, 1, 500 * MS);
-	job->fail_times = 1;
-	cell_world_submit(&f->world, 0, job);
-	follow(&f->world, 6 * S);
+		cell_sim_worker_kill(&f->sim, i);
+	follow(&f->sim, 6 * S);
+	job = cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 500 * MS);
+	job->failing_runs = 1;
+	cell_sim_submit(&f->sim, 0, job);
+	follow(&f->sim, 6 * S);
 	g_assert_cmpuint(job->starts, ==, 2);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
 /*
@@ -229,23 +229,23 @@
  */
 static void test_short_leases_and_bounds(void)
 {
-	struct cell_world_plan plan = small;
-	struct cell_world *world = g_new0(struct cell_world, 1);
-	struct rj_cell_step step = cell_world_step(4, 1, 5000);
+	struct cell_sim_options options = small;
+	struct cell_sim *sim = g_new0(struct cell_sim, 1);
+	struct rj_cell_step step = cell_sim_plain_step(4, 1, 5000);
 	struct cell_client_job *job;
 
-	plan.lease_max_ms = 1200;
-	plan.revoke_ms = 1200;
-	cell_world_init(world, &plan);
-	cell_world_run(world, 3 * S);
-	job = cell_world_job(world, "normal", "a", &step, 1, 5 * S);
-	cell_world_submit(world, 0, job);
-	follow(world, 8 * S);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
+	options.lease_max_ms = 1200;
+	options.revoke_ms = 1200;
+	cell_sim_init(sim, &options);
+	cell_sim_run(sim, 3 * S);
+	job = cell_sim_job_new(sim, "normal", "a", &step, 1, 5 * S);
+	cell_sim_submit(sim, 0, job);
+	follow(sim, 8 * S);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 	g_assert_cmpuint(job->starts, ==, 4);
-	g_assert_cmpuint(world->violations->len, ==, 0);
-	cell_world_finish(world);
-	g_free(world);
+	g_assert_cmpuint(sim->violations->len, ==, 0);
+	cell_sim_finish(sim);
+	g_free(sim);
 }
 
 /*
@@ -254,53 +254,53 @@
  * That takes a lease's time, and not ten seconds more, for which an owner that
  * lives goes on without the log: the former owner has just started anew.
  */
-static void test_a_task_lost_with_all_power(struct cell_fixture *f,
-					    const void *data)
+static void test_task_lost_in_a_power_failure(struct cell_fixture *f,
+					      const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
 	struct cell_client_job *job;
 
-	follow(&f->world, 20 * S);
-	job = cell_world_job(&f->world, "normal", "a", &step, 1, 2 * S);
-	cell_world_submit(&f->world, 0, job);
-	cell_world_run(&f->world, S);
+	follow(&f->sim, 20 * S);
+	job = cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 2 * S);
+	cell_sim_submit(&f->sim, 0, job);
+	cell_sim_run(&f->sim, S);
 	g_assert_cmpuint(job->starts, ==, 1);
 	for (uint32_t i = 0; i < small.nodes; i++)
-		cell_world_kill(&f->world, i);
+		cell_sim_node_kill(&f->sim, i);
 	for (uint32_t i = 0; i < small.workers; i++)
-		if (f->world.workers[i].runs->len)
-			cell_world_worker_kill(&f->world, i);
-	cell_world_run(&f->world, S);
+		if (f->sim.workers[i].runs->len)
+			cell_sim_worker_kill(&f->sim, i);
+	cell_sim_run(&f->sim, S);
 	for (uint32_t i = 0; i < small.nodes; i++)
-		cell_world_start(&f->world, i);
-	follow(&f->world, 10 * S);
+		cell_sim_node_start(&f->sim, i);
+	follow(&f->sim, 10 * S);
 	g_assert_cmpuint(job->starts, ==, 2);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
 /* A worker that ends its tasks behind a cut and then deregisters keeps them
  * until its lease lapses, though the next step could run. */
-static void test_a_worker_that_left_after_a_cut(struct cell_fixture *f,
-						const void *data)
+static void test_worker_deregisters_after_a_partition(struct cell_fixture *f,
+						      const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
 	struct cell_client_job *job =
-		cell_world_job(&f->world, "normal", "a", &step, 1, 2 * S);
+		cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 2 * S);
 	uint32_t worker = 0;
 
-	cell_world_submit(&f->world, 0, job);
-	follow(&f->world, S);
-	while (!f->world.workers[worker].runs->len)
+	cell_sim_submit(&f->sim, 0, job);
+	follow(&f->sim, S);
+	while (!f->sim.workers[worker].runs->len)
 		worker++;
-	cell_world_worker_cut(&f->world, worker, true);
-	follow(&f->world, 2 * S);
-	g_assert_cmpuint(f->world.workers[worker].ends->len, ==, 1);
-	cell_world_worker_cut(&f->world, worker, false);
-	cell_world_worker_leave(&f->world, worker);
-	follow(&f->world, 2 * S);
+	cell_sim_worker_partition(&f->sim, worker, true);
+	follow(&f->sim, 2 * S);
+	g_assert_cmpuint(f->sim.workers[worker].completions->len, ==, 1);
+	cell_sim_worker_partition(&f->sim, worker, false);
+	cell_sim_worker_deregister(&f->sim, worker);
+	follow(&f->sim, 2 * S);
 	g_assert_cmpuint(job->starts, ==, 2);
-	follow(&f->world, 3 * S);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
+	follow(&f->sim, 3 * S);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
 /* A perpetual task is started again however it ends, at another instance's
@@ -308,80 +308,80 @@
 static void test_perpetual_tasks_are_restarted(struct cell_fixture *f,
 					       const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 1, 300);
+	struct rj_cell_step step = cell_sim_plain_step(2, 1, 300);
 	struct cell_client_job *job;
 	int owner;
 
 	step.perpetual = true;
-	job = cell_world_job(&f->world, "normal", "a", &step, 1, 900 * S);
-	job->fail_times = 6;
-	job->work_us = 2 * S; /* they fail half-way, six times */
-	cell_world_submit(&f->world, 0, job);
-	follow(&f->world, 4 * S);
-	owner = cell_world_owner(&f->world);
-	cell_world_kill(&f->world, (uint32_t)owner);
-	follow(&f->world, 12 * S);
+	job = cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 900 * S);
+	job->failing_runs = 6;
+	job->duration_us = 2 * S; /* they fail half-way, six times */
+	cell_sim_submit(&f->sim, 0, job);
+	follow(&f->sim, 4 * S);
+	owner = cell_sim_owner(&f->sim);
+	cell_sim_node_kill(&f->sim, (uint32_t)owner);
+	follow(&f->sim, 12 * S);
 	g_assert_cmpuint(job->starts, >=, 12);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_RUNNING);
-	cell_world_cancel(&f->world, (uint32_t)(owner + 1) % small.nodes, job);
-	follow(&f->world, 3 * S);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_RUNNING);
+	cell_sim_cancel(&f->sim, (uint32_t)(owner + 1) % small.nodes, job);
+	follow(&f->sim, 3 * S);
 	for (uint32_t i = 0; i < small.workers; i++)
-		g_assert_cmpuint(f->world.workers[i].runs->len, ==, 0);
+		g_assert_cmpuint(f->sim.workers[i].runs->len, ==, 0);
 }
 
 /* A job that nobody has handed in does not exist, once the log was read. */
-static void test_an_unknown_job_is_gone(struct cell_fixture *f,
-					const void *data)
+static void test_unknown_job_is_not_found(struct cell_fixture *f,
+					  const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 500);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 500);
 	struct cell_client_job *job =
-		cell_world_job(&f->world, "normal", "a", &step, 1, S);
+		cell_sim_job_new(&f->sim, "normal", "a", &step, 1, S);
 
 	job->accepted = true; /* so that the answer is noted */
-	cell_world_ask(&f->world, 0, job);
-	cell_world_run(&f->world, 50 * MS);
-	g_assert_true(job->gone);
+	cell_sim_query(&f->sim, 0, job);
+	cell_sim_run(&f->sim, 50 * MS);
+	g_assert_true(job->not_found);
 }
 
 /* Put a job into the jobs' log as the version before did. */
-static void put_former(struct cell_world *world,
-		       const struct cell_client_job *job, uint32_t state)
+static void put_old_format(struct cell_sim *sim,
+			   const struct cell_client_job *job, uint32_t state)
 {
 	char key[RJ_CELL_KEY_BYTES];
 	struct rj_packer out;
-	struct rj_bytes bytes = rj_cell_def_encode(world->mem, job->def);
+	struct rj_bytes bytes = rj_cell_def_encode(sim->mem, job->spec);
 
 	rj_cell_record_key(key, RJ_CELL_RECORD_DEFINITION, job->id);
-	cell_log_put(world, RJ_CELL_TOPIC_JOBS, key, bytes.data, bytes.length);
+	cell_log_put(sim, RJ_CELL_TOPIC_JOBS, key, bytes.data, bytes.length);
 	rj_pack_init(&out);
 	rj_pack_number(&out, 1); /* format */
 	rj_pack_number(&out, state);
 	rj_pack_bool(&out, true); /* started */
 	rj_pack_number(&out, 1); /* occurrences begun, and done */
 	rj_pack_number(&out, 1);
-	bytes = rj_pack_finish(&out, world->mem);
+	bytes = rj_pack_finish(&out, sim->mem);
 	rj_cell_record_key(key, RJ_CELL_RECORD_PROGRESS, job->id);
-	cell_log_put(world, RJ_CELL_TOPIC_JOBS, key, bytes.data, bytes.length);
+	cell_log_put(sim, RJ_CELL_TOPIC_JOBS, key, bytes.data, bytes.length);
 }
 
 /* After an upgrade, a job that had ended before runs again. */
 static void test_ended_before_an_upgrade(struct cell_fixture *f,
 					 const void *data)
 {
-	struct cell_world *world = &f->world;
-	struct rj_cell_step step = cell_world_step(2, 1, 1000);
+	struct cell_sim *sim = &f->sim;
+	struct rj_cell_step step = cell_sim_plain_step(2, 1, 1000);
 	struct cell_client_job *job =
-		cell_world_job(world, "normal", "a", &step, 1, S);
-
-	for (uint32_t i = 0; i < world->plan.nodes; i++)
-		cell_world_kill(world, i);
-	put_former(world, job, RJ_CELL_JOB_COMPLETED);
-	for (uint32_t i = 0; i < world->plan.nodes; i++)
-		cell_world_start(world, i);
-	cell_world_run(world, 3 * S);
-	cell_world_ask(world, 0, job);
-	cell_world_run(world, 100 * MS);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
+		cell_sim_job_new(sim, "normal", "a", &step, 1, S);
+
+	for (uint32_t i = 0; i < sim->options.nodes; i++)
+		cell_sim_node_kill(sim, i);
+	put_old_format(sim, job, RJ_CELL_JOB_COMPLETED);
+	for (uint32_t i = 0; i < sim->options.nodes; i++)
+		cell_sim_node_start(sim, i);
+	cell_sim_run(sim, 3 * S);
+	cell_sim_query(sim, 0, job);
+	cell_sim_run(sim, 100 * MS);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 	g_assert_cmpuint(job->starts, ==, 0);
 }
 
@@ -396,13 +396,13 @@
 	ADD("attempts", test_attempts_are_counted);
 	ADD("repeat", test_a_repeated_submission_is_one_job);
 	ADD("apart", test_tasks_kept_apart_in_one_plan);
-	ADD("through", test_a_member_that_is_through_is_not_stuck);
-	ADD("unknown", test_an_unknown_job_is_gone);
+	ADD("through", test_finished_member_is_not_stalled);
+	ADD("unknown", test_unknown_job_is_not_found);
 	ADD("refusals", test_refusals_are_not_repeated_at_once);
 	ADD("occurrences", test_occurrences_start_when_due);
-	ADD("only_worker", test_the_only_worker_is_tried_again);
-	ADD("all_power", test_a_task_lost_with_all_power);
-	ADD("left", test_a_worker_that_left_after_a_cut);
+	ADD("only_worker", test_only_matching_worker_is_retried);
+	ADD("all_power", test_task_lost_in_a_power_failure);
+	ADD("left", test_worker_deregisters_after_a_partition);
 	ADD("perpetual", test_perpetual_tasks_are_restarted);
 	g_test_add_func("/cell_path/short_leases",
 			test_short_leases_and_bounds);
