--- a/src/test_libradishjunction/test_cell_reach.c
+++ b/src/test_libradishjunction/test_cell_reach.c
@@ -17,124 +17,125 @@
 #define SITE                                                     \
 	.seed = 3, .nodes = 3, .workers = 12, .rack_workers = 4, \
 	.capacity = { 64000, 64000, 8 }, .guaranteed = 32
-static const struct cell_world_plan site = { SITE };
+static const struct cell_sim_options site = { SITE };
 /* The same with tasks that may fail once. */
-static const struct cell_world_plan two_attempts = { SITE, .attempts_max = 2 };
+static const struct cell_sim_options two_attempts = { SITE, .attempts_max = 2 };
 
 /* A failure domain is cut off from all nodes, or is back. */
-static void cut_domain(struct cell_world *world, const char *domain, bool cut)
+static void partition_domain(struct cell_sim *sim, const char *domain,
+			     bool partitioned)
 {
-	for (uint32_t i = 0; i < world->plan.workers; i++)
-		if (!strcmp(world->workers[i].said.domain, domain))
-			cell_world_worker_cut(world, i, cut);
+	for (uint32_t i = 0; i < sim->options.workers; i++)
+		if (!strcmp(sim->workers[i].reported.domain, domain))
+			cell_sim_worker_partition(sim, i, partitioned);
 }
 
 /* Runs on the workers of a failure domain. */
-static guint runs_in(const struct cell_world *world, const char *domain)
+static guint runs_in(const struct cell_sim *sim, const char *domain)
 {
 	guint runs = 0;
 
-	for (uint32_t i = 0; i < world->plan.workers; i++)
-		if (!strcmp(world->workers[i].said.domain, domain))
-			runs += world->workers[i].runs->len;
+	for (uint32_t i = 0; i < sim->options.workers; i++)
+		if (!strcmp(sim->workers[i].reported.domain, domain))
+			runs += sim->workers[i].runs->len;
 	return runs;
 }
 
 /* A node that does not own the cell. */
-static uint32_t other_node(const struct cell_world *world)
+static uint32_t other_node(const struct cell_sim *sim)
 {
-	return (uint32_t)(cell_world_owner(world) + 1) % world->plan.nodes;
+	return (uint32_t)(cell_sim_owner(sim) + 1) % sim->options.nodes;
 }
 
 /* Hand in an urgent job of one step. */
-static struct cell_client_job *hand_in(struct cell_world *world, uint32_t node,
-				       const struct rj_cell_step *step)
+static struct cell_client_job *submit_job(struct cell_sim *sim, uint32_t node,
+					  const struct rj_cell_step *step)
 {
 	struct cell_client_job *job =
-		cell_world_job(world, "urgent", "a", step, 1, 2 * S);
+		cell_sim_job_new(sim, "urgent", "a", step, 1, 2 * S);
 
-	cell_world_submit(world, node, job);
+	cell_sim_submit(sim, node, job);
 	return job;
 }
 
 /* Tasks that are started in a failure domain just after it was cut off wait
  * there until their leases expire. */
-static void test_starts_avoid_a_cut_domain(struct cell_fixture *f,
-					   const void *data)
+static void test_starts_avoid_a_partitioned_domain(struct cell_fixture *f,
+						   const void *data)
 {
 	static const char *const domains[] = { "d0", "d1", "d2" };
-	struct rj_cell_step step = cell_world_step(4, 4, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(4, 4, 2000);
 
 	step.gang = true;
 	for (guint i = 0; i < G_N_ELEMENTS(domains); i++) {
 		struct cell_client_job *job;
 
-		cut_domain(&f->world, domains[i], true);
-		cell_world_run(&f->world, 30 * MS);
-		job = hand_in(&f->world, 0, &step);
-		cell_world_run(&f->world, 300 * MS);
+		partition_domain(&f->sim, domains[i], true);
+		cell_sim_run(&f->sim, 30 * MS);
+		job = submit_job(&f->sim, 0, &step);
+		cell_sim_run(&f->sim, 300 * MS);
 		g_assert_cmpuint(job->begun_us, !=, 0);
-		g_assert_cmpuint(runs_in(&f->world, domains[i]), ==, 0);
-		cut_domain(&f->world, domains[i], false);
-		cell_world_run(&f->world, 4 * S);
+		g_assert_cmpuint(runs_in(&f->sim, domains[i]), ==, 0);
+		partition_domain(&f->sim, domains[i], false);
+		cell_sim_run(&f->sim, 4 * S);
 	}
 }
 
 /* One task ends behind a cut of `cut_us`, and its worker leaves half a second
  * after that has healed. */
-static void end_behind_cut(struct cell_world *world, uint64_t cut_us)
+static void complete_behind_partition(struct cell_sim *sim, uint64_t cut_us)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 2000);
-	struct cell_client_job *job = hand_in(world, 0, &step);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
+	struct cell_client_job *job = submit_job(sim, 0, &step);
 	uint32_t worker;
 
-	cell_world_run(world, S);
-	worker = cell_world_busy_worker(world);
-	cell_world_worker_cut(world, worker, true);
-	cell_world_run(world, cut_us);
-	cell_world_worker_cut(world, worker, false);
-	cell_world_run(world, 500 * MS);
-	cell_world_worker_leave(world, worker);
-	cell_world_run(world, 2 * S);
-	cell_world_ask(world, 1, job);
-	cell_world_run(world, 100 * MS);
+	cell_sim_run(sim, S);
+	worker = cell_sim_busy_worker(sim);
+	cell_sim_worker_partition(sim, worker, true);
+	cell_sim_run(sim, cut_us);
+	cell_sim_worker_partition(sim, worker, false);
+	cell_sim_run(sim, 500 * MS);
+	cell_sim_worker_deregister(sim, worker);
+	cell_sim_run(sim, 2 * S);
+	cell_sim_query(sim, 1, job);
+	cell_sim_run(sim, 100 * MS);
 	g_assert_cmpuint(job->starts, ==, 1);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
 /* What ended behind a cut is learnt too late: the worker leaves soon after the
  * cut has healed, and its tasks run again. */
-static void test_completions_are_polled_after_a_cut(struct cell_fixture *f,
-						    const void *data)
+static void
+test_completions_are_polled_after_a_partition(struct cell_fixture *f,
+					      const void *data)
 {
 	for (uint32_t i = 0; i < 5; i++)
-		end_behind_cut(&f->world, (3400 + 300 * i) * MS);
+		complete_behind_partition(&f->sim, (3400 + 300 * i) * MS);
 }
 
 /* A task that ended behind a cut is run anew to its end, though its first
  * worker lists it as done once the cut has healed, and then leaves. */
-static void test_a_completion_that_comes_late(struct cell_fixture *f,
-					      const void *data)
+static void test_late_completion(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 2000);
-	struct cell_client_job *job = hand_in(&f->world, 0, &step);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
+	struct cell_client_job *job = submit_job(&f->sim, 0, &step);
 	uint32_t worker;
 
-	cell_world_run(&f->world, S);
-	worker = cell_world_busy_worker(&f->world);
-	job->work_us = 30 * S; /* of the second run */
-	cell_world_worker_cut(&f->world, worker, true);
-	cell_world_run(&f->world, 8 * S);
+	cell_sim_run(&f->sim, S);
+	worker = cell_sim_busy_worker(&f->sim);
+	job->duration_us = 30 * S; /* of the second run */
+	cell_sim_worker_partition(&f->sim, worker, true);
+	cell_sim_run(&f->sim, 8 * S);
 	g_assert_cmpuint(job->starts, ==, 2);
-	cell_world_worker_cut(&f->world, worker, false);
-	cell_world_run(&f->world, 500 * MS);
-	cell_world_worker_leave(&f->world, worker);
-	cell_world_run(&f->world, 1500 * MS);
-	cell_world_ask(&f->world, 1, job);
-	cell_world_run(&f->world, 100 * MS);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
+	cell_sim_worker_partition(&f->sim, worker, false);
+	cell_sim_run(&f->sim, 500 * MS);
+	cell_sim_worker_deregister(&f->sim, worker);
+	cell_sim_run(&f->sim, 1500 * MS);
+	cell_sim_query(&f->sim, 1, job);
+	cell_sim_run(&f->sim, 100 * MS);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 	for (uint32_t i = 0; i < site.workers; i++)
-		g_assert_cmpuint(f->world.workers[i].runs->len, ==, 0);
+		g_assert_cmpuint(f->sim.workers[i].runs->len, ==, 0);
 }
 
 /* Urgent work concentrates in the first racks, and the loss of their failure
@@ -142,69 +143,68 @@
 static void test_urgent_work_spreads_over_domains(struct cell_fixture *f,
 						  const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 4, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(2, 4, 2000);
 
 	step.gang = true;
 	for (uint32_t i = 0; i < 6; i++) {
-		hand_in(&f->world, i % site.nodes, &step);
-		cell_world_run(&f->world, 50 * MS);
+		submit_job(&f->sim, i % site.nodes, &step);
+		cell_sim_run(&f->sim, 50 * MS);
 	}
-	cell_world_run(&f->world, 300 * MS);
-	g_assert_cmpuint(runs_in(&f->world, "d0"), ==, 4);
-	g_assert_cmpuint(runs_in(&f->world, "d1"), ==, 4);
-	g_assert_cmpuint(runs_in(&f->world, "d2"), ==, 4);
+	cell_sim_run(&f->sim, 300 * MS);
+	g_assert_cmpuint(runs_in(&f->sim, "d0"), ==, 4);
+	g_assert_cmpuint(runs_in(&f->sim, "d1"), ==, 4);
+	g_assert_cmpuint(runs_in(&f->sim, "d2"), ==, 4);
 }
 
 /* Clients of an instance that is cut off from the log are held until they
  * give up, and no health check sends them elsewhere. */
-static void test_an_instance_without_the_log(struct cell_fixture *f,
-					     const void *data)
+static void test_instance_with_unreachable_log(struct cell_fixture *f,
+					       const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 2000);
-	uint32_t node = other_node(&f->world);
-	const struct rj_cell_node *cut = &f->world.nodes[node].node;
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
+	uint32_t node = other_node(&f->sim);
+	const struct rj_cell_node *node_state = &f->sim.nodes[node].node;
 	struct cell_client_job *job;
 
-	g_assert_true(rj_cell_node_ready(cut, f->world.now_us));
-	f->world.log.modes[node] = CELL_LOG_SILENT;
-	cell_world_run(&f->world, 1100 * MS);
-	g_assert_false(rj_cell_node_ready(cut, f->world.now_us));
-	job = hand_in(&f->world, node, &step);
-	cell_world_run(&f->world, 10 * MS);
+	g_assert_true(rj_cell_node_ready(node_state, f->sim.now_us));
+	f->sim.log.modes[node] = CELL_LOG_UNREACHABLE;
+	cell_sim_run(&f->sim, 1100 * MS);
+	g_assert_false(rj_cell_node_ready(node_state, f->sim.now_us));
+	job = submit_job(&f->sim, node, &step);
+	cell_sim_run(&f->sim, 10 * MS);
 	g_assert_cmpuint(job->refusals, ==, 1);
-	f->world.log.modes[node] = CELL_LOG_OK;
-	cell_world_run(&f->world, 2 * S);
-	g_assert_true(rj_cell_node_ready(cut, f->world.now_us));
-	cell_world_submit(&f->world, node, job);
-	cell_world_run(&f->world, 50 * MS);
+	f->sim.log.modes[node] = CELL_LOG_AVAILABLE;
+	cell_sim_run(&f->sim, 2 * S);
+	g_assert_true(rj_cell_node_ready(node_state, f->sim.now_us));
+	cell_sim_submit(&f->sim, node, job);
+	cell_sim_run(&f->sim, 50 * MS);
 	g_assert_true(job->accepted);
 }
 
 /* An instance that the log turns away shows itself ready for seconds. */
-static void test_an_instance_that_the_log_refuses(struct cell_fixture *f,
-						  const void *data)
+static void test_instance_refused_by_the_log(struct cell_fixture *f,
+					     const void *data)
 {
-	uint32_t node = other_node(&f->world);
+	uint32_t node = other_node(&f->sim);
 
-	f->world.log.modes[node] = CELL_LOG_REFUSES;
-	cell_world_run(&f->world, 1300 * MS);
-	g_assert_false(rj_cell_node_ready(&f->world.nodes[node].node,
-					  f->world.now_us));
+	f->sim.log.modes[node] = CELL_LOG_REFUSING;
+	cell_sim_run(&f->sim, 1300 * MS);
+	g_assert_false(
+		rj_cell_node_ready(&f->sim.nodes[node].node, f->sim.now_us));
 }
 
 /* The owner learns of no job while the log wakes no long poll. */
-static void test_a_log_that_wakes_nobody(struct cell_fixture *f,
-					 const void *data)
+static void test_long_polls_not_woken(struct cell_fixture *f, const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
 	struct cell_client_job *job;
 
-	cell_world_run(&f->world, S);
-	f->world.log.deaf_until_us = f->world.now_us + 6 * S;
-	cell_world_run(&f->world, 200 * MS);
+	cell_sim_run(&f->sim, S);
+	f->sim.log.no_wakeup_until_us = f->sim.now_us + 6 * S;
+	cell_sim_run(&f->sim, 200 * MS);
 	for (uint32_t i = 0; i < 10; i++) {
-		job = hand_in(&f->world, other_node(&f->world), &step);
-		cell_world_run(&f->world, 550 * MS);
+		job = submit_job(&f->sim, other_node(&f->sim), &step);
+		cell_sim_run(&f->sim, 550 * MS);
 		g_assert_cmpuint(job->begun_us, !=, 0);
 	}
 }
@@ -213,23 +213,23 @@
 static void test_a_killed_owner_is_replaced_in_time(struct cell_fixture *f,
 						    const void *data)
 {
-	struct rj_cell_step step = cell_world_step(1, 1, 2000);
-	uint32_t node = other_node(&f->world);
+	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
+	uint32_t node = other_node(&f->sim);
 	struct cell_client_job *job;
 
-	cell_world_kill(&f->world, (uint32_t)cell_world_owner(&f->world));
-	job = hand_in(&f->world, node, &step);
-	cell_world_run(&f->world, 1350 * MS);
+	cell_sim_node_kill(&f->sim, (uint32_t)cell_sim_owner(&f->sim));
+	job = submit_job(&f->sim, node, &step);
+	cell_sim_run(&f->sim, 1350 * MS);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 }
 
 /* While the log is slow nothing starts: each answer of a worker is too old
  * again by the time that a plan may be made. */
-static void test_proofs_outlast_slow_appends(struct cell_fixture *f,
-					     const void *data)
+static void test_reachability_proof_with_slow_appends(struct cell_fixture *f,
+						      const void *data)
 {
 	struct rj_cell_owner *owner =
-		&f->world.nodes[cell_world_owner(&f->world)].node.owner;
+		&f->sim.nodes[cell_sim_owner(&f->sim)].node.owner;
 	struct rj_cell_worker *worker = RJ_CONTAINER(
 		owner->fleet.workers.next, struct rj_cell_worker, link);
 
@@ -244,7 +244,7 @@
 
 /* Clients of an instance that is cut off use up their tries within a second,
  * or wait for seconds although others would serve them. */
-static void test_when_to_come_back(void)
+static void test_retry_after(void)
 {
 	struct rj_cell_contact contact = { 0 };
 	uint64_t answered_us = 3600 * S;
@@ -270,69 +270,69 @@
 }
 
 /* A successor loses each attempt to acquire the cell against records that come all the time. */
-static void test_a_busy_log_is_taken_over(struct cell_fixture *f,
-					  const void *data)
+static void test_takeover_of_a_busy_log(struct cell_fixture *f,
+					const void *data)
 {
-	struct cell_world *world = &f->world;
-	int owner = cell_world_owner(world);
-	uint64_t silent_us = world->now_us;
-
-	cell_world_kill(world, (uint32_t)owner);
-	while (cell_world_owner(world) < 0 &&
-	       world->now_us < silent_us + TAKEOVER_MAX_US) {
-		cell_log_put(world, RJ_CELL_TOPIC_JOBS, "c00000000000000ff",
+	struct cell_sim *sim = &f->sim;
+	int owner = cell_sim_owner(sim);
+	uint64_t silent_us = sim->now_us;
+
+	cell_sim_node_kill(sim, (uint32_t)owner);
+	while (cell_sim_owner(sim) < 0 &&
+	       sim->now_us < silent_us + TAKEOVER_MAX_US) {
+		cell_log_put(sim, RJ_CELL_TOPIC_JOBS, "c00000000000000ff",
 			     "\xc0", 1);
-		cell_world_run(world, MS);
+		cell_sim_run(sim, MS);
 	}
-	g_assert_cmpint(cell_world_owner(world), >=, 0);
+	g_assert_cmpint(cell_sim_owner(sim), >=, 0);
 }
 
 /* A gang that lost a member with its worker waits for the end of a lease. */
 static void test_a_gang_does_not_wait_for_a_dead_worker(struct cell_fixture *f,
 							const void *data)
 {
-	struct rj_cell_step step = cell_world_step(4, 8, 3000);
+	struct rj_cell_step step = cell_sim_plain_step(4, 8, 3000);
 	struct cell_client_job *job;
 	uint32_t worker;
 
 	step.gang = true;
-	job = hand_in(&f->world, other_node(&f->world), &step);
-	cell_world_run(&f->world, S);
+	job = submit_job(&f->sim, other_node(&f->sim), &step);
+	cell_sim_run(&f->sim, S);
 	g_assert_cmpuint(job->starts, ==, 4);
-	worker = cell_world_busy_worker(&f->world);
-	cell_world_worker_kill(&f->world, worker);
-	cell_world_run(&f->world, 1500 * MS);
+	worker = cell_sim_busy_worker(&f->sim);
+	cell_sim_worker_kill(&f->sim, worker);
+	cell_sim_run(&f->sim, 1500 * MS);
 	g_assert_cmpuint(job->starts, ==, 8);
 }
 
 /* A gang starts again while a member still runs on a worker that does not
  * answer: members end a moment after the first. */
-static void test_members_take_a_moment_to_end(struct cell_fixture *f,
-					      const void *data)
+static void test_gang_members_end_with_a_delay(struct cell_fixture *f,
+					       const void *data)
 {
-	struct rj_cell_step step = cell_world_step(2, 8, 6000);
+	struct rj_cell_step step = cell_sim_plain_step(2, 8, 6000);
 	struct cell_client_job *job;
 	uint32_t members[2];
 	uint32_t found = 0;
 	struct cell_fake_run *run;
 
-	f->world.plan.break_us = 190 * MS;
+	f->sim.options.gang_break_us = 190 * MS;
 	step.gang = true;
-	job = cell_world_job(&f->world, "urgent", "a", &step, 1, 6 * S);
-	cell_world_submit(&f->world, 0, job);
-	cell_world_run(&f->world, 500 * MS);
+	job = cell_sim_job_new(&f->sim, "urgent", "a", &step, 1, 6 * S);
+	cell_sim_submit(&f->sim, 0, job);
+	cell_sim_run(&f->sim, 500 * MS);
 	for (uint32_t i = 0; i < site.workers && found < 2; i++)
-		if (f->world.workers[i].runs->len)
+		if (f->sim.workers[i].runs->len)
 			members[found++] = i;
 	g_assert_cmpuint(found, ==, 2);
-	cell_world_worker_cut(&f->world, members[1], true);
-	cell_world_run(&f->world, 3500 * MS);
-	run = f->world.workers[members[0]].runs->pdata[0];
-	run->fails_at_us = run->done_us;
-	cell_world_run(&f->world, 700 * MS);
+	cell_sim_worker_partition(&f->sim, members[1], true);
+	cell_sim_run(&f->sim, 3500 * MS);
+	run = f->sim.workers[members[0]].runs->pdata[0];
+	run->fails_at_us = run->progress_us;
+	cell_sim_run(&f->sim, 700 * MS);
 	g_assert_cmpuint(job->starts, ==, 4);
-	cell_world_worker_cut(&f->world, members[1], false);
-	cell_world_run(&f->world, 8 * S);
+	cell_sim_worker_partition(&f->sim, members[1], false);
+	cell_sim_run(&f->sim, 8 * S);
 }
 
 /* A gang that is not complete yet runs on where its worker is silent, though
@@ -341,15 +341,15 @@
 						const void *data)
 {
 	struct rj_cell_owner *owner =
-		&f->world.nodes[cell_world_owner(&f->world)].node.owner;
-	struct rj_cell_step step = cell_world_step(2, 8, 2000);
+		&f->sim.nodes[cell_sim_owner(&f->sim)].node.owner;
+	struct rj_cell_step step = cell_sim_plain_step(2, 8, 2000);
 	struct cell_client_job *job;
 	struct rj_cell_task *tasks;
 	struct rj_cell_run *runs[2];
 
 	step.gang = true;
-	job = hand_in(&f->world, 0, &step);
-	cell_world_run(&f->world, 300 * MS);
+	job = submit_job(&f->sim, 0, &step);
+	cell_sim_run(&f->sim, 300 * MS);
 	tasks = rj_cell_work_find(rj_cell_view_find(owner->view, job->id)->work,
 				  0, 0, 0);
 	for (uint32_t i = 0; i < 2; i++)
@@ -362,105 +362,107 @@
 
 /* A failure that is not seen, as its worker is cut off, is one attempt too
  * many once it is. */
-static void test_unseen_failures_count(struct cell_fixture *f, const void *data)
+static void test_unacknowledged_failures_count(struct cell_fixture *f,
+					       const void *data)
 {
-	for (uint32_t cut = 0; cut < 2; cut++) {
-		struct rj_cell_step step = cell_world_step(2, 8, 2000);
+	for (uint32_t partitioned = 0; partitioned < 2; partitioned++) {
+		struct rj_cell_step step = cell_sim_plain_step(2, 8, 2000);
 		struct cell_client_job *job;
 		uint32_t members[2];
 		uint32_t found = 0;
 
 		step.gang = true;
-		job = cell_world_job(&f->world, "normal", "a", &step, 1, 2 * S);
-		job->fail_times = 9;
-		cell_world_submit(&f->world, 0, job);
-		cell_world_run(&f->world, 500 * MS);
+		job = cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 2 * S);
+		job->failing_runs = 9;
+		cell_sim_submit(&f->sim, 0, job);
+		cell_sim_run(&f->sim, 500 * MS);
 		for (uint32_t i = 0; i < site.workers && found < 2; i++)
-			if (f->world.workers[i].runs->len)
+			if (f->sim.workers[i].runs->len)
 				members[found++] = i;
 		g_assert_cmpuint(found, ==, 2);
-		cell_world_worker_cut(&f->world, members[cut], true);
-		cell_world_run(&f->world, 4 * S);
-		cell_world_worker_cut(&f->world, members[cut], false);
-		cell_world_run(&f->world, 12 * S);
-		cell_world_ask(&f->world, 0, job);
-		cell_world_run(&f->world, 100 * MS);
-		g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_FAILED);
+		cell_sim_worker_partition(&f->sim, members[partitioned], true);
+		cell_sim_run(&f->sim, 4 * S);
+		cell_sim_worker_partition(&f->sim, members[partitioned], false);
+		cell_sim_run(&f->sim, 12 * S);
+		cell_sim_query(&f->sim, 0, job);
+		cell_sim_run(&f->sim, 100 * MS);
+		g_assert_cmpint(job->state, ==, RJ_CELL_JOB_FAILED);
 		g_assert_cmpuint(job->starts, ==, 4);
 	}
 }
 
 /* Let the first member of a job's gang fail in a moment. Returns its worker. */
-static uint32_t fail_first_member(struct cell_world *world,
+static uint32_t fail_first_member(struct cell_sim *sim,
 				  const struct cell_client_job *job)
 {
 	char *name = g_strdup_printf("%s.0.0.0", job->id);
 	struct cell_fake_run *run = NULL;
 	uint32_t worker = 0;
 
-	for (uint32_t i = 0; i < world->plan.workers && !run; i++) {
-		run = cell_fake_run_of(&world->workers[i], name);
+	for (uint32_t i = 0; i < sim->options.workers && !run; i++) {
+		run = cell_fake_find_run(&sim->workers[i], name);
 		worker = i;
 	}
 	g_assert_nonnull(run);
-	run->fails_at_us = run->done_us + 500 * MS;
+	run->fails_at_us = run->progress_us + 500 * MS;
 	g_free(name);
 	return worker;
 }
 
 /* A failure that a former owner did not see, as its worker was cut off, is
  * one attempt too many once its successor hears of it. */
-static void test_unseen_failures_outlast_an_owner(struct cell_fixture *f,
-						  const void *data)
+static void
+test_unacknowledged_failures_survive_a_takeover(struct cell_fixture *f,
+						const void *data)
 {
-	struct cell_world *world = &f->world;
-	struct rj_cell_step step = cell_world_step(2, 8, 8000);
-	uint32_t owner = (uint32_t)cell_world_owner(world);
+	struct cell_sim *sim = &f->sim;
+	struct rj_cell_step step = cell_sim_plain_step(2, 8, 8000);
+	uint32_t owner = (uint32_t)cell_sim_owner(sim);
 	struct cell_client_job *job;
 	uint32_t worker;
 
 	step.gang = true;
-	job = cell_world_job(world, "normal", "a", &step, 1, 8 * S);
-	cell_world_submit(world, other_node(world), job);
-	cell_world_run(world, 500 * MS);
-	worker = fail_first_member(world, job);
-	cell_world_worker_cut(world, worker, true);
+	job = cell_sim_job_new(sim, "normal", "a", &step, 1, 8 * S);
+	cell_sim_submit(sim, other_node(sim), job);
+	cell_sim_run(sim, 500 * MS);
+	worker = fail_first_member(sim, job);
+	cell_sim_worker_partition(sim, worker, true);
 	for (uint32_t i = 0; i < 400 && job->starts < 4; i++)
-		cell_world_run(world, 10 * MS);
+		cell_sim_run(sim, 10 * MS);
 	g_assert_cmpuint(job->starts, ==, 4);
-	cell_world_kill(world, owner);
-	cell_world_run(world, TAKEOVER_MAX_US);
-	g_assert_cmpint(cell_world_owner(world), >=, 0);
-	cell_world_worker_cut(world, worker, false);
-	cell_world_run(world, S);
-	(void)fail_first_member(world, job);
-	cell_world_run(world, 4 * S);
-	cell_world_ask(world, (uint32_t)cell_world_owner(world), job);
-	cell_world_run(world, 100 * MS);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_FAILED);
+	cell_sim_node_kill(sim, owner);
+	cell_sim_run(sim, TAKEOVER_MAX_US);
+	g_assert_cmpint(cell_sim_owner(sim), >=, 0);
+	cell_sim_worker_partition(sim, worker, false);
+	cell_sim_run(sim, S);
+	(void)fail_first_member(sim, job);
+	cell_sim_run(sim, 4 * S);
+	cell_sim_query(sim, (uint32_t)cell_sim_owner(sim), job);
+	cell_sim_run(sim, 100 * MS);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_FAILED);
 	g_assert_cmpuint(job->starts, ==, 4);
 }
 
 /* An owner is replaced because an append to the progress log gets no answer,
  * though it lives and everybody can read the jobs' log. */
-static void test_an_owner_shows_its_life(struct cell_fixture *f,
-					 const void *data)
+static void test_owner_heartbeat_without_progress_log(struct cell_fixture *f,
+						      const void *data)
 {
-	struct rj_cell_step step = cell_world_step(4, 1, 2000);
-	int owner = cell_world_owner(&f->world);
-
-	cell_world_run(&f->world, S);
-	f->world.log.progress_silent = true;
-	hand_in(&f->world, other_node(&f->world), &step);
-	cell_world_run(&f->world, 3 * S);
-	g_assert_cmpint(cell_world_owner(&f->world), ==, owner);
-	f->world.log.progress_silent = false;
-	cell_world_run(&f->world, 6 * S);
+	struct rj_cell_step step = cell_sim_plain_step(4, 1, 2000);
+	int owner = cell_sim_owner(&f->sim);
+
+	cell_sim_run(&f->sim, S);
+	f->sim.log.progress_unreachable = true;
+	submit_job(&f->sim, other_node(&f->sim), &step);
+	cell_sim_run(&f->sim, 3 * S);
+	g_assert_cmpint(cell_sim_owner(&f->sim), ==, owner);
+	f->sim.log.progress_unreachable = false;
+	cell_sim_run(&f->sim, 6 * S);
 }
 
 /* What the store has answered. */
-static void note_status(void *private_data,
-			const struct rj_cell_store_reply *reply)
+static void store_status(void *private_data,
+			 const struct rj_cell_store_reply *reply)
 {
 	*(enum rj_cell_store_status *)private_data = reply->status;
 }
@@ -469,56 +471,56 @@
 static void test_a_former_owner_stores_no_progress(struct cell_fixture *f,
 						   const void *data)
 {
-	struct cell_world *world = &f->world;
-	int owner = cell_world_owner(world);
+	struct cell_sim *sim = &f->sim;
+	int owner = cell_sim_owner(sim);
 	enum rj_cell_store_status status = RJ_CELL_STORE_OK;
 	struct rj_cell_record record = { .key = "s00000000000000ff",
 					 .value = { (const uint8_t *)"x", 1 } };
 	struct rj_cell_append late = {
 		.topic = RJ_CELL_TOPIC_PROGRESS,
 		.producer = "owner",
-		.epoch = world->nodes[owner].node.owner.progress.epoch,
-		.sequence = world->nodes[owner].node.owner.progress.sequence,
+		.epoch = sim->nodes[owner].node.owner.progress.epoch,
+		.sequence = sim->nodes[owner].node.owner.progress.sequence,
 		.records = &record,
 		.count = 1
 	};
-	struct cell_world_node *other = &world->nodes[other_node(world)];
+	struct cell_sim_node *other = &sim->nodes[other_node(sim)];
 
-	cell_world_kill(world, (uint32_t)owner);
-	cell_world_run(world, TAKEOVER_MAX_US);
-	g_assert_cmpint(cell_world_owner(world), >=, 0);
+	cell_sim_node_kill(sim, (uint32_t)owner);
+	cell_sim_run(sim, TAKEOVER_MAX_US);
+	g_assert_cmpint(cell_sim_owner(sim), >=, 0);
 	other->store.ops->append(
 		&other->store, &late,
-		(struct rj_cell_store_done){ note_status, &status });
-	cell_world_run(world, 50 * MS);
+		(struct rj_cell_store_done){ store_status, &status });
+	cell_sim_run(sim, 50 * MS);
 	g_assert_cmpint(status, ==, RJ_CELL_STORE_FENCED);
 }
 
 /* A start that was planned before its worker said that it drains is sent long
  * after, because the intent took so long to store. */
 static void
-test_starts_on_draining_workers_are_called_off(struct cell_fixture *f,
-					       const void *data)
+test_starts_on_draining_workers_are_cancelled(struct cell_fixture *f,
+					      const void *data)
 {
-	struct rj_cell_step step = cell_world_step(8, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(8, 1, 2000);
 	struct cell_client_job *job;
 	uint32_t drained = 0;
 
-	f->world.log.latency_us = 240 * MS;
-	cell_world_run(&f->world, 2 * S);
-	job = hand_in(&f->world, 0, &step);
-	cell_world_run(&f->world, 600 * MS);
-	f->world.log.progress_silent = true;
+	f->sim.log.latency_us = 240 * MS;
+	cell_sim_run(&f->sim, 2 * S);
+	job = submit_job(&f->sim, 0, &step);
+	cell_sim_run(&f->sim, 600 * MS);
+	f->sim.log.progress_unreachable = true;
 	for (uint32_t i = 0; i < site.workers; i++) {
-		if (cell_world_random(&f->world, 2))
+		if (cell_sim_random(&f->sim, 2))
 			continue;
-		cell_world_worker_drain(&f->world, i, 0);
+		cell_sim_worker_drain(&f->sim, i, 0);
 		drained++;
 	}
-	cell_world_run(&f->world, 3200 * MS);
-	f->world.log.progress_silent = false;
-	f->world.log.latency_us = 4 * MS;
-	cell_world_run(&f->world, 4 * S);
+	cell_sim_run(&f->sim, 3200 * MS);
+	f->sim.log.progress_unreachable = false;
+	f->sim.log.latency_us = 4 * MS;
+	cell_sim_run(&f->sim, 4 * S);
 	g_assert_cmpuint(drained, >, 0);
 	g_assert_cmpuint(job->starts, ==, 8);
 }
@@ -528,19 +530,19 @@
 static void test_unread_workers_stop_all_starts(struct cell_fixture *f,
 						const void *data)
 {
-	struct rj_cell_step step = cell_world_step(200, 4, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(200, 4, 1000);
 	struct cell_client_job *job =
-		cell_world_job(&f->world, "normal", "a", &step, 1, 500 * MS);
+		cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 500 * MS);
 
-	cell_world_submit(&f->world, 0, job);
-	f->world.log.reads_silent[RJ_CELL_TOPIC_WORKERS] = true;
-	cell_world_run(&f->world, 20 * MS);
+	cell_sim_submit(&f->sim, 0, job);
+	f->sim.log.reads_unreachable[RJ_CELL_TOPIC_WORKERS] = true;
+	cell_sim_run(&f->sim, 20 * MS);
 	for (uint32_t i = 0; i < site.workers; i += 2)
-		cell_world_worker_drain(&f->world, i, 0);
-	cell_world_run(&f->world, 6 * S);
+		cell_sim_worker_drain(&f->sim, i, 0);
+	cell_sim_run(&f->sim, 6 * S);
 	g_assert_cmpuint(job->starts, <, 200);
-	f->world.log.reads_silent[RJ_CELL_TOPIC_WORKERS] = false;
-	cell_world_run(&f->world, 15 * S);
+	f->sim.log.reads_unreachable[RJ_CELL_TOPIC_WORKERS] = false;
+	cell_sim_run(&f->sim, 15 * S);
 	g_assert_cmpuint(job->starts, ==, 200);
 }
 
@@ -549,27 +551,27 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	ADD("cut_domain", test_starts_avoid_a_cut_domain);
-	ADD("draining", test_starts_on_draining_workers_are_called_off);
+	ADD("cut_domain", test_starts_avoid_a_partitioned_domain);
+	ADD("draining", test_starts_on_draining_workers_are_cancelled);
 	ADD("workers_unread", test_unread_workers_stop_all_starts);
-	ADD("completions", test_completions_are_polled_after_a_cut);
-	ADD("late_completion", test_a_completion_that_comes_late);
+	ADD("completions", test_completions_are_polled_after_a_partition);
+	ADD("late_completion", test_late_completion);
 	ADD("spread", test_urgent_work_spreads_over_domains);
-	ADD("log_silent", test_an_instance_without_the_log);
-	ADD("log_refuses", test_an_instance_that_the_log_refuses);
-	ADD("log_deaf", test_a_log_that_wakes_nobody);
-	ADD("log_slow", test_proofs_outlast_slow_appends);
+	ADD("log_silent", test_instance_with_unreachable_log);
+	ADD("log_refuses", test_instance_refused_by_the_log);
+	ADD("log_deaf", test_long_polls_not_woken);
+	ADD("log_slow", test_reachability_proof_with_slow_appends);
 	ADD("successor", test_a_killed_owner_is_replaced_in_time);
 	ADD("dead_member", test_a_gang_does_not_wait_for_a_dead_worker);
-	ADD("slow_break", test_members_take_a_moment_to_end);
-	ADD("shows_life", test_an_owner_shows_its_life);
+	ADD("slow_break", test_gang_members_end_with_a_delay);
+	ADD("shows_life", test_owner_heartbeat_without_progress_log);
 	ADD("stopped_member", test_a_stopped_member_ends_no_other);
 	CELL_TEST("/cell_reach/unseen_failure", &two_attempts,
-		  test_unseen_failures_count);
+		  test_unacknowledged_failures_count);
 	CELL_TEST("/cell_reach/unseen_outlasts", &two_attempts,
-		  test_unseen_failures_outlast_an_owner);
+		  test_unacknowledged_failures_survive_a_takeover);
 	ADD("progress_fenced", test_a_former_owner_stores_no_progress);
-	ADD("busy_log", test_a_busy_log_is_taken_over);
-	g_test_add_func("/cell_reach/come_back", test_when_to_come_back);
+	ADD("busy_log", test_takeover_of_a_busy_log);
+	g_test_add_func("/cell_reach/come_back", test_retry_after);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_cell_scale.c
+++ b/src/test_libradishjunction/test_cell_scale.c
@@ -2,7 +2,7 @@
  * What an owner spends on a large fleet: its cost follows the work, not the
  * number of workers.
  */
-#include "support/cell_world.h"
+#include "support/cell_sim.h"
 
 #define LARGE_WORKERS 3000
 /* A quarter of a core makes so many calls to workers a second beside its
@@ -10,13 +10,13 @@
 #define POLLS_PER_S_MAX 320
 /* Jobs of 100 tasks, and what an instance may read of each: its definition,
  * its states, and heartbeats of the owner. */
-#define PROGRESS_JOBS 20
+#define JOB_COUNT 20
 #define JOB_BYTES_MAX 1500
 
 /* Begin a calm site of two nodes. */
-static void begin(struct cell_world *world, uint32_t workers)
+static void begin(struct cell_sim *sim, uint32_t workers)
 {
-	const struct cell_world_plan plan = {
+	const struct cell_sim_options options = {
 		.seed = 3,
 		.nodes = 2,
 		.workers = workers,
@@ -25,20 +25,20 @@
 		.guaranteed = 64,
 	};
 
-	cell_world_init(world, &plan);
+	cell_sim_init(sim, &options);
 }
 
 /* How many calls for lists the owner makes in the next seconds. */
-static uint64_t polls_in(struct cell_world *world, uint32_t seconds)
+static uint64_t polls_in(struct cell_sim *sim, uint32_t seconds)
 {
-	int owner = cell_world_owner(world);
+	int owner = cell_sim_owner(sim);
 	uint64_t before;
 
 	g_assert_cmpint(owner, >=, 0);
-	before = world->nodes[owner].node.owner.counters.polls;
-	cell_world_run(world, seconds * S);
-	g_assert_cmpint(cell_world_owner(world), ==, owner);
-	return world->nodes[owner].node.owner.counters.polls - before;
+	before = sim->nodes[owner].node.owner.counters.polls;
+	cell_sim_run(sim, seconds * S);
+	g_assert_cmpint(cell_sim_owner(sim), ==, owner);
+	return sim->nodes[owner].node.owner.counters.polls - before;
 }
 
 /*
@@ -48,29 +48,29 @@
  * time out, and all workers are taken to be silent.
  * Cause: the calls followed the number of workers.
  */
-static void test_idle_workers_cost_little(void)
+static void test_idle_workers_are_polled_rarely(void)
 {
-	struct cell_world *world = g_new0(struct cell_world, 1);
+	struct cell_sim *sim = g_new0(struct cell_sim, 1);
 
-	begin(world, LARGE_WORKERS);
-	cell_world_run(world, 20 * S);
-	g_assert_cmpuint(polls_in(world, 10), <, 10 * POLLS_PER_S_MAX);
-	cell_world_finish(world);
-	g_free(world);
+	begin(sim, LARGE_WORKERS);
+	cell_sim_run(sim, 20 * S);
+	g_assert_cmpuint(polls_in(sim, 10), <, 10 * POLLS_PER_S_MAX);
+	cell_sim_finish(sim);
+	g_free(sim);
 }
 
 /*
  * A small site is watched as closely as ever.
  */
-static void test_small_site_is_watched(void)
+static void test_small_site_is_polled_often(void)
 {
-	struct cell_world *world = g_new0(struct cell_world, 1);
+	struct cell_sim *sim = g_new0(struct cell_sim, 1);
 
-	begin(world, 48);
-	cell_world_run(world, 5 * S);
-	g_assert_cmpuint(polls_in(world, 6), >=, 48 * 3);
-	cell_world_finish(world);
-	g_free(world);
+	begin(sim, 48);
+	cell_sim_run(sim, 5 * S);
+	g_assert_cmpuint(polls_in(sim, 6), >=, 48 * 3);
+	cell_sim_finish(sim);
+	g_free(sim);
 }
 
 /*
@@ -79,156 +79,158 @@
  */
 static void test_large_site_serves_after_a_takeover(void)
 {
-	struct cell_world *world = g_new0(struct cell_world, 1);
-	struct rj_cell_step step = cell_world_step(24, 8, 3000);
+	struct cell_sim *sim = g_new0(struct cell_sim, 1);
+	struct rj_cell_step step = cell_sim_plain_step(24, 8, 3000);
 	struct cell_client_job *job;
 
-	begin(world, LARGE_WORKERS);
-	cell_world_run(world, 10 * S);
-	job = cell_world_job(world, "normal", "a", &step, 1, 9 * S);
-	cell_world_submit(world, 0, job);
-	cell_world_run(world, 2 * S);
+	begin(sim, LARGE_WORKERS);
+	cell_sim_run(sim, 10 * S);
+	job = cell_sim_job_new(sim, "normal", "a", &step, 1, 9 * S);
+	cell_sim_submit(sim, 0, job);
+	cell_sim_run(sim, 2 * S);
 	g_assert_true(job->accepted);
-	cell_world_kill(world, (uint32_t)cell_world_owner(world));
-	cell_world_run(world, 500 * MS);
-	cell_world_start(world, 0);
-	cell_world_start(world, 1);
+	cell_sim_node_kill(sim, (uint32_t)cell_sim_owner(sim));
+	cell_sim_run(sim, 500 * MS);
+	cell_sim_node_start(sim, 0);
+	cell_sim_node_start(sim, 1);
 	for (int i = 0; i < 120 && !job->ended_us; i++) {
-		cell_world_run(world, 200 * MS);
-		cell_world_ask(world, 1, job);
+		cell_sim_run(sim, 200 * MS);
+		cell_sim_query(sim, 1, job);
 	}
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
-	g_assert_cmpuint(world->wasted_us, ==, 0);
-	g_assert_cmpuint(world->violations->len, ==, 0);
-	cell_world_finish(world);
-	g_free(world);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpuint(sim->wasted_us, ==, 0);
+	g_assert_cmpuint(sim->violations->len, ==, 0);
+	cell_sim_finish(sim);
+	g_free(sim);
 }
 
 /* A successor polls all of a large fleet before it starts anything. */
-static void test_a_successor_takes_a_large_fleet_at_its_word(void)
+static void test_successor_starts_jobs_before_polling_the_fleet(void)
 {
-	struct cell_world *world = g_new0(struct cell_world, 1);
-	struct rj_cell_step step = cell_world_step(24, 8, 3000);
+	struct cell_sim *sim = g_new0(struct cell_sim, 1);
+	struct rj_cell_step step = cell_sim_plain_step(24, 8, 3000);
 	struct cell_client_job *job;
 	int owner;
 
-	begin(world, LARGE_WORKERS);
-	cell_world_run(world, 10 * S);
-	owner = cell_world_owner(world);
-	cell_world_kill(world, (uint32_t)owner);
-	while (cell_world_owner(world) < 0)
-		cell_world_run(world, 10 * MS);
-	job = cell_world_job(world, "normal", "a", &step, 1, 3 * S);
-	cell_world_submit(world, (uint32_t)cell_world_owner(world), job);
-	g_assert_cmpuint(polls_in(world, 1), <, 2 * POLLS_PER_S_MAX);
+	begin(sim, LARGE_WORKERS);
+	cell_sim_run(sim, 10 * S);
+	owner = cell_sim_owner(sim);
+	cell_sim_node_kill(sim, (uint32_t)owner);
+	while (cell_sim_owner(sim) < 0)
+		cell_sim_run(sim, 10 * MS);
+	job = cell_sim_job_new(sim, "normal", "a", &step, 1, 3 * S);
+	cell_sim_submit(sim, (uint32_t)cell_sim_owner(sim), job);
+	g_assert_cmpuint(polls_in(sim, 1), <, 2 * POLLS_PER_S_MAX);
 	g_assert_cmpuint(job->starts, ==, 24);
-	cell_world_finish(world);
-	g_free(world);
+	cell_sim_finish(sim);
+	g_free(sim);
 }
 
 /* Each instance reads what happens to all tasks, and a large fleet of them
  * shares what the log can be read at. */
 static void test_only_owners_read_progress(void)
 {
-	struct cell_world *world = g_new0(struct cell_world, 1);
-	struct rj_cell_step step = cell_world_step(100, 1, 1000);
+	struct cell_sim *sim = g_new0(struct cell_sim, 1);
+	struct rj_cell_step step = cell_sim_plain_step(100, 1, 1000);
 	uint64_t before;
 	uint32_t other;
 
-	begin(world, 48);
-	cell_world_run(world, 5 * S);
-	other = cell_world_owner(world) ? 0 : 1;
-	before = world->log.read_bytes[other];
-	for (uint32_t i = 0; i < PROGRESS_JOBS; i++) {
-		struct cell_client_job *job = cell_world_job(
-			world, "normal", "a", &step, 1, (1 + i % 5) * S);
+	begin(sim, 48);
+	cell_sim_run(sim, 5 * S);
+	other = cell_sim_owner(sim) ? 0 : 1;
+	before = sim->log.read_bytes[other];
+	for (uint32_t i = 0; i < JOB_COUNT; i++) {
+		struct cell_client_job *job = cell_sim_job_new(
+			sim, "normal", "a", &step, 1, (1 + i % 5) * S);
 
-		cell_world_submit(world, other, job);
-		cell_world_run(world, 200 * MS);
+		cell_sim_submit(sim, other, job);
+		cell_sim_run(sim, 200 * MS);
 	}
-	cell_world_run(world, 20 * S);
-	g_assert_cmpuint(world->log.read_bytes[other] - before, <,
-			 PROGRESS_JOBS * JOB_BYTES_MAX);
-	cell_world_finish(world);
-	g_free(world);
+	cell_sim_run(sim, 20 * S);
+	g_assert_cmpuint(sim->log.read_bytes[other] - before, <,
+			 JOB_COUNT * JOB_BYTES_MAX);
+	cell_sim_finish(sim);
+	g_free(sim);
 }
 
 /* Weighing each worker so many times takes a plan a tenth of a second on half a
  * core. */
-#define EFFORT_A_WORKER_MAX 900
+#define EFFORT_PER_WORKER_MAX 900
 
 /* Hand in so many jobs of one step. */
-static void hand_in(struct cell_world *world, const char *queue, uint32_t jobs,
-		    const struct rj_cell_step *step, uint64_t work_us)
+static void submit_job(struct cell_sim *sim, const char *queue, uint32_t jobs,
+		       const struct rj_cell_step *step, uint64_t duration_us)
 {
 	for (uint32_t i = 0; i < jobs; i++)
-		cell_world_submit(
-			world, i % world->plan.nodes,
-			cell_world_job(world, queue, "a", step, 1, work_us));
+		cell_sim_submit(sim, i % sim->options.nodes,
+				cell_sim_job_new(sim, queue, "a", step, 1,
+						 duration_us));
 }
 
 /* The most that a plan of the owner has weighed, a worker of the site. */
-static uint64_t effort_a_worker(const struct cell_world *world)
+static uint64_t effort_per_worker(const struct cell_sim *sim)
 {
-	int owner = cell_world_owner(world);
+	int owner = cell_sim_owner(sim);
 
 	g_assert_cmpint(owner, >=, 0);
-	return world->nodes[owner].node.owner.counters.plan_effort_max /
-	       world->plan.workers;
+	return sim->nodes[owner].node.owner.counters.plan_effort_max /
+	       sim->options.workers;
 }
 
 /* Hundreds of urgent gangs wait on a full site, and one plan takes seconds, as
  * each of them weighs the runs of all workers for work to stop. */
 static void test_a_backlog_of_urgent_gangs(void)
 {
-	struct cell_world *world = g_new0(struct cell_world, 1);
-	struct rj_cell_step full = cell_world_step(8, 8, 20000);
-	struct rj_cell_step urgent = cell_world_step(8, 4, 2500);
+	struct cell_sim *sim = g_new0(struct cell_sim, 1);
+	struct rj_cell_step full = cell_sim_plain_step(8, 8, 20000);
+	struct rj_cell_step urgent = cell_sim_plain_step(8, 4, 2500);
 
 	full.gang = true;
 	urgent.gang = true;
-	begin(world, 200);
-	cell_world_run(world, 4 * S);
-	hand_in(world, "normal", 25, &full, 20 * S);
-	cell_world_run(world, 8 * S);
-	hand_in(world, "urgent", 300, &urgent, 2500 * MS);
-	cell_world_run(world, 3 * S);
-	g_assert_cmpuint(effort_a_worker(world), <, EFFORT_A_WORKER_MAX);
-	g_assert_cmpuint(world->violations->len, ==, 0);
-	cell_world_finish(world);
-	g_free(world);
+	begin(sim, 200);
+	cell_sim_run(sim, 4 * S);
+	submit_job(sim, "normal", 25, &full, 20 * S);
+	cell_sim_run(sim, 8 * S);
+	submit_job(sim, "urgent", 300, &urgent, 2500 * MS);
+	cell_sim_run(sim, 3 * S);
+	g_assert_cmpuint(effort_per_worker(sim), <, EFFORT_PER_WORKER_MAX);
+	g_assert_cmpuint(sim->violations->len, ==, 0);
+	cell_sim_finish(sim);
+	g_free(sim);
 }
 
 /* A job of hundreds of tasks that are kept apart takes one plan seconds, as
  * each task weighs each worker by itself. */
-static void test_many_tasks_apart(void)
+static void test_many_tasks_on_separate_workers(void)
 {
-	struct cell_world *world = g_new0(struct cell_world, 1);
-	struct rj_cell_step apart = cell_world_step(300, 1, 3000);
+	struct cell_sim *sim = g_new0(struct cell_sim, 1);
+	struct rj_cell_step apart = cell_sim_plain_step(300, 1, 3000);
 
 	apart.per_worker_max = 1;
-	begin(world, 400);
-	cell_world_run(world, 5 * S);
-	hand_in(world, "bulk", 2, &apart, 3 * S);
-	cell_world_run(world, 2 * S);
-	g_assert_cmpuint(world->starts, ==, 600);
-	g_assert_cmpuint(effort_a_worker(world), <, 30);
-	g_assert_cmpuint(world->violations->len, ==, 0);
-	cell_world_finish(world);
-	g_free(world);
+	begin(sim, 400);
+	cell_sim_run(sim, 5 * S);
+	submit_job(sim, "bulk", 2, &apart, 3 * S);
+	cell_sim_run(sim, 2 * S);
+	g_assert_cmpuint(sim->starts, ==, 600);
+	g_assert_cmpuint(effort_per_worker(sim), <, 30);
+	g_assert_cmpuint(sim->violations->len, ==, 0);
+	cell_sim_finish(sim);
+	g_free(sim);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/cell_scale/idle", test_idle_workers_cost_little);
-	g_test_add_func("/cell_scale/small", test_small_site_is_watched);
+	g_test_add_func("/cell_scale/idle",
+			test_idle_workers_are_polled_rarely);
+	g_test_add_func("/cell_scale/small", test_small_site_is_polled_often);
 	g_test_add_func("/cell_scale/takeover",
 			test_large_site_serves_after_a_takeover);
 	g_test_add_func("/cell_scale/taken_at_its_word",
-			test_a_successor_takes_a_large_fleet_at_its_word);
+			test_successor_starts_jobs_before_polling_the_fleet);
 	g_test_add_func("/cell_scale/backlog", test_a_backlog_of_urgent_gangs);
-	g_test_add_func("/cell_scale/apart", test_many_tasks_apart);
+	g_test_add_func("/cell_scale/apart",
+			test_many_tasks_on_separate_workers);
 	g_test_add_func("/cell_scale/progress", test_only_owners_read_progress);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_cell_starvation.c
+++ b/src/test_libradishjunction/test_cell_starvation.c
@@ -6,7 +6,7 @@
 #include "support/cell_load.h"
 
 /* 24 workers of eight accelerators in six racks, three nodes. */
-static const struct cell_world_plan site = {
+static const struct cell_sim_options site = {
 	.seed = 11,
 	.nodes = 3,
 	.workers = 24,
@@ -16,7 +16,7 @@
 };
 
 /* What clients of a kind are owed at least, in percent. */
-#define FLOOR_PERCENT 29
+#define UTILITY_MIN_PERCENT 29
 /* Jobs that came in this part of a load are judged; the others may be under
  * way at its end. */
 #define JUDGED_PERCENT 60
@@ -26,41 +26,40 @@
 				   uint32_t estimate_ms)
 {
 	struct rj_cell_step step =
-		cell_world_step(tasks, accelerators, estimate_ms);
+		cell_sim_plain_step(tasks, accelerators, estimate_ms);
 
 	step.gang = true;
 	return step;
 }
 
 /* Play a load; batch work that came in its first part earns its floor. */
-static void assert_batch_earns(struct cell_world *world,
-			       const struct cell_load_stream *streams,
-			       uint32_t count, uint64_t for_us)
+static void assert_batch_utility(struct cell_sim *sim,
+				 const struct cell_load_stream *streams,
+				 uint32_t count, uint64_t for_us)
 {
-	uint64_t judged_until_us =
-		world->now_us + for_us * JUDGED_PERCENT / 100;
+	uint64_t judged_until_us = sim->now_us + for_us * JUDGED_PERCENT / 100;
 
-	cell_load_play(world, streams, count, for_us, NULL);
+	cell_load_run_streams(sim, streams, count, for_us, NULL);
 	g_assert_cmpuint(
-		cell_load_earned_percent(world, "bulk", judged_until_us), >=,
-		FLOOR_PERCENT);
+		cell_load_utility_percent(sim, "bulk", judged_until_us), >=,
+		UTILITY_MIN_PERCENT);
 }
 
 /*
  * Load: five sixths of the site, by kinds of all priorities, without a fault.
  * Guards against batch work that waits while room stands idle for others.
  */
-static void test_batch_work_has_a_share(struct cell_fixture *f,
-					const void *data)
+static void test_batch_jobs_have_a_share(struct cell_fixture *f,
+					 const void *data)
 {
 	const struct cell_load_stream streams[] = {
 		{ "urgent", "a", gang_of(4, 4, 2500), 2500 * MS, S, 0, 0 },
 		{ "normal", "a", gang_of(6, 4, 6000), 6 * S, 1800 * MS, 0, 0 },
-		{ "bulk", "b", cell_world_step(16, 1, 9000), 9 * S, 3600 * MS,
-		  0, 0 },
+		{ "bulk", "b", cell_sim_plain_step(16, 1, 9000), 9 * S,
+		  3600 * MS, 0, 0 },
 	};
 
-	assert_batch_earns(&f->world, streams, G_N_ELEMENTS(streams), 75 * S);
+	assert_batch_utility(&f->sim, streams, G_N_ELEMENTS(streams), 75 * S);
 }
 
 /*
@@ -72,11 +71,11 @@
 {
 	const struct cell_load_stream streams[] = {
 		{ "normal", "a", gang_of(6, 4, 6000), 6 * S, 600 * MS, 0, 0 },
-		{ "bulk", "b", cell_world_step(16, 1, 9000), 9 * S, 3600 * MS,
-		  0, 0 },
+		{ "bulk", "b", cell_sim_plain_step(16, 1, 9000), 9 * S,
+		  3600 * MS, 0, 0 },
 	};
 
-	assert_batch_earns(&f->world, streams, G_N_ELEMENTS(streams), 90 * S);
+	assert_batch_utility(&f->sim, streams, G_N_ELEMENTS(streams), 90 * S);
 }
 
 /*
@@ -90,12 +89,13 @@
 {
 	struct cell_load_stream streams[] = {
 		{ "normal", "a", gang_of(3, 4, 6000), 6 * S, 700 * MS, 0, 0 },
-		{ "bulk", "b", cell_world_step(20, 1, 6000), 6 * S, 2 * S, 0,
-		  0 },
+		{ "bulk", "b", cell_sim_plain_step(20, 1, 6000), 6 * S, 2 * S,
+		  0, 0 },
 	};
 
 	streams[1].step.per_worker_max = 1;
-	cell_load_play(&f->world, streams, G_N_ELEMENTS(streams), 60 * S, NULL);
+	cell_load_run_streams(&f->sim, streams, G_N_ELEMENTS(streams), 60 * S,
+			      NULL);
 }
 
 /* When normal work of 6 s, on workers of different speeds, has waited for this
@@ -106,9 +106,9 @@
 #define RESERVED_SPARE (16 + 32)
 
 /* While normal work misses its objective no more is reserved than needed. */
-static void check_reserved(struct cell_world *world)
+static void check_reserved(struct cell_sim *sim)
 {
-	const struct rj_cell_backlog *backlog = cell_load_backlog(world);
+	const struct rj_cell_backlog *backlog = cell_load_backlog(sim);
 
 	if (backlog->classes[1].oldest_us > NORMAL_SLACK_US)
 		g_assert_cmpuint(backlog->reserved, <=,
@@ -121,8 +121,8 @@
  * Guards against racks that stay reserved and idle while other work misses its
  * objective.
  */
-static void test_idle_reservations_yield(struct cell_fixture *f,
-					 const void *data)
+static void test_idle_reservations_are_released(struct cell_fixture *f,
+						const void *data)
 {
 	const struct cell_load_stream streams[] = {
 		{ "urgent", "a", gang_of(4, 4, 2500), 2500 * MS, 700 * MS, 0,
@@ -130,18 +130,18 @@
 		{ "normal", "a", gang_of(3, 4, 6000), 6 * S, 800 * MS, 0, 0 },
 	};
 
-	cell_load_play(&f->world, streams, G_N_ELEMENTS(streams), 75 * S,
-		       check_reserved);
+	cell_load_run_streams(&f->sim, streams, G_N_ELEMENTS(streams), 75 * S,
+			      check_reserved);
 }
 
 /* A gang that takes the whole site, handed in while another runs. */
-static struct cell_client_job *whole_site(struct cell_world *world,
-					  const char *queue, uint64_t work_us)
+static struct cell_client_job *
+whole_site(struct cell_sim *sim, const char *queue, uint64_t duration_us)
 {
 	struct rj_cell_step step =
-		gang_of(site.workers, 8, (uint32_t)(work_us / MS));
+		gang_of(site.workers, 8, (uint32_t)(duration_us / MS));
 
-	return cell_load_hand_in(world, queue, "a", &step, work_us);
+	return cell_load_submit(sim, queue, "a", &step, duration_us);
 }
 
 /* How fast the slowest fake worker is. */
@@ -149,20 +149,20 @@
 
 /* Two jobs wait, the second for 2 s, for a site that comes free when the first
  * has waited for `wait_us`. Returns whether the first one begins first. */
-static bool older_begins_first(struct cell_world *world, uint64_t wait_us)
+static bool older_begins_first(struct cell_sim *sim, uint64_t wait_us)
 {
 	struct cell_client_job *older;
 	struct cell_client_job *younger;
 
-	(void)whole_site(world, "urgent",
+	(void)whole_site(sim, "urgent",
 			 (wait_us + 500 * MS) * SLOWEST_PERCENT / 100);
-	cell_load_follow(world, 500 * MS);
-	older = whole_site(world, "normal", S);
-	cell_load_follow(world, wait_us - 2 * S);
-	younger = whole_site(world, "normal", S);
-	cell_load_follow(world, 6 * S);
-	g_assert_cmpint(older->shown, ==, RJ_CELL_JOB_COMPLETED);
-	g_assert_cmpint(younger->shown, ==, RJ_CELL_JOB_COMPLETED);
+	cell_load_run(sim, 500 * MS);
+	older = whole_site(sim, "normal", S);
+	cell_load_run(sim, wait_us - 2 * S);
+	younger = whole_site(sim, "normal", S);
+	cell_load_run(sim, 6 * S);
+	g_assert_cmpint(older->state, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpint(younger->state, ==, RJ_CELL_JOB_COMPLETED);
 	return older->begun_us < younger->begun_us;
 }
 
@@ -171,20 +171,21 @@
  * the site comes free, and the other can still end in time.
  * Guards against a queue in which all are late because the first one is.
  */
-static void test_work_that_can_be_in_time_goes_first(struct cell_fixture *f,
-						     const void *data)
+static void
+test_jobs_that_can_meet_their_objective_run_first(struct cell_fixture *f,
+						  const void *data)
 {
-	g_assert_false(older_begins_first(&f->world, 5 * S));
+	g_assert_false(older_begins_first(&f->sim, 5 * S));
 }
 
 /*
  * Load: the same, and the late one will soon be of no use.
  * Guards against late work that makes way until nobody wants it.
  */
-static void test_late_work_keeps_its_last_chance(struct cell_fixture *f,
-						 const void *data)
+static void test_late_job_runs_before_it_is_useless(struct cell_fixture *f,
+						    const void *data)
 {
-	g_assert_true(older_begins_first(&f->world, 8 * S));
+	g_assert_true(older_begins_first(&f->sim, 8 * S));
 }
 
 /* More normal work than the site holds, without an end. */
@@ -196,7 +197,7 @@
 		.queue = "normal",
 		.account = "a",
 		.step = gang_of(6, 4, 6000),
-		.work_us = 6 * S,
+		.duration_us = 6 * S,
 		.every_us = 600 * MS,
 	};
 	return &stream;
@@ -207,20 +208,21 @@
  * Guards against batch tasks that are stopped as soon as they begin, since
  * what has just begun is cheap to stop.
  */
-static void test_work_within_its_share_is_not_stopped(struct cell_fixture *f,
-						      const void *data)
+static void
+test_jobs_within_their_share_are_not_preempted(struct cell_fixture *f,
+					       const void *data)
 {
 	const struct cell_load_stream normal = {
 		"normal", "a", gang_of(1, 8, 6000), 6 * S, 200 * MS, 0, 0
 	};
-	struct rj_cell_step step = cell_world_step(8, 1, 6000);
+	struct rj_cell_step step = cell_sim_plain_step(8, 1, 6000);
 	struct cell_client_job *job;
 
-	cell_load_play(&f->world, &normal, 1, 10 * S, NULL);
-	job = cell_load_hand_in(&f->world, "bulk", "b", &step, 6 * S);
-	cell_load_play(&f->world, &normal, 1, 40 * S, NULL);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
-	g_assert_cmpuint(job->starts, ==, job->def->task_count);
+	cell_load_run_streams(&f->sim, &normal, 1, 10 * S, NULL);
+	job = cell_load_submit(&f->sim, "bulk", "b", &step, 6 * S);
+	cell_load_run_streams(&f->sim, &normal, 1, 40 * S, NULL);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpuint(job->starts, ==, job->spec->task_count);
 }
 
 /*
@@ -228,8 +230,8 @@
  * comes.
  * Guards against a share that counts accelerators alone, and so never ends.
  */
-static void test_a_share_counts_all_kinds_of_room(struct cell_fixture *f,
-						  const void *data)
+static void test_share_counts_all_resources(struct cell_fixture *f,
+					    const void *data)
 {
 	struct rj_cell_step batch = { .task_count = 192,
 				      .each = { 8000, 1000, 0 },
@@ -240,10 +242,10 @@
 				       .estimate_ms = 6000 };
 	struct cell_client_job *job;
 
-	(void)cell_load_hand_in(&f->world, "bulk", "b", &batch, 30 * S);
-	cell_load_follow(&f->world, 2 * S);
-	job = cell_load_hand_in(&f->world, "normal", "a", &normal, 6 * S);
-	cell_load_follow(&f->world, 10 * S);
+	(void)cell_load_submit(&f->sim, "bulk", "b", &batch, 30 * S);
+	cell_load_run(&f->sim, 2 * S);
+	job = cell_load_submit(&f->sim, "normal", "a", &normal, 6 * S);
+	cell_load_run(&f->sim, 10 * S);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 }
 
@@ -252,19 +254,20 @@
  * work than the site holds.
  * Guards against occurrences that are taken to be late before they are due.
  */
-static void test_a_scheduled_job_is_not_late_early(struct cell_fixture *f,
-						   const void *data)
+static void
+test_scheduled_job_is_not_late_before_it_is_due(struct cell_fixture *f,
+						const void *data)
 {
-	struct rj_cell_step step = cell_world_step(4, 1, 2000);
+	struct rj_cell_step step = cell_sim_plain_step(4, 1, 2000);
 	struct cell_client_job *job =
-		cell_world_job(&f->world, "bulk", "b", &step, 1, 2 * S);
-
-	job->def->repeats = 1;
-	job->def->first_run_ms = cell_world_wall_ms(&f->world) + 45000;
-	job->def->interval_ms = 1000;
-	cell_world_submit(&f->world, 0, job);
-	cell_load_play(&f->world, overload(), 1, 75 * S, NULL);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
+		cell_sim_job_new(&f->sim, "bulk", "b", &step, 1, 2 * S);
+
+	job->spec->repeats = 1;
+	job->spec->first_run_ms = cell_sim_wall_ms(&f->sim) + 45000;
+	job->spec->interval_ms = 1000;
+	cell_sim_submit(&f->sim, 0, job);
+	cell_load_run_streams(&f->sim, overload(), 1, 75 * S, NULL);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
 /*
@@ -273,28 +276,28 @@
  * Guards against tasks that are taken to be late as their job has run for
  * long.
  */
-static void test_lasting_work_is_started_again(struct cell_fixture *f,
-					       const void *data)
+static void test_perpetual_job_is_restarted(struct cell_fixture *f,
+					    const void *data)
 {
-	struct rj_cell_step step = cell_world_step(4, 1, 1000);
+	struct rj_cell_step step = cell_sim_plain_step(4, 1, 1000);
 	struct cell_client_job *job;
 
 	step.perpetual = true;
-	job = cell_load_hand_in(&f->world, "bulk", "b", &step, S);
-	cell_load_follow(&f->world, S);
+	job = cell_load_submit(&f->sim, "bulk", "b", &step, S);
+	cell_load_run(&f->sim, S);
 	g_assert_cmpuint(job->starts, ==, 4);
-	cell_load_play(&f->world, overload(), 1, 45 * S, NULL);
+	cell_load_run_streams(&f->sim, overload(), 1, 45 * S, NULL);
 	g_assert_cmpuint(job->starts, ==, 4);
 	for (uint32_t i = 0; i < site.workers; i++)
-		for (guint j = 0; j < f->world.workers[i].runs->len; j++)
+		for (guint j = 0; j < f->sim.workers[i].runs->len; j++)
 			if (g_str_has_prefix(
-				    cell_fake_row_at(&f->world.workers[i], j)
+				    cell_fake_run_info_at(&f->sim.workers[i], j)
 					    .name,
 				    job->id)) {
-				cell_world_worker_kill(&f->world, i);
+				cell_sim_worker_kill(&f->sim, i);
 				break;
 			}
-	cell_load_play(&f->world, overload(), 1, 30 * S, NULL);
+	cell_load_run_streams(&f->sim, overload(), 1, 30 * S, NULL);
 	g_assert_cmpuint(job->starts, ==, 8);
 }
 
@@ -304,45 +307,46 @@
  * Guards against work that waits for ever beside idle workers, since no other
  * may run it.
  */
-static void test_confined_work_enters_a_reserved_rack(struct cell_fixture *f,
-						      const void *data)
+static void test_confined_job_uses_a_reserved_rack(struct cell_fixture *f,
+						   const void *data)
 {
 	struct rj_cell_step urgent = gang_of(1, 1, 500);
-	struct rj_cell_step step = cell_world_step(4, 1, 6000);
+	struct rj_cell_step step = cell_sim_plain_step(4, 1, 6000);
 	struct cell_client_job *job;
 
-	(void)cell_load_hand_in(&f->world, "urgent", "a", &urgent, 500 * MS);
-	cell_load_play(&f->world, overload(), 1, 10 * S, NULL);
-	g_strlcpy(step.label, f->world.workers[0].said.rack,
+	(void)cell_load_submit(&f->sim, "urgent", "a", &urgent, 500 * MS);
+	cell_load_run_streams(&f->sim, overload(), 1, 10 * S, NULL);
+	g_strlcpy(step.label, f->sim.workers[0].reported.rack,
 		  sizeof(step.label));
-	job = cell_load_hand_in(&f->world, "bulk", "b", &step, 6 * S);
-	cell_load_play(&f->world, overload(), 1, 25 * S, NULL);
+	job = cell_load_submit(&f->sim, "bulk", "b", &step, 6 * S);
+	cell_load_run_streams(&f->sim, overload(), 1, 25 * S, NULL);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	CELL_TEST("/cell_starvation/share", &site, test_batch_work_has_a_share);
+	CELL_TEST("/cell_starvation/share", &site,
+		  test_batch_jobs_have_a_share);
 	CELL_TEST("/cell_starvation/overload", &site,
 		  test_a_share_outlasts_an_overload);
 	CELL_TEST("/cell_starvation/apart", &site,
 		  test_a_share_keeps_tasks_apart);
 	CELL_TEST("/cell_starvation/reserved", &site,
-		  test_idle_reservations_yield);
+		  test_idle_reservations_are_released);
 	CELL_TEST("/cell_starvation/in_time", &site,
-		  test_work_that_can_be_in_time_goes_first);
+		  test_jobs_that_can_meet_their_objective_run_first);
 	CELL_TEST("/cell_starvation/last_chance", &site,
-		  test_late_work_keeps_its_last_chance);
+		  test_late_job_runs_before_it_is_useless);
 	CELL_TEST("/cell_starvation/not_stopped", &site,
-		  test_work_within_its_share_is_not_stopped);
+		  test_jobs_within_their_share_are_not_preempted);
 	CELL_TEST("/cell_starvation/cores", &site,
-		  test_a_share_counts_all_kinds_of_room);
+		  test_share_counts_all_resources);
 	CELL_TEST("/cell_starvation/scheduled", &site,
-		  test_a_scheduled_job_is_not_late_early);
+		  test_scheduled_job_is_not_late_before_it_is_due);
 	CELL_TEST("/cell_starvation/lasting", &site,
-		  test_lasting_work_is_started_again);
+		  test_perpetual_job_is_restarted);
 	CELL_TEST("/cell_starvation/confined", &site,
-		  test_confined_work_enters_a_reserved_rack);
+		  test_confined_job_uses_a_reserved_rack);
 	return g_test_run();
 }
