--- a/src/test_libradishjunction/support/cell_check.c
+++ b/src/test_libradishjunction/support/cell_check.c
@@ -1,7 +1,7 @@
 /*
- * The users' rules, judged from what the fake workers and clients see. Each
- * message opens with the rule: capacity, twice, order, attempts, unasked,
- * refused, lost, mixed.
+ * Checks the users' rules on what the fake workers and clients observe. A
+ * message begins with the rule: capacity, twice, order, attempts, unasked,
+ * refused, lost, mixed, key, route, cordon, drain.
  */
 #include <stdarg.h>
 #include <stdio.h>
@@ -10,26 +10,25 @@
 
 #include "support/cell_sim.h"
 
-/* A start after a cancel's acknowledgement is allowed for so long. */
+/* A start may be sent this long after a cancellation was acknowledged. */
 #define CANCEL_GRACE_US (3 * S)
-/* ... and after its failure domain was cordoned. */
+/* ... and after the failure domain was cordoned. */
 #define CORDON_GRACE_US (5 * S)
-/* ... and after its worker said that it drains. */
+/* ... and after the worker reported that it drains. */
 #define DRAIN_GRACE_US (2 * S)
 
-/* What has been seen of one task. */
+/* What was observed of one task. */
 struct cell_task_stats {
-	uint32_t running; /* on workers that are up */
+	uint32_t running; /* runs on workers that are up */
 	uint32_t failed_runs;
-	uint32_t
-		failures_acknowledged; /* of them, those that the owner has noted */
+	uint32_t failures_acknowledged; /* those that the owner acknowledged */
 	bool done;
-	bool done_acknowledged; /* and noted by the owner */
+	bool done_acknowledged;
 	uint32_t starts;
 };
 
 /*
- * Note a broken rule.
+ * Records a violation of a rule.
  */
 void cell_sim_violation(struct cell_sim *sim, const char *format, ...)
 {
@@ -46,7 +45,7 @@
 }
 
 /*
- * The job of a task's name, or NULL; and the task's place in it.
+ * Returns the job of a task name, or NULL, and the task's step and index.
  */
 struct cell_client_job *cell_check_find_job(struct cell_sim *sim,
 					    const char *name, uint32_t *step,
@@ -66,21 +65,21 @@
 	return job;
 }
 
-/* The log of a task. */
+/* Returns the statistics of a task; creates them at first use. */
 static struct cell_task_stats *task_stats(struct cell_client_job *job,
 					  const char *name)
 {
-	struct cell_task_stats *log = g_hash_table_lookup(job->tasks, name);
+	struct cell_task_stats *stats = g_hash_table_lookup(job->tasks, name);
 
-	if (!log) {
-		log = g_new0(struct cell_task_stats, 1);
-		g_hash_table_insert(job->tasks, g_strdup(name), log);
+	if (!stats) {
+		stats = g_new0(struct cell_task_stats, 1);
+		g_hash_table_insert(job->tasks, g_strdup(name), stats);
 	}
-	return log;
+	return stats;
 }
 
-/* The log of the task that has this name, with its job and its step, or NULL
- * if no client knows the job. */
+/* Returns the statistics of a task with its job and step, or NULL if no client
+ * submitted the job. */
 static struct cell_task_stats *find_task_stats(struct cell_sim *sim,
 					       const char *name,
 					       struct cell_client_job **job,
@@ -92,8 +91,8 @@
 	return *job ? task_stats(*job, name) : NULL;
 }
 
-/* Whether all tasks of a step have ended well; for a gang one end speaks
- * for all. */
+/* Whether all tasks of a step succeeded; for a gang one completion stands for
+ * all. */
 static bool step_done(struct cell_client_job *job, const char *name,
 		      uint32_t step)
 {
@@ -115,7 +114,7 @@
 	return true;
 }
 
-/* Whether the tasks of the first step have all begun. */
+/* Records the time at which all tasks of the first step had started. */
 static void update_begun(struct cell_sim *sim, struct cell_client_job *job)
 {
 	const struct rj_cell_step *step = &job->spec->steps[0];
@@ -133,7 +132,7 @@
 	job->begun_us = sim->now_us;
 }
 
-/* Whether two names are of one step and occurrence. */
+/* Whether two task names are of the same step and occurrence. */
 static bool are_siblings(const char *a, const char *b)
 {
 	const char *dot_a = strrchr(a, '.');
@@ -142,7 +141,7 @@
 	return dot_a - a == dot_b - b && !strncmp(a, b, (size_t)(dot_a - a));
 }
 
-/* How many tasks of a step and occurrence a worker runs. */
+/* Counts the tasks of a step and occurrence that run on a worker. */
 static uint32_t siblings_on(struct cell_fake_worker *worker, const char *name)
 {
 	uint32_t count = 0;
@@ -153,7 +152,8 @@
 	return count;
 }
 
-/* Whether a worker that does not guard itself is overfilled. */
+/* Checks that a start does not exceed the capacity of a worker, which may not
+ * enforce it itself. */
 static void check_capacity(struct cell_sim *sim,
 			   struct cell_fake_worker *worker,
 			   const struct rj_cell_step *step, const char *name)
@@ -170,7 +170,8 @@
 		cell_sim_violation(sim, "capacity: %s on %s", name, worker->id);
 }
 
-/* Whether the failure domain of a worker has been cordoned for too long. */
+/* Checks that a start was not sent too long after its failure domain was
+ * cordoned. */
 static void check_cordon(struct cell_sim *sim,
 			 const struct cell_fake_worker *worker,
 			 const char *name, uint64_t sent_us)
@@ -183,7 +184,7 @@
 				   worker->id, worker->reported.domain);
 }
 
-/* Whether a worker has been draining for too long. */
+/* Checks that a start was not sent too long after its worker began to drain. */
 static void check_drain(struct cell_sim *sim,
 			const struct cell_fake_worker *worker, const char *name,
 			uint64_t sent_us)
@@ -194,9 +195,9 @@
 }
 
 /*
- * A worker begins a task on an order that was sent at `sent_us`. The bound
- * for what is cancelled counts for the sending: a worker may carry an order
- * out late, and then has to be told to stop.
+ * Checks a start that a worker executes, sent at `sent_us`. The bound after a
+ * cancellation applies to the sending: a worker may execute an order late, and
+ * the owner then has to stop the run.
  */
 void cell_check_start(struct cell_sim *sim, struct cell_fake_worker *worker,
 		      const struct rj_cell_start *start, uint64_t sent_us)
@@ -205,27 +206,27 @@
 	uint32_t index = 0;
 	struct cell_client_job *job =
 		cell_check_find_job(sim, start->name, &step, &index);
-	struct cell_task_stats *log;
-	const struct rj_cell_step *of;
+	struct cell_task_stats *stats;
+	const struct rj_cell_step *step_info;
 
 	sim->starts++;
 	if (!job) {
 		cell_sim_violation(sim, "unasked: %s", start->name);
 		return;
 	}
-	of = &job->spec->steps[step];
-	log = task_stats(job, start->name);
-	log->starts++;
+	step_info = &job->spec->steps[step];
+	stats = task_stats(job, start->name);
+	stats->starts++;
 	job->starts++;
-	if (log->running && !of->speculative)
+	if (stats->running && !step_info->speculative)
 		cell_sim_violation(sim, "twice: %s run %u on %s, %u run",
 				   start->name, start->number, worker->id,
-				   log->running);
-	if (log->done_acknowledged && !of->perpetual)
+				   stats->running);
+	if (stats->done_acknowledged && !step_info->perpetual)
 		cell_sim_violation(sim, "twice: %s run %u after its end",
 				   start->name, start->number);
-	if (log->failures_acknowledged >= job->spec->attempts_max &&
-	    !of->perpetual)
+	if (stats->failures_acknowledged >= job->spec->attempts_max &&
+	    !step_info->perpetual)
 		cell_sim_violation(sim, "attempts: %s run %u", start->name,
 				   start->number);
 	if (job->cancelled && sent_us > job->cancelled_us + CANCEL_GRACE_US)
@@ -234,23 +235,23 @@
 	if (!job->accepted && job->refusals &&
 	    job->refusals == job->submissions)
 		cell_sim_violation(sim, "refused: %s", start->name);
-	for (uint32_t i = 0; i < of->after_count; i++)
-		if (!step_done(job, start->name, of->after[i]))
+	for (uint32_t i = 0; i < step_info->after_count; i++)
+		if (!step_done(job, start->name, step_info->after[i]))
 			cell_sim_violation(sim, "order: %s", start->name);
-	if (of->per_worker_max &&
-	    siblings_on(worker, start->name) >= of->per_worker_max)
+	if (step_info->per_worker_max &&
+	    siblings_on(worker, start->name) >= step_info->per_worker_max)
 		cell_sim_violation(
 			sim, "route: %s beside %u on %s", start->name,
 			siblings_on(worker, start->name), worker->id);
 	check_cordon(sim, worker, start->name, sent_us);
 	check_drain(sim, worker, start->name, sent_us);
-	check_capacity(sim, worker, of, start->name);
-	log->running++;
+	check_capacity(sim, worker, step_info, start->name);
+	stats->running++;
 	update_begun(sim, job);
 }
 
 /*
- * A run has ended at its worker.
+ * Records that a run ended on its worker.
  */
 void cell_check_completion(struct cell_sim *sim,
 			   struct cell_fake_worker *worker, const char *name,
@@ -258,20 +259,20 @@
 {
 	uint32_t step = 0;
 	struct cell_client_job *job;
-	struct cell_task_stats *log = find_task_stats(sim, name, &job, &step);
+	struct cell_task_stats *stats = find_task_stats(sim, name, &job, &step);
 
-	if (!log)
+	if (!stats)
 		return;
-	if (log->running)
-		log->running--;
+	if (stats->running)
+		stats->running--;
 	if (outcome == RJ_CELL_END_DONE)
-		log->done = true;
+		stats->done = true;
 	if (outcome == RJ_CELL_END_FAILED)
-		log->failed_runs++;
+		stats->failed_runs++;
 }
 
 /*
- * The owner has noted an end.
+ * Checks and records a completion that the owner acknowledged.
  */
 void cell_check_acknowledged(struct cell_sim *sim,
 			     struct cell_fake_worker *worker, const char *name,
@@ -279,24 +280,25 @@
 {
 	uint32_t step = 0;
 	struct cell_client_job *job;
-	struct cell_task_stats *log = find_task_stats(sim, name, &job, &step);
+	struct cell_task_stats *stats = find_task_stats(sim, name, &job, &step);
 
-	if (!log)
+	if (!stats)
 		return;
 	if (outcome == RJ_CELL_END_DONE) {
-		log->done_acknowledged = true;
-		if (log->running && !job->spec->steps[step].speculative &&
+		stats->done_acknowledged = true;
+		if (stats->running && !job->spec->steps[step].speculative &&
 		    !job->spec->steps[step].perpetual)
 			cell_sim_violation(sim,
-					   "twice: %s run %u noted done "
-					   "while it runs",
+					   "twice: %s run %u acknowledged as "
+					   "done while it runs",
 					   name, run);
 	}
 	if (outcome == RJ_CELL_END_FAILED)
-		log->failures_acknowledged++;
+		stats->failures_acknowledged++;
 }
 
-/* Whether some task, or some gang, has failed as often as it may. */
+/* Whether a task, or a gang as a whole, failed as often as its attempts allow.
+ * */
 static bool has_exhausted_attempts(struct cell_client_job *job)
 {
 	for (uint32_t i = 0; i < job->spec->step_count; i++) {
@@ -317,7 +319,7 @@
 	return false;
 }
 
-/* Nothing of a job that has ended runs any more. */
+/* Checks that no task of a job that has ended still runs. */
 static void check_leftovers(struct cell_sim *sim)
 {
 	for (uint32_t i = 0; i < sim->options.workers; i++) {
@@ -340,9 +342,9 @@
 }
 
 /*
- * Judge what must hold once everything has calmed down: every accepted job
- * is known and has ended, no task of a completed job is missing, and nothing
- * of an ended job runs.
+ * Checks what must hold after the recovery: every accepted job is known and has
+ * ended, a completed job lacks no task, and nothing of a job that has ended
+ * runs.
  */
 void cell_sim_check_final(struct cell_sim *sim)
 {
@@ -360,7 +362,7 @@
 				sim, "lost: %s is %s", job->id,
 				job->has_state ?
 					rj_cell_job_state_string[job->state] :
-					"never shown");
+					"never reported");
 		if (job->state == RJ_CELL_JOB_FAILED &&
 		    !has_exhausted_attempts(job))
 			cell_sim_violation(sim, "lost: %s has failed", job->id);
--- a/src/test_libradishjunction/support/cell_fake.h
+++ b/src/test_libradishjunction/support/cell_fake.h
@@ -1,5 +1,5 @@
 /*
- * What the files of the fake workers share: how runs work and end
+ * Shared by the files of the fake workers: how runs execute and complete
  * (cell_fake_workers.c), and how orders arrive and are answered
  * (cell_fake_orders.c).
  */
@@ -9,31 +9,30 @@
 #include "private/cell_workers.h"
 #include "support/cell_sim.h"
 
-/* A stop takes so long. */
+/* Time from a stop order to the end of the run. */
 #define CELL_FAKE_STOP_DELAY_US (150 * MS)
 
-/* One run on a worker. */
 struct cell_fake_run {
 	char *name;
 	uint32_t number;
-	char *gang; /* what its members share, or NULL */
+	char *gang; /* shared by its members, or NULL */
 	struct cell_fake_worker *worker;
 	uint32_t member_count;
-	uint64_t duration_us; /* to be done */
+	uint64_t duration_us; /* total, at speed 1 */
 	uint64_t progress_us;
-	uint64_t fails_at_us; /* of progress_us; 0: never */
+	uint64_t fails_at_us; /* value of progress_us; 0: never */
 	bool checkpoints;
 	char checkpoint[RJ_CELL_CHECKPOINT_BYTES];
 	uint64_t started_us;
-	uint64_t stop_at_us; /* when it is to be gone; 0: not stopped */
-	uint64_t break_at_us; /* ... as another member of its gang has ended */
+	uint64_t stop_at_us; /* end after a stop order; 0: none */
+	uint64_t break_at_us; /* end after another member's; 0: none */
 	struct rj_cell_demand allocated;
-	bool unknown_job; /* its job is not known to the world */
-	uint32_t target_ms; /* it serves within this bound; 0: it fills */
-	uint64_t over_target_us; /* for so long it has been over that */
+	bool unknown_job; /* no client submitted its job */
+	uint32_t target_ms; /* latency target; 0: none */
+	uint64_t over_target_us; /* how long over the target, without a break */
 };
 
-/* One end that is listed. */
+/* A completion that a worker lists. */
 struct cell_fake_completion {
 	uint64_t position;
 	char name[64];
@@ -43,7 +42,7 @@
 	uint64_t ended_us;
 };
 
-/* Runs and ends. */
+/* Runs and completions. */
 uint64_t cell_fake_clock_ms(const struct cell_sim *sim,
 			    const struct cell_fake_worker *worker);
 struct cell_fake_run *cell_fake_find_run(const struct cell_fake_worker *worker,
@@ -60,7 +59,7 @@
 				 struct cell_fake_worker *worker,
 				 uint64_t acknowledged);
 
-/* Polls that wait. */
+/* Waiting long polls. */
 void cell_fake_answer_polls(struct cell_fake_worker *worker);
 void cell_fake_expire_polls(struct cell_sim *sim,
 			    struct cell_fake_worker *worker);
--- a/src/test_libradishjunction/support/cell_fake_advice.c
+++ b/src/test_libradishjunction/support/cell_fake_advice.c
@@ -1,7 +1,7 @@
 /*
- * An outside policy as its contract says: it allows some workers for a step,
- * for good, and gives tickets that are valid for a while; it answers after a
- * time that grows with the workers that are named.
+ * An outside policy as its contract describes it: for each step it allows a
+ * fixed set of workers, and issues tickets that expire; the time of an answer
+ * grows with the number of workers in the request.
  */
 #include <string.h>
 #include <talloc.h>
@@ -11,10 +11,10 @@
 #define DECISION_BASE_US (30 * MS)
 #define DECISION_PER_WORKER_US (2 * MS)
 #define VALID_MS 3000
-/* A question that is not answered ends so late. */
+/* A call without an answer times out after this. */
 #define TIMEOUT_US (5 * S)
 
-/* A question on its way. */
+/* A call in flight. */
 struct advice_call {
 	struct cell_sim_node *node;
 	uint32_t node_incarnation;
@@ -23,8 +23,9 @@
 };
 
 /*
- * Whether the policy allows a worker for a step: three of four, which differ
- * with the step, so that the widest gang of the days fits the small site.
+ * Whether the policy allows a worker for a step: three of four workers,
+ * different ones for each step, so that the widest gang of the random jobs
+ * still fits the small site.
  */
 bool cell_advice_allows(const char *step, const char *worker)
 {
@@ -35,7 +36,7 @@
 }
 
 /*
- * Whether a start's ticket is good for its worker's present life.
+ * Whether a start has a valid ticket for the current incarnation of its worker.
  */
 bool cell_advice_accepts(struct cell_sim *sim,
 			 const struct cell_fake_worker *worker,
@@ -58,7 +59,7 @@
 	return good;
 }
 
-/* The answer arrives. */
+/* Delivers the answer to the node. */
 static void deliver(void *data)
 {
 	struct advice_call *advice_call = data;
@@ -76,7 +77,7 @@
 	talloc_free(advice_call);
 }
 
-/* A node asks. */
+/* Handles a request of a node. */
 static void ask(struct rj_cell_advisor *advisor, const char *step,
 		const char *const *workers, uint32_t count,
 		struct rj_cell_advice_done done)
--- a/src/test_libradishjunction/support/cell_fake_log.c
+++ b/src/test_libradishjunction/support/cell_fake_log.c
@@ -1,26 +1,26 @@
 /*
- * The platform's log as its contract says: keyed topics of one partition,
- * producers with epochs and sequence numbers in each.
+ * The platform's log as its contract describes it: topics of one partition with
+ * keyed records; in each topic, producers with epochs and sequence numbers.
  */
 #include <string.h>
 #include <talloc.h>
 
 #include "support/cell_sim.h"
 
-/* A producer's repeats of so many last appends are answered again. */
+/* The answers to this many last appends of a producer are kept for repeats. */
 #define REPEATS_MAX 5
 #define PAGE_RECORDS 40
-/* Without an answer a call ends so delayed, as adapters give up. */
+/* A call without an answer times out after this, as in the adapters. */
 #define TIMEOUT_US (900 * MS)
 
 struct producer {
 	uint64_t epoch;
 	bool has_appended;
 	uint64_t sequence; /* of the last append */
-	uint64_t end_offsets[REPEATS_MAX]; /* the answers to the last appends */
+	uint64_t end_offsets[REPEATS_MAX]; /* answers to the last appends */
 };
 
-/* A long poll or any other call on its way. */
+/* A call in flight; a long poll may wait. */
 struct call {
 	struct cell_sim_node *node;
 	uint32_t node_incarnation;
@@ -30,16 +30,16 @@
 	uint64_t until_us;
 	char *after;
 	bool newest;
-	/* appends */
+	/* For appends. */
 	struct rj_cell_append append;
 	struct rj_cell_record *records;
-	bool answered; /* false: it is done, and nobody hears of it */
-	/* the answer */
+	bool answered; /* false: applied, but not answered */
+	/* The answer. */
 	struct rj_cell_store_reply reply;
 };
 
 /*
- * Make an empty log.
+ * Creates an empty log.
  */
 void cell_log_init(struct cell_sim *sim)
 {
@@ -51,7 +51,7 @@
 }
 
 /*
- * Free it.
+ * Frees the log.
  */
 void cell_log_finish(struct cell_sim *sim)
 {
@@ -72,7 +72,8 @@
 }
 
 /*
- * Append one record at once, as operators and workers do.
+ * Appends one record at once, as operators and workers do; length 0 deletes the
+ * key.
  */
 void cell_log_put(struct cell_sim *sim, enum rj_cell_topic topic,
 		  const char *key, const void *value, size_t length)
@@ -84,7 +85,7 @@
 	g_ptr_array_add(sim->log.records[topic], record);
 }
 
-/* Whether the node that called still waits for the answer. */
+/* Delivers the answer, unless the node's process has ended. */
 static void deliver(void *data)
 {
 	struct call *call = data;
@@ -105,7 +106,7 @@
 	talloc_free(call);
 }
 
-/* The answer is on its way back. */
+/* Sends the answer. */
 static void answer(struct call *call, enum rj_cell_store_status status)
 {
 	struct cell_sim *sim = call->node->sim;
@@ -114,7 +115,7 @@
 	cell_sim_schedule(sim, sim->log.latency_us / 2, deliver, call);
 }
 
-/* A call that gets no answer. */
+/* Lets a call time out. */
 static void drop_answer(struct call *call)
 {
 	call->reply.status = RJ_CELL_STORE_LOST;
@@ -123,7 +124,7 @@
 			  deliver, call);
 }
 
-/* Put one record into a reply. */
+/* Adds one record to a reply. */
 static void add_record(struct call *call, GArray *records, uint64_t offset,
 		       const struct cell_log_record *record)
 {
@@ -139,7 +140,7 @@
 	g_array_append_val(records, copy);
 }
 
-/* Hand the gathered records to the reply. */
+/* Moves the collected records into the reply. */
 static void set_records(struct call *call, GArray *records)
 {
 	call->reply.records =
@@ -149,7 +150,7 @@
 	g_array_free(records, TRUE);
 }
 
-/* A read, which waits for its first record. */
+/* Answers a read once there is a record or its wait has ended. */
 static void try_read(void *data)
 {
 	struct call *call = data;
@@ -185,13 +186,12 @@
 	answer(call, RJ_CELL_STORE_OK);
 }
 
-/* Keys in their order. */
 static gint by_key(gconstpointer a, gconstpointer b)
 {
 	return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-/* A page of the newest record of each key. */
+/* Answers with a page of the newest record of each key. */
 static void do_newest(void *data)
 {
 	struct call *call = data;
@@ -238,7 +238,7 @@
 		answer(call, RJ_CELL_STORE_OK);
 }
 
-/* Whether an append may be done; else its status. */
+/* Checks epoch and sequence of an append; adopts a higher epoch. */
 static enum rj_cell_store_status check_sequence(const struct call *call,
 						struct producer *producer)
 {
@@ -257,7 +257,7 @@
 	return RJ_CELL_STORE_OK;
 }
 
-/* Whether an append repeats one that is remembered. */
+/* Whether an append repeats one whose answer is kept. */
 static bool is_repeat(const struct call *call, const struct producer *producer)
 {
 	const struct rj_cell_append *append = &call->append;
@@ -267,7 +267,7 @@
 	       producer->sequence - append->sequence < REPEATS_MAX;
 }
 
-/* The producer of a name in one topic, made when it is new. */
+/* Returns the producer of a name in a topic; creates it at first use. */
 static struct producer *obtain_producer(struct cell_sim *sim,
 					enum rj_cell_topic topic,
 					const char *name)
@@ -285,7 +285,7 @@
 	return producer;
 }
 
-/* Carry an append out. */
+/* Applies an append. */
 static enum rj_cell_store_status apply(struct cell_sim *sim, struct call *call)
 {
 	const struct rj_cell_append *append = &call->append;
@@ -312,7 +312,7 @@
 	return RJ_CELL_STORE_OK;
 }
 
-/* A lost append is carried out late. */
+/* Applies an append that was not answered. */
 static void apply_delayed(void *data)
 {
 	struct call *call = data;
@@ -321,7 +321,7 @@
 	talloc_free(call);
 }
 
-/* An append arrives. */
+/* Handles an append that arrives. */
 static void do_append(void *data)
 {
 	struct call *call = data;
@@ -347,7 +347,7 @@
 		struct call *delayed =
 			talloc_memdup(sim->mem, call, sizeof(*call));
 
-		/* The records outlive the answer. */
+		/* The records must outlive the answer. */
 		delayed->records = talloc_steal(delayed, call->records);
 		delayed->append.producer =
 			talloc_strdup(delayed, call->append.producer);
@@ -359,7 +359,7 @@
 	drop_answer(call);
 }
 
-/* Remember one call. */
+/* Creates a call of a node. */
 static struct call *call_new(struct rj_cell_store *store,
 			     struct rj_cell_store_done done)
 {
@@ -372,7 +372,6 @@
 	return call;
 }
 
-/* An append of a node. */
 static void log_append(struct rj_cell_store *store,
 		       const struct rj_cell_append *append,
 		       struct rj_cell_store_done done)
@@ -395,7 +394,6 @@
 			  do_append, call);
 }
 
-/* A read of a node. */
 static void log_read(struct rj_cell_store *store, enum rj_cell_topic topic,
 		     uint64_t from, uint32_t wait_ms,
 		     struct rj_cell_store_done done)
@@ -414,7 +412,6 @@
 		cell_sim_schedule(sim, sim->log.latency_us / 2, try_read, call);
 }
 
-/* A load of a node. */
 static void log_newest(struct rj_cell_store *store, enum rj_cell_topic topic,
 		       const char *after, struct rj_cell_store_done done)
 {
--- a/src/test_libradishjunction/support/cell_fake_orders.c
+++ b/src/test_libradishjunction/support/cell_fake_orders.c
@@ -1,6 +1,6 @@
 /*
- * How orders reach the fake workers: fencing tokens, tickets, answers that are
- * lost, and orders that are carried out late.
+ * Delivers orders to the fake workers: fencing tokens, tickets, lost answers,
+ * and orders that are executed late.
  */
 #include <string.h>
 #include <talloc.h>
@@ -9,7 +9,7 @@
 
 #define LATENCY_US (3 * MS)
 #define TIMEOUT_US (700 * MS)
-/* A lost order is carried out between these. */
+/* Delay of an order that is executed late. */
 #define DELAY_MIN_MS 2000
 #define DELAY_SPREAD_MS 6000
 
@@ -19,7 +19,7 @@
 	ORDER_POLL,
 };
 
-/* An order on its way. */
+/* An order in flight. */
 struct order {
 	struct cell_sim_node *node;
 	uint32_t node_incarnation;
@@ -30,12 +30,12 @@
 	struct rj_cell_order_done done;
 	struct rj_cell_start start;
 	struct rj_cell_poll poll;
-	bool delayed; /* it is carried out, and nobody hears of it */
+	bool delayed; /* executed late, and not answered */
 	uint64_t until_us;
 	struct rj_cell_order_reply reply;
 };
 
-/* Whether the caller of an order can still hear. */
+/* Delivers the answer, unless the node's process has ended. */
 static void deliver(void *data)
 {
 	struct order *order = data;
@@ -56,7 +56,7 @@
 	talloc_free(order);
 }
 
-/* After how long an order counts as lost. */
+/* Time after which an order without an answer counts as lost. */
 static uint64_t timeout_us(const struct order *order)
 {
 	if (order->kind != ORDER_POLL)
@@ -64,14 +64,14 @@
 	return (order->poll.wait_ms + order->poll.timeout_ms) * MS;
 }
 
-/* The order gets no answer. */
+/* Lets an order time out. */
 static void drop_answer(struct order *order)
 {
 	order->reply.status = RJ_CELL_ORDER_LOST;
 	cell_sim_schedule(order->node->sim, timeout_us(order), deliver, order);
 }
 
-/* The answer is on its way back. */
+/* Sends the answer, unless the worker is partitioned from the node. */
 static void answer(struct order *order, enum rj_cell_order_status status)
 {
 	struct cell_sim *sim = order->node->sim;
@@ -90,7 +90,7 @@
 	cell_sim_schedule(sim, LATENCY_US, deliver, order);
 }
 
-/* List the runs. */
+/* Adds the worker's runs to the reply. */
 static void list_runs(struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
@@ -111,7 +111,7 @@
 	order->reply.row_count = worker->runs->len;
 }
 
-/* List the ends. */
+/* Adds the worker's completions to the reply. */
 static void list_completions(struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
@@ -133,7 +133,7 @@
 	order->reply.end_count = worker->completions->len;
 }
 
-/* Answer a poll with both lists. */
+/* Answers a poll with runs and completions. */
 static void answer_poll(struct order *order)
 {
 	list_runs(order);
@@ -142,7 +142,7 @@
 }
 
 /*
- * Answer the polls that wait, as something has ended.
+ * Answers the waiting polls after a run has ended.
  */
 void cell_fake_answer_polls(struct cell_fake_worker *worker)
 {
@@ -155,7 +155,7 @@
 }
 
 /*
- * End the polls that have waited long enough.
+ * Answers the polls whose wait has ended.
  */
 void cell_fake_expire_polls(struct cell_sim *sim,
 			    struct cell_fake_worker *worker)
@@ -173,7 +173,7 @@
 }
 
 /*
- * The polls that wait get no answer, as the worker has gone.
+ * Lets the waiting polls time out after the worker has crashed.
  */
 void cell_fake_lose_polls(struct cell_fake_worker *worker)
 {
@@ -185,7 +185,7 @@
 	}
 }
 
-/* Whether a start lacks a good ticket that its queue asks for. */
+/* Whether a start of a queue that needs tickets has no valid one. */
 static bool lacks_ticket(struct cell_sim *sim,
 			 const struct cell_fake_worker *worker,
 			 const struct rj_cell_start *start)
@@ -199,14 +199,14 @@
 	       !cell_advice_accepts(sim, worker, start);
 }
 
-/* A start arrives. */
+/* Executes a start. */
 static enum rj_cell_order_status do_start(struct cell_sim *sim,
 					  struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
 	const struct rj_cell_start *start = &order->start;
 	struct cell_fake_run *run = cell_fake_find_run(worker, start->name);
-	uint64_t longest_ms =
+	uint64_t deadline_max_ms =
 		cell_fake_clock_ms(sim, worker) + sim->options.lease_max_ms;
 
 	if (worker->unhealthy)
@@ -221,7 +221,7 @@
 	if (cell_fake_clock_ms(sim, worker) > start->deadline_ms)
 		return RJ_CELL_ORDER_LATE;
 	worker->lease_ms =
-		MAX(worker->lease_ms, MIN(start->deadline_ms, longest_ms));
+		MAX(worker->lease_ms, MIN(start->deadline_ms, deadline_max_ms));
 	if (run && run->number == start->number)
 		return RJ_CELL_ORDER_OK;
 	if (GPOINTER_TO_UINT(g_hash_table_lookup(
@@ -235,7 +235,7 @@
 	return RJ_CELL_ORDER_OK;
 }
 
-/* A stop arrives. */
+/* Executes a stop. */
 static enum rj_cell_order_status do_stop(struct cell_sim *sim,
 					 struct order *order)
 {
@@ -252,12 +252,12 @@
 	return RJ_CELL_ORDER_OK;
 }
 
-/* A poll arrives: it may wait for an end. */
+/* Handles a poll, which may wait for a completion. */
 static void do_poll(struct cell_sim *sim, struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
 	const struct rj_cell_poll *poll = &order->poll;
-	uint64_t longest_ms =
+	uint64_t deadline_max_ms =
 		cell_fake_clock_ms(sim, worker) + sim->options.lease_max_ms;
 
 	if (poll->token < worker->token) {
@@ -267,7 +267,7 @@
 	worker->token = poll->token;
 	if (poll->deadline_ms)
 		worker->lease_ms = MAX(worker->lease_ms,
-				       MIN(poll->deadline_ms, longest_ms));
+				       MIN(poll->deadline_ms, deadline_max_ms));
 	cell_fake_drop_acknowledged(sim, worker, poll->seen);
 	if (!poll->wait_ms || worker->completions->len || order->delayed) {
 		answer_poll(order);
@@ -277,7 +277,7 @@
 	g_ptr_array_add(worker->polls, order);
 }
 
-/* An order arrives at the worker. */
+/* Handles an order that arrives at its worker. */
 static void arrive(void *data)
 {
 	struct order *order = data;
@@ -294,7 +294,8 @@
 		return;
 	}
 	if (worker->partitioned[order->node->index] && !order->delayed) {
-		/* Kept connections hang; new ones are never made. */
+		/* Half of the workers keep open connections, which hang;
+		 * connecting to the others fails. */
 		if (worker->index % 2) {
 			drop_answer(order);
 			return;
@@ -316,7 +317,7 @@
 		do_poll(sim, order);
 }
 
-/* Send an order; some are carried out delayed, and never answered. */
+/* Sends an order; some are executed late, and never answered. */
 static void send(struct order *order)
 {
 	struct cell_sim *sim = order->node->sim;
@@ -328,7 +329,8 @@
 			talloc_memdup(sim->mem, order, sizeof(*order));
 
 		delayed->delayed = true;
-		/* No order reaches another life than it was sent to late. */
+		/* An order executed late must not reach a later incarnation of
+		 * its worker. */
 		delayed->worker_incarnation = worker->incarnation;
 		delayed->start.name = talloc_strdup(delayed, order->start.name);
 		delayed->start.ticket = talloc_strdup(
@@ -348,7 +350,7 @@
 	cell_sim_schedule(sim, LATENCY_US, arrive, order);
 }
 
-/* Remember one order. */
+/* Creates an order of a node. */
 static struct order *order_new(struct rj_cell_workers *workers,
 			       const struct rj_cell_worker *worker,
 			       enum order_kind kind,
@@ -371,7 +373,6 @@
 	return order;
 }
 
-/* A node orders a start. */
 static void workers_start(struct rj_cell_workers *workers,
 			  const struct rj_cell_worker *worker,
 			  const struct rj_cell_start *start,
@@ -387,7 +388,6 @@
 	send(order);
 }
 
-/* A node orders a stop. */
 static void workers_stop(struct rj_cell_workers *workers,
 			 const struct rj_cell_worker *worker, const char *name,
 			 uint32_t number, uint64_t token,
@@ -401,7 +401,6 @@
 	send(order);
 }
 
-/* A node asks for the lists. */
 static void workers_poll(struct rj_cell_workers *workers,
 			 const struct rj_cell_worker *worker,
 			 const struct rj_cell_poll *poll,
--- a/src/test_libradishjunction/support/cell_fake_workers.c
+++ b/src/test_libradishjunction/support/cell_fake_workers.c
@@ -1,7 +1,8 @@
 /*
- * Workers as their contract says: leases on their own clock, runs that are
- * barred once stopped or ended, ends that are listed until they are seen,
- * gangs that work only all together.
+ * Workers as their contract describes them: leases on their own clock; a run
+ * number that was stopped or has ended never runs again; completions are listed
+ * until they are acknowledged; a gang makes progress only while all its members
+ * run.
  */
 #include <string.h>
 #include <talloc.h>
@@ -11,11 +12,11 @@
 #define STEP_US (20 * MS)
 #define GANG_FORM_TIMEOUT_US (3 * S)
 #define CHECKPOINT_INTERVAL_US (2 * S)
-/* Racks belong to these failure domains in turn. */
+/* Racks are assigned to this many failure domains in turn. */
 #define DOMAINS 3
 
 /*
- * A run of a worker, as the checker needs it.
+ * Returns what the checker needs of a worker's run.
  */
 struct cell_fake_run_info cell_fake_run_info_at(struct cell_fake_worker *worker,
 						guint place)
@@ -26,7 +27,7 @@
 }
 
 /*
- * What the worker's clock shows.
+ * Returns the worker's clock.
  */
 uint64_t cell_fake_clock_ms(const struct cell_sim *sim,
 			    const struct cell_fake_worker *worker)
@@ -36,7 +37,7 @@
 }
 
 /*
- * The run of a name, or NULL.
+ * Returns the run of a task, or NULL.
  */
 struct cell_fake_run *cell_fake_find_run(const struct cell_fake_worker *worker,
 					 const char *name)
@@ -51,7 +52,8 @@
 }
 
 /*
- * The tail of what serves: over its bound when work that fills is beside.
+ * Returns the tail latency of a run with a latency target: above the target
+ * while a run without one is on the same worker.
  */
 uint32_t cell_fake_tail_latency_ms(const struct cell_fake_worker *worker,
 				   const struct cell_fake_run *run)
@@ -66,7 +68,8 @@
 }
 
 /*
- * Bar a run of a name and all before it.
+ * Records that a run ended or was stopped; it and earlier runs of the task are
+ * not started again.
  */
 void cell_fake_mark_ended(struct cell_fake_worker *worker, const char *name,
 			  uint32_t number)
@@ -79,7 +82,6 @@
 				    GUINT_TO_POINTER(number));
 }
 
-/* Free a run. */
 static void run_free(struct cell_sim *sim, struct cell_fake_run *run)
 {
 	if (run->gang)
@@ -90,7 +92,7 @@
 	g_free(run);
 }
 
-/* A run ends: it is listed until it is seen. */
+/* Ends a run; its completion is listed until it is acknowledged. */
 static void complete_run(struct cell_sim *sim, struct cell_fake_worker *worker,
 			 struct cell_fake_run *run, enum rj_cell_end outcome)
 {
@@ -118,7 +120,7 @@
 	cell_fake_answer_polls(worker);
 }
 
-/* Runs of earlier workers come first; of one worker, those that began first. */
+/* By worker; the sort keeps the order of starts on a worker. */
 static gint by_worker(gconstpointer a, gconstpointer b)
 {
 	const struct cell_fake_run *left = *(struct cell_fake_run *const *)a;
@@ -129,7 +131,7 @@
 	return 0;
 }
 
-/* The runs of a gang, on all workers. */
+/* Returns the runs of a gang on all workers, and their workers. */
 static GPtrArray *gang_of(struct cell_sim *sim, const char *gang,
 			  GPtrArray *workers)
 {
@@ -147,7 +149,7 @@
 	return runs;
 }
 
-/* Members of a gang end with the first that ends without success. */
+/* Ends the other members after one ended without success. */
 static void stop_gang(struct cell_sim *sim, const char *gang)
 {
 	GPtrArray *workers = g_ptr_array_new();
@@ -167,7 +169,7 @@
 	g_ptr_array_free(workers, TRUE);
 }
 
-/* A run ends, and with it its gang, unless that is through. */
+/* Ends a run, and its gang unless the run succeeded. */
 static void complete_run_and_gang(struct cell_sim *sim,
 				  struct cell_fake_worker *worker,
 				  struct cell_fake_run *run,
@@ -181,7 +183,8 @@
 	g_free(gang);
 }
 
-/* Whether all members of a run's gang are there. */
+/* Whether all members of a run's gang run; also tells whether all have finished
+ * their work. */
 static bool is_complete(struct cell_sim *sim, const struct cell_fake_run *run,
 			bool *all_finished)
 {
@@ -203,7 +206,7 @@
 	return complete;
 }
 
-/* All members of a gang are through: they end together. */
+/* Ends all members of a gang with success. */
 static void complete_gang(struct cell_sim *sim, struct cell_fake_run *run)
 {
 	GPtrArray *workers = g_ptr_array_new();
@@ -216,7 +219,7 @@
 	g_ptr_array_free(workers, TRUE);
 }
 
-/* One run works on. Returns false when it has ended. */
+/* Advances one run by a tick. Returns false when it ended. */
 static bool advance_run(struct cell_sim *sim, struct cell_fake_worker *worker,
 			struct cell_fake_run *run)
 {
@@ -271,7 +274,7 @@
 	return false;
 }
 
-/* All workers work on, and polls that have waited long enough end. */
+/* Advances all workers by a tick, and answers polls whose wait has ended. */
 static void advance_all(void *data)
 {
 	struct cell_sim *sim = data;
@@ -288,14 +291,14 @@
 			if (advance_run(sim, worker, worker->runs->pdata[j]))
 				j++;
 			else if (worker->runs->len != before - 1)
-				j = 0; /* others of its gang went with it */
+				j = 0; /* other members ended with it */
 		}
 		cell_fake_expire_polls(sim, worker);
 	}
 	cell_sim_schedule(sim, STEP_US, advance_all, sim);
 }
 
-/* A worker shows in the log that it lives. */
+/* Writes a worker's heartbeat, or drops its entry after missed ones. */
 static void write_heartbeat(void *data)
 {
 	struct cell_fake_worker *worker = data;
@@ -319,7 +322,7 @@
 			  worker);
 }
 
-/* Count a run among the members of its gang. */
+/* Adds a run to the members of its gang. */
 static void join_gang(struct cell_sim *sim, struct cell_fake_run *run)
 {
 	GPtrArray *members = g_hash_table_lookup(sim->gangs, run->gang);
@@ -332,7 +335,7 @@
 }
 
 /*
- * A run of a start that is accepted.
+ * Creates the run of an accepted start.
  */
 void cell_fake_start_run(struct cell_sim *sim, struct cell_fake_worker *worker,
 			 const struct rj_cell_start *start)
@@ -375,7 +378,7 @@
 }
 
 /*
- * Whether a start does not fit a worker that guards its room.
+ * Whether a worker that enforces its capacity has no room for a start.
  */
 bool cell_fake_is_full(struct cell_sim *sim, struct cell_fake_worker *worker,
 		       const char *name)
@@ -396,7 +399,7 @@
 }
 
 /*
- * Ends that have been seen are forgotten.
+ * Drops completions up to the position `acknowledged`.
  */
 void cell_fake_drop_acknowledged(struct cell_sim *sim,
 				 struct cell_fake_worker *worker,
@@ -408,7 +411,8 @@
 
 		if (completion->position > acknowledged)
 			break;
-		/* What ended before a lease lapsed is not noted by this. */
+		/* Completions from before a lease expired are not counted: the
+		 * owner may have ignored them. */
 		if (worker->lease_expired_us < completion->ended_us)
 			cell_check_acknowledged(sim, worker, completion->name,
 						completion->number,
@@ -417,7 +421,7 @@
 	}
 }
 
-/* Begin a life of a worker. */
+/* Starts a new incarnation of a worker. */
 static void start_incarnation(struct cell_sim *sim,
 			      struct cell_fake_worker *worker)
 {
@@ -431,7 +435,7 @@
 }
 
 /*
- * Make all workers; their racks and speeds follow from their place.
+ * Creates all workers; racks, domains and speeds follow from their index.
  */
 void cell_workers_init(struct cell_sim *sim)
 {
@@ -464,7 +468,7 @@
 	cell_sim_schedule(sim, STEP_US, advance_all, sim);
 }
 
-/* All runs of a worker end unseen. */
+/* Ends all runs of a worker without listing their completions. */
 static void drop_runs(struct cell_sim *sim, struct cell_fake_worker *worker)
 {
 	while (worker->runs->len) {
@@ -485,7 +489,7 @@
 }
 
 /*
- * A worker crashes: nothing runs there any more, and nobody is told.
+ * Crashes a worker: its runs end, and no node is notified.
  */
 void cell_sim_worker_kill(struct cell_sim *sim, uint32_t index)
 {
@@ -499,7 +503,7 @@
 }
 
 /*
- * A worker starts again, under its old id, with another incarnation.
+ * Starts a worker again with the same id and a new incarnation.
  */
 void cell_sim_worker_start(struct cell_sim *sim, uint32_t index)
 {
@@ -510,7 +514,7 @@
 }
 
 /*
- * A worker is cut off from all nodes and from the log, or is back.
+ * Partitions a worker from all nodes and the log, or heals the partition.
  */
 void cell_sim_worker_partition(struct cell_sim *sim, uint32_t index,
 			       bool partitioned)
@@ -521,7 +525,8 @@
 }
 
 /*
- * A worker leaves as planned: it says that it drains, and deregisters.
+ * Removes a worker as planned: it reports that it drains, stops and
+ * deregisters.
  */
 void cell_sim_worker_deregister(struct cell_sim *sim, uint32_t index)
 {
@@ -536,7 +541,7 @@
 }
 
 /*
- * The first worker on which something runs; there must be one.
+ * Returns the first worker with a run; there must be one.
  */
 uint32_t cell_sim_busy_worker(const struct cell_sim *sim)
 {
@@ -549,7 +554,7 @@
 }
 
 /*
- * A worker says that it drains, and stays for `left_ms` at least.
+ * Makes a worker report that it drains, and will stay for `left_ms` at least.
  */
 void cell_sim_worker_drain(struct cell_sim *sim, uint32_t index,
 			   uint32_t left_ms)
@@ -567,7 +572,7 @@
 }
 
 /*
- * Free all workers.
+ * Frees all workers.
  */
 void cell_workers_finish(struct cell_sim *sim)
 {
--- a/src/test_libradishjunction/support/cell_faults.c
+++ b/src/test_libradishjunction/support/cell_faults.c
@@ -6,21 +6,21 @@
 #define RECOVERY_S 80
 #define STEP_US (100 * MS)
 #define KEY_COUNT 3
-/* On such a part of the days an outside policy has its say. */
+/* An outside policy decides in one of this many seeds. */
 #define ADVISED_SEED_MOD 4
-/* ... and on such a part operators cordon failure domains, and reads of one
- * log may fail. */
+/* Operators cordon failure domains, reads of one topic may fail and gang
+ * members end with a delay in one of this many seeds. */
 #define CORDON_SEED_MOD 2
-/* ... and members of a gang end so long after the first. */
+/* Delay after the first member's end. */
 #define GANG_BREAK_US (190 * MS)
 
-/* What a strike does, and what ends it. */
+/* A fault in progress. */
 struct fault {
 	struct cell_sim *sim;
 	uint32_t target;
 };
 
-/* Remember the target of a strike until it ends. */
+/* Creates a fault, freed by the function that ends it. */
 static struct fault *fault_new(struct cell_sim *sim, uint32_t target)
 {
 	struct fault *fault = g_new0(struct fault, 1);
@@ -30,7 +30,7 @@
 	return fault;
 }
 
-/* A killed node starts again. */
+/* Starts a killed node again. */
 static void restart_node(void *data)
 {
 	struct fault *fault = data;
@@ -39,7 +39,7 @@
 	g_free(fault);
 }
 
-/* A node is killed, most often the owner. */
+/* Kills a node; at least half of the time the owner. */
 static void inject_node_kill(struct cell_sim *sim)
 {
 	int owner = cell_sim_owner(sim);
@@ -52,7 +52,7 @@
 			  restart_node, fault_new(sim, target));
 }
 
-/* All nodes are killed at once. */
+/* Kills all nodes at once. */
 static void inject_all_nodes_kill(struct cell_sim *sim)
 {
 	uint64_t down_us = (500 + cell_sim_random(sim, 1500)) * MS;
@@ -64,7 +64,7 @@
 	}
 }
 
-/* A node stands still, most often the owner. */
+/* Pauses a node; at least half of the time the owner. */
 static void inject_node_pause(struct cell_sim *sim)
 {
 	int owner = cell_sim_owner(sim);
@@ -76,7 +76,7 @@
 			    (500 + cell_sim_random(sim, 5000)) * MS);
 }
 
-/* The log serves a node again. */
+/* Restores a node's access to the log. */
 static void restore_log(void *data)
 {
 	struct fault *fault = data;
@@ -85,7 +85,7 @@
 	g_free(fault);
 }
 
-/* The log turns some nodes away, or all. */
+/* Makes the log refuse or drop the calls of one node, or of all. */
 static void inject_log_outage(struct cell_sim *sim)
 {
 	enum cell_log_mode mode = cell_sim_random(sim, 2) ?
@@ -106,7 +106,7 @@
 	}
 }
 
-/* The log answers as before. */
+/* Restores the answers of the log. */
 static void restore_answers(void *data)
 {
 	struct fault *fault = data;
@@ -117,7 +117,7 @@
 	g_free(fault);
 }
 
-/* Answers of the log are lost or slow. */
+/* Makes the log lose answers, or answer slowly. */
 static void inject_lost_answers(struct cell_sim *sim)
 {
 	if (cell_sim_random(sim, 2)) {
@@ -133,7 +133,7 @@
 			  restore_answers, fault_new(sim, 0));
 }
 
-/* The history of a log is dropped. */
+/* Expires all records of one topic. */
 static void inject_log_truncation(struct cell_sim *sim)
 {
 	enum rj_cell_topic topic =
@@ -142,7 +142,7 @@
 	sim->log.first_retained[topic] = sim->log.records[topic]->len;
 }
 
-/* A crashed worker is back. */
+/* Restarts a crashed worker. */
 static void restart_worker(void *data)
 {
 	struct fault *fault = data;
@@ -151,7 +151,7 @@
 	g_free(fault);
 }
 
-/* A worker crashes; some start again at once, under their old id. */
+/* Crashes a worker; it restarts with the same id, sometimes almost at once. */
 static void inject_worker_crash(struct cell_sim *sim)
 {
 	uint32_t target = cell_sim_random(sim, sim->options.workers);
@@ -161,7 +161,7 @@
 			  restart_worker, fault_new(sim, target));
 }
 
-/* A cut worker is reached again. */
+/* Restores workers after inject_worker_faults. */
 static void restore_worker(void *data)
 {
 	struct fault *fault = data;
@@ -175,7 +175,8 @@
 	g_free(fault);
 }
 
-/* Workers are cut off, for all nodes or for one, or behave badly. */
+/* Partitions up to three workers from all nodes or from one, or makes them
+ * misbehave. */
 static void inject_worker_faults(struct cell_sim *sim)
 {
 	uint32_t count = 1 + cell_sim_random(sim, 3);
@@ -204,7 +205,7 @@
 	}
 }
 
-/* A worker that has left is replaced, under its old id. */
+/* Replaces a removed worker, with the same id. */
 static void replace_worker(void *data)
 {
 	struct fault *fault = data;
@@ -214,7 +215,7 @@
 	g_free(fault);
 }
 
-/* A worker that said so leaves. */
+/* Removes a draining worker. */
 static void remove_worker(void *data)
 {
 	struct fault *fault = data;
@@ -226,8 +227,9 @@
 }
 
 /*
- * Workers are taken away: they say so, serve on for some seconds, and leave;
- * some are cut off meanwhile, so that their entries lapse while they run.
+ * Removes a worker: it reports that it drains, runs on for 2 to 10 s, and ends.
+ * Half of them are partitioned meanwhile, so that their entries expire while
+ * they run.
  */
 static void inject_worker_drain(struct cell_sim *sim)
 {
@@ -243,7 +245,7 @@
 			  remove_worker, fault_new(sim, target));
 }
 
-/* Operators take a key away and give another. */
+/* Replaces the valid key. */
 static void inject_key_change(struct cell_sim *sim)
 {
 	static const char *const keys[KEY_COUNT] = { "k1", "k2", "k3" };
@@ -251,7 +253,7 @@
 	cell_sim_publish(sim, keys[cell_sim_random(sim, KEY_COUNT)]);
 }
 
-/* A cordoned failure domain is given back. */
+/* Removes the cordon of a failure domain. */
 static void uncordon(void *data)
 {
 	struct fault *fault = data;
@@ -262,7 +264,7 @@
 	g_free(fault);
 }
 
-/* Operators cordon a failure domain; several may be at a time. */
+/* Cordons a failure domain; several may be cordoned at a time. */
 static void inject_cordon(struct cell_sim *sim)
 {
 	uint32_t target = cell_sim_random(sim, sim->options.workers);
@@ -272,7 +274,7 @@
 			  uncordon, fault_new(sim, target));
 }
 
-/* Reads of one log are answered again. */
+/* Restores reads of a topic. */
 static void restore_reads(void *data)
 {
 	struct fault *fault = data;
@@ -281,7 +283,7 @@
 	g_free(fault);
 }
 
-/* Reads of one log get no answer. */
+/* Lets reads of one topic get no answer. */
 static void inject_read_loss(struct cell_sim *sim)
 {
 	uint32_t topic = cell_sim_random(sim, RJ_CELL_TOPIC_COUNT);
@@ -300,7 +302,7 @@
 	inject_worker_drain,  inject_worker_drain,
 };
 
-/* A random job. */
+/* Creates a random job. */
 static struct cell_client_job *random_job(struct cell_sim *sim)
 {
 	static const char *const without_advice[] = { "urgent", "normal",
@@ -341,8 +343,9 @@
 	return job;
 }
 
-/* One step of the clients: new jobs, repeats, cancels, questions. */
-static void clients(struct cell_sim *sim, bool inject)
+/* Acts for the clients in one tick: new jobs, repeated submissions, queries and
+ * cancellations; new jobs and cancellations only while faults are injected. */
+static void advance_clients(struct cell_sim *sim, bool inject)
 {
 	if (inject && cell_sim_random(sim, 8) == 0)
 		cell_sim_submit(sim, cell_sim_random(sim, sim->options.nodes),
@@ -364,7 +367,7 @@
 }
 
 /*
- * Play one day; with `trace` its notes are printed.
+ * Makes one simulated run; `trace` prints its log events.
  */
 void cell_faults_run(uint64_t seed, bool trace,
 		     struct cell_fault_result *result)
@@ -398,11 +401,11 @@
 			inject_cordon(sim);
 		if (cordons && cell_sim_random(sim, 80) == 0)
 			inject_read_loss(sim);
-		clients(sim, true);
+		advance_clients(sim, true);
 		cell_sim_run(sim, STEP_US);
 	}
 	for (uint32_t i = 0; i < RECOVERY_S * S / STEP_US; i++) {
-		clients(sim, false);
+		advance_clients(sim, false);
 		cell_sim_run(sim, STEP_US);
 	}
 	cell_sim_check_final(sim);
--- a/src/test_libradishjunction/support/cell_faults.h
+++ b/src/test_libradishjunction/support/cell_faults.h
@@ -1,6 +1,7 @@
 /*
- * Seeded days of trouble in a cell_sim: random jobs, random strikes that
- * overlap, then calm, then judgement. One call plays one day.
+ * Random fault injection in a cell_sim: random jobs and overlapping faults,
+ * then a recovery without faults, then the final checks. One call makes one
+ * simulated run.
  */
 #ifndef TEST_SUPPORT_CELL_FAULTS_H
 #define TEST_SUPPORT_CELL_FAULTS_H
@@ -14,7 +15,7 @@
 	uint32_t faults;
 	uint64_t starts;
 	uint32_t violations;
-	char *first_violation; /* text of the first violation, or NULL; g_free */
+	char *first_violation; /* text, or NULL; g_free */
 };
 
 void cell_faults_run(uint64_t seed, bool trace,
--- a/src/test_libradishjunction/support/cell_fixture.c
+++ b/src/test_libradishjunction/support/cell_fixture.c
@@ -1,10 +1,10 @@
 #include "support/cell_fixture.h"
 
-/* Until a site has an owner that knows its workers. */
+/* Until a site has an owner that has contacted its workers. */
 #define STARTUP_US (3 * S)
 
 /*
- * Begin a site, and let it settle.
+ * Starts a site and runs it until it has an owner.
  */
 void cell_fixture_setup(struct cell_fixture *f, const void *options)
 {
@@ -14,7 +14,7 @@
 }
 
 /*
- * Print what broke a rule, if anything did, and end the site.
+ * Prints the violations, fails the test if there are any, and frees the site.
  */
 void cell_fixture_teardown(struct cell_fixture *f, const void *options)
 {
--- a/src/test_libradishjunction/support/cell_fixture.h
+++ b/src/test_libradishjunction/support/cell_fixture.h
@@ -1,9 +1,9 @@
 /*
- * A site in virtual time for one test: it has settled when the test begins,
- * and no rule may have been broken when it ends.
+ * Test fixture with a simulated site: it has an owner when the test begins, and
+ * the teardown fails the test if a rule was violated.
  *
- * Life cycle: `cell_fixture_setup` with the site's plan as the test's data,
- * and `cell_fixture_teardown`, both called by the test framework.
+ * Life cycle: `cell_fixture_setup` with the site's options as test data, and
+ * `cell_fixture_teardown`, both called by the test framework.
  */
 #ifndef TEST_SUPPORT_CELL_FIXTURE_H
 #define TEST_SUPPORT_CELL_FIXTURE_H
@@ -17,7 +17,7 @@
 void cell_fixture_setup(struct cell_fixture *f, const void *options);
 void cell_fixture_teardown(struct cell_fixture *f, const void *options);
 
-/* Add a test of a site; `plan` is a struct cell_sim_options. */
+/* Adds a test; `options` points to a struct cell_sim_options. */
 #define CELL_TEST(path, options, function)                                 \
 	g_test_add(path, struct cell_fixture, options, cell_fixture_setup, \
 		   function, cell_fixture_teardown)
--- a/src/test_libradishjunction/support/cell_load.c
+++ b/src/test_libradishjunction/support/cell_load.c
@@ -2,13 +2,13 @@
 
 #include <string.h>
 
-/* A client that gets its answer late has so much of its use, in percent. */
+/* Utility of a late answer for the client, in percent of one in time. */
 #define LATE_UTILITY_PERCENT 30
-/* Streams are looked at so often. */
+/* Interval at which streams are checked for due jobs. */
 #define STREAM_TICK_US (100 * MS)
 
 /*
- * Hand one job in, at a node that changes.
+ * Submits one job; nodes take turns.
  */
 struct cell_client_job *cell_load_submit(struct cell_sim *sim,
 					 const char *queue, const char *account,
@@ -23,7 +23,7 @@
 }
 
 /*
- * Let time pass while clients ask for their jobs.
+ * Advances the time while clients poll the state of their jobs.
  */
 void cell_load_run(struct cell_sim *sim, uint64_t for_us)
 {
@@ -40,8 +40,8 @@
 }
 
 /*
- * Hand in bulk jobs of 24 tasks with one accelerator each; eight of them
- * fill the site.
+ * Submits bulk jobs of 24 tasks with one accelerator each; eight of them fill a
+ * site of 24 workers.
  */
 void cell_load_fill(struct cell_sim *sim, uint32_t jobs, bool checkpoints,
 		    uint64_t duration_us)
@@ -54,7 +54,8 @@
 	cell_load_run(sim, 2 * S);
 }
 
-/* Hand in what has come due of a stream, `ran_us` after the load's begin. */
+/* Submits the job of a stream that is due `ran_us` after the start of the load.
+ * */
 static void submit_due(struct cell_sim *sim,
 		       const struct cell_load_stream *stream, uint64_t ran_us)
 {
@@ -67,8 +68,8 @@
 }
 
 /*
- * Let streams of jobs come for a while, with clients that ask for them, and
- * call `check` (may be NULL) now and then.
+ * Runs streams of jobs for `for_us` while clients poll; calls `check` (may be
+ * NULL) after each tick.
  */
 void cell_load_run_streams(struct cell_sim *sim,
 			   const struct cell_load_stream *streams,
@@ -85,14 +86,14 @@
 }
 
 /*
- * What the owner's last plan has left waiting and idle.
+ * Backlog after the owner's last plan.
  */
 const struct rj_cell_backlog *cell_load_backlog(const struct cell_sim *sim)
 {
 	return &sim->nodes[cell_sim_owner(sim)].node.owner.backlog;
 }
 
-/* When a job should have ended, after it was sent. */
+/* Objective of a job's completion time, from its submission. */
 static uint64_t objective_of(const struct cell_sim *sim,
 			     const struct cell_client_job *job)
 {
@@ -104,7 +105,8 @@
 	       queue->latency_ms * MS;
 }
 
-/* What a client has of its job, in percent: all in time, less when late. */
+/* Utility of a job for its client, in percent: 100 in time, less when late, 0
+ * when it failed or came too late to be useful. */
 static uint32_t utility_of(const struct cell_sim *sim,
 			   const struct cell_client_job *job)
 {
@@ -118,13 +120,13 @@
 }
 
 /*
- * What the clients of a queue have of the jobs that they handed in before a
- * time, in percent of what they would have if all had ended in time.
+ * Mean utility, in percent, of the jobs of a queue that were submitted before
+ * `sent_before_us`.
  */
 uint32_t cell_load_utility_percent(const struct cell_sim *sim,
 				   const char *queue, uint64_t sent_before_us)
 {
-	uint32_t owed = 0;
+	uint32_t job_count = 0;
 	uint32_t earned = 0;
 
 	for (guint i = 0; i < sim->job_list->len; i++) {
@@ -133,9 +135,9 @@
 		if (strcmp(job->spec->queue, queue) != 0 ||
 		    job->sent_us >= sent_before_us)
 			continue;
-		owed++;
+		job_count++;
 		earned += utility_of(sim, job);
 	}
-	g_assert_cmpuint(owed, >, 0);
-	return earned / owed;
+	g_assert_cmpuint(job_count, >, 0);
+	return earned / job_count;
 }
--- a/src/test_libradishjunction/support/cell_load.h
+++ b/src/test_libradishjunction/support/cell_load.h
@@ -1,21 +1,21 @@
 /*
- * Load on a site in virtual time: jobs handed in one by one or as a stream,
- * and what the clients of a queue have earned in the end.
+ * Load on a simulated site: single jobs, streams of jobs, and the utility that
+ * the clients of a queue received.
  */
 #ifndef TEST_SUPPORT_CELL_LOAD_H
 #define TEST_SUPPORT_CELL_LOAD_H
 
 #include "support/cell_sim.h"
 
-/* Jobs of one kind that come at a steady rate. */
+/* Jobs of one kind, submitted at a constant rate. */
 struct cell_load_stream {
 	const char *queue;
 	const char *account;
 	struct rj_cell_step step;
 	uint64_t duration_us; /* of each task */
 	uint64_t every_us;
-	uint64_t first_us; /* after the begin */
-	uint64_t until_us; /* 0: as long as the load lasts */
+	uint64_t first_us; /* after the start of the load */
+	uint64_t until_us; /* 0: for the whole load */
 };
 
 struct cell_client_job *cell_load_submit(struct cell_sim *sim,
--- a/src/test_libradishjunction/support/cell_sim.c
+++ b/src/test_libradishjunction/support/cell_sim.c
@@ -14,14 +14,15 @@
 #define CORDON_PREFIX "cordon/"
 #define ATTEMPTS_MAX 4
 #define LEASE_MAX_MS 6000
-/* A key is served no longer than this after its removal. */
+/* A removed key is not served after this. */
 #define REVOKE_MS 5000
-/* Nothing starts on a draining worker or in a cordoned domain after this. */
+/* Nothing starts on a draining worker after this; CORDON_MS: nor in a cordoned
+ * failure domain. */
 #define DRAIN_MS 2000
-/* A stop takes no longer, nor the end of a gang's members. */
+/* Bound for a stop, and for the end of all members of a gang. */
 #define STOP_MS 200
 #define CORDON_MS 5000
-/* A call in so many still carries the key that was removed last. */
+/* One call in this many still carries the key removed last. */
 #define REMOVED_KEY_ONE_IN 7
 
 struct cell_sim_event {
@@ -31,7 +32,7 @@
 	void *data;
 };
 
-/* Earlier events first, in the order in which they were made. */
+/* By time, then in the order of creation. */
 static gint by_time(gconstpointer a, gconstpointer b, gpointer unused)
 {
 	const struct cell_sim_event *left = a;
@@ -43,7 +44,7 @@
 }
 
 /*
- * Call a function in `delay_us`.
+ * Calls `call` with `data` after `delay_us`.
  */
 void cell_sim_schedule(struct cell_sim *sim, uint64_t delay_us,
 		       void (*call)(void *), void *data)
@@ -58,7 +59,7 @@
 }
 
 /*
- * A number below a bound, the same in every run of a seed.
+ * Returns a number below `below`; the sequence depends on the seed alone.
  */
 uint32_t cell_sim_random(struct cell_sim *sim, uint32_t below)
 {
@@ -66,7 +67,7 @@
 }
 
 /*
- * Milliseconds since 1970 by the world's clock.
+ * Milliseconds since 1970 by the simulated clock.
  */
 uint64_t cell_sim_wall_ms(const struct cell_sim *sim)
 {
@@ -74,7 +75,7 @@
 }
 
 /*
- * Let time pass.
+ * Advances the simulated time, and handles the events that are due.
  */
 void cell_sim_run(struct cell_sim *sim, uint64_t for_us)
 {
@@ -98,7 +99,7 @@
 }
 
 /*
- * Whether a node still is the process that made a call.
+ * Whether a node's process is still the one that made a call.
  */
 bool cell_sim_node_is_current(const struct cell_sim_node *node,
 			      uint32_t incarnation)
@@ -107,7 +108,7 @@
 }
 
 /*
- * Whether a node stands still just now: `call` is made again once it goes on.
+ * Whether a node is paused; then `call` is called again when it resumes.
  */
 bool cell_sim_defer_if_paused(struct cell_sim_node *node, void (*call)(void *),
 			      void *data)
@@ -121,14 +122,14 @@
 	return true;
 }
 
-/* A job out of a body, which is a definition as the log has it. */
+/* Decodes a job from a submission, which is encoded as in the log. */
 static struct rj_cell_def *decode_job(void *mem, struct rj_bytes body,
 				      struct rj_error *err)
 {
 	return rj_cell_def_decode(mem, body, err);
 }
 
-/* A worker's entry is the struct itself. */
+/* Decodes a worker's entry, which is a copy of the struct. */
 static int decode_worker(struct rj_bytes text,
 			 struct rj_cell_heartbeat *heartbeat,
 			 struct rj_error *err)
@@ -139,7 +140,7 @@
 	return 0;
 }
 
-/* The queues of the world: name, path, priority, objective. */
+/* Queues: name, path prefix, priority, objective. */
 static const struct {
 	const char *name;
 	const char *prefix;
@@ -153,7 +154,7 @@
 	{ "advised", "/a/", 1, 3000, 1000 },
 };
 
-/* What a key of the operators' log is for. */
+/* Tells what a key of the operators' topic stands for. */
 static enum rj_cell_published classify(const char *key, const char **name)
 {
 	if (!strcmp(key, CONFIG_KEY))
@@ -164,7 +165,8 @@
 	return RJ_CELL_PUBLISHED_CORDON;
 }
 
-/* A configuration out of the few fields that the world varies. */
+/* Decodes a configuration, of which only the fields encoded by cell_sim_publish
+ * vary. */
 static struct rj_cell_config *decode_config(void *mem, struct rj_bytes text,
 					    struct rj_error *err)
 {
@@ -220,7 +222,7 @@
 };
 
 /*
- * Operators publish a new version, in which only `key` is good.
+ * Publishes a new configuration, in which only `key` is valid.
  */
 void cell_sim_publish(struct cell_sim *sim, const char *key)
 {
@@ -245,7 +247,7 @@
 }
 
 /*
- * Operators cordon a failure domain, or give it back.
+ * Publishes or removes the cordon of a failure domain.
  */
 void cell_sim_cordon(struct cell_sim *sim, const char *domain, bool cordoned)
 {
@@ -265,13 +267,13 @@
 	g_hash_table_insert(sim->cordons, g_strdup(domain), since_us);
 }
 
-/* Whose notes are printed, and who speaks just now. */
+/* The simulation whose log events are printed, and the node that runs. */
 static struct {
 	struct cell_sim *sim;
 	const struct cell_sim_node *node;
 } trace;
 
-/* Print one note. */
+/* Prints one log event. */
 static GLogWriterOutput print_log_event(GLogLevelFlags level,
 					const GLogField *fields, gsize count,
 					gpointer unused)
@@ -298,7 +300,8 @@
 }
 
 /*
- * Print the notes of this world from now on; once in a process.
+ * Prints the log events of this simulation from now on. Call it once in a
+ * process.
  */
 void cell_sim_trace(struct cell_sim *sim)
 {
@@ -306,7 +309,7 @@
 	g_log_set_writer_func(print_log_event, NULL, NULL);
 }
 
-/* The processor time of this thread. */
+/* CPU time of this thread. */
 static uint64_t cpu_now_ns(void)
 {
 	struct timespec time;
@@ -317,8 +320,7 @@
 }
 
 /*
- * The code of a node runs from here on: notes are its own, and so is the
- * processor time.
+ * Call before a node's code: attributes log events and CPU time to it.
  */
 void cell_sim_node_enter(struct cell_sim_node *node)
 {
@@ -327,14 +329,14 @@
 }
 
 /*
- * The code of a node has returned.
+ * Call after a node's code: ends the count of its CPU time.
  */
 void cell_sim_node_leave(struct cell_sim_node *node)
 {
 	node->cpu_ns += cpu_now_ns();
 }
 
-/* A node polls for what is due. */
+/* Advances a node, as its timer does. */
 static void tick(void *data)
 {
 	struct cell_sim_node *node = data;
@@ -349,7 +351,7 @@
 }
 
 /*
- * A node's process starts, with nothing of its former life.
+ * Starts a node's process, without any state of its previous one.
  */
 void cell_sim_node_start(struct cell_sim *sim, uint32_t index)
 {
@@ -383,7 +385,7 @@
 }
 
 /*
- * A node's process is killed: its clients hear nothing more.
+ * Kills a node's process; its clients get no more answers.
  */
 void cell_sim_node_kill(struct cell_sim *sim, uint32_t index)
 {
@@ -397,7 +399,7 @@
 }
 
 /*
- * A node stands still for a while; what comes meanwhile waits.
+ * Pauses a node; what arrives meanwhile is handled when it resumes.
  */
 void cell_sim_node_pause(struct cell_sim *sim, uint32_t index, uint64_t for_us)
 {
@@ -405,7 +407,7 @@
 }
 
 /*
- * The node that owns the cell by its own belief, or -1.
+ * Returns the node that considers itself the owner, or -1.
  */
 int cell_sim_owner(const struct cell_sim *sim)
 {
@@ -416,7 +418,8 @@
 }
 
 /*
- * Make a site and start all of it. Clients may come after a second or two.
+ * Creates a site and starts all of it; it accepts jobs after one to two
+ * seconds.
  */
 void cell_sim_init(struct cell_sim *sim, const struct cell_sim_options *options)
 {
@@ -428,7 +431,7 @@
 		sim->options.lease_max_ms = LEASE_MAX_MS;
 	if (!options->revoke_ms)
 		sim->options.revoke_ms = REVOKE_MS;
-	sim->mem = talloc_named_const(NULL, 0, "cell world");
+	sim->mem = talloc_named_const(NULL, 0, "cell simulation");
 	sim->random = options->seed ^ 0x9e3779b97f4a7c15ULL;
 	sim->now_us = 3600 * S;
 	sim->events = g_sequence_new(NULL);
@@ -456,7 +459,7 @@
 }
 
 /*
- * Stop all and free it.
+ * Stops and frees everything.
  */
 void cell_sim_finish(struct cell_sim *sim)
 {
@@ -483,7 +486,8 @@
 }
 
 /*
- * A step of plain tasks.
+ * Returns a step of tasks with an accelerator count and default cores and
+ * memory.
  */
 struct rj_cell_step cell_sim_plain_step(uint32_t tasks, uint32_t accelerators,
 					uint32_t estimate_ms)
@@ -496,7 +500,8 @@
 }
 
 /*
- * A job that a client may hand in; `duration_us` is what each task really takes.
+ * Creates a job that a client may submit; each of its tasks takes `duration_us`
+ * at speed 1.
  */
 struct cell_client_job *cell_sim_job_new(struct cell_sim *sim,
 					 const char *queue, const char *account,
@@ -531,21 +536,21 @@
 	return job;
 }
 
-/* One call of a client. */
+/* A call of a client. */
 struct client_call {
 	struct rj_cell_call call;
 	struct cell_sim *sim;
 	struct cell_sim_node *node;
 	uint32_t node_incarnation;
 	struct cell_client_job *job;
-	bool removed; /* its key had been removed for too long when sent */
+	bool removed; /* its key's grace period had expired when it was sent */
 	char path[64];
 	char key[RJ_NAME_BYTES];
 };
 
-/* The client has its answer. */
-static void answered(struct rj_cell_call *base,
-		     const struct rj_cell_answer *answer)
+/* Handles the answer to a call. */
+static void handle_answer(struct rj_cell_call *base,
+			  const struct rj_cell_answer *answer)
 {
 	struct client_call *call = (struct client_call *)base;
 	struct cell_client_job *job = call->job;
@@ -575,8 +580,8 @@
 		job->cancelled = true;
 		break;
 	case RJ_CELL_VERDICT_STATE:
-		/* A call that began before the end was shown may still tell
-		 * the earlier state; one that began after may not. */
+		/* A call made before the end was reported may still return the
+		 * earlier state; a later one must not. */
 		if (job->has_state && answer->state < job->state) {
 			if (base->now_us > job->state_us &&
 			    job->state >= RJ_CELL_JOB_COMPLETED)
@@ -602,7 +607,7 @@
 	talloc_free(call);
 }
 
-/* Send one call to a node; one that is down answers nothing. */
+/* Sends a call to a node; one that is down or paused does not answer. */
 static void send_call(struct cell_sim *sim, uint32_t index,
 		      struct cell_client_job *job, enum rj_cell_verb verb)
 {
@@ -638,7 +643,7 @@
 	call->call.wait_ms = 3000;
 	call->call.now_us = sim->now_us;
 	call->call.wall_ms = cell_sim_wall_ms(sim);
-	call->call.answer = answered;
+	call->call.answer = handle_answer;
 	if (verb == RJ_CELL_VERB_SUBMIT)
 		call->call.body = rj_cell_def_encode(call, job->spec);
 	cell_sim_node_enter(node);
@@ -647,7 +652,7 @@
 }
 
 /*
- * Hand a job in, for the first time or again.
+ * Submits a job, for the first time or again.
  */
 void cell_sim_submit(struct cell_sim *sim, uint32_t node,
 		     struct cell_client_job *job)
@@ -659,7 +664,7 @@
 }
 
 /*
- * Ask for a job's state.
+ * Queries the state of a job.
  */
 void cell_sim_query(struct cell_sim *sim, uint32_t node,
 		    struct cell_client_job *job)
@@ -668,7 +673,7 @@
 }
 
 /*
- * Ask for a job to be cancelled.
+ * Requests the cancellation of a job.
  */
 void cell_sim_cancel(struct cell_sim *sim, uint32_t node,
 		     struct cell_client_job *job)
--- a/src/test_libradishjunction/support/cell_sim.h
+++ b/src/test_libradishjunction/support/cell_sim.h
@@ -1,11 +1,11 @@
 /*
- * A whole site in virtual time: nodes of the real code over a fake log and
- * fake workers that speak the platform's contracts, with a checker of the
- * users' rules.
+ * Simulation of a whole site in virtual time: nodes that run the real code, a
+ * fake log and fake workers that follow the platform's contracts, and a checker
+ * of the users' rules.
  *
- * Life cycle: `cell_sim_init` with a plan of the site, then calls that run
- * time on, strike, or speak as a client; `cell_sim_finish` frees all. The
- * same seed gives the same run.
+ * Life cycle: `cell_sim_init` with the options of the site; then calls that
+ * advance the time, inject faults or act as a client; `cell_sim_finish` frees
+ * everything. The same seed gives the same run.
  */
 #ifndef TEST_SUPPORT_CELL_SIM_H
 #define TEST_SUPPORT_CELL_SIM_H
@@ -16,7 +16,8 @@
 
 #define CELL_SIM_NODES_MAX 16
 #define CELL_SIM_WORKERS_MAX 8192
-/* Workers write their entries so often; one expires after so many misses. */
+/* Interval of workers' heartbeats, and how many have to be missed in a row
+ * before the log drops a worker's entry. */
 #define CELL_SIM_HEARTBEAT_MS 1500
 #define CELL_SIM_ENTRY_HEARTBEATS 3
 #define MS RJ_US_PER_MS
@@ -24,32 +25,32 @@
 
 struct cell_sim;
 
-/* What a client was told last of a job it has handed in. */
+/* A job of a client, with the last answers the client received. */
 struct cell_client_job {
 	char id[RJ_CELL_ID_BYTES];
 	struct rj_cell_def *spec;
 	uint32_t submissions;
-	uint32_t refusals; /* answers that say "not accepted" */
+	uint32_t refusals; /* submissions answered "not accepted" */
 	uint32_t starts; /* of its tasks, on workers */
 	bool accepted;
 	bool cancel_sent;
-	bool cancelled; /* the wish was acknowledged */
+	bool cancelled; /* the cancellation was acknowledged */
 	uint64_t cancelled_us;
 	enum rj_cell_job_state state;
 	bool has_state;
-	uint64_t state_us; /* when that state was shown first */
-	bool not_found; /* "no such job" was said of it */
+	uint64_t state_us; /* first answer with this state */
+	bool not_found; /* answered "no such job" after acceptance */
 	uint64_t sent_us;
 	uint64_t accepted_us;
-	uint64_t begun_us; /* when all tasks of the first step had begun */
-	uint64_t ended_us; /* when it was shown to have ended */
-	/* how the fake workers treat its tasks */
-	uint64_t duration_us; /* of each task */
-	uint32_t failing_runs; /* the first runs of each task fail */
-	GHashTable *tasks; /* name -> struct cell_task_stats, by the checker */
+	uint64_t begun_us; /* all tasks of the first step had started */
+	uint64_t ended_us; /* first answer with a final state */
+	/* How the fake workers run its tasks. */
+	uint64_t duration_us; /* of each task at speed 1 */
+	uint32_t failing_runs; /* the first runs of each task, which fail */
+	GHashTable *tasks; /* task name -> struct cell_task_stats */
 };
 
-/* How the log treats the calls of a node. */
+/* How the log answers the calls of a node. */
 enum cell_log_mode {
 	CELL_LOG_AVAILABLE,
 	CELL_LOG_REFUSING,
@@ -58,68 +59,60 @@
 
 struct cell_log_record {
 	char *key;
-	GBytes *value; /* NULL: dropped */
+	GBytes *value; /* NULL: the key was deleted */
 };
 
 struct cell_log {
 	GPtrArray *records[RJ_CELL_TOPIC_COUNT];
-	GHashTable *producers; /* name -> struct producer */
+	GHashTable *producers; /* topic and name -> struct producer */
 	uint64_t latency_us;
-	bool progress_unreachable; /* appends to it are lost, and not done */
+	bool progress_unreachable; /* its appends are lost */
 	bool reads_unreachable[RJ_CELL_TOPIC_COUNT]; /* reads get no answer */
-	uint32_t lost_answer_percent; /* appends done and not answered */
-	uint64_t
-		apply_delay_us; /* lost appends are done so much later; 0: at once */
+	uint32_t lost_answer_percent; /* appends applied, but not answered */
+	uint64_t apply_delay_us; /* of unanswered appends; 0: none */
 	enum cell_log_mode modes[CELL_SIM_NODES_MAX];
-	uint64_t first_retained
-		[RJ_CELL_TOPIC_COUNT]; /* older records are gone */
-	uint64_t
-		no_wakeup_until_us; /* until then no append wakes a long poll */
+	uint64_t first_retained[RJ_CELL_TOPIC_COUNT]; /* earlier ones expired */
+	uint64_t no_wakeup_until_us; /* appends wake no long poll */
 	uint64_t appends;
 	uint64_t reads;
 	uint64_t read_bytes[CELL_SIM_NODES_MAX]; /* of values, by node */
 };
 
-/* A row of a worker's list of runs. */
+/* What the checker needs of a run that a worker lists. */
 struct cell_fake_run_info {
 	const char *name;
 	struct rj_cell_demand allocated;
 };
 
-/* One fake worker. */
 struct cell_fake_worker {
 	uint32_t index;
 	char id[RJ_NAME_BYTES];
 	struct rj_cell_heartbeat reported;
 	bool up;
 	bool listed;
-	bool partitioned[CELL_SIM_NODES_MAX]; /* its calls get no answer */
-	bool partitioned_from_log; /* its entry lapses, it runs on */
-	bool requires_ticket; /* starts without one are turned away */
-	bool unhealthy; /* starts: it says it is not well */
+	bool partitioned[CELL_SIM_NODES_MAX]; /* calls get no answer */
+	bool partitioned_from_log; /* entry expires, runs go on */
+	bool requires_ticket; /* rejects all starts: no ticket */
+	bool unhealthy; /* rejects all starts as "sick" */
 	bool fails_all;
 	bool stalled;
-	bool never_completes; /* what is through is not reported so */
-	uint32_t delayed_percent; /* orders done late and not answered */
+	bool never_completes; /* runs never report their completion */
+	uint32_t delayed_percent; /* orders executed late and not answered */
 	double speed;
 	double clock_rate;
 	uint64_t started_us;
 	uint64_t incarnation;
 	uint64_t token;
 	uint64_t lease_ms;
-	uint64_t
-		lease_expired_us; /* when its lease was last found to have lapsed */
-	uint64_t
-		drain_reported_us; /* when it said that it drains, if it does */
-	bool wrote_entry; /* something else since its last heartbeat was due */
-	uint32_t
-		heartbeats_missed; /* in a row; its entry expires after three */
+	uint64_t lease_expired_us; /* last time at which it was expired */
+	uint64_t drain_reported_us; /* first report of draining */
+	bool wrote_entry; /* an entry since the last heartbeat was due */
+	uint32_t heartbeats_missed; /* in a row */
 	GPtrArray *runs; /* struct cell_fake_run */
 	GArray *completions; /* struct cell_fake_completion */
 	uint64_t completion_count;
-	GHashTable *
-		highest_ended; /* name -> highest run that ended or was stopped */
-	GPtrArray *polls; /* struct cell_fake_poll that wait */
+	GHashTable *highest_ended; /* task name -> run number */
+	GPtrArray *polls; /* struct order, long polls that wait */
 };
 
 struct cell_sim_node {
@@ -133,7 +126,7 @@
 	uint64_t paused_until_us;
 	void *mem;
 	struct rj_cell_node node;
-	uint64_t cpu_ns; /* that its code has taken */
+	uint64_t cpu_ns; /* CPU time of its code */
 };
 
 struct cell_sim_options {
@@ -147,8 +140,7 @@
 	uint32_t lease_max_ms; /* 0: 6,000 */
 	uint32_t attempts_max; /* 0: 4 */
 	uint32_t revoke_ms; /* 0: 5,000 */
-	uint64_t
-		gang_break_us; /* members of a gang end so long after the first */
+	uint64_t gang_break_us; /* delay after the first member's end */
 };
 
 struct cell_sim {
@@ -166,21 +158,20 @@
 	GPtrArray *job_list;
 	uint32_t job_count;
 	uint64_t config_version;
-	const char *key; /* of the account, in the newest configuration */
-	const char *removed_key; /* that was removed last, or NULL */
-	uint64_t key_removed_us; /* when it was */
-	GHashTable *cordons; /* failure domain -> since when, uint64_t */
+	const char *key; /* of the newest configuration */
+	const char *removed_key; /* removed last, or NULL */
+	uint64_t key_removed_us;
+	GHashTable *cordons; /* failure domain -> start time, uint64_t */
 	GPtrArray *violations; /* texts */
 	uint64_t starts;
 	uint64_t refused_starts;
-	uint64_t advice_requests; /* to the outside policy */
+	uint64_t advice_requests; /* calls of the advisor */
 	bool advisor_unreachable; /* it does not answer */
-	uint64_t wasted_us; /* of runs that ended otherwise than done */
-	uint64_t
-		over_target_max_us; /* longest that a run was over its bound on end */
+	uint64_t wasted_us; /* progress of runs that did not succeed */
+	uint64_t over_target_max_us; /* longest time over a latency target */
 };
 
-/* Print every note of a world, with its time and node. */
+/* Prints every log event of a simulation, with its time and node. */
 void cell_sim_trace(struct cell_sim *sim);
 void cell_sim_node_enter(struct cell_sim_node *node);
 void cell_sim_node_leave(struct cell_sim_node *node);
@@ -207,7 +198,7 @@
 void cell_sim_cancel(struct cell_sim *sim, uint32_t node,
 		     struct cell_client_job *job);
 
-/* Strikes. */
+/* Fault injection. */
 void cell_sim_node_kill(struct cell_sim *sim, uint32_t node);
 void cell_sim_node_start(struct cell_sim *sim, uint32_t node);
 void cell_sim_node_pause(struct cell_sim *sim, uint32_t node, uint64_t for_us);
@@ -223,12 +214,12 @@
 			   uint32_t left_ms);
 void cell_sim_worker_deregister(struct cell_sim *sim, uint32_t worker);
 
-/* Judgement. */
+/* Checks. */
 void cell_sim_violation(struct cell_sim *sim, const char *format, ...)
 	G_GNUC_PRINTF(2, 3);
 void cell_sim_check_final(struct cell_sim *sim);
 
-/* Between the files of the world. */
+/* Shared by the files of the simulation. */
 struct cell_sim_event;
 void cell_log_init(struct cell_sim *sim);
 void cell_log_finish(struct cell_sim *sim);
--- a/src/test_libradishjunction/test_cell_advice.c
+++ b/src/test_libradishjunction/test_cell_advice.c
@@ -25,8 +25,8 @@
 }
 
 /* Let time pass while the job's client asks, until it has ended. */
-static void follow(struct cell_fixture *f, struct cell_client_job *job,
-		   uint32_t seconds)
+static void run_with_queries(struct cell_fixture *f,
+			     struct cell_client_job *job, uint32_t seconds)
 {
 	for (uint32_t i = 0; i < seconds * 10 && !job->ended_us; i++) {
 		cell_sim_run(&f->sim, 100 * MS);
@@ -47,7 +47,7 @@
 
 	step.gang = true;
 	job = submit_job(f, &step, 2 * S);
-	follow(f, job, 10);
+	run_with_queries(f, job, 10);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 	g_assert_cmpuint(f->sim.refused_starts, ==, 0);
 	/* Two questions name all workers. */
@@ -64,7 +64,7 @@
 	struct rj_cell_step step = cell_sim_plain_step(120, 8, 2000);
 	struct cell_client_job *job = submit_job(f, &step, 4 * S);
 
-	follow(f, job, 40);
+	run_with_queries(f, job, 40);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 	g_assert_cmpuint(f->sim.refused_starts, ==, 0);
 }
@@ -81,13 +81,13 @@
 
 	f->sim.advisor_unreachable = true;
 	job = submit_job(f, &step, S);
-	follow(f, job, 2);
+	run_with_queries(f, job, 2);
 	g_assert_cmpuint(job->starts, ==, 0);
 	cell_sim_node_kill(&f->sim, owner);
 	f->sim.advisor_unreachable = false;
 	cell_sim_run(&f->sim, S);
 	cell_sim_node_start(&f->sim, owner);
-	follow(f, job, 12);
+	run_with_queries(f, job, 12);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
--- a/src/test_libradishjunction/test_cell_faults.c
+++ b/src/test_libradishjunction/test_cell_faults.c
@@ -12,7 +12,7 @@
 #define SEEDS 60
 
 /* Play some days; returns how many broke a rule. */
-static uint32_t play(uint64_t from, uint64_t count, bool verbose)
+static uint32_t run_seeds(uint64_t from, uint64_t count, bool verbose)
 {
 	uint32_t broken = 0;
 	uint64_t accepted = 0;
@@ -51,22 +51,22 @@
  */
 static void test_regression_seeds(void)
 {
-	g_assert_cmpuint(play(16012, 1, false), ==, 0);
-	g_assert_cmpuint(play(72140, 1, false), ==, 0);
-	g_assert_cmpuint(play(170013, 1, false), ==, 0);
+	g_assert_cmpuint(run_seeds(16012, 1, false), ==, 0);
+	g_assert_cmpuint(run_seeds(72140, 1, false), ==, 0);
+	g_assert_cmpuint(run_seeds(170013, 1, false), ==, 0);
 }
 
 /* No seed of the short run breaks a rule. */
 static void test_short_run(void)
 {
-	g_assert_cmpuint(play(1, SEEDS, false), ==, 0);
+	g_assert_cmpuint(run_seeds(1, SEEDS, false), ==, 0);
 }
 
 int main(int argc, char **argv)
 {
 	if (argc == 5 && !strcmp(argv[1], "--seeds"))
-		return play(strtoull(argv[4], NULL, 10),
-			    strtoull(argv[2], NULL, 10), true) != 0;
+		return run_seeds(strtoull(argv[4], NULL, 10),
+				 strtoull(argv[2], NULL, 10), true) != 0;
 	if (argc == 3 && !strcmp(argv[1], "--trace")) {
 		struct cell_fault_result result;
 
--- a/src/test_libradishjunction/test_cell_path.c
+++ b/src/test_libradishjunction/test_cell_path.c
@@ -18,7 +18,7 @@
 };
 
 /* Let time pass while a client asks for each job now and then. */
-static void follow(struct cell_sim *sim, uint64_t for_us)
+static void run_with_queries(struct cell_sim *sim, uint64_t for_us)
 {
 	for (uint64_t ran_us = 0; ran_us < for_us; ran_us += 200 * MS) {
 		cell_sim_run(sim, 200 * MS);
@@ -43,7 +43,7 @@
 	cell_sim_submit(&f->sim, 0, job);
 	cell_sim_run(&f->sim, 50 * MS);
 	g_assert_true(job->accepted);
-	follow(&f->sim, 6 * S);
+	run_with_queries(&f->sim, 6 * S);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 	cell_sim_check_final(&f->sim);
 }
@@ -58,7 +58,7 @@
 	step.one_rack = true;
 	job = cell_sim_job_new(&f->sim, "urgent", "a", &step, 1, 2 * S);
 	cell_sim_submit(&f->sim, 1, job);
-	follow(&f->sim, 5 * S);
+	run_with_queries(&f->sim, 5 * S);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 	g_assert_cmpuint(f->sim.starts, ==, 3);
 	cell_sim_check_final(&f->sim);
@@ -72,9 +72,9 @@
 		cell_sim_job_new(&f->sim, "bulk", "a", &step, 1, 60 * S);
 
 	cell_sim_submit(&f->sim, 0, job);
-	follow(&f->sim, S);
+	run_with_queries(&f->sim, S);
 	cell_sim_cancel(&f->sim, 2, job);
-	follow(&f->sim, 2 * S);
+	run_with_queries(&f->sim, 2 * S);
 	g_assert_true(job->cancelled);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_CANCELLED);
 	for (uint32_t i = 0; i < small.workers; i++)
@@ -95,7 +95,7 @@
 	failing->failing_runs = 99;
 	cell_sim_submit(&f->sim, 0, recovering);
 	cell_sim_submit(&f->sim, 0, failing);
-	follow(&f->sim, 8 * S);
+	run_with_queries(&f->sim, 8 * S);
 	g_assert_cmpint(recovering->state, ==, RJ_CELL_JOB_COMPLETED);
 	g_assert_cmpint(failing->state, ==, RJ_CELL_JOB_FAILED);
 }
@@ -110,9 +110,9 @@
 
 	cell_sim_submit(&f->sim, 0, job);
 	cell_sim_submit(&f->sim, 1, job);
-	follow(&f->sim, 3 * S);
+	run_with_queries(&f->sim, 3 * S);
 	cell_sim_submit(&f->sim, 2, job);
-	follow(&f->sim, 3 * S);
+	run_with_queries(&f->sim, 3 * S);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 	g_assert_cmpuint(f->sim.starts, ==, 2);
 }
@@ -131,7 +131,7 @@
 	step.per_worker_max = 1;
 	job = cell_sim_job_new(&f->sim, "bulk", "a", &step, 1, S);
 	cell_sim_submit(&f->sim, 0, job);
-	follow(&f->sim, 3 * S);
+	run_with_queries(&f->sim, 3 * S);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
@@ -149,7 +149,7 @@
 	step.gang = true;
 	job = cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 16 * S);
 	cell_sim_submit(&f->sim, 0, job);
-	follow(&f->sim, 24 * S);
+	run_with_queries(&f->sim, 24 * S);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 	g_assert_cmpuint(f->sim.starts, ==, 3);
 }
@@ -191,9 +191,9 @@
 	g_assert_cmpuint(job->starts, ==, 0);
 	cell_sim_run(&f->sim, 300 * MS);
 	g_assert_cmpuint(job->starts, ==, 2);
-	follow(&f->sim, 2 * S);
+	run_with_queries(&f->sim, 2 * S);
 	g_assert_cmpuint(job->starts, ==, 4);
-	follow(&f->sim, 3 * S);
+	run_with_queries(&f->sim, 3 * S);
 	g_assert_cmpuint(job->starts, ==, 6);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
@@ -213,11 +213,11 @@
 		  sizeof(step.label));
 	for (uint32_t i = 1; i < small.rack_workers; i++)
 		cell_sim_worker_kill(&f->sim, i);
-	follow(&f->sim, 6 * S);
+	run_with_queries(&f->sim, 6 * S);
 	job = cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 500 * MS);
 	job->failing_runs = 1;
 	cell_sim_submit(&f->sim, 0, job);
-	follow(&f->sim, 6 * S);
+	run_with_queries(&f->sim, 6 * S);
 	g_assert_cmpuint(job->starts, ==, 2);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
@@ -240,7 +240,7 @@
 	cell_sim_run(sim, 3 * S);
 	job = cell_sim_job_new(sim, "normal", "a", &step, 1, 5 * S);
 	cell_sim_submit(sim, 0, job);
-	follow(sim, 8 * S);
+	run_with_queries(sim, 8 * S);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 	g_assert_cmpuint(job->starts, ==, 4);
 	g_assert_cmpuint(sim->violations->len, ==, 0);
@@ -260,7 +260,7 @@
 	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
 	struct cell_client_job *job;
 
-	follow(&f->sim, 20 * S);
+	run_with_queries(&f->sim, 20 * S);
 	job = cell_sim_job_new(&f->sim, "normal", "a", &step, 1, 2 * S);
 	cell_sim_submit(&f->sim, 0, job);
 	cell_sim_run(&f->sim, S);
@@ -273,7 +273,7 @@
 	cell_sim_run(&f->sim, S);
 	for (uint32_t i = 0; i < small.nodes; i++)
 		cell_sim_node_start(&f->sim, i);
-	follow(&f->sim, 10 * S);
+	run_with_queries(&f->sim, 10 * S);
 	g_assert_cmpuint(job->starts, ==, 2);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
@@ -289,17 +289,17 @@
 	uint32_t worker = 0;
 
 	cell_sim_submit(&f->sim, 0, job);
-	follow(&f->sim, S);
+	run_with_queries(&f->sim, S);
 	while (!f->sim.workers[worker].runs->len)
 		worker++;
 	cell_sim_worker_partition(&f->sim, worker, true);
-	follow(&f->sim, 2 * S);
+	run_with_queries(&f->sim, 2 * S);
 	g_assert_cmpuint(f->sim.workers[worker].completions->len, ==, 1);
 	cell_sim_worker_partition(&f->sim, worker, false);
 	cell_sim_worker_deregister(&f->sim, worker);
-	follow(&f->sim, 2 * S);
+	run_with_queries(&f->sim, 2 * S);
 	g_assert_cmpuint(job->starts, ==, 2);
-	follow(&f->sim, 3 * S);
+	run_with_queries(&f->sim, 3 * S);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
@@ -317,14 +317,14 @@
 	job->failing_runs = 6;
 	job->duration_us = 2 * S; /* they fail half-way, six times */
 	cell_sim_submit(&f->sim, 0, job);
-	follow(&f->sim, 4 * S);
+	run_with_queries(&f->sim, 4 * S);
 	owner = cell_sim_owner(&f->sim);
 	cell_sim_node_kill(&f->sim, (uint32_t)owner);
-	follow(&f->sim, 12 * S);
+	run_with_queries(&f->sim, 12 * S);
 	g_assert_cmpuint(job->starts, >=, 12);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_RUNNING);
 	cell_sim_cancel(&f->sim, (uint32_t)(owner + 1) % small.nodes, job);
-	follow(&f->sim, 3 * S);
+	run_with_queries(&f->sim, 3 * S);
 	for (uint32_t i = 0; i < small.workers; i++)
 		g_assert_cmpuint(f->sim.workers[i].runs->len, ==, 0);
 }
--- a/src/test_libradishjunction/test_cell_reach.c
+++ b/src/test_libradishjunction/test_cell_reach.c
@@ -81,9 +81,10 @@
 	}
 }
 
-/* One task ends behind a cut of `cut_us`, and its worker leaves half a second
+/* One task ends behind a cut of `partition_us`, and its worker leaves half a second
  * after that has healed. */
-static void complete_behind_partition(struct cell_sim *sim, uint64_t cut_us)
+static void complete_behind_partition(struct cell_sim *sim,
+				      uint64_t partition_us)
 {
 	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
 	struct cell_client_job *job = submit_job(sim, 0, &step);
@@ -92,7 +93,7 @@
 	cell_sim_run(sim, S);
 	worker = cell_sim_busy_worker(sim);
 	cell_sim_worker_partition(sim, worker, true);
-	cell_sim_run(sim, cut_us);
+	cell_sim_run(sim, partition_us);
 	cell_sim_worker_partition(sim, worker, false);
 	cell_sim_run(sim, 500 * MS);
 	cell_sim_worker_deregister(sim, worker);
@@ -275,11 +276,11 @@
 {
 	struct cell_sim *sim = &f->sim;
 	int owner = cell_sim_owner(sim);
-	uint64_t silent_us = sim->now_us;
+	uint64_t killed_us = sim->now_us;
 
 	cell_sim_node_kill(sim, (uint32_t)owner);
 	while (cell_sim_owner(sim) < 0 &&
-	       sim->now_us < silent_us + TAKEOVER_MAX_US) {
+	       sim->now_us < killed_us + TAKEOVER_MAX_US) {
 		cell_log_put(sim, RJ_CELL_TOPIC_JOBS, "c00000000000000ff",
 			     "\xc0", 1);
 		cell_sim_run(sim, MS);
--- a/src/test_libradishjunction/test_cell_scale.c
+++ b/src/test_libradishjunction/test_cell_scale.c
@@ -14,7 +14,7 @@
 #define JOB_BYTES_MAX 1500
 
 /* Begin a calm site of two nodes. */
-static void begin(struct cell_sim *sim, uint32_t workers)
+static void start_sim(struct cell_sim *sim, uint32_t workers)
 {
 	const struct cell_sim_options options = {
 		.seed = 3,
@@ -52,7 +52,7 @@
 {
 	struct cell_sim *sim = g_new0(struct cell_sim, 1);
 
-	begin(sim, LARGE_WORKERS);
+	start_sim(sim, LARGE_WORKERS);
 	cell_sim_run(sim, 20 * S);
 	g_assert_cmpuint(polls_in(sim, 10), <, 10 * POLLS_PER_S_MAX);
 	cell_sim_finish(sim);
@@ -66,7 +66,7 @@
 {
 	struct cell_sim *sim = g_new0(struct cell_sim, 1);
 
-	begin(sim, 48);
+	start_sim(sim, 48);
 	cell_sim_run(sim, 5 * S);
 	g_assert_cmpuint(polls_in(sim, 6), >=, 48 * 3);
 	cell_sim_finish(sim);
@@ -83,7 +83,7 @@
 	struct rj_cell_step step = cell_sim_plain_step(24, 8, 3000);
 	struct cell_client_job *job;
 
-	begin(sim, LARGE_WORKERS);
+	start_sim(sim, LARGE_WORKERS);
 	cell_sim_run(sim, 10 * S);
 	job = cell_sim_job_new(sim, "normal", "a", &step, 1, 9 * S);
 	cell_sim_submit(sim, 0, job);
@@ -112,7 +112,7 @@
 	struct cell_client_job *job;
 	int owner;
 
-	begin(sim, LARGE_WORKERS);
+	start_sim(sim, LARGE_WORKERS);
 	cell_sim_run(sim, 10 * S);
 	owner = cell_sim_owner(sim);
 	cell_sim_node_kill(sim, (uint32_t)owner);
@@ -135,7 +135,7 @@
 	uint64_t before;
 	uint32_t other;
 
-	begin(sim, 48);
+	start_sim(sim, 48);
 	cell_sim_run(sim, 5 * S);
 	other = cell_sim_owner(sim) ? 0 : 1;
 	before = sim->log.read_bytes[other];
@@ -187,7 +187,7 @@
 
 	full.gang = true;
 	urgent.gang = true;
-	begin(sim, 200);
+	start_sim(sim, 200);
 	cell_sim_run(sim, 4 * S);
 	submit_job(sim, "normal", 25, &full, 20 * S);
 	cell_sim_run(sim, 8 * S);
@@ -207,7 +207,7 @@
 	struct rj_cell_step apart = cell_sim_plain_step(300, 1, 3000);
 
 	apart.per_worker_max = 1;
-	begin(sim, 400);
+	start_sim(sim, 400);
 	cell_sim_run(sim, 5 * S);
 	submit_job(sim, "bulk", 2, &apart, 3 * S);
 	cell_sim_run(sim, 2 * S);
--- a/src/test_libradishjunction/test_cell_starvation.c
+++ b/src/test_libradishjunction/test_cell_starvation.c
@@ -19,7 +19,7 @@
 #define UTILITY_MIN_PERCENT 29
 /* Jobs that came in this part of a load are judged; the others may be under
  * way at its end. */
-#define JUDGED_PERCENT 60
+#define EVALUATED_PERCENT 60
 
 /* Steps of the three kinds: urgent and normal gangs, single batch tasks. */
 static struct rj_cell_step gang_of(uint32_t tasks, uint32_t accelerators,
@@ -37,11 +37,12 @@
 				 const struct cell_load_stream *streams,
 				 uint32_t count, uint64_t for_us)
 {
-	uint64_t judged_until_us = sim->now_us + for_us * JUDGED_PERCENT / 100;
+	uint64_t evaluated_until_us =
+		sim->now_us + for_us * EVALUATED_PERCENT / 100;
 
 	cell_load_run_streams(sim, streams, count, for_us, NULL);
 	g_assert_cmpuint(
-		cell_load_utility_percent(sim, "bulk", judged_until_us), >=,
+		cell_load_utility_percent(sim, "bulk", evaluated_until_us), >=,
 		UTILITY_MIN_PERCENT);
 }
 
@@ -100,19 +101,20 @@
 
 /* When normal work of 6 s, on workers of different speeds, has waited for this
  * long it misses its objective. */
-#define NORMAL_SLACK_US (20 * S)
+#define NORMAL_WAIT_MAX_US (20 * S)
 /* What stays reserved beside what urgent work uses: one gang more, and the
  * rest of the rack that it begins. */
-#define RESERVED_SPARE (16 + 32)
+#define RESERVED_SPARE_ACCELERATORS (16 + 32)
 
 /* While normal work misses its objective no more is reserved than needed. */
 static void check_reserved(struct cell_sim *sim)
 {
 	const struct rj_cell_backlog *backlog = cell_load_backlog(sim);
 
-	if (backlog->classes[1].oldest_us > NORMAL_SLACK_US)
+	if (backlog->classes[1].oldest_us > NORMAL_WAIT_MAX_US)
 		g_assert_cmpuint(backlog->reserved, <=,
-				 backlog->classes[0].held + RESERVED_SPARE);
+				 backlog->classes[0].held +
+					 RESERVED_SPARE_ACCELERATORS);
 }
 
 /*
@@ -135,8 +137,9 @@
 }
 
 /* A gang that takes the whole site, handed in while another runs. */
-static struct cell_client_job *
-whole_site(struct cell_sim *sim, const char *queue, uint64_t duration_us)
+static struct cell_client_job *submit_whole_site_gang(struct cell_sim *sim,
+						      const char *queue,
+						      uint64_t duration_us)
 {
 	struct rj_cell_step step =
 		gang_of(site.workers, 8, (uint32_t)(duration_us / MS));
@@ -149,17 +152,17 @@
 
 /* Two jobs wait, the second for 2 s, for a site that comes free when the first
  * has waited for `wait_us`. Returns whether the first one begins first. */
-static bool older_begins_first(struct cell_sim *sim, uint64_t wait_us)
+static bool older_starts_first(struct cell_sim *sim, uint64_t wait_us)
 {
 	struct cell_client_job *older;
 	struct cell_client_job *younger;
 
-	(void)whole_site(sim, "urgent",
-			 (wait_us + 500 * MS) * SLOWEST_PERCENT / 100);
+	(void)submit_whole_site_gang(
+		sim, "urgent", (wait_us + 500 * MS) * SLOWEST_PERCENT / 100);
 	cell_load_run(sim, 500 * MS);
-	older = whole_site(sim, "normal", S);
+	older = submit_whole_site_gang(sim, "normal", S);
 	cell_load_run(sim, wait_us - 2 * S);
-	younger = whole_site(sim, "normal", S);
+	younger = submit_whole_site_gang(sim, "normal", S);
 	cell_load_run(sim, 6 * S);
 	g_assert_cmpint(older->state, ==, RJ_CELL_JOB_COMPLETED);
 	g_assert_cmpint(younger->state, ==, RJ_CELL_JOB_COMPLETED);
@@ -175,7 +178,7 @@
 test_jobs_that_can_meet_their_objective_run_first(struct cell_fixture *f,
 						  const void *data)
 {
-	g_assert_false(older_begins_first(&f->sim, 5 * S));
+	g_assert_false(older_starts_first(&f->sim, 5 * S));
 }
 
 /*
@@ -185,11 +188,11 @@
 static void test_late_job_runs_before_it_is_useless(struct cell_fixture *f,
 						    const void *data)
 {
-	g_assert_true(older_begins_first(&f->sim, 8 * S));
+	g_assert_true(older_starts_first(&f->sim, 8 * S));
 }
 
 /* More normal work than the site holds, without an end. */
-static const struct cell_load_stream *overload(void)
+static const struct cell_load_stream *overload_stream(void)
 {
 	static struct cell_load_stream stream;
 
@@ -266,7 +269,7 @@
 	job->spec->first_run_ms = cell_sim_wall_ms(&f->sim) + 45000;
 	job->spec->interval_ms = 1000;
 	cell_sim_submit(&f->sim, 0, job);
-	cell_load_run_streams(&f->sim, overload(), 1, 75 * S, NULL);
+	cell_load_run_streams(&f->sim, overload_stream(), 1, 75 * S, NULL);
 	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
@@ -286,7 +289,7 @@
 	job = cell_load_submit(&f->sim, "bulk", "b", &step, S);
 	cell_load_run(&f->sim, S);
 	g_assert_cmpuint(job->starts, ==, 4);
-	cell_load_run_streams(&f->sim, overload(), 1, 45 * S, NULL);
+	cell_load_run_streams(&f->sim, overload_stream(), 1, 45 * S, NULL);
 	g_assert_cmpuint(job->starts, ==, 4);
 	for (uint32_t i = 0; i < site.workers; i++)
 		for (guint j = 0; j < f->sim.workers[i].runs->len; j++)
@@ -297,7 +300,7 @@
 				cell_sim_worker_kill(&f->sim, i);
 				break;
 			}
-	cell_load_run_streams(&f->sim, overload(), 1, 30 * S, NULL);
+	cell_load_run_streams(&f->sim, overload_stream(), 1, 30 * S, NULL);
 	g_assert_cmpuint(job->starts, ==, 8);
 }
 
@@ -315,11 +318,11 @@
 	struct cell_client_job *job;
 
 	(void)cell_load_submit(&f->sim, "urgent", "a", &urgent, 500 * MS);
-	cell_load_run_streams(&f->sim, overload(), 1, 10 * S, NULL);
+	cell_load_run_streams(&f->sim, overload_stream(), 1, 10 * S, NULL);
 	g_strlcpy(step.label, f->sim.workers[0].reported.rack,
 		  sizeof(step.label));
 	job = cell_load_submit(&f->sim, "bulk", "b", &step, 6 * S);
-	cell_load_run_streams(&f->sim, overload(), 1, 25 * S, NULL);
+	cell_load_run_streams(&f->sim, overload_stream(), 1, 25 * S, NULL);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 }
 
