--- a/src/test_libradishjunction/support/cell_check.c
+++ b/src/test_libradishjunction/support/cell_check.c
@@ -115,7 +115,8 @@
 }
 
 /* Records the time at which all tasks of the first step had started. */
-static void update_begun(struct cell_sim *sim, struct cell_client_job *job)
+static void record_first_step_start(struct cell_sim *sim,
+				    struct cell_client_job *job)
 {
 	const struct rj_cell_step *step = &job->spec->steps[0];
 
@@ -247,7 +248,7 @@
 	check_drain(sim, worker, start->name, sent_us);
 	check_capacity(sim, worker, step_info, start->name);
 	stats->running++;
-	update_begun(sim, job);
+	record_first_step_start(sim, job);
 }
 
 /*
@@ -297,8 +298,7 @@
 		stats->failures_acknowledged++;
 }
 
-/* Whether a task, or a gang as a whole, failed as often as its attempts allow.
- * */
+/* Whether a task, or a gang as a whole, has used up its attempts. */
 static bool has_exhausted_attempts(struct cell_client_job *job)
 {
 	for (uint32_t i = 0; i < job->spec->step_count; i++) {
--- a/src/test_libradishjunction/support/cell_fake.h
+++ b/src/test_libradishjunction/support/cell_fake.h
@@ -63,6 +63,6 @@
 void cell_fake_answer_polls(struct cell_fake_worker *worker);
 void cell_fake_expire_polls(struct cell_sim *sim,
 			    struct cell_fake_worker *worker);
-void cell_fake_lose_polls(struct cell_fake_worker *worker);
+void cell_fake_drop_polls(struct cell_fake_worker *worker);
 
 #endif
--- a/src/test_libradishjunction/support/cell_fake_orders.c
+++ b/src/test_libradishjunction/support/cell_fake_orders.c
@@ -175,7 +175,7 @@
 /*
  * Lets the waiting polls time out after the worker has crashed.
  */
-void cell_fake_lose_polls(struct cell_fake_worker *worker)
+void cell_fake_drop_polls(struct cell_fake_worker *worker)
 {
 	while (worker->polls->len) {
 		struct order *order = worker->polls->pdata[0];
--- a/src/test_libradishjunction/support/cell_fake_workers.c
+++ b/src/test_libradishjunction/support/cell_fake_workers.c
@@ -9,7 +9,7 @@
 
 #include "support/cell_fake.h"
 
-#define STEP_US (20 * MS)
+#define TICK_US (20 * MS)
 #define GANG_FORM_TIMEOUT_US (3 * S)
 #define CHECKPOINT_INTERVAL_US (2 * S)
 /* Racks are assigned to this many failure domains in turn. */
@@ -19,9 +19,9 @@
  * Returns what the checker needs of a worker's run.
  */
 struct cell_fake_run_info cell_fake_run_info_at(struct cell_fake_worker *worker,
-						guint place)
+						guint index)
 {
-	const struct cell_fake_run *run = worker->runs->pdata[place];
+	const struct cell_fake_run *run = worker->runs->pdata[index];
 
 	return (struct cell_fake_run_info){ run->name, run->allocated };
 }
@@ -247,12 +247,12 @@
 	}
 	run->over_target_us =
 		cell_fake_tail_latency_ms(worker, run) > run->target_ms ?
-			run->over_target_us + STEP_US :
+			run->over_target_us + TICK_US :
 			0;
 	sim->over_target_max_us =
 		MAX(sim->over_target_max_us, run->over_target_us);
 	if (!worker->stalled)
-		run->progress_us += (uint64_t)(STEP_US * worker->speed);
+		run->progress_us += (uint64_t)(TICK_US * worker->speed);
 	if (run->checkpoints && run->progress_us / CHECKPOINT_INTERVAL_US)
 		(void)g_snprintf(
 			run->checkpoint, sizeof(run->checkpoint),
@@ -295,7 +295,7 @@
 		}
 		cell_fake_expire_polls(sim, worker);
 	}
-	cell_sim_schedule(sim, STEP_US, advance_all, sim);
+	cell_sim_schedule(sim, TICK_US, advance_all, sim);
 }
 
 /* Writes a worker's heartbeat, or drops its entry after missed ones. */
@@ -378,7 +378,7 @@
 }
 
 /*
- * Whether a worker that enforces its capacity has no room for a start.
+ * Whether a start does not fit a worker that enforces its capacity.
  */
 bool cell_fake_is_full(struct cell_sim *sim, struct cell_fake_worker *worker,
 		       const char *name)
@@ -465,7 +465,7 @@
 		start_incarnation(sim, worker);
 		cell_sim_schedule(sim, i * MS, write_heartbeat, worker);
 	}
-	cell_sim_schedule(sim, STEP_US, advance_all, sim);
+	cell_sim_schedule(sim, TICK_US, advance_all, sim);
 }
 
 /* Ends all runs of a worker without listing their completions. */
@@ -498,7 +498,7 @@
 	if (!worker->up)
 		return;
 	worker->up = false;
-	cell_fake_lose_polls(worker);
+	cell_fake_drop_polls(worker);
 	drop_runs(sim, worker);
 }
 
--- a/src/test_libradishjunction/support/cell_faults.c
+++ b/src/test_libradishjunction/support/cell_faults.c
@@ -4,7 +4,7 @@
 
 #define FAULTS_S 25
 #define RECOVERY_S 80
-#define STEP_US (100 * MS)
+#define TICK_US (100 * MS)
 #define KEY_COUNT 3
 /* An outside policy decides in one of this many seeds. */
 #define ADVISED_SEED_MOD 4
@@ -94,12 +94,12 @@
 	uint64_t for_us = (1000 + cell_sim_random(sim, 6000)) * MS;
 	bool all = cell_sim_random(sim, 3) == 0;
 	int owner = cell_sim_owner(sim);
-	uint32_t only = owner >= 0 && cell_sim_random(sim, 2) ?
-				(uint32_t)owner :
-				cell_sim_random(sim, sim->options.nodes);
+	uint32_t single = owner >= 0 && cell_sim_random(sim, 2) ?
+				  (uint32_t)owner :
+				  cell_sim_random(sim, sim->options.nodes);
 
 	for (uint32_t i = 0; i < sim->options.nodes; i++) {
-		if (!all && i != only)
+		if (!all && i != single)
 			continue;
 		sim->log.modes[i] = mode;
 		cell_sim_schedule(sim, for_us, restore_log, fault_new(sim, i));
@@ -161,7 +161,7 @@
 			  restart_worker, fault_new(sim, target));
 }
 
-/* Restores workers after inject_worker_faults. */
+/* Restores a worker after a fault. */
 static void restore_worker(void *data)
 {
 	struct fault *fault = data;
@@ -180,23 +180,23 @@
 static void inject_worker_faults(struct cell_sim *sim)
 {
 	uint32_t count = 1 + cell_sim_random(sim, 3);
-	uint32_t how = cell_sim_random(sim, 6);
+	uint32_t kind = cell_sim_random(sim, 6);
 	uint64_t for_us = (1000 + cell_sim_random(sim, 7000)) * MS;
 
 	for (uint32_t i = 0; i < count; i++) {
 		uint32_t target = cell_sim_random(sim, sim->options.workers);
 		struct cell_fake_worker *worker = &sim->workers[target];
 
-		if (how == 0)
+		if (kind == 0)
 			cell_sim_worker_partition(sim, target, true);
-		else if (how == 1)
+		else if (kind == 1)
 			worker->partitioned[cell_sim_random(
 				sim, sim->options.nodes)] = true;
-		else if (how == 2)
+		else if (kind == 2)
 			worker->delayed_percent = 40;
-		else if (how == 3)
+		else if (kind == 3)
 			worker->fails_all = true;
-		else if (how == 4)
+		else if (kind == 4)
 			worker->stalled = true;
 		else
 			worker->unhealthy = true;
@@ -392,7 +392,7 @@
 		cell_sim_trace(sim);
 	cell_sim_init(sim, &options);
 	cell_sim_run(sim, 3 * S);
-	for (uint32_t i = 0; i < FAULTS_S * S / STEP_US; i++) {
+	for (uint32_t i = 0; i < FAULTS_S * S / TICK_US; i++) {
 		if (cell_sim_random(sim, 14) == 0) {
 			faults[cell_sim_random(sim, G_N_ELEMENTS(faults))](sim);
 			result->faults++;
@@ -402,11 +402,11 @@
 		if (cordons && cell_sim_random(sim, 80) == 0)
 			inject_read_loss(sim);
 		advance_clients(sim, true);
-		cell_sim_run(sim, STEP_US);
+		cell_sim_run(sim, TICK_US);
 	}
-	for (uint32_t i = 0; i < RECOVERY_S * S / STEP_US; i++) {
+	for (uint32_t i = 0; i < RECOVERY_S * S / TICK_US; i++) {
 		advance_clients(sim, false);
-		cell_sim_run(sim, STEP_US);
+		cell_sim_run(sim, TICK_US);
 	}
 	cell_sim_check_final(sim);
 	result->jobs = sim->job_list->len;
--- a/src/test_libradishjunction/support/cell_load.c
+++ b/src/test_libradishjunction/support/cell_load.c
@@ -54,8 +54,7 @@
 	cell_load_run(sim, 2 * S);
 }
 
-/* Submits the job of a stream that is due `ran_us` after the start of the load.
- * */
+/* Submits the job of a stream that is due `ran_us` after the load started. */
 static void submit_due(struct cell_sim *sim,
 		       const struct cell_load_stream *stream, uint64_t ran_us)
 {
@@ -127,7 +126,7 @@
 				   const char *queue, uint64_t sent_before_us)
 {
 	uint32_t job_count = 0;
-	uint32_t earned = 0;
+	uint32_t utility_sum = 0;
 
 	for (guint i = 0; i < sim->job_list->len; i++) {
 		const struct cell_client_job *job = sim->job_list->pdata[i];
@@ -136,8 +135,8 @@
 		    job->sent_us >= sent_before_us)
 			continue;
 		job_count++;
-		earned += utility_of(sim, job);
+		utility_sum += utility_of(sim, job);
 	}
 	g_assert_cmpuint(job_count, >, 0);
-	return earned / job_count;
+	return utility_sum / job_count;
 }
--- a/src/test_libradishjunction/support/cell_sim.c
+++ b/src/test_libradishjunction/support/cell_sim.c
@@ -16,8 +16,8 @@
 #define LEASE_MAX_MS 6000
 /* A removed key is not served after this. */
 #define REVOKE_MS 5000
-/* Nothing starts on a draining worker after this; CORDON_MS: nor in a cordoned
- * failure domain. */
+/* Nothing starts on a draining worker after DRAIN_MS, nor in a cordoned failure
+ * domain after CORDON_MS. */
 #define DRAIN_MS 2000
 /* Bound for a stop, and for the end of all members of a gang. */
 #define STOP_MS 200
@@ -543,7 +543,7 @@
 	struct cell_sim_node *node;
 	uint32_t node_incarnation;
 	struct cell_client_job *job;
-	bool removed; /* its key's grace period had expired when it was sent */
+	bool key_expired; /* its key's grace period had expired when it was sent */
 	char path[64];
 	char key[RJ_NAME_BYTES];
 };
@@ -560,7 +560,7 @@
 		talloc_free(call);
 		return;
 	}
-	if (call->removed && answer->verdict <= RJ_CELL_VERDICT_CANCELLED)
+	if (call->key_expired && answer->verdict <= RJ_CELL_VERDICT_CANCELLED)
 		cell_sim_violation(sim, "key: %s is served with %s", job->id,
 				   call->key);
 	switch (answer->verdict) {
@@ -626,7 +626,7 @@
 			 job->id);
 	if (sim->removed_key && sim->now_us / MS % REMOVED_KEY_ONE_IN == 0) {
 		key = sim->removed_key;
-		call->removed =
+		call->key_expired =
 			sim->now_us >
 			sim->key_removed_us + sim->options.revoke_ms * MS;
 	}
--- a/src/test_libradishjunction/support/cell_sim.h
+++ b/src/test_libradishjunction/support/cell_sim.h
@@ -230,7 +230,7 @@
 void cell_workers_finish(struct cell_sim *sim);
 extern const struct rj_cell_workers_ops cell_workers_ops;
 struct cell_fake_run_info cell_fake_run_info_at(struct cell_fake_worker *worker,
-						guint place);
+						guint index);
 extern const struct rj_cell_advisor_ops cell_advice_ops;
 bool cell_advice_allows(const char *step, const char *worker);
 bool cell_advice_accepts(struct cell_sim *sim,
--- a/src/test_libradishjunction/test_cell_cordon.c
+++ b/src/test_libradishjunction/test_cell_cordon.c
@@ -305,9 +305,8 @@
 	g_assert_cmpuint(runs_in(&f->sim, "d1"), >, 0);
 }
 
-/* Guards against cordons that are not applied because of another record: a
- * domain that does not exist, an empty or too long name, a key of another kind.
- * */
+/* Guards against cordons that are not applied because of another record: an
+ * unknown domain, an empty or too long name, a key of another kind. */
 static void test_invalid_cordon_records(struct cell_fixture *f,
 					const void *data)
 {
--- a/src/test_libradishjunction/test_cell_load.c
+++ b/src/test_libradishjunction/test_cell_load.c
@@ -23,8 +23,8 @@
 #define OVER_TARGET_MAX_US (4 * S)
 
 /*
- * Load: an urgent gang within its account's guarantee, for a class that waits
- * for it, arrives at a site full of bulk jobs without checkpoints.
+ * Load: an urgent gang that a school class waits for, within its account's
+ * guarantee, on a site full of bulk jobs without checkpoints.
  * Guards against a start after the reclaim time, and against preempting more
  * runs than the gang needs.
  */
@@ -46,7 +46,7 @@
 }
 
 /*
- * Load: more bulk jobs than the site holds.
+ * Load: more bulk jobs than the site can run.
  * Guards against a backlog that does not show operators what waits, for how
  * long, and that no capacity is free.
  */
@@ -121,8 +121,8 @@
 }
 
 /*
- * Load: an endless stream of small bulk tasks that fill each gap, and a normal
- * gang that needs four whole workers.
+ * Load: an endless stream of small bulk tasks that take every free accelerator,
+ * and a normal gang that needs four whole workers.
  * Guards against a gang that starves: capacity is promised to it as runs end,
  * so that it starts early enough for its objective of three times 6 s plus one
  * second.
@@ -185,8 +185,7 @@
 	}
 	g_assert_cmpuint(refused, >, 20);
 	g_assert_cmpuint(accepted, >, 50);
-	/* The forecast is accurate to a fifth; most accepted jobs are in time.
-	 * */
+	/* The forecast is accurate to a fifth: most jobs are in time. */
 	g_assert_cmpuint(late * 10, <=, accepted);
 }
 
--- a/src/test_libradishjunction/test_cell_path.c
+++ b/src/test_libradishjunction/test_cell_path.c
@@ -64,7 +64,7 @@
 	cell_sim_check_final(&f->sim);
 }
 
-/* A cancelled job stops, and its client is told so. */
+/* A cancelled job stops, and is reported as cancelled. */
 static void test_a_cancelled_job_stops(struct cell_fixture *f, const void *data)
 {
 	struct rj_cell_step step = cell_sim_plain_step(4, 1, 1000);
@@ -328,8 +328,8 @@
 		g_assert_cmpuint(f->sim.workers[i].runs->len, ==, 0);
 }
 
-/* Guards against keeping a job that was never submitted as unknown after the
- * log was read: it is reported as not found. */
+/* A job that was never submitted is reported as not found once the log has been
+ * read. */
 static void test_unknown_job_is_not_found(struct cell_fixture *f,
 					  const void *data)
 {
--- a/src/test_libradishjunction/test_cell_reach.c
+++ b/src/test_libradishjunction/test_cell_reach.c
@@ -114,9 +114,8 @@
 		complete_behind_partition(&f->sim, (3400 + 300 * i) * MS);
 }
 
-/* Guards against a second run that goes on to its end though the first worker,
- * once its partition has healed, lists the task as done and then deregisters.
- * */
+/* Guards against a second run that goes on though the first worker, after the
+ * partition has healed, lists the task as done and then deregisters. */
 static void test_late_completion(struct cell_fixture *f, const void *data)
 {
 	struct rj_cell_step step = cell_sim_plain_step(1, 1, 2000);
@@ -142,8 +141,8 @@
 
 /* Guards against urgent jobs that concentrate in the first racks, so that the
  * loss of one failure domain stops all of them. */
-static void test_urgent_work_spreads_over_domains(struct cell_fixture *f,
-						  const void *data)
+static void test_urgent_jobs_spread_over_domains(struct cell_fixture *f,
+						 const void *data)
 {
 	struct rj_cell_step step = cell_sim_plain_step(2, 4, 2000);
 
@@ -159,8 +158,7 @@
 }
 
 /* Guards against clients that wait until they time out at an instance that
- * cannot reach the log, and against a health check that does not redirect them.
- * */
+ * cannot reach the log, without a health check that redirects them. */
 static void test_instance_with_unreachable_log(struct cell_fixture *f,
 					       const void *data)
 {
@@ -297,8 +295,8 @@
 
 /* Guards against a gang that waits for a lease to expire after it lost a member
  * with its worker. */
-static void test_a_gang_does_not_wait_for_a_dead_worker(struct cell_fixture *f,
-							const void *data)
+static void test_gang_does_not_wait_for_a_crashed_worker(struct cell_fixture *f,
+							 const void *data)
 {
 	struct rj_cell_step step = cell_sim_plain_step(4, 8, 3000);
 	struct cell_client_job *job;
@@ -507,8 +505,8 @@
 	g_assert_cmpint(status, ==, RJ_CELL_STORE_FENCED);
 }
 
-/* Guards against sending a start that was planned before its worker reported
- * that it drains, long after, because storing the intent took so long. */
+/* Guards against sending a start long after its worker reported that it drains:
+ * it was planned before, and its intent took long to store. */
 static void
 test_starts_on_draining_workers_are_cancelled(struct cell_fixture *f,
 					      const void *data)
@@ -567,13 +565,13 @@
 	ADD("workers_unread", test_unread_workers_stop_all_starts);
 	ADD("completions", test_completions_are_polled_after_a_partition);
 	ADD("late_completion", test_late_completion);
-	ADD("spread", test_urgent_work_spreads_over_domains);
+	ADD("spread", test_urgent_jobs_spread_over_domains);
 	ADD("log_silent", test_instance_with_unreachable_log);
 	ADD("log_refuses", test_instance_refused_by_the_log);
 	ADD("log_deaf", test_long_polls_not_woken);
 	ADD("log_slow", test_reachability_proof_with_slow_appends);
 	ADD("successor", test_a_killed_owner_is_replaced_in_time);
-	ADD("dead_member", test_a_gang_does_not_wait_for_a_dead_worker);
+	ADD("dead_member", test_gang_does_not_wait_for_a_crashed_worker);
 	ADD("slow_break", test_gang_members_end_with_a_delay);
 	ADD("shows_life", test_owner_heartbeat_without_progress_log);
 	ADD("stopped_member", test_a_stopped_member_ends_no_other);
--- a/src/test_libradishjunction/test_cell_scale.c
+++ b/src/test_libradishjunction/test_cell_scale.c
@@ -154,13 +154,13 @@
 	g_free(sim);
 }
 
-/* Evaluations of each worker with which a plan takes a tenth of a second on
+/* With this many evaluations per worker a plan takes a tenth of a second on
  * half a core. */
 #define EFFORT_PER_WORKER_MAX 900
 
 /* Submits jobs of one step. */
-static void submit_job(struct cell_sim *sim, const char *queue, uint32_t jobs,
-		       const struct rj_cell_step *step, uint64_t duration_us)
+static void submit_jobs(struct cell_sim *sim, const char *queue, uint32_t jobs,
+			const struct rj_cell_step *step, uint64_t duration_us)
 {
 	for (uint32_t i = 0; i < jobs; i++)
 		cell_sim_submit(sim, i % sim->options.nodes,
@@ -191,9 +191,9 @@
 	urgent.gang = true;
 	start_sim(sim, 200);
 	cell_sim_run(sim, 4 * S);
-	submit_job(sim, "normal", 25, &full, 20 * S);
+	submit_jobs(sim, "normal", 25, &full, 20 * S);
 	cell_sim_run(sim, 8 * S);
-	submit_job(sim, "urgent", 300, &urgent, 2500 * MS);
+	submit_jobs(sim, "urgent", 300, &urgent, 2500 * MS);
 	cell_sim_run(sim, 3 * S);
 	g_assert_cmpuint(effort_per_worker(sim), <, EFFORT_PER_WORKER_MAX);
 	g_assert_cmpuint(sim->violations->len, ==, 0);
@@ -207,12 +207,12 @@
 static void test_many_tasks_on_separate_workers(void)
 {
 	struct cell_sim *sim = g_new0(struct cell_sim, 1);
-	struct rj_cell_step apart = cell_sim_plain_step(300, 1, 3000);
+	struct rj_cell_step separate = cell_sim_plain_step(300, 1, 3000);
 
-	apart.per_worker_max = 1;
+	separate.per_worker_max = 1;
 	start_sim(sim, 400);
 	cell_sim_run(sim, 5 * S);
-	submit_job(sim, "bulk", 2, &apart, 3 * S);
+	submit_jobs(sim, "bulk", 2, &separate, 3 * S);
 	cell_sim_run(sim, 2 * S);
 	g_assert_cmpuint(sim->starts, ==, 600);
 	g_assert_cmpuint(effort_per_worker(sim), <, 30);
--- a/src/test_libradishjunction/test_cell_starvation.c
+++ b/src/test_libradishjunction/test_cell_starvation.c
@@ -64,7 +64,7 @@
 }
 
 /*
- * Load: more normal jobs than the site holds, and a few batch jobs.
+ * Load: more normal jobs than the site can run, and a few batch jobs.
  * Guards against batch jobs that get no capacity while others wait.
  */
 static void test_a_share_outlasts_an_overload(struct cell_fixture *f,
@@ -80,8 +80,8 @@
 }
 
 /*
- * Load: more normal jobs than the site holds, and batch tasks that must run on
- * different workers.
+ * Load: more normal jobs than the site can run, and batch tasks that must run
+ * on different workers.
  * Guards against two of them on one worker when a plan starts some within the
  * share and the others after it.
  */
@@ -185,7 +185,7 @@
 
 /*
  * Load: the same, but the late job will soon be useless.
- * Guards against a late job that gives way until it is useless.
+ * Guards against a late job that is passed over until it is useless.
  */
 static void test_late_job_runs_before_it_is_useless(struct cell_fixture *f,
 						    const void *data)
@@ -193,7 +193,7 @@
 	g_assert_true(older_starts_first(&f->sim, 8 * S));
 }
 
-/* Returns an endless stream of more normal jobs than the site holds. */
+/* Returns an endless stream of more normal jobs than the site can run. */
 static const struct cell_load_stream *overload_stream(void)
 {
 	static struct cell_load_stream stream;
@@ -209,7 +209,7 @@
 }
 
 /*
- * Load: more normal jobs than the site holds, and a batch job.
+ * Load: more normal jobs than the site can run, and a batch job.
  * Guards against batch tasks that are preempted as soon as they start, because
  * a run that has just started is cheap to stop.
  */
@@ -257,7 +257,7 @@
 
 /*
  * Load: a batch job that is due long after its acceptance, and more normal jobs
- * than the site holds.
+ * than the site can run.
  * Guards against occurrences that count as late before they are due.
  */
 static void
@@ -278,7 +278,7 @@
 
 /*
  * Load: a perpetual batch job that loses a worker, and more normal jobs than
- * the site holds.
+ * the site can run.
  * Guards against tasks that count as late because their job has run for long,
  * and so are not started again.
  */
@@ -309,7 +309,7 @@
 
 /*
  * Load: a batch job that must run in the rack that is reserved first, and more
- * normal jobs than the site holds.
+ * normal jobs than the site can run.
  * Guards against a job that waits for ever beside idle workers that no other
  * job may use.
  */
