--- a/src/test_libradishjunction/support/cell_fake_advice.c
+++ b/src/test_libradishjunction/support/cell_fake_advice.c
@@ -36,7 +36,8 @@
 }
 
 /*
- * Whether a start has a valid ticket for the current incarnation of its worker.
+ * Whether a start has a valid ticket for the current incarnation of its worker;
+ * also checks that the policy allows the worker.
  */
 bool cell_advice_accepts(struct cell_sim *sim,
 			 const struct cell_fake_worker *worker,
--- a/src/test_libradishjunction/support/cell_sim.c
+++ b/src/test_libradishjunction/support/cell_sim.c
@@ -500,8 +500,8 @@
 }
 
 /*
- * Creates a job that a client may submit; each of its tasks takes `duration_us`
- * at speed 1.
+ * Creates a job that a client may submit; it is freed with the simulation. Each
+ * of its tasks takes `duration_us` at speed 1.
  */
 struct cell_client_job *cell_sim_job_new(struct cell_sim *sim,
 					 const char *queue, const char *account,
--- a/src/test_libradishjunction/support/cell_sim.h
+++ b/src/test_libradishjunction/support/cell_sim.h
@@ -94,8 +94,8 @@
 	bool partitioned_from_log; /* entry expires, runs go on */
 	bool requires_ticket; /* rejects all starts: no ticket */
 	bool unhealthy; /* rejects all starts as "sick" */
-	bool fails_all;
-	bool stalled;
+	bool fails_all; /* every run fails */
+	bool stalled; /* runs make no progress */
 	bool never_completes; /* runs never report their completion */
 	uint32_t delayed_percent; /* orders executed late and not answered */
 	double speed;
@@ -133,9 +133,9 @@
 	uint64_t seed;
 	uint32_t nodes;
 	uint32_t workers;
-	uint32_t rack_workers;
+	uint32_t rack_workers; /* per rack */
 	struct rj_cell_demand capacity;
-	bool enforces_capacity;
+	bool enforces_capacity; /* workers reject starts that do not fit */
 	uint32_t guaranteed; /* accelerators of each account */
 	uint32_t lease_max_ms; /* 0: 6,000 */
 	uint32_t attempts_max; /* 0: 4 */
