--- a/src/test_libradishjunction/support/cell_fake_orders.c
+++ b/src/test_libradishjunction/support/cell_fake_orders.c
@@ -1,6 +1,6 @@
 /*
- * How orders reach the fake workers: fencing tokens, tickets, answers that are
- * lost, and orders that are carried out late.
+ * Delivers orders to the fake workers: fencing tokens, tickets, lost answers,
+ * and orders that are executed late.
  */
 #include <string.h>
 #include <talloc.h>
@@ -9,9 +9,9 @@
 
 #define LATENCY_US (3 * MS)
 #define TIMEOUT_US (700 * MS)
-/* A lost order is carried out between these. */
-#define LATE_MIN_MS 2000
-#define LATE_SPREAD_MS 6000
+/* Delay of an order that is executed late. */
+#define DELAY_MIN_MS 2000
+#define DELAY_SPREAD_MS 6000
 
 enum order_kind {
 	ORDER_START,
@@ -19,44 +19,44 @@
 	ORDER_POLL,
 };
 
-/* An order on its way. */
+/* An order in flight. */
 struct order {
 	struct cell_sim_node *node;
-	uint32_t life;
+	uint32_t node_incarnation;
 	struct cell_fake_worker *worker;
-	uint64_t incarnation;
+	uint64_t worker_incarnation;
 	enum order_kind kind;
 	uint64_t sent_us;
 	struct rj_cell_order_done done;
 	struct rj_cell_start start;
 	struct rj_cell_poll poll;
-	bool late; /* it is carried out, and nobody hears of it */
+	bool delayed; /* executed late, and not answered */
 	uint64_t until_us;
 	struct rj_cell_order_reply reply;
 };
 
-/* Whether the caller of an order can still hear. */
+/* Delivers the answer, unless the node's process has ended. */
 static void deliver(void *data)
 {
 	struct order *order = data;
 	struct cell_sim_node *node = order->node;
 
-	if (!cell_sim_node_is_current(node, order->life)) {
+	if (!cell_sim_node_is_current(node, order->node_incarnation)) {
 		talloc_free(order);
 		return;
 	}
 	if (cell_sim_defer_if_paused(node, deliver, order))
 		return;
 	cell_sim_node_enter(node);
-	order->reply.now_us = node->world->now_us;
+	order->reply.now_us = node->sim->now_us;
 	order->done.call(order->done.private_data, &order->reply);
-	rj_cell_node_advance(&node->node, node->world->now_us,
-			     cell_sim_wall_ms(node->world));
+	rj_cell_node_advance(&node->node, node->sim->now_us,
+			     cell_sim_wall_ms(node->sim));
 	cell_sim_node_leave(node);
 	talloc_free(order);
 }
 
-/* After how long an order counts as lost. */
+/* Time after which an order without an answer counts as lost. */
 static uint64_t timeout_us(const struct order *order)
 {
 	if (order->kind != ORDER_POLL)
@@ -64,34 +64,33 @@
 	return (order->poll.wait_ms + order->poll.timeout_ms) * MS;
 }
 
-/* The order gets no answer. */
-static void lose(struct order *order)
+/* Lets an order time out. */
+static void drop_answer(struct order *order)
 {
 	order->reply.status = RJ_CELL_ORDER_LOST;
-	cell_sim_schedule(order->node->world, timeout_us(order), deliver,
-			  order);
+	cell_sim_schedule(order->node->sim, timeout_us(order), deliver, order);
 }
 
-/* The answer is on its way back. */
+/* Sends the answer, unless the worker is partitioned from the node. */
 static void answer(struct order *order, enum rj_cell_order_status status)
 {
-	struct cell_sim *world = order->node->world;
+	struct cell_sim *sim = order->node->sim;
 
-	if (order->late) {
+	if (order->delayed) {
 		talloc_free(order);
 		return;
 	}
-	if (order->worker->cut[order->node->index]) {
-		lose(order);
+	if (order->worker->partitioned[order->node->index]) {
+		drop_answer(order);
 		return;
 	}
 	order->reply.status = status;
-	order->reply.clock_ms = cell_fake_clock_ms(world, order->worker);
+	order->reply.clock_ms = cell_fake_clock_ms(sim, order->worker);
 	order->reply.incarnation = order->worker->incarnation;
-	cell_sim_schedule(world, LATENCY_US, deliver, order);
+	cell_sim_schedule(sim, LATENCY_US, deliver, order);
 }
 
-/* List the runs. */
+/* Adds the worker's runs to the reply. */
 static void list_runs(struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
@@ -103,17 +102,17 @@
 
 		rows[i].name = talloc_strdup(order, run->name);
 		rows[i].number = run->number;
-		rows[i].saved = talloc_strdup(order, run->saved);
-		rows[i].percent =
-			(uint32_t)MIN(100, run->done_us * 100 / run->work_us);
+		rows[i].saved = talloc_strdup(order, run->checkpoint);
+		rows[i].percent = (uint32_t)MIN(100, run->progress_us * 100 /
+							     run->duration_us);
 		rows[i].measurement = cell_fake_tail_latency_ms(worker, run);
 	}
 	order->reply.rows = rows;
 	order->reply.row_count = worker->runs->len;
 }
 
-/* List the ends. */
-static void list_ends(struct order *order)
+/* Adds the worker's completions to the reply. */
+static void list_completions(struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
 	struct rj_cell_completion_report *completions =
@@ -121,29 +120,30 @@
 				  worker->completions->len);
 
 	for (guint i = 0; i < worker->completions->len; i++) {
-		struct cell_fake_completion *end = &g_array_index(
+		struct cell_fake_completion *completion = &g_array_index(
 			worker->completions, struct cell_fake_completion, i);
 
-		completions[i].position = end->position;
-		completions[i].name = talloc_strdup(order, end->name);
-		completions[i].number = end->number;
-		completions[i].end = end->end;
-		completions[i].saved = talloc_strdup(order, end->saved);
+		completions[i].position = completion->position;
+		completions[i].name = talloc_strdup(order, completion->name);
+		completions[i].number = completion->number;
+		completions[i].end = completion->outcome;
+		completions[i].saved =
+			talloc_strdup(order, completion->checkpoint);
 	}
 	order->reply.completions = completions;
 	order->reply.completion_count = worker->completions->len;
 }
 
-/* Answer a poll with both lists. */
+/* Answers a poll with runs and completions. */
 static void answer_poll(struct order *order)
 {
 	list_runs(order);
-	list_ends(order);
+	list_completions(order);
 	answer(order, RJ_CELL_ORDER_OK);
 }
 
 /*
- * Answer the polls that wait, as something has ended.
+ * Answers the waiting polls after a run has ended.
  */
 void cell_fake_answer_polls(struct cell_fake_worker *worker)
 {
@@ -156,15 +156,15 @@
 }
 
 /*
- * End the polls that have waited long enough.
+ * Answers the polls whose wait has ended.
  */
-void cell_fake_expire_polls(struct cell_sim *world,
+void cell_fake_expire_polls(struct cell_sim *sim,
 			    struct cell_fake_worker *worker)
 {
 	for (guint i = 0; i < worker->polls->len;) {
 		struct order *order = worker->polls->pdata[i];
 
-		if (world->now_us < order->until_us) {
+		if (sim->now_us < order->until_us) {
 			i++;
 			continue;
 		}
@@ -174,7 +174,7 @@
 }
 
 /*
- * The polls that wait get no answer, as the worker has gone.
+ * Lets the waiting polls time out after the worker has crashed.
  */
 void cell_fake_drop_polls(struct cell_fake_worker *worker)
 {
@@ -182,62 +182,62 @@
 		struct order *order = worker->polls->pdata[0];
 
 		g_ptr_array_remove_index(worker->polls, 0);
-		lose(order);
+		drop_answer(order);
 	}
 }
 
-/* Whether a start lacks a good ticket that its queue asks for. */
-static bool wants_ticket(struct cell_sim *world,
+/* Whether a start of a queue that needs tickets has no valid one. */
+static bool lacks_ticket(struct cell_sim *sim,
 			 const struct cell_fake_worker *worker,
 			 const struct rj_cell_start *start)
 {
 	uint32_t step = 0;
 	uint32_t index = 0;
 	const struct cell_client_job *job =
-		cell_check_find_job(world, start->name, &step, &index);
+		cell_check_find_job(sim, start->name, &step, &index);
 
-	return job && !strcmp(job->job_spec->queue, "advised") &&
-	       !cell_advice_accepts(world, worker, start);
+	return job && !strcmp(job->spec->queue, "advised") &&
+	       !cell_advice_accepts(sim, worker, start);
 }
 
-/* A start arrives. */
-static enum rj_cell_order_status do_start(struct cell_sim *world,
+/* Executes a start. */
+static enum rj_cell_order_status do_start(struct cell_sim *sim,
 					  struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
 	const struct rj_cell_start *start = &order->start;
 	struct cell_fake_run *run = cell_fake_find_run(worker, start->name);
-	uint64_t longest_ms =
-		cell_fake_clock_ms(world, worker) + world->plan.lease_max_ms;
+	uint64_t deadline_max_ms =
+		cell_fake_clock_ms(sim, worker) + sim->options.lease_max_ms;
 
-	if (worker->refuses)
+	if (worker->unhealthy)
 		return RJ_CELL_ORDER_UNHEALTHY;
-	if (worker->wants_ticket || wants_ticket(world, worker, start)) {
-		world->refused_starts++;
+	if (worker->requires_ticket || lacks_ticket(sim, worker, start)) {
+		sim->refused_starts++;
 		return RJ_CELL_ORDER_TICKET_INVALID;
 	}
 	if (start->token < worker->token)
 		return RJ_CELL_ORDER_FENCED;
 	worker->token = start->token;
-	if (cell_fake_clock_ms(world, worker) > start->deadline_ms)
+	if (cell_fake_clock_ms(sim, worker) > start->deadline_ms)
 		return RJ_CELL_ORDER_DEADLINE_PASSED;
 	worker->lease_ms =
-		MAX(worker->lease_ms, MIN(start->deadline_ms, longest_ms));
+		MAX(worker->lease_ms, MIN(start->deadline_ms, deadline_max_ms));
 	if (run && run->number == start->number)
 		return RJ_CELL_ORDER_OK;
 	if (GPOINTER_TO_UINT(g_hash_table_lookup(
-		    worker->barred, start->name)) >= start->number ||
+		    worker->highest_ended, start->name)) >= start->number ||
 	    run)
 		return RJ_CELL_ORDER_STALE;
-	if (cell_fake_is_full(world, worker, start->name))
+	if (cell_fake_is_full(sim, worker, start->name))
 		return RJ_CELL_ORDER_NO_CAPACITY;
-	cell_check_start(world, worker, start, order->sent_us);
-	cell_fake_start_run(world, worker, start);
+	cell_check_start(sim, worker, start, order->sent_us);
+	cell_fake_start_run(sim, worker, start);
 	return RJ_CELL_ORDER_OK;
 }
 
-/* A stop arrives. */
-static enum rj_cell_order_status do_stop(struct cell_sim *world,
+/* Executes a stop. */
+static enum rj_cell_order_status do_stop(struct cell_sim *sim,
 					 struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
@@ -248,18 +248,18 @@
 		return RJ_CELL_ORDER_FENCED;
 	worker->token = order->start.token;
 	cell_fake_mark_ended(worker, order->start.name, order->start.number);
-	if (run && run->number == order->start.number && !run->stopped_us)
-		run->stopped_us = world->now_us + CELL_FAKE_STOP_DELAY_US;
+	if (run && run->number == order->start.number && !run->stop_at_us)
+		run->stop_at_us = sim->now_us + CELL_FAKE_STOP_DELAY_US;
 	return RJ_CELL_ORDER_OK;
 }
 
-/* A poll arrives: it may wait for an end. */
-static void do_poll(struct cell_sim *world, struct order *order)
+/* Handles a poll, which may wait for a completion. */
+static void do_poll(struct cell_sim *sim, struct order *order)
 {
 	struct cell_fake_worker *worker = order->worker;
 	const struct rj_cell_poll *poll = &order->poll;
-	uint64_t longest_ms =
-		cell_fake_clock_ms(world, worker) + world->plan.lease_max_ms;
+	uint64_t deadline_max_ms =
+		cell_fake_clock_ms(sim, worker) + sim->options.lease_max_ms;
 
 	if (poll->token < worker->token) {
 		answer(order, RJ_CELL_ORDER_FENCED);
@@ -268,86 +268,90 @@
 	worker->token = poll->token;
 	if (poll->deadline_ms)
 		worker->lease_ms = MAX(worker->lease_ms,
-				       MIN(poll->deadline_ms, longest_ms));
-	cell_fake_drop_acknowledged(world, worker, poll->stored_position);
-	if (!poll->wait_ms || worker->completions->len || order->late) {
+				       MIN(poll->deadline_ms, deadline_max_ms));
+	cell_fake_drop_acknowledged(sim, worker, poll->stored_position);
+	if (!poll->wait_ms || worker->completions->len || order->delayed) {
 		answer_poll(order);
 		return;
 	}
-	order->until_us = world->now_us + poll->wait_ms * MS;
+	order->until_us = sim->now_us + poll->wait_ms * MS;
 	g_ptr_array_add(worker->polls, order);
 }
 
-/* An order arrives at the worker. */
+/* Handles an order that arrives at its worker. */
 static void arrive(void *data)
 {
 	struct order *order = data;
-	struct cell_sim *world = order->node->world;
+	struct cell_sim *sim = order->node->sim;
 	struct cell_fake_worker *worker = order->worker;
 
 	if (!worker->up) {
-		if (order->late) {
+		if (order->delayed) {
 			talloc_free(order);
 			return;
 		}
 		order->reply.status = RJ_CELL_ORDER_UNSENT;
-		cell_sim_schedule(world, LATENCY_US, deliver, order);
+		cell_sim_schedule(sim, LATENCY_US, deliver, order);
 		return;
 	}
-	if (worker->cut[order->node->index] && !order->late) {
-		/* Kept connections hang; new ones are never made. */
+	if (worker->partitioned[order->node->index] && !order->delayed) {
+		/* Half of the workers keep open connections, which hang;
+		 * connecting to the others fails. */
 		if (worker->index % 2) {
-			lose(order);
+			drop_answer(order);
 			return;
 		}
 		order->reply.status = RJ_CELL_ORDER_UNSENT;
-		cell_sim_schedule(world, timeout_us(order), deliver, order);
+		cell_sim_schedule(sim, timeout_us(order), deliver, order);
 		return;
 	}
-	if (order->incarnation && order->incarnation != worker->incarnation) {
+	if (order->worker_incarnation &&
+	    order->worker_incarnation != worker->incarnation) {
 		answer(order, RJ_CELL_ORDER_OTHER_INCARNATION);
 		return;
 	}
 	if (order->kind == ORDER_START)
-		answer(order, do_start(world, order));
+		answer(order, do_start(sim, order));
 	else if (order->kind == ORDER_STOP)
-		answer(order, do_stop(world, order));
+		answer(order, do_stop(sim, order));
 	else
-		do_poll(world, order);
+		do_poll(sim, order);
 }
 
-/* Send an order; some are carried out late, and never answered. */
+/* Sends an order; some are executed late, and never answered. */
 static void send(struct order *order)
 {
-	struct cell_sim *world = order->node->world;
+	struct cell_sim *sim = order->node->sim;
 	struct cell_fake_worker *worker = order->worker;
 
-	if (order->kind != ORDER_POLL && worker->leave_percent &&
-	    cell_sim_random(world, 100) < worker->leave_percent) {
-		struct order *late =
-			talloc_memdup(world->mem, order, sizeof(*order));
-
-		late->late = true;
-		/* No order reaches another life than it was sent to late. */
-		late->incarnation = worker->incarnation;
-		late->start.name = talloc_strdup(late, order->start.name);
-		late->start.ticket = talloc_strdup(
-			late, order->start.ticket ? order->start.ticket : "");
-		late->start.checkpoint = talloc_strdup(
-			late,
+	if (order->kind != ORDER_POLL && worker->delayed_percent &&
+	    cell_sim_random(sim, 100) < worker->delayed_percent) {
+		struct order *delayed =
+			talloc_memdup(sim->mem, order, sizeof(*order));
+
+		delayed->delayed = true;
+		/* An order executed late must not reach a later incarnation of
+		 * its worker. */
+		delayed->worker_incarnation = worker->incarnation;
+		delayed->start.name = talloc_strdup(delayed, order->start.name);
+		delayed->start.ticket = talloc_strdup(
+			delayed,
+			order->start.ticket ? order->start.ticket : "");
+		delayed->start.checkpoint = talloc_strdup(
+			delayed,
 			order->start.checkpoint ? order->start.checkpoint : "");
 		cell_sim_schedule(
-			world,
-			(LATE_MIN_MS + cell_sim_random(world, LATE_SPREAD_MS)) *
+			sim,
+			(DELAY_MIN_MS + cell_sim_random(sim, DELAY_SPREAD_MS)) *
 				MS,
-			arrive, late);
-		lose(order);
+			arrive, delayed);
+		drop_answer(order);
 		return;
 	}
-	cell_sim_schedule(world, LATENCY_US, arrive, order);
+	cell_sim_schedule(sim, LATENCY_US, arrive, order);
 }
 
-/* Remember one order. */
+/* Creates an order of a node. */
 static struct order *order_new(struct rj_cell_workers *workers,
 			       const struct rj_cell_worker *worker,
 			       enum order_kind kind,
@@ -355,22 +359,21 @@
 {
 	struct cell_sim_node *node =
 		RJ_CONTAINER(workers, struct cell_sim_node, workers);
-	struct cell_sim *world = node->world;
-	struct order *order = talloc_zero(world->mem, struct order);
+	struct cell_sim *sim = node->sim;
+	struct order *order = talloc_zero(sim->mem, struct order);
 	uint32_t index;
 
 	order->node = node;
-	order->life = node->life;
+	order->node_incarnation = node->incarnation;
 	order->kind = kind;
-	order->sent_us = world->now_us;
+	order->sent_us = sim->now_us;
 	order->done = done;
 	index = (uint32_t)g_ascii_strtoull(worker->id + 1, NULL, 10);
-	g_assert_cmpuint(index, <, world->plan.workers);
-	order->worker = &world->workers[index];
+	g_assert_cmpuint(index, <, sim->options.workers);
+	order->worker = &sim->workers[index];
 	return order;
 }
 
-/* A node orders a start. */
 static void workers_start(struct rj_cell_workers *workers,
 			  const struct rj_cell_worker *worker,
 			  const struct rj_cell_start *start,
@@ -386,7 +389,6 @@
 	send(order);
 }
 
-/* A node orders a stop. */
 static void workers_stop(struct rj_cell_workers *workers,
 			 const struct rj_cell_worker *worker, const char *name,
 			 uint32_t number, uint64_t token,
@@ -400,7 +402,6 @@
 	send(order);
 }
 
-/* A node asks for the lists. */
 static void workers_poll(struct rj_cell_workers *workers,
 			 const struct rj_cell_worker *worker,
 			 const struct rj_cell_poll *poll,
--- a/src/test_libradishjunction/support/cell_sim.c
+++ b/src/test_libradishjunction/support/cell_sim.c
@@ -14,15 +14,16 @@
 #define CORDON_PREFIX "cordon/"
 #define ATTEMPTS_MAX 4
 #define LEASE_MAX_MS 6000
-/* A key is served no longer than this after its removal. */
+/* A removed key is not served after this. */
 #define REVOKE_MS 5000
-/* Nothing starts on a draining worker or in a cordoned domain after this. */
+/* Nothing starts on a draining worker after DRAIN_MS, nor in a cordoned failure
+ * domain after CORDON_MS. */
 #define DRAIN_MS 2000
-/* A stop takes no longer, nor the end of a gang's members. */
+/* Bound for a stop, and for the end of all members of a gang. */
 #define STOP_MS 200
 #define CORDON_MS 5000
-/* A call in so many still carries the key that was removed last. */
-#define OLD_KEY_ONE_IN 7
+/* One call in this many still carries the key removed last. */
+#define REMOVED_KEY_ONE_IN 7
 
 struct cell_sim_event {
 	uint64_t at_us;
@@ -31,7 +32,7 @@
 	void *data;
 };
 
-/* Earlier events first, in the order in which they were made. */
+/* By time, then in the order of creation. */
 static gint by_time(gconstpointer a, gconstpointer b, gpointer unused)
 {
 	const struct cell_sim_event *left = a;
@@ -43,45 +44,45 @@
 }
 
 /*
- * Call a function in `delay_us`.
+ * Calls `call` with `data` after `delay_us`.
  */
-void cell_sim_schedule(struct cell_sim *world, uint64_t delay_us,
+void cell_sim_schedule(struct cell_sim *sim, uint64_t delay_us,
 		       void (*call)(void *), void *data)
 {
 	struct cell_sim_event *event = g_new0(struct cell_sim_event, 1);
 
-	event->at_us = world->now_us + delay_us;
-	event->sequence = world->sequence++;
+	event->at_us = sim->now_us + delay_us;
+	event->sequence = sim->sequence++;
 	event->call = call;
 	event->data = data;
-	g_sequence_insert_sorted(world->events, event, by_time, NULL);
+	g_sequence_insert_sorted(sim->events, event, by_time, NULL);
 }
 
 /*
- * A number below a bound, the same in every run of a seed.
+ * Returns a number below `below`; the sequence depends on the seed alone.
  */
-uint32_t cell_sim_random(struct cell_sim *world, uint32_t below)
+uint32_t cell_sim_random(struct cell_sim *sim, uint32_t below)
 {
-	return below ? (uint32_t)(rj_random64(&world->random) % below) : 0;
+	return below ? (uint32_t)(rj_random64(&sim->random) % below) : 0;
 }
 
 /*
- * Milliseconds since 1970 by the world's clock.
+ * Milliseconds since 1970 by the simulated clock.
  */
-uint64_t cell_sim_wall_ms(const struct cell_sim *world)
+uint64_t cell_sim_wall_ms(const struct cell_sim *sim)
 {
-	return WALL_MS + world->now_us / MS;
+	return WALL_MS + sim->now_us / MS;
 }
 
 /*
- * Let time pass.
+ * Advances the simulated time, and handles the events that are due.
  */
-void cell_sim_run(struct cell_sim *world, uint64_t for_us)
+void cell_sim_run(struct cell_sim *sim, uint64_t for_us)
 {
-	uint64_t until_us = world->now_us + for_us;
+	uint64_t until_us = sim->now_us + for_us;
 
 	for (;;) {
-		GSequenceIter *first = g_sequence_get_begin_iter(world->events);
+		GSequenceIter *first = g_sequence_get_begin_iter(sim->events);
 		struct cell_sim_event *event;
 
 		if (g_sequence_iter_is_end(first))
@@ -89,45 +90,46 @@
 		event = g_sequence_get(first);
 		if (event->at_us > until_us)
 			break;
-		world->now_us = event->at_us;
+		sim->now_us = event->at_us;
 		g_sequence_remove(first);
 		event->call(event->data);
 		g_free(event);
 	}
-	world->now_us = until_us;
+	sim->now_us = until_us;
 }
 
 /*
- * Whether a node still is the process that made a call.
+ * Whether a node's process is still the one that made a call.
  */
-bool cell_sim_node_is_current(const struct cell_sim_node *node, uint32_t life)
+bool cell_sim_node_is_current(const struct cell_sim_node *node,
+			      uint32_t incarnation)
 {
-	return node->up && node->life == life;
+	return node->up && node->incarnation == incarnation;
 }
 
 /*
- * Whether a node stands still just now: `call` is made again once it goes on.
+ * Whether a node is paused; then `call` is called again when it resumes.
  */
 bool cell_sim_defer_if_paused(struct cell_sim_node *node, void (*call)(void *),
 			      void *data)
 {
-	uint64_t now_us = node->world->now_us;
+	uint64_t now_us = node->sim->now_us;
 
 	if (node->paused_until_us <= now_us)
 		return false;
-	cell_sim_schedule(node->world, node->paused_until_us - now_us + 1, call,
+	cell_sim_schedule(node->sim, node->paused_until_us - now_us + 1, call,
 			  data);
 	return true;
 }
 
-/* A job out of a body, which is a definition as the log has it. */
+/* Decodes a job from a submission, which is encoded as in the log. */
 static struct rj_cell_job_spec *decode_job(void *mem, struct rj_bytes body,
 					   struct rj_error *err)
 {
 	return rj_cell_job_spec_decode(mem, body, err);
 }
 
-/* A worker's entry is the struct itself. */
+/* Decodes a worker's entry, which is a copy of the struct. */
 static int decode_worker(struct rj_bytes text,
 			 struct rj_cell_heartbeat *heartbeat,
 			 struct rj_error *err)
@@ -138,7 +140,7 @@
 	return 0;
 }
 
-/* The queues of the world: name, path, priority, objective. */
+/* Queues: name, path prefix, priority, objective. */
 static const struct {
 	const char *name;
 	const char *prefix;
@@ -152,7 +154,7 @@
 	{ "advised", "/a/", 1, 3000, 1000 },
 };
 
-/* What a key of the operators' log is for. */
+/* Tells what a key of the operators' topic stands for. */
 static enum rj_cell_published classify(const char *key, const char **name)
 {
 	if (!strcmp(key, CONFIG_KEY))
@@ -163,7 +165,8 @@
 	return RJ_CELL_PUBLISHED_CORDON;
 }
 
-/* A configuration out of the few fields that the world varies. */
+/* Decodes a configuration, of which only the fields encoded by cell_sim_publish
+ * vary. */
 static struct rj_cell_config *decode_config(void *mem, struct rj_bytes text,
 					    struct rj_error *err)
 {
@@ -219,61 +222,61 @@
 };
 
 /*
- * Operators publish a new version, in which only `key` is good.
+ * Publishes a new configuration, in which only `key` is valid.
  */
-void cell_sim_publish(struct cell_sim *world, const char *key)
+void cell_sim_publish(struct cell_sim *sim, const char *key)
 {
 	struct rj_packer out;
 	struct rj_bytes text;
 
 	rj_pack_init(&out);
-	rj_pack_number(&out, ++world->config_version);
+	rj_pack_number(&out, ++sim->config_version);
 	rj_pack_text(&out, key);
-	rj_pack_number(&out, world->plan.guaranteed);
-	rj_pack_number(&out, world->plan.guaranteed);
-	rj_pack_number(&out, world->plan.attempts_max);
-	text = rj_pack_finish(&out, world->mem);
-	cell_log_put(world, RJ_CELL_TOPIC_CONFIG, CONFIG_KEY, text.data,
+	rj_pack_number(&out, sim->options.guaranteed);
+	rj_pack_number(&out, sim->options.guaranteed);
+	rj_pack_number(&out, sim->options.attempts_max);
+	text = rj_pack_finish(&out, sim->mem);
+	cell_log_put(sim, RJ_CELL_TOPIC_CONFIG, CONFIG_KEY, text.data,
 		     text.length);
-	if (world->key && strcmp(world->key, key) != 0) {
-		world->old_key = world->key;
-		world->removed_us = world->now_us;
+	if (sim->key && strcmp(sim->key, key) != 0) {
+		sim->removed_key = sim->key;
+		sim->key_removed_us = sim->now_us;
 	}
-	world->key = key;
+	sim->key = key;
 	talloc_free((void *)text.data);
 }
 
 /*
- * Operators cordon a failure domain, or give it back.
+ * Publishes or removes the cordon of a failure domain.
  */
-void cell_sim_cordon(struct cell_sim *world, const char *domain, bool cordoned)
+void cell_sim_cordon(struct cell_sim *sim, const char *domain, bool cordoned)
 {
 	char *key = g_strconcat(CORDON_PREFIX, domain, NULL);
-	uint64_t *since_us = g_hash_table_lookup(world->cordons, domain);
+	uint64_t *since_us = g_hash_table_lookup(sim->cordons, domain);
 
-	cell_log_put(world, RJ_CELL_TOPIC_CONFIG, key, "{}", cordoned ? 2 : 0);
+	cell_log_put(sim, RJ_CELL_TOPIC_CONFIG, key, "{}", cordoned ? 2 : 0);
 	g_free(key);
 	if (!cordoned) {
-		g_hash_table_remove(world->cordons, domain);
+		g_hash_table_remove(sim->cordons, domain);
 		return;
 	}
 	if (since_us)
 		return;
 	since_us = g_new(uint64_t, 1);
-	*since_us = world->now_us;
-	g_hash_table_insert(world->cordons, g_strdup(domain), since_us);
+	*since_us = sim->now_us;
+	g_hash_table_insert(sim->cordons, g_strdup(domain), since_us);
 }
 
-/* Whose notes are printed, and who speaks just now. */
+/* The simulation whose log events are printed, and the node that runs. */
 static struct {
-	struct cell_sim *world;
+	struct cell_sim *sim;
 	const struct cell_sim_node *node;
 } trace;
 
-/* Print one note. */
-static GLogWriterOutput print_note(GLogLevelFlags level,
-				   const GLogField *fields, gsize count,
-				   gpointer unused)
+/* Prints one log event. */
+static GLogWriterOutput print_log_event(GLogLevelFlags level,
+					const GLogField *fields, gsize count,
+					gpointer unused)
 {
 	const struct rj_note_field *field;
 
@@ -283,7 +286,7 @@
 		if (strcmp(fields[i].key, RJ_NOTE_FIELD) != 0)
 			continue;
 		printf("%9.3f n%u %s",
-		       (double)trace.world->now_us / (double)S - 3600,
+		       (double)trace.sim->now_us / (double)S - 3600,
 		       trace.node ? trace.node->index : 99, note->event);
 		for (field = note->fields; field->name; field++)
 			if (field->text)
@@ -297,15 +300,16 @@
 }
 
 /*
- * Print the notes of this world from now on; once in a process.
+ * Prints the log events of this simulation from now on. Call it once in a
+ * process.
  */
-void cell_sim_trace(struct cell_sim *world)
+void cell_sim_trace(struct cell_sim *sim)
 {
-	trace.world = world;
-	g_log_set_writer_func(print_note, NULL, NULL);
+	trace.sim = sim;
+	g_log_set_writer_func(print_log_event, NULL, NULL);
 }
 
-/* The processor time of this thread. */
+/* CPU time of this thread. */
 static uint64_t cpu_now_ns(void)
 {
 	struct timespec time;
@@ -316,8 +320,7 @@
 }
 
 /*
- * The code of a node runs from here on: notes are its own, and so is the
- * processor time.
+ * Call before a node's code: attributes log events and CPU time to it.
  */
 void cell_sim_node_enter(struct cell_sim_node *node)
 {
@@ -326,33 +329,33 @@
 }
 
 /*
- * The code of a node has returned.
+ * Call after a node's code: ends the count of its CPU time.
  */
 void cell_sim_node_leave(struct cell_sim_node *node)
 {
 	node->cpu_ns += cpu_now_ns();
 }
 
-/* A node polls for what is due. */
+/* Advances a node, as its timer does. */
 static void tick(void *data)
 {
 	struct cell_sim_node *node = data;
-	struct cell_sim *world = node->world;
+	struct cell_sim *sim = node->sim;
 
 	cell_sim_node_enter(node);
-	if (node->up && node->paused_until_us <= world->now_us)
-		rj_cell_node_advance(&node->node, world->now_us,
-				     cell_sim_wall_ms(world));
+	if (node->up && node->paused_until_us <= sim->now_us)
+		rj_cell_node_advance(&node->node, sim->now_us,
+				     cell_sim_wall_ms(sim));
 	cell_sim_node_leave(node);
-	cell_sim_schedule(world, TICK_US, tick, node);
+	cell_sim_schedule(sim, TICK_US, tick, node);
 }
 
 /*
- * A node's process starts, with nothing of its former life.
+ * Starts a node's process, without any state of its previous one.
  */
-void cell_sim_node_start(struct cell_sim *world, uint32_t index)
+void cell_sim_node_start(struct cell_sim *sim, uint32_t index)
 {
-	struct cell_sim_node *node = &world->nodes[index];
+	struct cell_sim_node *node = &sim->nodes[index];
 	struct rj_cell_node_options options = {
 		.strength = 25,
 		.terms = { .status_retention_ms = 120000, .reclaim_ms = 2900 },
@@ -362,8 +365,8 @@
 		.advisor = &node->advisor
 	};
 
-	options.terms.lease_max_ms = world->plan.lease_max_ms;
-	options.terms.revoke_ms = world->plan.revoke_ms;
+	options.terms.lease_max_ms = sim->options.lease_max_ms;
+	options.terms.revoke_ms = sim->options.revoke_ms;
 	options.terms.drain_ms = DRAIN_MS;
 	options.terms.stop_ms = STOP_MS;
 	options.terms.cordon_ms = CORDON_MS;
@@ -373,21 +376,21 @@
 		return;
 	cell_sim_node_enter(node);
 	node->up = true;
-	node->life++;
-	node->mem = talloc_named_const(world->mem, 0, "node");
+	node->incarnation++;
+	node->mem = talloc_named_const(sim->mem, 0, "node");
 	(void)g_snprintf(options.name, sizeof(options.name), "n%u", index);
-	options.incarnation = node->life * 100 + index + 1;
+	options.incarnation = node->incarnation * 100 + index + 1;
 	rj_cell_node_init(&node->node, node->mem, &options);
-	rj_cell_node_start(&node->node, world->now_us, cell_sim_wall_ms(world));
+	rj_cell_node_start(&node->node, sim->now_us, cell_sim_wall_ms(sim));
 	cell_sim_node_leave(node);
 }
 
 /*
- * A node's process is killed: its clients hear nothing more.
+ * Kills a node's process; its clients get no more answers.
  */
-void cell_sim_node_kill(struct cell_sim *world, uint32_t index)
+void cell_sim_node_kill(struct cell_sim *sim, uint32_t index)
 {
-	struct cell_sim_node *node = &world->nodes[index];
+	struct cell_sim_node *node = &sim->nodes[index];
 
 	if (!node->up)
 		return;
@@ -397,94 +400,95 @@
 }
 
 /*
- * A node stands still for a while; what comes meanwhile waits.
+ * Pauses a node; what arrives meanwhile is handled when it resumes.
  */
-void cell_sim_node_pause(struct cell_sim *world, uint32_t index,
-			 uint64_t for_us)
+void cell_sim_node_pause(struct cell_sim *sim, uint32_t index, uint64_t for_us)
 {
-	world->nodes[index].paused_until_us = world->now_us + for_us;
+	sim->nodes[index].paused_until_us = sim->now_us + for_us;
 }
 
 /*
- * The node that owns the cell by its own belief, or -1.
+ * Returns the node that considers itself the owner, or -1.
  */
-int cell_sim_owner(const struct cell_sim *world)
+int cell_sim_owner(const struct cell_sim *sim)
 {
-	for (uint32_t i = 0; i < world->plan.nodes; i++)
-		if (world->nodes[i].up && world->nodes[i].node.owner.active)
+	for (uint32_t i = 0; i < sim->options.nodes; i++)
+		if (sim->nodes[i].up && sim->nodes[i].node.owner.active)
 			return (int)i;
 	return -1;
 }
 
 /*
- * Make a site and start all of it. Clients may come after a second or two.
+ * Creates a site and starts all of it; it accepts jobs after one to two
+ * seconds.
  */
-void cell_sim_init(struct cell_sim *world, const struct cell_sim_options *plan)
-{
-	memset(world, 0, sizeof(*world));
-	world->plan = *plan;
-	if (!plan->attempts_max)
-		world->plan.attempts_max = ATTEMPTS_MAX;
-	if (!plan->lease_max_ms)
-		world->plan.lease_max_ms = LEASE_MAX_MS;
-	if (!plan->revoke_ms)
-		world->plan.revoke_ms = REVOKE_MS;
-	world->mem = talloc_named_const(NULL, 0, "cell world");
-	world->random = plan->seed ^ 0x9e3779b97f4a7c15ULL;
-	world->now_us = 3600 * S;
-	world->events = g_sequence_new(NULL);
-	world->jobs = g_hash_table_new(g_str_hash, g_str_equal);
-	world->gangs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					     (GDestroyNotify)g_ptr_array_unref);
-	world->job_list = g_ptr_array_new();
-	world->violations = g_ptr_array_new_with_free_func(g_free);
-	world->cordons =
+void cell_sim_init(struct cell_sim *sim, const struct cell_sim_options *options)
+{
+	memset(sim, 0, sizeof(*sim));
+	sim->options = *options;
+	if (!options->attempts_max)
+		sim->options.attempts_max = ATTEMPTS_MAX;
+	if (!options->lease_max_ms)
+		sim->options.lease_max_ms = LEASE_MAX_MS;
+	if (!options->revoke_ms)
+		sim->options.revoke_ms = REVOKE_MS;
+	sim->mem = talloc_named_const(NULL, 0, "cell simulation");
+	sim->random = options->seed ^ 0x9e3779b97f4a7c15ULL;
+	sim->now_us = 3600 * S;
+	sim->events = g_sequence_new(NULL);
+	sim->jobs = g_hash_table_new(g_str_hash, g_str_equal);
+	sim->gangs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+					   (GDestroyNotify)g_ptr_array_unref);
+	sim->job_list = g_ptr_array_new();
+	sim->violations = g_ptr_array_new_with_free_func(g_free);
+	sim->cordons =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	cell_log_init(world);
-	cell_workers_init(world);
-	cell_sim_publish(world, "k1");
-	for (uint32_t i = 0; i < plan->nodes; i++) {
-		struct cell_sim_node *node = &world->nodes[i];
+	cell_log_init(sim);
+	cell_workers_init(sim);
+	cell_sim_publish(sim, "k1");
+	for (uint32_t i = 0; i < options->nodes; i++) {
+		struct cell_sim_node *node = &sim->nodes[i];
 
-		node->world = world;
+		node->sim = sim;
 		node->index = i;
 		node->store.ops = &cell_log_ops;
 		node->workers.ops = &cell_workers_ops;
 		node->advisor.ops = &cell_advice_ops;
-		cell_sim_node_start(world, i);
-		cell_sim_schedule(world, TICK_US, tick, node);
+		cell_sim_node_start(sim, i);
+		cell_sim_schedule(sim, TICK_US, tick, node);
 	}
 }
 
 /*
- * Stop all and free it.
+ * Stops and frees everything.
  */
-void cell_sim_finish(struct cell_sim *world)
+void cell_sim_finish(struct cell_sim *sim)
 {
 	GSequenceIter *at;
 
-	for (uint32_t i = 0; i < world->plan.nodes; i++)
-		cell_sim_node_kill(world, i);
-	for (at = g_sequence_get_begin_iter(world->events);
+	for (uint32_t i = 0; i < sim->options.nodes; i++)
+		cell_sim_node_kill(sim, i);
+	for (at = g_sequence_get_begin_iter(sim->events);
 	     !g_sequence_iter_is_end(at); at = g_sequence_iter_next(at))
 		g_free(g_sequence_get(at));
-	g_sequence_free(world->events);
-	cell_workers_finish(world);
-	g_hash_table_destroy(world->gangs);
-	cell_log_finish(world);
-	for (guint i = 0; i < world->job_list->len; i++)
+	g_sequence_free(sim->events);
+	cell_workers_finish(sim);
+	g_hash_table_destroy(sim->gangs);
+	cell_log_finish(sim);
+	for (guint i = 0; i < sim->job_list->len; i++)
 		g_hash_table_destroy(
-			((struct cell_client_job *)world->job_list->pdata[i])
+			((struct cell_client_job *)sim->job_list->pdata[i])
 				->tasks);
-	g_ptr_array_free(world->job_list, TRUE);
-	g_hash_table_destroy(world->jobs);
-	g_hash_table_destroy(world->cordons);
-	g_ptr_array_free(world->violations, TRUE);
-	talloc_free(world->mem);
+	g_ptr_array_free(sim->job_list, TRUE);
+	g_hash_table_destroy(sim->jobs);
+	g_hash_table_destroy(sim->cordons);
+	g_ptr_array_free(sim->violations, TRUE);
+	talloc_free(sim->mem);
 }
 
 /*
- * A step of plain tasks.
+ * Returns a step of tasks with an accelerator count and default cores and
+ * memory.
  */
 struct rj_cell_step cell_sim_plain_step(uint32_t tasks, uint32_t accelerators,
 					uint32_t estimate_ms)
@@ -497,73 +501,74 @@
 }
 
 /*
- * A job that a client may hand in; `work_us` is what each task really takes.
+ * Creates a job that a client may submit; it is freed with the simulation. Each
+ * of its tasks takes `duration_us` at speed 1.
  */
-struct cell_client_job *cell_sim_job_new(struct cell_sim *world,
+struct cell_client_job *cell_sim_job_new(struct cell_sim *sim,
 					 const char *queue, const char *account,
 					 const struct rj_cell_step *steps,
-					 uint32_t step_count, uint64_t work_us)
+					 uint32_t step_count,
+					 uint64_t duration_us)
 {
 	struct cell_client_job *job =
-		talloc_zero(world->mem, struct cell_client_job);
-	struct rj_cell_job_spec *job_spec =
+		talloc_zero(sim->mem, struct cell_client_job);
+	struct rj_cell_job_spec *spec =
 		talloc_zero(job, struct rj_cell_job_spec);
 	struct rj_error err;
 
-	(void)g_snprintf(job->id, sizeof(job->id), "%016x", ++world->job_count);
-	memcpy(job_spec->id, job->id, sizeof(job_spec->id));
-	g_strlcpy(job_spec->queue, queue, RJ_NAME_BYTES);
-	g_strlcpy(job_spec->account, account, RJ_NAME_BYTES);
-	job_spec->spec = talloc_strdup(job_spec, "spec");
-	job_spec->attempts_max = world->plan.attempts_max;
-	job_spec->steps =
-		talloc_memdup(job_spec, steps, sizeof(*steps) * step_count);
-	job_spec->step_count = step_count;
+	(void)g_snprintf(job->id, sizeof(job->id), "%016x", ++sim->job_count);
+	memcpy(spec->id, job->id, sizeof(spec->id));
+	g_strlcpy(spec->queue, queue, RJ_NAME_BYTES);
+	g_strlcpy(spec->account, account, RJ_NAME_BYTES);
+	spec->spec = talloc_strdup(spec, "spec");
+	spec->attempts_max = sim->options.attempts_max;
+	spec->steps = talloc_memdup(spec, steps, sizeof(*steps) * step_count);
+	spec->step_count = step_count;
 	for (uint32_t i = 0; i < step_count; i++)
-		job_spec->steps[i].after =
-			talloc_memdup(job_spec, steps[i].after,
+		spec->steps[i].after =
+			talloc_memdup(spec, steps[i].after,
 				      sizeof(uint32_t) * steps[i].after_count);
-	g_assert_false(rj_cell_job_spec_check(job_spec, &err));
-	job->job_spec = job_spec;
-	job->work_us = work_us;
+	g_assert_false(rj_cell_job_spec_check(spec, &err));
+	job->spec = spec;
+	job->duration_us = duration_us;
 	job->tasks =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g_hash_table_insert(world->jobs, job->id, job);
-	g_ptr_array_add(world->job_list, job);
+	g_hash_table_insert(sim->jobs, job->id, job);
+	g_ptr_array_add(sim->job_list, job);
 	return job;
 }
 
-/* One call of a client. */
+/* A call of a client. */
 struct client_call {
 	struct rj_cell_call call;
-	struct cell_sim *world;
+	struct cell_sim *sim;
 	struct cell_sim_node *node;
-	uint32_t life;
+	uint32_t node_incarnation;
 	struct cell_client_job *job;
-	bool removed; /* its key had been removed for too long when sent */
+	bool key_expired; /* its key's grace period had expired when it was sent */
 	char path[64];
 	char key[RJ_NAME_BYTES];
 };
 
-/* The client has its answer. */
-static void answered(struct rj_cell_call *base,
-		     const struct rj_cell_answer *answer)
+/* Handles the answer to a call. */
+static void handle_answer(struct rj_cell_call *base,
+			  const struct rj_cell_answer *answer)
 {
 	struct client_call *call = (struct client_call *)base;
 	struct cell_client_job *job = call->job;
-	struct cell_sim *world = call->world;
+	struct cell_sim *sim = call->sim;
 
-	if (!cell_sim_node_is_current(call->node, call->life)) {
+	if (!cell_sim_node_is_current(call->node, call->node_incarnation)) {
 		talloc_free(call);
 		return;
 	}
-	if (call->removed && answer->verdict <= RJ_CELL_VERDICT_CANCELLED)
-		cell_sim_violation(world, "key: %s is served with %s", job->id,
+	if (call->key_expired && answer->verdict <= RJ_CELL_VERDICT_CANCELLED)
+		cell_sim_violation(sim, "key: %s is served with %s", job->id,
 				   call->key);
 	switch (answer->verdict) {
 	case RJ_CELL_VERDICT_ACCEPTED:
 		if (!job->accepted)
-			job->accepted_us = world->now_us;
+			job->accepted_us = sim->now_us;
 		job->accepted = true;
 		break;
 	case RJ_CELL_VERDICT_BUSY:
@@ -573,30 +578,30 @@
 		break;
 	case RJ_CELL_VERDICT_CANCELLED:
 		if (!job->cancelled)
-			job->cancelled_us = world->now_us;
+			job->cancelled_us = sim->now_us;
 		job->cancelled = true;
 		break;
 	case RJ_CELL_VERDICT_STATE:
-		/* A call that began before the end was shown may still tell
-		 * the earlier state; one that began after may not. */
-		if (job->has_shown && answer->state < job->shown) {
-			if (base->now_us > job->shown_us &&
-			    job->shown >= RJ_CELL_JOB_COMPLETED)
+		/* A call made before the end was reported may still return the
+		 * earlier state; a later one must not. */
+		if (job->has_state && answer->state < job->state) {
+			if (base->now_us > job->state_us &&
+			    job->state >= RJ_CELL_JOB_COMPLETED)
 				cell_sim_violation(
-					world, "mixed: %s was %s", job->id,
-					rj_cell_job_state_string[job->shown]);
+					sim, "mixed: %s was %s", job->id,
+					rj_cell_job_state_string[job->state]);
 			break;
 		}
-		if (!job->has_shown || answer->state > job->shown)
-			job->shown_us = world->now_us;
-		job->has_shown = true;
-		job->shown = answer->state;
+		if (!job->has_state || answer->state > job->state)
+			job->state_us = sim->now_us;
+		job->has_state = true;
+		job->state = answer->state;
 		if (answer->state >= RJ_CELL_JOB_COMPLETED && !job->ended_us)
-			job->ended_us = world->now_us;
+			job->ended_us = sim->now_us;
 		break;
 	case RJ_CELL_VERDICT_NO_JOB:
 		if (job->accepted && base->verb == RJ_CELL_VERB_QUERY)
-			job->gone = true;
+			job->not_found = true;
 		break;
 	default:
 		break;
@@ -604,76 +609,77 @@
 	talloc_free(call);
 }
 
-/* Send one call to a node; one that is down answers nothing. */
-static void send_call(struct cell_sim *world, uint32_t index,
+/* Sends a call to a node; one that is down or paused does not answer. */
+static void send_call(struct cell_sim *sim, uint32_t index,
 		      struct cell_client_job *job, enum rj_cell_verb verb)
 {
-	struct cell_sim_node *node = &world->nodes[index];
+	struct cell_sim_node *node = &sim->nodes[index];
 	struct client_call *call;
-	const char *key = world->key;
+	const char *key = sim->key;
 	const char *prefix = "";
 
-	if (!node->up || node->paused_until_us > world->now_us)
+	if (!node->up || node->paused_until_us > sim->now_us)
 		return;
-	call = talloc_zero(world->mem, struct client_call);
+	call = talloc_zero(sim->mem, struct client_call);
 	for (uint32_t i = 0; i < G_N_ELEMENTS(queues); i++)
-		if (!strcmp(queues[i].name, job->job_spec->queue))
+		if (!strcmp(queues[i].name, job->spec->queue))
 			prefix = queues[i].prefix;
 	(void)g_snprintf(call->path, sizeof(call->path), "%s%s", prefix,
 			 job->id);
-	if (world->old_key && world->now_us / MS % OLD_KEY_ONE_IN == 0) {
-		key = world->old_key;
-		call->removed = world->now_us >
-				world->removed_us + world->plan.revoke_ms * MS;
+	if (sim->removed_key && sim->now_us / MS % REMOVED_KEY_ONE_IN == 0) {
+		key = sim->removed_key;
+		call->key_expired =
+			sim->now_us >
+			sim->key_removed_us + sim->options.revoke_ms * MS;
 	}
 	(void)g_snprintf(call->key, sizeof(call->key), "%s-%s", key,
-			 job->job_spec->account);
-	call->world = world;
+			 job->spec->account);
+	call->sim = sim;
 	call->node = node;
-	call->life = node->life;
+	call->node_incarnation = node->incarnation;
 	call->job = job;
 	call->call.verb = verb;
 	call->call.host = "host:80";
 	call->call.path = call->path;
 	call->call.key = call->key;
 	call->call.wait_ms = 3000;
-	call->call.now_us = world->now_us;
-	call->call.wall_ms = cell_sim_wall_ms(world);
-	call->call.answer = answered;
+	call->call.now_us = sim->now_us;
+	call->call.wall_ms = cell_sim_wall_ms(sim);
+	call->call.answer = handle_answer;
 	if (verb == RJ_CELL_VERB_SUBMIT)
-		call->call.body = rj_cell_job_spec_encode(call, job->job_spec);
+		call->call.body = rj_cell_job_spec_encode(call, job->spec);
 	cell_sim_node_enter(node);
 	rj_cell_frontend_handle(&node->node.front, &call->call);
 	cell_sim_node_leave(node);
 }
 
 /*
- * Hand a job in, for the first time or again.
+ * Submits a job, for the first time or again.
  */
-void cell_sim_submit(struct cell_sim *world, uint32_t node,
+void cell_sim_submit(struct cell_sim *sim, uint32_t node,
 		     struct cell_client_job *job)
 {
 	if (!job->sent_us)
-		job->sent_us = world->now_us;
-	job->tries++;
-	send_call(world, node, job, RJ_CELL_VERB_SUBMIT);
+		job->sent_us = sim->now_us;
+	job->submissions++;
+	send_call(sim, node, job, RJ_CELL_VERB_SUBMIT);
 }
 
 /*
- * Ask for a job's state.
+ * Queries the state of a job.
  */
-void cell_sim_query(struct cell_sim *world, uint32_t node,
+void cell_sim_query(struct cell_sim *sim, uint32_t node,
 		    struct cell_client_job *job)
 {
-	send_call(world, node, job, RJ_CELL_VERB_QUERY);
+	send_call(sim, node, job, RJ_CELL_VERB_QUERY);
 }
 
 /*
- * Ask for a job to be cancelled.
+ * Requests the cancellation of a job.
  */
-void cell_sim_cancel(struct cell_sim *world, uint32_t node,
+void cell_sim_cancel(struct cell_sim *sim, uint32_t node,
 		     struct cell_client_job *job)
 {
 	job->cancel_sent = true;
-	send_call(world, node, job, RJ_CELL_VERB_CANCEL);
+	send_call(sim, node, job, RJ_CELL_VERB_CANCEL);
 }
--- a/src/test_libradishjunction/test_cell_starvation.c
+++ b/src/test_libradishjunction/test_cell_starvation.c
@@ -1,11 +1,11 @@
 /*
- * No kind of work starves for the sake of another: each test replays a load
- * on a site in virtual time.
+ * Guards against starvation of one kind of job by another: each test replays a
+ * load on a simulated site.
  */
 #include "support/cell_fixture.h"
 #include "support/cell_load.h"
 
-/* 24 workers of eight accelerators in six racks, three nodes. */
+/* 24 workers with eight accelerators each in six racks; three nodes. */
 static const struct cell_sim_options site = {
 	.seed = 11,
 	.nodes = 3,
@@ -15,13 +15,13 @@
 	.guaranteed = 64,
 };
 
-/* What clients of a kind are owed at least, in percent. */
-#define FLOOR_PERCENT 29
-/* Jobs that came in this part of a load are judged; the others may be under
- * way at its end. */
-#define JUDGED_PERCENT 60
+/* Utility that batch jobs receive at least, in percent. */
+#define UTILITY_MIN_PERCENT 29
+/* Jobs submitted in this first part of a load are evaluated; later ones may not
+ * have ended with it. */
+#define EVALUATED_PERCENT 60
 
-/* Steps of the three kinds: urgent and normal gangs, single batch tasks. */
+/* Returns a step that is a gang. */
 static struct rj_cell_step gang_of(uint32_t tasks, uint32_t accelerators,
 				   uint32_t estimate_ms)
 {
@@ -32,26 +32,26 @@
 	return step;
 }
 
-/* Play a load; batch work that came in its first part earns its floor. */
-static void assert_batch_earns(struct cell_sim *world,
-			       const struct cell_load_stream *streams,
-			       uint32_t count, uint64_t for_us)
+/* Runs a load, and checks the utility of the batch jobs of its first part. */
+static void assert_batch_utility(struct cell_sim *sim,
+				 const struct cell_load_stream *streams,
+				 uint32_t count, uint64_t for_us)
 {
-	uint64_t judged_until_us =
-		world->now_us + for_us * JUDGED_PERCENT / 100;
+	uint64_t evaluated_until_us =
+		sim->now_us + for_us * EVALUATED_PERCENT / 100;
 
-	cell_load_run_streams(world, streams, count, for_us, NULL);
+	cell_load_run_streams(sim, streams, count, for_us, NULL);
 	g_assert_cmpuint(
-		cell_load_utility_percent(world, "bulk", judged_until_us), >=,
-		FLOOR_PERCENT);
+		cell_load_utility_percent(sim, "bulk", evaluated_until_us), >=,
+		UTILITY_MIN_PERCENT);
 }
 
 /*
- * Load: five sixths of the site, by kinds of all priorities, without a fault.
- * Guards against batch work that waits while room stands idle for others.
+ * Load: five sixths of the site, jobs of all priorities, no faults.
+ * Guards against batch jobs that wait while capacity is idle for others.
  */
-static void test_batch_work_has_a_share(struct cell_fixture *f,
-					const void *data)
+static void test_batch_jobs_have_a_share(struct cell_fixture *f,
+					 const void *data)
 {
 	const struct cell_load_stream streams[] = {
 		{ "urgent", "a", gang_of(4, 4, 2500), 2500 * MS, S, 0, 0 },
@@ -60,12 +60,12 @@
 		  3600 * MS, 0, 0 },
 	};
 
-	assert_batch_earns(&f->world, streams, G_N_ELEMENTS(streams), 75 * S);
+	assert_batch_utility(&f->sim, streams, G_N_ELEMENTS(streams), 75 * S);
 }
 
 /*
- * Load: more normal work than the site holds, and a little batch work.
- * Guards against batch work that gets no room for as long as others wait.
+ * Load: more normal jobs than the site can run, and a few batch jobs.
+ * Guards against batch jobs that get no capacity while others wait.
  */
 static void test_a_share_outlasts_an_overload(struct cell_fixture *f,
 					      const void *data)
@@ -76,12 +76,12 @@
 		  3600 * MS, 0, 0 },
 	};
 
-	assert_batch_earns(&f->world, streams, G_N_ELEMENTS(streams), 90 * S);
+	assert_batch_utility(&f->sim, streams, G_N_ELEMENTS(streams), 90 * S);
 }
 
 /*
- * Load: more normal work than the site holds, and batch tasks that are kept on
- * workers of their own.
+ * Load: more normal jobs than the site can run, and batch tasks that must run
+ * on different workers.
  * Guards against two of them on one worker when a plan starts some within the
  * share and the others after it.
  */
@@ -95,36 +95,37 @@
 	};
 
 	streams[1].step.per_worker_max = 1;
-	cell_load_run_streams(&f->world, streams, G_N_ELEMENTS(streams), 60 * S,
+	cell_load_run_streams(&f->sim, streams, G_N_ELEMENTS(streams), 60 * S,
 			      NULL);
 }
 
-/* When normal work of 6 s, on workers of different speeds, has waited for this
- * long it misses its objective. */
-#define NORMAL_SLACK_US (20 * S)
-/* What stays reserved beside what urgent work uses: one gang more, and the
- * rest of the rack that it begins. */
-#define RESERVED_SPARE (16 + 32)
+/* A normal job of 6 s, on workers of different speeds, misses its objective
+ * when it has waited for this long. */
+#define NORMAL_WAIT_MAX_US (20 * S)
+/* Reserved beyond what urgent jobs use: one more gang, and the rest of the rack
+ * that it opens. */
+#define RESERVED_SPARE_ACCELERATORS (16 + 32)
 
-/* While normal work misses its objective no more is reserved than needed. */
-static void check_reserved(struct cell_sim *world)
+/* Checks that no more is reserved than needed while normal jobs miss their
+ * objective. */
+static void check_reserved(struct cell_sim *sim)
 {
-	const struct rj_cell_backlog *backlog = cell_load_backlog(world);
+	const struct rj_cell_backlog *backlog = cell_load_backlog(sim);
 
-	if (backlog->classes[1].longest_wait_us > NORMAL_SLACK_US)
+	if (backlog->classes[1].longest_wait_us > NORMAL_WAIT_MAX_US)
 		g_assert_cmpuint(backlog->reserved, <=,
 				 backlog->classes[0].allocated +
-					 RESERVED_SPARE);
+					 RESERVED_SPARE_ACCELERATORS);
 }
 
 /*
- * Load: urgent and normal gangs that need three quarters of the site; for the
- * urgent ones twice is reserved of what they use.
- * Guards against racks that stay reserved and idle while other work misses its
+ * Load: urgent and normal gangs that need three quarters of the site; twice
+ * what the urgent ones use is reserved for them.
+ * Guards against racks that stay reserved and idle while other jobs miss their
  * objective.
  */
-static void test_idle_reservations_yield(struct cell_fixture *f,
-					 const void *data)
+static void test_idle_reservations_are_released(struct cell_fixture *f,
+						const void *data)
 {
 	const struct cell_load_stream streams[] = {
 		{ "urgent", "a", gang_of(4, 4, 2500), 2500 * MS, 700 * MS, 0,
@@ -132,65 +133,68 @@
 		{ "normal", "a", gang_of(3, 4, 6000), 6 * S, 800 * MS, 0, 0 },
 	};
 
-	cell_load_run_streams(&f->world, streams, G_N_ELEMENTS(streams), 75 * S,
+	cell_load_run_streams(&f->sim, streams, G_N_ELEMENTS(streams), 75 * S,
 			      check_reserved);
 }
 
-/* A gang that takes the whole site, handed in while another runs. */
-static struct cell_client_job *whole_site(struct cell_sim *world,
-					  const char *queue, uint64_t work_us)
+/* Submits a gang that takes the whole site. */
+static struct cell_client_job *submit_whole_site_gang(struct cell_sim *sim,
+						      const char *queue,
+						      uint64_t duration_us)
 {
 	struct rj_cell_step step =
-		gang_of(site.workers, 8, (uint32_t)(work_us / MS));
+		gang_of(site.workers, 8, (uint32_t)(duration_us / MS));
 
-	return cell_load_submit(world, queue, "a", &step, work_us);
+	return cell_load_submit(sim, queue, "a", &step, duration_us);
 }
 
-/* How fast the slowest fake worker is. */
+/* Speed of the slowest fake worker. */
 #define SLOWEST_PERCENT 80
 
-/* Two jobs wait, the second for 2 s, for a site that comes free when the first
- * has waited for `wait_us`. Returns whether the first one begins first. */
-static bool older_begins_first(struct cell_sim *world, uint64_t wait_us)
+/* Lets two jobs wait for the whole site, which becomes free when the first has
+ * waited for `wait_us` and the second for 2 s. Returns whether the first one
+ * starts first. */
+static bool older_starts_first(struct cell_sim *sim, uint64_t wait_us)
 {
 	struct cell_client_job *older;
 	struct cell_client_job *younger;
 
-	(void)whole_site(world, "urgent",
-			 (wait_us + 500 * MS) * SLOWEST_PERCENT / 100);
-	cell_load_run(world, 500 * MS);
-	older = whole_site(world, "normal", S);
-	cell_load_run(world, wait_us - 2 * S);
-	younger = whole_site(world, "normal", S);
-	cell_load_run(world, 6 * S);
-	g_assert_cmpint(older->shown, ==, RJ_CELL_JOB_COMPLETED);
-	g_assert_cmpint(younger->shown, ==, RJ_CELL_JOB_COMPLETED);
+	(void)submit_whole_site_gang(
+		sim, "urgent", (wait_us + 500 * MS) * SLOWEST_PERCENT / 100);
+	cell_load_run(sim, 500 * MS);
+	older = submit_whole_site_gang(sim, "normal", S);
+	cell_load_run(sim, wait_us - 2 * S);
+	younger = submit_whole_site_gang(sim, "normal", S);
+	cell_load_run(sim, 6 * S);
+	g_assert_cmpint(older->state, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpint(younger->state, ==, RJ_CELL_JOB_COMPLETED);
 	return older->begun_us < younger->begun_us;
 }
 
 /*
- * Load: two jobs of 1 s, objective 4 s, of no use after 12 s. One is late when
- * the site comes free, and the other can still end in time.
- * Guards against a queue in which all are late because the first one is.
+ * Load: two jobs of 1 s with an objective of 4 s, useless after 12 s. When the
+ * site becomes free one is late, and the other can still end in time.
+ * Guards against a queue in which all jobs are late because the first one is.
  */
-static void test_work_that_can_be_in_time_goes_first(struct cell_fixture *f,
-						     const void *data)
+static void
+test_jobs_that_can_meet_their_objective_run_first(struct cell_fixture *f,
+						  const void *data)
 {
-	g_assert_false(older_begins_first(&f->world, 5 * S));
+	g_assert_false(older_starts_first(&f->sim, 5 * S));
 }
 
 /*
- * Load: the same, and the late one will soon be of no use.
- * Guards against late work that makes way until nobody wants it.
+ * Load: the same, but the late job will soon be useless.
+ * Guards against a late job that is passed over until it is useless.
  */
-static void test_late_work_keeps_its_last_chance(struct cell_fixture *f,
-						 const void *data)
+static void test_late_job_runs_before_it_is_useless(struct cell_fixture *f,
+						    const void *data)
 {
-	g_assert_true(older_begins_first(&f->world, 8 * S));
+	g_assert_true(older_starts_first(&f->sim, 8 * S));
 }
 
-/* More normal work than the site holds, without an end. */
-static const struct cell_load_stream *overload(void)
+/* Returns an endless stream of more normal jobs than the site can run. */
+static const struct cell_load_stream *overload_stream(void)
 {
 	static struct cell_load_stream stream;
 
@@ -198,19 +202,20 @@
 		.queue = "normal",
 		.account = "a",
 		.step = gang_of(6, 4, 6000),
-		.work_us = 6 * S,
+		.duration_us = 6 * S,
 		.every_us = 600 * MS,
 	};
 	return &stream;
 }
 
 /*
- * Load: more normal work than the site holds, and a batch job.
- * Guards against batch tasks that are stopped as soon as they begin, since
- * what has just begun is cheap to stop.
+ * Load: more normal jobs than the site can run, and a batch job.
+ * Guards against batch tasks that are preempted as soon as they start, because
+ * a run that has just started is cheap to stop.
  */
-static void test_work_within_its_share_is_not_stopped(struct cell_fixture *f,
-						      const void *data)
+static void
+test_jobs_within_their_share_are_not_preempted(struct cell_fixture *f,
+					       const void *data)
 {
 	const struct cell_load_stream normal = {
 		"normal", "a", gang_of(1, 8, 6000), 6 * S, 200 * MS, 0, 0
@@ -218,20 +223,21 @@
 	struct rj_cell_step step = cell_sim_plain_step(8, 1, 6000);
 	struct cell_client_job *job;
 
-	cell_load_run_streams(&f->world, &normal, 1, 10 * S, NULL);
-	job = cell_load_submit(&f->world, "bulk", "b", &step, 6 * S);
-	cell_load_run_streams(&f->world, &normal, 1, 40 * S, NULL);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
-	g_assert_cmpuint(job->starts, ==, job->job_spec->task_count);
+	cell_load_run_streams(&f->sim, &normal, 1, 10 * S, NULL);
+	job = cell_load_submit(&f->sim, "bulk", "b", &step, 6 * S);
+	cell_load_run_streams(&f->sim, &normal, 1, 40 * S, NULL);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
+	g_assert_cmpuint(job->starts, ==, job->spec->task_count);
 }
 
 /*
- * Load: batch work that needs cores alone fills the site when normal work
- * comes.
- * Guards against a share that counts accelerators alone, and so never ends.
+ * Load: batch tasks that need only cores fill the site, then a normal job
+ * arrives.
+ * Guards against a share that counts accelerators alone, and so is never used
+ * up.
  */
-static void test_a_share_counts_all_kinds_of_room(struct cell_fixture *f,
-						  const void *data)
+static void test_share_counts_all_resources(struct cell_fixture *f,
+					    const void *data)
 {
 	struct rj_cell_step batch = { .task_count = 192,
 				      .each = { 8000, 1000, 0 },
@@ -242,109 +248,111 @@
 				       .estimate_ms = 6000 };
 	struct cell_client_job *job;
 
-	(void)cell_load_submit(&f->world, "bulk", "b", &batch, 30 * S);
-	cell_load_run(&f->world, 2 * S);
-	job = cell_load_submit(&f->world, "normal", "a", &normal, 6 * S);
-	cell_load_run(&f->world, 10 * S);
+	(void)cell_load_submit(&f->sim, "bulk", "b", &batch, 30 * S);
+	cell_load_run(&f->sim, 2 * S);
+	job = cell_load_submit(&f->sim, "normal", "a", &normal, 6 * S);
+	cell_load_run(&f->sim, 10 * S);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 }
 
 /*
- * Load: a batch job that is due long after it was accepted, under more normal
- * work than the site holds.
- * Guards against occurrences that are taken to be late before they are due.
+ * Load: a batch job that is due long after its acceptance, and more normal jobs
+ * than the site can run.
+ * Guards against occurrences that count as late before they are due.
  */
-static void test_a_scheduled_job_is_not_late_early(struct cell_fixture *f,
-						   const void *data)
+static void
+test_scheduled_job_is_not_late_before_it_is_due(struct cell_fixture *f,
+						const void *data)
 {
 	struct rj_cell_step step = cell_sim_plain_step(4, 1, 2000);
 	struct cell_client_job *job =
-		cell_sim_job_new(&f->world, "bulk", "b", &step, 1, 2 * S);
-
-	job->job_spec->repeats = 1;
-	job->job_spec->first_run_ms = cell_sim_wall_ms(&f->world) + 45000;
-	job->job_spec->interval_ms = 1000;
-	cell_sim_submit(&f->world, 0, job);
-	cell_load_run_streams(&f->world, overload(), 1, 75 * S, NULL);
-	g_assert_cmpint(job->shown, ==, RJ_CELL_JOB_COMPLETED);
+		cell_sim_job_new(&f->sim, "bulk", "b", &step, 1, 2 * S);
+
+	job->spec->repeats = 1;
+	job->spec->first_run_ms = cell_sim_wall_ms(&f->sim) + 45000;
+	job->spec->interval_ms = 1000;
+	cell_sim_submit(&f->sim, 0, job);
+	cell_load_run_streams(&f->sim, overload_stream(), 1, 75 * S, NULL);
+	g_assert_cmpint(job->state, ==, RJ_CELL_JOB_COMPLETED);
 }
 
 /*
- * Load: batch work that lasts loses a worker, under more normal work than the
- * site holds.
- * Guards against tasks that are taken to be late as their job has run for
- * long.
+ * Load: a perpetual batch job that loses a worker, and more normal jobs than
+ * the site can run.
+ * Guards against tasks that count as late because their job has run for long,
+ * and so are not started again.
  */
-static void test_lasting_work_is_started_again(struct cell_fixture *f,
-					       const void *data)
+static void test_perpetual_job_is_restarted(struct cell_fixture *f,
+					    const void *data)
 {
 	struct rj_cell_step step = cell_sim_plain_step(4, 1, 1000);
 	struct cell_client_job *job;
 
 	step.perpetual = true;
-	job = cell_load_submit(&f->world, "bulk", "b", &step, S);
-	cell_load_run(&f->world, S);
+	job = cell_load_submit(&f->sim, "bulk", "b", &step, S);
+	cell_load_run(&f->sim, S);
 	g_assert_cmpuint(job->starts, ==, 4);
-	cell_load_run_streams(&f->world, overload(), 1, 45 * S, NULL);
+	cell_load_run_streams(&f->sim, overload_stream(), 1, 45 * S, NULL);
 	g_assert_cmpuint(job->starts, ==, 4);
 	for (uint32_t i = 0; i < site.workers; i++)
-		for (guint j = 0; j < f->world.workers[i].runs->len; j++)
-			if (g_str_has_prefix(cell_fake_run_info_at(
-						     &f->world.workers[i], j)
-						     .name,
-					     job->id)) {
-				cell_sim_worker_kill(&f->world, i);
+		for (guint j = 0; j < f->sim.workers[i].runs->len; j++)
+			if (g_str_has_prefix(
+				    cell_fake_run_info_at(&f->sim.workers[i], j)
+					    .name,
+				    job->id)) {
+				cell_sim_worker_kill(&f->sim, i);
 				break;
 			}
-	cell_load_run_streams(&f->world, overload(), 1, 30 * S, NULL);
+	cell_load_run_streams(&f->sim, overload_stream(), 1, 30 * S, NULL);
 	g_assert_cmpuint(job->starts, ==, 8);
 }
 
 /*
- * Load: batch work that must run in the rack that is reserved first, under
- * more normal work than the site holds.
- * Guards against work that waits for ever beside idle workers, since no other
- * may run it.
+ * Load: a batch job that must run in the rack that is reserved first, and more
+ * normal jobs than the site can run.
+ * Guards against a job that waits for ever beside idle workers that no other
+ * job may use.
  */
-static void test_confined_work_enters_a_reserved_rack(struct cell_fixture *f,
-						      const void *data)
+static void test_confined_job_uses_a_reserved_rack(struct cell_fixture *f,
+						   const void *data)
 {
 	struct rj_cell_step urgent = gang_of(1, 1, 500);
 	struct rj_cell_step step = cell_sim_plain_step(4, 1, 6000);
 	struct cell_client_job *job;
 
-	(void)cell_load_submit(&f->world, "urgent", "a", &urgent, 500 * MS);
-	cell_load_run_streams(&f->world, overload(), 1, 10 * S, NULL);
-	g_strlcpy(step.label, f->world.workers[0].heartbeat.rack,
+	(void)cell_load_submit(&f->sim, "urgent", "a", &urgent, 500 * MS);
+	cell_load_run_streams(&f->sim, overload_stream(), 1, 10 * S, NULL);
+	g_strlcpy(step.label, f->sim.workers[0].reported.rack,
 		  sizeof(step.label));
-	job = cell_load_submit(&f->world, "bulk", "b", &step, 6 * S);
-	cell_load_run_streams(&f->world, overload(), 1, 25 * S, NULL);
+	job = cell_load_submit(&f->sim, "bulk", "b", &step, 6 * S);
+	cell_load_run_streams(&f->sim, overload_stream(), 1, 25 * S, NULL);
 	g_assert_cmpuint(job->begun_us, !=, 0);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	CELL_TEST("/cell_starvation/share", &site, test_batch_work_has_a_share);
+	CELL_TEST("/cell_starvation/share", &site,
+		  test_batch_jobs_have_a_share);
 	CELL_TEST("/cell_starvation/overload", &site,
 		  test_a_share_outlasts_an_overload);
 	CELL_TEST("/cell_starvation/apart", &site,
 		  test_a_share_keeps_tasks_apart);
 	CELL_TEST("/cell_starvation/reserved", &site,
-		  test_idle_reservations_yield);
+		  test_idle_reservations_are_released);
 	CELL_TEST("/cell_starvation/in_time", &site,
-		  test_work_that_can_be_in_time_goes_first);
+		  test_jobs_that_can_meet_their_objective_run_first);
 	CELL_TEST("/cell_starvation/last_chance", &site,
-		  test_late_work_keeps_its_last_chance);
+		  test_late_job_runs_before_it_is_useless);
 	CELL_TEST("/cell_starvation/not_stopped", &site,
-		  test_work_within_its_share_is_not_stopped);
+		  test_jobs_within_their_share_are_not_preempted);
 	CELL_TEST("/cell_starvation/cores", &site,
-		  test_a_share_counts_all_kinds_of_room);
+		  test_share_counts_all_resources);
 	CELL_TEST("/cell_starvation/scheduled", &site,
-		  test_a_scheduled_job_is_not_late_early);
+		  test_scheduled_job_is_not_late_before_it_is_due);
 	CELL_TEST("/cell_starvation/lasting", &site,
-		  test_lasting_work_is_started_again);
+		  test_perpetual_job_is_restarted);
 	CELL_TEST("/cell_starvation/confined", &site,
-		  test_confined_work_enters_a_reserved_rack);
+		  test_confined_job_uses_a_reserved_rack);
 	return g_test_run();
 }
