--- a/src/libradishjunction/cell/cell_frontend.c
+++ b/src/libradishjunction/cell/cell_frontend.c
@@ -56,7 +56,7 @@
  * to. */
 struct request {
 	struct rj_list link;
-	struct rj_cell_frontend *front;
+	struct rj_cell_frontend *frontend;
 	struct rj_cell_call *call;
 	char id[RJ_CELL_ID_BYTES];
 	char account[RJ_NAME_BYTES];
@@ -71,7 +71,7 @@
 /*
  * Initializes the frontend. The writer must be open before the first call.
  */
-void rj_cell_frontend_init(struct rj_cell_frontend *front, void *mem,
+void rj_cell_frontend_init(struct rj_cell_frontend *frontend, void *mem,
 			   struct rj_cell_view *view,
 			   struct rj_cell_log_reader *jobs,
 			   struct rj_cell_log_reader *configs,
@@ -79,15 +79,15 @@
 			   const struct rj_cell_codec *codec,
 			   uint32_t revoke_ms)
 {
-	memset(front, 0, sizeof(*front));
-	front->mem = mem;
-	front->view = view;
-	front->jobs = jobs;
-	front->configs = configs;
-	front->writer = writer;
-	front->codec = codec;
-	front->revoke_ms = revoke_ms;
-	rj_list_init(&front->requests);
+	memset(frontend, 0, sizeof(*frontend));
+	frontend->mem = mem;
+	frontend->view = view;
+	frontend->jobs = jobs;
+	frontend->configs = configs;
+	frontend->writer = writer;
+	frontend->codec = codec;
+	frontend->revoke_ms = revoke_ms;
+	rj_list_init(&frontend->requests);
 }
 
 /*
@@ -95,14 +95,14 @@
  * longer than promised to operators, however long this instance was partitioned
  * or suspended.
  */
-bool rj_cell_frontend_keys_fresh(const struct rj_cell_frontend *front,
+bool rj_cell_frontend_keys_fresh(const struct rj_cell_frontend *frontend,
 				 uint64_t now_us)
 {
-	uint64_t limit_us = (uint64_t)front->revoke_ms * RJ_US_PER_MS *
+	uint64_t limit_us = (uint64_t)frontend->revoke_ms * RJ_US_PER_MS *
 			    KEY_FRESH_PERCENT / 100;
 
-	return front->config &&
-	       rj_cell_log_reader_age_us(front->configs, now_us) < limit_us;
+	return frontend->config &&
+	       rj_cell_log_reader_age_us(frontend->configs, now_us) < limit_us;
 }
 
 /* Frees a request once nothing refers to it. */
@@ -115,16 +115,16 @@
 /* Answers a request; later answers to it are ignored. */
 static void answer(struct request *request, const struct rj_cell_answer *reply)
 {
-	struct rj_cell_frontend *front = request->front;
+	struct rj_cell_frontend *frontend = request->frontend;
 
 	if (request->answered)
 		return;
 	assert(request->call);
 	request->answered = true;
 	rj_list_remove(&request->link);
-	front->open--;
-	rj_latency_add(&front->counters.answers[reply->verdict],
-		       front->now_us - request->received_us);
+	frontend->open--;
+	rj_latency_add(&frontend->counters.answers[reply->verdict],
+		       frontend->now_us - request->received_us);
 	if (request->call->verb != RJ_CELL_VERB_QUERY ||
 	    reply->verdict >= RJ_CELL_VERDICT_NO_QUEUE)
 		rj_note("answer", RJ_NOTE_TEXT("job", request->id),
@@ -136,16 +136,17 @@
 			RJ_NOTE_TEXT("why", reply->reason),
 			RJ_NOTE_NUMBER("come_back_ms", reply->retry_after_ms),
 			RJ_NOTE_AGE_MS("took_ms",
-				       front->now_us - request->received_us),
+				       frontend->now_us - request->received_us),
 			RJ_NOTE_NUMBER("config",
-				       front->config ? front->config->version :
-						       0),
-			RJ_NOTE_AGE_MS("config_ms",
-				       rj_cell_log_reader_age_us(
-					       front->configs, front->now_us)),
-			RJ_NOTE_AGE_MS("jobs_ms",
-				       rj_cell_log_reader_age_us(
-					       front->jobs, front->now_us)));
+				       frontend->config ?
+					       frontend->config->version :
+					       0),
+			RJ_NOTE_AGE_MS("config_ms", rj_cell_log_reader_age_us(
+							    frontend->configs,
+							    frontend->now_us)),
+			RJ_NOTE_AGE_MS("jobs_ms", rj_cell_log_reader_age_us(
+							  frontend->jobs,
+							  frontend->now_us)));
 	request->call->answer(request->call, reply);
 	request->call = NULL;
 	release(request);
@@ -167,10 +168,10 @@
 /* Answers that the log is unavailable and nothing was done. */
 static void answer_unavailable(struct request *request, const char *reason)
 {
-	answer_verdict(
-		request, RJ_CELL_VERDICT_UNAVAILABLE, reason,
-		rj_cell_log_availability_retry_after_ms(
-			&request->front->contact, request->front->now_us));
+	answer_verdict(request, RJ_CELL_VERDICT_UNAVAILABLE, reason,
+		       rj_cell_log_availability_retry_after_ms(
+			       &request->frontend->log_availability,
+			       request->frontend->now_us));
 }
 
 /* Parses the last part of the path as a job id. Returns 0, or -1. */
@@ -203,7 +204,7 @@
 static struct rj_cell_view_entry *find_accepted(const struct request *request)
 {
 	struct rj_cell_view_entry *entry =
-		rj_cell_view_find(request->front->view, request->id);
+		rj_cell_view_find(request->frontend->view, request->id);
 
 	return rj_cell_view_is_accepted(entry) ? entry : NULL;
 }
@@ -213,7 +214,7 @@
 	struct request *request = private_data;
 
 	request->writing = false;
-	request->front->now_us = request->front->writer->now_us;
+	request->frontend->now_us = request->frontend->writer->now_us;
 	if (request->answered) {
 		release(request);
 		return;
@@ -235,14 +236,14 @@
 static void store(struct request *request, enum rj_cell_record_kind kind,
 		  struct rj_bytes value)
 {
-	struct rj_cell_writer *writer = request->front->writer;
+	struct rj_cell_writer *writer = request->frontend->writer;
 	char key[RJ_CELL_KEY_BYTES];
 
 	rj_cell_record_key(key, kind, request->id);
 	request->writing = true;
 	rj_cell_writer_add(writer, key, value,
 			   (struct rj_cell_write_done){ write_done, request });
-	rj_cell_writer_flush(writer, request->front->now_us);
+	rj_cell_writer_flush(writer, request->frontend->now_us);
 }
 
 /* Stores a cancellation request, unless the job has ended or has one. */
@@ -255,7 +256,7 @@
 		answer_verdict(request, RJ_CELL_VERDICT_CANCELLED, "ended", 0);
 		return;
 	}
-	if (request->front->contact.unavailable_since_us) {
+	if (request->frontend->log_availability.unavailable_since_us) {
 		answer_unavailable(request, "log_away");
 		return;
 	}
@@ -270,12 +271,12 @@
  * has ended may ask again at an instance that has been partitioned since
  * before.
  */
-static bool is_current(const struct rj_cell_frontend *front,
+static bool is_current(const struct rj_cell_frontend *frontend,
 		       const struct rj_cell_view_entry *entry,
 		       uint64_t age_max_us)
 {
 	return entry->summary.state >= RJ_CELL_JOB_COMPLETED ||
-	       rj_cell_log_reader_age_us(front->jobs, front->now_us) <
+	       rj_cell_log_reader_age_us(frontend->jobs, frontend->now_us) <
 		       age_max_us;
 }
 
@@ -285,7 +286,7 @@
 			      const struct rj_cell_view_entry *entry)
 {
 	if (entry && request->call->verb == RJ_CELL_VERB_QUERY &&
-	    is_current(request->front, entry, STATE_AGE_MAX_US))
+	    is_current(request->frontend, entry, STATE_AGE_MAX_US))
 		answer_state(request, entry);
 	else
 		answer_unavailable(request, "log_unread");
@@ -298,14 +299,14 @@
 	struct rj_cell_view_entry *entry;
 
 	request->syncing = false;
-	request->front->now_us = request->front->jobs->now_us;
+	request->frontend->now_us = request->frontend->jobs->now_us;
 	if (request->answered) {
 		release(request);
 		return;
 	}
 	entry = find_accepted(request);
 	/* A read that ends this late shows an outdated state. */
-	if (!reached || request->front->now_us >= request->due_us)
+	if (!reached || request->frontend->now_us >= request->due_us)
 		answer_log_unread(request, entry);
 	else if (!entry)
 		answer_verdict(request, RJ_CELL_VERDICT_NO_JOB, "not_in_log",
@@ -319,13 +320,13 @@
 /* Reads the log to its end before answering. */
 static void sync_and_answer(struct request *request)
 {
-	if (request->front->contact.unavailable_since_us) {
+	if (request->frontend->log_availability.unavailable_since_us) {
 		answer_log_unread(request, find_accepted(request));
 		return;
 	}
 	request->syncing = true;
-	rj_cell_log_reader_sync(request->front->jobs, &request->sync,
-				request->front->now_us);
+	rj_cell_log_reader_sync(request->frontend->jobs, &request->sync,
+				request->frontend->now_us);
 }
 
 /* Copies the terms of the queue into a job spec. */
@@ -346,13 +347,15 @@
 
 /* Returns the queue's load from the owner's newest heartbeat, or NULL. */
 static struct rj_cell_queue_load *
-find_queue_load(struct rj_cell_frontend *front,
+find_queue_load(struct rj_cell_frontend *frontend,
 		const struct rj_cell_queue *queue)
 {
 	for (uint32_t i = 0;
-	     front->heartbeat_us && i < front->heartbeat.queue_load_count; i++)
-		if (!strcmp(front->heartbeat.queue_loads[i].queue, queue->name))
-			return &front->heartbeat.queue_loads[i];
+	     frontend->heartbeat_us && i < frontend->heartbeat.queue_load_count;
+	     i++)
+		if (!strcmp(frontend->heartbeat.queue_loads[i].queue,
+			    queue->name))
+			return &frontend->heartbeat.queue_loads[i];
 	return NULL;
 }
 
@@ -371,8 +374,9 @@
 /* Stores a new job, or rejects it at once if it would not be served in time. */
 static void submit(struct request *request, const struct rj_cell_queue *queue)
 {
-	struct rj_cell_frontend *front = request->front;
-	const struct rj_cell_queue_load *load = find_queue_load(front, queue);
+	struct rj_cell_frontend *frontend = request->frontend;
+	const struct rj_cell_queue_load *load =
+		find_queue_load(frontend, queue);
 	struct rj_cell_job_spec *job_spec;
 	struct rj_bytes value;
 	struct rj_error err;
@@ -381,18 +385,19 @@
 		answer_verdict(request, RJ_CELL_VERDICT_ACCEPTED, "known", 0);
 		return;
 	}
-	if (front->contact.unavailable_since_us) {
+	if (frontend->log_availability.unavailable_since_us) {
 		answer_unavailable(request, "log_away");
 		return;
 	}
-	job_spec = front->codec->decode_job(request, request->call->body, &err);
+	job_spec =
+		frontend->codec->decode_job(request, request->call->body, &err);
 	if (!job_spec) {
 		answer_verdict(request, RJ_CELL_VERDICT_MALFORMED, err.message,
 			       0);
 		return;
 	}
 	if (load && load->refuse &&
-	    front->now_us <= front->heartbeat_us + HEARTBEAT_AGE_MAX_US) {
+	    frontend->now_us <= frontend->heartbeat_us + HEARTBEAT_AGE_MAX_US) {
 		answer_verdict(request, RJ_CELL_VERDICT_BUSY, "backlog",
 			       spread_retry(request->id, load->retry_after_ms));
 		return;
@@ -408,8 +413,8 @@
 {
 	const struct rj_cell_answer reply = {
 		.verdict = RJ_CELL_VERDICT_PENDING,
-		.pending =
-			rj_cell_view_pending(request->front->view, queue->name),
+		.pending = rj_cell_view_pending(request->frontend->view,
+						queue->name),
 		.reason = "counted"
 	};
 
@@ -419,7 +424,7 @@
 /* Executes a call that is authorized. */
 static void serve(struct request *request, const struct rj_cell_queue *queue)
 {
-	struct rj_cell_frontend *front = request->front;
+	struct rj_cell_frontend *frontend = request->frontend;
 	const struct rj_cell_call *call = request->call;
 	const char *rest = call->path + strlen(queue->prefix);
 	uint64_t age_max_us = call->verb == RJ_CELL_VERB_CANCEL ?
@@ -427,7 +432,7 @@
 				      STATE_FRESH_US;
 	struct rj_cell_view_entry *entry;
 
-	if (!front->jobs->caught_up) {
+	if (!frontend->jobs->caught_up) {
 		answer_unavailable(request, "jobs_unread");
 		return;
 	}
@@ -442,7 +447,7 @@
 	entry = find_accepted(request);
 	if (call->verb == RJ_CELL_VERB_SUBMIT)
 		submit(request, queue);
-	else if (!entry || !is_current(front, entry, age_max_us))
+	else if (!entry || !is_current(frontend, entry, age_max_us))
 		sync_and_answer(request);
 	else if (call->verb == RJ_CELL_VERB_CANCEL)
 		cancel_known(request, entry);
@@ -454,16 +459,16 @@
 static bool check_key(struct request *request,
 		      const struct rj_cell_queue *queue)
 {
-	struct rj_cell_frontend *front = request->front;
+	struct rj_cell_frontend *frontend = request->frontend;
 	const struct rj_cell_account *account;
 
 	if (queue->open)
 		return true;
-	if (!rj_cell_frontend_keys_fresh(front, front->now_us)) {
+	if (!rj_cell_frontend_keys_fresh(frontend, frontend->now_us)) {
 		answer_unavailable(request, "keys_too_old");
 		return false;
 	}
-	account = request->call->key ? rj_cell_config_key(front->config,
+	account = request->call->key ? rj_cell_config_key(frontend->config,
 							  request->call->key) :
 				       NULL;
 	if (!account) {
@@ -479,18 +484,18 @@
  * Handles a call. It is answered at once if possible, otherwise when the log
  * answers or shortly before the client times out.
  */
-void rj_cell_frontend_handle(struct rj_cell_frontend *front,
+void rj_cell_frontend_handle(struct rj_cell_frontend *frontend,
 			     struct rj_cell_call *call)
 {
-	struct request *request = talloc_zero(front->mem, struct request);
+	struct request *request = talloc_zero(frontend->mem, struct request);
 	const struct rj_cell_queue *queue;
 	uint32_t wait_ms = call->wait_ms ? call->wait_ms : DEFAULT_WAIT_MS;
 
 	assert(request);
-	front->now_us = call->now_us;
-	front->counters.calls[call->verb]++;
-	front->open++;
-	request->front = front;
+	frontend->now_us = call->now_us;
+	frontend->counters.calls[call->verb]++;
+	frontend->open++;
+	request->frontend = frontend;
 	request->call = call;
 	request->received_us = call->now_us;
 	request->due_us = call->now_us +
@@ -499,12 +504,12 @@
 				  RJ_US_PER_MS;
 	rj_list_init(&request->sync.link);
 	request->sync.done = sync_done;
-	rj_list_append(&front->requests, &request->link);
-	if (!front->config) {
+	rj_list_append(&frontend->requests, &request->link);
+	if (!frontend->config) {
 		answer_unavailable(request, "no_config");
 		return;
 	}
-	queue = rj_cell_config_route(front->config, call->host, call->path);
+	queue = rj_cell_config_route(frontend->config, call->host, call->path);
 	if (!queue) {
 		answer_verdict(request, RJ_CELL_VERDICT_NO_QUEUE, "no_route",
 			       0);
@@ -525,40 +530,41 @@
 }
 
 /* Updates whether the log is available, and logs changes. */
-static void check_log_contact(struct rj_cell_frontend *front)
+static void check_log_contact(struct rj_cell_frontend *frontend)
 {
-	uint64_t answered_us =
-		MAX(MAX(front->jobs->answered_us, front->configs->answered_us),
-		    front->writer->answered_us);
-	bool refuses = front->jobs->failures && front->configs->failures;
-
-	if (answered_us &&
-	    rj_cell_log_availability_update(&front->contact, answered_us,
-					    refuses, front->now_us))
-		rj_note(front->contact.unavailable_since_us ? "log_away" :
-							      "log_back",
+	uint64_t answered_us = MAX(MAX(frontend->jobs->answered_us,
+				       frontend->configs->answered_us),
+				   frontend->writer->answered_us);
+	bool refuses = frontend->jobs->failures && frontend->configs->failures;
+
+	if (answered_us && rj_cell_log_availability_update(
+				   &frontend->log_availability, answered_us,
+				   refuses, frontend->now_us))
+		rj_note(frontend->log_availability.unavailable_since_us ?
+				"log_away" :
+				"log_back",
 			RJ_NOTE_AGE_MS("silent_ms",
-				       front->now_us - answered_us),
+				       frontend->now_us - answered_us),
 			RJ_NOTE_NUMBER("refuses", refuses),
-			RJ_NOTE_NUMBER("open", front->open));
+			RJ_NOTE_NUMBER("open", frontend->open));
 }
 
 /*
  * Answers calls whose clients are about to time out, and all calls if the log
  * is unavailable.
  */
-void rj_cell_frontend_tick(struct rj_cell_frontend *front, uint64_t now_us)
+void rj_cell_frontend_tick(struct rj_cell_frontend *frontend, uint64_t now_us)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	front->now_us = now_us;
-	check_log_contact(front);
-	RJ_FOR_EACH (at, next, &front->requests) {
+	frontend->now_us = now_us;
+	check_log_contact(frontend);
+	RJ_FOR_EACH (at, next, &frontend->requests) {
 		struct request *request =
 			RJ_CONTAINER(at, struct request, link);
 
-		if (front->contact.unavailable_since_us)
+		if (frontend->log_availability.unavailable_since_us)
 			answer_unfinished(request, "log_away");
 		else if (now_us >= request->due_us)
 			answer_unfinished(request, "log_slow");
@@ -568,10 +574,10 @@
 /*
  * Answers all open calls.
  */
-void rj_cell_frontend_finish(struct rj_cell_frontend *front)
+void rj_cell_frontend_finish(struct rj_cell_frontend *frontend)
 {
-	while (front->requests.next != &front->requests) {
-		struct request *request = RJ_CONTAINER(front->requests.next,
+	while (frontend->requests.next != &frontend->requests) {
+		struct request *request = RJ_CONTAINER(frontend->requests.next,
 						       struct request, link);
 
 		answer_unfinished(request, "stopping");
--- a/src/libradishjunction/cell/cell_metrics.c
+++ b/src/libradishjunction/cell/cell_metrics.c
@@ -33,15 +33,16 @@
 		rj_cell_topic_string[reader->topic], age_ms);
 }
 
-static void write_frontend(GString *text, const struct rj_cell_frontend *front)
+static void write_frontend(GString *text,
+			   const struct rj_cell_frontend *frontend)
 {
-	write_number(text, "requests_open", front->open);
+	write_number(text, "requests_open", frontend->open);
 	for (int i = 0; i < RJ_CELL_VERB_COUNT; i++)
 		write_labelled(text, "calls", "call", rj_cell_verb_string[i],
-			       front->counters.calls[i]);
+			       frontend->counters.calls[i]);
 	for (int i = 0; i < RJ_CELL_VERDICT_COUNT; i++)
-		if (front->counters.answers[i].count)
-			rj_latency_write(&front->counters.answers[i],
+		if (frontend->counters.answers[i].count)
+			rj_latency_write(&frontend->counters.answers[i],
 					 "radishjunction_answer_ms", "verdict",
 					 rj_cell_verdict_string[i], text);
 }
@@ -146,7 +147,7 @@
 	write_log_age(text, &node->configs, now_us);
 	write_log_age(text, &node->jobs, now_us);
 	write_log_age(text, &node->fleet, now_us);
-	write_frontend(text, &node->front);
+	write_frontend(text, &node->frontend);
 	write_appends(text, "front", &node->writer);
 	write_appends(text, "owner", &node->owner.writer);
 	write_appends(text, "owner_progress", &node->owner.progress_writer);
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -132,7 +132,7 @@
 		RJ_NOTE_NUMBER("accounts", config->account_count));
 	talloc_free(node->config);
 	node->config = config;
-	node->front.config = config;
+	node->frontend.config = config;
 	node->owner.config = config;
 	node->owner.plan_wanted = true;
 }
@@ -236,8 +236,8 @@
 			RJ_NOTE_TEXT("error", err.message));
 		return;
 	}
-	node->front.heartbeat = heartbeat;
-	node->front.heartbeat_us = node->jobs.now_us;
+	node->frontend.heartbeat = heartbeat;
+	node->frontend.heartbeat_us = node->jobs.now_us;
 }
 
 /* Handles a record of the jobs' log. */
@@ -330,13 +330,13 @@
 /* Starts a takeover. The log has been read up to the own ownership record. */
 static void begin_takeover(struct rj_cell_node *node)
 {
-	for (uint32_t i = 0; node->front.heartbeat_us &&
-			     i < node->front.heartbeat.queue_load_count;
+	for (uint32_t i = 0; node->frontend.heartbeat_us &&
+			     i < node->frontend.heartbeat.queue_load_count;
 	     i++)
 		rj_cell_forecast_seed(
 			&node->owner.forecast,
-			node->front.heartbeat.queue_loads[i].queue,
-			node->front.heartbeat.queue_loads[i].mean_ms);
+			node->frontend.heartbeat.queue_loads[i].queue,
+			node->frontend.heartbeat.queue_loads[i].mean_ms);
 	rj_cell_takeover_begin(&node->takeover, node->ownership.token,
 			       node->ownership.record.epoch, node->now_us,
 			       node->wall_ms);
@@ -399,23 +399,23 @@
 				RJ_CELL_TOPIC_WORKERS, &fleet_ops, node);
 	node->jobs.wait_ms = JOBS_WAIT_MS;
 	node->jobs.pause_us = JOBS_PAUSE_US;
-	node->configs.wait_ms =
-		limit_wait(limit_wait(CONFIG_WAIT_MS, options->terms.revoke_ms),
-			   options->terms.cordon_ms);
+	node->configs.wait_ms = limit_wait(
+		limit_wait(CONFIG_WAIT_MS, options->limits.revoke_ms),
+		options->limits.cordon_ms);
 	node->fleet.wait_ms =
-		limit_wait(FLEET_WAIT_MS, options->terms.drain_ms);
+		limit_wait(FLEET_WAIT_MS, options->limits.drain_ms);
 	node->fleet.pause_us = FLEET_PAUSE_US;
 	(void)g_snprintf(producer, sizeof(producer),
 			 "%s-%" G_GINT64_MODIFIER "x", options->name,
 			 options->incarnation);
 	rj_cell_writer_init(&node->writer, mem, options->store,
 			    RJ_CELL_TOPIC_JOBS, producer);
-	rj_cell_frontend_init(&node->front, mem, &node->view, &node->jobs,
+	rj_cell_frontend_init(&node->frontend, mem, &node->view, &node->jobs,
 			      &node->configs, &node->writer, options->codec,
-			      options->terms.revoke_ms);
+			      options->limits.revoke_ms);
 	rj_cell_owner_init(&node->owner, mem, options->name,
 			   options->incarnation, &node->view, options->store,
-			   options->workers, &options->terms);
+			   options->workers, &options->limits);
 	node->owner.advisor = options->advisor;
 	node->owner.cordons = &node->cordons;
 	node->owner.strength = options->strength;
@@ -596,7 +596,7 @@
 	rj_cell_log_reader_tick(&node->jobs, now_us);
 	rj_cell_log_reader_tick(&node->fleet, now_us);
 	rj_cell_writer_tick(&node->writer, now_us);
-	rj_cell_frontend_tick(&node->front, now_us);
+	rj_cell_frontend_tick(&node->frontend, now_us);
 	node->owner.jobs_read_us = node->jobs.confirmed_us;
 	node->owner.workers_read_us = node->fleet.confirmed_us;
 	node->owner.operators_read_us = node->configs.confirmed_us;
@@ -616,8 +616,8 @@
 bool rj_cell_node_ready(const struct rj_cell_node *node, uint64_t now_us)
 {
 	return !node->draining && node->jobs.caught_up &&
-	       !node->front.contact.unavailable_since_us &&
-	       rj_cell_frontend_keys_fresh(&node->front, now_us);
+	       !node->frontend.log_availability.unavailable_since_us &&
+	       rj_cell_frontend_keys_fresh(&node->frontend, now_us);
 }
 
 /*
@@ -630,7 +630,7 @@
 		return;
 	node->now_us = now_us;
 	node->draining = true;
-	rj_note("drain", RJ_NOTE_NUMBER("open", node->front.open),
+	rj_note("drain", RJ_NOTE_NUMBER("open", node->frontend.open),
 		RJ_NOTE_NUMBER("owner", is_owner(node)));
 	rj_cell_owner_release(&node->owner, now_us);
 }
@@ -640,7 +640,7 @@
  */
 bool rj_cell_node_drained(const struct rj_cell_node *node)
 {
-	return node->draining && !node->front.open;
+	return node->draining && !node->frontend.open;
 }
 
 /*
@@ -648,7 +648,7 @@
  */
 void rj_cell_node_finish(struct rj_cell_node *node)
 {
-	rj_cell_frontend_finish(&node->front);
+	rj_cell_frontend_finish(&node->frontend);
 	rj_cell_takeover_stop(&node->takeover);
 	rj_cell_owner_finish(&node->owner);
 	rj_cell_writer_close(&node->writer);
--- a/src/libradishjunction/cell/cell_owner.c
+++ b/src/libradishjunction/cell/cell_owner.c
@@ -485,7 +485,7 @@
 
 	rj_cell_plan_init(&plan);
 	plan.fleet = &owner->fleet;
-	plan.works = &owner->jobs;
+	plan.jobs = &owner->jobs;
 	plan.config = owner->config;
 	plan.forecast = &owner->forecast;
 	plan.failures = owner->failure_burst;
--- a/src/libradishjunction/cell/cell_task_groups.c
+++ b/src/libradishjunction/cell/cell_task_groups.c
@@ -107,7 +107,7 @@
 {
 	const struct rj_list *at;
 
-	for (at = plan->works->next; at != plan->works; at = at->next) {
+	for (at = plan->jobs->next; at != plan->jobs; at = at->next) {
 		const struct rj_cell_job *job =
 			RJ_CONTAINER(at, struct rj_cell_job, link);
 		const struct rj_cell_job_spec *spec = job->job_spec;
@@ -304,7 +304,7 @@
 	struct rj_list *at;
 	struct rj_list *next;
 
-	RJ_FOR_EACH (at, next, plan->works) {
+	RJ_FOR_EACH (at, next, plan->jobs) {
 		struct rj_cell_job *job =
 			RJ_CONTAINER(at, struct rj_cell_job, link);
 		struct rj_list *occurrence_at;
--- a/src/libradishjunction/include/private/cell_frontend.h
+++ b/src/libradishjunction/include/private/cell_frontend.h
@@ -108,25 +108,25 @@
 	struct rj_cell_owner_heartbeat heartbeat; /* newest one of the owner */
 	uint64_t heartbeat_us; /* when it was read; 0: none yet */
 	uint32_t revoke_ms; /* a removed key may be accepted for this long */
-	struct rj_cell_log_availability contact; /* with the log */
+	struct rj_cell_log_availability log_availability; /* with the log */
 	struct rj_list requests;
 	uint32_t open;
 	uint64_t now_us;
 	struct rj_cell_frontend_counters counters;
 };
 
-void rj_cell_frontend_init(struct rj_cell_frontend *front, void *mem,
+void rj_cell_frontend_init(struct rj_cell_frontend *frontend, void *mem,
 			   struct rj_cell_view *view,
 			   struct rj_cell_log_reader *jobs,
 			   struct rj_cell_log_reader *configs,
 			   struct rj_cell_writer *writer,
 			   const struct rj_cell_codec *codec,
 			   uint32_t revoke_ms);
-void rj_cell_frontend_handle(struct rj_cell_frontend *front,
+void rj_cell_frontend_handle(struct rj_cell_frontend *frontend,
 			     struct rj_cell_call *call);
-void rj_cell_frontend_tick(struct rj_cell_frontend *front, uint64_t now_us);
-bool rj_cell_frontend_keys_fresh(const struct rj_cell_frontend *front,
+void rj_cell_frontend_tick(struct rj_cell_frontend *frontend, uint64_t now_us);
+bool rj_cell_frontend_keys_fresh(const struct rj_cell_frontend *frontend,
 				 uint64_t now_us);
-void rj_cell_frontend_finish(struct rj_cell_frontend *front);
+void rj_cell_frontend_finish(struct rj_cell_frontend *frontend);
 
 #endif
--- a/src/libradishjunction/include/private/cell_node.h
+++ b/src/libradishjunction/include/private/cell_node.h
@@ -18,7 +18,7 @@
 	uint64_t incarnation; /* differs after each restart of the process */
 	/* Hundredths of a core; stronger instances are preferred as owner. */
 	uint32_t strength;
-	struct rj_cell_limits terms;
+	struct rj_cell_limits limits;
 	struct rj_cell_store *store;
 	struct rj_cell_workers *workers;
 	struct rj_cell_advisor *advisor; /* NULL: no placement policy */
@@ -44,7 +44,7 @@
 	/* Read only while this instance owns the cell. */
 	struct rj_cell_log_reader fleet;
 	struct rj_cell_writer writer; /* of clients' requests */
-	struct rj_cell_frontend front;
+	struct rj_cell_frontend frontend;
 	struct rj_cell_owner owner;
 	struct rj_cell_takeover takeover;
 	struct rj_cell_ownership ownership;
--- a/src/libradishjunction/include/private/cell_plan.h
+++ b/src/libradishjunction/include/private/cell_plan.h
@@ -99,7 +99,7 @@
 struct rj_cell_plan {
 	/* inputs */
 	struct rj_cell_fleet *fleet;
-	struct rj_list *works; /* struct rj_cell_job */
+	struct rj_list *jobs; /* struct rj_cell_job */
 	const struct rj_cell_config *config;
 	const struct rj_cell_forecast *forecast;
 	struct rj_cell_failure_burst failures;
--- a/src/test_libradishjunction/support/cell_sim.c
+++ b/src/test_libradishjunction/support/cell_sim.c
@@ -358,19 +358,19 @@
 	struct cell_sim_node *node = &sim->nodes[index];
 	struct rj_cell_node_options options = {
 		.strength = 25,
-		.terms = { .status_retention_ms = 120000, .reclaim_ms = 2900 },
+		.limits = { .status_retention_ms = 120000, .reclaim_ms = 2900 },
 		.codec = &codec,
 		.store = &node->store,
 		.workers = &node->workers,
 		.advisor = &node->advisor
 	};
 
-	options.terms.lease_max_ms = sim->options.lease_max_ms;
-	options.terms.revoke_ms = sim->options.revoke_ms;
-	options.terms.drain_ms = DRAIN_MS;
-	options.terms.stop_ms = STOP_MS;
-	options.terms.cordon_ms = CORDON_MS;
-	options.terms.entry_expiry_ms =
+	options.limits.lease_max_ms = sim->options.lease_max_ms;
+	options.limits.revoke_ms = sim->options.revoke_ms;
+	options.limits.drain_ms = DRAIN_MS;
+	options.limits.stop_ms = STOP_MS;
+	options.limits.cordon_ms = CORDON_MS;
+	options.limits.entry_expiry_ms =
 		CELL_SIM_HEARTBEAT_MS * CELL_SIM_ENTRY_HEARTBEATS;
 	if (node->up)
 		return;
@@ -649,7 +649,7 @@
 	if (verb == RJ_CELL_VERB_SUBMIT)
 		call->call.body = rj_cell_job_spec_encode(call, job->spec);
 	cell_sim_node_enter(node);
-	rj_cell_frontend_handle(&node->node.front, &call->call);
+	rj_cell_frontend_handle(&node->node.frontend, &call->call);
 	cell_sim_node_leave(node);
 }
 
--- a/src/test_libradishjunction/test_platform_settings.c
+++ b/src/test_libradishjunction/test_platform_settings.c
@@ -53,14 +53,14 @@
 	g_assert_cmpuint(settings.grace_ms, ==, 2500);
 	g_assert_cmpuint(settings.descriptors_max, ==, 8192);
 	g_assert_cmpuint(settings.link_kbps, ==, 500);
-	g_assert_cmpuint(settings.terms.lease_max_ms, ==, 10000);
-	g_assert_cmpuint(settings.terms.status_retention_ms, ==, 120000);
-	g_assert_cmpuint(settings.terms.reclaim_ms, ==, 2900);
-	g_assert_cmpuint(settings.terms.revoke_ms, ==, 5000);
-	g_assert_cmpuint(settings.terms.drain_ms, ==, 2000);
-	g_assert_cmpuint(settings.terms.cordon_ms, ==, 0);
-	g_assert_cmpuint(settings.terms.stop_ms, ==, 1000);
-	g_assert_cmpuint(settings.terms.entry_expiry_ms, ==, 4500);
+	g_assert_cmpuint(settings.limits.lease_max_ms, ==, 10000);
+	g_assert_cmpuint(settings.limits.status_retention_ms, ==, 120000);
+	g_assert_cmpuint(settings.limits.reclaim_ms, ==, 2900);
+	g_assert_cmpuint(settings.limits.revoke_ms, ==, 5000);
+	g_assert_cmpuint(settings.limits.drain_ms, ==, 2000);
+	g_assert_cmpuint(settings.limits.cordon_ms, ==, 0);
+	g_assert_cmpuint(settings.limits.stop_ms, ==, 1000);
+	g_assert_cmpuint(settings.limits.entry_expiry_ms, ==, 4500);
 }
 
 /* The error for an invalid number names the field and the remedy. */
