--- a/src/libradishjunction/core/controllers/jobs_controller.c
+++ b/src/libradishjunction/core/controllers/jobs_controller.c
@@ -14,7 +14,7 @@
 
 const char *const rj_job_state_string[RJ_JOB_STATE_COUNT] = {
 	[RJ_JOB_ACCEPTING] = "accepting", [RJ_JOB_QUEUED] = "queued",
-	[RJ_JOB_HOLDING] = "holding",	  [RJ_JOB_CLAIMING] = "claiming",
+	[RJ_JOB_LEASING] = "holding",	  [RJ_JOB_CLAIMING] = "claiming",
 	[RJ_JOB_STARTING] = "starting",	  [RJ_JOB_RUNNING] = "running",
 	[RJ_JOB_STOPPING] = "stopping",	  [RJ_JOB_SETTLING] = "settling",
 	[RJ_JOB_FORWARDED] = "forwarded", [RJ_JOB_WATCHING] = "watching",
@@ -138,7 +138,7 @@
 	job->deadline_us = RJ_NEVER_US;
 	rj_list_init(&job->waiters);
 	rj_timer_init(&job->deadline, deadline_due);
-	rj_timer_init(&job->step, step_due);
+	rj_timer_init(&job->state_timer, step_due);
 	rj_list_append(&core->jobs.list, &job->link);
 	count_open(core, job, 1);
 	g_hash_table_insert(core->jobs.by_id, &job->spec.job_id, job);
@@ -152,9 +152,9 @@
  */
 void rj_job_enter(struct rj_job *job, enum rj_job_state state)
 {
-	rj_timer_clear(&job->core->timers, &job->step);
+	rj_timer_clear(&job->core->timers, &job->state_timer);
 	job->state = state;
-	job->step_started_us = job->core->now_us;
+	job->state_entered_us = job->core->now_us;
 }
 
 /*
@@ -168,7 +168,7 @@
 	rj_job_unplan(job, false);
 	rj_job_drop_members(job);
 	rj_timer_clear(&core->timers, &job->deadline);
-	rj_timer_clear(&core->timers, &job->step);
+	rj_timer_clear(&core->timers, &job->state_timer);
 	if (job->forward_id)
 		g_hash_table_remove(core->jobs.forwards, &job->forward_id);
 	g_hash_table_remove(core->jobs.by_id, &job->spec.job_id);
@@ -198,7 +198,7 @@
 	if (request_id)
 		g_hash_table_insert(job->core->jobs.waiters,
 				    &waiter->request_id, waiter);
-	job->core->jobs.open++;
+	job->core->jobs.waiter_count++;
 }
 
 /* Take a waiter off its job. */
@@ -209,7 +209,7 @@
 	if (waiter->request_id)
 		g_hash_table_remove(core->jobs.waiters, &waiter->request_id);
 	rj_list_remove(&waiter->link);
-	core->jobs.open--;
+	core->jobs.waiter_count--;
 	talloc_free(waiter);
 }
 
@@ -294,7 +294,7 @@
 		    job->member_count ? job->members[0].worker : NULL);
 	rj_job_unplan(job, answer->kind == RJ_ANSWER_DONE);
 	rj_timer_clear(&core->timers, &job->deadline);
-	rj_timer_clear(&core->timers, &job->step);
+	rj_timer_clear(&core->timers, &job->state_timer);
 	core->jobs.plan_wanted = true;
 	rj_job_enter(job, RJ_JOB_ENDED);
 	if (rj_job_may_tell(job))
@@ -351,9 +351,9 @@
 	const struct rj_job_entry *entry =
 		rj_job_ledger_find(&job->core->ledger, job->spec.job_id);
 
-	if (!entry || (!entry->first_owner && !entry->doubtful))
+	if (!entry || (!entry->first_owner && !entry->incomplete))
 		return false;
-	return entry->doubtful || entry->several_owners ||
+	return entry->incomplete || entry->several_owners ||
 	       entry->first_owner != job->core->incarnation;
 }
 
@@ -408,7 +408,7 @@
 void rj_job_answer_in_progress(struct rj_job *job, enum rj_reason reason)
 {
 	rj_job_tell_waiters(job, RJ_ANSWER_UNKNOWN, reason,
-			    rj_core_jitter_us(job->core, RJ_COME_BACK_US));
+			    rj_core_jitter_us(job->core, RJ_RETRY_AFTER_US));
 }
 
 static void deadline_due(struct rj_core_state *core, struct rj_timer *timer)
@@ -418,7 +418,7 @@
 	(void)core;
 	switch (job->state) {
 	case RJ_JOB_QUEUED:
-	case RJ_JOB_HOLDING:
+	case RJ_JOB_LEASING:
 		if (job->accepted) {
 			rj_job_answer_in_progress(job,
 						  RJ_REASON_DEADLINE_PASSED);
@@ -456,12 +456,12 @@
 
 static void step_due(struct rj_core_state *core, struct rj_timer *timer)
 {
-	struct rj_job *job = RJ_CONTAINER(timer, struct rj_job, step);
+	struct rj_job *job = RJ_CONTAINER(timer, struct rj_job, state_timer);
 
 	(void)core;
 	switch (job->state) {
 	case RJ_JOB_QUEUED:
-		if (rj_route_leads_away(job))
+		if (rj_route_prefers_peer(job))
 			rj_job_hand_over(job);
 		else
 			rj_job_submit(job);
@@ -479,7 +479,7 @@
 	case RJ_JOB_ENDED:
 		rj_claims_outcome(job);
 		break;
-	case RJ_JOB_HOLDING:
+	case RJ_JOB_LEASING:
 	case RJ_JOB_STARTING:
 	case RJ_JOB_RUNNING:
 	case RJ_JOB_FORWARDED:
@@ -498,7 +498,7 @@
 {
 	switch (job->state) {
 	case RJ_JOB_QUEUED:
-	case RJ_JOB_HOLDING:
+	case RJ_JOB_LEASING:
 		rj_job_release_members(job);
 		if (job->accepted)
 			rj_job_give_up(job, reason, 0);
--- a/src/libradishjunction/core/core.c
+++ b/src/libradishjunction/core/core.c
@@ -202,7 +202,7 @@
 {
 	struct rj_timer *timer;
 
-	while ((timer = rj_timers_due(&core->timers, core->now_us)))
+	while ((timer = rj_timers_pop_due(&core->timers, core->now_us)))
 		timer->fire(core, timer);
 }
 
@@ -214,7 +214,7 @@
 	case RJ_EVENT_REQUEST:
 		rj_filters_request(core, &event->u.request);
 		break;
-	case RJ_EVENT_CALLER_GONE:
+	case RJ_EVENT_CALLER_DISCONNECTED:
 		rj_jobs_caller_gone(core, event->u.request_id);
 		break;
 	case RJ_EVENT_RECORDS:
@@ -268,7 +268,7 @@
 
 	state->actions = actions;
 	if (!first && event->now_us > state->now_us + SLEPT_US)
-		state->woke_us = event->now_us;
+		state->paused_before_us = event->now_us;
 	if (event->now_us > state->now_us || first)
 		state->now_us = event->now_us ? event->now_us : 1;
 	if (first) {
--- a/src/libradishjunction/core/filters/chain.c
+++ b/src/libradishjunction/core/filters/chain.c
@@ -10,7 +10,7 @@
 
 const char *const rj_filter_verdict_string[RJ_FILTER_VERDICT_COUNT] = {
 	[RJ_FILTER_NEXT] = "next",
-	[RJ_FILTER_TAKEN] = "taken",
+	[RJ_FILTER_HANDLED] = "taken",
 };
 
 static const struct rj_filter *const chain[] = {
@@ -31,7 +31,7 @@
 		      struct rj_submission *submission, size_t first)
 {
 	for (size_t i = first; i < CHAIN_LENGTH; i++)
-		if (chain[i]->pass(core, submission) == RJ_FILTER_TAKEN)
+		if (chain[i]->pass(core, submission) == RJ_FILTER_HANDLED)
 			return;
 }
 
@@ -115,15 +115,15 @@
 	rj_core_log(core, RJ_LOG_REFUSE, reason, NULL, submission->peer)
 		->answer = answer.kind;
 	rj_filter_answer(core, submission, &answer);
-	return RJ_FILTER_TAKEN;
+	return RJ_FILTER_HANDLED;
 }
 
 /*
  * The job of a submission, made now if it was not yet, with its caller
  * waiting for it.
  */
-struct rj_job *rj_filter_job(struct rj_core_state *core,
-			     struct rj_submission *submission)
+struct rj_job *rj_filter_ensure_job(struct rj_core_state *core,
+				    struct rj_submission *submission)
 {
 	struct rj_job *job = submission->job;
 
@@ -185,7 +185,7 @@
  * Serve a job anew that a peer cannot serve any more, or whose claim
  * elsewhere was void: from the look at what the log knows of it.
  */
-void rj_filters_again(struct rj_job *job)
+void rj_filters_resubmit(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
 	struct rj_submission submission;
--- a/src/libradishjunction/core/filters/log.c
+++ b/src/libradishjunction/core/filters/log.c
@@ -61,7 +61,7 @@
 		peer = peer_with_log(core, submission, true);
 	if (!peer)
 		return false;
-	if (!rj_job_forward(rj_filter_job(core, submission), peer->name,
+	if (!rj_job_forward(rj_filter_ensure_job(core, submission), peer->name,
 			    other_domain))
 		return false;
 	rj_core_count(core, RJ_COUNT_FORWARDS_LOG);
@@ -79,11 +79,11 @@
 				     struct rj_submission *submission)
 {
 	enum rj_reason reason = rj_log_reason(core);
-	uint64_t retry_after_us = rj_core_jitter_us(core, RJ_COME_BACK_US);
+	uint64_t retry_after_us = rj_core_jitter_us(core, RJ_RETRY_AFTER_US);
 
 	if (submission->job) {
 		rj_job_give_up(submission->job, reason, retry_after_us);
-		return RJ_FILTER_TAKEN;
+		return RJ_FILTER_HANDLED;
 	}
 	if (!submission->class->idempotent)
 		return rj_filter_refuse(
@@ -114,7 +114,7 @@
 	if (!needs_log(submission) || rj_log_usable(core))
 		return RJ_FILTER_NEXT;
 	if (forwarded(core, submission))
-		return RJ_FILTER_TAKEN;
+		return RJ_FILTER_HANDLED;
 	return refuse(core, submission);
 }
 
--- a/src/libradishjunction/core/filters/place.c
+++ b/src/libradishjunction/core/filters/place.c
@@ -12,12 +12,12 @@
 {
 	struct rj_job *job;
 
-	job = rj_filter_job(core, submission);
+	job = rj_filter_ensure_job(core, submission);
 	if (!submission->spec.wait && !job->accepted)
 		rj_job_accept(job);
 	else
 		rj_job_submit(job);
-	return RJ_FILTER_TAKEN;
+	return RJ_FILTER_HANDLED;
 }
 
 const struct rj_filter rj_filter_place = { "place", place };
--- a/src/libradishjunction/core/planner_topology.c
+++ b/src/libradishjunction/core/planner_topology.c
@@ -47,7 +47,7 @@
 
 		account->share = config->accounts[i].share;
 		state->share_total += account->share;
-		rj_topology_note_active(state, account);
+		rj_topology_update_active(state, account);
 	}
 	memset(&state->domain, 0, sizeof(state->domain));
 	for (uint32_t i = 0; i < config->domain_count; i++)
@@ -60,8 +60,8 @@
 					       sizeof(*config->classes) *
 						       config->class_count);
 	state->limits = config->limits;
-	rj_topology_assign_homes(state, config);
-	state->homes_changed = true;
+	rj_topology_layout_guarantees(state, config);
+	state->guarantees_changed = true;
 	state->workers_changed = true;
 }
 
@@ -94,8 +94,8 @@
 	if (known && !known->gone && is_same_worker(&known->plan, worker))
 		return;
 	if (!known || known->gone || known->plan.rack != worker->rack)
-		state->homes_changed = true;
-	rj_ledger_of(rj_capacity_set(&state->capacity, worker));
+		state->guarantees_changed = true;
+	rj_ledger_get(rj_capacity_set(&state->capacity, worker));
 	state->workers_changed = true;
 }
 
@@ -112,8 +112,9 @@
 		struct rj_reservation *reservation =
 			g_ptr_array_index(state->reservations, i);
 
-		if (rj_topology_keeps(reservation, worker))
-			rj_topology_drop(state, reservation, now_us);
+		if (rj_reservation_includes(reservation, worker))
+			rj_topology_cancel_reservation(state, reservation,
+						       now_us);
 	}
 	rj_capacity_remove(&state->capacity, worker);
 	state->workers_changed = true;
@@ -143,7 +144,7 @@
 {
 	const struct rj_plan_job *job = &entry->job;
 	bool known = state->capacity.worker_count || state->domain.racks;
-	uint64_t wait_us = rj_topology_wait_us(state, job->priority);
+	uint64_t wait_us = rj_topology_expected_wait_us(state, job->priority);
 	uint64_t run_us = rj_runtime_quantile_us(entry->runtime, 50, 0);
 
 	*retry_after_us = 0;
@@ -151,7 +152,7 @@
 	if (known && !rj_capacity_could_fit(&state->capacity, &state->domain,
 					    &job->shape))
 		return false;
-	*retry_after_us = rj_topology_spread_us(wait_us, job->job_id);
+	*retry_after_us = rj_topology_retry_after_us(wait_us, job->job_id);
 	*reason = RJ_REASON_QUEUE_FULL;
 	if (rj_topology_queue_is_full(state, entry))
 		return false;
@@ -195,8 +196,8 @@
 	if (!entry)
 		return;
 	if (succeeded)
-		rj_runtime_learn(entry->runtime, ran_us);
-	rj_topology_forget(state, entry);
+		rj_runtime_record(entry->runtime, ran_us);
+	rj_topology_remove(state, entry);
 }
 
 /*
@@ -345,7 +346,8 @@
 		largest = &bucket->shape;
 	}
 	rj_capacity_view(&state->capacity, largest, view);
-	view->small_wait_us = rj_topology_wait_us(state, RJ_PRIORITY_NORMAL);
+	view->small_wait_us =
+		rj_topology_expected_wait_us(state, RJ_PRIORITY_NORMAL);
 }
 
 /*
@@ -379,13 +381,13 @@
 }
 
 /*
- * See `rj_topology_home_rack`.
+ * See `rj_topology_guarantee_rack`.
  */
 static uint32_t topology_home_rack(const struct rj_planner *planner,
 				   const char *account,
 				   const struct rj_shape *shape)
 {
-	return rj_topology_home_rack(state_of(planner), account, shape);
+	return rj_topology_guarantee_rack(state_of(planner), account, shape);
 }
 
 /*
@@ -400,8 +402,9 @@
 	memset(kept, 0, sizeof(*kept));
 	if (!known || !known->ledger)
 		return;
-	for (uint32_t i = 0; i < known->ledger->hold_count; i++) {
-		const struct rj_worker_hold *hold = &known->ledger->holds[i];
+	for (uint32_t i = 0; i < known->ledger->reservation_count; i++) {
+		const struct rj_worker_reservation *hold =
+			&known->ledger->holds[i];
 
 		if (hold->reservation->firm)
 			rj_resources_add(kept, &hold->want, 1);
@@ -412,7 +415,7 @@
 	.name = "topology",
 	.configure = topology_configure,
 	.worker = topology_worker,
-	.worker_gone = topology_worker_gone,
+	.worker_removed = topology_worker_gone,
 	.submit = topology_submit,
 	.ended = topology_ended,
 	.requeue = topology_requeue,
@@ -421,7 +424,7 @@
 	.wake_us = topology_wake_us,
 	.view = topology_view,
 	.rack_group = topology_rack_group,
-	.home_rack = topology_home_rack,
+	.guarantee_rack = topology_home_rack,
 	.kept = topology_kept,
 	.finish = topology_finish,
 };
--- a/src/libradishjunction/include/private/jobs.h
+++ b/src/libradishjunction/include/private/jobs.h
@@ -18,7 +18,7 @@
 enum rj_job_state {
 	RJ_JOB_ACCEPTING, /* its accept record was appended, not read yet */
 	RJ_JOB_QUEUED, /* waits in the planner */
-	RJ_JOB_HOLDING, /* leases are being taken */
+	RJ_JOB_LEASING, /* leases are being taken */
 	RJ_JOB_CLAIMING, /* its claim was appended, not read yet */
 	RJ_JOB_STARTING, /* starts were sent */
 	RJ_JOB_RUNNING,
@@ -74,7 +74,7 @@
 	struct rj_attempt attempt;
 	struct rj_member *members;
 	uint32_t member_count;
-	bool bodiless; /* known from a claim only: cannot be started here */
+	bool body_missing; /* known from a claim only: cannot be started here */
 	bool planned; /* the planner counts it as waiting or running */
 	bool accepted; /* its accept record is in the log */
 	bool claimed; /* its claim is in the log, and won */
@@ -90,7 +90,7 @@
 	uint64_t started_us;
 	uint64_t resume_us; /* progress saved by checkpoints */
 	uint64_t deadline_us;
-	uint64_t step_started_us;
+	uint64_t state_entered_us;
 	uint32_t failed_on[RJ_PLAN_AVOID_MAX]; /* workers on which it failed */
 	uint32_t failures;
 	uint32_t hops;
--- a/src/libradishjunction/include/private/plan_table.h
+++ b/src/libradishjunction/include/private/plan_table.h
@@ -28,7 +28,7 @@
 	uint64_t stamp; /* of the last search that met it */
 	bool reclaiming;
 	bool claims; /* was placed on its account's guarantee */
-	bool on_loan; /* runs where a reservation let it pass */
+	bool backfilled; /* runs where a reservation let it pass */
 	bool granted; /* by a guarantee, and not on its home (yet) */
 };
 
