--- a/include/radishjunction/event.h
+++ b/include/radishjunction/event.h
@@ -15,7 +15,7 @@
 
 enum rj_event_kind {
 	RJ_EVENT_REQUEST, /* a caller asks */
-	RJ_EVENT_CALLER_GONE, /* its connection closed before the answer */
+	RJ_EVENT_CALLER_DISCONNECTED, /* its connection closed before the answer */
 	RJ_EVENT_RECORDS, /* a read of the log was answered */
 	RJ_EVENT_READ_FAILED, /* a read was not answered in time */
 	RJ_EVENT_APPENDED, /* what became of an append */
@@ -94,7 +94,7 @@
 	uint64_t now_us;
 	union {
 		struct rj_request request;
-		uint64_t request_id; /* RJ_EVENT_CALLER_GONE */
+		uint64_t request_id; /* RJ_EVENT_CALLER_DISCONNECTED */
 		struct rj_records records;
 		enum rj_stream stream; /* RJ_EVENT_READ_FAILED */
 		struct rj_appended appended;
--- a/include/radishjunction/planner.h
+++ b/include/radishjunction/planner.h
@@ -39,7 +39,7 @@
 	char class_name[RJ_NAME_BYTES];
 	struct rj_shape shape;
 	enum rj_priority priority;
-	bool stoppable; /* idempotent or with checkpoints: may borrow */
+	bool preemptible; /* idempotent or with checkpoints: may borrow */
 	bool checkpoint;
 	uint64_t declared_us;
 	uint64_t queued_us; /* time of arrival */
@@ -105,8 +105,8 @@
 			  uint64_t now_us);
 	void (*worker)(struct rj_planner *planner,
 		       const struct rj_plan_worker *worker, uint64_t now_us);
-	void (*worker_gone)(struct rj_planner *planner, uint32_t worker,
-			    uint64_t now_us);
+	void (*worker_removed)(struct rj_planner *planner, uint32_t worker,
+			       uint64_t now_us);
 	/* 0, or -1 with the reason and when to come back. */
 	int (*submit)(struct rj_planner *planner, const struct rj_plan_job *job,
 		      uint64_t now_us, enum rj_reason *reason,
@@ -137,15 +137,15 @@
 	 * A rack that carries a guaranteed shape of `account` with room for
 	 * `shape`, or UINT32_MAX. NULL: there are no guarantees.
 	 */
-	uint32_t (*home_rack)(const struct rj_planner *planner,
-			      const char *account,
-			      const struct rj_shape *shape);
+	uint32_t (*guarantee_rack)(const struct rj_planner *planner,
+				   const char *account,
+				   const struct rj_shape *shape);
 	/*
 	 * What of a worker is firmly kept for jobs that wait, and is not to
 	 * be offered to others. NULL: nothing ever is.
 	 */
-	void (*kept)(const struct rj_planner *planner, uint32_t worker,
-		     struct rj_resources *kept);
+	void (*reserved)(const struct rj_planner *planner, uint32_t worker,
+			 struct rj_resources *reserved);
 	void (*finish)(struct rj_planner *planner);
 };
 
--- a/src/bench/cost.c
+++ b/src/bench/cost.c
@@ -108,7 +108,7 @@
 		.class_name = "class",
 		.shape = { tasks, { 1, accelerators, 1, 1 }, adjacent },
 		.priority = RJ_PRIORITY_NORMAL,
-		.stoppable = true,
+		.preemptible = true,
 		.queued_us = site->now_us,
 		.deadline_us = RJ_NEVER_US,
 	};
--- a/src/libradishjunction/caller/http_callers.c
+++ b/src/libradishjunction/caller/http_callers.c
@@ -54,7 +54,7 @@
 {
 	struct rj_caller_request *request = private_data;
 	struct rj_http_callers_state *state = request->state;
-	struct rj_event gone = { .kind = RJ_EVENT_CALLER_GONE };
+	struct rj_event gone = { .kind = RJ_EVENT_CALLER_DISCONNECTED };
 	char byte;
 	ssize_t got = recv(socket_of(request->connection), &byte, 1,
 			   MSG_PEEK | MSG_DONTWAIT);
--- a/src/libradishjunction/config_capacity.c
+++ b/src/libradishjunction/config_capacity.c
@@ -100,7 +100,7 @@
 {
 	const struct rj_domain *domain = layout->domain;
 	const struct rj_shape *shape = &entry->guarantee->shape;
-	uint64_t room = (uint64_t)rj_resources_times(
+	uint64_t room = (uint64_t)rj_resources_fit_count(
 				&shape->each, &domain->worker, UINT32_MAX) *
 			domain->workers_per_rack;
 
--- a/src/libradishjunction/core/capacity.c
+++ b/src/libradishjunction/core/capacity.c
@@ -36,8 +36,8 @@
  * What remains of `have` after `part`, and 0 where `part` is larger: a
  * report of foreign tasks may come late and be too high for a while.
  */
-void rj_resources_take_or_zero(struct rj_resources *have,
-			       const struct rj_resources *part)
+void rj_resources_subtract_saturating(struct rj_resources *have,
+				      const struct rj_resources *part)
 {
 	have->slots -= MIN(have->slots, part->slots);
 	have->accelerators -= MIN(have->accelerators, part->accelerators);
@@ -48,7 +48,7 @@
 /*
  * Cut `have` down to `limit` in each dimension.
  */
-void rj_resources_limit(struct rj_resources *have,
+void rj_resources_clamp(struct rj_resources *have,
 			const struct rj_resources *limit)
 {
 	have->slots = MIN(have->slots, limit->slots);
@@ -69,13 +69,13 @@
 static void refresh(struct rj_capacity_worker *worker)
 {
 	memset(&worker->free, 0, sizeof(worker->free));
-	if (!worker->plan.usable || worker->gone)
+	if (!worker->plan.usable || worker->removed)
 		return;
 	worker->free = worker->plan.capacity;
-	rj_resources_take_or_zero(&worker->free, &worker->plan.foreign);
-	rj_resources_take_or_zero(&worker->free, &worker->taken);
+	rj_resources_subtract_saturating(&worker->free, &worker->plan.foreign);
+	rj_resources_subtract_saturating(&worker->free, &worker->allocated);
 	if (worker->plan.limited)
-		rj_resources_limit(&worker->free, &worker->plan.offered);
+		rj_resources_clamp(&worker->free, &worker->plan.offered);
 }
 
 /*
@@ -259,7 +259,7 @@
 				    worker);
 		capacity->worker_count++;
 	}
-	worker->gone = false;
+	worker->removed = false;
 	refresh(worker);
 	return worker;
 }
@@ -285,7 +285,7 @@
 
 	if (!worker)
 		return;
-	worker->gone = true;
+	worker->removed = true;
 	refresh(worker);
 	if (!worker->tasks)
 		drop(capacity, worker);
@@ -301,16 +301,16 @@
 	struct rj_plan_worker plan = { .id = id, .rack = UINT32_MAX };
 	struct rj_capacity_worker *worker = rj_capacity_set(capacity, &plan);
 
-	worker->gone = true;
+	worker->removed = true;
 	return worker;
 }
 
 /*
  * Count the tasks of `members` as running.
  */
-void rj_capacity_take(struct rj_capacity *capacity,
-		      const struct rj_resources *each,
-		      const struct rj_plan_member *members, uint32_t count)
+void rj_capacity_allocate(struct rj_capacity *capacity,
+			  const struct rj_resources *each,
+			  const struct rj_plan_member *members, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++) {
 		struct rj_capacity_worker *worker =
@@ -318,7 +318,7 @@
 
 		if (!worker)
 			worker = stand_in(capacity, members[i].worker);
-		rj_resources_add(&worker->taken, each, members[i].tasks);
+		rj_resources_add(&worker->allocated, each, members[i].tasks);
 		worker->tasks += members[i].tasks;
 		refresh(worker);
 	}
@@ -327,19 +327,19 @@
 /*
  * Count the tasks of `members` as ended.
  */
-void rj_capacity_give(struct rj_capacity *capacity,
-		      const struct rj_resources *each,
-		      const struct rj_plan_member *members, uint32_t count)
+void rj_capacity_release(struct rj_capacity *capacity,
+			 const struct rj_resources *each,
+			 const struct rj_plan_member *members, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++) {
 		struct rj_capacity_worker *worker =
 			rj_capacity_find(capacity, members[i].worker);
 
 		assert(worker && worker->tasks >= members[i].tasks);
-		rj_resources_take(&worker->taken, each, members[i].tasks);
+		rj_resources_take(&worker->allocated, each, members[i].tasks);
 		worker->tasks -= members[i].tasks;
 		refresh(worker);
-		if (worker->gone && !worker->tasks)
+		if (worker->removed && !worker->tasks)
 			drop(capacity, worker);
 	}
 }
@@ -356,8 +356,8 @@
 /*
  * How many times `each` fits into `have`, counted up to `most`.
  */
-uint32_t rj_resources_times(const struct rj_resources *each,
-			    const struct rj_resources *have, uint32_t most)
+uint32_t rj_resources_fit_count(const struct rj_resources *each,
+				const struct rj_resources *have, uint32_t most)
 {
 	uint32_t times = most;
 
@@ -392,14 +392,14 @@
 		uint64_t here = 0;
 
 		for (uint32_t j = 0; j < rack->count; j++)
-			here += rj_resources_times(
+			here += rj_resources_fit_count(
 				&shape->each, &rack->workers[j]->plan.capacity,
 				shape->tasks);
 		all += here;
 		most = MAX(most, here);
 	}
 	if (domain && domain->racks) {
-		uint64_t here = rj_resources_times(
+		uint64_t here = rj_resources_fit_count(
 			&shape->each, &domain->worker, shape->tasks);
 
 		here *= domain->workers_per_rack;
@@ -426,15 +426,15 @@
 			const struct rj_capacity_worker *worker =
 				rack->workers[j];
 
-			if (!worker->plan.usable || worker->gone)
+			if (!worker->plan.usable || worker->removed)
 				continue;
 			view->accelerators +=
 				worker->plan.capacity.accelerators;
 			view->accelerators_free += worker->free.accelerators;
 			if (largest)
-				tasks += rj_resources_times(&largest->each,
-							    &worker->free,
-							    UINT16_MAX);
+				tasks += rj_resources_fit_count(&largest->each,
+								&worker->free,
+								UINT16_MAX);
 		}
 		if (!largest)
 			continue;
--- a/src/libradishjunction/core/controllers/claims_controller.c
+++ b/src/libradishjunction/core/controllers/claims_controller.c
@@ -88,7 +88,7 @@
 {
 	struct rj_core_state *core = job->core;
 
-	assert(job->state == RJ_JOB_HOLDING);
+	assert(job->state == RJ_JOB_LEASING);
 	if (!rj_log_usable(core)) {
 		rj_job_release_members(job);
 		if (job->accepted)
@@ -190,12 +190,12 @@
 
 		if (job->accepted || job->idempotent)
 			continue;
-		if (job->state != RJ_JOB_QUEUED && job->state != RJ_JOB_HOLDING)
+		if (job->state != RJ_JOB_QUEUED && job->state != RJ_JOB_LEASING)
 			continue;
 		rj_job_release_members(job);
 		rj_job_unplan(job, false);
 		job->hops = 0; /* whoever sent it here may have the log */
-		rj_filters_again(job);
+		rj_filters_resubmit(job);
 	}
 }
 
@@ -366,7 +366,7 @@
 		rj_job_free(job);
 		break;
 	case RJ_JOB_QUEUED:
-	case RJ_JOB_HOLDING:
+	case RJ_JOB_LEASING:
 	case RJ_JOB_CLAIMING:
 	case RJ_JOB_ACCEPTING:
 		rj_job_release_members(job);
@@ -417,7 +417,7 @@
 		rj_claims_cancel(job);
 		return;
 	}
-	if (job->state == RJ_JOB_QUEUED || job->state == RJ_JOB_HOLDING ||
+	if (job->state == RJ_JOB_QUEUED || job->state == RJ_JOB_LEASING ||
 	    job->state == RJ_JOB_ACCEPTING) {
 		rj_job_release_members(job);
 		rj_job_watch(job);
@@ -439,7 +439,7 @@
  */
 bool rj_job_leave_bodiless(struct rj_job *job)
 {
-	if (!job->bodiless)
+	if (!job->body_missing)
 		return false;
 	rj_job_answer_in_progress(job, RJ_REASON_CLAIM_LOST);
 	rj_job_free(job);
@@ -450,7 +450,7 @@
 static void watched_is_void(struct rj_job *job)
 {
 	if (!rj_job_leave_bodiless(job))
-		rj_filters_again(job);
+		rj_filters_resubmit(job);
 }
 
 /*
--- a/src/libradishjunction/core/controllers/drain_controller.c
+++ b/src/libradishjunction/core/controllers/drain_controller.c
@@ -30,7 +30,7 @@
 	struct rj_list *next;
 
 	(void)timer;
-	core->drain_over = true;
+	core->drain_expired = true;
 	RJ_FOR_EACH (at, next, &core->jobs.list)
 		send_waiters_on(RJ_CONTAINER(at, struct rj_job, link),
 				RJ_ANSWER_UNKNOWN);
@@ -82,7 +82,7 @@
 	}
 	rj_job_unplan(job, false);
 	job->hops = 0; /* who owns the racks has changed since */
-	rj_filters_again(job);
+	rj_filters_resubmit(job);
 }
 
 /*
@@ -101,7 +101,7 @@
 		struct rj_job *job = RJ_CONTAINER(at, struct rj_job, link);
 
 		if (job->state == RJ_JOB_QUEUED &&
-		    (all || rj_route_leads_away(job)))
+		    (all || rj_route_prefers_peer(job)))
 			rj_job_hand_over(job);
 	}
 }
@@ -222,7 +222,7 @@
 		rj_timer_set(&core->timers, &core->drain,
 			     core->now_us + DRAIN_LOG_US);
 	}
-	if (outcomes_open(core) && !core->drain_over &&
+	if (outcomes_open(core) && !core->drain_expired &&
 	    core->now_us < core->drain_answered_us + DRAIN_LOG_US)
 		return;
 	rj_actions_add(core->actions, RJ_ACTION_EXIT);
--- a/src/libradishjunction/core/controllers/foreign_controller.c
+++ b/src/libradishjunction/core/controllers/foreign_controller.c
@@ -205,7 +205,7 @@
 	job.shape.tasks = 1;
 	job.shape.each = line->each;
 	job.priority = class->priority;
-	job.stoppable = true;
+	job.preemptible = true;
 	job.checkpoint = class->checkpoint;
 	job.queued_us = core->now_us;
 	job.deadline_us = RJ_NEVER_US;
--- a/src/libradishjunction/core/controllers/forward_controller.c
+++ b/src/libradishjunction/core/controllers/forward_controller.c
@@ -98,7 +98,7 @@
 		return;
 	if (serve_again(job, &answer->answer)) {
 		job->hops++; /* not handed back and forth */
-		rj_filters_again(job);
+		rj_filters_resubmit(job);
 		return;
 	}
 	passed_on = answer->answer;
@@ -190,6 +190,6 @@
 			continue;
 		}
 		job->ran_elsewhere = true;
-		rj_filters_again(job);
+		rj_filters_resubmit(job);
 	}
 }
--- a/src/libradishjunction/core/controllers/jobs_controller.c
+++ b/src/libradishjunction/core/controllers/jobs_controller.c
@@ -14,7 +14,7 @@
 
 const char *const rj_job_state_string[RJ_JOB_STATE_COUNT] = {
 	[RJ_JOB_ACCEPTING] = "accepting", [RJ_JOB_QUEUED] = "queued",
-	[RJ_JOB_HOLDING] = "holding",	  [RJ_JOB_CLAIMING] = "claiming",
+	[RJ_JOB_LEASING] = "holding",	  [RJ_JOB_CLAIMING] = "claiming",
 	[RJ_JOB_STARTING] = "starting",	  [RJ_JOB_RUNNING] = "running",
 	[RJ_JOB_STOPPING] = "stopping",	  [RJ_JOB_SETTLING] = "settling",
 	[RJ_JOB_FORWARDED] = "forwarded", [RJ_JOB_WATCHING] = "watching",
@@ -351,9 +351,9 @@
 	const struct rj_job_entry *entry =
 		rj_job_ledger_find(&job->core->ledger, job->spec.job_id);
 
-	if (!entry || (!entry->first_owner && !entry->doubtful))
+	if (!entry || (!entry->first_owner && !entry->incomplete))
 		return false;
-	return entry->doubtful || entry->several_owners ||
+	return entry->incomplete || entry->several_owners ||
 	       entry->first_owner != job->core->incarnation;
 }
 
@@ -408,7 +408,7 @@
 void rj_job_answer_in_progress(struct rj_job *job, enum rj_reason reason)
 {
 	rj_job_tell_waiters(job, RJ_ANSWER_UNKNOWN, reason,
-			    rj_core_jitter_us(job->core, RJ_COME_BACK_US));
+			    rj_core_jitter_us(job->core, RJ_RETRY_AFTER_US));
 }
 
 static void deadline_due(struct rj_core_state *core, struct rj_timer *timer)
@@ -418,7 +418,7 @@
 	(void)core;
 	switch (job->state) {
 	case RJ_JOB_QUEUED:
-	case RJ_JOB_HOLDING:
+	case RJ_JOB_LEASING:
 		if (job->accepted) {
 			rj_job_answer_in_progress(job,
 						  RJ_REASON_DEADLINE_PASSED);
@@ -461,7 +461,7 @@
 	(void)core;
 	switch (job->state) {
 	case RJ_JOB_QUEUED:
-		if (rj_route_leads_away(job))
+		if (rj_route_prefers_peer(job))
 			rj_job_hand_over(job);
 		else
 			rj_job_submit(job);
@@ -479,7 +479,7 @@
 	case RJ_JOB_ENDED:
 		rj_claims_outcome(job);
 		break;
-	case RJ_JOB_HOLDING:
+	case RJ_JOB_LEASING:
 	case RJ_JOB_STARTING:
 	case RJ_JOB_RUNNING:
 	case RJ_JOB_FORWARDED:
@@ -498,7 +498,7 @@
 {
 	switch (job->state) {
 	case RJ_JOB_QUEUED:
-	case RJ_JOB_HOLDING:
+	case RJ_JOB_LEASING:
 		rj_job_release_members(job);
 		if (job->accepted)
 			rj_job_give_up(job, reason, 0);
--- a/src/libradishjunction/core/controllers/log_controller.c
+++ b/src/libradishjunction/core/controllers/log_controller.c
@@ -32,7 +32,7 @@
 	if (stream->reading)
 		return;
 	stream->reading = true;
-	stream->asked_us = core->now_us;
+	stream->read_sent_us = core->now_us;
 	action = rj_actions_add(core->actions, RJ_ACTION_READ);
 	action->u.read.stream = stream->stream;
 	action->u.read.from = stream->next;
@@ -169,9 +169,9 @@
 {
 	const struct rj_log_stream *stream = &core->streams[RJ_STREAM_JOBS];
 
-	return stream->caught_up && core->platform_up && !core->woke_us &&
-	       !core->ledger.gap_us &&
-	       core->now_us < stream->fresh_us + READ_STALE_US;
+	return stream->caught_up && core->platform_up &&
+	       !core->paused_before_us && !core->ledger.gap_us &&
+	       core->now_us < stream->current_as_of_us + READ_STALE_US;
 }
 
 /*
@@ -223,7 +223,7 @@
 	if (stream->stream != RJ_STREAM_JOBS)
 		return;
 	stream->newest_us = core->now_us;
-	core->gap_from = records->oldest;
+	core->gap_end_offset = records->oldest;
 	core->ledger.gap_us = reaches_back(core, records) ? 0 : core->now_us;
 	if (!core->ledger.gap_us)
 		rj_job_ledger_reset(&core->ledger);
@@ -244,7 +244,7 @@
 			RJ_CONTAINER(at, struct rj_member_view, link);
 
 		if (member->log_usable && rj_membership_alive(core, member) &&
-		    member->log_from >= core->gap_from &&
+		    member->log_from >= core->gap_end_offset &&
 		    member->log_next <= stream->next)
 			return true;
 	}
@@ -264,7 +264,7 @@
 	if (!peer_vouches(core)) {
 		if (core->now_us <= core->ledger.gap_us + life_us)
 			return;
-		rj_job_ledger_doubt(&core->ledger);
+		rj_job_ledger_mark_incomplete(&core->ledger);
 	}
 	core->ledger.gap_us = 0;
 	core->jobs.plan_wanted = true;
@@ -286,11 +286,11 @@
 			RJ_CONTAINER(at, struct rj_job_entry, link);
 
 		/* Who doubts a job vouches for nothing. */
-		if (entry->doubtful && !entry->settled)
+		if (entry->incomplete && !entry->settled)
 			heartbeat->log_from = 0;
-		if (rj_job_entry_matters(entry) &&
-		    entry->whole_from < heartbeat->log_from)
-			heartbeat->log_from = entry->whole_from;
+		if (rj_job_entry_has_state(entry) &&
+		    entry->complete_from_offset < heartbeat->log_from)
+			heartbeat->log_from = entry->complete_from_offset;
 	}
 }
 
@@ -350,7 +350,7 @@
 		return;
 	}
 	stream->backoff_us = READ_BACKOFF_FIRST_US;
-	stream->fresh_us = stream->asked_us;
+	stream->current_as_of_us = stream->read_sent_us;
 	core->platform_up = true;
 	if (!stream->read_before || records->oldest > stream->next)
 		read_first(core, stream, records);
@@ -373,8 +373,8 @@
 		if (stream->caught_up) {
 			core->jobs.plan_wanted = true;
 			/* An answer from before the pause proves nothing. */
-			if (stream->fresh_us >= core->woke_us)
-				core->woke_us = 0;
+			if (stream->current_as_of_us >= core->paused_before_us)
+				core->paused_before_us = 0;
 		}
 	}
 	read_on(core, stream);
--- a/src/libradishjunction/core/controllers/placement_controller.c
+++ b/src/libradishjunction/core/controllers/placement_controller.c
@@ -26,7 +26,7 @@
 		  sizeof(plan->class_name));
 	plan->shape = job->spec.shape;
 	plan->priority = job->priority;
-	plan->stoppable = job->idempotent || job->checkpoint;
+	plan->preemptible = job->idempotent || job->checkpoint;
 	plan->checkpoint = job->checkpoint;
 	plan->declared_us = job->spec.declared_us;
 	plan->queued_us = job->arrived_us;
@@ -104,7 +104,7 @@
 	job->started = false;
 	job->started_us = 0;
 	job->reclaimed = false;
-	if (!job->planned || job->failures || rj_route_leads_away(job)) {
+	if (!job->planned || job->failures || rj_route_prefers_peer(job)) {
 		/* Submitted anew, with the workers to avoid, or handed on. */
 		rj_job_unplan(job, false);
 		rj_timer_set(&core->timers, &job->step,
@@ -137,7 +137,7 @@
 /* Ask for every lease of the job. */
 static void hold(struct rj_job *job)
 {
-	rj_job_enter(job, RJ_JOB_HOLDING);
+	rj_job_enter(job, RJ_JOB_LEASING);
 	for (uint32_t i = 0; i < job->member_count; i++) {
 		rj_core_count(job->core, RJ_COUNT_LEASES);
 		rj_job_call(job, &job->members[i], RJ_WORKER_LEASE);
@@ -178,7 +178,7 @@
 	rj_core_log(core, RJ_LOG_RECLAIM, reason, job,
 		    job->member_count ? job->members[0].worker : NULL);
 	switch (job->state) {
-	case RJ_JOB_HOLDING:
+	case RJ_JOB_LEASING:
 	case RJ_JOB_CLAIMING:
 		/* Nothing has started, and no token is left to start with. A
 		   claim that shows in the log later is fenced and voided. */
@@ -326,7 +326,7 @@
 	struct rj_core_state *core = job->core;
 	struct rj_upstream *upstream = member->upstream;
 
-	if (job->state != RJ_JOB_HOLDING)
+	if (job->state != RJ_JOB_LEASING)
 		return;
 	if (reply->status == RJ_REPLY_OK && reply->token) {
 		member->token = reply->token;
--- a/src/libradishjunction/core/controllers/recovery_controller.c
+++ b/src/libradishjunction/core/controllers/recovery_controller.c
@@ -69,7 +69,7 @@
 		rj_job_give_up(job, RJ_REASON_CANCELLED, 0);
 		return;
 	}
-	if (job->bodiless)
+	if (job->body_missing)
 		rj_job_answer_in_progress(job, RJ_REASON_CLAIM_LOST);
 	if (!job->accepted && job->waiters.next == &job->waiters) {
 		rj_job_free(job);
@@ -78,7 +78,7 @@
 	if (!job->accepted && !job->idempotent && !rj_log_usable(core)) {
 		rj_job_end_plain(job, RJ_ANSWER_UNKNOWN,
 				 RJ_REASON_PLATFORM_DOWN,
-				 rj_core_jitter_us(core, RJ_COME_BACK_US));
+				 rj_core_jitter_us(core, RJ_RETRY_AFTER_US));
 		return;
 	}
 	rj_job_requeue(job, 0, RJ_REASON_LEASE_LAPSED);
@@ -290,7 +290,7 @@
 	job->accepted = true;
 	if (!job->spec.body.length)
 		rj_bytes_copy(job, &job->spec.body, &entry->spec.body);
-	job->bodiless = false;
+	job->body_missing = false;
 }
 
 /*
@@ -325,7 +325,7 @@
 			core->config ? rj_config_class(core->config,
 						       entry->spec.class_name) :
 				       NULL);
-		job->bodiless = true;
+		job->body_missing = true;
 	}
 	if (job->state == RJ_JOB_FORWARDED)
 		take_back(job, entry);
@@ -375,7 +375,7 @@
 	rj_core_log(core, RJ_LOG_ADOPT, RJ_REASON_OWNER, job, NULL);
 	if (entry->cancelled)
 		rj_job_give_up(job, RJ_REASON_CANCELLED, 0);
-	else if (entry->doubtful && !job->idempotent)
+	else if (entry->incomplete && !job->idempotent)
 		rj_job_give_up(job, RJ_REASON_LOG_GAP, 0);
 	else
 		rj_job_submit(job);
@@ -401,7 +401,7 @@
 	record.attempt.job_id = entry->job_id;
 	record.spec = entry->spec;
 	g_strlcpy(record.domain, entry->domain, sizeof(record.domain));
-	entry->carry_us = core->now_us;
+	entry->last_carried_us = core->now_us;
 	if (entry->settled) {
 		record.kind = RJ_RECORD_OUTCOME;
 		record.outcome = entry->outcome;
@@ -422,7 +422,7 @@
 		record.lease_life_us = entry->lease_life_us;
 		rj_log_append(core, RJ_STREAM_JOBS, &record);
 	}
-	if (!rj_job_entry_matters(entry)) {
+	if (!rj_job_entry_has_state(entry)) {
 		record.kind = RJ_RECORD_VOID;
 		rj_log_append(core, RJ_STREAM_JOBS, &record);
 	}
@@ -440,21 +440,22 @@
  */
 static bool dropped_due(struct rj_core_state *core, struct rj_job_entry *entry)
 {
-	if (entry->whole_from >= core->streams[RJ_STREAM_JOBS].oldest) {
-		entry->dropped_us = 0;
+	if (entry->complete_from_offset >=
+	    core->streams[RJ_STREAM_JOBS].oldest) {
+		entry->trimmed_us = 0;
 		return false;
 	}
-	if (!entry->dropped_us)
-		entry->dropped_us =
+	if (!entry->trimmed_us)
+		entry->trimmed_us =
 			core->now_us +
 			(owned_here(core, entry) ?
 				 0 :
 				 rj_core_jitter_us(core, CARRY_RETRY_US));
 	/* That an attempt is over is said once, to who missed it. */
-	if (!rj_job_entry_matters(entry) && entry->carry_us)
+	if (!rj_job_entry_has_state(entry) && entry->last_carried_us)
 		return false;
-	return core->now_us >= entry->dropped_us &&
-	       core->now_us >= entry->carry_us + CARRY_RETRY_US;
+	return core->now_us >= entry->trimmed_us &&
+	       core->now_us >= entry->last_carried_us + CARRY_RETRY_US;
 }
 
 /* Whether half of the retention has passed since the oldest record that a job
@@ -464,9 +465,9 @@
 {
 	uint64_t half_us = core->retention_us / 2;
 
-	return rj_job_entry_matters(entry) &&
-	       core->now_us >= entry->base_us + half_us &&
-	       core->now_us >= entry->carry_us + half_us / 4 &&
+	return rj_job_entry_has_state(entry) &&
+	       core->now_us >= entry->oldest_record_us + half_us &&
+	       core->now_us >= entry->last_carried_us + half_us / 4 &&
 	       owned_here(core, entry);
 }
 
@@ -483,10 +484,10 @@
 			       core->retention_us;
 	uint64_t half_us = core->retention_us / 2;
 
-	if ((entry->settled || !rj_job_entry_matters(entry)) &&
-	    core->now_us > entry->first_us + life_us &&
-	    core->now_us > entry->recorded_us + half_us) {
-		rj_job_ledger_forget(&core->ledger, entry);
+	if ((entry->settled || !rj_job_entry_has_state(entry)) &&
+	    core->now_us > entry->first_record_us + life_us &&
+	    core->now_us > entry->newest_record_us + half_us) {
+		rj_job_ledger_remove(&core->ledger, entry);
 		return;
 	}
 	if (dropped_due(core, entry) || carry_due(core, entry))
--- a/src/libradishjunction/core/controllers/report_controller.c
+++ b/src/libradishjunction/core/controllers/report_controller.c
@@ -169,7 +169,7 @@
 	struct rj_job *job = member->job;
 
 	switch (job->state) {
-	case RJ_JOB_HOLDING:
+	case RJ_JOB_LEASING:
 		rj_job_release_members(job);
 		rj_job_requeue(job, RETRY_DELAY_US, RJ_REASON_WORKER_LOST);
 		break;
@@ -211,7 +211,7 @@
 			    member->state != RJ_TASK_DONE &&
 			    member->state != RJ_TASK_FAILED;
 
-		if (member->job->state == RJ_JOB_HOLDING ||
+		if (member->job->state == RJ_JOB_LEASING ||
 		    (live && (member->job->state == RJ_JOB_STARTING ||
 			      member->job->state == RJ_JOB_RUNNING ||
 			      member->job->state == RJ_JOB_STOPPING)))
--- a/src/libradishjunction/core/controllers/run_controller.c
+++ b/src/libradishjunction/core/controllers/run_controller.c
@@ -121,7 +121,7 @@
 	}
 	if (core->jobs.retry_tokens < 1.0) {
 		rj_job_give_up(job, RJ_REASON_RETRY_BUDGET,
-			       rj_core_jitter_us(core, RJ_COME_BACK_US));
+			       rj_core_jitter_us(core, RJ_RETRY_AFTER_US));
 		return;
 	}
 	core->jobs.retry_tokens -= 1.0;
--- a/src/libradishjunction/core/controllers/upstreams_controller.c
+++ b/src/libradishjunction/core/controllers/upstreams_controller.c
@@ -482,13 +482,13 @@
 {
 	const struct rj_planner_ops *ops = core->planner->ops;
 	struct rj_resources offered = upstream->free_now;
-	struct rj_resources kept;
+	struct rj_resources reserved;
 
 	if (!upstream->owned)
 		return;
-	if (ops->kept) {
-		ops->kept(core->planner, upstream->index, &kept);
-		rj_resources_take_or_zero(&offered, &kept);
+	if (ops->reserved) {
+		ops->reserved(core->planner, upstream->index, &reserved);
+		rj_resources_subtract_saturating(&offered, &reserved);
 	}
 	if (!memcmp(&offered, &upstream->offered, sizeof(offered)))
 		return;
--- a/src/libradishjunction/core/core.c
+++ b/src/libradishjunction/core/core.c
@@ -17,14 +17,16 @@
 }
 
 /*
- * A time between half of and one and a half times `base_us`, so that those
+ * A time between half of and one and a half times `oldest_record_us`, so that those
  * who were refused together do not return together.
  */
-uint64_t rj_core_jitter_us(struct rj_core_state *core, uint64_t base_us)
+uint64_t rj_core_jitter_us(struct rj_core_state *core,
+			   uint64_t oldest_record_us)
 {
-	if (!base_us)
+	if (!oldest_record_us)
 		return 0;
-	return base_us / 2 + rj_random64(&core->random) % (base_us + 1);
+	return oldest_record_us / 2 +
+	       rj_random64(&core->random) % (oldest_record_us + 1);
 }
 
 /*
@@ -202,7 +204,7 @@
 {
 	struct rj_timer *timer;
 
-	while ((timer = rj_timers_due(&core->timers, core->now_us)))
+	while ((timer = rj_timers_pop_due(&core->timers, core->now_us)))
 		timer->fire(core, timer);
 }
 
@@ -214,7 +216,7 @@
 	case RJ_EVENT_REQUEST:
 		rj_filters_request(core, &event->u.request);
 		break;
-	case RJ_EVENT_CALLER_GONE:
+	case RJ_EVENT_CALLER_DISCONNECTED:
 		rj_jobs_caller_gone(core, event->u.request_id);
 		break;
 	case RJ_EVENT_RECORDS:
@@ -268,7 +270,7 @@
 
 	state->actions = actions;
 	if (!first && event->now_us > state->now_us + SLEPT_US)
-		state->woke_us = event->now_us;
+		state->paused_before_us = event->now_us;
 	if (event->now_us > state->now_us || first)
 		state->now_us = event->now_us ? event->now_us : 1;
 	if (first) {
--- a/src/libradishjunction/core/filters/chain.c
+++ b/src/libradishjunction/core/filters/chain.c
@@ -122,8 +122,8 @@
  * The job of a submission, made now if it was not yet, with its caller
  * waiting for it.
  */
-struct rj_job *rj_filter_job(struct rj_core_state *core,
-			     struct rj_submission *submission)
+struct rj_job *rj_filter_ensure_job(struct rj_core_state *core,
+				    struct rj_submission *submission)
 {
 	struct rj_job *job = submission->job;
 
@@ -185,7 +185,7 @@
  * Serve a job anew that a peer cannot serve any more, or whose claim
  * elsewhere was void: from the look at what the log knows of it.
  */
-void rj_filters_again(struct rj_job *job)
+void rj_filters_resubmit(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
 	struct rj_submission submission;
--- a/src/libradishjunction/core/filters/find.c
+++ b/src/libradishjunction/core/filters/find.c
@@ -13,7 +13,7 @@
 
 	job = rj_job_new(core, &entry->spec,
 			 rj_config_class(core->config, entry->spec.class_name));
-	job->bodiless = !entry->accepted;
+	job->body_missing = !entry->accepted;
 	rj_job_watch(job);
 	return job;
 }
@@ -90,7 +90,7 @@
 		return rj_filter_refuse(
 			core, submission, RJ_ANSWER_UNKNOWN,
 			rj_log_reason(core),
-			rj_core_jitter_us(core, RJ_COME_BACK_US),
+			rj_core_jitter_us(core, RJ_RETRY_AFTER_US),
 			"the log cannot be read now, so the job may exist");
 	return rj_filter_refuse(core, submission, RJ_ANSWER_UNKNOWN,
 				RJ_REASON_NO_SUCH_JOB, 0,
--- a/src/libradishjunction/core/filters/log.c
+++ b/src/libradishjunction/core/filters/log.c
@@ -61,7 +61,7 @@
 		peer = peer_with_log(core, submission, true);
 	if (!peer)
 		return false;
-	if (!rj_job_forward(rj_filter_job(core, submission), peer->name,
+	if (!rj_job_forward(rj_filter_ensure_job(core, submission), peer->name,
 			    other_domain))
 		return false;
 	rj_core_count(core, RJ_COUNT_FORWARDS_LOG);
@@ -79,7 +79,7 @@
 				     struct rj_submission *submission)
 {
 	enum rj_reason reason = rj_log_reason(core);
-	uint64_t retry_after_us = rj_core_jitter_us(core, RJ_COME_BACK_US);
+	uint64_t retry_after_us = rj_core_jitter_us(core, RJ_RETRY_AFTER_US);
 
 	if (submission->job) {
 		rj_job_give_up(submission->job, reason, retry_after_us);
--- a/src/libradishjunction/core/filters/place.c
+++ b/src/libradishjunction/core/filters/place.c
@@ -12,7 +12,7 @@
 {
 	struct rj_job *job;
 
-	job = rj_filter_job(core, submission);
+	job = rj_filter_ensure_job(core, submission);
 	if (!submission->spec.wait && !job->accepted)
 		rj_job_accept(job);
 	else
--- a/src/libradishjunction/core/filters/repeat.c
+++ b/src/libradishjunction/core/filters/repeat.c
@@ -62,9 +62,9 @@
 	rj_core_count(core, RJ_COUNT_REPEATS);
 	if (memcmp(job->spec.digest, submission->spec.digest, RJ_DIGEST_BYTES))
 		return key_reused(core, submission);
-	if (job->bodiless) {
+	if (job->body_missing) {
 		rj_bytes_copy(job, &job->spec.body, &submission->spec.body);
-		job->bodiless = false;
+		job->body_missing = false;
 	}
 	if (rj_job_may_tell(job)) {
 		rj_job_wait(job, submission->request_id, submission->peer,
@@ -98,7 +98,7 @@
 		return key_reused(core, submission);
 	if (!entry->settled && !entry->claimed && !entry->accepted)
 		return RJ_FILTER_NEXT; /* every attempt of it was void */
-	job = rj_filter_job(core, submission);
+	job = rj_filter_ensure_job(core, submission);
 	if (entry->settled) {
 		rj_claims_answer(entry, &answer);
 		rj_job_answer_waiters(job, &answer);
--- a/src/libradishjunction/core/filters/route.c
+++ b/src/libradishjunction/core/filters/route.c
@@ -18,10 +18,10 @@
 {
 	const struct rj_planner_ops *ops = core->planner->ops;
 
-	if (!ops->home_rack)
+	if (!ops->guarantee_rack)
 		return UINT32_MAX;
-	return ops->home_rack(core->planner, submission->spec.account,
-			      &submission->spec.shape);
+	return ops->guarantee_rack(core->planner, submission->spec.account,
+				   &submission->spec.shape);
 }
 
 /* The peer that owns a guaranteed shape that the job may claim, or NULL when
@@ -44,7 +44,7 @@
  * the rack only what its owner offers. It shows as a guaranteed shape that is
  * late, though the owner would have had it.
  */
-bool rj_route_leads_away(const struct rj_job *job)
+bool rj_route_prefers_peer(const struct rj_job *job)
 {
 	struct rj_submission submission = { .spec = job->spec };
 
@@ -206,7 +206,7 @@
 	}
 	if (!peer)
 		return RJ_FILTER_NEXT;
-	if (rj_job_forward(rj_filter_job(core, submission), peer, other))
+	if (rj_job_forward(rj_filter_ensure_job(core, submission), peer, other))
 		return RJ_FILTER_TAKEN;
 	return RJ_FILTER_NEXT;
 }
--- a/src/libradishjunction/core/job_ledger.c
+++ b/src/libradishjunction/core/job_ledger.c
@@ -37,7 +37,7 @@
 /*
  * Drop an entry.
  */
-void rj_job_ledger_forget(struct rj_job_ledger *ledger,
+void rj_job_ledger_remove(struct rj_job_ledger *ledger,
 			  struct rj_job_entry *entry)
 {
 	g_hash_table_remove(ledger->by_job, &entry->job_id);
@@ -55,7 +55,7 @@
 	struct rj_list *next;
 
 	RJ_FOR_EACH (at, next, &ledger->entries)
-		rj_job_ledger_forget(
+		rj_job_ledger_remove(
 			ledger, RJ_CONTAINER(at, struct rj_job_entry, link));
 }
 
@@ -79,7 +79,7 @@
  * Nobody is left who knows what older records said: attempts of every job
  * that is still open may be missing.
  */
-void rj_job_ledger_doubt(struct rj_job_ledger *ledger)
+void rj_job_ledger_mark_incomplete(struct rj_job_ledger *ledger)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -88,14 +88,14 @@
 		struct rj_job_entry *entry =
 			RJ_CONTAINER(at, struct rj_job_entry, link);
 
-		entry->doubtful = !entry->settled;
+		entry->incomplete = !entry->settled;
 	}
 }
 
 /*
  * Whether the log says more of a job than that all of its attempts are over.
  */
-bool rj_job_entry_matters(const struct rj_job_entry *entry)
+bool rj_job_entry_has_state(const struct rj_job_entry *entry)
 {
 	return entry->settled || entry->claimed || entry->accepted;
 }
@@ -113,8 +113,8 @@
 	entry->spec = record->spec;
 	entry->spec.job_id = entry->job_id;
 	entry->spec.body = (struct rj_bytes){ 0 };
-	entry->first_us = appended_us;
-	entry->base_us = appended_us;
+	entry->first_record_us = appended_us;
+	entry->oldest_record_us = appended_us;
 	g_strlcpy(entry->domain, record->domain, sizeof(entry->domain));
 	rj_list_append(&ledger->entries, &entry->link);
 	g_hash_table_insert(ledger->by_job, &entry->job_id, entry);
@@ -159,7 +159,7 @@
 		return;
 	entry->claimed = true;
 	if (!entry->accepted)
-		entry->base_us = appended_us;
+		entry->oldest_record_us = appended_us;
 	if (!entry->first_owner)
 		entry->first_owner = record->attempt.owner;
 	else if (entry->first_owner != record->attempt.owner)
@@ -234,7 +234,7 @@
 	entry->attempt = record->attempt;
 	entry->outcome = RJ_ANSWER_UNKNOWN;
 	entry->reason = RJ_REASON_LOG_GAP;
-	entry->whole_from = record->offset;
+	entry->complete_from_offset = record->offset;
 }
 
 /*
@@ -246,22 +246,23 @@
 			 const struct rj_record *record)
 {
 	if (record->kind == RJ_RECORD_ACCEPT)
-		entry->accept_at = record->offset;
+		entry->accept_offset = record->offset;
 	if (record->kind == RJ_RECORD_CLAIM && entry->claimed &&
 	    same_attempt(&entry->attempt, &record->attempt))
-		entry->claim_at = record->offset;
+		entry->claim_offset = record->offset;
 	if (entry->settled) {
 		if (record->kind == RJ_RECORD_OUTCOME && record->carried)
-			entry->whole_from = record->offset;
+			entry->complete_from_offset = record->offset;
 		return;
 	}
 	if (entry->accepted && entry->claimed)
-		entry->whole_from = MIN(entry->accept_at, entry->claim_at);
+		entry->complete_from_offset =
+			MIN(entry->accept_offset, entry->claim_offset);
 	else if (entry->accepted)
-		entry->whole_from = entry->accept_at;
+		entry->complete_from_offset = entry->accept_offset;
 	else
-		entry->whole_from =
-			entry->claimed ? entry->claim_at : record->offset;
+		entry->complete_from_offset =
+			entry->claimed ? entry->claim_offset : record->offset;
 }
 
 /*
@@ -289,9 +290,9 @@
 			return NULL;
 		entry = entry_new(ledger, mem, record, appended_us);
 	}
-	entry->recorded_us = appended_us;
+	entry->newest_record_us = appended_us;
 	if (record->carried)
-		entry->base_us = appended_us;
+		entry->oldest_record_us = appended_us;
 	switch (record->kind) {
 	case RJ_RECORD_ACCEPT:
 		apply_accept(entry, record);
--- a/src/libradishjunction/core/ledger.c
+++ b/src/libradishjunction/core/ledger.c
@@ -30,19 +30,19 @@
 /*
  * What is left of `have` without `part`, never less than nothing.
  */
-struct rj_resources rj_resources_rest(const struct rj_resources *have,
-				      const struct rj_resources *part)
+struct rj_resources rj_resources_remaining(const struct rj_resources *have,
+					   const struct rj_resources *part)
 {
 	struct rj_resources rest = *have;
 
-	rj_resources_take_or_zero(&rest, part);
+	rj_resources_subtract_saturating(&rest, part);
 	return rest;
 }
 
 /*
  * The ledger of `worker`, made at the first call.
  */
-struct rj_ledger *rj_ledger_of(struct rj_capacity_worker *worker)
+struct rj_ledger *rj_ledger_get(struct rj_capacity_worker *worker)
 {
 	if (!worker->ledger) {
 		worker->ledger = talloc_zero(worker, struct rj_ledger);
@@ -54,30 +54,30 @@
 /*
  * The share of `account`, or NULL if it has none here.
  */
-struct rj_worker_share *rj_ledger_share(const struct rj_ledger *ledger,
+struct rj_worker_usage *rj_ledger_usage(const struct rj_ledger *ledger,
 					const struct rj_plan_account *account)
 {
-	for (uint32_t i = 0; i < ledger->share_count; i++)
-		if (ledger->shares[i].account == account)
-			return &ledger->shares[i];
+	for (uint32_t i = 0; i < ledger->usage_count; i++)
+		if (ledger->usages[i].account == account)
+			return &ledger->usages[i];
 	return NULL;
 }
 
 /*
  * The share of `account`, made if it has none here yet.
  */
-static struct rj_worker_share *share_add(struct rj_ledger *ledger,
+static struct rj_worker_usage *share_add(struct rj_ledger *ledger,
 					 struct rj_plan_account *account)
 {
-	struct rj_worker_share *share = rj_ledger_share(ledger, account);
+	struct rj_worker_usage *share = rj_ledger_usage(ledger, account);
 
 	if (share)
 		return share;
-	ledger->shares =
-		talloc_realloc(ledger, ledger->shares, struct rj_worker_share,
-			       ledger->share_count + 1);
-	assert(ledger->shares);
-	share = &ledger->shares[ledger->share_count++];
+	ledger->usages =
+		talloc_realloc(ledger, ledger->usages, struct rj_worker_usage,
+			       ledger->usage_count + 1);
+	assert(ledger->usages);
+	share = &ledger->usages[ledger->usage_count++];
 	memset(share, 0, sizeof(*share));
 	share->account = account;
 	return share;
@@ -91,19 +91,19 @@
 	static const struct rj_resources none;
 	uint32_t kept = 0;
 
-	memset(&ledger->bound, 0, sizeof(ledger->bound));
-	for (uint32_t i = 0; i < ledger->share_count; i++) {
-		const struct rj_worker_share *share = &ledger->shares[i];
+	memset(&ledger->committed, 0, sizeof(ledger->committed));
+	for (uint32_t i = 0; i < ledger->usage_count; i++) {
+		const struct rj_worker_usage *share = &ledger->usages[i];
 		struct rj_resources most =
-			larger(&share->guaranteed, &share->pinned);
+			larger(&share->guaranteed, &share->non_preemptible);
 
 		if (!rj_resources_exceed(&most, &none) &&
 		    !rj_resources_exceed(&share->used, &none))
 			continue;
-		rj_resources_add(&ledger->bound, &most, 1);
-		ledger->shares[kept++] = *share;
+		rj_resources_add(&ledger->committed, &most, 1);
+		ledger->usages[kept++] = *share;
 	}
-	ledger->share_count = kept;
+	ledger->usage_count = kept;
 }
 
 /*
@@ -113,7 +113,7 @@
 			 struct rj_plan_account *account,
 			 const struct rj_resources *each, uint32_t tasks)
 {
-	struct rj_ledger *ledger = rj_ledger_of(worker);
+	struct rj_ledger *ledger = rj_ledger_get(worker);
 
 	rj_resources_add(&share_add(ledger, account)->guaranteed, each, tasks);
 	settle(ledger);
@@ -124,10 +124,10 @@
  */
 void rj_ledger_clear_guarantees(struct rj_capacity_worker *worker)
 {
-	struct rj_ledger *ledger = rj_ledger_of(worker);
+	struct rj_ledger *ledger = rj_ledger_get(worker);
 
-	for (uint32_t i = 0; i < ledger->share_count; i++)
-		memset(&ledger->shares[i].guaranteed, 0,
+	for (uint32_t i = 0; i < ledger->usage_count; i++)
+		memset(&ledger->usages[i].guaranteed, 0,
 		       sizeof(struct rj_resources));
 	settle(ledger);
 }
@@ -135,9 +135,9 @@
 /*
  * Whether the job's tasks are never stopped for a gang that has waited.
  */
-bool rj_ledger_stays(const struct rj_plan_job *job)
+bool rj_ledger_blocks_gangs(const struct rj_plan_job *job)
 {
-	return !job->stoppable || job->priority == RJ_PRIORITY_URGENT;
+	return !job->preemptible || job->priority == RJ_PRIORITY_URGENT;
 }
 
 /*
@@ -146,13 +146,13 @@
 void rj_ledger_add_run(struct rj_capacity_worker *worker,
 		       struct rj_plan_entry *entry, uint32_t tasks)
 {
-	struct rj_ledger *ledger = rj_ledger_of(worker);
-	struct rj_worker_share *share = share_add(ledger, entry->account);
+	struct rj_ledger *ledger = rj_ledger_get(worker);
+	struct rj_worker_usage *share = share_add(ledger, entry->account);
 	const struct rj_resources *each = &entry->job.shape.each;
 
 	rj_resources_add(&share->used, each, tasks);
-	if (!entry->job.stoppable)
-		rj_resources_add(&share->pinned, each, tasks);
+	if (!entry->job.preemptible)
+		rj_resources_add(&share->non_preemptible, each, tasks);
 	ledger->runs =
 		talloc_realloc(ledger, ledger->runs, struct rj_worker_run,
 			       ledger->run_count + 1);
@@ -169,17 +169,17 @@
 void rj_ledger_remove_run(struct rj_capacity_worker *worker,
 			  struct rj_plan_entry *entry, uint32_t tasks)
 {
-	struct rj_ledger *ledger = rj_ledger_of(worker);
-	struct rj_worker_share *share = rj_ledger_share(ledger, entry->account);
+	struct rj_ledger *ledger = rj_ledger_get(worker);
+	struct rj_worker_usage *share = rj_ledger_usage(ledger, entry->account);
 	const struct rj_resources *each = &entry->job.shape.each;
 	uint32_t at = 0;
 
 	assert(share);
 	rj_resources_take(&share->used, each, tasks);
-	if (!entry->job.stoppable)
-		rj_resources_take(&share->pinned, each, tasks);
-	if (rj_ledger_stays(&entry->job))
-		ledger->staying -= each->accelerators * tasks;
+	if (!entry->job.preemptible)
+		rj_resources_take(&share->non_preemptible, each, tasks);
+	if (rj_ledger_blocks_gangs(&entry->job))
+		ledger->gang_blocking -= each->accelerators * tasks;
 	while (ledger->runs[at].entry != entry)
 		at++;
 	ledger->run_count--;
@@ -191,61 +191,63 @@
 /*
  * Keep `tasks` of the reservation's job free here, in the reservation's way.
  */
-void rj_ledger_hold(struct rj_capacity_worker *worker,
-		    struct rj_reservation *reservation, uint32_t tasks)
+void rj_ledger_reserve(struct rj_capacity_worker *worker,
+		       struct rj_reservation *reservation, uint32_t tasks)
 {
-	struct rj_ledger *ledger = rj_ledger_of(worker);
-	struct rj_worker_hold *hold;
-
-	ledger->holds =
-		talloc_realloc(ledger, ledger->holds, struct rj_worker_hold,
-			       ledger->hold_count + 1);
-	assert(ledger->holds);
-	hold = &ledger->holds[ledger->hold_count++];
+	struct rj_ledger *ledger = rj_ledger_get(worker);
+	struct rj_worker_reservation *hold;
+
+	ledger->reservations = talloc_realloc(ledger, ledger->reservations,
+					      struct rj_worker_reservation,
+					      ledger->reservation_count + 1);
+	assert(ledger->reservations);
+	hold = &ledger->reservations[ledger->reservation_count++];
 	memset(hold, 0, sizeof(*hold));
 	hold->reservation = reservation;
-	rj_resources_add(&hold->want, &reservation->entry->job.shape.each,
+	rj_resources_add(&hold->amount, &reservation->entry->job.shape.each,
 			 tasks);
 }
 
 /*
  * Keep nothing for the reservation any more.
  */
-void rj_ledger_release(struct rj_capacity_worker *worker,
-		       struct rj_reservation *reservation)
+void rj_ledger_unreserve(struct rj_capacity_worker *worker,
+			 struct rj_reservation *reservation)
 {
-	struct rj_ledger *ledger = rj_ledger_of(worker);
+	struct rj_ledger *ledger = rj_ledger_get(worker);
 	uint32_t kept = 0;
 
-	for (uint32_t i = 0; i < ledger->hold_count; i++)
-		if (ledger->holds[i].reservation != reservation)
-			ledger->holds[kept++] = ledger->holds[i];
-	ledger->hold_count = kept;
+	for (uint32_t i = 0; i < ledger->reservation_count; i++)
+		if (ledger->reservations[i].reservation != reservation)
+			ledger->reservations[kept++] = ledger->reservations[i];
+	ledger->reservation_count = kept;
 }
 
 /*
  * What tasks of `account` that cannot be stopped may still take here
  * without breaking the rule.
  */
-struct rj_resources rj_ledger_pin_room(const struct rj_capacity_worker *worker,
-				       const struct rj_plan_account *account)
+struct rj_resources
+rj_ledger_non_preemptible_limit(const struct rj_capacity_worker *worker,
+				const struct rj_plan_account *account)
 {
 	const struct rj_ledger *ledger = worker->ledger;
-	const struct rj_worker_share *share;
+	const struct rj_worker_usage *share;
 	struct rj_resources others;
 	struct rj_resources own;
-	struct rj_resources room = rj_resources_rest(&worker->plan.capacity,
-						     &worker->plan.foreign);
+	struct rj_resources room = rj_resources_remaining(
+		&worker->plan.capacity, &worker->plan.foreign);
 
 	if (!ledger)
 		return room;
-	share = rj_ledger_share(ledger, account);
-	others = ledger->bound;
+	share = rj_ledger_usage(ledger, account);
+	others = ledger->committed;
 	if (share) {
-		own = larger(&share->guaranteed, &share->pinned);
+		own = larger(&share->guaranteed, &share->non_preemptible);
 		rj_resources_take(&others, &own, 1);
-		rj_resources_take_or_zero(&room, &share->pinned);
+		rj_resources_subtract_saturating(&room,
+						 &share->non_preemptible);
 	}
-	rj_resources_take_or_zero(&room, &others);
+	rj_resources_subtract_saturating(&room, &others);
 	return room;
 }
--- a/src/libradishjunction/core/plan_table.c
+++ b/src/libradishjunction/core/plan_table.c
@@ -82,7 +82,7 @@
 	assert(entry->members);
 	entry->member_count = count;
 	entry->started_us = now_us;
-	rj_capacity_take(capacity, &entry->job.shape.each, members, count);
+	rj_capacity_allocate(capacity, &entry->job.shape.each, members, count);
 }
 
 /*
@@ -93,8 +93,8 @@
 {
 	if (!entry->members)
 		return;
-	rj_capacity_give(capacity, &entry->job.shape.each, entry->members,
-			 entry->member_count);
+	rj_capacity_release(capacity, &entry->job.shape.each, entry->members,
+			    entry->member_count);
 	TALLOC_FREE(entry->members);
 	entry->member_count = 0;
 }
--- a/src/libradishjunction/core/planner_first_fit.c
+++ b/src/libradishjunction/core/planner_first_fit.c
@@ -178,9 +178,9 @@
 			  uint32_t *placed)
 {
 	for (uint32_t i = 0; i < rack->count && *placed < shape->tasks; i++) {
-		uint32_t tasks = rj_resources_times(&shape->each,
-						    &rack->workers[i]->free,
-						    shape->tasks - *placed);
+		uint32_t tasks = rj_resources_fit_count(&shape->each,
+							&rack->workers[i]->free,
+							shape->tasks - *placed);
 
 		if (!tasks)
 			continue;
@@ -332,7 +332,7 @@
 	.name = "first_fit",
 	.configure = first_fit_configure,
 	.worker = first_fit_worker,
-	.worker_gone = first_fit_worker_gone,
+	.worker_removed = first_fit_worker_gone,
 	.submit = first_fit_submit,
 	.ended = first_fit_ended,
 	.requeue = first_fit_requeue,
--- a/src/libradishjunction/core/planner_topology.c
+++ b/src/libradishjunction/core/planner_topology.c
@@ -47,7 +47,7 @@
 
 		account->share = config->accounts[i].share;
 		state->share_total += account->share;
-		rj_topology_note_active(state, account);
+		rj_topology_update_active(state, account);
 	}
 	memset(&state->domain, 0, sizeof(state->domain));
 	for (uint32_t i = 0; i < config->domain_count; i++)
@@ -60,8 +60,8 @@
 					       sizeof(*config->classes) *
 						       config->class_count);
 	state->limits = config->limits;
-	rj_topology_assign_homes(state, config);
-	state->homes_changed = true;
+	rj_topology_layout_guarantees(state, config);
+	state->guarantees_changed = true;
 	state->workers_changed = true;
 }
 
@@ -91,11 +91,11 @@
 		rj_capacity_find(&state->capacity, worker->id);
 
 	/* Most reports repeat what is known. */
-	if (known && !known->gone && is_same_worker(&known->plan, worker))
+	if (known && !known->removed && is_same_worker(&known->plan, worker))
 		return;
-	if (!known || known->gone || known->plan.rack != worker->rack)
-		state->homes_changed = true;
-	rj_ledger_of(rj_capacity_set(&state->capacity, worker));
+	if (!known || known->removed || known->plan.rack != worker->rack)
+		state->guarantees_changed = true;
+	rj_ledger_get(rj_capacity_set(&state->capacity, worker));
 	state->workers_changed = true;
 }
 
@@ -112,8 +112,9 @@
 		struct rj_reservation *reservation =
 			g_ptr_array_index(state->reservations, i);
 
-		if (rj_topology_keeps(reservation, worker))
-			rj_topology_drop(state, reservation, now_us);
+		if (rj_reservation_includes(reservation, worker))
+			rj_topology_cancel_reservation(state, reservation,
+						       now_us);
 	}
 	rj_capacity_remove(&state->capacity, worker);
 	state->workers_changed = true;
@@ -143,7 +144,7 @@
 {
 	const struct rj_plan_job *job = &entry->job;
 	bool known = state->capacity.worker_count || state->domain.racks;
-	uint64_t wait_us = rj_topology_wait_us(state, job->priority);
+	uint64_t wait_us = rj_topology_expected_wait_us(state, job->priority);
 	uint64_t run_us = rj_runtime_quantile_us(entry->runtime, 50, 0);
 
 	*retry_after_us = 0;
@@ -151,7 +152,7 @@
 	if (known && !rj_capacity_could_fit(&state->capacity, &state->domain,
 					    &job->shape))
 		return false;
-	*retry_after_us = rj_topology_spread_us(wait_us, job->job_id);
+	*retry_after_us = rj_topology_retry_after_us(wait_us, job->job_id);
 	*reason = RJ_REASON_QUEUE_FULL;
 	if (rj_topology_queue_is_full(state, entry))
 		return false;
@@ -195,8 +196,8 @@
 	if (!entry)
 		return;
 	if (succeeded)
-		rj_runtime_learn(entry->runtime, ran_us);
-	rj_topology_forget(state, entry);
+		rj_runtime_record(entry->runtime, ran_us);
+	rj_topology_remove(state, entry);
 }
 
 /*
@@ -219,10 +220,10 @@
 			return;
 	reservation = rj_topology_reserve(state, entry, members, count, true,
 					  from_us + CLAIM_KEPT_US);
-	reservation->from_us = from_us;
+	reservation->backoff_until_us = from_us;
 	reservation->reason = RJ_REASON_GUARANTEE;
 	rj_topology_grant(entry);
-	entry->not_before_us = reservation->at_us;
+	entry->not_before_us = reservation->due_us;
 }
 
 /*
@@ -237,14 +238,14 @@
 
 	if (!entry)
 		return;
-	if (entry->members && entry->claims &&
+	if (entry->members && entry->on_guarantee &&
 	    not_before_us < now_us + CLAIM_KEPT_US) {
 		count = entry->member_count;
 		memcpy(state->members, entry->members,
 		       sizeof(*entry->members) * count);
 	}
 	rj_topology_detach(state, entry);
-	entry->claims = false;
+	entry->on_guarantee = false;
 	entry->not_before_us = not_before_us;
 	if (count)
 		keep_claim(state, entry, state->members, count, not_before_us);
@@ -290,7 +291,8 @@
 {
 	if (!reservation->firm)
 		return reservation->refresh_us;
-	return reservation->from_us ? reservation->from_us : reservation->at_us;
+	return reservation->backoff_until_us ? reservation->backoff_until_us :
+					       reservation->due_us;
 }
 
 /*
@@ -345,7 +347,8 @@
 		largest = &bucket->shape;
 	}
 	rj_capacity_view(&state->capacity, largest, view);
-	view->small_wait_us = rj_topology_wait_us(state, RJ_PRIORITY_NORMAL);
+	view->small_wait_us =
+		rj_topology_expected_wait_us(state, RJ_PRIORITY_NORMAL);
 }
 
 /*
@@ -359,8 +362,8 @@
 
 	g_ptr_array_free(state->buckets, TRUE);
 	g_ptr_array_free(state->reservations, TRUE);
-	g_ptr_array_free(state->homes, TRUE);
-	g_ptr_array_free(state->all, TRUE);
+	g_ptr_array_free(state->guaranteed_shapes, TRUE);
+	g_ptr_array_free(state->all_workers, TRUE);
 	g_sequence_free(state->deadlines);
 	g_hash_table_destroy(state->accounts);
 	g_hash_table_destroy(state->runtimes);
@@ -379,32 +382,33 @@
 }
 
 /*
- * See `rj_topology_home_rack`.
+ * See `rj_topology_guarantee_rack`.
  */
 static uint32_t topology_home_rack(const struct rj_planner *planner,
 				   const char *account,
 				   const struct rj_shape *shape)
 {
-	return rj_topology_home_rack(state_of(planner), account, shape);
+	return rj_topology_guarantee_rack(state_of(planner), account, shape);
 }
 
 /*
  * What firm reservations keep of the worker.
  */
-static void topology_kept(const struct rj_planner *planner, uint32_t worker,
-			  struct rj_resources *kept)
+static void topology_reserved(const struct rj_planner *planner, uint32_t worker,
+			      struct rj_resources *reserved)
 {
 	const struct rj_capacity_worker *known =
 		rj_capacity_find(&state_of(planner)->capacity, worker);
 
-	memset(kept, 0, sizeof(*kept));
+	memset(reserved, 0, sizeof(*reserved));
 	if (!known || !known->ledger)
 		return;
-	for (uint32_t i = 0; i < known->ledger->hold_count; i++) {
-		const struct rj_worker_hold *hold = &known->ledger->holds[i];
+	for (uint32_t i = 0; i < known->ledger->reservation_count; i++) {
+		const struct rj_worker_reservation *hold =
+			&known->ledger->reservations[i];
 
 		if (hold->reservation->firm)
-			rj_resources_add(kept, &hold->want, 1);
+			rj_resources_add(reserved, &hold->amount, 1);
 	}
 }
 
@@ -412,7 +416,7 @@
 	.name = "topology",
 	.configure = topology_configure,
 	.worker = topology_worker,
-	.worker_gone = topology_worker_gone,
+	.worker_removed = topology_worker_gone,
 	.submit = topology_submit,
 	.ended = topology_ended,
 	.requeue = topology_requeue,
@@ -421,8 +425,8 @@
 	.wake_us = topology_wake_us,
 	.view = topology_view,
 	.rack_group = topology_rack_group,
-	.home_rack = topology_home_rack,
-	.kept = topology_kept,
+	.guarantee_rack = topology_home_rack,
+	.reserved = topology_reserved,
 	.finish = topology_finish,
 };
 
@@ -445,8 +449,8 @@
 	state->runtimes = g_hash_table_new(g_str_hash, g_str_equal);
 	state->buckets = g_ptr_array_new();
 	state->reservations = g_ptr_array_new();
-	state->homes = g_ptr_array_new();
-	state->all = g_ptr_array_new();
+	state->guaranteed_shapes = g_ptr_array_new();
+	state->all_workers = g_ptr_array_new();
 	state->deadlines = g_sequence_new(NULL);
 	g_queue_init(&state->delayed);
 	state->limits.queue_max = QUEUE_MAX_DEFAULT;
--- a/src/libradishjunction/core/runtime.c
+++ b/src/libradishjunction/core/runtime.c
@@ -19,8 +19,8 @@
 	if (time_us <= RJ_US_PER_MS)
 		return 0;
 	step = log2((double)time_us / RJ_US_PER_MS) * STEPS_PER_OCTAVE;
-	if (step >= RJ_RUNTIME_STEPS - 1)
-		return RJ_RUNTIME_STEPS - 1;
+	if (step >= RJ_RUNTIME_BUCKETS - 1)
+		return RJ_RUNTIME_BUCKETS - 1;
 	return (uint32_t)step;
 }
 
@@ -35,16 +35,16 @@
 /*
  * Learn that a job ran for `ran_us` to its end.
  */
-void rj_runtime_learn(struct rj_runtime *runtime, uint64_t ran_us)
+void rj_runtime_record(struct rj_runtime *runtime, uint64_t ran_us)
 {
 	uint32_t total = 0;
 
-	if (runtime->wider)
-		rj_runtime_learn(runtime->wider, ran_us);
+	if (runtime->fallback)
+		rj_runtime_record(runtime->fallback, ran_us);
 	runtime->counts[step_of(ran_us)]++;
-	if (++runtime->total < RJ_RUNTIME_FULL)
+	if (++runtime->total < RJ_RUNTIME_SAMPLES_MAX)
 		return;
-	for (uint32_t i = 0; i < RJ_RUNTIME_STEPS; i++) {
+	for (uint32_t i = 0; i < RJ_RUNTIME_BUCKETS; i++) {
 		runtime->counts[i] /= 2;
 		total += runtime->counts[i];
 	}
@@ -64,19 +64,19 @@
 	uint64_t seen = 0;
 
 	assert(percent <= 100);
-	if (runtime->total < RJ_RUNTIME_ENOUGH) {
-		if (runtime->wider)
-			return rj_runtime_quantile_us(runtime->wider, percent,
-						      elapsed_us);
+	if (runtime->total < RJ_RUNTIME_SAMPLES_MIN) {
+		if (runtime->fallback)
+			return rj_runtime_quantile_us(runtime->fallback,
+						      percent, elapsed_us);
 		return runtime->expected_us > elapsed_us ?
 			       runtime->expected_us :
 			       2 * elapsed_us;
 	}
-	for (uint32_t i = first; i < RJ_RUNTIME_STEPS; i++)
+	for (uint32_t i = first; i < RJ_RUNTIME_BUCKETS; i++)
 		remaining += runtime->counts[i];
 	if (!remaining)
 		return 2 * elapsed_us;
-	for (uint32_t i = first; i < RJ_RUNTIME_STEPS; i++) {
+	for (uint32_t i = first; i < RJ_RUNTIME_BUCKETS; i++) {
 		seen += runtime->counts[i];
 		if (seen * 100 >= remaining * percent && seen)
 			return step_end_us(i);
--- a/src/libradishjunction/core/timer.c
+++ b/src/libradishjunction/core/timer.c
@@ -122,7 +122,7 @@
 /*
  * Take the first timer that is due at `now_us`, disarmed, or NULL.
  */
-struct rj_timer *rj_timers_due(struct rj_timers *timers, uint64_t now_us)
+struct rj_timer *rj_timers_pop_due(struct rj_timers *timers, uint64_t now_us)
 {
 	struct rj_timer *timer;
 
--- a/src/libradishjunction/core/topology_guarantee.c
+++ b/src/libradishjunction/core/topology_guarantee.c
@@ -17,8 +17,10 @@
  */
 static gint compare_homes(gconstpointer a, gconstpointer b)
 {
-	const struct rj_home *one = *(const struct rj_home *const *)a;
-	const struct rj_home *two = *(const struct rj_home *const *)b;
+	const struct rj_guaranteed_shape *one =
+		*(const struct rj_guaranteed_shape *const *)a;
+	const struct rj_guaranteed_shape *two =
+		*(const struct rj_guaranteed_shape *const *)b;
 	int order = rj_layout_compare(&one->shape, &two->shape);
 
 	if (order)
@@ -42,16 +44,16 @@
 		if (strcmp(guarantee->domain, state->domain.name) != 0)
 			continue;
 		for (uint32_t j = 0; j < guarantee->count; j++) {
-			struct rj_home *home =
-				talloc_zero(state->mem, struct rj_home);
+			struct rj_guaranteed_shape *home = talloc_zero(
+				state->mem, struct rj_guaranteed_shape);
 
 			assert(home);
 			home->account = account;
 			home->shape = guarantee->shape;
-			home->number = state->homes->len;
+			home->number = state->guaranteed_shapes->len;
 			account->guaranteed += (uint64_t)home->shape.tasks *
 					       home->shape.each.accelerators;
-			g_ptr_array_add(state->homes, home);
+			g_ptr_array_add(state->guaranteed_shapes, home);
 		}
 	}
 }
@@ -61,20 +63,21 @@
  * for which no room is left stays without; the configuration's check refuses
  * such guarantees by the same layout.
  */
-void rj_topology_assign_homes(struct rj_topology_state *state,
-			      const struct rj_config *config)
+void rj_topology_layout_guarantees(struct rj_topology_state *state,
+				   const struct rj_config *config)
 {
 	struct rj_layout layout;
 
-	for (uint32_t i = 0; i < state->homes->len; i++)
-		talloc_free(g_ptr_array_index(state->homes, i));
-	g_ptr_array_set_size(state->homes, 0);
+	for (uint32_t i = 0; i < state->guaranteed_shapes->len; i++)
+		talloc_free(g_ptr_array_index(state->guaranteed_shapes, i));
+	g_ptr_array_set_size(state->guaranteed_shapes, 0);
 	for (uint32_t i = 0; i < config->account_count; i++)
 		add_homes(state, &config->accounts[i]);
-	g_ptr_array_sort(state->homes, compare_homes);
+	g_ptr_array_sort(state->guaranteed_shapes, compare_homes);
 	rj_layout_init(&layout, state->mem, &state->domain);
-	for (uint32_t i = 0; i < state->homes->len; i++) {
-		struct rj_home *home = g_ptr_array_index(state->homes, i);
+	for (uint32_t i = 0; i < state->guaranteed_shapes->len; i++) {
+		struct rj_guaranteed_shape *home =
+			g_ptr_array_index(state->guaranteed_shapes, i);
 
 		home->parts.mem = home;
 		rj_layout_place(&layout, &home->shape, &home->parts);
@@ -94,9 +97,9 @@
 
 	while (again) {
 		again = false;
-		for (uint32_t i = 0; i < state->homes->len; i++) {
-			const struct rj_home *home =
-				g_ptr_array_index(state->homes, i);
+		for (uint32_t i = 0; i < state->guaranteed_shapes->len; i++) {
+			const struct rj_guaranteed_shape *home =
+				g_ptr_array_index(state->guaranteed_shapes, i);
 			uint32_t lowest = rack;
 			bool here = false;
 
@@ -117,14 +120,15 @@
  * The first rack of a home of `account` that `shape` fits by its size, or
  * UINT32_MAX: its owner can reclaim the guarantee.
  */
-uint32_t rj_topology_home_rack(const struct rj_topology_state *state,
-			       const char *account,
-			       const struct rj_shape *shape)
+uint32_t rj_topology_guarantee_rack(const struct rj_topology_state *state,
+				    const char *account,
+				    const struct rj_shape *shape)
 {
 	uint64_t want = (uint64_t)shape->tasks * shape->each.accelerators;
 
-	for (uint32_t i = 0; i < state->homes->len; i++) {
-		const struct rj_home *home = g_ptr_array_index(state->homes, i);
+	for (uint32_t i = 0; i < state->guaranteed_shapes->len; i++) {
+		const struct rj_guaranteed_shape *home =
+			g_ptr_array_index(state->guaranteed_shapes, i);
 		uint64_t has = (uint64_t)home->shape.tasks *
 			       home->shape.each.accelerators;
 
@@ -154,16 +158,17 @@
 /*
  * Write the guarantees of the homes into the ledgers of the known workers.
  */
-void rj_topology_apply_homes(struct rj_topology_state *state)
+void rj_topology_apply_guarantees(struct rj_topology_state *state)
 {
 	for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
-		struct rj_site rack = rj_topology_rack(state, i);
+		struct rj_worker_set rack = rj_topology_rack_workers(state, i);
 
 		for (uint32_t j = 0; j < rack.count; j++)
 			rj_ledger_clear_guarantees(rack.workers[j]);
 	}
-	for (uint32_t i = 0; i < state->homes->len; i++) {
-		const struct rj_home *home = g_ptr_array_index(state->homes, i);
+	for (uint32_t i = 0; i < state->guaranteed_shapes->len; i++) {
+		const struct rj_guaranteed_shape *home =
+			g_ptr_array_index(state->guaranteed_shapes, i);
 
 		for (uint32_t j = 0; j < home->parts.count; j++) {
 			struct rj_capacity_worker *worker =
@@ -184,7 +189,7 @@
  * that would do, and adds it to `claim` if for any.
  */
 static uint32_t home_rest(const struct rj_topology_state *state,
-			  const struct rj_home *home,
+			  const struct rj_guaranteed_shape *home,
 			  const struct rj_plan_entry *entry,
 			  struct rj_resources *claim)
 {
@@ -198,20 +203,21 @@
 		const struct rj_capacity_worker *worker =
 			worker_at(state, part);
 		struct rj_resources amount = { 0 };
-		const struct rj_worker_share *share;
+		const struct rj_worker_usage *share;
 
 		known |= !!rj_capacity_rack_find(&state->capacity, part->rack);
 		rj_resources_add(&amount, &home->shape.each, part->tasks);
 		share = worker ?
-				rj_ledger_share(worker->ledger, home->account) :
+				rj_ledger_usage(worker->ledger, home->account) :
 				NULL;
 		if (share) {
-			struct rj_resources left = rj_resources_rest(
+			struct rj_resources left = rj_resources_remaining(
 				&share->guaranteed, &share->used);
 
-			rj_resources_limit(&amount, &left);
+			rj_resources_clamp(&amount, &left);
 		}
-		rest += rj_resources_times(&shape->each, &amount, RJ_GANG_MAX);
+		rest += rj_resources_fit_count(&shape->each, &amount,
+					       RJ_GANG_MAX);
 		rj_resources_add(&sum, &amount, 1);
 	}
 	if (!known || !rest || (shape->adjacent && rest < shape->tasks))
@@ -225,21 +231,22 @@
  * in the racks that are planned here: its own work on the guarantee's
  * workers, and what it was granted in their stead, leave enough.
  */
-bool rj_topology_entitled(const struct rj_topology_state *state,
-			  const struct rj_plan_entry *entry)
+bool rj_topology_is_entitled(const struct rj_topology_state *state,
+			     const struct rj_plan_entry *entry)
 {
 	const struct rj_shape *shape = &entry->job.shape;
 	struct rj_resources claim = { 0 };
 	struct rj_resources want = { 0 };
 	uint32_t rest = 0;
 
-	for (uint32_t i = 0; i < state->homes->len; i++) {
-		const struct rj_home *home = g_ptr_array_index(state->homes, i);
+	for (uint32_t i = 0; i < state->guaranteed_shapes->len; i++) {
+		const struct rj_guaranteed_shape *home =
+			g_ptr_array_index(state->guaranteed_shapes, i);
 
 		if (home->account == entry->account)
 			rest += home_rest(state, home, entry, &claim);
 	}
-	rj_resources_take_or_zero(&claim, &entry->account->granted);
+	rj_resources_subtract_saturating(&claim, &entry->account->granted);
 	rj_resources_add(&want, &shape->each, shape->tasks);
 	return rest >= shape->tasks && rj_resources_fit(&want, &claim);
 }
--- a/src/libradishjunction/core/topology_pass.c
+++ b/src/libradishjunction/core/topology_pass.c
@@ -19,8 +19,8 @@
 	for (uint32_t i = 0; i < entry->member_count; i++) {
 		const struct rj_capacity_worker *worker = rj_capacity_find(
 			&state->capacity, entry->members[i].worker);
-		const struct rj_worker_share *share =
-			rj_ledger_share(worker->ledger, entry->account);
+		const struct rj_worker_usage *share =
+			rj_ledger_usage(worker->ledger, entry->account);
 
 		if (rj_resources_exceed(&share->used, &share->guaranteed))
 			return false;
@@ -41,8 +41,8 @@
 	decision->considered = state->considered;
 	if (entry->reservation)
 		rj_topology_unreserve(state, entry->reservation);
-	entry->on_loan = reason == RJ_REASON_BACKFILL;
-	entry->claims = reason == RJ_REASON_GUARANTEE;
+	entry->backfilled = reason == RJ_REASON_BACKFILL;
+	entry->on_guarantee = reason == RJ_REASON_GUARANTEE;
 	rj_topology_dequeue(state, entry);
 	rj_topology_attach(state, entry, decision->members, count, now_us);
 	if (is_at_home(state, entry))
@@ -60,10 +60,10 @@
 
 	decision->job_id = entry->job.job_id;
 	decision->reason = reason;
-	decision->retry_after_us = rj_topology_spread_us(
-		rj_topology_wait_us(state, entry->job.priority),
+	decision->retry_after_us = rj_topology_retry_after_us(
+		rj_topology_expected_wait_us(state, entry->job.priority),
 		entry->job.job_id);
-	rj_topology_forget(state, entry);
+	rj_topology_remove(state, entry);
 }
 
 /*
@@ -102,17 +102,19 @@
 			rj_capacity_find(&state->capacity, member->worker);
 		struct rj_resources room = worker->free;
 		struct rj_resources limit =
-			rj_ledger_pin_room(worker, entry->account);
+			rj_ledger_non_preemptible_limit(worker, entry->account);
 
 		for (uint32_t j = 0;
-		     worker->ledger->holds[j].reservation != reservation; j++)
-			if (worker->ledger->holds[j].reservation->firm)
-				rj_resources_take_or_zero(
-					&room, &worker->ledger->holds[j].want);
-		if (!entry->job.stoppable)
-			rj_resources_limit(&room, &limit);
-		if (rj_resources_times(&entry->job.shape.each, &room,
-				       member->tasks) < member->tasks)
+		     worker->ledger->reservations[j].reservation != reservation;
+		     j++)
+			if (worker->ledger->reservations[j].reservation->firm)
+				rj_resources_subtract_saturating(
+					&room, &worker->ledger->reservations[j]
+							.amount);
+		if (!entry->job.preemptible)
+			rj_resources_clamp(&room, &limit);
+		if (rj_resources_fit_count(&entry->job.shape.each, &room,
+					   member->tasks) < member->tasks)
 			return false;
 	}
 	return true;
@@ -134,7 +136,7 @@
 
 		for (uint32_t j = 0; j < ledger->run_count; j++)
 			if (ledger->runs[j].entry->reclaiming)
-				ledger->silent_until_us = now_us + SILENT_US;
+				ledger->skip_until_us = now_us + SILENT_US;
 	}
 }
 
@@ -149,21 +151,23 @@
 			g_ptr_array_index(state->reservations, i);
 		struct rj_plan_entry *entry = reservation->entry;
 
-		if (reservation->from_us <= now_us)
-			reservation->from_us = 0;
-		if (reservation->firm && !reservation->from_us &&
+		if (reservation->backoff_until_us <= now_us)
+			reservation->backoff_until_us = 0;
+		if (reservation->firm && !reservation->backoff_until_us &&
 		    is_ready(state, reservation)) {
 			memcpy(state->members, reservation->members,
 			       sizeof(*state->members) *
 				       reservation->member_count);
 			start(state, entry, reservation->member_count,
 			      reservation->reason, now_us, decisions);
-		} else if (reservation->firm && reservation->at_us <= now_us) {
+		} else if (reservation->firm && reservation->due_us <= now_us) {
 			note_silent(state, reservation, now_us);
-			rj_topology_drop(state, reservation, now_us);
+			rj_topology_cancel_reservation(state, reservation,
+						       now_us);
 		} else if (!reservation->firm &&
 			   reservation->refresh_us <= now_us) {
-			rj_topology_drop(state, reservation, now_us);
+			rj_topology_cancel_reservation(state, reservation,
+						       now_us);
 		} else {
 			i++;
 		}
@@ -182,8 +186,8 @@
 
 	if (!count)
 		return false;
-	if (rj_topology_passes_loosely(entry, state->members, count,
-				       &state->capacity))
+	if (rj_topology_is_backfill(entry, state->members, count,
+				    &state->capacity))
 		reason = RJ_REASON_BACKFILL;
 	else if (entry->reservation)
 		reason = RJ_REASON_RESERVATION;
@@ -215,12 +219,12 @@
 			   struct rj_plan_entry *entry, uint64_t now_us,
 			   struct rj_decisions *decisions)
 {
-	uint64_t patience_us = rj_topology_patience_us(state, entry);
+	uint64_t patience_us = rj_topology_preemption_delay_us(state, entry);
 
 	entry->bucket->blocked_version = state->version;
 	if (rj_topology_reclaim(state, entry, now_us, decisions)) {
 		rj_topology_dequeue(state, entry);
-		entry->not_before_us = entry->reservation->at_us;
+		entry->not_before_us = entry->reservation->due_us;
 		rj_topology_enqueue(state, entry, now_us);
 		return;
 	}
@@ -229,8 +233,8 @@
 		state->retry_us = MIN(state->retry_us,
 				      entry->waiting_since_us + patience_us);
 	if (!entry->reservation && loose_count(state) < LOOSE_MAX &&
-	    rj_topology_size(entry) > state->worker_accelerators)
-		rj_topology_reserve_soonest(state, entry, now_us);
+	    rj_topology_job_size(entry) > state->worker_accelerators)
+		rj_topology_reserve_earliest(state, entry, now_us);
 }
 
 /*
@@ -241,22 +245,22 @@
 	state->accelerators = 0;
 	state->worker_accelerators = 1;
 	for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
-		struct rj_site rack = rj_topology_rack(state, i);
+		struct rj_worker_set rack = rj_topology_rack_workers(state, i);
 
 		for (uint32_t j = 0; j < rack.count; j++) {
 			uint32_t has =
 				rack.workers[j]->plan.capacity.accelerators;
 
-			rj_ledger_of(rack.workers[j]);
+			rj_ledger_get(rack.workers[j]);
 			if (rack.workers[j]->plan.usable)
 				state->accelerators += has;
 			state->worker_accelerators =
 				MAX(state->worker_accelerators, has);
 		}
 	}
-	if (state->homes_changed)
-		rj_topology_apply_homes(state);
-	state->homes_changed = false;
+	if (state->guarantees_changed)
+		rj_topology_apply_guarantees(state);
+	state->guarantees_changed = false;
 	state->workers_changed = false;
 	state->version++;
 }
@@ -279,7 +283,7 @@
 	refuse_late(state, now_us, decisions);
 	serve_reservations(state, now_us, decisions);
 	rj_topology_release_delayed(state, now_us);
-	while ((bucket = rj_topology_next(state, now_us))) {
+	while ((bucket = rj_topology_next_bucket(state, now_us))) {
 		struct rj_plan_entry *entry = bucket->queue.head->data;
 
 		if (!try_start(state, entry, now_us, decisions))
--- a/src/libradishjunction/core/topology_place.c
+++ b/src/libradishjunction/core/topology_place.c
@@ -35,12 +35,12 @@
  */
 static bool loses_little(const struct rj_plan_entry *entry, uint64_t run_us)
 {
-	if (!entry->job.stoppable)
+	if (!entry->job.preemptible)
 		return false;
 	if (entry->job.checkpoint)
 		return true;
 	return entry->job.priority != RJ_PRIORITY_URGENT &&
-	       run_us * rj_topology_size(entry) <= PASS_LOST_US;
+	       run_us * rj_topology_job_size(entry) <= PASS_LOST_US;
 }
 
 /*
@@ -57,7 +57,7 @@
 		return false;
 	run_us = rj_runtime_quantile_us(entry->runtime, PASS_PERCENT, 0);
 	return loses_little(entry, run_us) ||
-	       now_us + run_us <= reservation->at_us;
+	       now_us + run_us <= reservation->due_us;
 }
 
 /*
@@ -70,27 +70,29 @@
  * the peer, who has to give a guaranteed shape back, cannot reclaim what it
  * does not plan, and the shape would come late.
  */
-struct rj_resources rj_topology_room(const struct rj_capacity_worker *worker,
-				     const struct rj_plan_entry *entry,
-				     uint64_t now_us, bool firm_only)
+struct rj_resources
+rj_topology_available(const struct rj_capacity_worker *worker,
+		      const struct rj_plan_entry *entry, uint64_t now_us,
+		      bool firm_only)
 {
 	const struct rj_ledger *ledger = worker->ledger;
 	struct rj_resources room = worker->free;
 	struct rj_resources limit;
 
-	for (uint32_t i = 0; ledger && i < ledger->hold_count; i++) {
+	for (uint32_t i = 0; ledger && i < ledger->reservation_count; i++) {
 		const struct rj_reservation *holder =
-			ledger->holds[i].reservation;
+			ledger->reservations[i].reservation;
 
 		if (holder->entry == entry || (firm_only && !holder->firm) ||
 		    may_pass(entry, holder, now_us))
 			continue;
-		rj_resources_take_or_zero(&room, &ledger->holds[i].want);
+		rj_resources_subtract_saturating(
+			&room, &ledger->reservations[i].amount);
 	}
-	if (entry->job.stoppable && worker->plan.owned)
+	if (entry->job.preemptible && worker->plan.owned)
 		return room;
-	limit = rj_ledger_pin_room(worker, entry->account);
-	rj_resources_limit(&room, &limit);
+	limit = rj_ledger_non_preemptible_limit(worker, entry->account);
+	rj_resources_clamp(&room, &limit);
 	return room;
 }
 
@@ -103,8 +105,8 @@
 	const struct rj_ledger *ledger = worker->ledger;
 	uint32_t idle = 0;
 
-	for (uint32_t i = 0; ledger && i < ledger->share_count; i++) {
-		const struct rj_worker_share *share = &ledger->shares[i];
+	for (uint32_t i = 0; ledger && i < ledger->usage_count; i++) {
+		const struct rj_worker_usage *share = &ledger->usages[i];
 		uint32_t guaranteed = share->guaranteed.accelerators;
 
 		if (share->account != entry->account)
@@ -117,7 +119,7 @@
 /*
  * Whether nothing of ours runs in the rack.
  */
-static bool rack_is_whole(struct rj_site rack)
+static bool rack_is_whole(struct rj_worker_set rack)
 {
 	for (uint32_t i = 0; i < rack.count; i++)
 		if (rack.workers[i]->tasks)
@@ -143,7 +145,7 @@
 		score += SCORE_NOT_OWNED;
 	if (idle_of_others(worker, entry) > left)
 		score += SCORE_OTHERS_HOME;
-	if (worker->ledger && worker->ledger->hold_count)
+	if (worker->ledger && worker->ledger->reservation_count)
 		score += SCORE_RESERVED;
 	if (!worker->tasks)
 		score += SCORE_WHOLE_WORKER;
@@ -153,7 +155,7 @@
 /*
  * The accelerators free in a rack.
  */
-static uint32_t rack_free(struct rj_site rack)
+static uint32_t rack_free(struct rj_worker_set rack)
 {
 	uint32_t free = 0;
 
@@ -166,15 +168,15 @@
  * Work that makes way for no gang is kept together, so that it breaks few
  * racks: the rack with most of it is best.
  */
-static uint64_t score_staying(struct rj_site rack,
+static uint64_t score_staying(struct rj_worker_set rack,
 			      const struct rj_plan_entry *entry)
 {
 	uint64_t staying = 0;
 
-	if (!rj_ledger_stays(&entry->job))
+	if (!rj_ledger_blocks_gangs(&entry->job))
 		return 0;
 	for (uint32_t i = 0; i < rack.count; i++)
-		staying += rack.workers[i]->ledger->staying;
+		staying += rack.workers[i]->ledger->gang_blocking;
 	return (STAYING_MOST - MIN(staying, STAYING_MOST)) * SCORE_STAYING_UNIT;
 }
 
@@ -188,7 +190,7 @@
 	uint64_t best = SCORE_WORST;
 
 	for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
-		struct rj_site rack = rj_topology_rack(state, i);
+		struct rj_worker_set rack = rj_topology_rack_workers(state, i);
 		uint64_t rack_score =
 			rack_free(rack) + score_staying(rack, entry);
 
@@ -203,7 +205,8 @@
 
 			if (!rj_resources_fit(each, &worker->free))
 				continue;
-			room = rj_topology_room(worker, entry, now_us, false);
+			room = rj_topology_available(worker, entry, now_us,
+						     false);
 			if (!rj_resources_fit(each, &room))
 				continue;
 			score = rack_score + score_worker(worker, entry, &room);
@@ -220,7 +223,8 @@
 /*
  * How many tasks of a gang the site has room for, up to all of them.
  */
-static uint32_t site_fits(struct rj_topology_state *state, struct rj_site site,
+static uint32_t site_fits(struct rj_topology_state *state,
+			  struct rj_worker_set site,
 			  const struct rj_plan_entry *entry, uint64_t now_us)
 {
 	const struct rj_shape *shape = &entry->job.shape;
@@ -232,9 +236,10 @@
 
 		if (!rj_resources_fit(&shape->each, &site.workers[i]->free))
 			continue;
-		room = rj_topology_room(site.workers[i], entry, now_us, false);
-		fits += rj_resources_times(&shape->each, &room,
-					   shape->tasks - fits);
+		room = rj_topology_available(site.workers[i], entry, now_us,
+					     false);
+		fits += rj_resources_fit_count(&shape->each, &room,
+					       shape->tasks - fits);
 	}
 	return fits;
 }
@@ -242,11 +247,11 @@
 /*
  * How well a gang fits a rack that has room for it.
  */
-static uint64_t score_rack(struct rj_site rack,
+static uint64_t score_rack(struct rj_worker_set rack,
 			   const struct rj_plan_entry *entry)
 {
 	uint64_t free = rack_free(rack);
-	uint64_t left = free - MIN(free, rj_topology_size(entry));
+	uint64_t left = free - MIN(free, rj_topology_job_size(entry));
 	uint64_t score = left * SCORE_WORKER_UNIT;
 	uint64_t idle = 0;
 
@@ -254,7 +259,7 @@
 		const struct rj_capacity_worker *worker = rack.workers[i];
 
 		idle += idle_of_others(worker, entry);
-		if (worker->ledger && worker->ledger->hold_count)
+		if (worker->ledger && worker->ledger->reservation_count)
 			score |= SCORE_RESERVED;
 	}
 	if (idle > left)
@@ -288,7 +293,8 @@
  * Put up to `want` tasks on the workers of a rack, the most broken up ones
  * first, after the `count` members there are. Returns the members then.
  */
-static uint32_t fill_rack(struct rj_topology_state *state, struct rj_site rack,
+static uint32_t fill_rack(struct rj_topology_state *state,
+			  struct rj_worker_set rack,
 			  const struct rj_plan_entry *entry, uint64_t now_us,
 			  uint32_t count, uint32_t *want)
 {
@@ -296,10 +302,10 @@
 	uint32_t found = 0;
 
 	for (uint32_t i = 0; i < rack.count; i++) {
-		struct rj_resources room =
-			rj_topology_room(rack.workers[i], entry, now_us, false);
-		uint32_t tasks = rj_resources_times(&entry->job.shape.each,
-						    &room, RJ_GANG_MAX);
+		struct rj_resources room = rj_topology_available(
+			rack.workers[i], entry, now_us, false);
+		uint32_t tasks = rj_resources_fit_count(&entry->job.shape.each,
+							&room, RJ_GANG_MAX);
 
 		if (!tasks)
 			continue;
@@ -332,7 +338,7 @@
 	uint64_t best_score = SCORE_WORST;
 
 	for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
-		struct rj_site rack = rj_topology_rack(state, i);
+		struct rj_worker_set rack = rj_topology_rack_workers(state, i);
 		uint64_t score;
 
 		fits[i] = site_fits(state, rack, entry, now_us);
@@ -385,13 +391,14 @@
 	for (uint32_t i = 0; i < racks; i++)
 		total += fits[i];
 	if (best < racks)
-		count = fill_rack(state, rj_topology_rack(state, best), entry,
-				  now_us, 0, &want);
+		count = fill_rack(state, rj_topology_rack_workers(state, best),
+				  entry, now_us, 0, &want);
 	else if (!entry->job.shape.adjacent && total >= want)
 		while (want) {
 			best = next_rack(state, fits, want);
 			assert(fits[best]);
-			count = fill_rack(state, rj_topology_rack(state, best),
+			count = fill_rack(state,
+					  rj_topology_rack_workers(state, best),
 					  entry, now_us, count, &want);
 			fits[best] = 0;
 		}
@@ -415,19 +422,19 @@
 /*
  * Whether the members lie on capacity that is loosely kept for another job.
  */
-bool rj_topology_passes_loosely(const struct rj_plan_entry *entry,
-				const struct rj_plan_member *members,
-				uint32_t count,
-				const struct rj_capacity *capacity)
+bool rj_topology_is_backfill(const struct rj_plan_entry *entry,
+			     const struct rj_plan_member *members,
+			     uint32_t count, const struct rj_capacity *capacity)
 {
 	for (uint32_t i = 0; i < count; i++) {
 		const struct rj_capacity_worker *worker =
 			rj_capacity_find(capacity, members[i].worker);
 
 		for (uint32_t j = 0;
-		     worker->ledger && j < worker->ledger->hold_count; j++)
-			if (worker->ledger->holds[j].reservation->entry !=
-			    entry)
+		     worker->ledger && j < worker->ledger->reservation_count;
+		     j++)
+			if (worker->ledger->reservations[j]
+				    .reservation->entry != entry)
 				return true;
 	}
 	return false;
--- a/src/libradishjunction/core/topology_queue.c
+++ b/src/libradishjunction/core/topology_queue.c
@@ -46,7 +46,7 @@
 		bucket = g_ptr_array_index(state->buckets, i);
 		if (bucket->account == entry->account &&
 		    bucket->priority == entry->job.priority &&
-		    bucket->stoppable == entry->job.stoppable &&
+		    bucket->preemptible == entry->job.preemptible &&
 		    rj_shape_equal(&bucket->shape, &entry->job.shape))
 			return bucket;
 	}
@@ -54,7 +54,7 @@
 	assert(bucket);
 	bucket->account = entry->account;
 	bucket->priority = entry->job.priority;
-	bucket->stoppable = entry->job.stoppable;
+	bucket->preemptible = entry->job.preemptible;
 	bucket->shape = entry->job.shape;
 	g_queue_init(&bucket->queue);
 	g_ptr_array_add(state->buckets, bucket);
@@ -113,8 +113,8 @@
  * The accelerators that are the account's fair share: its part of all by
  * weight, among the accounts that have jobs at all.
  */
-uint64_t rj_topology_fair(const struct rj_topology_state *state,
-			  const struct rj_plan_account *account)
+uint64_t rj_topology_fair_share(const struct rj_topology_state *state,
+				const struct rj_plan_account *account)
 {
 	return state->accelerators * account->share /
 	       MAX(state->share_active, 1);
@@ -123,8 +123,8 @@
 /*
  * Count the account in or out after its jobs have come or gone.
  */
-void rj_topology_note_active(struct rj_topology_state *state,
-			     struct rj_plan_account *account)
+void rj_topology_update_active(struct rj_topology_state *state,
+			       struct rj_plan_account *account)
 {
 	bool active = account->queued || account->used;
 
@@ -152,10 +152,10 @@
 		entry->deadline = g_sequence_insert_sorted(
 			state->deadlines, entry, compare_deadlines, NULL);
 	entry->backlog = rj_runtime_quantile_us(entry->runtime, 50, 0) *
-			 rj_topology_size(entry);
+			 rj_topology_job_size(entry);
 	state->backlog[entry->job.priority] += entry->backlog;
 	entry->account->queued++;
-	rj_topology_note_active(state, entry->account);
+	rj_topology_update_active(state, entry->account);
 	state->queued++;
 }
 
@@ -180,7 +180,7 @@
 	assert(state->backlog[entry->job.priority] >= entry->backlog);
 	state->backlog[entry->job.priority] -= entry->backlog;
 	entry->account->queued--;
-	rj_topology_note_active(state, entry->account);
+	rj_topology_update_active(state, entry->account);
 	state->queued--;
 }
 
@@ -210,7 +210,7 @@
 	uint64_t above = account->used > account->guaranteed ?
 				 account->used - account->guaranteed :
 				 0;
-	uint64_t fair = rj_topology_fair(state, account);
+	uint64_t fair = rj_topology_fair_share(state, account);
 	uint64_t most = FAIR_MOST * FAIR_WINDOW_US;
 
 	return MIN(above * FAIR_WINDOW_US / MAX(fair, 1), most);
@@ -224,7 +224,7 @@
 				    const struct rj_plan_entry *entry)
 {
 	uint64_t penalty_us = head_start_us[entry->job.priority];
-	uint64_t size = rj_topology_size(entry);
+	uint64_t size = rj_topology_job_size(entry);
 
 	if (size <= state->worker_accelerators)
 		return penalty_us;
@@ -237,8 +237,8 @@
  * been found blocked. A job is taken in order of its arrival, its priority,
  * its size and its account's use above the guarantee.
  */
-struct rj_plan_bucket *rj_topology_next(struct rj_topology_state *state,
-					uint64_t now_us)
+struct rj_plan_bucket *rj_topology_next_bucket(struct rj_topology_state *state,
+					       uint64_t now_us)
 {
 	struct rj_plan_bucket *best = NULL;
 
@@ -250,10 +250,10 @@
 		if (bucket->blocked_version == state->version)
 			continue;
 		head = bucket->queue.head->data;
-		bucket->sorted_by = head->job.queued_us +
-				    priority_penalty_us(state, head) +
-				    fair_penalty_us(state, bucket->account);
-		if (!best || bucket->sorted_by < best->sorted_by)
+		bucket->sort_key = head->job.queued_us +
+				   priority_penalty_us(state, head) +
+				   fair_penalty_us(state, bucket->account);
+		if (!best || bucket->sort_key < best->sort_key)
 			best = bucket;
 	}
 	return best;
@@ -263,8 +263,8 @@
  * How long a job of `priority` that comes now will wait, by the learnt run
  * times of what waits before it, in microseconds.
  */
-uint64_t rj_topology_wait_us(const struct rj_topology_state *state,
-			     enum rj_priority priority)
+uint64_t rj_topology_expected_wait_us(const struct rj_topology_state *state,
+				      enum rj_priority priority)
 {
 	uint64_t before = 0;
 
@@ -278,12 +278,12 @@
  * either way by the job, so that those refused together return apart. The
  * spread needs no state and is the same in each run.
  */
-uint64_t rj_topology_spread_us(uint64_t wait_us, uint64_t job_id)
+uint64_t rj_topology_retry_after_us(uint64_t wait_us, uint64_t job_id)
 {
-	uint64_t base_us = MAX(wait_us, RJ_US_PER_S);
+	uint64_t oldest_record_us = MAX(wait_us, RJ_US_PER_S);
 	uint64_t hash = rj_hash64(&job_id, sizeof(job_id), 0);
 
-	return base_us / 2 + hash % base_us;
+	return oldest_record_us / 2 + hash % oldest_record_us;
 }
 
 /*
--- a/src/libradishjunction/core/topology_reclaim.c
+++ b/src/libradishjunction/core/topology_reclaim.c
@@ -53,7 +53,7 @@
 	struct rj_topology_state *state;
 	struct rj_plan_entry *entry;
 	enum ground ground;
-	struct rj_site site;
+	struct rj_worker_set site;
 	uint64_t now_us;
 	uint32_t *fits;
 	uint32_t total;
@@ -75,7 +75,7 @@
 	if (entry->job.priority == RJ_PRIORITY_URGENT)
 		ran_us = (ran_us + RJ_US_PER_S) * URGENT_WEIGHT;
 	/* A task that has just started still costs its start again. */
-	return (ran_us + RJ_US_PER_MS) * rj_topology_size(entry);
+	return (ran_us + RJ_US_PER_MS) * rj_topology_job_size(entry);
 }
 
 /*
@@ -106,7 +106,7 @@
 static bool spares_idle(const struct search *search,
 			const struct rj_capacity_worker *worker)
 {
-	return is_claim(search->ground) || !search->entry->job.stoppable ||
+	return is_claim(search->ground) || !search->entry->job.preemptible ||
 	       !worker->plan.owned;
 }
 
@@ -121,36 +121,36 @@
 	struct rj_resources room = worker->free;
 	struct rj_resources limit;
 
-	if (!worker->plan.usable || worker->gone ||
-	    ledger->silent_until_us > search->now_us)
+	if (!worker->plan.usable || worker->removed ||
+	    ledger->skip_until_us > search->now_us)
 		return (struct rj_resources){ 0 };
 	for (uint32_t i = 0; i < ledger->run_count; i++)
 		if (ledger->runs[i].entry->reclaiming)
 			rj_resources_add(&room,
 					 &ledger->runs[i].entry->job.shape.each,
 					 ledger->runs[i].tasks);
-	for (uint32_t i = 0; i < ledger->share_count; i++)
-		rj_resources_add(&room, &ledger->shares[i].evicted, 1);
-	for (uint32_t i = 0; i < ledger->hold_count; i++)
-		if (respects(search, ledger->holds[i].reservation))
-			rj_resources_take_or_zero(&room,
-						  &ledger->holds[i].want);
+	for (uint32_t i = 0; i < ledger->usage_count; i++)
+		rj_resources_add(&room, &ledger->usages[i].evicted, 1);
+	for (uint32_t i = 0; i < ledger->reservation_count; i++)
+		if (respects(search, ledger->reservations[i].reservation))
+			rj_resources_subtract_saturating(
+				&room, &ledger->reservations[i].amount);
 	for (uint32_t i = 0;
-	     spares_idle(search, worker) && i < ledger->share_count; i++) {
-		const struct rj_worker_share *share = &ledger->shares[i];
+	     spares_idle(search, worker) && i < ledger->usage_count; i++) {
+		const struct rj_worker_usage *share = &ledger->usages[i];
 		struct rj_resources used;
 		struct rj_resources idle;
 
 		if (share->account == search->entry->account)
 			continue;
-		used = rj_resources_rest(&share->used, &share->evicted);
-		idle = rj_resources_rest(&share->guaranteed, &used);
-		rj_resources_take_or_zero(&room, &idle);
+		used = rj_resources_remaining(&share->used, &share->evicted);
+		idle = rj_resources_remaining(&share->guaranteed, &used);
+		rj_resources_subtract_saturating(&room, &idle);
 	}
-	if (search->entry->job.stoppable && worker->plan.owned)
+	if (search->entry->job.preemptible && worker->plan.owned)
 		return room;
-	limit = rj_ledger_pin_room(worker, search->entry->account);
-	rj_resources_limit(&room, &limit);
+	limit = rj_ledger_non_preemptible_limit(worker, search->entry->account);
+	rj_resources_clamp(&room, &limit);
 	return room;
 }
 
@@ -163,8 +163,8 @@
 
 	search->total -= search->fits[at];
 	search->fits[at] =
-		rj_resources_times(&search->entry->job.shape.each, &room,
-				   search->entry->job.shape.tasks);
+		rj_resources_fit_count(&search->entry->job.shape.each, &room,
+				       search->entry->job.shape.tasks);
 	search->total += search->fits[at];
 }
 
@@ -193,7 +193,7 @@
 {
 	const struct rj_plan_job *job = &entry->job;
 
-	if (!job->stoppable || entry->reclaiming)
+	if (!job->preemptible || entry->reclaiming)
 		return false;
 	switch (search->ground) {
 	case GROUND_GUARANTEE:
@@ -203,7 +203,7 @@
 	case GROUND_URGENT:
 		return job->priority != RJ_PRIORITY_URGENT;
 	case GROUND_LOAN:
-		return entry->on_loan && !urgent_again(entry);
+		return entry->backfilled && !urgent_again(entry);
 	case GROUND_WAITED:
 		/*
 		 * Never another gang: they would take turns. What passed a
@@ -211,10 +211,10 @@
 		 * goes with the small work, urgent or not: the most that may
 		 * be lost holds for both.
 		 */
-		return (entry->on_loan && !urgent_again(entry)) ||
+		return (entry->backfilled && !urgent_again(entry)) ||
 		       (job->priority != RJ_PRIORITY_URGENT &&
-			rj_topology_size(entry) * SMALL_PART <=
-				rj_topology_size(search->entry));
+			rj_topology_job_size(entry) * SMALL_PART <=
+				rj_topology_job_size(search->entry));
 	}
 	return false;
 }
@@ -232,13 +232,13 @@
 	for (uint32_t i = 0; i < entry->member_count; i++) {
 		const struct rj_capacity_worker *worker = rj_capacity_find(
 			&search->state->capacity, entry->members[i].worker);
-		const struct rj_worker_share *share;
+		const struct rj_worker_usage *share;
 		struct rj_resources used;
 
-		if (worker->ledger->site_stamp != search->state->stamp)
+		if (worker->ledger->set_stamp != search->state->stamp)
 			continue;
-		share = rj_ledger_share(worker->ledger, entry->account);
-		used = rj_resources_rest(&share->used, &share->evicted);
+		share = rj_ledger_usage(worker->ledger, entry->account);
+		used = rj_resources_remaining(&share->used, &share->evicted);
 		if (rj_resources_exceed(&used, &share->guaranteed))
 			return true;
 	}
@@ -256,8 +256,8 @@
 		const struct rj_plan_member *member = &entry->members[i];
 		struct rj_capacity_worker *worker = rj_capacity_find(
 			&search->state->capacity, member->worker);
-		struct rj_worker_share *share =
-			rj_ledger_share(worker->ledger, entry->account);
+		struct rj_worker_usage *share =
+			rj_ledger_usage(worker->ledger, entry->account);
 
 		if (out)
 			rj_resources_add(&share->evicted,
@@ -266,8 +266,8 @@
 			rj_resources_take(&share->evicted,
 					  &entry->job.shape.each,
 					  member->tasks);
-		if (worker->ledger->site_stamp == search->state->stamp)
-			refit(search, worker->ledger->site_index);
+		if (worker->ledger->set_stamp == search->state->stamp)
+			refit(search, worker->ledger->set_index);
 	}
 	victim->chosen = out;
 }
@@ -298,11 +298,11 @@
 		const struct rj_capacity_worker *worker = rj_capacity_find(
 			&search->state->capacity, entry->members[i].worker);
 
-		if (worker->ledger->site_stamp == search->state->stamp)
+		if (worker->ledger->set_stamp == search->state->stamp)
 			tasks += entry->members[i].tasks;
 	}
 	tasks *= MAX(entry->job.shape.each.accelerators, 1);
-	return MIN(tasks, rj_topology_size(search->entry));
+	return MIN(tasks, rj_topology_job_size(search->entry));
 }
 
 /*
@@ -342,7 +342,7 @@
  */
 static void search_init(struct search *search, struct rj_topology_state *state,
 			struct rj_plan_entry *entry, enum ground ground,
-			struct rj_site site, uint64_t now_us)
+			struct rj_worker_set site, uint64_t now_us)
 {
 	memset(search, 0, sizeof(*search));
 	search->state = state;
@@ -353,10 +353,10 @@
 	search->fits = g_new0(uint32_t, site.count + 1);
 	state->stamp++;
 	for (uint32_t i = 0; i < site.count; i++) {
-		struct rj_ledger *ledger = rj_ledger_of(site.workers[i]);
+		struct rj_ledger *ledger = rj_ledger_get(site.workers[i]);
 
-		ledger->site_index = i;
-		ledger->site_stamp = state->stamp;
+		ledger->set_index = i;
+		ledger->set_stamp = state->stamp;
 		refit(search, i);
 	}
 	list_victims(search);
@@ -461,7 +461,7 @@
  */
 static uint64_t cost_of(struct rj_topology_state *state,
 			struct rj_plan_entry *entry, enum ground ground,
-			struct rj_site site, uint64_t now_us)
+			struct rj_worker_set site, uint64_t now_us)
 {
 	struct search search;
 	uint64_t cost = RJ_NEVER_US;
@@ -490,7 +490,7 @@
 	if (ground != GROUND_WAITED)
 		return RJ_NEVER_US - 1;
 	return rj_runtime_quantile_us(entry->runtime, 50, 0) *
-	       rj_topology_size(entry) * WAITED_LOST_PERCENT / 100;
+	       rj_topology_job_size(entry) * WAITED_LOST_PERCENT / 100;
 }
 
 /*
@@ -498,7 +498,7 @@
  */
 static bool carry_out(struct rj_topology_state *state,
 		      struct rj_plan_entry *entry, enum ground ground,
-		      struct rj_site site, uint64_t now_us,
+		      struct rj_worker_set site, uint64_t now_us,
 		      struct rj_decisions *decisions)
 {
 	struct rj_reservation *reservation;
@@ -518,7 +518,8 @@
 	if (entry->reservation)
 		rj_topology_unreserve(state, entry->reservation);
 	if (ground == GROUND_LAST_RESORT)
-		rj_topology_displace(state, state->members, count, now_us);
+		rj_topology_displace_reservations(state, state->members, count,
+						  now_us);
 	reservation = rj_topology_reserve(
 		state, entry, state->members, count, true,
 		now_us + state->limits.checkpoint_limit_ms * RJ_US_PER_MS +
@@ -542,8 +543,9 @@
 	uint32_t best = 0;
 
 	for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
-		uint64_t cost = cost_of(state, entry, ground,
-					rj_topology_rack(state, i), now_us);
+		uint64_t cost =
+			cost_of(state, entry, ground,
+				rj_topology_rack_workers(state, i), now_us);
 
 		if (cost >= best_cost)
 			continue;
@@ -552,12 +554,12 @@
 	}
 	if (best_cost != RJ_NEVER_US)
 		return carry_out(state, entry, ground,
-				 rj_topology_rack(state, best), now_us,
+				 rj_topology_rack_workers(state, best), now_us,
 				 decisions);
 	if (shape->adjacent || shape->tasks == 1)
 		return false;
-	return carry_out(state, entry, ground, rj_topology_all(state), now_us,
-			 decisions);
+	return carry_out(state, entry, ground, rj_topology_all_workers(state),
+			 now_us, decisions);
 }
 
 /*
@@ -571,22 +573,23 @@
 
 	return entry->job.priority == RJ_PRIORITY_URGENT &&
 	       now_us >= entry->job.queued_us + URGENT_PATIENCE_US &&
-	       account->used + rj_topology_size(entry) <=
-		       account->guaranteed + rj_topology_fair(state, account);
+	       account->used + rj_topology_job_size(entry) <=
+		       account->guaranteed +
+			       rj_topology_fair_share(state, account);
 }
 
 /*
  * How long a gang waits before it may stop small work: the more the
  * operators weigh fragmentation against completion, the shorter.
  */
-uint64_t rj_topology_patience_us(const struct rj_topology_state *state,
-				 const struct rj_plan_entry *entry)
+uint64_t rj_topology_preemption_delay_us(const struct rj_topology_state *state,
+					 const struct rj_plan_entry *entry)
 {
 	uint32_t weight = MIN(state->limits.fragmentation_weight, 100);
 
 	if (entry->job.priority == RJ_PRIORITY_URGENT)
 		return URGENT_PATIENCE_US;
-	if (rj_topology_size(entry) <= state->worker_accelerators)
+	if (rj_topology_job_size(entry) <= state->worker_accelerators)
 		return RJ_NEVER_US;
 	return GANG_PATIENCE_US + (100 - weight) * POINT_PATIENCE_US;
 }
@@ -597,7 +600,7 @@
 static bool may_make_way(const struct rj_topology_state *state,
 			 const struct rj_plan_entry *entry, uint64_t now_us)
 {
-	uint64_t patience_us = rj_topology_patience_us(state, entry);
+	uint64_t patience_us = rj_topology_preemption_delay_us(state, entry);
 
 	return entry->job.priority != RJ_PRIORITY_URGENT &&
 	       patience_us != RJ_NEVER_US &&
@@ -614,7 +617,7 @@
 			 struct rj_plan_entry *entry, uint64_t now_us,
 			 struct rj_decisions *decisions)
 {
-	if (rj_topology_entitled(state, entry) &&
+	if (rj_topology_is_entitled(state, entry) &&
 	    (reclaim_on(state, entry, GROUND_GUARANTEE, now_us, decisions) ||
 	     reclaim_on(state, entry, GROUND_LAST_RESORT, now_us, decisions)))
 		return true;
--- a/src/libradishjunction/core/topology_reserve.c
+++ b/src/libradishjunction/core/topology_reserve.c
@@ -30,9 +30,9 @@
 	assert(reservation->members);
 	reservation->member_count = count;
 	reservation->firm = firm;
-	reservation->at_us = at_us;
+	reservation->due_us = at_us;
 	for (uint32_t i = 0; i < count; i++)
-		rj_ledger_hold(
+		rj_ledger_reserve(
 			rj_capacity_find(&state->capacity, members[i].worker),
 			reservation, members[i].tasks);
 	g_ptr_array_add(state->reservations, reservation);
@@ -51,7 +51,7 @@
 			&state->capacity, reservation->members[i].worker);
 
 		if (worker)
-			rj_ledger_release(worker, reservation);
+			rj_ledger_unreserve(worker, reservation);
 	}
 	reservation->entry->reservation = NULL;
 	g_ptr_array_remove(state->reservations, reservation);
@@ -62,8 +62,8 @@
 /*
  * Whether a reservation keeps part of the worker.
  */
-bool rj_topology_keeps(const struct rj_reservation *reservation,
-		       uint32_t worker)
+bool rj_reservation_includes(const struct rj_reservation *reservation,
+			     uint32_t worker)
 {
 	for (uint32_t i = 0; i < reservation->member_count; i++)
 		if (reservation->members[i].worker == worker)
@@ -97,8 +97,9 @@
  * Keep nothing for the job any more. One that waited outside of its bucket
  * for firmly kept room goes back to it.
  */
-void rj_topology_drop(struct rj_topology_state *state,
-		      struct rj_reservation *reservation, uint64_t now_us)
+void rj_topology_cancel_reservation(struct rj_topology_state *state,
+				    struct rj_reservation *reservation,
+				    uint64_t now_us)
 {
 	struct rj_plan_entry *entry = reservation->entry;
 	bool firm = reservation->firm;
@@ -115,9 +116,9 @@
 /*
  * Give up what is firmly kept on the members for anything but a guarantee.
  */
-void rj_topology_displace(struct rj_topology_state *state,
-			  const struct rj_plan_member *members, uint32_t count,
-			  uint64_t now_us)
+void rj_topology_displace_reservations(struct rj_topology_state *state,
+				       const struct rj_plan_member *members,
+				       uint32_t count, uint64_t now_us)
 {
 	for (uint32_t i = state->reservations->len; i--;) {
 		struct rj_reservation *reservation =
@@ -125,14 +126,14 @@
 		bool in_the_way = false;
 
 		for (uint32_t j = 0; j < count; j++)
-			in_the_way |= rj_topology_keeps(reservation,
-							members[j].worker);
+			in_the_way |= rj_reservation_includes(
+				reservation, members[j].worker);
 		if (!in_the_way || !reservation->firm ||
 		    reservation->reason == RJ_REASON_GUARANTEE)
 			continue;
 		/* Or it would stop others again at once, for nothing. */
 		reservation->entry->waiting_since_us = now_us;
-		rj_topology_drop(state, reservation, now_us);
+		rj_topology_cancel_reservation(state, reservation, now_us);
 	}
 }
 
@@ -170,27 +171,28 @@
 	const struct rj_ledger *ledger = worker->ledger;
 	struct rj_resources most = { 0 };
 
-	if (!worker->plan.usable || worker->gone)
+	if (!worker->plan.usable || worker->removed)
 		return most;
-	most = rj_resources_rest(&worker->plan.capacity, &worker->plan.foreign);
+	most = rj_resources_remaining(&worker->plan.capacity,
+				      &worker->plan.foreign);
 	if (!ledger)
 		return most;
-	if (ledger->silent_until_us > now_us)
+	if (ledger->skip_until_us > now_us)
 		return (struct rj_resources){ 0 };
-	for (uint32_t i = 0; i < ledger->hold_count; i++)
-		if (ledger->holds[i].reservation->entry != entry)
+	for (uint32_t i = 0; i < ledger->reservation_count; i++)
+		if (ledger->reservations[i].reservation->entry != entry)
 			return (struct rj_resources){ 0 };
-	for (uint32_t i = 0; !entry->job.stoppable && i < ledger->share_count;
+	for (uint32_t i = 0; !entry->job.preemptible && i < ledger->usage_count;
 	     i++)
-		if (ledger->shares[i].account != entry->account)
-			rj_resources_take_or_zero(
-				&most, &ledger->shares[i].guaranteed);
+		if (ledger->usages[i].account != entry->account)
+			rj_resources_subtract_saturating(
+				&most, &ledger->usages[i].guaranteed);
 	return most;
 }
 
 /* The state of the search of one site. */
 struct forecast {
-	struct rj_site site;
+	struct rj_worker_set site;
 	struct rj_resources *free;
 	struct rj_resources *most;
 	uint32_t *fits;
@@ -207,10 +209,10 @@
 {
 	struct rj_resources room = forecast->free[at];
 
-	rj_resources_limit(&room, &forecast->most[at]);
+	rj_resources_clamp(&room, &forecast->most[at]);
 	forecast->total -= forecast->fits[at];
-	forecast->fits[at] = rj_resources_times(&entry->job.shape.each, &room,
-						entry->job.shape.tasks);
+	forecast->fits[at] = rj_resources_fit_count(
+		&entry->job.shape.each, &room, entry->job.shape.tasks);
 	forecast->total += forecast->fits[at];
 }
 
@@ -235,15 +237,15 @@
 
 		ending->run = &worker->ledger->runs[i];
 		ending->worker = at;
-		ending->at_us = rj_topology_ends_us(ending->run->entry,
-						    END_PERCENT, now_us);
+		ending->at_us = rj_topology_expected_end_us(
+			ending->run->entry, END_PERCENT, now_us);
 	}
 }
 
 /*
  * Begin with the site as it is now, and list its runs by their expected ends.
  */
-static void forecast_init(struct forecast *forecast, struct rj_site site,
+static void forecast_init(struct forecast *forecast, struct rj_worker_set site,
 			  const struct rj_plan_entry *entry, uint64_t now_us)
 {
 	uint32_t runs = 0;
@@ -325,7 +327,8 @@
  * When and where the job will fit in the site; the members are in
  * `state->members` if that is before `*best_us`. Returns how many, or 0.
  */
-static uint32_t soonest_in(struct rj_topology_state *state, struct rj_site site,
+static uint32_t soonest_in(struct rj_topology_state *state,
+			   struct rj_worker_set site,
 			   const struct rj_plan_entry *entry, uint64_t now_us,
 			   uint64_t *best_us)
 {
@@ -348,23 +351,23 @@
  * Nothing is kept for a job that does not fit even when all has ended: it
  * may never run, and what were kept for it would idle for ever.
  */
-void rj_topology_reserve_soonest(struct rj_topology_state *state,
-				 struct rj_plan_entry *entry, uint64_t now_us)
+void rj_topology_reserve_earliest(struct rj_topology_state *state,
+				  struct rj_plan_entry *entry, uint64_t now_us)
 {
 	uint64_t best_us = RJ_NEVER_US;
 	uint32_t count = 0;
 
 	if (entry->job.shape.adjacent || entry->job.shape.tasks == 1) {
 		for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
-			uint32_t found =
-				soonest_in(state, rj_topology_rack(state, i),
-					   entry, now_us, &best_us);
+			uint32_t found = soonest_in(
+				state, rj_topology_rack_workers(state, i),
+				entry, now_us, &best_us);
 
 			count = found ? found : count;
 		}
 	} else {
-		count = soonest_in(state, rj_topology_all(state), entry, now_us,
-				   &best_us);
+		count = soonest_in(state, rj_topology_all_workers(state), entry,
+				   now_us, &best_us);
 	}
 	if (!count)
 		return;
--- a/src/libradishjunction/core/topology_state.c
+++ b/src/libradishjunction/core/topology_state.c
@@ -45,7 +45,7 @@
  */
 static struct rj_runtime *runtime_at(struct rj_topology_state *state,
 				     const char *key, const char *class_name,
-				     struct rj_runtime *wider)
+				     struct rj_runtime *fallback)
 {
 	struct rj_runtime *runtime = g_hash_table_lookup(state->runtimes, key);
 
@@ -54,7 +54,7 @@
 	runtime = talloc_zero(state->mem, struct rj_runtime);
 	assert(runtime);
 	runtime->expected_us = expected_us(state, class_name);
-	runtime->wider = wider;
+	runtime->fallback = fallback;
 	g_hash_table_insert(state->runtimes, talloc_strdup(runtime, key),
 			    runtime);
 	return runtime;
@@ -77,8 +77,8 @@
 /*
  * When `percent` of the jobs like this running one have ended.
  */
-uint64_t rj_topology_ends_us(const struct rj_plan_entry *entry,
-			     uint32_t percent, uint64_t now_us)
+uint64_t rj_topology_expected_end_us(const struct rj_plan_entry *entry,
+				     uint32_t percent, uint64_t now_us)
 {
 	uint64_t elapsed_us = now_us - MIN(now_us, entry->started_us);
 	uint64_t whole_us =
@@ -90,7 +90,7 @@
 /*
  * The accelerators of the job; a task without any counts as one.
  */
-uint32_t rj_topology_size(const struct rj_plan_entry *entry)
+uint32_t rj_topology_job_size(const struct rj_plan_entry *entry)
 {
 	return entry->job.shape.tasks *
 	       MAX(entry->job.shape.each.accelerators, 1);
@@ -99,30 +99,32 @@
 /*
  * The workers of the rack at `index`.
  */
-struct rj_site rj_topology_rack(const struct rj_topology_state *state,
-				uint32_t index)
+struct rj_worker_set
+rj_topology_rack_workers(const struct rj_topology_state *state, uint32_t index)
 {
 	const struct rj_capacity_rack *rack = state->capacity.racks[index];
 
-	return (struct rj_site){ rack->workers, rack->count };
+	return (struct rj_worker_set){ rack->workers, rack->count };
 }
 
 /*
  * All workers, those of racks that this instance owns first.
  */
-struct rj_site rj_topology_all(struct rj_topology_state *state)
+struct rj_worker_set rj_topology_all_workers(struct rj_topology_state *state)
 {
-	g_ptr_array_set_size(state->all, 0);
+	g_ptr_array_set_size(state->all_workers, 0);
 	for (uint32_t owned = 2; owned--;)
 		for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
-			struct rj_site rack = rj_topology_rack(state, i);
+			struct rj_worker_set rack =
+				rj_topology_rack_workers(state, i);
 
 			for (uint32_t j = 0; j < rack.count; j++)
 				if (rack.workers[j]->plan.owned == owned)
-					g_ptr_array_add(state->all,
+					g_ptr_array_add(state->all_workers,
 							rack.workers[j]);
 		}
-	return (struct rj_site){ (void *)state->all->pdata, state->all->len };
+	return (struct rj_worker_set){ (void *)state->all_workers->pdata,
+				       state->all_workers->len };
 }
 
 /*
@@ -138,8 +140,8 @@
 		rj_ledger_add_run(
 			rj_capacity_find(&state->capacity, members[i].worker),
 			entry, members[i].tasks);
-	entry->account->used += rj_topology_size(entry);
-	rj_topology_note_active(state, entry->account);
+	entry->account->used += rj_topology_job_size(entry);
+	rj_topology_update_active(state, entry->account);
 }
 
 /*
@@ -161,12 +163,12 @@
 			&state->capacity, entry->members[i].worker);
 
 		rj_ledger_remove_run(worker, entry, entry->members[i].tasks);
-		worker->ledger->silent_until_us = 0;
+		worker->ledger->skip_until_us = 0;
 	}
-	entry->account->used -= rj_topology_size(entry);
-	rj_topology_note_active(state, entry->account);
+	entry->account->used -= rj_topology_job_size(entry);
+	rj_topology_update_active(state, entry->account);
 	entry->reclaiming = false;
-	entry->on_loan = false;
+	entry->backfilled = false;
 	rj_plan_entry_unplace(entry, &state->capacity);
 	state->version++;
 }
@@ -174,7 +176,7 @@
 /*
  * The job is over: it gives back what it holds and leaves the table.
  */
-void rj_topology_forget(struct rj_topology_state *state,
+void rj_topology_remove(struct rj_topology_state *state,
 			struct rj_plan_entry *entry)
 {
 	rj_topology_detach(state, entry);
--- a/src/libradishjunction/guarantee_layout.c
+++ b/src/libradishjunction/guarantee_layout.c
@@ -83,7 +83,7 @@
 		uint32_t best = 0;
 
 		for (uint32_t i = first; i < first + count; i++) {
-			uint32_t fit = rj_resources_times(
+			uint32_t fit = rj_resources_fit_count(
 				each, &layout->free[i], UINT32_MAX);
 
 			if (fit && fit < best_fit) {
@@ -112,8 +112,8 @@
 	uint64_t sum = 0;
 
 	for (uint32_t i = 0; i < width; i++)
-		sum += rj_resources_times(each, &layout->free[rack * width + i],
-					  UINT32_MAX);
+		sum += rj_resources_fit_count(
+			each, &layout->free[rack * width + i], UINT32_MAX);
 	return sum;
 }
 
--- a/src/libradishjunction/include/private/capacity.h
+++ b/src/libradishjunction/include/private/capacity.h
@@ -2,8 +2,8 @@
  * The workers that a planner knows, by rack, and what is free on each.
  *
  * Life cycle: `rj_capacity_init` on the caller's memory, `rj_capacity_set`
- * and `rj_capacity_remove` as workers come and go, `rj_capacity_take` and
- * `rj_capacity_give` as tasks start and end, `rj_capacity_finish`. Racks are
+ * and `rj_capacity_remove` as workers come and go, `rj_capacity_allocate` and
+ * `rj_capacity_release` as tasks start and end, `rj_capacity_finish`. Racks are
  * kept in ascending order of their number and the workers of a rack in
  * ascending order of their id, so that a walk is the same every time.
  * A worker that is removed while tasks of the planner are on it is kept,
@@ -18,11 +18,11 @@
 
 struct rj_capacity_worker {
 	struct rj_plan_worker plan;
-	struct rj_resources taken; /* by tasks of this planner */
+	struct rj_resources allocated; /* by tasks of this planner */
 	struct rj_resources free; /* nothing while it is not usable */
 	uint32_t tasks;
 	uint32_t position; /* in its rack, by name where workers have one */
-	bool gone;
+	bool removed;
 	struct rj_ledger *ledger; /* of a planner that keeps one */
 };
 
@@ -49,19 +49,19 @@
 struct rj_capacity_worker *rj_capacity_set(struct rj_capacity *capacity,
 					   const struct rj_plan_worker *worker);
 void rj_capacity_remove(struct rj_capacity *capacity, uint32_t id);
-void rj_capacity_take(struct rj_capacity *capacity,
-		      const struct rj_resources *each,
-		      const struct rj_plan_member *members, uint32_t count);
-void rj_capacity_give(struct rj_capacity *capacity,
-		      const struct rj_resources *each,
-		      const struct rj_plan_member *members, uint32_t count);
-void rj_resources_limit(struct rj_resources *have,
+void rj_capacity_allocate(struct rj_capacity *capacity,
+			  const struct rj_resources *each,
+			  const struct rj_plan_member *members, uint32_t count);
+void rj_capacity_release(struct rj_capacity *capacity,
+			 const struct rj_resources *each,
+			 const struct rj_plan_member *members, uint32_t count);
+void rj_resources_clamp(struct rj_resources *have,
 			const struct rj_resources *limit);
-void rj_resources_take_or_zero(struct rj_resources *have,
-			       const struct rj_resources *part);
+void rj_resources_subtract_saturating(struct rj_resources *have,
+				      const struct rj_resources *part);
 bool rj_shape_equal(const struct rj_shape *one, const struct rj_shape *two);
-uint32_t rj_resources_times(const struct rj_resources *each,
-			    const struct rj_resources *have, uint32_t most);
+uint32_t rj_resources_fit_count(const struct rj_resources *each,
+				const struct rj_resources *have, uint32_t most);
 bool rj_capacity_could_fit(const struct rj_capacity *capacity,
 			   const struct rj_domain *domain,
 			   const struct rj_shape *shape);
--- a/src/libradishjunction/include/private/core_state.h
+++ b/src/libradishjunction/include/private/core_state.h
@@ -37,8 +37,8 @@
 	bool tried; /* was caught up once, or a read has failed */
 	bool reading;
 	uint64_t backoff_us;
-	uint64_t asked_us; /* when the read that is out was sent */
-	uint64_t fresh_us; /* what was read holds at least up to here */
+	uint64_t read_sent_us; /* when the read that is out was sent */
+	uint64_t current_as_of_us; /* what was read holds at least up to here */
 	uint64_t oldest; /* the oldest offset that the log kept then */
 	uint64_t newest_us; /* when the newest record was appended */
 	struct rj_timer retry;
@@ -69,8 +69,9 @@
 	uint64_t config_carried_us; /* when it was last appended from here */
 	struct rj_log_stream streams[RJ_STREAM_COUNT];
 	bool platform_up;
-	uint64_t woke_us; /* from a pause; 0 once the log was read since */
-	uint64_t gap_from; /* the offset from which was read then */
+	uint64_t
+		paused_before_us; /* from a pause; 0 once the log was read since */
+	uint64_t gap_end_offset; /* the offset from which was read then */
 	struct rj_job_ledger ledger;
 	struct rj_membership membership;
 	struct rj_upstreams upstreams;
@@ -82,7 +83,7 @@
 	struct rj_timer drain_watch;
 	uint64_t drain_limit_us;
 	uint64_t drain_answered_us; /* when the last request was answered */
-	bool drain_over; /* the limit of the drain has passed */
+	bool drain_expired; /* the limit of the drain has passed */
 	uint64_t counters[RJ_COUNT_COUNT];
 	struct rj_explain_entry *explain; /* ring, talloc array */
 	uint32_t explain_next;
@@ -90,14 +91,15 @@
 };
 
 /* Who cannot be told more for now is told to come back after about this. */
-#define RJ_COME_BACK_US (2 * RJ_US_PER_S)
+#define RJ_RETRY_AFTER_US (2 * RJ_US_PER_S)
 
 /* core.c */
 struct rj_decision_log *
 rj_core_log(struct rj_core_state *core, enum rj_decision_event event,
 	    enum rj_reason why, const struct rj_job *job, const char *target);
 void rj_core_count(struct rj_core_state *core, enum rj_counter counter);
-uint64_t rj_core_jitter_us(struct rj_core_state *core, uint64_t base_us);
+uint64_t rj_core_jitter_us(struct rj_core_state *core,
+			   uint64_t oldest_record_us);
 uint64_t rj_core_next_id(struct rj_core_state *core);
 void rj_bytes_copy(void *mem, struct rj_bytes *to, const struct rj_bytes *from);
 
--- a/src/libradishjunction/include/private/filters.h
+++ b/src/libradishjunction/include/private/filters.h
@@ -60,17 +60,17 @@
 void rj_filter_answer(struct rj_core_state *core,
 		      const struct rj_submission *submission,
 		      const struct rj_answer *answer);
-struct rj_job *rj_filter_job(struct rj_core_state *core,
-			     struct rj_submission *submission);
+struct rj_job *rj_filter_ensure_job(struct rj_core_state *core,
+				    struct rj_submission *submission);
 
 /* filters/route.c */
-bool rj_route_leads_away(const struct rj_job *job);
+bool rj_route_prefers_peer(const struct rj_job *job);
 
 /* filters/chain.c */
 void rj_filters_request(struct rj_core_state *core,
 			const struct rj_request *request);
 void rj_filters_forward(struct rj_core_state *core, const char *peer,
 			const struct rj_peer_forward *forward);
-void rj_filters_again(struct rj_job *job);
+void rj_filters_resubmit(struct rj_job *job);
 
 #endif
--- a/src/libradishjunction/include/private/job_ledger.h
+++ b/src/libradishjunction/include/private/job_ledger.h
@@ -32,15 +32,17 @@
 	enum rj_answer_kind outcome;
 	enum rj_reason reason;
 	struct rj_bytes result;
-	uint64_t first_us; /* when its first record was appended */
-	uint64_t recorded_us; /* when its newest record was appended */
-	uint64_t base_us; /* when the oldest was that it is known from */
-	uint64_t carry_us; /* when it was last carried from here */
-	uint64_t dropped_us; /* its records are gone: carry from then on */
-	bool doubtful; /* attempts of it may be missing, for good */
-	uint64_t accept_at; /* the offset of its newest accept */
-	uint64_t claim_at; /* the offset of its newest open claim */
-	uint64_t whole_from; /* the offset from which the log says all of it */
+	uint64_t first_record_us; /* when its first record was appended */
+	uint64_t newest_record_us; /* when its newest record was appended */
+	uint64_t
+		oldest_record_us; /* when the oldest was that it is known from */
+	uint64_t last_carried_us; /* when it was last carried from here */
+	uint64_t trimmed_us; /* its records are gone: carry from then on */
+	bool incomplete; /* attempts of it may be missing, for good */
+	uint64_t accept_offset; /* the offset of its newest accept */
+	uint64_t claim_offset; /* the offset of its newest open claim */
+	uint64_t
+		complete_from_offset; /* the offset from which the log says all of it */
 };
 
 struct rj_job_ledger {
@@ -62,9 +64,9 @@
 					 void *mem,
 					 const struct rj_record *record,
 					 uint64_t now_us);
-void rj_job_ledger_doubt(struct rj_job_ledger *ledger);
-bool rj_job_entry_matters(const struct rj_job_entry *entry);
-void rj_job_ledger_forget(struct rj_job_ledger *ledger,
+void rj_job_ledger_mark_incomplete(struct rj_job_ledger *ledger);
+bool rj_job_entry_has_state(const struct rj_job_entry *entry);
+void rj_job_ledger_remove(struct rj_job_ledger *ledger,
 			  struct rj_job_entry *entry);
 
 #endif
--- a/src/libradishjunction/include/private/jobs.h
+++ b/src/libradishjunction/include/private/jobs.h
@@ -18,7 +18,7 @@
 enum rj_job_state {
 	RJ_JOB_ACCEPTING, /* its accept record was appended, not read yet */
 	RJ_JOB_QUEUED, /* waits in the planner */
-	RJ_JOB_HOLDING, /* leases are being taken */
+	RJ_JOB_LEASING, /* leases are being taken */
 	RJ_JOB_CLAIMING, /* its claim was appended, not read yet */
 	RJ_JOB_STARTING, /* starts were sent */
 	RJ_JOB_RUNNING,
@@ -74,7 +74,7 @@
 	struct rj_attempt attempt;
 	struct rj_member *members;
 	uint32_t member_count;
-	bool bodiless; /* known from a claim only: cannot be started here */
+	bool body_missing; /* known from a claim only: cannot be started here */
 	bool planned; /* the planner counts it as waiting or running */
 	bool accepted; /* its accept record is in the log */
 	bool claimed; /* its claim is in the log, and won */
--- a/src/libradishjunction/include/private/ledger.h
+++ b/src/libradishjunction/include/private/ledger.h
@@ -7,7 +7,7 @@
  * that cannot be stopped) never exceeds the worker. Stopping all that can be
  * stopped then frees every guarantee at once.
  *
- * Life cycle: `rj_ledger_of` makes it with its worker, which owns it.
+ * Life cycle: `rj_ledger_get` makes it with its worker, which owns it.
  */
 #ifndef RADISHJUNCTION_PRIVATE_LEDGER_H
 #define RADISHJUNCTION_PRIVATE_LEDGER_H
@@ -18,10 +18,11 @@
 struct rj_reservation;
 
 /* What an account is guaranteed and uses on one worker. */
-struct rj_worker_share {
+struct rj_worker_usage {
 	struct rj_plan_account *account;
 	struct rj_resources guaranteed;
-	struct rj_resources pinned; /* by tasks that cannot be stopped */
+	struct rj_resources
+		non_preemptible; /* by tasks that cannot be stopped */
 	struct rj_resources used; /* by all of its tasks */
 	struct rj_resources evicted; /* scratch of a search for victims */
 };
@@ -32,23 +33,24 @@
 	uint32_t tasks;
 };
 
-struct rj_worker_hold {
+struct rj_worker_reservation {
 	struct rj_reservation *reservation;
-	struct rj_resources want;
+	struct rj_resources amount;
 };
 
 struct rj_ledger {
-	struct rj_worker_share *shares;
-	uint32_t share_count;
+	struct rj_worker_usage *usages;
+	uint32_t usage_count;
 	struct rj_worker_run *runs;
 	uint32_t run_count;
-	struct rj_worker_hold *holds;
-	uint32_t hold_count;
-	struct rj_resources bound; /* the sum of the rule above */
-	uint32_t staying; /* accelerators whose tasks make way for no gang */
-	uint64_t silent_until_us; /* did not give back what was reclaimed */
-	uint32_t site_index; /* scratch: place in the site searched last */
-	uint64_t site_stamp; /* scratch: which search that was */
+	struct rj_worker_reservation *reservations;
+	uint32_t reservation_count;
+	struct rj_resources committed; /* the sum of the rule above */
+	uint32_t
+		gang_blocking; /* accelerators whose tasks make way for no gang */
+	uint64_t skip_until_us; /* did not give back what was reclaimed */
+	uint32_t set_index; /* scratch: place in the site searched last */
+	uint64_t set_stamp; /* scratch: which search that was */
 };
 
 /* Capacity that is kept for a waiting job. */
@@ -56,15 +58,16 @@
 	struct rj_plan_entry *entry;
 	struct rj_plan_member *members;
 	uint32_t member_count;
-	uint64_t at_us; /* expected to be free; if firm, given up then */
-	uint64_t from_us; /* if firm, its job backs off until then; or 0 */
+	uint64_t due_us; /* expected to be free; if firm, given up then */
+	uint64_t
+		backoff_until_us; /* if firm, its job backs off until then; or 0 */
 	uint64_t refresh_us; /* when a loose one is worked out again */
 	bool firm; /* nothing else may start here */
 	enum rj_reason reason;
 };
 
-bool rj_ledger_stays(const struct rj_plan_job *job);
-struct rj_ledger *rj_ledger_of(struct rj_capacity_worker *worker);
+bool rj_ledger_blocks_gangs(const struct rj_plan_job *job);
+struct rj_ledger *rj_ledger_get(struct rj_capacity_worker *worker);
 void rj_ledger_guarantee(struct rj_capacity_worker *worker,
 			 struct rj_plan_account *account,
 			 const struct rj_resources *each, uint32_t tasks);
@@ -73,17 +76,18 @@
 		       struct rj_plan_entry *entry, uint32_t tasks);
 void rj_ledger_remove_run(struct rj_capacity_worker *worker,
 			  struct rj_plan_entry *entry, uint32_t tasks);
-void rj_ledger_hold(struct rj_capacity_worker *worker,
-		    struct rj_reservation *reservation, uint32_t tasks);
-void rj_ledger_release(struct rj_capacity_worker *worker,
-		       struct rj_reservation *reservation);
-struct rj_worker_share *rj_ledger_share(const struct rj_ledger *ledger,
+void rj_ledger_reserve(struct rj_capacity_worker *worker,
+		       struct rj_reservation *reservation, uint32_t tasks);
+void rj_ledger_unreserve(struct rj_capacity_worker *worker,
+			 struct rj_reservation *reservation);
+struct rj_worker_usage *rj_ledger_usage(const struct rj_ledger *ledger,
 					const struct rj_plan_account *account);
-struct rj_resources rj_ledger_pin_room(const struct rj_capacity_worker *worker,
-				       const struct rj_plan_account *account);
+struct rj_resources
+rj_ledger_non_preemptible_limit(const struct rj_capacity_worker *worker,
+				const struct rj_plan_account *account);
 bool rj_resources_exceed(const struct rj_resources *one,
 			 const struct rj_resources *two);
-struct rj_resources rj_resources_rest(const struct rj_resources *have,
-				      const struct rj_resources *part);
+struct rj_resources rj_resources_remaining(const struct rj_resources *have,
+					   const struct rj_resources *part);
 
 #endif
--- a/src/libradishjunction/include/private/plan_table.h
+++ b/src/libradishjunction/include/private/plan_table.h
@@ -27,8 +27,8 @@
 	uint64_t backlog; /* what it added to the backlog when it came */
 	uint64_t stamp; /* of the last search that met it */
 	bool reclaiming;
-	bool claims; /* was placed on its account's guarantee */
-	bool on_loan; /* runs where a reservation let it pass */
+	bool on_guarantee; /* was placed on its account's guarantee */
+	bool backfilled; /* runs where a reservation let it pass */
 	bool granted; /* by a guarantee, and not on its home (yet) */
 };
 
--- a/src/libradishjunction/include/private/timer.h
+++ b/src/libradishjunction/include/private/timer.h
@@ -36,7 +36,7 @@
 void rj_timer_set(struct rj_timers *timers, struct rj_timer *timer,
 		  uint64_t at_us);
 void rj_timer_clear(struct rj_timers *timers, struct rj_timer *timer);
-struct rj_timer *rj_timers_due(struct rj_timers *timers, uint64_t now_us);
+struct rj_timer *rj_timers_pop_due(struct rj_timers *timers, uint64_t now_us);
 uint64_t rj_timers_next_us(const struct rj_timers *timers);
 
 #endif
--- a/src/libradishjunction/include/private/topology.h
+++ b/src/libradishjunction/include/private/topology.h
@@ -32,14 +32,14 @@
 	struct rj_plan_account *account;
 	enum rj_priority priority;
 	struct rj_shape shape;
-	bool stoppable;
+	bool preemptible;
 	GQueue queue;
 	uint64_t blocked_version; /* of the state in which it did not fit */
-	uint64_t sorted_by; /* scratch of a pass: its key */
+	uint64_t sort_key; /* scratch of a pass: its key */
 };
 
 /* A guaranteed shape with the worker positions it was given. */
-struct rj_home {
+struct rj_guaranteed_shape {
 	struct rj_plan_account *account;
 	struct rj_shape shape;
 	uint32_t number; /* in the order of the configuration */
@@ -47,7 +47,7 @@
 };
 
 /* Workers among which a job is placed: one rack, or all. */
-struct rj_site {
+struct rj_worker_set {
 	struct rj_capacity_worker **workers;
 	uint32_t count;
 };
@@ -61,7 +61,7 @@
 	GQueue delayed; /* waiting jobs in back-off, soonest first */
 	GSequence *deadlines;
 	GPtrArray *reservations;
-	GPtrArray *homes;
+	GPtrArray *guaranteed_shapes;
 	struct rj_domain domain;
 	struct rj_config_limits limits;
 	struct rj_job_class *classes;
@@ -76,8 +76,8 @@
 	uint32_t worker_accelerators; /* of the largest worker */
 	uint32_t queued;
 	bool workers_changed; /* something of any worker */
-	bool homes_changed; /* which workers there are, or the homes */
-	GPtrArray *all; /* scratch: all workers, owned racks first */
+	bool guarantees_changed; /* which workers there are, or the homes */
+	GPtrArray *all_workers; /* scratch: all workers, owned racks first */
 	struct rj_plan_member members[RJ_GANG_MAX]; /* scratch */
 	uint32_t considered;
 	void *mem;
@@ -88,12 +88,12 @@
 					    const char *name);
 struct rj_runtime *rj_topology_runtime(struct rj_topology_state *state,
 				       const struct rj_plan_job *job);
-uint64_t rj_topology_ends_us(const struct rj_plan_entry *entry,
-			     uint32_t percent, uint64_t now_us);
-uint32_t rj_topology_size(const struct rj_plan_entry *entry);
-struct rj_site rj_topology_all(struct rj_topology_state *state);
-struct rj_site rj_topology_rack(const struct rj_topology_state *state,
-				uint32_t index);
+uint64_t rj_topology_expected_end_us(const struct rj_plan_entry *entry,
+				     uint32_t percent, uint64_t now_us);
+uint32_t rj_topology_job_size(const struct rj_plan_entry *entry);
+struct rj_worker_set rj_topology_all_workers(struct rj_topology_state *state);
+struct rj_worker_set
+rj_topology_rack_workers(const struct rj_topology_state *state, uint32_t index);
 
 void rj_topology_attach(struct rj_topology_state *state,
 			struct rj_plan_entry *entry,
@@ -101,7 +101,7 @@
 			uint64_t now_us);
 void rj_topology_detach(struct rj_topology_state *state,
 			struct rj_plan_entry *entry);
-void rj_topology_forget(struct rj_topology_state *state,
+void rj_topology_remove(struct rj_topology_state *state,
 			struct rj_plan_entry *entry);
 
 /* topology_pass.c */
@@ -109,46 +109,47 @@
 		      struct rj_decisions *decisions);
 
 /* topology_queue.c */
-uint64_t rj_topology_fair(const struct rj_topology_state *state,
-			  const struct rj_plan_account *account);
-void rj_topology_note_active(struct rj_topology_state *state,
-			     struct rj_plan_account *account);
+uint64_t rj_topology_fair_share(const struct rj_topology_state *state,
+				const struct rj_plan_account *account);
+void rj_topology_update_active(struct rj_topology_state *state,
+			       struct rj_plan_account *account);
 void rj_topology_enqueue(struct rj_topology_state *state,
 			 struct rj_plan_entry *entry, uint64_t now_us);
 void rj_topology_dequeue(struct rj_topology_state *state,
 			 struct rj_plan_entry *entry);
 void rj_topology_release_delayed(struct rj_topology_state *state,
 				 uint64_t now_us);
-struct rj_plan_bucket *rj_topology_next(struct rj_topology_state *state,
-					uint64_t now_us);
-uint64_t rj_topology_wait_us(const struct rj_topology_state *state,
-			     enum rj_priority priority);
-uint64_t rj_topology_spread_us(uint64_t wait_us, uint64_t job_id);
+struct rj_plan_bucket *rj_topology_next_bucket(struct rj_topology_state *state,
+					       uint64_t now_us);
+uint64_t rj_topology_expected_wait_us(const struct rj_topology_state *state,
+				      enum rj_priority priority);
+uint64_t rj_topology_retry_after_us(uint64_t wait_us, uint64_t job_id);
 bool rj_topology_queue_is_full(const struct rj_topology_state *state,
 			       const struct rj_plan_entry *entry);
 
 /* topology_place.c */
-struct rj_resources rj_topology_room(const struct rj_capacity_worker *worker,
-				     const struct rj_plan_entry *entry,
-				     uint64_t now_us, bool firm_only);
+struct rj_resources
+rj_topology_available(const struct rj_capacity_worker *worker,
+		      const struct rj_plan_entry *entry, uint64_t now_us,
+		      bool firm_only);
 uint32_t rj_topology_place(struct rj_topology_state *state,
 			   struct rj_plan_entry *entry, uint64_t now_us);
-bool rj_topology_passes_loosely(const struct rj_plan_entry *entry,
-				const struct rj_plan_member *members,
-				uint32_t count,
-				const struct rj_capacity *capacity);
+bool rj_topology_is_backfill(const struct rj_plan_entry *entry,
+			     const struct rj_plan_member *members,
+			     uint32_t count,
+			     const struct rj_capacity *capacity);
 
 /* topology_guarantee.c */
-void rj_topology_assign_homes(struct rj_topology_state *state,
-			      const struct rj_config *config);
-void rj_topology_apply_homes(struct rj_topology_state *state);
+void rj_topology_layout_guarantees(struct rj_topology_state *state,
+				   const struct rj_config *config);
+void rj_topology_apply_guarantees(struct rj_topology_state *state);
 uint32_t rj_topology_rack_group(const struct rj_topology_state *state,
 				uint32_t rack);
-uint32_t rj_topology_home_rack(const struct rj_topology_state *state,
-			       const char *account,
-			       const struct rj_shape *shape);
-bool rj_topology_entitled(const struct rj_topology_state *state,
-			  const struct rj_plan_entry *entry);
+uint32_t rj_topology_guarantee_rack(const struct rj_topology_state *state,
+				    const char *account,
+				    const struct rj_shape *shape);
+bool rj_topology_is_entitled(const struct rj_topology_state *state,
+			     const struct rj_plan_entry *entry);
 
 /* topology_reserve.c */
 struct rj_reservation *rj_topology_reserve(struct rj_topology_state *state,
@@ -158,21 +159,22 @@
 					   uint64_t at_us);
 void rj_topology_unreserve(struct rj_topology_state *state,
 			   struct rj_reservation *reservation);
-bool rj_topology_keeps(const struct rj_reservation *reservation,
-		       uint32_t worker);
+bool rj_reservation_includes(const struct rj_reservation *reservation,
+			     uint32_t worker);
 void rj_topology_grant(struct rj_plan_entry *entry);
 void rj_topology_revoke(struct rj_plan_entry *entry);
-void rj_topology_drop(struct rj_topology_state *state,
-		      struct rj_reservation *reservation, uint64_t now_us);
-void rj_topology_displace(struct rj_topology_state *state,
-			  const struct rj_plan_member *members, uint32_t count,
-			  uint64_t now_us);
-void rj_topology_reserve_soonest(struct rj_topology_state *state,
-				 struct rj_plan_entry *entry, uint64_t now_us);
+void rj_topology_cancel_reservation(struct rj_topology_state *state,
+				    struct rj_reservation *reservation,
+				    uint64_t now_us);
+void rj_topology_displace_reservations(struct rj_topology_state *state,
+				       const struct rj_plan_member *members,
+				       uint32_t count, uint64_t now_us);
+void rj_topology_reserve_earliest(struct rj_topology_state *state,
+				  struct rj_plan_entry *entry, uint64_t now_us);
 
 /* topology_reclaim.c */
-uint64_t rj_topology_patience_us(const struct rj_topology_state *state,
-				 const struct rj_plan_entry *entry);
+uint64_t rj_topology_preemption_delay_us(const struct rj_topology_state *state,
+					 const struct rj_plan_entry *entry);
 bool rj_topology_reclaim(struct rj_topology_state *state,
 			 struct rj_plan_entry *entry, uint64_t now_us,
 			 struct rj_decisions *decisions);
--- a/src/libradishjunction/types.c
+++ b/src/libradishjunction/types.c
@@ -73,7 +73,7 @@
 
 const char *const rj_event_kind_string[RJ_EVENT_KIND_COUNT] = {
 	[RJ_EVENT_REQUEST] = "request",
-	[RJ_EVENT_CALLER_GONE] = "caller_gone",
+	[RJ_EVENT_CALLER_DISCONNECTED] = "caller_gone",
 	[RJ_EVENT_RECORDS] = "records",
 	[RJ_EVENT_READ_FAILED] = "read_failed",
 	[RJ_EVENT_APPENDED] = "appended",
--- a/src/test_libradishjunction/naive/naive_core.c
+++ b/src/test_libradishjunction/naive/naive_core.c
@@ -422,7 +422,7 @@
 	case RJ_EVENT_REQUEST:
 		take_request(core, &event->u.request, event->now_us, actions);
 		break;
-	case RJ_EVENT_CALLER_GONE:
+	case RJ_EVENT_CALLER_DISCONNECTED:
 		for (struct job *job = core->jobs; job; job = job->next)
 			if (job->request_id == event->u.request_id)
 				job->request_id = 0;
--- a/src/test_libradishjunction/naive/planner_easy.c
+++ b/src/test_libradishjunction/naive/planner_easy.c
@@ -188,7 +188,7 @@
 			continue;
 		rj_resources_add(&kept, &state->head->each,
 				 state->kept[i].tasks);
-		rj_resources_take_or_zero(&room, &kept);
+		rj_resources_subtract_saturating(&room, &kept);
 	}
 	return room;
 }
@@ -210,8 +210,8 @@
 		for (uint32_t i = 0; i < rack->count; i++) {
 			struct rj_resources room =
 				room_of(state, rack->workers[i], in_time);
-			uint32_t tasks = rj_resources_times(&shape->each, &room,
-							    RJ_GANG_MAX);
+			uint32_t tasks = rj_resources_fit_count(
+				&shape->each, &room, RJ_GANG_MAX);
 			bool used = false;
 
 			for (uint32_t j = first; j < count; j++)
@@ -252,8 +252,8 @@
 			struct rj_resources room =
 				room_of(state, rack->workers[j], in_time);
 
-			fits += rj_resources_times(&shape->each, &room,
-						   RJ_GANG_MAX);
+			fits += rj_resources_fit_count(&shape->each, &room,
+						       RJ_GANG_MAX);
 		}
 		if (fits < shape->tasks || fits >= best_fits)
 			continue;
@@ -318,8 +318,8 @@
 		const struct rj_plan_entry *entry =
 			g_ptr_array_index(ends, out);
 
-		rj_capacity_give(&state->capacity, &entry->job.shape.each,
-				 entry->members, entry->member_count);
+		rj_capacity_release(&state->capacity, &entry->job.shape.each,
+				    entry->members, entry->member_count);
 		state->shadow_us =
 			MAX(entry->started_us + declared_us(entry), now_us);
 		count = place(state, &head->job.shape, true);
@@ -328,8 +328,8 @@
 	for (uint32_t i = 0; i < out; i++) {
 		const struct rj_plan_entry *entry = g_ptr_array_index(ends, i);
 
-		rj_capacity_take(&state->capacity, &entry->job.shape.each,
-				 entry->members, entry->member_count);
+		rj_capacity_allocate(&state->capacity, &entry->job.shape.each,
+				     entry->members, entry->member_count);
 	}
 	g_ptr_array_free(ends, TRUE);
 	if (!count)
@@ -472,7 +472,7 @@
 	.name = "easy",
 	.configure = easy_configure,
 	.worker = easy_worker,
-	.worker_gone = easy_worker_gone,
+	.worker_removed = easy_worker_gone,
 	.submit = easy_submit,
 	.ended = easy_ended,
 	.requeue = easy_requeue,
--- a/src/test_libradishjunction/support/callers_fixture.c
+++ b/src/test_libradishjunction/support/callers_fixture.c
@@ -18,7 +18,7 @@
 	struct callers_server *server = (struct callers_server *)sink;
 	const struct rj_bytes *body = &event->u.request.spec.body;
 
-	if (event->kind == RJ_EVENT_CALLER_GONE) {
+	if (event->kind == RJ_EVENT_CALLER_DISCONNECTED) {
 		server->gone_id = event->u.request_id;
 		return;
 	}
--- a/src/test_libradishjunction/support/fake_caller.c
+++ b/src/test_libradishjunction/support/fake_caller.c
@@ -49,7 +49,7 @@
 	if (caller->request_id != event->life)
 		return;
 	checker_request_gone(&world->checker, caller->request_id);
-	gone = node_event(world, RJ_EVENT_CALLER_GONE);
+	gone = node_event(world, RJ_EVENT_CALLER_DISCONNECTED);
 	gone->u.request_id = caller->request_id;
 	node_deliver_after(world, node, CALLER_DELAY_US, gone);
 	caller->request_id = 0;
--- a/src/test_libradishjunction/support/plan_stream.c
+++ b/src/test_libradishjunction/support/plan_stream.c
@@ -213,7 +213,7 @@
 	rj_name_set(job->plan.class_name, class->name);
 	job->plan.shape = class->shapes[uniform(stream) < 0.5];
 	job->plan.priority = class->priority;
-	job->plan.stoppable = class->idempotent || class->checkpoint;
+	job->plan.preemptible = class->idempotent || class->checkpoint;
 	job->plan.checkpoint = class->checkpoint;
 	job->plan.declared_us =
 		(uint64_t)((double)job->run_us *
--- a/src/test_libradishjunction/support/plan_world.c
+++ b/src/test_libradishjunction/support/plan_world.c
@@ -421,7 +421,7 @@
 	struct world_job *job = &world->jobs[index];
 
 	g_assert_cmpint(job->state, ==, WORLD_RUNNING);
-	g_assert_true(truth_of(world, index)->plan.stoppable);
+	g_assert_true(truth_of(world, index)->plan.preemptible);
 	g_assert_false(job->stopping);
 	job->stopping = true;
 	world->result->reclaims++;
--- a/src/test_libradishjunction/support/planner_fixture.c
+++ b/src/test_libradishjunction/support/planner_fixture.c
@@ -111,7 +111,7 @@
 		.class_name = "class",
 		.shape = { tasks, { 1, accelerators, 1, 1 }, tasks > 1 },
 		.priority = RJ_PRIORITY_NORMAL,
-		.stoppable = true,
+		.preemptible = true,
 		.deadline_us = RJ_NEVER_US,
 	};
 
--- a/src/test_libradishjunction/test_job_ledger.c
+++ b/src/test_libradishjunction/test_job_ledger.c
@@ -94,10 +94,11 @@
 	apply(fixture, record(RJ_RECORD_CLAIM, 50 * RJ_US_PER_S));
 	entry = apply(fixture, record(RJ_RECORD_OUTCOME, 10 * RJ_US_PER_S));
 	g_assert_cmpuint(entry->outcome, ==, RJ_ANSWER_DONE);
-	g_assert_cmpuint(entry->base_us, ==, NOW_US - 50 * RJ_US_PER_S);
+	g_assert_cmpuint(entry->oldest_record_us, ==,
+			 NOW_US - 50 * RJ_US_PER_S);
 	carried.carried = true;
 	entry = apply(fixture, carried);
-	g_assert_cmpuint(entry->base_us, ==, NOW_US - RJ_US_PER_S);
+	g_assert_cmpuint(entry->oldest_record_us, ==, NOW_US - RJ_US_PER_S);
 }
 
 /*
--- a/src/test_libradishjunction/test_paused_claim.c
+++ b/src/test_libradishjunction/test_paused_claim.c
@@ -16,7 +16,8 @@
 
 static struct rj_event *caller_gone(struct world *world, uint64_t request_id)
 {
-	struct rj_event *event = node_event(world, RJ_EVENT_CALLER_GONE);
+	struct rj_event *event =
+		node_event(world, RJ_EVENT_CALLER_DISCONNECTED);
 
 	event->u.request_id = request_id;
 	return event;
--- a/src/test_libradishjunction/test_planner_differential.c
+++ b/src/test_libradishjunction/test_planner_differential.c
@@ -136,7 +136,7 @@
 	for (uint32_t i = 0; i < decisions->count; i++)
 		if (decisions->list[i].kind == RJ_DECISION_START)
 			return ROOM_GIVEN;
-	if (!entry->job.stoppable)
+	if (!entry->job.preemptible)
 		return ROOM_PINNED;
 	g_assert_cmpuint(state->reservations->len, >, 0);
 	return ROOM_KEPT;
@@ -279,7 +279,7 @@
 		const struct stream_job *truth = &world->stream->jobs[i];
 		const struct world_job *job = &world->jobs[i];
 
-		if (truth->plan.stoppable)
+		if (truth->plan.preemptible)
 			continue;
 		for (uint32_t j = 0; j < job->member_count; j++)
 			rj_resources_add(
@@ -311,7 +311,7 @@
 
 		for (uint32_t j = 0; j < STREAM_ACCOUNTS; j++) {
 			struct rj_resources most = pinned[i][j];
-			const struct rj_worker_share *share = rj_ledger_share(
+			const struct rj_worker_usage *share = rj_ledger_usage(
 				ledger,
 				g_hash_table_lookup(
 					state->accounts,
--- a/src/test_libradishjunction/test_planner_first_fit.c
+++ b/src/test_libradishjunction/test_planner_first_fit.c
@@ -146,7 +146,7 @@
 
 	submit(f, 1, 8, 8, false, &reason);
 	g_assert_cmpuint(pass(f), ==, 1);
-	f->planner->ops->worker_gone(f->planner, 0, 1);
+	f->planner->ops->worker_removed(f->planner, 0, 1);
 	f->planner->ops->worker(f->planner, &worker, 2);
 	submit(f, 2, 1, 8, false, &reason);
 	g_assert_cmpuint(pass(f), ==, 0);
--- a/src/test_libradishjunction/test_planner_queue.c
+++ b/src/test_libradishjunction/test_planner_queue.c
@@ -15,7 +15,7 @@
 
 	gang.shape.adjacent = false;
 	for (uint32_t i = 0; i < RACK_WORKERS; i++)
-		f->planner->ops->worker_gone(f->planner, i, 0);
+		f->planner->ops->worker_removed(f->planner, i, 0);
 	planner_submit(f, gang, 0);
 	planner_submit_many(f, planner_job_of(10, 'c', 1, 8), 4);
 	planner_pass(f, 0);
@@ -35,7 +35,7 @@
 	f->accounts[0].guarantee_count = 0;
 	f->accounts[1].guarantee_count = 0;
 	planner_configure(f);
-	liar.stoppable = false;
+	liar.preemptible = false;
 	liar.declared_us = 1000;
 	for (uint32_t i = 0; i < 20; i++, liar.job_id++) {
 		planner_submit(f, liar, 0);
@@ -107,7 +107,8 @@
 	f->config.limits.fragmentation_weight = 100;
 	planner_configure_classes(f, &class, 1);
 	for (uint32_t i = 1; i < RACK_WORKERS; i++)
-		f->planner->ops->worker_gone(f->planner, RACK_WORKERS + i, 0);
+		f->planner->ops->worker_removed(f->planner, RACK_WORKERS + i,
+						0);
 	/* One fills the only worker of the other rack. */
 	render.checkpoint = true;
 	planner_submit_many(f, render, 2);
@@ -145,7 +146,8 @@
 	f->config.limits.fragmentation_weight = 100;
 	planner_configure_classes(f, &class, 1);
 	for (uint32_t i = 1; i < RACK_WORKERS; i++)
-		f->planner->ops->worker_gone(f->planner, RACK_WORKERS + i, 0);
+		f->planner->ops->worker_removed(f->planner, RACK_WORKERS + i,
+						0);
 	lesson.checkpoint = true;
 	lesson.priority = RJ_PRIORITY_URGENT;
 	planner_submit(f, lesson, 0);
--- a/src/test_libradishjunction/test_planner_topology.c
+++ b/src/test_libradishjunction/test_planner_topology.c
@@ -45,7 +45,7 @@
 {
 	struct rj_plan_job charge = planner_job_of(1, 'c', 1, 8);
 
-	charge.stoppable = false;
+	charge.preemptible = false;
 	planner_submit_many(f, charge, WORKERS);
 	planner_pass(f, 0);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_START), ==, 2);
@@ -64,7 +64,7 @@
 {
 	struct rj_plan_job charge = planner_job_of(1, 'b', 1, 8);
 
-	charge.stoppable = false;
+	charge.preemptible = false;
 	planner_submit_many(f, charge, WORKERS);
 	planner_pass(f, 0);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_START), ==, 4);
@@ -103,7 +103,7 @@
 	f->guarantees[1].shape = (struct rj_shape){ 1, { 1, 2, 1, 1 }, false };
 	f->guarantees[1].count = 2;
 	planner_configure(f);
-	f->planner->ops->worker_gone(f->planner, RACK_WORKERS, 0);
+	f->planner->ops->worker_removed(f->planner, RACK_WORKERS, 0);
 	planner_submit_many(f, planner_job_of(1, 'c', 1, 8), WORKERS - 1);
 	planner_pass(f, 0);
 	planner_submit(f, planner_job_of(20, 'b', 1, 2), S);
@@ -181,8 +181,8 @@
 	for (uint32_t i = 0; i < 2; i++)
 		victims[i] = f->decisions.list[i].job_id;
 	for (uint32_t i = 0; i < 2; i++)
-		f->planner->ops->worker_gone(f->planner, worker_of[victims[i]],
-					     S);
+		f->planner->ops->worker_removed(f->planner,
+						worker_of[victims[i]], S);
 	planner_pass(f, S);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), ==, 2);
 	planner_obey(f, 0, S);
@@ -201,7 +201,7 @@
 {
 	struct rj_plan_job charge = planner_job_of(1, 'c', 1, 8);
 
-	charge.stoppable = false;
+	charge.preemptible = false;
 	f->accounts[0].guarantee_count = 0;
 	planner_configure(f);
 	planner_submit_many(f, charge, 1);
@@ -337,7 +337,7 @@
 	for (uint64_t id = 1; id <= WORKERS; id++) {
 		struct rj_plan_job job = planner_job_of(id, 'c', 1, 8);
 
-		job.stoppable = false;
+		job.preemptible = false;
 		planner_submit(&f, job, 0);
 	}
 	f.planner->ops->pass(f.planner, 0, &f.decisions);
