--- a/src/libradishjunction/core/controllers/claims_controller.c
+++ b/src/libradishjunction/core/controllers/claims_controller.c
@@ -162,7 +162,7 @@
 	      record->kind == RJ_RECORD_ACCEPT))
 		return;
 	if (status == RJ_APPEND_LOST) {
-		rj_timer_set(&core->timers, &job->step,
+		rj_timer_set(&core->timers, &job->state_timer,
 			     core->now_us + APPEND_SETTLE_US);
 		return;
 	}
@@ -300,7 +300,7 @@
 	if (job->final.result.length <= RJ_RESULT_MAX_BYTES)
 		record.result = job->final.result;
 	rj_log_append(core, RJ_STREAM_JOBS, &record);
-	rj_timer_set(&core->timers, &job->step,
+	rj_timer_set(&core->timers, &job->state_timer,
 		     core->now_us + rj_core_jitter_us(core, OUTCOME_RETRY_US));
 }
 
@@ -309,7 +309,7 @@
 {
 	struct rj_core_state *core = job->core;
 
-	rj_timer_clear(&core->timers, &job->step);
+	rj_timer_clear(&core->timers, &job->state_timer);
 	rj_core_count(core, RJ_COUNT_CLAIMS_WON);
 	rj_core_log(core, RJ_LOG_CLAIM, RJ_REASON_NONE, job, NULL);
 	job->claimed = true;
@@ -327,7 +327,7 @@
 {
 	struct rj_core_state *core = job->core;
 
-	rj_timer_clear(&core->timers, &job->step);
+	rj_timer_clear(&core->timers, &job->state_timer);
 	rj_core_count(core, RJ_COUNT_CLAIMS_LOST);
 	rj_core_log(core, RJ_LOG_CLAIM, RJ_REASON_CLAIM_LOST, job, NULL);
 	rj_job_release_members(job);
@@ -339,7 +339,7 @@
 {
 	struct rj_core_state *core = job->core;
 
-	rj_timer_clear(&core->timers, &job->step);
+	rj_timer_clear(&core->timers, &job->state_timer);
 	job->accepted = true;
 	rj_job_tell_waiters(job, RJ_ANSWER_ACCEPTED, RJ_REASON_NONE, 0);
 	rj_timer_clear(&core->timers, &job->deadline);
--- a/src/libradishjunction/core/controllers/drain_controller.c
+++ b/src/libradishjunction/core/controllers/drain_controller.c
@@ -213,7 +213,7 @@
 {
 	if (!core->stopping)
 		return;
-	if (core->jobs.open) {
+	if (core->jobs.waiter_count) {
 		reopened(core);
 		return;
 	}
--- a/src/libradishjunction/core/controllers/jobs_controller.c
+++ b/src/libradishjunction/core/controllers/jobs_controller.c
@@ -138,7 +138,7 @@
 	job->deadline_us = RJ_NEVER_US;
 	rj_list_init(&job->waiters);
 	rj_timer_init(&job->deadline, deadline_due);
-	rj_timer_init(&job->step, step_due);
+	rj_timer_init(&job->state_timer, step_due);
 	rj_list_append(&core->jobs.list, &job->link);
 	count_open(core, job, 1);
 	g_hash_table_insert(core->jobs.by_id, &job->spec.job_id, job);
@@ -152,9 +152,9 @@
  */
 void rj_job_enter(struct rj_job *job, enum rj_job_state state)
 {
-	rj_timer_clear(&job->core->timers, &job->step);
+	rj_timer_clear(&job->core->timers, &job->state_timer);
 	job->state = state;
-	job->step_started_us = job->core->now_us;
+	job->state_entered_us = job->core->now_us;
 }
 
 /*
@@ -168,7 +168,7 @@
 	rj_job_unplan(job, false);
 	rj_job_drop_members(job);
 	rj_timer_clear(&core->timers, &job->deadline);
-	rj_timer_clear(&core->timers, &job->step);
+	rj_timer_clear(&core->timers, &job->state_timer);
 	if (job->forward_id)
 		g_hash_table_remove(core->jobs.forwards, &job->forward_id);
 	g_hash_table_remove(core->jobs.by_id, &job->spec.job_id);
@@ -198,7 +198,7 @@
 	if (request_id)
 		g_hash_table_insert(job->core->jobs.waiters,
 				    &waiter->request_id, waiter);
-	job->core->jobs.open++;
+	job->core->jobs.waiter_count++;
 }
 
 /* Take a waiter off its job. */
@@ -209,7 +209,7 @@
 	if (waiter->request_id)
 		g_hash_table_remove(core->jobs.waiters, &waiter->request_id);
 	rj_list_remove(&waiter->link);
-	core->jobs.open--;
+	core->jobs.waiter_count--;
 	talloc_free(waiter);
 }
 
@@ -294,7 +294,7 @@
 		    job->member_count ? job->members[0].worker : NULL);
 	rj_job_unplan(job, answer->kind == RJ_ANSWER_DONE);
 	rj_timer_clear(&core->timers, &job->deadline);
-	rj_timer_clear(&core->timers, &job->step);
+	rj_timer_clear(&core->timers, &job->state_timer);
 	core->jobs.plan_wanted = true;
 	rj_job_enter(job, RJ_JOB_ENDED);
 	if (rj_job_may_tell(job))
@@ -456,7 +456,7 @@
 
 static void step_due(struct rj_core_state *core, struct rj_timer *timer)
 {
-	struct rj_job *job = RJ_CONTAINER(timer, struct rj_job, step);
+	struct rj_job *job = RJ_CONTAINER(timer, struct rj_job, state_timer);
 
 	(void)core;
 	switch (job->state) {
--- a/src/libradishjunction/core/controllers/placement_controller.c
+++ b/src/libradishjunction/core/controllers/placement_controller.c
@@ -63,7 +63,7 @@
 		rj_job_not_started(job, reason, retry_after_us);
 		return;
 	}
-	rj_timer_set(&core->timers, &job->step,
+	rj_timer_set(&core->timers, &job->state_timer,
 		     core->now_us +
 			     rj_core_jitter_us(core, ACCEPTED_BACKOFF_US));
 }
@@ -107,7 +107,7 @@
 	if (!job->planned || job->failures || rj_route_prefers_peer(job)) {
 		/* Submitted anew, with the workers to avoid, or handed on. */
 		rj_job_unplan(job, false);
-		rj_timer_set(&core->timers, &job->step,
+		rj_timer_set(&core->timers, &job->state_timer,
 			     core->now_us + delay_us);
 		return;
 	}
--- a/src/libradishjunction/core/controllers/recovery_controller.c
+++ b/src/libradishjunction/core/controllers/recovery_controller.c
@@ -205,7 +205,7 @@
 
 		if (member->settled)
 			continue;
-		if (core->now_us > job->step_started_us + FENCE_LIMIT_US) {
+		if (core->now_us > job->state_entered_us + FENCE_LIMIT_US) {
 			member->settled = true;
 			member->state = RJ_TASK_NONE;
 			member->start_sent = false;
@@ -220,7 +220,7 @@
 		decide(job);
 		return;
 	}
-	rj_timer_set(&core->timers, &job->step,
+	rj_timer_set(&core->timers, &job->state_timer,
 		     core->now_us + rj_core_jitter_us(core, FENCE_BACKOFF_US));
 }
 
@@ -246,7 +246,7 @@
 	if (member->state == RJ_TASK_DONE || member->state == RJ_TASK_FAILED)
 		rj_member_keep_result(job, member, &reply->result);
 	if (!count_members(job).asked) {
-		rj_timer_clear(&job->core->timers, &job->step);
+		rj_timer_clear(&job->core->timers, &job->state_timer);
 		decide(job);
 	}
 }
--- a/src/libradishjunction/core/controllers/stop_controller.c
+++ b/src/libradishjunction/core/controllers/stop_controller.c
@@ -92,7 +92,7 @@
 		if (!member_live(member))
 			continue;
 		if (member->tries++ >= STOP_TRIES &&
-		    core->now_us > job->step_started_us +
+		    core->now_us > job->state_entered_us +
 					   rj_upstreams_lease_life_us(core)) {
 			member->state = RJ_TASK_STOPPED;
 			continue;
@@ -110,7 +110,7 @@
 		return;
 	}
 	/* A checkpoint that is not done within its limit is cut by a stop. */
-	rj_timer_set(&core->timers, &job->step,
+	rj_timer_set(&core->timers, &job->state_timer,
 		     core->now_us +
 			     (checkpoint ? limit_us : RJ_CALL_TIMEOUT_US) +
 			     STOP_BACKOFF_US);
--- a/src/libradishjunction/core/filters/chain.c
+++ b/src/libradishjunction/core/filters/chain.c
@@ -10,7 +10,7 @@
 
 const char *const rj_filter_verdict_string[RJ_FILTER_VERDICT_COUNT] = {
 	[RJ_FILTER_NEXT] = "next",
-	[RJ_FILTER_TAKEN] = "taken",
+	[RJ_FILTER_HANDLED] = "taken",
 };
 
 static const struct rj_filter *const chain[] = {
@@ -31,7 +31,7 @@
 		      struct rj_submission *submission, size_t first)
 {
 	for (size_t i = first; i < CHAIN_LENGTH; i++)
-		if (chain[i]->pass(core, submission) == RJ_FILTER_TAKEN)
+		if (chain[i]->pass(core, submission) == RJ_FILTER_HANDLED)
 			return;
 }
 
@@ -115,7 +115,7 @@
 	rj_core_log(core, RJ_LOG_REFUSE, reason, NULL, submission->peer)
 		->answer = answer.kind;
 	rj_filter_answer(core, submission, &answer);
-	return RJ_FILTER_TAKEN;
+	return RJ_FILTER_HANDLED;
 }
 
 /*
--- a/src/libradishjunction/core/filters/find.c
+++ b/src/libradishjunction/core/filters/find.c
@@ -29,7 +29,7 @@
 	if (entry->settled) {
 		rj_claims_answer(entry, &answer);
 		rj_core_answer(core, submission->request_id, &answer);
-		return RJ_FILTER_TAKEN;
+		return RJ_FILTER_HANDLED;
 	}
 	if (!entry->claimed && !entry->accepted)
 		return rj_filter_refuse(core, submission, RJ_ANSWER_UNKNOWN,
@@ -46,7 +46,7 @@
 	rj_job_wait(job, submission->request_id, NULL, 0);
 	if (submission->op == RJ_REQUEST_CANCEL)
 		rj_claims_cancel(job);
-	return RJ_FILTER_TAKEN;
+	return RJ_FILTER_HANDLED;
 }
 
 /* Answer from a job of this instance. */
@@ -56,7 +56,7 @@
 {
 	if (rj_job_may_tell(job)) {
 		rj_core_answer(core, submission->request_id, &job->final);
-		return RJ_FILTER_TAKEN;
+		return RJ_FILTER_HANDLED;
 	}
 	if (submission->op == RJ_REQUEST_LOOKUP && !submission->wait)
 		return rj_filter_refuse(
@@ -66,7 +66,7 @@
 	rj_job_wait(job, submission->request_id, NULL, 0);
 	if (submission->op == RJ_REQUEST_CANCEL)
 		rj_job_cancel(job, RJ_REASON_CANCELLED);
-	return RJ_FILTER_TAKEN;
+	return RJ_FILTER_HANDLED;
 }
 
 /* Take look-ups and cancels; a job of another account is not found. */
--- a/src/libradishjunction/core/filters/log.c
+++ b/src/libradishjunction/core/filters/log.c
@@ -83,7 +83,7 @@
 
 	if (submission->job) {
 		rj_job_give_up(submission->job, reason, retry_after_us);
-		return RJ_FILTER_TAKEN;
+		return RJ_FILTER_HANDLED;
 	}
 	if (!submission->class->idempotent)
 		return rj_filter_refuse(
@@ -114,7 +114,7 @@
 	if (!needs_log(submission) || rj_log_usable(core))
 		return RJ_FILTER_NEXT;
 	if (forwarded(core, submission))
-		return RJ_FILTER_TAKEN;
+		return RJ_FILTER_HANDLED;
 	return refuse(core, submission);
 }
 
--- a/src/libradishjunction/core/filters/place.c
+++ b/src/libradishjunction/core/filters/place.c
@@ -17,7 +17,7 @@
 		rj_job_accept(job);
 	else
 		rj_job_submit(job);
-	return RJ_FILTER_TAKEN;
+	return RJ_FILTER_HANDLED;
 }
 
 const struct rj_filter rj_filter_place = { "place", place };
--- a/src/libradishjunction/core/filters/repeat.c
+++ b/src/libradishjunction/core/filters/repeat.c
@@ -29,7 +29,7 @@
 	answer.kind = RJ_ANSWER_ACCEPTED;
 	answer.job_id = submission->spec.job_id;
 	rj_filter_answer(core, submission, &answer);
-	return RJ_FILTER_TAKEN;
+	return RJ_FILTER_HANDLED;
 }
 
 /* A job that this instance has handed on comes back to it.
@@ -70,7 +70,7 @@
 		rj_job_wait(job, submission->request_id, submission->peer,
 			    submission->forward_id);
 		rj_job_answer_waiters(job, &job->final);
-		return RJ_FILTER_TAKEN;
+		return RJ_FILTER_HANDLED;
 	}
 	if (submission->peer && job->state == RJ_JOB_FORWARDED)
 		return sent_round(core, submission);
@@ -81,7 +81,7 @@
 		return accepted_already(core, submission);
 	rj_job_wait(job, submission->request_id, submission->peer,
 		    submission->forward_id);
-	return RJ_FILTER_TAKEN;
+	return RJ_FILTER_HANDLED;
 }
 
 /* The log knows the job: answer from it, or wait for what it will say. */
@@ -103,14 +103,14 @@
 		rj_claims_answer(entry, &answer);
 		rj_job_answer_waiters(job, &answer);
 		rj_job_free(job);
-		return RJ_FILTER_TAKEN;
+		return RJ_FILTER_HANDLED;
 	}
 	rj_job_watch(job);
 	if (entry->accepted && !submission->spec.wait) {
 		rj_job_tell_waiters(job, RJ_ANSWER_ACCEPTED, RJ_REASON_NONE, 0);
 		rj_job_free(job);
 	}
-	return RJ_FILTER_TAKEN;
+	return RJ_FILTER_HANDLED;
 }
 
 /* Answer or join repeats; let first requests pass. */
@@ -123,8 +123,8 @@
 	if (job && job != submission->job)
 		return join(core, submission, job);
 	entry = rj_job_ledger_find(&core->ledger, submission->spec.job_id);
-	if (entry && known_in_log(core, submission, entry) == RJ_FILTER_TAKEN)
-		return RJ_FILTER_TAKEN;
+	if (entry && known_in_log(core, submission, entry) == RJ_FILTER_HANDLED)
+		return RJ_FILTER_HANDLED;
 	return RJ_FILTER_NEXT;
 }
 
--- a/src/libradishjunction/core/filters/route.c
+++ b/src/libradishjunction/core/filters/route.c
@@ -207,7 +207,7 @@
 	if (!peer)
 		return RJ_FILTER_NEXT;
 	if (rj_job_forward(rj_filter_ensure_job(core, submission), peer, other))
-		return RJ_FILTER_TAKEN;
+		return RJ_FILTER_HANDLED;
 	return RJ_FILTER_NEXT;
 }
 
--- a/src/libradishjunction/core/status.c
+++ b/src/libradishjunction/core/status.c
@@ -151,7 +151,7 @@
 		"largest_waiting", (int)view.largest_waiting,
 		"accelerators_stranded", (int)view.accelerators_stranded,
 		"small_wait_us", (json_int_t)view.small_wait_us,
-		"open_requests", (int)core->jobs.open, "jobs", jobs_json(core),
+		"open_requests", (int)core->jobs.waiter_count, "jobs", jobs_json(core),
 		"peers", peers_json(core), "workers", workers_json(core),
 		"guarantees", guarantees_json(core));
 }
--- a/src/libradishjunction/include/private/filters.h
+++ b/src/libradishjunction/include/private/filters.h
@@ -30,7 +30,7 @@
 
 enum rj_filter_verdict {
 	RJ_FILTER_NEXT, /* the next filter goes on */
-	RJ_FILTER_TAKEN, /* answered, or someone will answer it */
+	RJ_FILTER_HANDLED, /* answered, or someone will answer it */
 	RJ_FILTER_VERDICT_COUNT
 };
 
--- a/src/libradishjunction/include/private/jobs.h
+++ b/src/libradishjunction/include/private/jobs.h
@@ -90,7 +90,7 @@
 	uint64_t started_us;
 	uint64_t resume_us; /* progress saved by checkpoints */
 	uint64_t deadline_us;
-	uint64_t step_started_us;
+	uint64_t state_entered_us;
 	uint32_t failed_on[RJ_PLAN_AVOID_MAX]; /* workers on which it failed */
 	uint32_t failures;
 	uint32_t hops;
@@ -99,7 +99,7 @@
 	uint64_t forward_id;
 	struct rj_list waiters;
 	struct rj_timer deadline;
-	struct rj_timer step; /* the retry or limit of the present state */
+	struct rj_timer state_timer; /* the retry or limit of the present state */
 };
 
 struct rj_call {
@@ -120,7 +120,7 @@
 	GHashTable *waiters; /* &waiter->request_id -> waiter */
 	GHashTable *forwards; /* &job->forward_id -> job */
 	uint32_t count;
-	uint32_t open; /* waiters */
+	uint32_t waiter_count;
 	GHashTable *open_by_name[2]; /* jobs by account, by class */
 	struct rj_timer plan; /* when the planner wants its next pass */
 	struct rj_timer tick; /* settles what dead instances left */
