--- a/src/libradishjunction/core/capacity.c
+++ b/src/libradishjunction/core/capacity.c
@@ -66,7 +66,7 @@
  * even if the job was stopped for a guarantee. It shows as a shape that is
  * reclaimed again and again.
  */
-static void refresh(struct rj_capacity_worker *worker)
+static void update_free(struct rj_capacity_worker *worker)
 {
 	memset(&worker->free, 0, sizeof(worker->free));
 	if (!worker->plan.usable || worker->removed)
@@ -114,8 +114,8 @@
 /*
  * The rack with this number, made if it is not known yet.
  */
-static struct rj_capacity_rack *rack_of(struct rj_capacity *capacity,
-					uint32_t number)
+static struct rj_capacity_rack *rack_get(struct rj_capacity *capacity,
+					 uint32_t number)
 {
 	uint32_t index = rack_index(capacity, number);
 	struct rj_capacity_rack *rack;
@@ -166,8 +166,8 @@
  * Whether `one` stands before `two` in their rack: by name, which is the same
  * at every instance, and by id among workers without one.
  */
-static bool stands_before(const struct rj_capacity_worker *one,
-			  const struct rj_capacity_worker *two)
+static bool precedes(const struct rj_capacity_worker *one,
+		     const struct rj_capacity_worker *two)
 {
 	int order = strcmp(one->plan.name, two->plan.name);
 
@@ -182,7 +182,7 @@
  * one places beside it sits on it as the other sees it. It shows as a shape
  * that waits for the end of work that cannot be stopped.
  */
-static void rank_by_name(const struct rj_capacity_rack *rack)
+static void assign_positions(const struct rj_capacity_rack *rack)
 {
 	for (uint32_t i = 0; i < rack->count; i++)
 		rack->workers[i]->position = i;
@@ -194,7 +194,7 @@
 static void rack_insert(struct rj_capacity *capacity,
 			struct rj_capacity_worker *worker)
 {
-	struct rj_capacity_rack *rack = rack_of(capacity, worker->plan.rack);
+	struct rj_capacity_rack *rack = rack_get(capacity, worker->plan.rack);
 	uint32_t at = rack->count;
 
 	worker->position = free_position(rack);
@@ -202,14 +202,14 @@
 		talloc_realloc(rack, rack->workers, struct rj_capacity_worker *,
 			       rack->count + 1);
 	assert(rack->workers);
-	while (at && stands_before(worker, rack->workers[at - 1])) {
+	while (at && precedes(worker, rack->workers[at - 1])) {
 		rack->workers[at] = rack->workers[at - 1];
 		at--;
 	}
 	rack->workers[at] = worker;
 	rack->count++;
 	if (worker->plan.name[0])
-		rank_by_name(rack);
+		assign_positions(rack);
 }
 
 /*
@@ -260,15 +260,15 @@
 		capacity->worker_count++;
 	}
 	worker->removed = false;
-	refresh(worker);
+	update_free(worker);
 	return worker;
 }
 
 /*
  * Forget `worker`.
  */
-static void drop(struct rj_capacity *capacity,
-		 struct rj_capacity_worker *worker)
+static void free_worker(struct rj_capacity *capacity,
+			struct rj_capacity_worker *worker)
 {
 	rack_remove(capacity, worker);
 	g_hash_table_remove(capacity->by_id, GUINT_TO_POINTER(worker->plan.id));
@@ -286,17 +286,17 @@
 	if (!worker)
 		return;
 	worker->removed = true;
-	refresh(worker);
+	update_free(worker);
 	if (!worker->tasks)
-		drop(capacity, worker);
+		free_worker(capacity, worker);
 }
 
 /*
  * Stand in for a worker that is not known yet: an adopted job may be found
  * before its worker is described, and its capacity must be taken then.
  */
-static struct rj_capacity_worker *stand_in(struct rj_capacity *capacity,
-					   uint32_t id)
+static struct rj_capacity_worker *add_placeholder(struct rj_capacity *capacity,
+						  uint32_t id)
 {
 	struct rj_plan_worker plan = { .id = id, .rack = UINT32_MAX };
 	struct rj_capacity_worker *worker = rj_capacity_set(capacity, &plan);
@@ -317,10 +317,10 @@
 			rj_capacity_find(capacity, members[i].worker);
 
 		if (!worker)
-			worker = stand_in(capacity, members[i].worker);
+			worker = add_placeholder(capacity, members[i].worker);
 		rj_resources_add(&worker->allocated, each, members[i].tasks);
 		worker->tasks += members[i].tasks;
-		refresh(worker);
+		update_free(worker);
 	}
 }
 
@@ -338,9 +338,9 @@
 		assert(worker && worker->tasks >= members[i].tasks);
 		rj_resources_take(&worker->allocated, each, members[i].tasks);
 		worker->tasks -= members[i].tasks;
-		refresh(worker);
+		update_free(worker);
 		if (worker->removed && !worker->tasks)
-			drop(capacity, worker);
+			free_worker(capacity, worker);
 	}
 }
 
@@ -357,9 +357,9 @@
  * How many times `each` fits into `have`, counted up to `most`.
  */
 uint32_t rj_resources_fit_count(const struct rj_resources *each,
-				const struct rj_resources *have, uint32_t most)
+				const struct rj_resources *have, uint32_t limit)
 {
-	uint32_t times = most;
+	uint32_t times = limit;
 
 	/* Divisions are dear, and most searches end here. */
 	if (!rj_resources_fit(each, have))
@@ -385,7 +385,7 @@
 			   const struct rj_shape *shape)
 {
 	uint64_t all = 0;
-	uint64_t most = 0;
+	uint64_t limit = 0;
 
 	for (uint32_t i = 0; i < capacity->rack_count; i++) {
 		const struct rj_capacity_rack *rack = capacity->racks[i];
@@ -396,17 +396,17 @@
 				&shape->each, &rack->workers[j]->plan.capacity,
 				shape->tasks);
 		all += here;
-		most = MAX(most, here);
+		limit = MAX(limit, here);
 	}
 	if (domain && domain->racks) {
 		uint64_t here = rj_resources_fit_count(
 			&shape->each, &domain->worker, shape->tasks);
 
 		here *= domain->workers_per_rack;
-		most = MAX(most, here);
+		limit = MAX(limit, here);
 		all = MAX(all, here * domain->racks);
 	}
-	return (shape->adjacent ? most : all) >= shape->tasks;
+	return (shape->adjacent ? limit : all) >= shape->tasks;
 }
 
 /*
--- a/src/libradishjunction/core/core.c
+++ b/src/libradishjunction/core/core.c
@@ -6,7 +6,7 @@
 
 /* Timers wake an instance every second; one that heard nothing for so long
  * was paused, and its peers may have taken it for dead. */
-#define SLEPT_US (2 * RJ_US_PER_S)
+#define PAUSE_MIN_US (2 * RJ_US_PER_S)
 
 /*
  * The number that the next call, append or forward is known by; never 0.
@@ -269,7 +269,7 @@
 	bool first = !state->actions && !state->now_us;
 
 	state->actions = actions;
-	if (!first && event->now_us > state->now_us + SLEPT_US)
+	if (!first && event->now_us > state->now_us + PAUSE_MIN_US)
 		state->paused_before_us = event->now_us;
 	if (event->now_us > state->now_us || first)
 		state->now_us = event->now_us ? event->now_us : 1;
--- a/src/libradishjunction/core/filters/chain.c
+++ b/src/libradishjunction/core/filters/chain.c
@@ -27,8 +27,8 @@
 #define CHAIN_LENGTH (sizeof(chain) / sizeof(chain[0]))
 
 /* Pass a submission on from filter `first`. */
-static void pass_from(struct rj_core_state *core,
-		      struct rj_submission *submission, size_t first)
+static void run_from(struct rj_core_state *core,
+		     struct rj_submission *submission, size_t first)
 {
 	for (size_t i = first; i < CHAIN_LENGTH; i++)
 		if (chain[i]->pass(core, submission) == RJ_FILTER_HANDLED)
@@ -36,7 +36,7 @@
 }
 
 /* The place of a filter in the chain. */
-static size_t place_of(const struct rj_filter *filter)
+static size_t index_of(const struct rj_filter *filter)
 {
 	size_t i = 0;
 
@@ -157,7 +157,7 @@
 	submission.spec = request->spec;
 	if (request->op != RJ_REQUEST_SUBMIT)
 		submission.spec.job_id = request->job_id;
-	pass_from(core, &submission, 0);
+	run_from(core, &submission, 0);
 }
 
 /*
@@ -178,7 +178,7 @@
 	if (core->config)
 		submission.account =
 			rj_config_account(core->config, forward->spec.account);
-	pass_from(core, &submission, place_of(&rj_filter_validate));
+	run_from(core, &submission, index_of(&rj_filter_validate));
 }
 
 /*
@@ -210,5 +210,5 @@
 		submission.class =
 			rj_config_class(core->config, job->spec.class_name);
 	}
-	pass_from(core, &submission, place_of(&rj_filter_repeat));
+	run_from(core, &submission, index_of(&rj_filter_repeat));
 }
--- a/src/libradishjunction/core/filters/find.c
+++ b/src/libradishjunction/core/filters/find.c
@@ -19,9 +19,9 @@
 }
 
 /* Answer from what the log says of the job. */
-static enum rj_filter_verdict found_in_log(struct rj_core_state *core,
-					   struct rj_submission *submission,
-					   const struct rj_job_entry *entry)
+static enum rj_filter_verdict answer_from_log(struct rj_core_state *core,
+					      struct rj_submission *submission,
+					      const struct rj_job_entry *entry)
 {
 	struct rj_answer answer;
 	struct rj_job *job;
@@ -50,9 +50,9 @@
 }
 
 /* Answer from a job of this instance. */
-static enum rj_filter_verdict found_here(struct rj_core_state *core,
-					 struct rj_submission *submission,
-					 struct rj_job *job)
+static enum rj_filter_verdict answer_from_job(struct rj_core_state *core,
+					      struct rj_submission *submission,
+					      struct rj_job *job)
 {
 	if (rj_job_may_tell(job)) {
 		rj_core_answer(core, submission->request_id, &job->final);
@@ -81,11 +81,11 @@
 		return RJ_FILTER_NEXT;
 	job = rj_jobs_find(core, job_id);
 	if (job && !strcmp(job->spec.account, submission->account->name))
-		return found_here(core, submission, job);
+		return answer_from_job(core, submission, job);
 	entry = rj_job_ledger_find(&core->ledger, job_id);
 	if (entry && !job &&
 	    !strcmp(entry->spec.account, submission->account->name))
-		return found_in_log(core, submission, entry);
+		return answer_from_log(core, submission, entry);
 	if (!rj_log_usable(core))
 		return rj_filter_refuse(
 			core, submission, RJ_ANSWER_UNKNOWN,
--- a/src/libradishjunction/core/filters/log.c
+++ b/src/libradishjunction/core/filters/log.c
@@ -50,8 +50,8 @@
 }
 
 /* Hand the submission to a peer that has the log; false if none takes it. */
-static bool forwarded(struct rj_core_state *core,
-		      struct rj_submission *submission)
+static bool forward_to_peer(struct rj_core_state *core,
+			    struct rj_submission *submission)
 {
 	const struct rj_member_view *peer =
 		peer_with_log(core, submission, false);
@@ -108,14 +108,14 @@
  * claim or accept them. The peer's claim and the log's order decide as for
  * any other request.
  */
-static enum rj_filter_verdict log_at_hand(struct rj_core_state *core,
+static enum rj_filter_verdict require_log(struct rj_core_state *core,
 					  struct rj_submission *submission)
 {
 	if (!needs_log(submission) || rj_log_usable(core))
 		return RJ_FILTER_NEXT;
-	if (forwarded(core, submission))
+	if (forward_to_peer(core, submission))
 		return RJ_FILTER_HANDLED;
 	return refuse(core, submission);
 }
 
-const struct rj_filter rj_filter_log = { "log", log_at_hand };
+const struct rj_filter rj_filter_log = { "log", require_log };
--- a/src/libradishjunction/core/filters/repeat.c
+++ b/src/libradishjunction/core/filters/repeat.c
@@ -20,8 +20,8 @@
 /* A repeat that does not wait: the job is accepted. Others may wait for its
  * end, so only this caller is answered. */
 static enum rj_filter_verdict
-accepted_already(struct rj_core_state *core,
-		 const struct rj_submission *submission)
+answer_accepted(struct rj_core_state *core,
+		const struct rj_submission *submission)
 {
 	struct rj_answer answer;
 
@@ -37,8 +37,9 @@
  * Guards against instances whose views of the racks' owners differ: each
  * would wait for the next, and the caller for ever. Nothing was started here;
  * the sender serves the job itself. */
-static enum rj_filter_verdict sent_round(struct rj_core_state *core,
-					 struct rj_submission *submission)
+static enum rj_filter_verdict
+refuse_forward_loop(struct rj_core_state *core,
+		    struct rj_submission *submission)
 {
 	return rj_filter_refuse(core, submission, RJ_ANSWER_UNKNOWN,
 				RJ_REASON_IN_PROGRESS, 0, NULL);
@@ -47,8 +48,8 @@
 /* A repeat that waits, of a job that was forwarded to be accepted: the peer's
  * answer will not be the job's end. By then this caller can look it up. */
 static enum rj_filter_verdict
-acceptance_under_way(struct rj_core_state *core,
-		     const struct rj_submission *submission)
+refuse_pending_acceptance(struct rj_core_state *core,
+			  const struct rj_submission *submission)
 {
 	return rj_filter_refuse(core, submission, RJ_ANSWER_UNKNOWN,
 				RJ_REASON_IN_PROGRESS, RJ_US_PER_S, NULL);
@@ -73,12 +74,12 @@
 		return RJ_FILTER_HANDLED;
 	}
 	if (submission->peer && job->state == RJ_JOB_FORWARDED)
-		return sent_round(core, submission);
+		return refuse_forward_loop(core, submission);
 	if (job->state == RJ_JOB_FORWARDED && !job->spec.wait &&
 	    submission->spec.wait)
-		return acceptance_under_way(core, submission);
+		return refuse_pending_acceptance(core, submission);
 	if (job->accepted && !submission->spec.wait)
-		return accepted_already(core, submission);
+		return answer_accepted(core, submission);
 	rj_job_wait(job, submission->request_id, submission->peer,
 		    submission->forward_id);
 	return RJ_FILTER_HANDLED;
--- a/src/libradishjunction/core/filters/route.c
+++ b/src/libradishjunction/core/filters/route.c
@@ -55,8 +55,8 @@
 /* The peer with the shortest queue of those that own a rack with room now;
  * `*here` is set when an own rack has room. */
 static const struct rj_member_view *
-owner_with_room(struct rj_core_state *core, const struct rj_shape *shape,
-		bool *here)
+owner_with_free_capacity(struct rj_core_state *core,
+			 const struct rj_shape *shape, bool *here)
 {
 	const struct rj_member_view *best = NULL;
 	struct rj_list *at;
@@ -119,7 +119,7 @@
 	const char *owner;
 	bool here;
 
-	best = owner_with_room(core, &submission->spec.shape, &here);
+	best = owner_with_free_capacity(core, &submission->spec.shape, &here);
 	if (here)
 		return NULL;
 	if (best && !is_sender(submission, best->name))
--- a/src/libradishjunction/core/job_ledger.c
+++ b/src/libradishjunction/core/job_ledger.c
@@ -194,7 +194,7 @@
  * cancelled) or is carried forward past the trimming of its claim.
  */
 static void apply_outcome(struct rj_job_entry *entry,
-			  const struct rj_record *record, bool fresh)
+			  const struct rj_record *record, bool is_new)
 {
 	bool same = same_attempt(&entry->attempt, &record->attempt);
 
@@ -203,7 +203,7 @@
 	if (entry->claimed && !same)
 		return;
 	if (!entry->claimed && !entry->settled && !entry->accepted &&
-	    !(fresh && record->carried))
+	    !(is_new && record->carried))
 		return;
 	entry->claimed = false;
 	entry->settled = true;
@@ -227,8 +227,8 @@
  * new one and run the job twice. Until whoever knows carries the outcome, the
  * answer is `unknown`.
  */
-static void note_orphan(struct rj_job_entry *entry,
-			const struct rj_record *record)
+static void record_orphan_outcome(struct rj_job_entry *entry,
+				  const struct rj_record *record)
 {
 	entry->settled = true;
 	entry->attempt = record->attempt;
@@ -242,8 +242,8 @@
  * newest accept and its newest open claim on it says all that matters, and
  * from a carried outcome on by itself.
  */
-static void note_offsets(struct rj_job_entry *entry,
-			 const struct rj_record *record)
+static void update_offsets(struct rj_job_entry *entry,
+			   const struct rj_record *record)
 {
 	if (record->kind == RJ_RECORD_ACCEPT)
 		entry->accept_offset = record->offset;
@@ -277,15 +277,15 @@
 {
 	struct rj_job_entry *entry;
 	uint64_t appended_us;
-	bool fresh;
+	bool is_new;
 
 	if (record->kind == RJ_RECORD_MALFORMED ||
 	    record->kind == RJ_RECORD_CONFIG)
 		return NULL;
 	appended_us = now_us > record->age_us ? now_us - record->age_us : 0;
 	entry = rj_job_ledger_find(ledger, record->attempt.job_id);
-	fresh = !entry;
-	if (fresh) {
+	is_new = !entry;
+	if (is_new) {
 		if (record->kind == RJ_RECORD_VOID)
 			return NULL;
 		entry = entry_new(ledger, mem, record, appended_us);
@@ -304,10 +304,10 @@
 		apply_void(entry, record);
 		break;
 	case RJ_RECORD_OUTCOME:
-		if (fresh && !record->carried)
-			note_orphan(entry, record);
+		if (is_new && !record->carried)
+			record_orphan_outcome(entry, record);
 		else
-			apply_outcome(entry, record, fresh);
+			apply_outcome(entry, record, is_new);
 		break;
 	case RJ_RECORD_CANCEL:
 		entry->cancelled = true;
@@ -317,6 +317,6 @@
 	case RJ_RECORD_KIND_COUNT:
 		break;
 	}
-	note_offsets(entry, record);
+	update_offsets(entry, record);
 	return entry;
 }
--- a/src/libradishjunction/core/ledger.c
+++ b/src/libradishjunction/core/ledger.c
@@ -7,8 +7,8 @@
 /*
  * The larger of each dimension.
  */
-static struct rj_resources larger(const struct rj_resources *one,
-				  const struct rj_resources *two)
+static struct rj_resources resources_max(const struct rj_resources *one,
+					 const struct rj_resources *two)
 {
 	return (struct rj_resources){
 		MAX(one->slots, two->slots),
@@ -66,44 +66,44 @@
 /*
  * The share of `account`, made if it has none here yet.
  */
-static struct rj_worker_usage *share_add(struct rj_ledger *ledger,
+static struct rj_worker_usage *usage_add(struct rj_ledger *ledger,
 					 struct rj_plan_account *account)
 {
-	struct rj_worker_usage *share = rj_ledger_usage(ledger, account);
+	struct rj_worker_usage *usage = rj_ledger_usage(ledger, account);
 
-	if (share)
-		return share;
+	if (usage)
+		return usage;
 	ledger->usages =
 		talloc_realloc(ledger, ledger->usages, struct rj_worker_usage,
 			       ledger->usage_count + 1);
 	assert(ledger->usages);
-	share = &ledger->usages[ledger->usage_count++];
-	memset(share, 0, sizeof(*share));
-	share->account = account;
-	return share;
+	usage = &ledger->usages[ledger->usage_count++];
+	memset(usage, 0, sizeof(*usage));
+	usage->account = account;
+	return usage;
 }
 
 /*
  * Work out the bound again, and drop shares that say nothing.
  */
-static void settle(struct rj_ledger *ledger)
+static void update_committed(struct rj_ledger *ledger)
 {
 	static const struct rj_resources none;
-	uint32_t kept = 0;
+	uint32_t remaining = 0;
 
 	memset(&ledger->committed, 0, sizeof(ledger->committed));
 	for (uint32_t i = 0; i < ledger->usage_count; i++) {
-		const struct rj_worker_usage *share = &ledger->usages[i];
-		struct rj_resources most =
-			larger(&share->guaranteed, &share->non_preemptible);
+		const struct rj_worker_usage *usage = &ledger->usages[i];
+		struct rj_resources most = resources_max(
+			&usage->guaranteed, &usage->non_preemptible);
 
 		if (!rj_resources_exceed(&most, &none) &&
-		    !rj_resources_exceed(&share->used, &none))
+		    !rj_resources_exceed(&usage->used, &none))
 			continue;
 		rj_resources_add(&ledger->committed, &most, 1);
-		ledger->usages[kept++] = *share;
+		ledger->usages[remaining++] = *usage;
 	}
-	ledger->usage_count = kept;
+	ledger->usage_count = remaining;
 }
 
 /*
@@ -115,8 +115,8 @@
 {
 	struct rj_ledger *ledger = rj_ledger_get(worker);
 
-	rj_resources_add(&share_add(ledger, account)->guaranteed, each, tasks);
-	settle(ledger);
+	rj_resources_add(&usage_add(ledger, account)->guaranteed, each, tasks);
+	update_committed(ledger);
 }
 
 /*
@@ -129,7 +129,7 @@
 	for (uint32_t i = 0; i < ledger->usage_count; i++)
 		memset(&ledger->usages[i].guaranteed, 0,
 		       sizeof(struct rj_resources));
-	settle(ledger);
+	update_committed(ledger);
 }
 
 /*
@@ -147,12 +147,12 @@
 		       struct rj_plan_entry *entry, uint32_t tasks)
 {
 	struct rj_ledger *ledger = rj_ledger_get(worker);
-	struct rj_worker_usage *share = share_add(ledger, entry->account);
+	struct rj_worker_usage *usage = usage_add(ledger, entry->account);
 	const struct rj_resources *each = &entry->job.shape.each;
 
-	rj_resources_add(&share->used, each, tasks);
+	rj_resources_add(&usage->used, each, tasks);
 	if (!entry->job.preemptible)
-		rj_resources_add(&share->non_preemptible, each, tasks);
+		rj_resources_add(&usage->non_preemptible, each, tasks);
 	ledger->runs =
 		talloc_realloc(ledger, ledger->runs, struct rj_worker_run,
 			       ledger->run_count + 1);
@@ -160,7 +160,7 @@
 	ledger->runs[ledger->run_count].entry = entry;
 	ledger->runs[ledger->run_count].tasks = tasks;
 	ledger->run_count++;
-	settle(ledger);
+	update_committed(ledger);
 }
 
 /*
@@ -170,14 +170,14 @@
 			  struct rj_plan_entry *entry, uint32_t tasks)
 {
 	struct rj_ledger *ledger = rj_ledger_get(worker);
-	struct rj_worker_usage *share = rj_ledger_usage(ledger, entry->account);
+	struct rj_worker_usage *usage = rj_ledger_usage(ledger, entry->account);
 	const struct rj_resources *each = &entry->job.shape.each;
 	uint32_t at = 0;
 
-	assert(share);
-	rj_resources_take(&share->used, each, tasks);
+	assert(usage);
+	rj_resources_take(&usage->used, each, tasks);
 	if (!entry->job.preemptible)
-		rj_resources_take(&share->non_preemptible, each, tasks);
+		rj_resources_take(&usage->non_preemptible, each, tasks);
 	if (rj_ledger_blocks_gangs(&entry->job))
 		ledger->gang_blocking -= each->accelerators * tasks;
 	while (ledger->runs[at].entry != entry)
@@ -185,7 +185,7 @@
 	ledger->run_count--;
 	memmove(&ledger->runs[at], &ledger->runs[at + 1],
 		(ledger->run_count - at) * sizeof(*ledger->runs));
-	settle(ledger);
+	update_committed(ledger);
 }
 
 /*
@@ -195,16 +195,16 @@
 		       struct rj_reservation *reservation, uint32_t tasks)
 {
 	struct rj_ledger *ledger = rj_ledger_get(worker);
-	struct rj_worker_reservation *hold;
+	struct rj_worker_reservation *reserved;
 
 	ledger->reservations = talloc_realloc(ledger, ledger->reservations,
 					      struct rj_worker_reservation,
 					      ledger->reservation_count + 1);
 	assert(ledger->reservations);
-	hold = &ledger->reservations[ledger->reservation_count++];
-	memset(hold, 0, sizeof(*hold));
-	hold->reservation = reservation;
-	rj_resources_add(&hold->amount, &reservation->entry->job.shape.each,
+	reserved = &ledger->reservations[ledger->reservation_count++];
+	memset(reserved, 0, sizeof(*reserved));
+	reserved->reservation = reservation;
+	rj_resources_add(&reserved->amount, &reservation->entry->job.shape.each,
 			 tasks);
 }
 
@@ -215,12 +215,13 @@
 			 struct rj_reservation *reservation)
 {
 	struct rj_ledger *ledger = rj_ledger_get(worker);
-	uint32_t kept = 0;
+	uint32_t remaining = 0;
 
 	for (uint32_t i = 0; i < ledger->reservation_count; i++)
 		if (ledger->reservations[i].reservation != reservation)
-			ledger->reservations[kept++] = ledger->reservations[i];
-	ledger->reservation_count = kept;
+			ledger->reservations[remaining++] =
+				ledger->reservations[i];
+	ledger->reservation_count = remaining;
 }
 
 /*
@@ -232,22 +233,23 @@
 				const struct rj_plan_account *account)
 {
 	const struct rj_ledger *ledger = worker->ledger;
-	const struct rj_worker_usage *share;
+	const struct rj_worker_usage *usage;
 	struct rj_resources others;
 	struct rj_resources own;
-	struct rj_resources room = rj_resources_remaining(
+	struct rj_resources limit = rj_resources_remaining(
 		&worker->plan.capacity, &worker->plan.foreign);
 
 	if (!ledger)
-		return room;
-	share = rj_ledger_usage(ledger, account);
+		return limit;
+	usage = rj_ledger_usage(ledger, account);
 	others = ledger->committed;
-	if (share) {
-		own = larger(&share->guaranteed, &share->non_preemptible);
+	if (usage) {
+		own = resources_max(&usage->guaranteed,
+				    &usage->non_preemptible);
 		rj_resources_take(&others, &own, 1);
-		rj_resources_subtract_saturating(&room,
-						 &share->non_preemptible);
+		rj_resources_subtract_saturating(&limit,
+						 &usage->non_preemptible);
 	}
-	rj_resources_subtract_saturating(&room, &others);
-	return room;
+	rj_resources_subtract_saturating(&limit, &others);
+	return limit;
 }
--- a/src/libradishjunction/core/ownership.c
+++ b/src/libradishjunction/core/ownership.c
@@ -9,9 +9,9 @@
 
 /* An instance that alone has lost the log for so long gives its racks away.
  * An outage, which strikes all, moves none. */
-#define CUT_OFF_US (10 * RJ_US_PER_S)
+#define LOG_LOST_MIN_US (10 * RJ_US_PER_S)
 /* Above every weight of an instance that is cut off. */
-#define LOG_WEIGHT (1ULL << 63)
+#define WEIGHT_LOG_AVAILABLE (1ULL << 63)
 
 /*
  * The weight of an instance for a key: the highest one owns it. One that is
@@ -24,7 +24,7 @@
 {
 	uint64_t base = rj_hash64_string(name, key) >> 1;
 
-	return cut_off ? base : base | LOG_WEIGHT;
+	return cut_off ? base : base | WEIGHT_LOG_AVAILABLE;
 }
 
 /* The weight of a peer. */
@@ -39,7 +39,7 @@
 bool rj_ownership_cut_off(const struct rj_core_state *core)
 {
 	return core->membership.alone_us &&
-	       core->now_us > core->membership.alone_us + CUT_OFF_US;
+	       core->now_us > core->membership.alone_us + LOG_LOST_MIN_US;
 }
 
 /* The weight of this instance; one that stops owns what nobody else could. */
@@ -62,7 +62,7 @@
 		       uint64_t key)
 {
 	uint64_t own = own_weight(core, key);
-	bool home = !strcmp(domain, core->domain);
+	bool own_domain = !strcmp(domain, core->domain);
 	bool owns = true;
 	struct rj_list *at;
 	struct rj_list *next;
@@ -70,13 +70,13 @@
 	RJ_FOR_EACH (at, next, &core->membership.members) {
 		const struct rj_member_view *member =
 			RJ_CONTAINER(at, struct rj_member_view, link);
-		bool there = !strcmp(member->domain, domain);
+		bool same_domain = !strcmp(member->domain, domain);
 
 		if (!rj_membership_takes_work(core, member))
 			continue;
-		if (there && !home)
+		if (same_domain && !own_domain)
 			return false;
-		if (there == home && peer_weight(member, key) > own)
+		if (same_domain == own_domain && peer_weight(member, key) > own)
 			owns = false;
 	}
 	return owns;
--- a/src/libradishjunction/core/planner_first_fit.c
+++ b/src/libradishjunction/core/planner_first_fit.c
@@ -105,8 +105,8 @@
 /*
  * Forget a job, whether it waits or runs.
  */
-static void forget(struct rj_first_fit_state *state,
-		   struct rj_plan_entry *entry)
+static void remove_job(struct rj_first_fit_state *state,
+		       struct rj_plan_entry *entry)
 {
 	if (entry->members)
 		rj_plan_entry_unplace(entry, &state->capacity);
@@ -126,7 +126,7 @@
 	struct rj_plan_entry *entry = rj_plan_table_find(&state->table, job_id);
 
 	if (entry)
-		forget(state, entry);
+		remove_job(state, entry);
 }
 
 /*
@@ -221,16 +221,16 @@
  * Give up a waiting job whose deadline has passed, so that its caller is told
  * at once.
  */
-static void refuse_late(struct rj_first_fit_state *state,
-			struct rj_plan_entry *entry,
-			struct rj_decisions *decisions)
+static void refuse_expired(struct rj_first_fit_state *state,
+			   struct rj_plan_entry *entry,
+			   struct rj_decisions *decisions)
 {
 	struct rj_decision *decision =
 		rj_decisions_add(decisions, RJ_DECISION_REFUSE);
 
 	decision->job_id = entry->job.job_id;
 	decision->reason = RJ_REASON_DEADLINE_PASSED;
-	forget(state, entry);
+	remove_job(state, entry);
 }
 
 /*
@@ -270,7 +270,7 @@
 
 		next = at->next;
 		if (entry->job.deadline_us <= now_us) {
-			refuse_late(state, entry, decisions);
+			refuse_expired(state, entry, decisions);
 			continue;
 		}
 		if (entry->not_before_us > now_us)
--- a/src/libradishjunction/core/planner_topology.c
+++ b/src/libradishjunction/core/planner_topology.c
@@ -12,7 +12,7 @@
 #define CHECKPOINT_LIMIT_MS_DEFAULT 5000
 
 /* How long the room of a claim is kept after its back-off. */
-#define CLAIM_KEPT_US (300 * RJ_US_PER_MS)
+#define GUARANTEE_RETRY_HOLD_US (300 * RJ_US_PER_MS)
 
 /*
  * The state behind the vtable.
@@ -68,8 +68,8 @@
 /*
  * Whether a report says nothing new of a worker.
  */
-static bool is_same_worker(const struct rj_plan_worker *one,
-			   const struct rj_plan_worker *two)
+static bool is_worker_unchanged(const struct rj_plan_worker *one,
+				const struct rj_plan_worker *two)
 {
 	return one->rack == two->rack && one->usable == two->usable &&
 	       one->owned == two->owned && one->limited == two->limited &&
@@ -91,7 +91,8 @@
 		rj_capacity_find(&state->capacity, worker->id);
 
 	/* Most reports repeat what is known. */
-	if (known && !known->removed && is_same_worker(&known->plan, worker))
+	if (known && !known->removed &&
+	    is_worker_unchanged(&known->plan, worker))
 		return;
 	if (!known || known->removed || known->plan.rack != worker->rack)
 		state->guarantees_changed = true;
@@ -208,10 +209,10 @@
  * its way: other jobs would fill the whole shape during the back-off, and it
  * would be reclaimed anew. It shows as a shape that comes a reclaim later.
  */
-static void keep_claim(struct rj_topology_state *state,
-		       struct rj_plan_entry *entry,
-		       const struct rj_plan_member *members, uint32_t count,
-		       uint64_t from_us)
+static void reserve_for_retry(struct rj_topology_state *state,
+			      struct rj_plan_entry *entry,
+			      const struct rj_plan_member *members,
+			      uint32_t count, uint64_t from_us)
 {
 	struct rj_reservation *reservation;
 
@@ -219,7 +220,7 @@
 		if (!rj_capacity_find(&state->capacity, members[i].worker))
 			return;
 	reservation = rj_topology_reserve(state, entry, members, count, true,
-					  from_us + CLAIM_KEPT_US);
+					  from_us + GUARANTEE_RETRY_HOLD_US);
 	reservation->backoff_until_us = from_us;
 	reservation->reason = RJ_REASON_GUARANTEE;
 	rj_topology_grant(entry);
@@ -239,7 +240,7 @@
 	if (!entry)
 		return;
 	if (entry->members && entry->on_guarantee &&
-	    not_before_us < now_us + CLAIM_KEPT_US) {
+	    not_before_us < now_us + GUARANTEE_RETRY_HOLD_US) {
 		count = entry->member_count;
 		memcpy(state->members, entry->members,
 		       sizeof(*entry->members) * count);
@@ -248,7 +249,8 @@
 	entry->on_guarantee = false;
 	entry->not_before_us = not_before_us;
 	if (count)
-		keep_claim(state, entry, state->members, count, not_before_us);
+		reserve_for_retry(state, entry, state->members, count,
+				  not_before_us);
 	entry->waiting_since_us = now_us;
 	rj_topology_enqueue(state, entry, now_us);
 }
@@ -404,11 +406,11 @@
 	if (!known || !known->ledger)
 		return;
 	for (uint32_t i = 0; i < known->ledger->reservation_count; i++) {
-		const struct rj_worker_reservation *hold =
+		const struct rj_worker_reservation *reservation =
 			&known->ledger->reservations[i];
 
-		if (hold->reservation->firm)
-			rj_resources_add(reserved, &hold->amount, 1);
+		if (reservation->reservation->firm)
+			rj_resources_add(reserved, &reservation->amount, 1);
 	}
 }
 
--- a/src/libradishjunction/core/runtime.c
+++ b/src/libradishjunction/core/runtime.c
@@ -6,30 +6,31 @@
 
 #include "radishjunction/types.h"
 
-#define STEPS_PER_OCTAVE 4
+#define BUCKETS_PER_OCTAVE 4
 
 /*
  * The step that `time_us` falls into; the first and the last take all that
  * lies beyond them.
  */
-static uint32_t step_of(uint64_t time_us)
+static uint32_t bucket_of(uint64_t time_us)
 {
-	double step;
+	double bucket;
 
 	if (time_us <= RJ_US_PER_MS)
 		return 0;
-	step = log2((double)time_us / RJ_US_PER_MS) * STEPS_PER_OCTAVE;
-	if (step >= RJ_RUNTIME_BUCKETS - 1)
+	bucket = log2((double)time_us / RJ_US_PER_MS) * BUCKETS_PER_OCTAVE;
+	if (bucket >= RJ_RUNTIME_BUCKETS - 1)
 		return RJ_RUNTIME_BUCKETS - 1;
-	return (uint32_t)step;
+	return (uint32_t)bucket;
 }
 
 /*
  * The upper end of a step in microseconds.
  */
-static uint64_t step_end_us(uint32_t step)
+static uint64_t bucket_end_us(uint32_t bucket)
 {
-	return (uint64_t)(RJ_US_PER_MS * exp2((step + 1.0) / STEPS_PER_OCTAVE));
+	return (uint64_t)(RJ_US_PER_MS *
+			  exp2((bucket + 1.0) / BUCKETS_PER_OCTAVE));
 }
 
 /*
@@ -41,7 +42,7 @@
 
 	if (runtime->fallback)
 		rj_runtime_record(runtime->fallback, ran_us);
-	runtime->counts[step_of(ran_us)]++;
+	runtime->counts[bucket_of(ran_us)]++;
 	if (++runtime->total < RJ_RUNTIME_SAMPLES_MAX)
 		return;
 	for (uint32_t i = 0; i < RJ_RUNTIME_BUCKETS; i++) {
@@ -59,7 +60,7 @@
 uint64_t rj_runtime_quantile_us(const struct rj_runtime *runtime,
 				uint32_t percent, uint64_t elapsed_us)
 {
-	uint32_t first = step_of(elapsed_us);
+	uint32_t first = bucket_of(elapsed_us);
 	uint64_t remaining = 0;
 	uint64_t seen = 0;
 
@@ -79,7 +80,7 @@
 	for (uint32_t i = first; i < RJ_RUNTIME_BUCKETS; i++) {
 		seen += runtime->counts[i];
 		if (seen * 100 >= remaining * percent && seen)
-			return step_end_us(i);
+			return bucket_end_us(i);
 	}
 	return 2 * elapsed_us;
 }
--- a/src/libradishjunction/core/status.c
+++ b/src/libradishjunction/core/status.c
@@ -151,9 +151,9 @@
 		"largest_waiting", (int)view.largest_waiting,
 		"accelerators_stranded", (int)view.accelerators_stranded,
 		"small_wait_us", (json_int_t)view.small_wait_us,
-		"open_requests", (int)core->jobs.waiter_count, "jobs", jobs_json(core),
-		"peers", peers_json(core), "workers", workers_json(core),
-		"guarantees", guarantees_json(core));
+		"open_requests", (int)core->jobs.waiter_count, "jobs",
+		jobs_json(core), "peers", peers_json(core), "workers",
+		workers_json(core), "guarantees", guarantees_json(core));
 }
 
 /*
@@ -161,8 +161,8 @@
  * for room has no decision that says so. In the form of a decision, so that
  * older versions of the command print it, too.
  */
-static json_t *now_json(const struct rj_core_state *core,
-			const struct rj_job *job)
+static json_t *current_state_json(const struct rj_core_state *core,
+				  const struct rj_job *job)
 {
 	const struct rj_shape *shape = &job->spec.shape;
 	struct rj_plan_view view;
@@ -213,7 +213,7 @@
 				  "considered", (int)entry->log.considered));
 	}
 	if (job && job->state != RJ_JOB_ENDED)
-		json_array_append_new(list, now_json(core, job));
+		json_array_append_new(list, current_state_json(core, job));
 	return list;
 }
 
--- a/src/libradishjunction/core/timer.c
+++ b/src/libradishjunction/core/timer.c
@@ -27,7 +27,7 @@
 }
 
 /* Whether `a` fires before `b`. */
-static bool earlier(const struct rj_timer *a, const struct rj_timer *b)
+static bool fires_before(const struct rj_timer *a, const struct rj_timer *b)
 {
 	if (a->at_us != b->at_us)
 		return a->at_us < b->at_us;
@@ -47,7 +47,7 @@
 {
 	uint32_t index = timer->index;
 
-	while (index > 1 && earlier(timer, timers->heap[index / 2])) {
+	while (index > 1 && fires_before(timer, timers->heap[index / 2])) {
 		place(timers, timers->heap[index / 2], index);
 		index /= 2;
 	}
@@ -65,9 +65,9 @@
 		if (child > timers->count)
 			break;
 		if (child < timers->count &&
-		    earlier(timers->heap[child + 1], timers->heap[child]))
+		    fires_before(timers->heap[child + 1], timers->heap[child]))
 			child++;
-		if (!earlier(timers->heap[child], timer))
+		if (!fires_before(timers->heap[child], timer))
 			break;
 		place(timers, timers->heap[child], index);
 		index = child;
--- a/src/libradishjunction/core/topology_guarantee.c
+++ b/src/libradishjunction/core/topology_guarantee.c
@@ -15,7 +15,7 @@
 /*
  * In the order of the layout; equal ones stay in that of the configuration.
  */
-static gint compare_homes(gconstpointer a, gconstpointer b)
+static gint compare_guaranteed_shapes(gconstpointer a, gconstpointer b)
 {
 	const struct rj_guaranteed_shape *one =
 		*(const struct rj_guaranteed_shape *const *)a;
@@ -31,8 +31,8 @@
 /*
  * List the shapes that a configured account is guaranteed in this domain.
  */
-static void add_homes(struct rj_topology_state *state,
-		      const struct rj_account *configured)
+static void add_guaranteed_shapes(struct rj_topology_state *state,
+				  const struct rj_account *configured)
 {
 	struct rj_plan_account *account =
 		rj_topology_account(state, configured->name);
@@ -44,16 +44,17 @@
 		if (strcmp(guarantee->domain, state->domain.name) != 0)
 			continue;
 		for (uint32_t j = 0; j < guarantee->count; j++) {
-			struct rj_guaranteed_shape *home = talloc_zero(
+			struct rj_guaranteed_shape *guaranteed = talloc_zero(
 				state->mem, struct rj_guaranteed_shape);
 
-			assert(home);
-			home->account = account;
-			home->shape = guarantee->shape;
-			home->number = state->guaranteed_shapes->len;
-			account->guaranteed += (uint64_t)home->shape.tasks *
-					       home->shape.each.accelerators;
-			g_ptr_array_add(state->guaranteed_shapes, home);
+			assert(guaranteed);
+			guaranteed->account = account;
+			guaranteed->shape = guarantee->shape;
+			guaranteed->number = state->guaranteed_shapes->len;
+			account->guaranteed +=
+				(uint64_t)guaranteed->shape.tasks *
+				guaranteed->shape.each.accelerators;
+			g_ptr_array_add(state->guaranteed_shapes, guaranteed);
 		}
 	}
 }
@@ -72,15 +73,16 @@
 		talloc_free(g_ptr_array_index(state->guaranteed_shapes, i));
 	g_ptr_array_set_size(state->guaranteed_shapes, 0);
 	for (uint32_t i = 0; i < config->account_count; i++)
-		add_homes(state, &config->accounts[i]);
-	g_ptr_array_sort(state->guaranteed_shapes, compare_homes);
+		add_guaranteed_shapes(state, &config->accounts[i]);
+	g_ptr_array_sort(state->guaranteed_shapes, compare_guaranteed_shapes);
 	rj_layout_init(&layout, state->mem, &state->domain);
 	for (uint32_t i = 0; i < state->guaranteed_shapes->len; i++) {
-		struct rj_guaranteed_shape *home =
+		struct rj_guaranteed_shape *guaranteed =
 			g_ptr_array_index(state->guaranteed_shapes, i);
 
-		home->parts.mem = home;
-		rj_layout_place(&layout, &home->shape, &home->parts);
+		guaranteed->parts.mem = guaranteed;
+		rj_layout_place(&layout, &guaranteed->shape,
+				&guaranteed->parts);
 	}
 	rj_layout_finish(&layout);
 }
@@ -98,14 +100,15 @@
 	while (again) {
 		again = false;
 		for (uint32_t i = 0; i < state->guaranteed_shapes->len; i++) {
-			const struct rj_guaranteed_shape *home =
+			const struct rj_guaranteed_shape *guaranteed =
 				g_ptr_array_index(state->guaranteed_shapes, i);
 			uint32_t lowest = rack;
 			bool here = false;
 
-			for (uint32_t j = 0; j < home->parts.count; j++) {
-				lowest = MIN(lowest, home->parts.list[j].rack);
-				here |= home->parts.list[j].rack == rack;
+			for (uint32_t j = 0; j < guaranteed->parts.count; j++) {
+				lowest = MIN(lowest,
+					     guaranteed->parts.list[j].rack);
+				here |= guaranteed->parts.list[j].rack == rack;
 			}
 			if (here && lowest < rack) {
 				rack = lowest;
@@ -124,17 +127,17 @@
 				    const char *account,
 				    const struct rj_shape *shape)
 {
-	uint64_t want = (uint64_t)shape->tasks * shape->each.accelerators;
+	uint64_t needed = (uint64_t)shape->tasks * shape->each.accelerators;
 
 	for (uint32_t i = 0; i < state->guaranteed_shapes->len; i++) {
-		const struct rj_guaranteed_shape *home =
+		const struct rj_guaranteed_shape *guaranteed =
 			g_ptr_array_index(state->guaranteed_shapes, i);
-		uint64_t has = (uint64_t)home->shape.tasks *
-			       home->shape.each.accelerators;
+		uint64_t size = (uint64_t)guaranteed->shape.tasks *
+				guaranteed->shape.each.accelerators;
 
-		if (home->parts.count && has >= want &&
-		    !strcmp(home->account->name, account))
-			return home->parts.list[0].rack;
+		if (guaranteed->parts.count && size >= needed &&
+		    !strcmp(guaranteed->account->name, account))
+			return guaranteed->parts.list[0].rack;
 	}
 	return UINT32_MAX;
 }
@@ -167,17 +170,18 @@
 			rj_ledger_clear_guarantees(rack.workers[j]);
 	}
 	for (uint32_t i = 0; i < state->guaranteed_shapes->len; i++) {
-		const struct rj_guaranteed_shape *home =
+		const struct rj_guaranteed_shape *guaranteed =
 			g_ptr_array_index(state->guaranteed_shapes, i);
 
-		for (uint32_t j = 0; j < home->parts.count; j++) {
+		for (uint32_t j = 0; j < guaranteed->parts.count; j++) {
 			struct rj_capacity_worker *worker =
-				worker_at(state, &home->parts.list[j]);
+				worker_at(state, &guaranteed->parts.list[j]);
 
 			if (worker)
-				rj_ledger_guarantee(worker, home->account,
-						    &home->shape.each,
-						    home->parts.list[j].tasks);
+				rj_ledger_guarantee(
+					worker, guaranteed->account,
+					&guaranteed->shape.each,
+					guaranteed->parts.list[j].tasks);
 		}
 	}
 }
@@ -188,42 +192,43 @@
  * account gets its shape elsewhere. Returns for how many tasks of `entry`
  * that would do, and adds it to `claim` if for any.
  */
-static uint32_t home_rest(const struct rj_topology_state *state,
-			  const struct rj_guaranteed_shape *home,
-			  const struct rj_plan_entry *entry,
-			  struct rj_resources *claim)
+static uint32_t unused_guarantee(const struct rj_topology_state *state,
+				 const struct rj_guaranteed_shape *guaranteed,
+				 const struct rj_plan_entry *entry,
+				 struct rj_resources *unused)
 {
 	const struct rj_shape *shape = &entry->job.shape;
 	struct rj_resources sum = { 0 };
-	uint32_t rest = 0;
+	uint32_t fitting_tasks = 0;
 	bool known = false;
 
-	for (uint32_t i = 0; i < home->parts.count; i++) {
-		const struct rj_layout_part *part = &home->parts.list[i];
+	for (uint32_t i = 0; i < guaranteed->parts.count; i++) {
+		const struct rj_layout_part *part = &guaranteed->parts.list[i];
 		const struct rj_capacity_worker *worker =
 			worker_at(state, part);
 		struct rj_resources amount = { 0 };
-		const struct rj_worker_usage *share;
+		const struct rj_worker_usage *usage;
 
 		known |= !!rj_capacity_rack_find(&state->capacity, part->rack);
-		rj_resources_add(&amount, &home->shape.each, part->tasks);
-		share = worker ?
-				rj_ledger_usage(worker->ledger, home->account) :
-				NULL;
-		if (share) {
+		rj_resources_add(&amount, &guaranteed->shape.each, part->tasks);
+		usage = worker ? rj_ledger_usage(worker->ledger,
+						 guaranteed->account) :
+				 NULL;
+		if (usage) {
 			struct rj_resources left = rj_resources_remaining(
-				&share->guaranteed, &share->used);
+				&usage->guaranteed, &usage->used);
 
 			rj_resources_clamp(&amount, &left);
 		}
-		rest += rj_resources_fit_count(&shape->each, &amount,
-					       RJ_GANG_MAX);
+		fitting_tasks += rj_resources_fit_count(&shape->each, &amount,
+							RJ_GANG_MAX);
 		rj_resources_add(&sum, &amount, 1);
 	}
-	if (!known || !rest || (shape->adjacent && rest < shape->tasks))
+	if (!known || !fitting_tasks ||
+	    (shape->adjacent && fitting_tasks < shape->tasks))
 		return 0;
-	rj_resources_add(claim, &sum, 1);
-	return rest;
+	rj_resources_add(unused, &sum, 1);
+	return fitting_tasks;
 }
 
 /*
@@ -235,18 +240,20 @@
 			     const struct rj_plan_entry *entry)
 {
 	const struct rj_shape *shape = &entry->job.shape;
-	struct rj_resources claim = { 0 };
-	struct rj_resources want = { 0 };
-	uint32_t rest = 0;
+	struct rj_resources unused = { 0 };
+	struct rj_resources needed = { 0 };
+	uint32_t fitting_tasks = 0;
 
 	for (uint32_t i = 0; i < state->guaranteed_shapes->len; i++) {
-		const struct rj_guaranteed_shape *home =
+		const struct rj_guaranteed_shape *guaranteed =
 			g_ptr_array_index(state->guaranteed_shapes, i);
 
-		if (home->account == entry->account)
-			rest += home_rest(state, home, entry, &claim);
+		if (guaranteed->account == entry->account)
+			fitting_tasks += unused_guarantee(state, guaranteed,
+							  entry, &unused);
 	}
-	rj_resources_subtract_saturating(&claim, &entry->account->granted);
-	rj_resources_add(&want, &shape->each, shape->tasks);
-	return rest >= shape->tasks && rj_resources_fit(&want, &claim);
+	rj_resources_subtract_saturating(&unused, &entry->account->granted);
+	rj_resources_add(&needed, &shape->each, shape->tasks);
+	return fitting_tasks >= shape->tasks &&
+	       rj_resources_fit(&needed, &unused);
 }
--- a/src/libradishjunction/core/topology_pass.c
+++ b/src/libradishjunction/core/topology_pass.c
@@ -5,24 +5,24 @@
 #include <talloc.h>
 
 /* So many blocked gangs have room kept for them at once. */
-#define LOOSE_MAX 2
+#define SOFT_RESERVATIONS_MAX 2
 
 /* A worker that kept what was reclaimed is not asked again for this long. */
-#define SILENT_US (30 * RJ_US_PER_S)
+#define SKIP_WORKER_US (30 * RJ_US_PER_S)
 
 /*
  * Whether all members lie on what the account is guaranteed there.
  */
-static bool is_at_home(const struct rj_topology_state *state,
-		       const struct rj_plan_entry *entry)
+static bool is_within_guarantee(const struct rj_topology_state *state,
+				const struct rj_plan_entry *entry)
 {
 	for (uint32_t i = 0; i < entry->member_count; i++) {
 		const struct rj_capacity_worker *worker = rj_capacity_find(
 			&state->capacity, entry->members[i].worker);
-		const struct rj_worker_usage *share =
+		const struct rj_worker_usage *usage =
 			rj_ledger_usage(worker->ledger, entry->account);
 
-		if (rj_resources_exceed(&share->used, &share->guaranteed))
+		if (rj_resources_exceed(&usage->used, &usage->guaranteed))
 			return false;
 	}
 	return true;
@@ -45,7 +45,7 @@
 	entry->on_guarantee = reason == RJ_REASON_GUARANTEE;
 	rj_topology_dequeue(state, entry);
 	rj_topology_attach(state, entry, decision->members, count, now_us);
-	if (is_at_home(state, entry))
+	if (is_within_guarantee(state, entry))
 		rj_topology_revoke(entry);
 }
 
@@ -69,8 +69,8 @@
 /*
  * Give up every job whose deadline has passed, so that none waits in vain.
  */
-static void refuse_late(struct rj_topology_state *state, uint64_t now_us,
-			struct rj_decisions *decisions)
+static void refuse_expired(struct rj_topology_state *state, uint64_t now_us,
+			   struct rj_decisions *decisions)
 {
 	for (;;) {
 		GSequenceIter *first =
@@ -100,7 +100,7 @@
 		const struct rj_plan_member *member = &reservation->members[i];
 		const struct rj_capacity_worker *worker =
 			rj_capacity_find(&state->capacity, member->worker);
-		struct rj_resources room = worker->free;
+		struct rj_resources available = worker->free;
 		struct rj_resources limit =
 			rj_ledger_non_preemptible_limit(worker, entry->account);
 
@@ -109,11 +109,12 @@
 		     j++)
 			if (worker->ledger->reservations[j].reservation->firm)
 				rj_resources_subtract_saturating(
-					&room, &worker->ledger->reservations[j]
-							.amount);
+					&available,
+					&worker->ledger->reservations[j]
+						 .amount);
 		if (!entry->job.preemptible)
-			rj_resources_clamp(&room, &limit);
-		if (rj_resources_fit_count(&entry->job.shape.each, &room,
+			rj_resources_clamp(&available, &limit);
+		if (rj_resources_fit_count(&entry->job.shape.each, &available,
 					   member->tasks) < member->tasks)
 			return false;
 	}
@@ -124,9 +125,9 @@
  * Note the workers that did not give back what was reclaimed in time, so
  * that the next search chooses another shape.
  */
-static void note_silent(struct rj_topology_state *state,
-			const struct rj_reservation *reservation,
-			uint64_t now_us)
+static void skip_unresponsive_workers(struct rj_topology_state *state,
+				      const struct rj_reservation *reservation,
+				      uint64_t now_us)
 {
 	for (uint32_t i = 0; i < reservation->member_count; i++) {
 		struct rj_ledger *ledger =
@@ -136,15 +137,16 @@
 
 		for (uint32_t j = 0; j < ledger->run_count; j++)
 			if (ledger->runs[j].entry->reclaiming)
-				ledger->skip_until_us = now_us + SILENT_US;
+				ledger->skip_until_us = now_us + SKIP_WORKER_US;
 	}
 }
 
 /*
  * Start what is ready, and give up what is overdue.
  */
-static void serve_reservations(struct rj_topology_state *state, uint64_t now_us,
-			       struct rj_decisions *decisions)
+static void process_reservations(struct rj_topology_state *state,
+				 uint64_t now_us,
+				 struct rj_decisions *decisions)
 {
 	for (uint32_t i = 0; i < state->reservations->len;) {
 		struct rj_reservation *reservation =
@@ -161,7 +163,7 @@
 			start(state, entry, reservation->member_count,
 			      reservation->reason, now_us, decisions);
 		} else if (reservation->firm && reservation->due_us <= now_us) {
-			note_silent(state, reservation, now_us);
+			skip_unresponsive_workers(state, reservation, now_us);
 			rj_topology_cancel_reservation(state, reservation,
 						       now_us);
 		} else if (!reservation->firm &&
@@ -198,7 +200,7 @@
 /*
  * For how many jobs room is loosely kept.
  */
-static uint32_t loose_count(const struct rj_topology_state *state)
+static uint32_t soft_reservation_count(const struct rj_topology_state *state)
 {
 	uint32_t count = 0;
 
@@ -219,7 +221,7 @@
 			   struct rj_plan_entry *entry, uint64_t now_us,
 			   struct rj_decisions *decisions)
 {
-	uint64_t patience_us = rj_topology_preemption_delay_us(state, entry);
+	uint64_t delay_us = rj_topology_preemption_delay_us(state, entry);
 
 	entry->bucket->blocked_version = state->version;
 	if (rj_topology_reclaim(state, entry, now_us, decisions)) {
@@ -228,11 +230,12 @@
 		rj_topology_enqueue(state, entry, now_us);
 		return;
 	}
-	if (patience_us != RJ_NEVER_US &&
-	    entry->waiting_since_us + patience_us > now_us)
+	if (delay_us != RJ_NEVER_US &&
+	    entry->waiting_since_us + delay_us > now_us)
 		state->retry_us = MIN(state->retry_us,
-				      entry->waiting_since_us + patience_us);
-	if (!entry->reservation && loose_count(state) < LOOSE_MAX &&
+				      entry->waiting_since_us + delay_us);
+	if (!entry->reservation &&
+	    soft_reservation_count(state) < SOFT_RESERVATIONS_MAX &&
 	    rj_topology_job_size(entry) > state->worker_accelerators)
 		rj_topology_reserve_earliest(state, entry, now_us);
 }
@@ -240,7 +243,7 @@
 /*
  * Take over what has changed of the workers as a whole.
  */
-static void survey(struct rj_topology_state *state)
+static void refresh_workers(struct rj_topology_state *state)
 {
 	state->accelerators = 0;
 	state->worker_accelerators = 1;
@@ -248,14 +251,14 @@
 		struct rj_worker_set rack = rj_topology_rack_workers(state, i);
 
 		for (uint32_t j = 0; j < rack.count; j++) {
-			uint32_t has =
+			uint32_t accelerators =
 				rack.workers[j]->plan.capacity.accelerators;
 
 			rj_ledger_get(rack.workers[j]);
 			if (rack.workers[j]->plan.usable)
-				state->accelerators += has;
+				state->accelerators += accelerators;
 			state->worker_accelerators =
-				MAX(state->worker_accelerators, has);
+				MAX(state->worker_accelerators, accelerators);
 		}
 	}
 	if (state->guarantees_changed)
@@ -275,13 +278,13 @@
 	struct rj_plan_bucket *bucket;
 
 	if (state->workers_changed)
-		survey(state);
+		refresh_workers(state);
 	if (state->retry_us <= now_us)
 		state->version++;
 	if (state->retry_us <= now_us)
 		state->retry_us = RJ_NEVER_US;
-	refuse_late(state, now_us, decisions);
-	serve_reservations(state, now_us, decisions);
+	refuse_expired(state, now_us, decisions);
+	process_reservations(state, now_us, decisions);
 	rj_topology_release_delayed(state, now_us);
 	while ((bucket = rj_topology_next_bucket(state, now_us))) {
 		struct rj_plan_entry *entry = bucket->queue.head->data;
@@ -289,5 +292,5 @@
 		if (!try_start(state, entry, now_us, decisions))
 			handle_blocked(state, entry, now_us, decisions);
 	}
-	serve_reservations(state, now_us, decisions);
+	process_reservations(state, now_us, decisions);
 }
--- a/src/libradishjunction/core/topology_place.c
+++ b/src/libradishjunction/core/topology_place.c
@@ -6,41 +6,41 @@
 /*
  * A job may pass a reservation if nine in ten of its kind end in time.
  */
-#define PASS_PERCENT 90
+#define BACKFILL_PERCENTILE 90
 
 /*
  * What a job may lose, in accelerator time, and still pass a reservation. It
  * is what a gang of a worker and a half loses by its checkpoint, and lets
  * pass a preview of ten seconds.
  */
-#define PASS_LOST_US (12 * RJ_US_PER_S)
+#define BACKFILL_LOSS_MAX_US (12 * RJ_US_PER_S)
 
 /* The parts of a score, from the weightiest down; a lower score is better. */
 #define SCORE_NOT_OWNED (1ULL << 50)
-#define SCORE_OTHERS_HOME (1ULL << 49)
+#define SCORE_OTHERS_GUARANTEE (1ULL << 49)
 #define SCORE_RESERVED (1ULL << 48)
-#define SCORE_WHOLE_RACK (1ULL << 47)
-#define SCORE_WHOLE_WORKER (1ULL << 46)
-#define SCORE_STAYING_UNIT (1ULL << 33)
-#define SCORE_WORKER_UNIT (1ULL << 24)
+#define SCORE_EMPTY_RACK (1ULL << 47)
+#define SCORE_EMPTY_WORKER (1ULL << 46)
+#define SCORE_GANG_BLOCKING_UNIT (1ULL << 33)
+#define SCORE_LEFTOVER_UNIT (1ULL << 24)
 #define SCORE_WORST UINT64_MAX
 
 /* More accelerators than this in a rack are counted as this many. */
-#define STAYING_MOST 4095
+#define GANG_BLOCKING_MAX 4095
 
 /*
  * Whether so little of the job is lost when it is stopped that it may start
  * where that is to be expected: it has checkpoints, or is small and short by
  * the run times learnt. Urgent work is not started to be stopped.
  */
-static bool loses_little(const struct rj_plan_entry *entry, uint64_t run_us)
+static bool is_cheap_to_stop(const struct rj_plan_entry *entry, uint64_t run_us)
 {
 	if (!entry->job.preemptible)
 		return false;
 	if (entry->job.checkpoint)
 		return true;
 	return entry->job.priority != RJ_PRIORITY_URGENT &&
-	       run_us * rj_topology_job_size(entry) <= PASS_LOST_US;
+	       run_us * rj_topology_job_size(entry) <= BACKFILL_LOSS_MAX_US;
 }
 
 /*
@@ -48,15 +48,16 @@
  * time by the run times learnt, or it can be stopped at little loss when
  * the reservation's job starts.
  */
-static bool may_pass(const struct rj_plan_entry *entry,
-		     const struct rj_reservation *reservation, uint64_t now_us)
+static bool may_backfill(const struct rj_plan_entry *entry,
+			 const struct rj_reservation *reservation,
+			 uint64_t now_us)
 {
 	uint64_t run_us;
 
 	if (reservation->firm)
 		return false;
-	run_us = rj_runtime_quantile_us(entry->runtime, PASS_PERCENT, 0);
-	return loses_little(entry, run_us) ||
+	run_us = rj_runtime_quantile_us(entry->runtime, BACKFILL_PERCENTILE, 0);
+	return is_cheap_to_stop(entry, run_us) ||
 	       now_us + run_us <= reservation->due_us;
 }
 
@@ -76,42 +77,44 @@
 		      bool firm_only)
 {
 	const struct rj_ledger *ledger = worker->ledger;
-	struct rj_resources room = worker->free;
+	struct rj_resources available = worker->free;
 	struct rj_resources limit;
 
 	for (uint32_t i = 0; ledger && i < ledger->reservation_count; i++) {
-		const struct rj_reservation *holder =
+		const struct rj_reservation *reservation =
 			ledger->reservations[i].reservation;
 
-		if (holder->entry == entry || (firm_only && !holder->firm) ||
-		    may_pass(entry, holder, now_us))
+		if (reservation->entry == entry ||
+		    (firm_only && !reservation->firm) ||
+		    may_backfill(entry, reservation, now_us))
 			continue;
 		rj_resources_subtract_saturating(
-			&room, &ledger->reservations[i].amount);
+			&available, &ledger->reservations[i].amount);
 	}
 	if (entry->job.preemptible && worker->plan.owned)
-		return room;
+		return available;
 	limit = rj_ledger_non_preemptible_limit(worker, entry->account);
-	rj_resources_clamp(&room, &limit);
-	return room;
+	rj_resources_clamp(&available, &limit);
+	return available;
 }
 
 /*
  * Accelerators here that are guaranteed to others and lie idle.
  */
-static uint32_t idle_of_others(const struct rj_capacity_worker *worker,
-			       const struct rj_plan_entry *entry)
+static uint32_t
+idle_guaranteed_to_others(const struct rj_capacity_worker *worker,
+			  const struct rj_plan_entry *entry)
 {
 	const struct rj_ledger *ledger = worker->ledger;
 	uint32_t idle = 0;
 
 	for (uint32_t i = 0; ledger && i < ledger->usage_count; i++) {
-		const struct rj_worker_usage *share = &ledger->usages[i];
-		uint32_t guaranteed = share->guaranteed.accelerators;
+		const struct rj_worker_usage *usage = &ledger->usages[i];
+		uint32_t guaranteed = usage->guaranteed.accelerators;
 
-		if (share->account != entry->account)
+		if (usage->account != entry->account)
 			idle += guaranteed -
-				MIN(guaranteed, share->used.accelerators);
+				MIN(guaranteed, usage->used.accelerators);
 	}
 	return idle;
 }
@@ -119,7 +122,7 @@
 /*
  * Whether nothing of ours runs in the rack.
  */
-static bool rack_is_whole(struct rj_worker_set rack)
+static bool rack_is_empty(struct rj_worker_set rack)
 {
 	for (uint32_t i = 0; i < rack.count; i++)
 		if (rack.workers[i]->tasks)
@@ -134,21 +137,21 @@
  */
 static uint64_t score_worker(const struct rj_capacity_worker *worker,
 			     const struct rj_plan_entry *entry,
-			     const struct rj_resources *room)
+			     const struct rj_resources *available)
 {
-	uint32_t want = entry->job.shape.each.accelerators;
-	uint32_t left = worker->free.accelerators - want;
-	uint64_t score = left * SCORE_WORKER_UNIT;
+	uint32_t needed = entry->job.shape.each.accelerators;
+	uint32_t left = worker->free.accelerators - needed;
+	uint64_t score = left * SCORE_LEFTOVER_UNIT;
 
-	(void)room;
+	(void)available;
 	if (!worker->plan.owned)
 		score += SCORE_NOT_OWNED;
-	if (idle_of_others(worker, entry) > left)
-		score += SCORE_OTHERS_HOME;
+	if (idle_guaranteed_to_others(worker, entry) > left)
+		score += SCORE_OTHERS_GUARANTEE;
 	if (worker->ledger && worker->ledger->reservation_count)
 		score += SCORE_RESERVED;
 	if (!worker->tasks)
-		score += SCORE_WHOLE_WORKER;
+		score += SCORE_EMPTY_WORKER;
 	return score;
 }
 
@@ -168,23 +171,24 @@
  * Work that makes way for no gang is kept together, so that it breaks few
  * racks: the rack with most of it is best.
  */
-static uint64_t score_staying(struct rj_worker_set rack,
-			      const struct rj_plan_entry *entry)
+static uint64_t score_gang_blocking(struct rj_worker_set rack,
+				    const struct rj_plan_entry *entry)
 {
-	uint64_t staying = 0;
+	uint64_t blocking = 0;
 
 	if (!rj_ledger_blocks_gangs(&entry->job))
 		return 0;
 	for (uint32_t i = 0; i < rack.count; i++)
-		staying += rack.workers[i]->ledger->gang_blocking;
-	return (STAYING_MOST - MIN(staying, STAYING_MOST)) * SCORE_STAYING_UNIT;
+		blocking += rack.workers[i]->ledger->gang_blocking;
+	return (GANG_BLOCKING_MAX - MIN(blocking, GANG_BLOCKING_MAX)) *
+	       SCORE_GANG_BLOCKING_UNIT;
 }
 
 /*
  * Place a single task on the best worker. Returns 1, or 0 if none has room.
  */
-static uint32_t place_one(struct rj_topology_state *state,
-			  struct rj_plan_entry *entry, uint64_t now_us)
+static uint32_t place_task(struct rj_topology_state *state,
+			   struct rj_plan_entry *entry, uint64_t now_us)
 {
 	const struct rj_resources *each = &entry->job.shape.each;
 	uint64_t best = SCORE_WORST;
@@ -192,24 +196,25 @@
 	for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
 		struct rj_worker_set rack = rj_topology_rack_workers(state, i);
 		uint64_t rack_score =
-			rack_free(rack) + score_staying(rack, entry);
+			rack_free(rack) + score_gang_blocking(rack, entry);
 
-		if (rack_is_whole(rack))
-			rack_score += SCORE_WHOLE_RACK;
+		if (rack_is_empty(rack))
+			rack_score += SCORE_EMPTY_RACK;
 		state->considered += rack.count;
 		for (uint32_t j = 0; j < rack.count; j++) {
 			const struct rj_capacity_worker *worker =
 				rack.workers[j];
-			struct rj_resources room;
+			struct rj_resources available;
 			uint64_t score;
 
 			if (!rj_resources_fit(each, &worker->free))
 				continue;
-			room = rj_topology_available(worker, entry, now_us,
-						     false);
-			if (!rj_resources_fit(each, &room))
+			available = rj_topology_available(worker, entry, now_us,
+							  false);
+			if (!rj_resources_fit(each, &available))
 				continue;
-			score = rack_score + score_worker(worker, entry, &room);
+			score = rack_score +
+				score_worker(worker, entry, &available);
 			if (score >= best)
 				continue;
 			best = score;
@@ -223,22 +228,23 @@
 /*
  * How many tasks of a gang the site has room for, up to all of them.
  */
-static uint32_t site_fits(struct rj_topology_state *state,
-			  struct rj_worker_set site,
-			  const struct rj_plan_entry *entry, uint64_t now_us)
+static uint32_t set_fit_count(struct rj_topology_state *state,
+			      struct rj_worker_set set,
+			      const struct rj_plan_entry *entry,
+			      uint64_t now_us)
 {
 	const struct rj_shape *shape = &entry->job.shape;
 	uint32_t fits = 0;
 
-	state->considered += site.count;
-	for (uint32_t i = 0; i < site.count && fits < shape->tasks; i++) {
-		struct rj_resources room;
+	state->considered += set.count;
+	for (uint32_t i = 0; i < set.count && fits < shape->tasks; i++) {
+		struct rj_resources available;
 
-		if (!rj_resources_fit(&shape->each, &site.workers[i]->free))
+		if (!rj_resources_fit(&shape->each, &set.workers[i]->free))
 			continue;
-		room = rj_topology_available(site.workers[i], entry, now_us,
-					     false);
-		fits += rj_resources_fit_count(&shape->each, &room,
+		available = rj_topology_available(set.workers[i], entry, now_us,
+						  false);
+		fits += rj_resources_fit_count(&shape->each, &available,
 					       shape->tasks - fits);
 	}
 	return fits;
@@ -252,18 +258,18 @@
 {
 	uint64_t free = rack_free(rack);
 	uint64_t left = free - MIN(free, rj_topology_job_size(entry));
-	uint64_t score = left * SCORE_WORKER_UNIT;
+	uint64_t score = left * SCORE_LEFTOVER_UNIT;
 	uint64_t idle = 0;
 
 	for (uint32_t i = 0; i < rack.count; i++) {
 		const struct rj_capacity_worker *worker = rack.workers[i];
 
-		idle += idle_of_others(worker, entry);
+		idle += idle_guaranteed_to_others(worker, entry);
 		if (worker->ledger && worker->ledger->reservation_count)
 			score |= SCORE_RESERVED;
 	}
 	if (idle > left)
-		score += SCORE_OTHERS_HOME;
+		score += SCORE_OTHERS_GUARANTEE;
 	if (!rack.workers[0]->plan.owned)
 		score += SCORE_NOT_OWNED;
 	return score;
@@ -296,16 +302,16 @@
 static uint32_t fill_rack(struct rj_topology_state *state,
 			  struct rj_worker_set rack,
 			  const struct rj_plan_entry *entry, uint64_t now_us,
-			  uint32_t count, uint32_t *want)
+			  uint32_t count, uint32_t *needed)
 {
 	struct candidate *candidates = g_new(struct candidate, rack.count);
 	uint32_t found = 0;
 
 	for (uint32_t i = 0; i < rack.count; i++) {
-		struct rj_resources room = rj_topology_available(
+		struct rj_resources available = rj_topology_available(
 			rack.workers[i], entry, now_us, false);
-		uint32_t tasks = rj_resources_fit_count(&entry->job.shape.each,
-							&room, RJ_GANG_MAX);
+		uint32_t tasks = rj_resources_fit_count(
+			&entry->job.shape.each, &available, RJ_GANG_MAX);
 
 		if (!tasks)
 			continue;
@@ -314,13 +320,13 @@
 		found++;
 	}
 	qsort(candidates, found, sizeof(*candidates), compare_candidates);
-	for (uint32_t i = 0; i < found && *want; i++) {
-		uint32_t tasks = MIN(candidates[i].tasks, *want);
+	for (uint32_t i = 0; i < found && *needed; i++) {
+		uint32_t tasks = MIN(candidates[i].tasks, *needed);
 
 		state->members[count].worker = candidates[i].worker->plan.id;
 		state->members[count].tasks = tasks;
 		count++;
-		*want -= tasks;
+		*needed -= tasks;
 	}
 	g_free(candidates);
 	return count;
@@ -341,7 +347,7 @@
 		struct rj_worker_set rack = rj_topology_rack_workers(state, i);
 		uint64_t score;
 
-		fits[i] = site_fits(state, rack, entry, now_us);
+		fits[i] = set_fit_count(state, rack, entry, now_us);
 		if (fits[i] < entry->job.shape.tasks)
 			continue;
 		score = score_rack(rack, entry);
@@ -358,16 +364,16 @@
  * that is left, else the one that takes most.
  */
 static uint32_t next_rack(const struct rj_topology_state *state,
-			  const uint32_t *fits, uint32_t want)
+			  const uint32_t *fits, uint32_t needed)
 {
 	uint32_t best = 0;
 
 	for (uint32_t i = 1; i < state->capacity.rack_count; i++) {
-		bool takes_all = fits[i] >= want;
+		bool takes_all = fits[i] >= needed;
 
-		if (takes_all && (fits[best] < want || fits[i] < fits[best]))
+		if (takes_all && (fits[best] < needed || fits[i] < fits[best]))
 			best = i;
-		else if (!takes_all && fits[best] < want &&
+		else if (!takes_all && fits[best] < needed &&
 			 fits[i] > fits[best])
 			best = i;
 	}
@@ -384,7 +390,7 @@
 	uint32_t racks = state->capacity.rack_count;
 	uint32_t *fits = g_new0(uint32_t, racks + 1);
 	uint32_t best = best_rack(state, entry, now_us, fits);
-	uint32_t want = entry->job.shape.tasks;
+	uint32_t needed = entry->job.shape.tasks;
 	uint64_t total = 0;
 	uint32_t count = 0;
 
@@ -392,14 +398,14 @@
 		total += fits[i];
 	if (best < racks)
 		count = fill_rack(state, rj_topology_rack_workers(state, best),
-				  entry, now_us, 0, &want);
-	else if (!entry->job.shape.adjacent && total >= want)
-		while (want) {
-			best = next_rack(state, fits, want);
+				  entry, now_us, 0, &needed);
+	else if (!entry->job.shape.adjacent && total >= needed)
+		while (needed) {
+			best = next_rack(state, fits, needed);
 			assert(fits[best]);
 			count = fill_rack(state,
 					  rj_topology_rack_workers(state, best),
-					  entry, now_us, count, &want);
+					  entry, now_us, count, &needed);
 			fits[best] = 0;
 		}
 	g_free(fits);
@@ -415,7 +421,7 @@
 {
 	state->considered = 0;
 	if (entry->job.shape.tasks == 1)
-		return place_one(state, entry, now_us);
+		return place_task(state, entry, now_us);
 	return place_gang(state, entry, now_us);
 }
 
--- a/src/libradishjunction/core/topology_queue.c
+++ b/src/libradishjunction/core/topology_queue.c
@@ -9,7 +9,7 @@
  * This is the ageing: a bulk job that has waited half an hour goes before an
  * urgent one that has just come.
  */
-static const uint64_t head_start_us[RJ_PRIORITY_COUNT] = {
+static const uint64_t priority_delay_us[RJ_PRIORITY_COUNT] = {
 	[RJ_PRIORITY_URGENT] = 0,
 	[RJ_PRIORITY_NORMAL] = 120 * RJ_US_PER_S,
 	[RJ_PRIORITY_BULK] = 1800 * RJ_US_PER_S,
@@ -20,19 +20,19 @@
  * worker that it fills: what it needs comes together seldom, and goes in bits
  * to what comes before it. A gang of six workers thus goes with urgent work.
  */
-#define SIZE_WORKER_US (300 * RJ_US_PER_S)
+#define SIZE_CREDIT_US (300 * RJ_US_PER_S)
 
 /*
  * An account that uses twice its fair share above its guarantee goes this
  * much behind one that uses none of it.
  */
-#define FAIR_WINDOW_US (60 * RJ_US_PER_S)
+#define FAIR_SHARE_PENALTY_US (60 * RJ_US_PER_S)
 
 /* The penalty of the fair share stops growing at this many shares. */
-#define FAIR_MOST 4
+#define FAIR_SHARE_PENALTY_MAX 4
 
 /* One part in so many of the queue is kept for urgent jobs. */
-#define URGENT_PART 8
+#define URGENT_QUEUE_DIVISOR 8
 
 /*
  * The bucket of jobs like `entry`, made if there is none.
@@ -64,7 +64,8 @@
 /*
  * Put a job in back-off among the others, soonest first.
  */
-static void delay(struct rj_topology_state *state, struct rj_plan_entry *entry)
+static void insert_into_delayed(struct rj_topology_state *state,
+				struct rj_plan_entry *entry)
 {
 	GList *before = state->delayed.tail;
 
@@ -145,7 +146,7 @@
 {
 	assert(!entry->members && !entry->bucket);
 	if (entry->not_before_us > now_us)
-		delay(state, entry);
+		insert_into_delayed(state, entry);
 	else
 		insert_into_bucket(state, entry);
 	if (entry->job.deadline_us != RJ_NEVER_US)
@@ -211,9 +212,9 @@
 				 account->used - account->guaranteed :
 				 0;
 	uint64_t fair = rj_topology_fair_share(state, account);
-	uint64_t most = FAIR_MOST * FAIR_WINDOW_US;
+	uint64_t max_us = FAIR_SHARE_PENALTY_MAX * FAIR_SHARE_PENALTY_US;
 
-	return MIN(above * FAIR_WINDOW_US / MAX(fair, 1), most);
+	return MIN(above * FAIR_SHARE_PENALTY_US / MAX(fair, 1), max_us);
 }
 
 /*
@@ -223,12 +224,12 @@
 static uint64_t priority_penalty_us(const struct rj_topology_state *state,
 				    const struct rj_plan_entry *entry)
 {
-	uint64_t penalty_us = head_start_us[entry->job.priority];
+	uint64_t penalty_us = priority_delay_us[entry->job.priority];
 	uint64_t size = rj_topology_job_size(entry);
 
 	if (size <= state->worker_accelerators)
 		return penalty_us;
-	return penalty_us - MIN(penalty_us, size * SIZE_WORKER_US /
+	return penalty_us - MIN(penalty_us, size * SIZE_CREDIT_US /
 						    state->worker_accelerators);
 }
 
@@ -301,7 +302,7 @@
 	if (state->queued >= max)
 		return true;
 	if (entry->job.priority != RJ_PRIORITY_URGENT &&
-	    state->queued >= max - max / URGENT_PART)
+	    state->queued >= max - max / URGENT_QUEUE_DIVISOR)
 		return true;
 	return state->queued >= max / 2 &&
 	       entry->account->queued >= MAX(fair, 1);
--- a/src/libradishjunction/core/topology_reclaim.c
+++ b/src/libradishjunction/core/topology_reclaim.c
@@ -6,39 +6,39 @@
 #include <talloc.h>
 
 /* A reclaim that has not freed its shape by the limit and this is given up. */
-#define GRACE_US (200 * RJ_US_PER_MS)
+#define RECLAIM_GRACE_US (200 * RJ_US_PER_MS)
 
 /* Work is small beside a gang that is so many times as large. */
-#define SMALL_PART 2
+#define SMALL_JOB_DIVISOR 2
 
 /* A gang that has waited may cost others so much of its own work. */
-#define WAITED_LOST_PERCENT 5
+#define WAITED_LOSS_MAX_PERCENT 5
 
 /* What a checkpoint costs a job, as run time lost. */
 #define CHECKPOINT_COST_US RJ_US_PER_S
 
 /* Urgent work that is lost weighs as so much other work. */
-#define URGENT_WEIGHT 20
+#define URGENT_LOSS_FACTOR 20
 
 /* Urgent work waits this long before it stops what others borrow. */
-#define URGENT_PATIENCE_US RJ_US_PER_S
+#define URGENT_PREEMPTION_DELAY_US RJ_US_PER_S
 
 /*
  * A gang waits at least this long before it stops small work: most of what
  * ends within seconds has ended then, and need not be lost.
  */
-#define GANG_PATIENCE_US (3 * RJ_US_PER_S)
+#define GANG_PREEMPTION_DELAY_US (3 * RJ_US_PER_S)
 
 /* It waits so much longer for each point that fragmentation weighs less. */
-#define POINT_PATIENCE_US (100 * RJ_US_PER_MS)
+#define FRAGMENTATION_POINT_DELAY_US (100 * RJ_US_PER_MS)
 
 /* On which ground a job asks for room. */
-enum ground {
-	GROUND_GUARANTEE, /* its account's guarantee */
-	GROUND_LAST_RESORT, /* the same, before what is kept for others */
-	GROUND_URGENT, /* urgent work before borrowed capacity */
-	GROUND_LOAN, /* work that passed its reservation */
-	GROUND_WAITED, /* a gang that has waited, before cheap small work */
+enum policy {
+	POLICY_GUARANTEE, /* its account's guarantee */
+	POLICY_GUARANTEE_OVER_RESERVATIONS, /* the same, before what is kept for others */
+	POLICY_URGENT, /* urgent work before borrowed capacity */
+	POLICY_BACKFILLED, /* work that passed its reservation */
+	POLICY_WAITED, /* a gang that has waited, before cheap small work */
 };
 
 struct victim {
@@ -52,8 +52,8 @@
 struct search {
 	struct rj_topology_state *state;
 	struct rj_plan_entry *entry;
-	enum ground ground;
-	struct rj_worker_set site;
+	enum policy policy;
+	struct rj_worker_set set;
 	uint64_t now_us;
 	uint32_t *fits;
 	uint32_t total;
@@ -73,7 +73,7 @@
 	if (entry->job.checkpoint)
 		ran_us = MIN(ran_us, CHECKPOINT_COST_US);
 	if (entry->job.priority == RJ_PRIORITY_URGENT)
-		ran_us = (ran_us + RJ_US_PER_S) * URGENT_WEIGHT;
+		ran_us = (ran_us + RJ_US_PER_S) * URGENT_LOSS_FACTOR;
 	/* A task that has just started still costs its start again. */
 	return (ran_us + RJ_US_PER_MS) * rj_topology_job_size(entry);
 }
@@ -81,20 +81,21 @@
 /*
  * Whether the ground is the account's guarantee.
  */
-static bool is_claim(enum ground ground)
+static bool is_guarantee_policy(enum policy policy)
 {
-	return ground == GROUND_GUARANTEE || ground == GROUND_LAST_RESORT;
+	return policy == POLICY_GUARANTEE ||
+	       policy == POLICY_GUARANTEE_OVER_RESERVATIONS;
 }
 
 /*
  * Whether the search must leave alone what the reservation keeps. A claim on
  * a guarantee that finds no other room goes before all but such claims.
  */
-static bool respects(const struct search *search,
-		     const struct rj_reservation *reservation)
+static bool must_respect(const struct search *search,
+			 const struct rj_reservation *reservation)
 {
 	return reservation->firm &&
-	       (search->ground != GROUND_LAST_RESORT ||
+	       (search->policy != POLICY_GUARANTEE_OVER_RESERVATIONS ||
 		reservation->reason == RJ_REASON_GUARANTEE);
 }
 
@@ -103,22 +104,23 @@
  * use. Only work that can be stopped may borrow it, in racks whose owner can
  * stop it, and not on the ground of a guarantee: two claims then never cross.
  */
-static bool spares_idle(const struct search *search,
-			const struct rj_capacity_worker *worker)
+static bool must_leave_idle_guarantees(const struct search *search,
+				       const struct rj_capacity_worker *worker)
 {
-	return is_claim(search->ground) || !search->entry->job.preemptible ||
-	       !worker->plan.owned;
+	return is_guarantee_policy(search->policy) ||
+	       !search->entry->job.preemptible || !worker->plan.owned;
 }
 
 /*
  * What the job may take of the worker once the chosen victims, and what is
  * being stopped already, are gone.
  */
-static struct rj_resources room_after(const struct search *search,
-				      const struct rj_capacity_worker *worker)
+static struct rj_resources
+available_after(const struct search *search,
+		const struct rj_capacity_worker *worker)
 {
 	const struct rj_ledger *ledger = worker->ledger;
-	struct rj_resources room = worker->free;
+	struct rj_resources available = worker->free;
 	struct rj_resources limit;
 
 	if (!worker->plan.usable || worker->removed ||
@@ -126,52 +128,54 @@
 		return (struct rj_resources){ 0 };
 	for (uint32_t i = 0; i < ledger->run_count; i++)
 		if (ledger->runs[i].entry->reclaiming)
-			rj_resources_add(&room,
+			rj_resources_add(&available,
 					 &ledger->runs[i].entry->job.shape.each,
 					 ledger->runs[i].tasks);
 	for (uint32_t i = 0; i < ledger->usage_count; i++)
-		rj_resources_add(&room, &ledger->usages[i].evicted, 1);
+		rj_resources_add(&available, &ledger->usages[i].evicted, 1);
 	for (uint32_t i = 0; i < ledger->reservation_count; i++)
-		if (respects(search, ledger->reservations[i].reservation))
+		if (must_respect(search, ledger->reservations[i].reservation))
 			rj_resources_subtract_saturating(
-				&room, &ledger->reservations[i].amount);
-	for (uint32_t i = 0;
-	     spares_idle(search, worker) && i < ledger->usage_count; i++) {
-		const struct rj_worker_usage *share = &ledger->usages[i];
+				&available, &ledger->reservations[i].amount);
+	for (uint32_t i = 0; must_leave_idle_guarantees(search, worker) &&
+			     i < ledger->usage_count;
+	     i++) {
+		const struct rj_worker_usage *usage = &ledger->usages[i];
 		struct rj_resources used;
 		struct rj_resources idle;
 
-		if (share->account == search->entry->account)
+		if (usage->account == search->entry->account)
 			continue;
-		used = rj_resources_remaining(&share->used, &share->evicted);
-		idle = rj_resources_remaining(&share->guaranteed, &used);
-		rj_resources_subtract_saturating(&room, &idle);
+		used = rj_resources_remaining(&usage->used, &usage->evicted);
+		idle = rj_resources_remaining(&usage->guaranteed, &used);
+		rj_resources_subtract_saturating(&available, &idle);
 	}
 	if (search->entry->job.preemptible && worker->plan.owned)
-		return room;
+		return available;
 	limit = rj_ledger_non_preemptible_limit(worker, search->entry->account);
-	rj_resources_clamp(&room, &limit);
-	return room;
+	rj_resources_clamp(&available, &limit);
+	return available;
 }
 
 /*
  * Count again how many tasks fit the worker at this place of the site.
  */
-static void refit(struct search *search, uint32_t at)
+static void update_fit(struct search *search, uint32_t at)
 {
-	struct rj_resources room = room_after(search, search->site.workers[at]);
+	struct rj_resources available =
+		available_after(search, search->set.workers[at]);
 
 	search->total -= search->fits[at];
-	search->fits[at] =
-		rj_resources_fit_count(&search->entry->job.shape.each, &room,
-				       search->entry->job.shape.tasks);
+	search->fits[at] = rj_resources_fit_count(
+		&search->entry->job.shape.each, &available,
+		search->entry->job.shape.tasks);
 	search->total += search->fits[at];
 }
 
 /*
  * Whether the whole job fits after what was evicted so far.
  */
-static bool fits_now(const struct search *search)
+static bool fits_all_tasks(const struct search *search)
 {
 	return search->total >= search->entry->job.shape.tasks;
 }
@@ -179,7 +183,7 @@
 /*
  * Whether the job is urgent and was stopped before: it waits since then.
  */
-static bool urgent_again(const struct rj_plan_entry *entry)
+static bool is_preempted_urgent(const struct rj_plan_entry *entry)
 {
 	return entry->job.priority == RJ_PRIORITY_URGENT &&
 	       entry->waiting_since_us > entry->job.queued_us;
@@ -188,32 +192,32 @@
 /*
  * Whether the ground allows to stop `entry` at all, wherever it runs.
  */
-static bool may_stop(const struct search *search,
-		     const struct rj_plan_entry *entry)
+static bool may_preempt(const struct search *search,
+			const struct rj_plan_entry *entry)
 {
 	const struct rj_plan_job *job = &entry->job;
 
 	if (!job->preemptible || entry->reclaiming)
 		return false;
-	switch (search->ground) {
-	case GROUND_GUARANTEE:
-	case GROUND_LAST_RESORT:
+	switch (search->policy) {
+	case POLICY_GUARANTEE:
+	case POLICY_GUARANTEE_OVER_RESERVATIONS:
 		return entry->account != search->entry->account ||
 		       job->priority > search->entry->job.priority;
-	case GROUND_URGENT:
+	case POLICY_URGENT:
 		return job->priority != RJ_PRIORITY_URGENT;
-	case GROUND_LOAN:
-		return entry->backfilled && !urgent_again(entry);
-	case GROUND_WAITED:
+	case POLICY_BACKFILLED:
+		return entry->backfilled && !is_preempted_urgent(entry);
+	case POLICY_WAITED:
 		/*
 		 * Never another gang: they would take turns. What passed a
 		 * reservation was let run only until the room is wanted, and
 		 * goes with the small work, urgent or not: the most that may
 		 * be lost holds for both.
 		 */
-		return (entry->backfilled && !urgent_again(entry)) ||
+		return (entry->backfilled && !is_preempted_urgent(entry)) ||
 		       (job->priority != RJ_PRIORITY_URGENT &&
-			rj_topology_job_size(entry) * SMALL_PART <=
+			rj_topology_job_size(entry) * SMALL_JOB_DIVISOR <=
 				rj_topology_job_size(search->entry));
 	}
 	return false;
@@ -232,14 +236,14 @@
 	for (uint32_t i = 0; i < entry->member_count; i++) {
 		const struct rj_capacity_worker *worker = rj_capacity_find(
 			&search->state->capacity, entry->members[i].worker);
-		const struct rj_worker_usage *share;
+		const struct rj_worker_usage *usage;
 		struct rj_resources used;
 
 		if (worker->ledger->set_stamp != search->state->stamp)
 			continue;
-		share = rj_ledger_usage(worker->ledger, entry->account);
-		used = rj_resources_remaining(&share->used, &share->evicted);
-		if (rj_resources_exceed(&used, &share->guaranteed))
+		usage = rj_ledger_usage(worker->ledger, entry->account);
+		used = rj_resources_remaining(&usage->used, &usage->evicted);
+		if (rj_resources_exceed(&used, &usage->guaranteed))
 			return true;
 	}
 	return false;
@@ -248,7 +252,7 @@
 /*
  * Take the job out of the workers in thought, or put it back.
  */
-static void evict(struct search *search, struct victim *victim, bool out)
+static void evict(struct search *search, struct victim *victim, bool evicted)
 {
 	const struct rj_plan_entry *entry = victim->entry;
 
@@ -256,20 +260,20 @@
 		const struct rj_plan_member *member = &entry->members[i];
 		struct rj_capacity_worker *worker = rj_capacity_find(
 			&search->state->capacity, member->worker);
-		struct rj_worker_usage *share =
+		struct rj_worker_usage *usage =
 			rj_ledger_usage(worker->ledger, entry->account);
 
-		if (out)
-			rj_resources_add(&share->evicted,
+		if (evicted)
+			rj_resources_add(&usage->evicted,
 					 &entry->job.shape.each, member->tasks);
 		else
-			rj_resources_take(&share->evicted,
+			rj_resources_take(&usage->evicted,
 					  &entry->job.shape.each,
 					  member->tasks);
 		if (worker->ledger->set_stamp == search->state->stamp)
-			refit(search, worker->ledger->set_index);
+			update_fit(search, worker->ledger->set_index);
 	}
-	victim->chosen = out;
+	victim->chosen = evicted;
 }
 
 /*
@@ -289,8 +293,8 @@
  * Accelerators of the job that lie within the site, as far as they are
  * needed: a gang stopped for a preview frees no more than the preview.
  */
-static uint64_t freed_here(const struct search *search,
-			   const struct rj_plan_entry *entry)
+static uint64_t freed_in_set(const struct search *search,
+			     const struct rj_plan_entry *entry)
 {
 	uint64_t tasks = 0;
 
@@ -311,22 +315,22 @@
 static void list_victims(struct search *search)
 {
 	GArray *victims = g_array_new(FALSE, FALSE, sizeof(struct victim));
-	uint64_t seen = search->state->stamp;
+	uint64_t stamp = search->state->stamp;
 
-	for (uint32_t i = 0; i < search->site.count; i++) {
-		const struct rj_ledger *ledger =
-			search->site.workers[i]->ledger;
+	for (uint32_t i = 0; i < search->set.count; i++) {
+		const struct rj_ledger *ledger = search->set.workers[i]->ledger;
 
 		for (uint32_t j = 0; j < ledger->run_count; j++) {
 			struct rj_plan_entry *entry = ledger->runs[j].entry;
 			struct victim victim = { .entry = entry };
 
-			if (entry->stamp == seen || !may_stop(search, entry))
+			if (entry->stamp == stamp ||
+			    !may_preempt(search, entry))
 				continue;
-			entry->stamp = seen;
+			entry->stamp = stamp;
 			victim.lost = lost_work(entry, search->now_us);
 			victim.cost = (double)victim.lost /
-				      (double)freed_here(search, entry);
+				      (double)freed_in_set(search, entry);
 			g_array_append_val(victims, victim);
 		}
 	}
@@ -341,23 +345,23 @@
  * Start a search of the site: nothing is evicted, the victims are listed.
  */
 static void search_init(struct search *search, struct rj_topology_state *state,
-			struct rj_plan_entry *entry, enum ground ground,
-			struct rj_worker_set site, uint64_t now_us)
+			struct rj_plan_entry *entry, enum policy policy,
+			struct rj_worker_set set, uint64_t now_us)
 {
 	memset(search, 0, sizeof(*search));
 	search->state = state;
 	search->entry = entry;
-	search->ground = ground;
-	search->site = site;
+	search->policy = policy;
+	search->set = set;
 	search->now_us = now_us;
-	search->fits = g_new0(uint32_t, site.count + 1);
+	search->fits = g_new0(uint32_t, set.count + 1);
 	state->stamp++;
-	for (uint32_t i = 0; i < site.count; i++) {
-		struct rj_ledger *ledger = rj_ledger_get(site.workers[i]);
+	for (uint32_t i = 0; i < set.count; i++) {
+		struct rj_ledger *ledger = rj_ledger_get(set.workers[i]);
 
 		ledger->set_index = i;
 		ledger->set_stamp = state->stamp;
-		refit(search, i);
+		update_fit(search, i);
 	}
 	list_victims(search);
 }
@@ -378,16 +382,17 @@
  */
 static bool search_run(struct search *search)
 {
-	for (uint32_t i = 0; i < search->victim_count && !fits_now(search); i++)
+	for (uint32_t i = 0;
+	     i < search->victim_count && !fits_all_tasks(search); i++)
 		if (borrows(search, search->victims[i].entry))
 			evict(search, &search->victims[i], true);
-	if (!fits_now(search))
+	if (!fits_all_tasks(search))
 		return false;
 	for (uint32_t i = search->victim_count; i--;) {
 		if (!search->victims[i].chosen)
 			continue;
 		evict(search, &search->victims[i], false);
-		if (!fits_now(search))
+		if (!fits_all_tasks(search))
 			evict(search, &search->victims[i], true);
 		else
 			continue;
@@ -413,18 +418,18 @@
 static uint32_t search_members(const struct search *search,
 			       struct rj_plan_member *members)
 {
-	uint32_t want = search->entry->job.shape.tasks;
+	uint32_t remaining = search->entry->job.shape.tasks;
 	uint32_t count = 0;
 
-	for (uint32_t i = 0; want && i < search->site.count; i++) {
-		uint32_t tasks = MIN(want, search->fits[i]);
+	for (uint32_t i = 0; remaining && i < search->set.count; i++) {
+		uint32_t tasks = MIN(remaining, search->fits[i]);
 
 		if (!tasks)
 			continue;
-		members[count].worker = search->site.workers[i]->plan.id;
+		members[count].worker = search->set.workers[i]->plan.id;
 		members[count].tasks = tasks;
 		count++;
-		want -= tasks;
+		remaining -= tasks;
 	}
 	return count;
 }
@@ -460,13 +465,13 @@
  * would not fit.
  */
 static uint64_t cost_of(struct rj_topology_state *state,
-			struct rj_plan_entry *entry, enum ground ground,
-			struct rj_worker_set site, uint64_t now_us)
+			struct rj_plan_entry *entry, enum policy policy,
+			struct rj_worker_set set, uint64_t now_us)
 {
 	struct search search;
 	uint64_t cost = RJ_NEVER_US;
 
-	search_init(&search, state, entry, ground, site, now_us);
+	search_init(&search, state, entry, policy, set, now_us);
 	if (search_run(&search))
 		cost = search.lost;
 	search_undo(&search);
@@ -475,39 +480,41 @@
 }
 
 static const enum rj_reason reason_of[] = {
-	[GROUND_GUARANTEE] = RJ_REASON_GUARANTEE,
-	[GROUND_LAST_RESORT] = RJ_REASON_GUARANTEE,
-	[GROUND_URGENT] = RJ_REASON_RECLAIMED,
-	[GROUND_LOAN] = RJ_REASON_RESERVATION,
-	[GROUND_WAITED] = RJ_REASON_RECLAIMED,
+	[POLICY_GUARANTEE] = RJ_REASON_GUARANTEE,
+	[POLICY_GUARANTEE_OVER_RESERVATIONS] = RJ_REASON_GUARANTEE,
+	[POLICY_URGENT] = RJ_REASON_RECLAIMED,
+	[POLICY_BACKFILLED] = RJ_REASON_RESERVATION,
+	[POLICY_WAITED] = RJ_REASON_RECLAIMED,
 };
 
 /*
  * The most work that may be lost on the ground, in accelerator microseconds.
  */
-static uint64_t most_lost(const struct rj_plan_entry *entry, enum ground ground)
+static uint64_t max_lost_work(const struct rj_plan_entry *entry,
+			      enum policy policy)
 {
-	if (ground != GROUND_WAITED)
+	if (policy != POLICY_WAITED)
 		return RJ_NEVER_US - 1;
 	return rj_runtime_quantile_us(entry->runtime, 50, 0) *
-	       rj_topology_job_size(entry) * WAITED_LOST_PERCENT / 100;
+	       rj_topology_job_size(entry) * WAITED_LOSS_MAX_PERCENT / 100;
 }
 
 /*
  * Stop what is in the way in this site and keep its room for the job.
  */
-static bool carry_out(struct rj_topology_state *state,
-		      struct rj_plan_entry *entry, enum ground ground,
-		      struct rj_worker_set site, uint64_t now_us,
-		      struct rj_decisions *decisions)
+static bool preempt_in(struct rj_topology_state *state,
+		       struct rj_plan_entry *entry, enum policy policy,
+		       struct rj_worker_set set, uint64_t now_us,
+		       struct rj_decisions *decisions)
 {
 	struct rj_reservation *reservation;
 	struct search search;
 	uint32_t count;
 	bool fits;
 
-	search_init(&search, state, entry, ground, site, now_us);
-	fits = search_run(&search) && search.lost <= most_lost(entry, ground);
+	search_init(&search, state, entry, policy, set, now_us);
+	fits = search_run(&search) &&
+	       search.lost <= max_lost_work(entry, policy);
 	count = fits ? search_members(&search, state->members) : 0;
 	if (fits)
 		stop_victims(&search, decisions);
@@ -517,15 +524,15 @@
 		return false;
 	if (entry->reservation)
 		rj_topology_unreserve(state, entry->reservation);
-	if (ground == GROUND_LAST_RESORT)
+	if (policy == POLICY_GUARANTEE_OVER_RESERVATIONS)
 		rj_topology_displace_reservations(state, state->members, count,
 						  now_us);
 	reservation = rj_topology_reserve(
 		state, entry, state->members, count, true,
 		now_us + state->limits.checkpoint_limit_ms * RJ_US_PER_MS +
-			GRACE_US);
-	reservation->reason = reason_of[ground];
-	if (is_claim(ground))
+			RECLAIM_GRACE_US);
+	reservation->reason = reason_of[policy];
+	if (is_guarantee_policy(policy))
 		rj_topology_grant(entry);
 	return true;
 }
@@ -534,8 +541,8 @@
  * The site where the job costs others least: a rack, or all racks for a
  * gang that may span them.
  */
-static bool reclaim_on(struct rj_topology_state *state,
-		       struct rj_plan_entry *entry, enum ground ground,
+static bool reclaim_by(struct rj_topology_state *state,
+		       struct rj_plan_entry *entry, enum policy policy,
 		       uint64_t now_us, struct rj_decisions *decisions)
 {
 	const struct rj_shape *shape = &entry->job.shape;
@@ -544,7 +551,7 @@
 
 	for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
 		uint64_t cost =
-			cost_of(state, entry, ground,
+			cost_of(state, entry, policy,
 				rj_topology_rack_workers(state, i), now_us);
 
 		if (cost >= best_cost)
@@ -553,26 +560,27 @@
 		best = i;
 	}
 	if (best_cost != RJ_NEVER_US)
-		return carry_out(state, entry, ground,
-				 rj_topology_rack_workers(state, best), now_us,
-				 decisions);
+		return preempt_in(state, entry, policy,
+				  rj_topology_rack_workers(state, best), now_us,
+				  decisions);
 	if (shape->adjacent || shape->tasks == 1)
 		return false;
-	return carry_out(state, entry, ground, rj_topology_all_workers(state),
-			 now_us, decisions);
+	return preempt_in(state, entry, policy, rj_topology_all_workers(state),
+			  now_us, decisions);
 }
 
 /*
  * Whether urgent work of the account may stop what others borrow: it has
  * waited a moment, and the account stays within guarantee and fair share.
  */
-static bool may_hurry(const struct rj_topology_state *state,
-		      const struct rj_plan_entry *entry, uint64_t now_us)
+static bool urgent_may_preempt(const struct rj_topology_state *state,
+			       const struct rj_plan_entry *entry,
+			       uint64_t now_us)
 {
 	const struct rj_plan_account *account = entry->account;
 
 	return entry->job.priority == RJ_PRIORITY_URGENT &&
-	       now_us >= entry->job.queued_us + URGENT_PATIENCE_US &&
+	       now_us >= entry->job.queued_us + URGENT_PREEMPTION_DELAY_US &&
 	       account->used + rj_topology_job_size(entry) <=
 		       account->guaranteed +
 			       rj_topology_fair_share(state, account);
@@ -588,23 +596,24 @@
 	uint32_t weight = MIN(state->limits.fragmentation_weight, 100);
 
 	if (entry->job.priority == RJ_PRIORITY_URGENT)
-		return URGENT_PATIENCE_US;
+		return URGENT_PREEMPTION_DELAY_US;
 	if (rj_topology_job_size(entry) <= state->worker_accelerators)
 		return RJ_NEVER_US;
-	return GANG_PATIENCE_US + (100 - weight) * POINT_PATIENCE_US;
+	return GANG_PREEMPTION_DELAY_US +
+	       (100 - weight) * FRAGMENTATION_POINT_DELAY_US;
 }
 
 /*
  * Whether the gang has waited long enough for small work to make way.
  */
-static bool may_make_way(const struct rj_topology_state *state,
-			 const struct rj_plan_entry *entry, uint64_t now_us)
+static bool gang_may_preempt(const struct rj_topology_state *state,
+			     const struct rj_plan_entry *entry, uint64_t now_us)
 {
-	uint64_t patience_us = rj_topology_preemption_delay_us(state, entry);
+	uint64_t delay_us = rj_topology_preemption_delay_us(state, entry);
 
 	return entry->job.priority != RJ_PRIORITY_URGENT &&
-	       patience_us != RJ_NEVER_US &&
-	       now_us >= entry->waiting_since_us + patience_us;
+	       delay_us != RJ_NEVER_US &&
+	       now_us >= entry->waiting_since_us + delay_us;
 }
 
 /*
@@ -618,15 +627,16 @@
 			 struct rj_decisions *decisions)
 {
 	if (rj_topology_is_entitled(state, entry) &&
-	    (reclaim_on(state, entry, GROUND_GUARANTEE, now_us, decisions) ||
-	     reclaim_on(state, entry, GROUND_LAST_RESORT, now_us, decisions)))
+	    (reclaim_by(state, entry, POLICY_GUARANTEE, now_us, decisions) ||
+	     reclaim_by(state, entry, POLICY_GUARANTEE_OVER_RESERVATIONS,
+			now_us, decisions)))
 		return true;
-	if (may_hurry(state, entry, now_us) &&
-	    reclaim_on(state, entry, GROUND_URGENT, now_us, decisions))
+	if (urgent_may_preempt(state, entry, now_us) &&
+	    reclaim_by(state, entry, POLICY_URGENT, now_us, decisions))
 		return true;
 	if (entry->reservation &&
-	    reclaim_on(state, entry, GROUND_LOAN, now_us, decisions))
+	    reclaim_by(state, entry, POLICY_BACKFILLED, now_us, decisions))
 		return true;
-	return may_make_way(state, entry, now_us) &&
-	       reclaim_on(state, entry, GROUND_WAITED, now_us, decisions);
+	return gang_may_preempt(state, entry, now_us) &&
+	       reclaim_by(state, entry, POLICY_WAITED, now_us, decisions);
 }
--- a/src/libradishjunction/core/topology_reserve.c
+++ b/src/libradishjunction/core/topology_reserve.c
@@ -6,10 +6,10 @@
 #include <talloc.h>
 
 /* A loose reservation is worked out again this often: estimates change. */
-#define REFRESH_US (5 * RJ_US_PER_S)
+#define SOFT_RESERVATION_REFRESH_US (5 * RJ_US_PER_S)
 
 /* The time at which half of a kind of jobs have ended. */
-#define END_PERCENT 50
+#define END_PERCENTILE 50
 
 /*
  * Keep `members` for `entry`. See `struct rj_reservation` for the two ways.
@@ -123,12 +123,12 @@
 	for (uint32_t i = state->reservations->len; i--;) {
 		struct rj_reservation *reservation =
 			g_ptr_array_index(state->reservations, i);
-		bool in_the_way = false;
+		bool overlaps = false;
 
 		for (uint32_t j = 0; j < count; j++)
-			in_the_way |= rj_reservation_includes(
-				reservation, members[j].worker);
-		if (!in_the_way || !reservation->firm ||
+			overlaps |= rj_reservation_includes(reservation,
+							    members[j].worker);
+		if (!overlaps || !reservation->firm ||
 		    reservation->reason == RJ_REASON_GUARANTEE)
 			continue;
 		/* Or it would stop others again at once, for nothing. */
@@ -138,7 +138,7 @@
 }
 
 /* A run that is expected to end and free part of a worker. */
-struct ending {
+struct expected_end {
 	uint64_t at_us;
 	uint32_t worker; /* index in the site */
 	const struct rj_worker_run *run;
@@ -147,10 +147,10 @@
 /*
  * The soonest first; the place in the site breaks ties.
  */
-static int compare_endings(const void *a, const void *b)
+static int compare_expected_ends(const void *a, const void *b)
 {
-	const struct ending *one = a;
-	const struct ending *two = b;
+	const struct expected_end *one = a;
+	const struct expected_end *two = b;
 
 	if (one->at_us != two->at_us)
 		return one->at_us < two->at_us ? -1 : 1;
@@ -164,19 +164,19 @@
  * used or is kept for another, and not what others are guaranteed if the job
  * cannot be stopped.
  */
-static struct rj_resources ceiling(const struct rj_capacity_worker *worker,
-				   const struct rj_plan_entry *entry,
-				   uint64_t now_us)
+static struct rj_resources
+max_available(const struct rj_capacity_worker *worker,
+	      const struct rj_plan_entry *entry, uint64_t now_us)
 {
 	const struct rj_ledger *ledger = worker->ledger;
-	struct rj_resources most = { 0 };
+	struct rj_resources limit = { 0 };
 
 	if (!worker->plan.usable || worker->removed)
-		return most;
-	most = rj_resources_remaining(&worker->plan.capacity,
-				      &worker->plan.foreign);
+		return limit;
+	limit = rj_resources_remaining(&worker->plan.capacity,
+				       &worker->plan.foreign);
 	if (!ledger)
-		return most;
+		return limit;
 	if (ledger->skip_until_us > now_us)
 		return (struct rj_resources){ 0 };
 	for (uint32_t i = 0; i < ledger->reservation_count; i++)
@@ -186,19 +186,19 @@
 	     i++)
 		if (ledger->usages[i].account != entry->account)
 			rj_resources_subtract_saturating(
-				&most, &ledger->usages[i].guaranteed);
-	return most;
+				&limit, &ledger->usages[i].guaranteed);
+	return limit;
 }
 
 /* The state of the search of one site. */
 struct forecast {
-	struct rj_worker_set site;
+	struct rj_worker_set set;
 	struct rj_resources *free;
-	struct rj_resources *most;
+	struct rj_resources *limit;
 	uint32_t *fits;
 	uint32_t total;
-	struct ending *endings;
-	uint32_t ending_count;
+	struct expected_end *expected_ends;
+	uint32_t expected_end_count;
 };
 
 /*
@@ -207,12 +207,12 @@
 static void forecast_refit(struct forecast *forecast,
 			   const struct rj_plan_entry *entry, uint32_t at)
 {
-	struct rj_resources room = forecast->free[at];
+	struct rj_resources available = forecast->free[at];
 
-	rj_resources_clamp(&room, &forecast->most[at]);
+	rj_resources_clamp(&available, &forecast->limit[at]);
 	forecast->total -= forecast->fits[at];
 	forecast->fits[at] = rj_resources_fit_count(
-		&entry->job.shape.each, &room, entry->job.shape.tasks);
+		&entry->job.shape.each, &available, entry->job.shape.tasks);
 	forecast->total += forecast->fits[at];
 }
 
@@ -224,45 +224,47 @@
 			    uint64_t now_us)
 {
 	static const struct rj_resources none;
-	const struct rj_capacity_worker *worker = forecast->site.workers[at];
+	const struct rj_capacity_worker *worker = forecast->set.workers[at];
 
 	forecast->free[at] = worker->free;
-	forecast->most[at] = ceiling(worker, entry, now_us);
+	forecast->limit[at] = max_available(worker, entry, now_us);
 	forecast_refit(forecast, entry, at);
-	if (!worker->ledger || !rj_resources_exceed(&forecast->most[at], &none))
+	if (!worker->ledger ||
+	    !rj_resources_exceed(&forecast->limit[at], &none))
 		return;
 	for (uint32_t i = 0; i < worker->ledger->run_count; i++) {
-		struct ending *ending =
-			&forecast->endings[forecast->ending_count++];
-
-		ending->run = &worker->ledger->runs[i];
-		ending->worker = at;
-		ending->at_us = rj_topology_expected_end_us(
-			ending->run->entry, END_PERCENT, now_us);
+		struct expected_end *expected_end =
+			&forecast->expected_ends
+				 [forecast->expected_end_count++];
+
+		expected_end->run = &worker->ledger->runs[i];
+		expected_end->worker = at;
+		expected_end->at_us = rj_topology_expected_end_us(
+			expected_end->run->entry, END_PERCENTILE, now_us);
 	}
 }
 
 /*
  * Begin with the site as it is now, and list its runs by their expected ends.
  */
-static void forecast_init(struct forecast *forecast, struct rj_worker_set site,
+static void forecast_init(struct forecast *forecast, struct rj_worker_set set,
 			  const struct rj_plan_entry *entry, uint64_t now_us)
 {
 	uint32_t runs = 0;
 
 	memset(forecast, 0, sizeof(*forecast));
-	forecast->site = site;
-	for (uint32_t i = 0; i < site.count; i++)
-		if (site.workers[i]->ledger)
-			runs += site.workers[i]->ledger->run_count;
-	forecast->free = g_new0(struct rj_resources, site.count + 1);
-	forecast->most = g_new0(struct rj_resources, site.count + 1);
-	forecast->fits = g_new0(uint32_t, site.count + 1);
-	forecast->endings = g_new(struct ending, runs + 1);
-	for (uint32_t i = 0; i < site.count; i++)
+	forecast->set = set;
+	for (uint32_t i = 0; i < set.count; i++)
+		if (set.workers[i]->ledger)
+			runs += set.workers[i]->ledger->run_count;
+	forecast->free = g_new0(struct rj_resources, set.count + 1);
+	forecast->limit = g_new0(struct rj_resources, set.count + 1);
+	forecast->fits = g_new0(uint32_t, set.count + 1);
+	forecast->expected_ends = g_new(struct expected_end, runs + 1);
+	for (uint32_t i = 0; i < set.count; i++)
 		forecast_worker(forecast, entry, i, now_us);
-	qsort(forecast->endings, forecast->ending_count, sizeof(struct ending),
-	      compare_endings);
+	qsort(forecast->expected_ends, forecast->expected_end_count,
+	      sizeof(struct expected_end), compare_expected_ends);
 }
 
 /*
@@ -271,9 +273,9 @@
 static void forecast_finish(struct forecast *forecast)
 {
 	g_free(forecast->free);
-	g_free(forecast->most);
+	g_free(forecast->limit);
 	g_free(forecast->fits);
-	g_free(forecast->endings);
+	g_free(forecast->expected_ends);
 }
 
 /*
@@ -285,16 +287,17 @@
 {
 	uint64_t at_us = now_us;
 
-	for (uint32_t i = 0; i < forecast->ending_count; i++) {
-		const struct ending *ending = &forecast->endings[i];
+	for (uint32_t i = 0; i < forecast->expected_end_count; i++) {
+		const struct expected_end *expected_end =
+			&forecast->expected_ends[i];
 
 		if (forecast->total >= entry->job.shape.tasks)
 			break;
-		at_us = ending->at_us;
-		rj_resources_add(&forecast->free[ending->worker],
-				 &ending->run->entry->job.shape.each,
-				 ending->run->tasks);
-		forecast_refit(forecast, entry, ending->worker);
+		at_us = expected_end->at_us;
+		rj_resources_add(&forecast->free[expected_end->worker],
+				 &expected_end->run->entry->job.shape.each,
+				 expected_end->run->tasks);
+		forecast_refit(forecast, entry, expected_end->worker);
 	}
 	return forecast->total >= entry->job.shape.tasks ? at_us : RJ_NEVER_US;
 }
@@ -306,20 +309,20 @@
 				 const struct rj_plan_entry *entry,
 				 struct rj_plan_member *members)
 {
-	uint32_t want = entry->job.shape.tasks;
+	uint32_t remaining = entry->job.shape.tasks;
 	uint32_t count = 0;
 
-	for (uint32_t i = 0; want && i < forecast->site.count; i++) {
-		uint32_t tasks = MIN(want, forecast->fits[i]);
+	for (uint32_t i = 0; remaining && i < forecast->set.count; i++) {
+		uint32_t tasks = MIN(remaining, forecast->fits[i]);
 
 		if (!tasks)
 			continue;
-		members[count].worker = forecast->site.workers[i]->plan.id;
+		members[count].worker = forecast->set.workers[i]->plan.id;
 		members[count].tasks = tasks;
 		count++;
-		want -= tasks;
+		remaining -= tasks;
 	}
-	assert(!want);
+	assert(!remaining);
 	return count;
 }
 
@@ -327,16 +330,16 @@
  * When and where the job will fit in the site; the members are in
  * `state->members` if that is before `*best_us`. Returns how many, or 0.
  */
-static uint32_t soonest_in(struct rj_topology_state *state,
-			   struct rj_worker_set site,
-			   const struct rj_plan_entry *entry, uint64_t now_us,
-			   uint64_t *best_us)
+static uint32_t earliest_in(struct rj_topology_state *state,
+			    struct rj_worker_set set,
+			    const struct rj_plan_entry *entry, uint64_t now_us,
+			    uint64_t *best_us)
 {
 	struct forecast forecast;
 	uint32_t count = 0;
 	uint64_t at_us;
 
-	forecast_init(&forecast, site, entry, now_us);
+	forecast_init(&forecast, set, entry, now_us);
 	at_us = forecast_run(&forecast, entry, now_us);
 	if (at_us < *best_us) {
 		*best_us = at_us;
@@ -359,18 +362,18 @@
 
 	if (entry->job.shape.adjacent || entry->job.shape.tasks == 1) {
 		for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
-			uint32_t found = soonest_in(
+			uint32_t found = earliest_in(
 				state, rj_topology_rack_workers(state, i),
 				entry, now_us, &best_us);
 
 			count = found ? found : count;
 		}
 	} else {
-		count = soonest_in(state, rj_topology_all_workers(state), entry,
-				   now_us, &best_us);
+		count = earliest_in(state, rj_topology_all_workers(state),
+				    entry, now_us, &best_us);
 	}
 	if (!count)
 		return;
 	rj_topology_reserve(state, entry, state->members, count, false, best_us)
-		->refresh_us = now_us + REFRESH_US;
+		->refresh_us = now_us + SOFT_RESERVATION_REFRESH_US;
 }
--- a/src/libradishjunction/core/topology_state.c
+++ b/src/libradishjunction/core/topology_state.c
@@ -43,9 +43,9 @@
 /*
  * The run times under this key, an empty record if there are none yet.
  */
-static struct rj_runtime *runtime_at(struct rj_topology_state *state,
-				     const char *key, const char *class_name,
-				     struct rj_runtime *fallback)
+static struct rj_runtime *runtime_get(struct rj_topology_state *state,
+				      const char *key, const char *class_name,
+				      struct rj_runtime *fallback)
 {
 	struct rj_runtime *runtime = g_hash_table_lookup(state->runtimes, key);
 
@@ -69,9 +69,9 @@
 	char key[2 * RJ_NAME_BYTES];
 
 	snprintf(key, sizeof(key), "%s/%s", job->class_name, job->account);
-	return runtime_at(
+	return runtime_get(
 		state, key, job->class_name,
-		runtime_at(state, job->class_name, job->class_name, NULL));
+		runtime_get(state, job->class_name, job->class_name, NULL));
 }
 
 /*
