--- a/include/radishjunction/action.h
+++ b/include/radishjunction/action.h
@@ -1,9 +1,9 @@
 /*
- * What the decision core asks for.
+ * Actions: the output of the decision core.
  *
- * `rj_core_process` appends actions to a list of the caller's; the caller
- * carries them out in order and then empties the list. Everything that an
- * action points to is a talloc child of the list.
+ * `rj_core_process` appends actions to a list that the caller owns; the caller
+ * executes them in order and then clears the list. Everything that an action
+ * points to is a talloc child of the list.
  */
 #ifndef RADISHJUNCTION_ACTION_H
 #define RADISHJUNCTION_ACTION_H
@@ -11,7 +11,7 @@
 #include "radishjunction/event.h"
 
 enum rj_action_kind {
-	RJ_ACTION_ANSWER, /* to a caller, once for each request */
+	RJ_ACTION_ANSWER, /* to a caller, once per request */
 	RJ_ACTION_APPEND, /* several records in one append */
 	RJ_ACTION_READ,
 	RJ_ACTION_LIST, /* read the platform's instance list */
@@ -19,8 +19,8 @@
 	RJ_ACTION_PEER_CONNECT, /* keep a link to this peer */
 	RJ_ACTION_PEER_DROP,
 	RJ_ACTION_PEER_SEND,
-	RJ_ACTION_LOG, /* one decision, for the log */
-	RJ_ACTION_EXIT, /* nothing is open: a stopping process may end */
+	RJ_ACTION_LOG, /* log one decision */
+	RJ_ACTION_EXIT, /* nothing is pending: a stopping process may exit */
 	RJ_ACTION_KIND_COUNT
 };
 
@@ -39,7 +39,7 @@
 	uint64_t wait_us; /* long poll */
 };
 
-/* The decisions that are logged. */
+/* Decisions that are logged. */
 enum rj_decision_event {
 	RJ_LOG_ADMIT,
 	RJ_LOG_REFUSE,
@@ -67,7 +67,7 @@
 	char account[RJ_NAME_BYTES];
 	char target[RJ_NAME_BYTES]; /* worker, peer or domain */
 	uint64_t waited_us;
-	uint32_t considered; /* how many candidates were looked at */
+	uint32_t considered; /* number of candidates examined */
 	enum rj_answer_kind answer; /* RJ_LOG_END, RJ_LOG_REFUSE */
 };
 
@@ -94,7 +94,7 @@
 	struct rj_action *list; /* talloc array */
 	uint32_t count;
 	uint32_t capacity;
-	void *mem; /* parent of all that the actions point to */
+	void *mem; /* parent of everything that the actions point to */
 };
 
 void rj_actions_init(struct rj_actions *actions, void *mem);
--- a/include/radishjunction/core.h
+++ b/include/radishjunction/core.h
@@ -1,10 +1,10 @@
 /*
  * The decision core of one instance: events in, actions out.
  *
- * Life cycle: `rj_core_init` on the caller's memory, `rj_core_process` for
- * each event, `rj_core_wake_us` after each to arm the one timer, and
- * `rj_core_finish`. The core does no I/O, reads no clock, keeps no thread
- * and no global: the same events give the same actions.
+ * Life cycle: `rj_core_init`, `rj_core_process` for each event,
+ * `rj_core_wake_us` after each event to arm the single timer, `rj_core_finish`.
+ * The core does no I/O, reads no clock and has no threads or globals: the same
+ * events always produce the same actions.
  */
 #ifndef RADISHJUNCTION_CORE_H
 #define RADISHJUNCTION_CORE_H
@@ -18,13 +18,13 @@
 struct rj_core_options {
 	char name[RJ_NAME_BYTES];
 	char domain[RJ_NAME_BYTES];
-	uint64_t incarnation; /* differs at each start of a process */
-	uint64_t seed; /* of jitter and of job ids */
-	const struct rj_instance *peers; /* known from the settings */
+	uint64_t incarnation; /* different at each process start */
+	uint64_t seed; /* for jitter and job ids */
+	const struct rj_instance *peers; /* peers named in the settings */
 	uint32_t peer_count;
-	struct rj_planner *planner; /* the caller keeps it alive */
+	struct rj_planner *planner; /* owned by the caller, outlives the core */
 	uint64_t retention_us; /* how long the log keeps a record */
-	uint64_t drain_limit_us; /* of a stop; 0: 30 s */
+	uint64_t drain_limit_us; /* limit of a drain; 0: 30 s */
 };
 
 enum rj_counter {
@@ -60,7 +60,7 @@
 struct rj_core_state;
 
 struct rj_core {
-	struct rj_core_state *state; /* talloc child of init's mem */
+	struct rj_core_state *state; /* talloc child of init's `mem` */
 };
 
 int rj_core_init(struct rj_core *core, void *mem,
--- a/include/radishjunction/event.h
+++ b/include/radishjunction/event.h
@@ -1,9 +1,8 @@
 /*
- * What the decision core is told.
+ * Events: the input of the decision core.
  *
- * An event is made by an adapter, handed to `rj_core_process` with the time
- * at which it happened, and freed by the adapter afterwards: the core copies
- * what it keeps.
+ * An adapter creates an event, passes it to `rj_core_process` with the time at
+ * which it happened, and frees it afterwards. The core copies what it keeps.
  */
 #ifndef RADISHJUNCTION_EVENT_H
 #define RADISHJUNCTION_EVENT_H
@@ -14,17 +13,17 @@
 #include "radishjunction/worker.h"
 
 enum rj_event_kind {
-	RJ_EVENT_REQUEST, /* a caller asks */
-	RJ_EVENT_CALLER_DISCONNECTED, /* its connection closed before the answer */
-	RJ_EVENT_RECORDS, /* a read of the log was answered */
-	RJ_EVENT_READ_FAILED, /* a read was not answered in time */
-	RJ_EVENT_APPENDED, /* what became of an append */
-	RJ_EVENT_INSTANCES, /* the platform's lagging list */
-	RJ_EVENT_WORKER_REPLY, /* what became of a call to a worker */
-	RJ_EVENT_PEER_UP, /* an authenticated link stands */
-	RJ_EVENT_PEER_DOWN, /* the link ended; messages may be lost */
+	RJ_EVENT_REQUEST, /* a caller's request */
+	RJ_EVENT_CALLER_DISCONNECTED, /* connection closed before the answer */
+	RJ_EVENT_RECORDS, /* answer to a read of the log */
+	RJ_EVENT_READ_FAILED, /* a read of the log timed out */
+	RJ_EVENT_APPENDED, /* result of an append */
+	RJ_EVENT_INSTANCES, /* the platform's instance list, which lags */
+	RJ_EVENT_WORKER_REPLY, /* result of a call to a worker */
+	RJ_EVENT_PEER_UP, /* an authenticated link is established */
+	RJ_EVENT_PEER_DOWN, /* the link closed; messages may be lost */
 	RJ_EVENT_PEER_MESSAGE,
-	RJ_EVENT_TIMER, /* the time of `rj_core_wake_us` has come */
+	RJ_EVENT_TIMER, /* the time given by `rj_core_wake_us` is reached */
 	RJ_EVENT_STOP, /* the process was asked to stop */
 	RJ_EVENT_KIND_COUNT
 };
@@ -41,19 +40,19 @@
 extern const char *const rj_request_op_string[RJ_REQUEST_OP_COUNT];
 
 struct rj_request {
-	uint64_t request_id; /* the caller adapter's handle, never reused */
+	uint64_t request_id; /* handle of the caller adapter, never reused */
 	enum rj_request_op op;
 	char token[RJ_TOKEN_BYTES];
-	struct rj_job_spec spec; /* submit; account is filled by the core */
+	struct rj_job_spec spec; /* submit; the core fills in the account */
 	uint64_t job_id; /* lookup, cancel */
 	bool wait; /* lookup: answer when the job has ended */
 };
 
 struct rj_records {
 	enum rj_stream stream;
-	uint64_t from; /* the offset that was asked for */
-	uint64_t oldest; /* the oldest offset still kept */
-	uint64_t next; /* where to read on */
+	uint64_t from; /* requested offset */
+	uint64_t oldest; /* oldest offset still retained */
+	uint64_t next; /* offset of the next read */
 	uint64_t head; /* one past the newest offset */
 	struct rj_record *records;
 	uint32_t count;
@@ -61,8 +60,8 @@
 
 enum rj_append_status {
 	RJ_APPEND_OK,
-	RJ_APPEND_REFUSED, /* surely without effect */
-	RJ_APPEND_LOST, /* may have taken effect, or may yet */
+	RJ_APPEND_REFUSED, /* had no effect and will have none */
+	RJ_APPEND_LOST, /* may have taken effect, or still may */
 	RJ_APPEND_STATUS_COUNT
 };
 
@@ -78,13 +77,13 @@
 
 extern const char *const rj_instance_role_string[RJ_ROLE_COUNT];
 
-/* A line of the platform's list. It lags, and it may be wrong. */
+/* An entry of the platform's instance list. The list lags and may be wrong. */
 struct rj_instance {
 	char name[RJ_NAME_BYTES];
 	enum rj_instance_role role;
 	char domain[RJ_NAME_BYTES];
-	uint32_t rack; /* workers: number of the rack in its domain */
-	struct rj_address address; /* entry: of the peer port */
+	uint32_t rack; /* workers: rack number within the domain */
+	struct rj_address address; /* entry: address of the peer port */
 	uint64_t incarnation;
 	bool leaving;
 };
@@ -110,7 +109,7 @@
 	} u;
 };
 
-/* Whoever takes events: the daemon's shell, or a test. */
+/* A receiver of events: the daemon's shell or a test. */
 struct rj_sink {
 	void (*deliver)(struct rj_sink *sink, struct rj_event *event);
 };
--- a/include/radishjunction/planner_topology.h
+++ b/include/radishjunction/planner_topology.h
@@ -1,9 +1,8 @@
 /*
- * The planner that knows racks, guarantees and learnt run times.
+ * The topology planner: aware of racks, guarantees and recorded run times.
  *
- * Life cycle: `rj_planner_topology_init` on the caller's memory, then as
- * any `struct rj_planner`; its `finish` frees the state. What it weighs is
- * told in docs/POLICY.md.
+ * Life cycle: `rj_planner_topology_init`, then as for any `struct rj_planner`;
+ * `finish` frees the state. docs/POLICY.md describes the policy.
  */
 #ifndef RADISHJUNCTION_PLANNER_TOPOLOGY_H
 #define RADISHJUNCTION_PLANNER_TOPOLOGY_H
--- a/src/libradishjunction/core/action.c
+++ b/src/libradishjunction/core/action.c
@@ -5,8 +5,8 @@
 #include <talloc.h>
 
 /*
- * Start an empty list; what its actions point to are talloc children of a
- * context that `rj_actions_clear` empties.
+ * Initialises an empty list. Data that its actions point to is allocated as
+ * talloc children of `actions->mem`, which `rj_actions_clear` empties.
  */
 void rj_actions_init(struct rj_actions *actions, void *mem)
 {
@@ -16,7 +16,7 @@
 }
 
 /*
- * Append a zeroed action. The pointer is good until the next append.
+ * Appends a zeroed action. The pointer is valid until the next append.
  */
 struct rj_action *rj_actions_add(struct rj_actions *actions,
 				 enum rj_action_kind kind)
@@ -39,7 +39,7 @@
 }
 
 /*
- * Empty the list and free all that its actions pointed to.
+ * Empties the list and frees everything that its actions point to.
  */
 void rj_actions_clear(struct rj_actions *actions)
 {
@@ -48,7 +48,7 @@
 }
 
 /*
- * Free the list and all that its actions point to.
+ * Frees the list and everything that its actions point to.
  */
 void rj_actions_finish(struct rj_actions *actions)
 {
--- a/src/libradishjunction/core/capacity.c
+++ b/src/libradishjunction/core/capacity.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 /*
- * Start with no workers. All memory is a talloc child of `mem`.
+ * Initialises with no workers. All memory is a talloc child of `mem`.
  */
 void rj_capacity_init(struct rj_capacity *capacity, void *mem)
 {
@@ -14,9 +14,6 @@
 	capacity->mem = talloc_new(mem);
 }
 
-/*
- * Free all workers.
- */
 void rj_capacity_finish(struct rj_capacity *capacity)
 {
 	g_hash_table_destroy(capacity->by_id);
@@ -24,7 +21,7 @@
 }
 
 /*
- * The worker with this id, or NULL.
+ * Returns the worker with this id, or NULL.
  */
 struct rj_capacity_worker *rj_capacity_find(const struct rj_capacity *capacity,
 					    uint32_t id)
@@ -33,8 +30,8 @@
 }
 
 /*
- * What remains of `have` after `part`, and 0 where `part` is larger: a
- * report of foreign tasks may come late and be too high for a while.
+ * Subtracts `part` from `have`, saturating at 0 in each dimension. A report of
+ * foreign tasks may be late and temporarily too high.
  */
 void rj_resources_subtract_saturating(struct rj_resources *have,
 				      const struct rj_resources *part)
@@ -46,7 +43,7 @@
 }
 
 /*
- * Cut `have` down to `limit` in each dimension.
+ * Limits `have` to at most `limit` in each dimension.
  */
 void rj_resources_clamp(struct rj_resources *have,
 			const struct rj_resources *limit)
@@ -58,13 +55,13 @@
 }
 
 /*
- * Work out again what is free on `worker`. In the rack of a peer it is no
- * more than that peer offers.
+ * Recomputes the free capacity of `worker`. In a peer's rack it is limited to
+ * what that peer offers.
  *
- * Guards against an instance that drives work in a rack that is not its own:
- * it would fill what its own job leaves before the rack's owner hears of it,
- * even if the job was stopped for a guarantee. It shows as a shape that is
- * reclaimed again and again.
+ * The limit guards against an instance that runs a job in a rack it does not
+ * own: when the job ends, even if the owner preempted it for a guarantee, the
+ * instance would reuse the capacity before the owner sees it free. The owner
+ * would then reclaim the same guaranteed shape repeatedly.
  */
 static void update_free(struct rj_capacity_worker *worker)
 {
@@ -79,7 +76,7 @@
 }
 
 /*
- * The place of rack `number` in the list, or where it would be put.
+ * Returns the index of rack `number`, or where it would be inserted.
  */
 static uint32_t rack_index(const struct rj_capacity *capacity, uint32_t number)
 {
@@ -98,7 +95,7 @@
 }
 
 /*
- * The rack with this number, or NULL if no worker of it is known.
+ * Returns the rack with this number, or NULL if none of its workers is known.
  */
 const struct rj_capacity_rack *
 rj_capacity_rack_find(const struct rj_capacity *capacity, uint32_t number)
@@ -112,7 +109,7 @@
 }
 
 /*
- * The rack with this number, made if it is not known yet.
+ * Returns the rack with this number, creating it if necessary.
  */
 static struct rj_capacity_rack *rack_get(struct rj_capacity *capacity,
 					 uint32_t number)
@@ -137,9 +134,6 @@
 	return rack;
 }
 
-/*
- * Whether a worker of `rack` has this position.
- */
 static bool position_is_taken(const struct rj_capacity_rack *rack,
 			      uint32_t position)
 {
@@ -150,8 +144,8 @@
 }
 
 /*
- * The lowest position of `rack` that no worker has. A replacement thus takes
- * the place of the worker that went, and the others keep theirs.
+ * Returns the lowest unused position of `rack`. A replacement thus takes the
+ * position of the worker it replaces, and the others keep theirs.
  */
 static uint32_t free_position(const struct rj_capacity_rack *rack)
 {
@@ -163,8 +157,8 @@
 }
 
 /*
- * Whether `one` stands before `two` in their rack: by name, which is the same
- * at every instance, and by id among workers without one.
+ * Sort order within a rack: by name, which is the same at every instance, then
+ * by id for workers without a name.
  */
 static bool precedes(const struct rj_capacity_worker *one,
 		     const struct rj_capacity_worker *two)
@@ -175,12 +169,12 @@
 }
 
 /*
- * Give the rack's workers their positions by name.
+ * Assigns the rack's workers their positions by name.
  *
- * Guards against two instances that learnt of the workers in different
- * orders: each would lay an account's guarantee on other workers, and what
- * one places beside it sits on it as the other sees it. It shows as a shape
- * that waits for the end of work that cannot be stopped.
+ * Guards against instances that discover workers in different orders and map a
+ * guarantee to different workers. Non-preemptible work that one instance places
+ * beside the guarantee would then occupy it as seen by the other, and the
+ * guaranteed shape would wait for that work to end.
  */
 static void assign_positions(const struct rj_capacity_rack *rack)
 {
@@ -188,9 +182,6 @@
 		rack->workers[i]->position = i;
 }
 
-/*
- * Put `worker` into its rack.
- */
 static void rack_insert(struct rj_capacity *capacity,
 			struct rj_capacity_worker *worker)
 {
@@ -213,7 +204,7 @@
 }
 
 /*
- * Take `worker` out of its rack, and the rack out of the list with its last.
+ * Removes `worker` from its rack, and the rack when it is empty.
  */
 static void rack_remove(struct rj_capacity *capacity,
 			struct rj_capacity_worker *worker)
@@ -236,7 +227,7 @@
 }
 
 /*
- * Add a worker, or take over what is newly known of it.
+ * Adds or updates a worker.
  */
 struct rj_capacity_worker *rj_capacity_set(struct rj_capacity *capacity,
 					   const struct rj_plan_worker *plan)
@@ -264,9 +255,6 @@
 	return worker;
 }
 
-/*
- * Forget `worker`.
- */
 static void free_worker(struct rj_capacity *capacity,
 			struct rj_capacity_worker *worker)
 {
@@ -277,7 +265,8 @@
 }
 
 /*
- * The worker is no more. It is forgotten once nothing of ours is on it.
+ * Marks the worker as removed. It is freed once it runs no task of this
+ * planner.
  */
 void rj_capacity_remove(struct rj_capacity *capacity, uint32_t id)
 {
@@ -292,8 +281,9 @@
 }
 
 /*
- * Stand in for a worker that is not known yet: an adopted job may be found
- * before its worker is described, and its capacity must be taken then.
+ * Adds an unusable placeholder for a worker that is not known yet. An adopted
+ * job may be found before its worker is described, and its capacity must be
+ * allocated nonetheless.
  */
 static struct rj_capacity_worker *add_placeholder(struct rj_capacity *capacity,
 						  uint32_t id)
@@ -306,7 +296,7 @@
 }
 
 /*
- * Count the tasks of `members` as running.
+ * Allocates capacity on the workers of `members`.
  */
 void rj_capacity_allocate(struct rj_capacity *capacity,
 			  const struct rj_resources *each,
@@ -325,7 +315,7 @@
 }
 
 /*
- * Count the tasks of `members` as ended.
+ * Releases capacity on the workers of `members`.
  */
 void rj_capacity_release(struct rj_capacity *capacity,
 			 const struct rj_resources *each,
@@ -344,9 +334,6 @@
 	}
 }
 
-/*
- * Whether two shapes ask for the same.
- */
 bool rj_shape_equal(const struct rj_shape *one, const struct rj_shape *two)
 {
 	return one->tasks == two->tasks && one->adjacent == two->adjacent &&
@@ -354,14 +341,14 @@
 }
 
 /*
- * How many times `each` fits into `have`, counted up to `most`.
+ * Returns how many times `each` fits into `have`, at most `limit`.
  */
 uint32_t rj_resources_fit_count(const struct rj_resources *each,
 				const struct rj_resources *have, uint32_t limit)
 {
 	uint32_t times = limit;
 
-	/* Divisions are dear, and most searches end here. */
+	/* Avoids the divisions, as most searches end here. */
 	if (!rj_resources_fit(each, have))
 		return 0;
 	if (each->slots)
@@ -376,9 +363,9 @@
 }
 
 /*
- * Whether `shape` would fit if nothing ran: on the workers that are known,
- * or on the domain as it is configured (`domain` may be NULL), since after
- * a start not every worker has reported yet.
+ * Whether `shape` would fit on idle workers: on the known workers, or on the
+ * domain as configured (`domain` may be NULL), since not all workers have
+ * reported yet after a start.
  */
 bool rj_capacity_could_fit(const struct rj_capacity *capacity,
 			   const struct rj_domain *domain,
@@ -410,8 +397,8 @@
 }
 
 /*
- * Count the accelerators into `view`: all, free, and free ones that a job
- * of shape `largest` (NULL if none waits) could not use as they lie.
+ * Adds the accelerators to `view`: all, free, and stranded ones, which are free
+ * but unusable for shape `largest` (NULL: no job waits).
  */
 void rj_capacity_view(const struct rj_capacity *capacity,
 		      const struct rj_shape *largest, struct rj_plan_view *view)
--- a/src/libradishjunction/core/core.c
+++ b/src/libradishjunction/core/core.c
@@ -4,12 +4,14 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Timers wake an instance every second; one that heard nothing for so long
- * was paused, and its peers may have taken it for dead. */
+/*
+ * Timers wake an instance every second. After a longer gap between events it
+ * was paused, and its peers may consider it dead.
+ */
 #define PAUSE_MIN_US (2 * RJ_US_PER_S)
 
 /*
- * The number that the next call, append or forward is known by; never 0.
+ * Returns a unique number for the next call, append or forward; never 0.
  */
 uint64_t rj_core_next_id(struct rj_core_state *core)
 {
@@ -17,28 +19,23 @@
 }
 
 /*
- * A time between half of and one and a half times `oldest_record_us`, so that those
- * who were refused together do not return together.
+ * Returns a random time between half of and one and a half times `base_us`, so
+ * that callers refused at the same time do not retry at the same time.
  */
-uint64_t rj_core_jitter_us(struct rj_core_state *core,
-			   uint64_t oldest_record_us)
+uint64_t rj_core_jitter_us(struct rj_core_state *core, uint64_t base_us)
 {
-	if (!oldest_record_us)
+	if (!base_us)
 		return 0;
-	return oldest_record_us / 2 +
-	       rj_random64(&core->random) % (oldest_record_us + 1);
+	return base_us / 2 + rj_random64(&core->random) % (base_us + 1);
 }
 
-/*
- * Add one to a counter.
- */
 void rj_core_count(struct rj_core_state *core, enum rj_counter counter)
 {
 	core->counters[counter]++;
 }
 
 /*
- * Copy bytes as a talloc child of `mem`; empty bytes stay empty.
+ * Copies bytes as a talloc child of `mem`; `data` is NULL for empty bytes.
  */
 void rj_bytes_copy(void *mem, struct rj_bytes *to, const struct rj_bytes *from)
 {
@@ -51,9 +48,9 @@
 }
 
 /*
- * Log one decision, and keep it for `rj_core_explain`. `job` and `target`
- * may be NULL. Returns the line, for what only some decisions have; it is good
- * until the next action.
+ * Logs a decision and keeps it for `rj_core_explain`. `job` and `target` may be
+ * NULL. Returns the log entry so that the caller can set further fields; it is
+ * valid until the next action is added.
  */
 struct rj_decision_log *
 rj_core_log(struct rj_core_state *core, enum rj_decision_event event,
@@ -84,7 +81,7 @@
 }
 
 /*
- * Answer a caller, once for each request.
+ * Answers a caller. Must be called exactly once per request.
  */
 void rj_core_answer(struct rj_core_state *core, uint64_t request_id,
 		    const struct rj_answer *answer)
@@ -107,9 +104,9 @@
 }
 
 /*
- * Make the core of one instance as a talloc child of `mem`. The planner in
- * `options` stays the caller's and outlives the core. Returns 0, or -1 with
- * `err` of kind RJ_ERR_INVALID when a name is missing.
+ * Creates the core of one instance as a talloc child of `mem`. The planner in
+ * `options` is owned by the caller and must outlive the core. Returns 0, or -1
+ * with `err` of kind RJ_ERR_INVALID if a name or the planner is missing.
  */
 int rj_core_init(struct rj_core *core, void *mem,
 		 const struct rj_core_options *options, struct rj_error *err)
@@ -146,8 +143,8 @@
 }
 
 /*
- * Free the core with all that it holds; open requests get no answer, so a
- * planned stop sends RJ_EVENT_STOP and waits for RJ_ACTION_EXIT first.
+ * Frees the core. Open requests get no answer; a graceful stop sends
+ * RJ_EVENT_STOP and waits for RJ_ACTION_EXIT first.
  */
 void rj_core_finish(struct rj_core *core)
 {
@@ -165,7 +162,7 @@
 	TALLOC_FREE(core->state);
 }
 
-/* Hand a message of a peer to the controller that it is for. */
+/* Dispatches a peer message to its controller. */
 static void process_peer_message(struct rj_core_state *core, const char *peer,
 				 const struct rj_peer_message *message)
 {
@@ -199,7 +196,6 @@
 	}
 }
 
-/* Fire every timer that is due. */
 static void process_timers(struct rj_core_state *core)
 {
 	struct rj_timer *timer;
@@ -208,7 +204,7 @@
 		timer->fire(core, timer);
 }
 
-/* Hand an event to the filters or the controller that it is for. */
+/* Dispatches an event to the filters or to its controller. */
 static void process_event(struct rj_core_state *core,
 			  const struct rj_event *event)
 {
@@ -257,10 +253,10 @@
 }
 
 /*
- * Take one event and append what follows from it to `actions`. Times never
- * go back: an event that carries an earlier time than the one before it is
- * taken at the later time. The first event of any kind also starts the core:
- * it reads the log and the list and connects to its peers.
+ * Processes one event and appends the resulting actions to `actions`. Time is
+ * monotonic: an event with an earlier time than its predecessor is processed at
+ * the predecessor's time. The first event of any kind also starts the core,
+ * which reads the log and the instance list and connects to its peers.
  */
 void rj_core_process(struct rj_core *core, const struct rj_event *event,
 		     struct rj_actions *actions)
@@ -286,8 +282,8 @@
 }
 
 /*
- * When to send RJ_EVENT_TIMER, on the clock of the events; RJ_NEVER_US when
- * no timer is armed. A core that has seen no event yet wants one at once.
+ * Returns when to send RJ_EVENT_TIMER, on the clock of the events; RJ_NEVER_US
+ * if no timer is armed, 0 before the first event.
  */
 uint64_t rj_core_wake_us(const struct rj_core *core)
 {
@@ -295,13 +291,13 @@
 }
 
 /*
- * Whether callers may be sent here: a configuration is in force, the log was
- * read or is known to be out, and no stop was asked for.
+ * Whether callers may be routed here: a configuration is in force, the log has
+ * been read or is known to be unavailable, and no stop was requested.
  *
- * Guards against refusals by an instance that has just started: a peer gives
- * it the configuration before its first read of the log is answered, and in
- * between it would refuse what has to be accepted into the log as if there
- * were an outage. In a real one it is ready, since idempotent work goes on.
+ * Guards against refusals by an instance that has just started. A peer may send
+ * it the configuration before its first read of the log is answered; until then
+ * it would refuse jobs that must be accepted into the log. During a real log
+ * outage it is ready, since it can still serve idempotent jobs.
  */
 bool rj_core_ready(const struct rj_core *core)
 {
@@ -312,7 +308,7 @@
 }
 
 /*
- * The value of one counter since the start.
+ * Returns the value of a counter since the start.
  */
 uint64_t rj_core_counter(const struct rj_core *core, enum rj_counter counter)
 {
--- a/src/libradishjunction/core/decision.c
+++ b/src/libradishjunction/core/decision.c
@@ -5,8 +5,8 @@
 #include <talloc.h>
 
 /*
- * Start an empty list; members of its decisions are talloc children of a
- * context that `rj_decisions_clear` empties.
+ * Initialises an empty list. Members of its decisions are allocated as talloc
+ * children of `decisions->mem`, which `rj_decisions_clear` empties.
  */
 void rj_decisions_init(struct rj_decisions *decisions, void *mem)
 {
@@ -16,7 +16,7 @@
 }
 
 /*
- * Append a zeroed decision. The pointer is good until the next append.
+ * Appends a zeroed decision. The pointer is valid until the next append.
  */
 struct rj_decision *rj_decisions_add(struct rj_decisions *decisions,
 				     enum rj_decision_kind kind)
@@ -39,7 +39,7 @@
 }
 
 /*
- * Append the start of a job on a copy of `members`.
+ * Appends a START of a job on a copy of `members`.
  */
 struct rj_decision *rj_decisions_add_start(struct rj_decisions *decisions,
 					   uint64_t job_id,
@@ -61,7 +61,7 @@
 }
 
 /*
- * Empty the list and free the members of its decisions.
+ * Empties the list and frees the members of its decisions.
  */
 void rj_decisions_clear(struct rj_decisions *decisions)
 {
@@ -70,7 +70,7 @@
 }
 
 /*
- * Free the list and the members of its decisions.
+ * Frees the list and the members of its decisions.
  */
 void rj_decisions_finish(struct rj_decisions *decisions)
 {
--- a/src/libradishjunction/core/job_ledger.c
+++ b/src/libradishjunction/core/job_ledger.c
@@ -1,13 +1,13 @@
 /*
- * What the log says about jobs: a fold over the `jobs` stream.
+ * Job state derived from the `jobs` stream of the log.
  *
- * Every instance applies the same rules to the same records in the same
- * order, so that all agree which claim of a job counts without talking to
- * each other:
- * - the first claim opens the job, and others are ignored while it is open;
- * - a void closes the claim of just that attempt;
- * - an outcome settles the job; after it no claim opens it again;
- * - `unknown` may later become a definite outcome of the same attempt.
+ * Every instance applies the same rules to the same records in the same order,
+ * so that all agree on the valid claim of a job without further communication:
+ * - the first claim opens the job; others are ignored while it is open;
+ * - a void closes the claim of its own attempt only;
+ * - an outcome settles the job; no later claim reopens it;
+ * - an outcome `unknown` may be replaced by a definite outcome of the same
+ *   attempt.
  */
 #include <assert.h>
 #include <string.h>
@@ -16,7 +16,7 @@
 #include "private/core_state.h"
 
 /*
- * Start an empty ledger.
+ * Initialises an empty ledger.
  */
 void rj_job_ledger_init(struct rj_job_ledger *ledger, void *mem)
 {
@@ -27,16 +27,13 @@
 }
 
 /*
- * Free the index; the entries are talloc children of the core.
+ * Frees the index; the entries are talloc children of the core.
  */
 void rj_job_ledger_finish(struct rj_job_ledger *ledger)
 {
 	g_hash_table_destroy(ledger->by_job);
 }
 
-/*
- * Drop an entry.
- */
 void rj_job_ledger_remove(struct rj_job_ledger *ledger,
 			  struct rj_job_entry *entry)
 {
@@ -47,7 +44,7 @@
 }
 
 /*
- * Drop every entry, before the stream is read again from its oldest record.
+ * Removes all entries, before the stream is read again from its oldest record.
  */
 void rj_job_ledger_reset(struct rj_job_ledger *ledger)
 {
@@ -60,7 +57,7 @@
 }
 
 /*
- * What the log says of a job, or NULL when it says nothing.
+ * Returns the state of a job, or NULL if the log has no record of it.
  */
 struct rj_job_entry *rj_job_ledger_find(const struct rj_job_ledger *ledger,
 					uint64_t job_id)
@@ -68,7 +65,6 @@
 	return g_hash_table_lookup(ledger->by_job, &job_id);
 }
 
-/* Whether two attempts are the same. */
 static bool same_attempt(const struct rj_attempt *a, const struct rj_attempt *b)
 {
 	return a->job_id == b->job_id && a->owner == b->owner &&
@@ -76,8 +72,8 @@
 }
 
 /*
- * Nobody is left who knows what older records said: attempts of every job
- * that is still open may be missing.
+ * Marks all unsettled jobs as incomplete: no live instance has read the missing
+ * older records, so records of attempts may be lost.
  */
 void rj_job_ledger_mark_incomplete(struct rj_job_ledger *ledger)
 {
@@ -93,14 +89,15 @@
 }
 
 /*
- * Whether the log says more of a job than that all of its attempts are over.
+ * Whether a job is settled, claimed or accepted, rather than only known from
+ * void attempts.
  */
 bool rj_job_entry_has_state(const struct rj_job_entry *entry)
 {
 	return entry->settled || entry->claimed || entry->accepted;
 }
 
-/* Make the entry of a job that the log had not named before. */
+/* Adds an entry for a job without previous records. */
 static struct rj_job_entry *entry_new(struct rj_job_ledger *ledger, void *mem,
 				      const struct rj_record *record,
 				      uint64_t appended_us)
@@ -123,12 +120,11 @@
 }
 
 /*
- * An accepted job: its whole spec is kept until it has an outcome. One that
- * is carried names the last attempt that had claimed the job, if any has.
+ * Accept: keeps the whole job spec until the job has an outcome. A carried
+ * accept names the last attempt that claimed the job, if any.
  *
- * Guards against a reader that starts after that claim and its void were
- * trimmed: it would say of a cancelled job that ran and was stopped that it
- * did not run.
+ * That attempt guards against a reader that starts after the claim and its void
+ * were trimmed: it would report a cancelled job that had run as not run.
  */
 static void apply_accept(struct rj_job_entry *entry,
 			 const struct rj_record *record)
@@ -147,8 +143,11 @@
 	rj_bytes_copy(entry, &entry->spec.body, &record->spec.body);
 }
 
-/* The first claim of a job that is not open and not settled opens it. Where
- * older records may be missing, one that a peer carries takes its place. */
+/*
+ * The first claim of a job that is neither open nor settled opens it. Where
+ * older records may be missing, a claim carried by a peer replaces the open
+ * one.
+ */
 static void apply_claim(struct rj_job_entry *entry,
 			const struct rj_record *record, uint64_t appended_us,
 			bool gap)
@@ -176,7 +175,7 @@
 			record->member_count * sizeof(*record->members));
 }
 
-/* A void closes its own attempt and no other. */
+/* A void closes the claim of its own attempt only. */
 static void apply_void(struct rj_job_entry *entry,
 		       const struct rj_record *record)
 {
@@ -189,9 +188,9 @@
 }
 
 /*
- * An outcome of the open attempt settles the job. One of a job that is not
- * open settles it when it was accepted (it ran without a claim, or was
- * cancelled) or is carried forward past the trimming of its claim.
+ * An outcome of the open attempt settles the job. If no attempt is open, an
+ * outcome settles a job that was accepted (it ran without a claim, or was
+ * cancelled), or one carried forward because its claim was trimmed.
  */
 static void apply_outcome(struct rj_job_entry *entry,
 			  const struct rj_record *record, bool is_new)
@@ -219,13 +218,13 @@
 }
 
 /*
- * Note an outcome whose claim is gone from the log: something ran under this
- * key, and whether this was its valid attempt cannot be told any more.
+ * Records an outcome whose claim is no longer in the log: a job with this key
+ * ran, but whether this was its valid attempt cannot be determined.
  *
  * Guards against a reader that starts after the claim was trimmed and before
- * the outcome was carried, as in a long outage: it would take the key for a
- * new one and run the job twice. Until whoever knows carries the outcome, the
- * answer is `unknown`.
+ * the outcome was carried, as in a long outage: it would take the key for a new
+ * one and run the job twice. The answer is `unknown` until an instance that
+ * knows the outcome carries it.
  */
 static void record_orphan_outcome(struct rj_job_entry *entry,
 				  const struct rj_record *record)
@@ -238,9 +237,8 @@
 }
 
 /*
- * Note where the log says what of the job: from the earlier one of its
- * newest accept and its newest open claim on it says all that matters, and
- * from a carried outcome on by itself.
+ * Updates the offset from which the log describes the job completely: the older
+ * of its newest accept and its newest open claim, or a carried outcome alone.
  */
 static void update_offsets(struct rj_job_entry *entry,
 			   const struct rj_record *record)
@@ -266,9 +264,9 @@
 }
 
 /*
- * Apply one record, in log order. `now_us` is the time of reading. Returns
- * the entry of its job, or NULL for a record that is not about a job or that
- * changes nothing that is known. Entries are talloc children of `mem`.
+ * Applies one record, in log order. `now_us` is the time of reading. Returns
+ * the entry of its job, or NULL for a record that is not about a job or has no
+ * effect. Entries are talloc children of `mem`.
  */
 struct rj_job_entry *rj_job_ledger_apply(struct rj_job_ledger *ledger,
 					 void *mem,
--- a/src/libradishjunction/core/ledger.c
+++ b/src/libradishjunction/core/ledger.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 /*
- * The larger of each dimension.
+ * Returns the maximum in each dimension.
  */
 static struct rj_resources resources_max(const struct rj_resources *one,
 					 const struct rj_resources *two)
@@ -19,7 +19,7 @@
 }
 
 /*
- * Whether `one` is more than `two` in any dimension.
+ * Whether `one` is larger than `two` in any dimension.
  */
 bool rj_resources_exceed(const struct rj_resources *one,
 			 const struct rj_resources *two)
@@ -28,7 +28,7 @@
 }
 
 /*
- * What is left of `have` without `part`, never less than nothing.
+ * Returns `have` minus `part`, saturating at 0 in each dimension.
  */
 struct rj_resources rj_resources_remaining(const struct rj_resources *have,
 					   const struct rj_resources *part)
@@ -40,7 +40,7 @@
 }
 
 /*
- * The ledger of `worker`, made at the first call.
+ * Returns the ledger of `worker`, creating it at the first call.
  */
 struct rj_ledger *rj_ledger_get(struct rj_capacity_worker *worker)
 {
@@ -52,7 +52,7 @@
 }
 
 /*
- * The share of `account`, or NULL if it has none here.
+ * Returns the usage of `account`, or NULL if it has none on this worker.
  */
 struct rj_worker_usage *rj_ledger_usage(const struct rj_ledger *ledger,
 					const struct rj_plan_account *account)
@@ -64,7 +64,7 @@
 }
 
 /*
- * The share of `account`, made if it has none here yet.
+ * Returns the usage of `account`, creating it if necessary.
  */
 static struct rj_worker_usage *usage_add(struct rj_ledger *ledger,
 					 struct rj_plan_account *account)
@@ -84,7 +84,7 @@
 }
 
 /*
- * Work out the bound again, and drop shares that say nothing.
+ * Recomputes the committed capacity and removes empty usages.
  */
 static void update_committed(struct rj_ledger *ledger)
 {
@@ -107,7 +107,7 @@
 }
 
 /*
- * Guarantee `tasks` times `each` of the worker to `account`.
+ * Guarantees `tasks` times `each` of the worker to `account`.
  */
 void rj_ledger_guarantee(struct rj_capacity_worker *worker,
 			 struct rj_plan_account *account,
@@ -120,7 +120,7 @@
 }
 
 /*
- * Take back all guarantees, before a new configuration gives its own.
+ * Clears all guarantees, before those of a new configuration are applied.
  */
 void rj_ledger_clear_guarantees(struct rj_capacity_worker *worker)
 {
@@ -133,7 +133,7 @@
 }
 
 /*
- * Whether the job's tasks are never stopped for a gang that has waited.
+ * Whether the job is never preempted for a waiting gang.
  */
 bool rj_ledger_blocks_gangs(const struct rj_plan_job *job)
 {
@@ -141,7 +141,7 @@
 }
 
 /*
- * Tasks of a job have been placed on the worker.
+ * Adds tasks of a job that were placed on the worker.
  */
 void rj_ledger_add_run(struct rj_capacity_worker *worker,
 		       struct rj_plan_entry *entry, uint32_t tasks)
@@ -164,7 +164,7 @@
 }
 
 /*
- * Tasks of a job are no longer on the worker.
+ * Removes tasks of a job from the worker.
  */
 void rj_ledger_remove_run(struct rj_capacity_worker *worker,
 			  struct rj_plan_entry *entry, uint32_t tasks)
@@ -189,7 +189,8 @@
 }
 
 /*
- * Keep `tasks` of the reservation's job free here, in the reservation's way.
+ * Reserves capacity for `tasks` of the reservation's job on this worker.
+ * Whether it is firm or soft is up to the reservation.
  */
 void rj_ledger_reserve(struct rj_capacity_worker *worker,
 		       struct rj_reservation *reservation, uint32_t tasks)
@@ -209,7 +210,7 @@
 }
 
 /*
- * Keep nothing for the reservation any more.
+ * Removes the reservation from this worker.
  */
 void rj_ledger_unreserve(struct rj_capacity_worker *worker,
 			 struct rj_reservation *reservation)
@@ -225,8 +226,8 @@
 }
 
 /*
- * What tasks of `account` that cannot be stopped may still take here
- * without breaking the rule.
+ * Returns how much non-preemptible tasks of `account` may still allocate on
+ * this worker without violating the invariant in ledger.h.
  */
 struct rj_resources
 rj_ledger_non_preemptible_limit(const struct rj_capacity_worker *worker,
--- a/src/libradishjunction/core/ownership.c
+++ b/src/libradishjunction/core/ownership.c
@@ -1,24 +1,26 @@
 /*
- * Who owns what, by rendezvous hashing over the instances believed alive.
- * Nobody votes: two owners for a while cost time, since the workers' leases
- * and the log's order decide.
+ * Ownership of keys by rendezvous hashing over the instances believed alive.
+ * There is no consensus: two owners for a short time cost some delay but no
+ * correctness, since worker leases and the order of the log decide.
  */
 #include <string.h>
 
 #include "private/core_state.h"
 
-/* An instance that alone has lost the log for so long gives its racks away.
- * An outage, which strikes all, moves none. */
+/*
+ * An instance that alone has lost the log for this long gives up its racks. In
+ * an outage that affects all instances, ownership does not move.
+ */
 #define LOG_LOST_MIN_US (10 * RJ_US_PER_S)
-/* Above every weight of an instance that is cut off. */
+/* Set in the weight of instances that can use the log; exceeds all others. */
 #define WEIGHT_LOG_AVAILABLE (1ULL << 63)
 
 /*
- * The weight of an instance for a key: the highest one owns it. One that is
- * cut off from the log comes after all others.
+ * Returns the rendezvous weight of an instance for a key; the highest weight
+ * owns it. Instances that are cut off from the log rank after all others.
  *
  * Guards against an owner that alone is cut off from the platform: it would
- * refuse the charges of a whole rack, though its peers could serve them.
+ * refuse the charges of a whole rack although its peers could serve them.
  */
 uint64_t rj_ownership_weight(const char *name, uint64_t key, bool cut_off)
 {
@@ -27,14 +29,13 @@
 	return cut_off ? base : base | WEIGHT_LOG_AVAILABLE;
 }
 
-/* The weight of a peer. */
 static uint64_t peer_weight(const struct rj_member_view *member, uint64_t key)
 {
 	return rj_ownership_weight(member->name, key, member->cut_off);
 }
 
 /*
- * Whether this instance alone has lost the log, for a while.
+ * Whether only this instance has lost the log, for at least LOG_LOST_MIN_US.
  */
 bool rj_ownership_cut_off(const struct rj_core_state *core)
 {
@@ -42,7 +43,10 @@
 	       core->now_us > core->membership.alone_us + LOG_LOST_MIN_US;
 }
 
-/* The weight of this instance; one that stops owns what nobody else could. */
+/*
+ * Returns the weight of this instance. A stopping instance has weight 0 and
+ * owns only keys that no other instance can own.
+ */
 static uint64_t own_weight(const struct rj_core_state *core, uint64_t key)
 {
 	return core->stopping ? 0 :
@@ -51,12 +55,10 @@
 }
 
 /*
- * Whether this instance owns `key` in `domain`, by rendezvous hashing over
- * the instances believed alive there and not draining. Nobody votes: two
- * owners for a while cost time, since leases and the log decide. An instance
- * of another failure domain owns nothing, unless nobody of `domain` is
- * alive: then the instances of all domains share its keys. An instance that
- * stops owns only what nobody else could.
+ * Whether this instance owns `key` in `domain`. Candidates are the instances of
+ * `domain` that are believed alive and not draining. If there are none, the
+ * instances of all domains share its keys; otherwise an instance of another
+ * failure domain owns nothing.
  */
 bool rj_ownership_owns(const struct rj_core_state *core, const char *domain,
 		       uint64_t key)
@@ -83,8 +85,8 @@
 }
 
 /*
- * The peer of this failure domain that owns `key`, or NULL when this instance
- * owns it.
+ * Returns the peer of this failure domain that owns `key`, or NULL if this
+ * instance owns it.
  */
 const char *rj_ownership_owner(struct rj_core_state *core, uint64_t key)
 {
--- a/src/libradishjunction/core/plan_table.c
+++ b/src/libradishjunction/core/plan_table.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 /*
- * Start an empty table whose entries are talloc children of `mem`.
+ * Initialises an empty table whose entries are talloc children of `mem`.
  */
 void rj_plan_table_init(struct rj_plan_table *table, void *mem)
 {
@@ -13,9 +13,6 @@
 	table->mem = talloc_new(mem);
 }
 
-/*
- * Free all entries.
- */
 void rj_plan_table_finish(struct rj_plan_table *table)
 {
 	g_hash_table_destroy(table->by_id);
@@ -23,7 +20,7 @@
 }
 
 /*
- * The entry of the job, or NULL.
+ * Returns the entry of the job, or NULL.
  */
 struct rj_plan_entry *rj_plan_table_find(const struct rj_plan_table *table,
 					 uint64_t job_id)
@@ -32,7 +29,7 @@
 }
 
 /*
- * Add a job that is not in the table yet; it waits.
+ * Adds a waiting job that is not in the table yet.
  */
 struct rj_plan_entry *rj_plan_table_add(struct rj_plan_table *table,
 					const struct rj_plan_job *job)
@@ -50,7 +47,7 @@
 }
 
 /*
- * Forget a job that holds no capacity any more and is in no queue.
+ * Frees the entry of a job that is neither placed nor queued.
  */
 void rj_plan_table_remove(struct rj_plan_table *table,
 			  struct rj_plan_entry *entry)
@@ -60,16 +57,13 @@
 	talloc_free(entry);
 }
 
-/*
- * How many jobs the table holds.
- */
 uint32_t rj_plan_table_count(const struct rj_plan_table *table)
 {
 	return g_hash_table_size(table->by_id);
 }
 
 /*
- * Let the job run on `members` from `now_us`, and take their capacity.
+ * Places the job on `members` at `now_us` and allocates their capacity.
  */
 void rj_plan_entry_place(struct rj_plan_entry *entry,
 			 struct rj_capacity *capacity,
@@ -86,7 +80,7 @@
 }
 
 /*
- * Give back the capacity of a job that runs; nothing for one that waits.
+ * Releases the capacity of a running job; no effect on a waiting one.
  */
 void rj_plan_entry_unplace(struct rj_plan_entry *entry,
 			   struct rj_capacity *capacity)
@@ -100,8 +94,8 @@
 }
 
 /*
- * Put `entry` into a queue that is in order of arrival. A job that returns
- * takes its old place, so it is sought from the end.
+ * Inserts `entry` into a queue sorted by arrival time. A requeued job keeps its
+ * arrival time, so the search starts at the tail.
  */
 void rj_plan_queue_insert(GQueue *queue, struct rj_plan_entry *entry)
 {
@@ -123,7 +117,8 @@
 }
 
 /*
- * The first deadline or end of a back-off of a waiting job, or RJ_NEVER_US.
+ * Returns the first deadline or end of a back-off of a waiting job, or
+ * RJ_NEVER_US.
  */
 uint64_t rj_plan_queue_wake_us(const GQueue *queue)
 {
@@ -140,8 +135,8 @@
 }
 
 /*
- * The shape in the queue that asks for most accelerators, NULL if none asks
- * for any; `*accelerators` is how many.
+ * Returns the queued shape with the most accelerators, NULL if none needs any;
+ * `*accelerators` is their number.
  */
 const struct rj_shape *rj_plan_queue_largest(const GQueue *queue,
 					     uint32_t *accelerators)
--- a/src/libradishjunction/core/planner_first_fit.c
+++ b/src/libradishjunction/core/planner_first_fit.c
@@ -6,38 +6,35 @@
 
 #include "private/plan_table.h"
 
-/* When a refused caller may come back; this planner expects nothing. */
+/* Retry delay of refused callers; this planner does not estimate waits. */
 #define RETRY_AFTER_US RJ_US_PER_S
 
-/* Waiting jobs kept while no configuration says how many. */
+/* Queue limit until a configuration sets one. */
 #define QUEUE_MAX_DEFAULT 1000
 
 /*
- * First come, first fit: at each pass the waiting jobs are tried in order
- * of arrival, and each that fits starts on the first workers that have
- * room. A job that does not fit is skipped and holds nothing, so later ones
- * may pass it again and again. Guarantees, priorities, shares and learnt
- * run times play no part.
+ * First fit in order of arrival: each pass tries the waiting jobs in order of
+ * arrival and starts each that fits on the first workers with enough free
+ * capacity. A job that does not fit is skipped and reserves nothing, so later
+ * jobs may overtake it indefinitely. Guarantees, priorities, shares and
+ * recorded run times are ignored.
  */
 struct rj_first_fit_state {
 	struct rj_capacity capacity;
 	struct rj_plan_table table;
-	GQueue queue; /* waiting jobs in order of arrival */
+	GQueue queue; /* in order of arrival */
 	uint32_t queue_max;
 	struct rj_domain domain;
 	struct rj_plan_member members[RJ_GANG_MAX];
 };
 
-/*
- * The state behind the vtable.
- */
 static struct rj_first_fit_state *state_of(const struct rj_planner *planner)
 {
 	return ((const struct rj_planner_first_fit *)planner)->state;
 }
 
 /*
- * Take over the bound of the queue and the domain's topology.
+ * Applies the queue limit and the domain's topology.
  */
 static void first_fit_configure(struct rj_planner *planner,
 				const struct rj_config *config,
@@ -56,7 +53,7 @@
 }
 
 /*
- * A worker is known, or known to have changed.
+ * Adds or updates a worker.
  */
 static void first_fit_worker(struct rj_planner *planner,
 			     const struct rj_plan_worker *worker,
@@ -66,18 +63,18 @@
 }
 
 /*
- * A worker is no more; what ran there is ended or requeued by the caller.
+ * Removes a worker. The caller ends or requeues the jobs that ran there.
  */
-static void first_fit_worker_gone(struct rj_planner *planner, uint32_t worker,
-				  uint64_t now_us)
+static void first_fit_worker_removed(struct rj_planner *planner,
+				     uint32_t worker, uint64_t now_us)
 {
 	rj_capacity_remove(&state_of(planner)->capacity, worker);
 }
 
 /*
- * Queue the job, unless it could not run on an empty domain or the queue is
- * full. Until a worker or a topology is known nothing is refused as too
- * large.
+ * Queues the job, unless it would not fit on the idle domain or the queue is
+ * full. Jobs are not refused as too large before a worker or a topology is
+ * known.
  */
 static int first_fit_submit(struct rj_planner *planner,
 			    const struct rj_plan_job *job, uint64_t now_us,
@@ -103,7 +100,7 @@
 }
 
 /*
- * Forget a job, whether it waits or runs.
+ * Removes a waiting or running job.
  */
 static void remove_job(struct rj_first_fit_state *state,
 		       struct rj_plan_entry *entry)
@@ -116,8 +113,7 @@
 }
 
 /*
- * Forget a job that has ended or was cancelled; one that is not known is
- * passed over.
+ * Removes a job that has ended or was cancelled; ignores unknown jobs.
  */
 static void first_fit_ended(struct rj_planner *planner, uint64_t job_id,
 			    bool succeeded, uint64_t ran_us, uint64_t now_us)
@@ -130,7 +126,7 @@
 }
 
 /*
- * The job waits again, at its old place in the order of arrival.
+ * Requeues the job by its original arrival time.
  */
 static void first_fit_requeue(struct rj_planner *planner, uint64_t job_id,
 			      uint64_t not_before_us, uint64_t now_us)
@@ -148,7 +144,7 @@
 }
 
 /*
- * Take over a running job; one that is known and runs is left as it is.
+ * Adds a running job; no effect if it is known as running.
  */
 static void first_fit_adopt(struct rj_planner *planner,
 			    const struct rj_plan_job *job,
@@ -169,8 +165,9 @@
 }
 
 /*
- * Put as many tasks as fit onto the workers of `rack`, in order of id, from
- * `*placed` on. Returns how many members there are now.
+ * Places as many remaining tasks as fit on the workers of `rack`, adding to the
+ * `*placed` tasks and `count` members so far. Returns the new number of
+ * members.
  */
 static uint32_t fill_rack(const struct rj_capacity_rack *rack,
 			  const struct rj_shape *shape,
@@ -193,7 +190,8 @@
 }
 
 /*
- * The first workers that hold all tasks of `shape`, or 0 members.
+ * Finds the first workers that fit all tasks of `shape`. Returns the number of
+ * members, 0 if it does not fit.
  */
 static uint32_t first_fit_place(struct rj_first_fit_state *state,
 				const struct rj_shape *shape,
@@ -218,8 +216,8 @@
 }
 
 /*
- * Give up a waiting job whose deadline has passed, so that its caller is told
- * at once.
+ * Refuses a waiting job whose deadline has passed, so that its caller is
+ * answered at once.
  */
 static void refuse_expired(struct rj_first_fit_state *state,
 			   struct rj_plan_entry *entry,
@@ -234,7 +232,7 @@
 }
 
 /*
- * Start a waiting job on the first `count` members of the state.
+ * Starts a waiting job on the first `count` members of the state.
  */
 static void start(struct rj_first_fit_state *state, struct rj_plan_entry *entry,
 		  uint32_t count, uint32_t considered, uint64_t now_us,
@@ -251,9 +249,9 @@
 }
 
 /*
- * Try every waiting job in order of arrival. A shape that has not fitted in
- * this pass cannot fit later in it, so the same shape in a row is not tried
- * again: a burst of equal jobs costs one search.
+ * Tries every waiting job in order of arrival. A shape that did not fit cannot
+ * fit later in the same pass, so consecutive equal shapes are tried only once:
+ * a burst of equal jobs costs one search.
  */
 static void first_fit_pass(struct rj_planner *planner, uint64_t now_us,
 			   struct rj_decisions *decisions)
@@ -275,7 +273,7 @@
 		}
 		if (entry->not_before_us > now_us)
 			continue;
-		/* Waits for capacity from here on, not for a time. */
+		/* The back-off is over; no further wake-up is needed for it. */
 		entry->not_before_us = 0;
 		if (failed && rj_shape_equal(failed, &entry->job.shape))
 			continue;
@@ -291,16 +289,13 @@
 }
 
 /*
- * The first deadline or end of a back-off of a waiting job.
+ * Returns the first deadline or end of a back-off of a waiting job.
  */
 static uint64_t first_fit_wake_us(const struct rj_planner *planner)
 {
 	return rj_plan_queue_wake_us(&state_of(planner)->queue);
 }
 
-/*
- * Count what waits, runs and is free.
- */
 static void first_fit_view(const struct rj_planner *planner, uint64_t now_us,
 			   struct rj_plan_view *view)
 {
@@ -316,7 +311,7 @@
 }
 
 /*
- * Free the state; the planner itself is the caller's.
+ * Frees the state; the planner itself is owned by the caller.
  */
 static void first_fit_finish(struct rj_planner *planner)
 {
@@ -332,7 +327,7 @@
 	.name = "first_fit",
 	.configure = first_fit_configure,
 	.worker = first_fit_worker,
-	.worker_removed = first_fit_worker_gone,
+	.worker_removed = first_fit_worker_removed,
 	.submit = first_fit_submit,
 	.ended = first_fit_ended,
 	.requeue = first_fit_requeue,
@@ -344,8 +339,7 @@
 };
 
 /*
- * Make the plain planner on the caller's memory; its state is a talloc
- * child of `mem`. Returns 0.
+ * Initialises the planner; its state is a talloc child of `mem`. Returns 0.
  */
 int rj_planner_first_fit_init(struct rj_planner_first_fit *planner, void *mem)
 {
--- a/src/libradishjunction/core/planner_topology.c
+++ b/src/libradishjunction/core/planner_topology.c
@@ -7,23 +7,23 @@
 
 #include "private/topology.h"
 
-/* Until a configuration says otherwise. */
+/* Defaults until a configuration is in force. */
 #define QUEUE_MAX_DEFAULT 1000
 #define CHECKPOINT_LIMIT_MS_DEFAULT 5000
 
-/* How long the room of a claim is kept after its back-off. */
-#define GUARANTEE_RETRY_HOLD_US (300 * RJ_US_PER_MS)
-
 /*
- * The state behind the vtable.
+ * How long capacity for a claim on a guarantee stays reserved after the
+ * back-off.
  */
+#define GUARANTEE_RETRY_HOLD_US (300 * RJ_US_PER_MS)
+
 static struct rj_topology_state *state_of(const struct rj_planner *planner)
 {
 	return ((const struct rj_planner_topology *)planner)->state;
 }
 
 /*
- * Take over shares, guarantees, classes, limits and the topology.
+ * Applies shares, guarantees, classes, limits and topology.
  */
 static void topology_configure(struct rj_planner *planner,
 			       const struct rj_config *config,
@@ -66,7 +66,7 @@
 }
 
 /*
- * Whether a report says nothing new of a worker.
+ * Whether a report of a worker contains no change.
  */
 static bool is_worker_unchanged(const struct rj_plan_worker *one,
 				const struct rj_plan_worker *two)
@@ -79,8 +79,7 @@
 }
 
 /*
- * A worker is known, or known to have changed. What follows for the whole is
- * worked out once, in the next pass.
+ * Adds or updates a worker. Derived state is recomputed once, in the next pass.
  */
 static void topology_worker(struct rj_planner *planner,
 			    const struct rj_plan_worker *worker,
@@ -90,7 +89,7 @@
 	const struct rj_capacity_worker *known =
 		rj_capacity_find(&state->capacity, worker->id);
 
-	/* Most reports repeat what is known. */
+	/* Most reports contain no change. */
 	if (known && !known->removed &&
 	    is_worker_unchanged(&known->plan, worker))
 		return;
@@ -101,11 +100,11 @@
 }
 
 /*
- * A worker is no more. Jobs for which room was kept there look for another
- * place in the next pass.
+ * Removes a worker. Jobs with reservations on it are placed anew in the next
+ * pass.
  */
-static void topology_worker_gone(struct rj_planner *planner, uint32_t worker,
-				 uint64_t now_us)
+static void topology_worker_removed(struct rj_planner *planner, uint32_t worker,
+				    uint64_t now_us)
 {
 	struct rj_topology_state *state = state_of(planner);
 
@@ -122,8 +121,7 @@
 }
 
 /*
- * Take a job into the table, with its account and what is known of its run
- * time.
+ * Adds a job to the table, with its account and run time histogram.
  */
 static struct rj_plan_entry *add_entry(struct rj_topology_state *state,
 				       const struct rj_plan_job *job)
@@ -136,8 +134,8 @@
 }
 
 /*
- * Whether the job can be taken in; if not, why, and when to come back. A
- * job that by the learnt run times will miss its deadline is told at once.
+ * Whether the job can be admitted; if not, gives the reason and a retry delay.
+ * A job that is expected to miss its deadline is refused at once.
  */
 static bool admit(const struct rj_topology_state *state,
 		  const struct rj_plan_entry *entry, uint64_t now_us,
@@ -166,7 +164,7 @@
 }
 
 /*
- * Let the job wait, or say why not and when to come back.
+ * Queues the job, or returns the reason for its refusal and a retry delay.
  */
 static int topology_submit(struct rj_planner *planner,
 			   const struct rj_plan_job *job, uint64_t now_us,
@@ -185,8 +183,8 @@
 }
 
 /*
- * Forget a job; a run that succeeded is learnt from. One that failed says
- * nothing of how long such jobs take.
+ * Removes a job and records its run time if it succeeded; the run time of a
+ * failed job is not representative.
  */
 static void topology_ended(struct rj_planner *planner, uint64_t job_id,
 			   bool succeeded, uint64_t ran_us, uint64_t now_us)
@@ -202,12 +200,14 @@
 }
 
 /*
- * Keep the room of a claim on a guarantee, whose leases were not all granted,
- * for the job's next attempt. The job waits outside of its bucket meanwhile.
+ * Reserves the members of a job that claimed a guarantee, but was not granted
+ * all leases, for its next attempt. The job waits outside of its bucket
+ * meanwhile.
  *
- * Guards against the refusal of one lease, as by a release that is still on
- * its way: other jobs would fill the whole shape during the back-off, and it
- * would be reclaimed anew. It shows as a shape that comes a reclaim later.
+ * Guards against the refusal of a single lease, for example because a release
+ * is still in flight: other jobs would fill the guaranteed shape during the
+ * back-off, and it would have to be reclaimed again, which delays it by another
+ * reclaim.
  */
 static void reserve_for_retry(struct rj_topology_state *state,
 			      struct rj_plan_entry *entry,
@@ -228,7 +228,7 @@
 }
 
 /*
- * The job waits again from `not_before_us` on, in the order of its arrival.
+ * Requeues the job in order of arrival, not to start before `not_before_us`.
  */
 static void topology_requeue(struct rj_planner *planner, uint64_t job_id,
 			     uint64_t not_before_us, uint64_t now_us)
@@ -256,7 +256,7 @@
 }
 
 /*
- * Take over a job that runs; one that is known to run is left as it is.
+ * Adds a running job; no effect if it is known as running.
  */
 static void topology_adopt(struct rj_planner *planner,
 			   const struct rj_plan_job *job,
@@ -276,9 +276,6 @@
 	rj_topology_attach(state, entry, members, count, now_us);
 }
 
-/*
- * See `rj_topology_pass`.
- */
 static void topology_pass(struct rj_planner *planner, uint64_t now_us,
 			  struct rj_decisions *decisions)
 {
@@ -286,8 +283,8 @@
 }
 
 /*
- * When something of the reservation is due: its job's back-off, its end, or
- * its refresh.
+ * Returns when the reservation needs processing: at the end of its job's
+ * back-off, when it expires, or when it is to be refreshed.
  */
 static uint64_t reservation_due_us(const struct rj_reservation *reservation)
 {
@@ -298,7 +295,7 @@
 }
 
 /*
- * The first deadline, end of a back-off, refresh or retry.
+ * Returns the first deadline, end of a back-off, refresh or retry.
  */
 static uint64_t topology_wake_us(const struct rj_planner *planner)
 {
@@ -325,9 +322,6 @@
 	return wake_us;
 }
 
-/*
- * Count what waits, runs and is free.
- */
 static void topology_view(const struct rj_planner *planner, uint64_t now_us,
 			  struct rj_plan_view *view)
 {
@@ -354,7 +348,7 @@
 }
 
 /*
- * Free the state; the planner itself is the caller's.
+ * Frees the state; the planner itself is owned by the caller.
  */
 static void topology_finish(struct rj_planner *planner)
 {
@@ -374,27 +368,21 @@
 	TALLOC_FREE(topology->state);
 }
 
-/*
- * See `rj_topology_rack_group`.
- */
 static uint32_t topology_rack_group(const struct rj_planner *planner,
 				    uint32_t rack)
 {
 	return rj_topology_rack_group(state_of(planner), rack);
 }
 
-/*
- * See `rj_topology_guarantee_rack`.
- */
-static uint32_t topology_home_rack(const struct rj_planner *planner,
-				   const char *account,
-				   const struct rj_shape *shape)
+static uint32_t topology_guarantee_rack(const struct rj_planner *planner,
+					const char *account,
+					const struct rj_shape *shape)
 {
 	return rj_topology_guarantee_rack(state_of(planner), account, shape);
 }
 
 /*
- * What firm reservations keep of the worker.
+ * Returns the capacity of the worker under firm reservations.
  */
 static void topology_reserved(const struct rj_planner *planner, uint32_t worker,
 			      struct rj_resources *reserved)
@@ -418,7 +406,7 @@
 	.name = "topology",
 	.configure = topology_configure,
 	.worker = topology_worker,
-	.worker_removed = topology_worker_gone,
+	.worker_removed = topology_worker_removed,
 	.submit = topology_submit,
 	.ended = topology_ended,
 	.requeue = topology_requeue,
@@ -427,14 +415,13 @@
 	.wake_us = topology_wake_us,
 	.view = topology_view,
 	.rack_group = topology_rack_group,
-	.guarantee_rack = topology_home_rack,
+	.guarantee_rack = topology_guarantee_rack,
 	.reserved = topology_reserved,
 	.finish = topology_finish,
 };
 
 /*
- * Make the planner on the caller's memory; its state is a talloc child of
- * `mem`. Returns 0.
+ * Initialises the planner; its state is a talloc child of `mem`. Returns 0.
  */
 int rj_planner_topology_init(struct rj_planner_topology *planner, void *mem)
 {
--- a/src/libradishjunction/core/runtime.c
+++ b/src/libradishjunction/core/runtime.c
@@ -9,8 +9,8 @@
 #define BUCKETS_PER_OCTAVE 4
 
 /*
- * The step that `time_us` falls into; the first and the last take all that
- * lies beyond them.
+ * Returns the bucket of `time_us`; times out of range fall into the first or
+ * last bucket.
  */
 static uint32_t bucket_of(uint64_t time_us)
 {
@@ -25,7 +25,7 @@
 }
 
 /*
- * The upper end of a step in microseconds.
+ * Returns the upper bound of a bucket in microseconds.
  */
 static uint64_t bucket_end_us(uint32_t bucket)
 {
@@ -34,7 +34,7 @@
 }
 
 /*
- * Learn that a job ran for `ran_us` to its end.
+ * Records that a job ran to its end in `ran_us`.
  */
 void rj_runtime_record(struct rj_runtime *runtime, uint64_t ran_us)
 {
@@ -53,9 +53,9 @@
 }
 
 /*
- * The whole run time that `percent` of the jobs that have run for
- * `elapsed_us` do not exceed. Where nothing that long has been seen, the
- * job is taken to be half way.
+ * Returns the total run time that `percent` of the jobs that have run for
+ * `elapsed_us` do not exceed. If there are no samples that long, assumes that
+ * half of the run time has elapsed.
  */
 uint64_t rj_runtime_quantile_us(const struct rj_runtime *runtime,
 				uint32_t percent, uint64_t elapsed_us)
--- a/src/libradishjunction/core/topology_queue.c
+++ b/src/libradishjunction/core/topology_queue.c
@@ -281,10 +281,10 @@
  */
 uint64_t rj_topology_retry_after_us(uint64_t wait_us, uint64_t job_id)
 {
-	uint64_t oldest_record_us = MAX(wait_us, RJ_US_PER_S);
+	uint64_t base_us = MAX(wait_us, RJ_US_PER_S);
 	uint64_t hash = rj_hash64(&job_id, sizeof(job_id), 0);
 
-	return oldest_record_us / 2 + hash % oldest_record_us;
+	return base_us / 2 + hash % base_us;
 }
 
 /*
--- a/src/libradishjunction/include/private/capacity.h
+++ b/src/libradishjunction/include/private/capacity.h
@@ -1,13 +1,12 @@
 /*
- * The workers that a planner knows, by rack, and what is free on each.
+ * The workers known to a planner, by rack, with their free capacity.
  *
- * Life cycle: `rj_capacity_init` on the caller's memory, `rj_capacity_set`
- * and `rj_capacity_remove` as workers come and go, `rj_capacity_allocate` and
+ * Life cycle: `rj_capacity_init`, `rj_capacity_set` and `rj_capacity_remove` as
+ * workers are added and removed, `rj_capacity_allocate` and
  * `rj_capacity_release` as tasks start and end, `rj_capacity_finish`. Racks are
- * kept in ascending order of their number and the workers of a rack in
- * ascending order of their id, so that a walk is the same every time.
- * A worker that is removed while tasks of the planner are on it is kept,
- * unusable, until the last of them is given back.
+ * sorted by number and the workers of a rack by name, then id, so that
+ * iteration order is deterministic. A worker that is removed while it runs
+ * tasks of the planner is kept as unusable until the last of them ends.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CAPACITY_H
 #define RADISHJUNCTION_PRIVATE_CAPACITY_H
@@ -18,12 +17,12 @@
 
 struct rj_capacity_worker {
 	struct rj_plan_worker plan;
-	struct rj_resources allocated; /* by tasks of this planner */
-	struct rj_resources free; /* nothing while it is not usable */
+	struct rj_resources allocated; /* to tasks of this planner */
+	struct rj_resources free; /* zero while not usable */
 	uint32_t tasks;
-	uint32_t position; /* in its rack, by name where workers have one */
+	uint32_t position; /* in its rack; by name if workers have names */
 	bool removed;
-	struct rj_ledger *ledger; /* of a planner that keeps one */
+	struct rj_ledger *ledger; /* NULL if the planner keeps none */
 };
 
 struct rj_capacity_rack {
--- a/src/libradishjunction/include/private/core_state.h
+++ b/src/libradishjunction/include/private/core_state.h
@@ -1,10 +1,9 @@
 /*
- * The state of one instance's decisions, shared by its filters and
- * controllers.
+ * State of one instance's decision core, shared by its filters and controllers.
  *
- * Each controller owns its part and is the only one to write it; others read
- * it or call its functions. `now_us` and `actions` are set while an event is
- * processed and at no other time.
+ * Each controller owns its part and is the only writer of it; others read it or
+ * call its functions. `now_us` and `actions` are only valid while an event is
+ * processed.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CORE_STATE_H
 #define RADISHJUNCTION_PRIVATE_CORE_STATE_H
@@ -20,7 +19,7 @@
 #include "radishjunction/config_log.h"
 #include "radishjunction/core.h"
 
-/* The decisions that `explain` can look back on. */
+/* Number of recent decisions kept for `explain`. */
 #define RJ_EXPLAIN_ENTRIES 4096
 
 struct rj_explain_entry {
@@ -28,27 +27,27 @@
 	struct rj_decision_log log;
 };
 
-/* The reading and appending of one stream. */
+/* Reads and appends of one stream of the log. */
 struct rj_log_stream {
 	enum rj_stream stream;
-	uint64_t next; /* the offset to read on from */
-	bool read_before; /* a read was answered since the start */
-	bool caught_up; /* everything up to the head was applied */
-	bool tried; /* was caught up once, or a read has failed */
+	uint64_t next; /* offset of the next read */
+	bool read_before; /* a read has succeeded since the start */
+	bool caught_up; /* all records up to the head are applied */
+	bool tried; /* has been caught up, or a read has failed */
 	bool reading;
 	uint64_t backoff_us;
-	uint64_t read_sent_us; /* when the read that is out was sent */
-	uint64_t current_as_of_us; /* what was read holds at least up to here */
-	uint64_t oldest; /* the oldest offset that the log kept then */
+	uint64_t read_sent_us; /* when the read in flight was sent */
+	uint64_t current_as_of_us; /* read completely up to then */
+	uint64_t oldest; /* oldest offset retained at the last read */
 	uint64_t newest_us; /* when the newest record was appended */
 	struct rj_timer retry;
-	/* group commit: one append at a time, the rest waits */
+	/* Group commit: one append in flight, other records wait. */
 	struct rj_record **waiting; /* talloc array */
 	uint32_t waiting_count;
 	struct rj_record *in_flight;
 	uint32_t in_flight_count;
-	uint64_t append_id; /* 0 when none is in flight */
-	uint64_t append_after_us; /* this instance's share of appends */
+	uint64_t append_id; /* 0: none in flight */
+	uint64_t append_after_us; /* rate limit: no append before this time */
 	struct rj_timer append_timer;
 };
 
@@ -57,8 +56,8 @@
 	char domain[RJ_NAME_BYTES];
 	uint64_t incarnation;
 	uint64_t random;
-	uint64_t next_id; /* of calls, appends and forwards */
-	uint32_t next_attempt; /* numbers are not reused by an incarnation */
+	uint64_t next_id; /* for calls, appends and forwards */
+	uint32_t next_attempt; /* unique within an incarnation */
 	uint64_t retention_us;
 	struct rj_planner *planner;
 	uint64_t now_us;
@@ -66,31 +65,30 @@
 	struct rj_timers timers;
 	struct rj_config *config; /* in force, or NULL */
 	struct rj_config_log config_log;
-	uint64_t config_carried_us; /* when it was last appended from here */
+	uint64_t config_carried_us; /* when this instance last appended it */
 	struct rj_log_stream streams[RJ_STREAM_COUNT];
 	bool platform_up;
-	uint64_t
-		paused_before_us; /* from a pause; 0 once the log was read since */
-	uint64_t gap_end_offset; /* the offset from which was read then */
+	uint64_t paused_before_us; /* end of a pause; 0: log read since */
+	uint64_t gap_end_offset; /* reading resumed here after a gap */
 	struct rj_job_ledger ledger;
 	struct rj_membership membership;
 	struct rj_upstreams upstreams;
 	struct rj_jobs jobs;
 	GHashTable *foreign; /* &task->plan_id -> task of another instance */
 	bool stopping;
-	uint64_t stopping_us; /* since when */
+	uint64_t stopping_us; /* when the drain started */
 	struct rj_timer drain;
 	struct rj_timer drain_watch;
 	uint64_t drain_limit_us;
 	uint64_t drain_answered_us; /* when the last request was answered */
-	bool drain_expired; /* the limit of the drain has passed */
+	bool drain_expired; /* the drain limit has passed */
 	uint64_t counters[RJ_COUNT_COUNT];
-	struct rj_explain_entry *explain; /* ring, talloc array */
+	struct rj_explain_entry *explain; /* ring buffer, talloc array */
 	uint32_t explain_next;
 	uint64_t wake_us;
 };
 
-/* Who cannot be told more for now is told to come back after about this. */
+/* Mean retry delay for callers that cannot be answered conclusively yet. */
 #define RJ_RETRY_AFTER_US (2 * RJ_US_PER_S)
 
 /* core.c */
@@ -98,8 +96,7 @@
 rj_core_log(struct rj_core_state *core, enum rj_decision_event event,
 	    enum rj_reason why, const struct rj_job *job, const char *target);
 void rj_core_count(struct rj_core_state *core, enum rj_counter counter);
-uint64_t rj_core_jitter_us(struct rj_core_state *core,
-			   uint64_t oldest_record_us);
+uint64_t rj_core_jitter_us(struct rj_core_state *core, uint64_t base_us);
 uint64_t rj_core_next_id(struct rj_core_state *core);
 void rj_bytes_copy(void *mem, struct rj_bytes *to, const struct rj_bytes *from);
 
--- a/src/libradishjunction/include/private/filters.h
+++ b/src/libradishjunction/include/private/filters.h
@@ -1,5 +1,5 @@
 /*
- * The filters that each request goes through, in the order of the chain.
+ * The filter chain that every request passes through.
  */
 #ifndef RADISHJUNCTION_PRIVATE_FILTERS_H
 #define RADISHJUNCTION_PRIVATE_FILTERS_H
@@ -12,9 +12,9 @@
 struct rj_core_state;
 struct rj_job;
 
-/* filters/: a request on its way through the chain */
+/* A request on its way through the chain. */
 struct rj_submission {
-	uint64_t request_id; /* 0 when a peer forwards it */
+	uint64_t request_id; /* 0: forwarded by a peer */
 	const char *peer;
 	uint64_t forward_id;
 	uint32_t hops;
@@ -22,15 +22,15 @@
 	enum rj_request_op op;
 	const char *token;
 	bool wait;
-	struct rj_job_spec spec; /* body is the event's */
+	struct rj_job_spec spec; /* body owned by the event */
 	const struct rj_account *account;
 	const struct rj_job_class *class;
-	struct rj_job *job; /* made by the last filters, or given again */
+	struct rj_job *job; /* created by the last filters, or resubmitted */
 };
 
 enum rj_filter_verdict {
-	RJ_FILTER_NEXT, /* the next filter goes on */
-	RJ_FILTER_HANDLED, /* answered, or someone will answer it */
+	RJ_FILTER_NEXT, /* continue with the next filter */
+	RJ_FILTER_HANDLED, /* answered, or a job has taken it over */
 	RJ_FILTER_VERDICT_COUNT
 };
 
--- a/src/libradishjunction/include/private/job_ledger.h
+++ b/src/libradishjunction/include/private/job_ledger.h
@@ -1,8 +1,10 @@
 /*
- * What the log says of each job, by applying its records in their order.
+ * The state of each job according to the log, built by applying records in log
+ * order.
  *
  * Life cycle: `rj_job_ledger_init`, `rj_job_ledger_apply` for each record,
- * `rj_job_ledger_reset` when the log is read anew, `rj_job_ledger_finish`.
+ * `rj_job_ledger_reset` before the log is read again from its oldest record,
+ * `rj_job_ledger_finish`.
  */
 #ifndef RADISHJUNCTION_PRIVATE_JOB_LEDGER_H
 #define RADISHJUNCTION_PRIVATE_JOB_LEDGER_H
@@ -11,20 +13,20 @@
 #include "private/list.h"
 #include "radishjunction/record.h"
 
-/* What the log says of one job. */
+/* State of one job according to the log. */
 struct rj_job_entry {
 	struct rj_list link;
 	uint64_t job_id;
-	struct rj_job_spec spec; /* body only when accepted */
+	struct rj_job_spec spec; /* body only while accepted */
 	char author[RJ_NAME_BYTES]; /* of the open claim */
 	char domain[RJ_NAME_BYTES];
 	bool accepted;
 	bool cancelled;
 	bool claimed; /* a claim is open */
-	uint64_t first_owner; /* of the first claim that was ever open */
-	bool claimed_before; /* an attempt before the present one */
-	bool several_owners; /* others had claims open after it */
-	struct rj_attempt attempt; /* of the open or the settled claim */
+	uint64_t first_owner; /* owner of the first claim that was opened */
+	bool claimed_before; /* an earlier attempt had an open claim */
+	bool several_owners; /* later claims had other owners */
+	struct rj_attempt attempt; /* of the open or settled claim */
 	struct rj_claim_member *members;
 	uint32_t member_count;
 	uint64_t lease_life_us;
@@ -32,29 +34,28 @@
 	enum rj_answer_kind outcome;
 	enum rj_reason reason;
 	struct rj_bytes result;
-	uint64_t first_record_us; /* when its first record was appended */
-	uint64_t newest_record_us; /* when its newest record was appended */
-	uint64_t
-		oldest_record_us; /* when the oldest was that it is known from */
-	uint64_t last_carried_us; /* when it was last carried from here */
-	uint64_t trimmed_us; /* its records are gone: carry from then on */
-	bool incomplete; /* attempts of it may be missing, for good */
-	uint64_t accept_offset; /* the offset of its newest accept */
-	uint64_t claim_offset; /* the offset of its newest open claim */
-	uint64_t
-		complete_from_offset; /* the offset from which the log says all of it */
+	uint64_t first_record_us; /* append time of its first record */
+	uint64_t newest_record_us; /* append time of its newest record */
+	uint64_t oldest_record_us; /* of the oldest record it depends on */
+	uint64_t last_carried_us; /* when last carried forward here */
+	uint64_t trimmed_us; /* when its records are trimmed */
+	bool incomplete; /* records of attempts may be lost */
+	uint64_t accept_offset; /* offset of the newest accept */
+	uint64_t claim_offset; /* offset of the newest open claim */
+	uint64_t complete_from_offset; /* complete from here on */
 };
 
 struct rj_job_ledger {
 	GHashTable *by_job; /* &entry->job_id -> entry */
 	struct rj_list entries;
 	uint32_t count;
-	/* Since when older records may be missing, so that carried ones count
-	   more; 0: none is. */
+	/*
+	 * Since when older records may be missing, so that carried records take
+	 * precedence; 0: none are missing.
+	 */
 	uint64_t gap_us;
 };
 
-/* job_ledger.c */
 void rj_job_ledger_init(struct rj_job_ledger *ledger, void *mem);
 void rj_job_ledger_finish(struct rj_job_ledger *ledger);
 void rj_job_ledger_reset(struct rj_job_ledger *ledger);
--- a/src/libradishjunction/include/private/jobs.h
+++ b/src/libradishjunction/include/private/jobs.h
@@ -1,6 +1,6 @@
 /*
- * The jobs that this instance serves, with what happens in each state, in
- * order of the states; docs/DESIGN.md has their picture.
+ * The jobs that this instance serves and the handling of each job state, in the
+ * order of the states; docs/DESIGN.md has the state diagram.
  */
 #ifndef RADISHJUNCTION_PRIVATE_JOBS_H
 #define RADISHJUNCTION_PRIVATE_JOBS_H
@@ -16,47 +16,47 @@
 struct rj_upstream;
 
 enum rj_job_state {
-	RJ_JOB_ACCEPTING, /* its accept record was appended, not read yet */
-	RJ_JOB_QUEUED, /* waits in the planner */
-	RJ_JOB_LEASING, /* leases are being taken */
-	RJ_JOB_CLAIMING, /* its claim was appended, not read yet */
-	RJ_JOB_STARTING, /* starts were sent */
+	RJ_JOB_ACCEPTING, /* accept record appended, not read back yet */
+	RJ_JOB_QUEUED, /* waiting in the planner */
+	RJ_JOB_LEASING, /* acquiring leases */
+	RJ_JOB_CLAIMING, /* claim appended, not read back yet */
+	RJ_JOB_STARTING, /* starts sent */
 	RJ_JOB_RUNNING,
-	RJ_JOB_STOPPING, /* its members are being stopped */
-	RJ_JOB_SETTLING, /* the workers are asked what became of it */
-	RJ_JOB_FORWARDED, /* a peer serves it */
-	RJ_JOB_WATCHING, /* another instance serves it; the log will tell */
-	RJ_JOB_ENDED, /* only its outcome record is still to be written */
+	RJ_JOB_STOPPING, /* stopping its members */
+	RJ_JOB_SETTLING, /* asking the workers for its outcome */
+	RJ_JOB_FORWARDED, /* served by a peer */
+	RJ_JOB_WATCHING, /* another instance serves it; follow the log */
+	RJ_JOB_ENDED, /* only its outcome record is still unwritten */
 	RJ_JOB_STATE_COUNT
 };
 
 extern const char *const rj_job_state_string[RJ_JOB_STATE_COUNT];
 
-/* One worker's part of a gang. */
+/* The part of a gang that runs on one worker. */
 struct rj_member {
-	struct rj_list link; /* in its upstream's members */
+	struct rj_list link; /* in the upstream's `members` */
 	struct rj_job *job;
-	struct rj_upstream *upstream; /* NULL when its worker is not known */
+	struct rj_upstream *upstream; /* NULL if the worker is unknown */
 	char worker[RJ_NAME_BYTES];
 	uint32_t tasks;
 	uint64_t token;
 	uint64_t incarnation; /* of the worker that granted the lease */
 	enum rj_task_state state;
 	bool start_sent; /* a start may have reached the worker */
-	uint64_t start_us; /* when it was sent */
-	bool reported; /* in the report that is being read */
-	uint64_t call_id; /* the call that is out, or 0 */
-	uint32_t tries; /* of the present step */
-	bool settled; /* its worker said what became of it */
+	uint64_t start_us; /* when the start was sent */
+	bool reported; /* listed in the report being processed */
+	uint64_t call_id; /* call in flight, or 0 */
+	uint32_t tries; /* calls made in the present state */
+	bool settled; /* its worker reported the outcome */
 	uint8_t *result; /* talloc child of the job */
 	uint32_t result_length;
 	uint64_t ran_us;
 };
 
-/* Who waits for a job's answer. */
+/* A caller or peer that waits for a job's answer. */
 struct rj_waiter {
 	struct rj_list link;
-	uint64_t request_id; /* 0 when a peer waits */
+	uint64_t request_id; /* 0: a peer waits */
 	char peer[RJ_NAME_BYTES];
 	uint64_t forward_id;
 	uint64_t since_us;
@@ -74,17 +74,17 @@
 	struct rj_attempt attempt;
 	struct rj_member *members;
 	uint32_t member_count;
-	bool body_missing; /* known from a claim only: cannot be started here */
+	bool body_missing; /* known from a claim only: cannot start here */
 	bool planned; /* the planner counts it as waiting or running */
 	bool accepted; /* its accept record is in the log */
-	bool claimed; /* its claim is in the log, and won */
+	bool claimed; /* its claim is in the log and valid */
 	bool started; /* a start was sent in this attempt */
-	bool ran_before; /* an earlier attempt had started */
-	bool ran; /* a worker said so: some attempt made progress */
-	bool ran_elsewhere; /* a peer that was lost may have run it */
+	bool ran_before; /* an earlier attempt was started */
+	bool ran; /* a worker reported progress of some attempt */
+	bool ran_elsewhere; /* a lost peer may have run it */
 	bool cancelled;
-	bool reclaimed; /* being stopped for someone's guarantee */
-	bool ending; /* STOPPING ends it with `final`, else it is requeued */
+	bool reclaimed; /* being stopped to reclaim its capacity */
+	bool ending; /* STOPPING ends with `final`, else requeues */
 	struct rj_answer final;
 	uint64_t arrived_us;
 	uint64_t started_us;
@@ -94,23 +94,23 @@
 	uint32_t failed_on[RJ_PLAN_AVOID_MAX]; /* workers on which it failed */
 	uint32_t failures;
 	uint32_t hops;
-	bool other_domain; /* it came from another failure domain */
-	char peer[RJ_NAME_BYTES]; /* FORWARDED: to whom */
+	bool other_domain; /* received from another failure domain */
+	char peer[RJ_NAME_BYTES]; /* FORWARDED: the peer that serves it */
 	uint64_t forward_id;
 	struct rj_list waiters;
 	struct rj_timer deadline;
-	struct rj_timer state_timer; /* the retry or limit of the present state */
+	struct rj_timer state_timer; /* retry or limit of the present state */
 };
 
 struct rj_call {
 	uint64_t call_id;
 	enum rj_worker_op op;
 	uint64_t job_id; /* 0 for a report */
-	uint64_t owner; /* of the attempt, with its number */
+	uint64_t owner; /* with `attempt`: the attempt it is for */
 	uint32_t attempt;
 	uint32_t member;
 	uint64_t sent_us;
-	uint32_t upstream; /* index */
+	uint32_t upstream; /* index of the upstream */
 };
 
 struct rj_jobs {
@@ -121,12 +121,12 @@
 	GHashTable *forwards; /* &job->forward_id -> job */
 	uint32_t count;
 	uint32_t waiter_count;
-	GHashTable *open_by_name[2]; /* jobs by account, by class */
-	struct rj_timer plan; /* when the planner wants its next pass */
-	struct rj_timer tick; /* settles what dead instances left */
+	GHashTable *open_by_name[2]; /* open jobs by account, by class */
+	struct rj_timer plan; /* the planner's next pass */
+	struct rj_timer tick; /* settles jobs of dead instances */
 	bool plan_wanted;
 	struct rj_decisions decisions;
-	double retry_tokens; /* the retry budget */
+	double retry_tokens; /* tokens left in the retry budget */
 };
 
 /* controllers/jobs_controller.c */
@@ -160,7 +160,7 @@
 void rj_core_answer(struct rj_core_state *core, uint64_t request_id,
 		    const struct rj_answer *answer);
 
-/* controllers/placement_controller.c: QUEUED and HOLDING */
+/* controllers/placement_controller.c: QUEUED, LEASING */
 void rj_job_plan_view(const struct rj_job *job, struct rj_plan_job *plan);
 void rj_job_submit(struct rj_job *job);
 void rj_job_requeue(struct rj_job *job, uint64_t delay_us,
@@ -203,7 +203,7 @@
 void rj_claims_cancel(struct rj_job *job);
 
 /* controllers/calls_controller.c */
-/* A call that does not wait for a task's end is answered within this. */
+/* Time limit of calls that do not wait for a task to end. */
 #define RJ_CALL_TIMEOUT_US (2 * RJ_US_PER_S)
 
 void rj_job_set_members(struct rj_job *job, uint32_t count);
--- a/src/libradishjunction/include/private/ledger.h
+++ b/src/libradishjunction/include/private/ledger.h
@@ -1,13 +1,13 @@
 /*
- * Who holds what on one worker: guarantees, tasks that can be stopped,
- * tasks that cannot, and what is kept free for a job.
+ * Use of one worker by account: guarantees, preemptible and non-preemptible
+ * tasks, and reservations.
  *
- * The rule that keeps guarantees reclaimable: on each worker, the sum over
- * the client accounts of the larger of (its guarantee here, its tasks here
- * that cannot be stopped) never exceeds the worker. Stopping all that can be
- * stopped then frees every guarantee at once.
+ * Invariant that keeps guarantees reclaimable: on each worker, the sum over the
+ * client accounts of max(guarantee on the worker, non-preemptible tasks on the
+ * worker) does not exceed its capacity. Stopping all preemptible tasks then
+ * frees every guarantee at once.
  *
- * Life cycle: `rj_ledger_get` makes it with its worker, which owns it.
+ * Life cycle: `rj_ledger_get` creates it as a talloc child of its worker.
  */
 #ifndef RADISHJUNCTION_PRIVATE_LEDGER_H
 #define RADISHJUNCTION_PRIVATE_LEDGER_H
@@ -21,10 +21,9 @@
 struct rj_worker_usage {
 	struct rj_plan_account *account;
 	struct rj_resources guaranteed;
-	struct rj_resources
-		non_preemptible; /* by tasks that cannot be stopped */
-	struct rj_resources used; /* by all of its tasks */
-	struct rj_resources evicted; /* scratch of a search for victims */
+	struct rj_resources non_preemptible; /* used by non-preemptible tasks */
+	struct rj_resources used; /* used by all of its tasks */
+	struct rj_resources evicted; /* scratch: tentatively preempted */
 };
 
 /* Tasks of one job on the worker. */
@@ -45,24 +44,25 @@
 	uint32_t run_count;
 	struct rj_worker_reservation *reservations;
 	uint32_t reservation_count;
-	struct rj_resources committed; /* the sum of the rule above */
-	uint32_t
-		gang_blocking; /* accelerators whose tasks make way for no gang */
-	uint64_t skip_until_us; /* did not give back what was reclaimed */
-	uint32_t set_index; /* scratch: place in the site searched last */
-	uint64_t set_stamp; /* scratch: which search that was */
+	struct rj_resources committed; /* the sum in the invariant above */
+	uint32_t gang_blocking; /* accelerators that no gang may preempt */
+	uint64_t skip_until_us; /* unresponsive to a reclaim until then */
+	uint32_t set_index; /* scratch: index in the set searched last */
+	uint64_t set_stamp; /* scratch: number of that search */
 };
 
-/* Capacity that is kept for a waiting job. */
+/*
+ * Capacity reserved for a waiting job. A firm reservation is exclusive. A soft
+ * one may be used for backfill by jobs that end in time or are cheap to stop.
+ */
 struct rj_reservation {
 	struct rj_plan_entry *entry;
 	struct rj_plan_member *members;
 	uint32_t member_count;
-	uint64_t due_us; /* expected to be free; if firm, given up then */
-	uint64_t
-		backoff_until_us; /* if firm, its job backs off until then; or 0 */
-	uint64_t refresh_us; /* when a loose one is worked out again */
-	bool firm; /* nothing else may start here */
+	uint64_t due_us; /* expected to be free; firm: expires */
+	uint64_t backoff_until_us; /* firm: back-off of its job; 0: none */
+	uint64_t refresh_us; /* soft: when to recompute it */
+	bool firm; /* no other job may start on it */
 	enum rj_reason reason;
 };
 
--- a/src/libradishjunction/include/private/plan_table.h
+++ b/src/libradishjunction/include/private/plan_table.h
@@ -1,9 +1,10 @@
 /*
- * The jobs that a planner knows: waiting, running or being stopped.
+ * The jobs known to a planner: waiting, running or being stopped.
  *
- * Life cycle: `rj_plan_table_init` on the caller's memory, `add` for each
- * job, `place` when it starts, `unplace` when it stops, `remove`, `finish`.
- * The table owns its entries; a pointer to one lives until `remove`.
+ * Life cycle: `rj_plan_table_init`, `rj_plan_table_add` for each job,
+ * `rj_plan_entry_place` when it starts, `rj_plan_entry_unplace` when it stops,
+ * `rj_plan_table_remove`, `rj_plan_table_finish`. The table owns its entries;
+ * pointers to an entry are valid until it is removed.
  */
 #ifndef RADISHJUNCTION_PRIVATE_PLAN_TABLE_H
 #define RADISHJUNCTION_PRIVATE_PLAN_TABLE_H
@@ -12,24 +13,24 @@
 
 struct rj_plan_entry {
 	struct rj_plan_job job;
-	struct rj_plan_member *members; /* NULL while it waits */
+	struct rj_plan_member *members; /* NULL while waiting */
 	uint32_t member_count;
 	uint64_t not_before_us;
 	uint64_t started_us;
-	GList link; /* of the queue that the planner keeps */
-	/* Kept by the planner by topology alone. */
+	GList link; /* in the planner's queue */
+	/* Used by the topology planner only. */
 	struct rj_plan_account *account;
 	struct rj_plan_bucket *bucket;
 	struct rj_runtime *runtime;
 	struct rj_reservation *reservation;
 	GSequenceIter *deadline;
-	uint64_t waiting_since_us; /* its arrival, or when it was stopped */
-	uint64_t backlog; /* what it added to the backlog when it came */
-	uint64_t stamp; /* of the last search that met it */
+	uint64_t waiting_since_us; /* since arrival or its last stop */
+	uint64_t backlog; /* its contribution to the backlog */
+	uint64_t stamp; /* number of the last search that visited it */
 	bool reclaiming;
-	bool on_guarantee; /* was placed on its account's guarantee */
-	bool backfilled; /* runs where a reservation let it pass */
-	bool granted; /* by a guarantee, and not on its home (yet) */
+	bool on_guarantee; /* placed on its account's guarantee */
+	bool backfilled; /* runs on softly reserved capacity */
+	bool granted; /* counted in its account's `granted` */
 };
 
 struct rj_plan_table {
--- a/src/libradishjunction/include/private/runtime.h
+++ b/src/libradishjunction/include/private/runtime.h
@@ -1,11 +1,12 @@
 /*
- * Run times as they were, for each job class of each client account.
+ * Histogram of run times of a job class, per client account.
  *
- * A histogram over powers of two, four steps to each, so that a quantile is
- * known within a fifth at a few hundred bytes. Old times fade: at
- * RJ_RUNTIME_SAMPLES_MAX samples all counts are halved.
+ * Buckets are logarithmic, four to each power of two: a quantile is accurate to
+ * a fifth and the histogram takes a few hundred bytes. When it holds
+ * RJ_RUNTIME_SAMPLES_MAX samples all counts are halved, so that old samples
+ * decay.
  *
- * Life cycle: zeroed memory is an empty one; nothing to finish.
+ * Life cycle: zeroed memory is an empty histogram; there is nothing to free.
  */
 #ifndef RADISHJUNCTION_PRIVATE_RUNTIME_H
 #define RADISHJUNCTION_PRIVATE_RUNTIME_H
@@ -14,14 +15,14 @@
 
 #define RJ_RUNTIME_BUCKETS 112 /* 1 ms to three days */
 #define RJ_RUNTIME_SAMPLES_MAX 512
-/* Fewer samples than this say little; the class as a whole is asked. */
+/* With fewer samples the histogram of the whole class is used. */
 #define RJ_RUNTIME_SAMPLES_MIN 8
 
 struct rj_runtime {
 	uint16_t counts[RJ_RUNTIME_BUCKETS];
 	uint32_t total;
-	uint64_t expected_us; /* until enough has been learnt */
-	struct rj_runtime *fallback; /* of the class, all accounts; or NULL */
+	uint64_t expected_us; /* configured; used below SAMPLES_MIN */
+	struct rj_runtime *fallback; /* the class over all accounts, or NULL */
 };
 
 void rj_runtime_record(struct rj_runtime *runtime, uint64_t ran_us);
--- a/src/libradishjunction/include/private/timer.h
+++ b/src/libradishjunction/include/private/timer.h
@@ -1,9 +1,9 @@
 /*
- * The core's timers: a binary heap ordered by time, then by the order of
- * arming, so that equal times fire in the same order in every run.
+ * The core's timers: a binary heap ordered by time, then by order of arming, so
+ * that timers with equal times fire in a deterministic order.
  *
- * A timer lives inside its owner; `rj_timer_init` once, `rj_timer_set` and
- * `rj_timer_clear` at will, cleared before its owner is freed.
+ * A timer is embedded in its owner. It is initialised once with `rj_timer_init`
+ * and must be cleared before its owner is freed.
  */
 #ifndef RADISHJUNCTION_PRIVATE_TIMER_H
 #define RADISHJUNCTION_PRIVATE_TIMER_H
@@ -17,7 +17,7 @@
 struct rj_timer {
 	uint64_t at_us;
 	uint64_t order;
-	uint32_t index; /* in the heap, from 1; 0 when not armed */
+	uint32_t index; /* in the heap, from 1; 0: not armed */
 	void (*fire)(struct rj_core_state *core, struct rj_timer *timer);
 };
 
--- a/src/libradishjunction/include/private/topology.h
+++ b/src/libradishjunction/include/private/topology.h
@@ -1,12 +1,12 @@
 /*
- * The parts of the planner by topology, and the state that they share.
+ * The parts of the topology planner and their shared state.
  *
- * planner_topology.c is the planner; the others each do one job for it:
- * topology_state.c (what the others ask of the state), topology_pass.c (the
- * steps of a pass), topology_queue.c (who is next), topology_place.c (where
- * it fits), topology_guarantee.c (which workers are guaranteed to whom),
- * topology_reserve.c (what is kept for a job that waits) and
- * topology_reclaim.c (what is stopped for it).
+ * planner_topology.c implements the planner interface with the help of
+ * topology_state.c (access to the state), topology_pass.c (steps of a pass),
+ * topology_queue.c (queue order), topology_place.c (placement),
+ * topology_guarantee.c (workers that hold guaranteed shapes),
+ * topology_reserve.c (reservations for waiting jobs) and topology_reclaim.c
+ * (preemption for waiting jobs).
  */
 #ifndef RADISHJUNCTION_PRIVATE_TOPOLOGY_H
 #define RADISHJUNCTION_PRIVATE_TOPOLOGY_H
@@ -21,32 +21,32 @@
 	uint32_t share;
 	uint64_t guaranteed; /* accelerators in this domain */
 	uint64_t used; /* accelerators of running jobs */
-	/* on a guarantee's behalf, and not on its home (yet) */
+	/* For its guarantees, on workers that do not hold them (yet). */
 	struct rj_resources granted;
 	uint32_t queued;
-	bool active; /* has jobs that wait or run */
+	bool active; /* has waiting or running jobs */
 };
 
-/* Waiting jobs that differ only in their time of arrival. */
+/* Waiting jobs that differ only in their arrival time. */
 struct rj_plan_bucket {
 	struct rj_plan_account *account;
 	enum rj_priority priority;
 	struct rj_shape shape;
 	bool preemptible;
 	GQueue queue;
-	uint64_t blocked_version; /* of the state in which it did not fit */
-	uint64_t sort_key; /* scratch of a pass: its key */
+	uint64_t blocked_version; /* `version` at which its head did not fit */
+	uint64_t sort_key; /* scratch: key in the present pass */
 };
 
-/* A guaranteed shape with the worker positions it was given. */
+/* A guaranteed shape and the worker positions that hold it. */
 struct rj_guaranteed_shape {
 	struct rj_plan_account *account;
 	struct rj_shape shape;
-	uint32_t number; /* in the order of the configuration */
+	uint32_t number; /* in configuration order */
 	struct rj_layout_parts parts;
 };
 
-/* Workers among which a job is placed: one rack, or all. */
+/* The candidate workers of a placement: one rack, or all. */
 struct rj_worker_set {
 	struct rj_capacity_worker **workers;
 	uint32_t count;
@@ -57,8 +57,8 @@
 	struct rj_plan_table table;
 	GHashTable *accounts;
 	GHashTable *runtimes;
-	GPtrArray *buckets; /* in order of their making */
-	GQueue delayed; /* waiting jobs in back-off, soonest first */
+	GPtrArray *buckets; /* in order of creation */
+	GQueue delayed; /* jobs in back-off, by end of the back-off */
 	GSequence *deadlines;
 	GPtrArray *reservations;
 	GPtrArray *guaranteed_shapes;
@@ -66,18 +66,18 @@
 	struct rj_config_limits limits;
 	struct rj_job_class *classes;
 	uint32_t class_count;
-	uint64_t retry_us; /* when blocked jobs are tried again unasked */
+	uint64_t retry_us; /* when to retry blocked jobs without an event */
 	uint64_t share_total;
-	uint64_t share_active; /* of the accounts that have jobs */
-	uint64_t accelerators; /* usable ones */
-	uint64_t backlog[RJ_PRIORITY_COUNT]; /* accelerators times us */
-	uint64_t version; /* raised when a job that was blocked may fit */
+	uint64_t share_active; /* sum over accounts with jobs */
+	uint64_t accelerators; /* of usable workers */
+	uint64_t backlog[RJ_PRIORITY_COUNT]; /* accelerators * us */
+	uint64_t version; /* incremented when a blocked job may fit */
 	uint64_t stamp;
 	uint32_t worker_accelerators; /* of the largest worker */
 	uint32_t queued;
-	bool workers_changed; /* something of any worker */
-	bool guarantees_changed; /* which workers there are, or the homes */
-	GPtrArray *all_workers; /* scratch: all workers, owned racks first */
+	bool workers_changed; /* any change of a worker */
+	bool guarantees_changed; /* set of workers, or guaranteed shapes */
+	GPtrArray *all_workers; /* scratch: owned racks first */
 	struct rj_plan_member members[RJ_GANG_MAX]; /* scratch */
 	uint32_t considered;
 	void *mem;
