--- a/src/libradishjunction/core/filters/chain.c
+++ b/src/libradishjunction/core/filters/chain.c
@@ -1,6 +1,6 @@
 /*
- * The chain that every request goes through, in this order, until a filter
- * has taken it.
+ * The filter chain. Every request passes the filters in this order until one of
+ * them has handled it.
  */
 #include <assert.h>
 #include <string.h>
@@ -14,19 +14,19 @@
 };
 
 static const struct rj_filter *const chain[] = {
-	&rj_filter_identify, /* who asks */
-	&rj_filter_find, /* look-ups and cancels end here */
+	&rj_filter_identify, /* authentication */
+	&rj_filter_find, /* ends the chain for lookups and cancels */
 	&rj_filter_validate, /* class, shape, key */
-	&rj_filter_repeat, /* what the log or this instance knows */
-	&rj_filter_limit, /* bounds of account and class */
-	&rj_filter_log, /* what needs the log, where there is none */
-	&rj_filter_route, /* here, at a peer, or in another domain */
-	&rj_filter_place, /* into the planner, or the log first */
+	&rj_filter_repeat, /* repeats of a known job */
+	&rj_filter_limit, /* limits of account and class */
+	&rj_filter_log, /* jobs that need the log while it is unavailable */
+	&rj_filter_route, /* here, a peer, or another domain */
+	&rj_filter_place, /* to the planner, or to the log first */
 };
 
 #define CHAIN_LENGTH (sizeof(chain) / sizeof(chain[0]))
 
-/* Pass a submission on from filter `first`. */
+/* Runs the chain from filter `first` on. */
 static void run_from(struct rj_core_state *core,
 		     struct rj_submission *submission, size_t first)
 {
@@ -35,7 +35,6 @@
 			return;
 }
 
-/* The place of a filter in the chain. */
 static size_t index_of(const struct rj_filter *filter)
 {
 	size_t i = 0;
@@ -47,9 +46,9 @@
 }
 
 /*
- * Whether another request with the same key, or the job that is looked up,
- * may have run. What this instance has read of the log is older than the
- * request, so at the door it cannot rule that out for any key.
+ * Whether another request with the same key, or the job that is looked up, may
+ * have run. This instance's view of the log may be older than the request, so
+ * it cannot be ruled out for any key.
  */
 static bool may_have_run(const struct rj_submission *submission)
 {
@@ -57,8 +56,8 @@
 }
 
 /*
- * Whether no instance will ever run what was submitted, whatever became of
- * other requests: the submission itself can never be served.
+ * Whether the refusal is final: no instance can ever run this submission,
+ * whatever became of other requests with its key.
  */
 static bool never_runs(enum rj_reason reason)
 {
@@ -69,8 +68,8 @@
 }
 
 /*
- * Answer the caller or the peer that a submission came from. The answer has
- * no result.
+ * Answers the caller or peer that the submission came from. The answer must not
+ * have a result.
  */
 void rj_filter_answer(struct rj_core_state *core,
 		      const struct rj_submission *submission,
@@ -90,8 +89,8 @@
 }
 
 /*
- * Answer a submission that no job was made for. `not_run` becomes `unknown`
- * where an earlier request with the same key may have run. `detail` may be NULL.
+ * Answers a submission without creating a job. `not_run` becomes `unknown` if
+ * an earlier request with the same key may have run. `detail` may be NULL.
  */
 enum rj_filter_verdict rj_filter_refuse(struct rj_core_state *core,
 					const struct rj_submission *submission,
@@ -119,8 +118,8 @@
 }
 
 /*
- * The job of a submission, made now if it was not yet, with its caller
- * waiting for it.
+ * Returns the job of a submission. Creates it if necessary, with the caller as
+ * a waiter.
  */
 struct rj_job *rj_filter_ensure_job(struct rj_core_state *core,
 				    struct rj_submission *submission)
@@ -141,7 +140,7 @@
 }
 
 /*
- * A caller asks.
+ * Processes a caller's request.
  */
 void rj_filters_request(struct rj_core_state *core,
 			const struct rj_request *request)
@@ -161,7 +160,7 @@
 }
 
 /*
- * A peer forwards a caller's job: who asks was settled there.
+ * Processes a job forwarded by a peer, which has authenticated the caller.
  */
 void rj_filters_forward(struct rj_core_state *core, const char *peer,
 			const struct rj_peer_forward *forward)
@@ -182,8 +181,8 @@
 }
 
 /*
- * Serve a job anew that a peer cannot serve any more, or whose claim
- * elsewhere was void: from the look at what the log knows of it.
+ * Serves a job again after a peer failed to serve it, or after its claim
+ * elsewhere was voided. Resumes the chain at the filter that checks the log.
  */
 void rj_filters_resubmit(struct rj_job *job)
 {
--- a/src/libradishjunction/core/filters/find.c
+++ b/src/libradishjunction/core/filters/find.c
@@ -1,11 +1,11 @@
 /*
- * Look-ups and cancels of jobs by their id.
+ * Lookups and cancels of jobs by id.
  */
 #include <string.h>
 
 #include "private/core_state.h"
 
-/* Make a job that watches what the log will say of an entry. */
+/* Creates a job that follows the records of a ledger entry. */
 static struct rj_job *watch_entry(struct rj_core_state *core,
 				  const struct rj_job_entry *entry)
 {
@@ -18,7 +18,7 @@
 	return job;
 }
 
-/* Answer from what the log says of the job. */
+/* Answers from the job ledger. */
 static enum rj_filter_verdict answer_from_log(struct rj_core_state *core,
 					      struct rj_submission *submission,
 					      const struct rj_job_entry *entry)
@@ -49,7 +49,7 @@
 	return RJ_FILTER_HANDLED;
 }
 
-/* Answer from a job of this instance. */
+/* Answers from a job of this instance. */
 static enum rj_filter_verdict answer_from_job(struct rj_core_state *core,
 					      struct rj_submission *submission,
 					      struct rj_job *job)
@@ -69,7 +69,7 @@
 	return RJ_FILTER_HANDLED;
 }
 
-/* Take look-ups and cancels; a job of another account is not found. */
+/* Handles lookups and cancels; jobs of other accounts are not found. */
 static enum rj_filter_verdict find(struct rj_core_state *core,
 				   struct rj_submission *submission)
 {
--- a/src/libradishjunction/core/filters/identify.c
+++ b/src/libradishjunction/core/filters/identify.c
@@ -1,6 +1,6 @@
 /*
- * Who asks: the caller's token names its account. One account never sees or
- * cancels another's job.
+ * Authentication: the caller's token determines its account. An account can
+ * neither see nor cancel jobs of another.
  */
 #include <string.h>
 
@@ -8,7 +8,6 @@
 
 #define NO_CONFIG_RETRY_US (1 * RJ_US_PER_S)
 
-/* Find the account of a caller's token. */
 static enum rj_filter_verdict identify(struct rj_core_state *core,
 				       struct rj_submission *submission)
 {
--- a/src/libradishjunction/core/filters/limit.c
+++ b/src/libradishjunction/core/filters/limit.c
@@ -1,6 +1,6 @@
 /*
- * The bounds of an account and of a class at this instance, and the end of
- * new work during a stop.
+ * Limits of open jobs per account and class, and refusal of new jobs while
+ * draining.
  */
 #include <string.h>
 
@@ -9,14 +9,14 @@
 #define LIMIT_RETRY_US (2 * RJ_US_PER_S)
 #define DRAINING_RETRY_US (100 * RJ_US_PER_MS)
 
-/* Refuse what is over a bound, with when to come back. */
+/* Refuses jobs above a limit with a retry delay. */
 static enum rj_filter_verdict limit(struct rj_core_state *core,
 				    struct rj_submission *submission)
 {
 	uint64_t retry_us = rj_core_jitter_us(core, LIMIT_RETRY_US);
 
 	if (submission->job)
-		return RJ_FILTER_NEXT; /* it was let in before */
+		return RJ_FILTER_NEXT; /* admitted before */
 	if (core->stopping && !rj_drain_takes_more(core, submission->class))
 		return rj_filter_refuse(
 			core, submission, RJ_ANSWER_NOT_RUN, RJ_REASON_DRAINING,
--- a/src/libradishjunction/core/filters/log.c
+++ b/src/libradishjunction/core/filters/log.c
@@ -1,29 +1,29 @@
 /*
- * Work that depends on the log, where this instance has none: to a peer that
- * has it, or back to the caller at once.
+ * Jobs that need the log while this instance cannot use it: forwards them to a
+ * peer that can, or refuses them at once.
  */
 #include <string.h>
 
 #include "private/core_state.h"
 
 /*
- * Whether the submission can only go on with the log: a key that must not run
- * twice may have run elsewhere, and a job is accepted only once it is in the
- * log.
+ * Whether the submission cannot proceed without the log: a key that must run at
+ * most once may have run elsewhere, and a job is accepted only once it is in
+ * the log.
  */
 static bool needs_log(const struct rj_submission *submission)
 {
 	if (submission->job && submission->job->accepted)
-		return false; /* it waits for the log in its queue */
+		return false; /* stays queued until the log is usable */
 	return !submission->spec.wait || !submission->class ||
 	       !submission->class->idempotent;
 }
 
 /*
- * The peer with the shortest queue of those that have the log, of the own
- * failure domain if there is one, or NULL. A job that was forwarded here is
- * not forwarded on: in an outage the peers' views of each other are old for a
- * moment, and it would go round.
+ * Returns the peer with the shortest queue among those that can use the log, in
+ * this failure domain or another (`other_domain`), or NULL. A forwarded job is
+ * not forwarded again: during an outage the peers' views of each other are
+ * briefly stale, and it would loop.
  */
 static const struct rj_member_view *
 peer_with_log(struct rj_core_state *core,
@@ -49,7 +49,10 @@
 	return best;
 }
 
-/* Hand the submission to a peer that has the log; false if none takes it. */
+/*
+ * Forwards the submission to a peer that can use the log. Returns false if none
+ * accepts it.
+ */
 static bool forward_to_peer(struct rj_core_state *core,
 			    struct rj_submission *submission)
 {
@@ -69,11 +72,11 @@
 }
 
 /*
- * Refuse a job while the log cannot be read here.
+ * Refuses a job while the log cannot be read here.
  *
- * Guards against an earlier attempt elsewhere, perhaps in another failure
- * domain, that this instance has not read of: the job would run twice. With a
- * key the answer is `unknown`, since that attempt may have run.
+ * Guards against running a job twice: there may be an earlier attempt
+ * elsewhere, perhaps in another failure domain, that this instance has not read
+ * of. With a key the answer is `unknown`, since that attempt may have run.
  */
 static enum rj_filter_verdict refuse(struct rj_core_state *core,
 				     struct rj_submission *submission)
@@ -99,14 +102,13 @@
 }
 
 /*
- * Let pass what can go on here. What depends on the log goes to a peer that
- * has it.
+ * Lets submissions pass that do not need the log, or if it is usable; forwards
+ * others to a peer that can use it.
  *
- * Guards against refusals by an instance that alone is cut off from the
- * platform, or by a failure domain that is: charges and lesson packs would
- * come back again and again, though a peer a few milliseconds away could
- * claim or accept them. The peer's claim and the log's order decide as for
- * any other request.
+ * Guards against refusals by an instance or failure domain that alone is cut
+ * off from the platform: callers would retry charges and lesson packs in vain
+ * although a peer a few milliseconds away could claim or accept them. The
+ * peer's claim and the order of the log decide as for any other request.
  */
 static enum rj_filter_verdict require_log(struct rj_core_state *core,
 					  struct rj_submission *submission)
--- a/src/libradishjunction/core/filters/place.c
+++ b/src/libradishjunction/core/filters/place.c
@@ -1,12 +1,12 @@
 /*
- * The end of the chain: into the planner of this instance, or first into the
- * log when the caller does not wait.
+ * End of the chain: submits the job to the planner or, if the caller does not
+ * wait, to the log first.
  */
 #include <string.h>
 
 #include "private/core_state.h"
 
-/* Serve the job here, also during a stop when no peer could take it. */
+/* Serves the job here, even during a drain if no peer could take it. */
 static enum rj_filter_verdict place(struct rj_core_state *core,
 				    struct rj_submission *submission)
 {
--- a/src/libradishjunction/core/filters/repeat.c
+++ b/src/libradishjunction/core/filters/repeat.c
@@ -1,13 +1,13 @@
 /*
- * Repeats of a key: what this instance serves already, and what the log
- * knows of the job.
+ * Repeats of a key: jobs that this instance serves already, and jobs known from
+ * the log.
  */
 #include <assert.h>
 #include <string.h>
 
 #include "private/core_state.h"
 
-/* The same key with another body: refused, and nothing of it runs. */
+/* Refuses a key that was used with other content; nothing is run. */
 static enum rj_filter_verdict key_reused(struct rj_core_state *core,
 					 struct rj_submission *submission)
 {
@@ -17,8 +17,10 @@
 				"shape or body; use a new key for a new job");
 }
 
-/* A repeat that does not wait: the job is accepted. Others may wait for its
- * end, so only this caller is answered. */
+/*
+ * Answers a repeat that does not wait, of an accepted job. Only this caller is
+ * answered, as others may wait for the job to end.
+ */
 static enum rj_filter_verdict
 answer_accepted(struct rj_core_state *core,
 		const struct rj_submission *submission)
@@ -32,11 +34,13 @@
 	return RJ_FILTER_HANDLED;
 }
 
-/* A job that this instance has handed on comes back to it.
+/*
+ * Refuses a job that this instance has forwarded and that comes back to it.
  *
- * Guards against instances whose views of the racks' owners differ: each
- * would wait for the next, and the caller for ever. Nothing was started here;
- * the sender serves the job itself. */
+ * Guards against instances that disagree on rack owners: each would wait for
+ * the next, and the caller for ever. Nothing was started here, so the sender
+ * serves the job itself.
+ */
 static enum rj_filter_verdict
 refuse_forward_loop(struct rj_core_state *core,
 		    struct rj_submission *submission)
@@ -45,8 +49,11 @@
 				RJ_REASON_IN_PROGRESS, 0, NULL);
 }
 
-/* A repeat that waits, of a job that was forwarded to be accepted: the peer's
- * answer will not be the job's end. By then this caller can look it up. */
+/*
+ * Refuses a repeat that waits, of a job that was forwarded only to be accepted:
+ * the peer's answer will not be the job's outcome. When the caller retries, the
+ * job can be found by its id.
+ */
 static enum rj_filter_verdict
 refuse_pending_acceptance(struct rj_core_state *core,
 			  const struct rj_submission *submission)
@@ -55,7 +62,7 @@
 				RJ_REASON_IN_PROGRESS, RJ_US_PER_S, NULL);
 }
 
-/* Let the submission's caller wait for a job that is served already. */
+/* Adds the caller as a waiter of a job that is served already. */
 static enum rj_filter_verdict join(struct rj_core_state *core,
 				   struct rj_submission *submission,
 				   struct rj_job *job)
@@ -85,7 +92,7 @@
 	return RJ_FILTER_HANDLED;
 }
 
-/* The log knows the job: answer from it, or wait for what it will say. */
+/* Answers from the ledger, or follows the job's records in the log. */
 static enum rj_filter_verdict known_in_log(struct rj_core_state *core,
 					   struct rj_submission *submission,
 					   const struct rj_job_entry *entry)
@@ -98,7 +105,7 @@
 		   RJ_DIGEST_BYTES))
 		return key_reused(core, submission);
 	if (!entry->settled && !entry->claimed && !entry->accepted)
-		return RJ_FILTER_NEXT; /* every attempt of it was void */
+		return RJ_FILTER_NEXT; /* all attempts were voided */
 	job = rj_filter_ensure_job(core, submission);
 	if (entry->settled) {
 		rj_claims_answer(entry, &answer);
@@ -114,7 +121,7 @@
 	return RJ_FILTER_HANDLED;
 }
 
-/* Answer or join repeats; let first requests pass. */
+/* Answers or joins repeats; lets first requests pass. */
 static enum rj_filter_verdict repeat(struct rj_core_state *core,
 				     struct rj_submission *submission)
 {
--- a/src/libradishjunction/core/filters/route.c
+++ b/src/libradishjunction/core/filters/route.c
@@ -1,18 +1,20 @@
 /*
- * Where the job is served: here, at the peer that owns a fitting rack, or in
- * another failure domain.
+ * Decides where a job is served: here, at the peer that owns a suitable rack,
+ * or in another failure domain.
  */
 #include <string.h>
 
 #include "private/core_state.h"
 
-/* Views of who owns a rack may differ for a moment, not for long. */
+/* Limit of forwards; views of rack ownership differ only for a short time. */
 #define HOPS_MAX 3
-/* Another domain must be this much quicker: the link costs time and money. */
+/* Minimum gain in wait of another domain, as the link adds latency and cost. */
 #define OTHER_DOMAIN_MARGIN_US (2 * RJ_US_PER_S)
 
-/* The rack of a guaranteed shape of this failure domain that the job may
- * claim, or UINT32_MAX. */
+/*
+ * Returns a rack in this failure domain with a guaranteed shape that the job
+ * may claim, or UINT32_MAX.
+ */
 static uint32_t guaranteed_rack(const struct rj_core_state *core,
 				const struct rj_submission *submission)
 {
@@ -24,8 +26,10 @@
 				   &submission->spec.shape);
 }
 
-/* The peer that owns a guaranteed shape that the job may claim, or NULL when
- * there is none, or this instance owns it. */
+/*
+ * Returns the peer that owns a guaranteed shape that the job may claim, or NULL
+ * if there is none or this instance owns it.
+ */
 static const char *guarantee_owner(struct rj_core_state *core,
 				   const struct rj_submission *submission)
 {
@@ -37,12 +41,13 @@
 }
 
 /*
- * Whether the job waits here for a guaranteed shape that a peer owns.
+ * Whether a job queued here should move to the peer that owns a guaranteed
+ * shape for it.
  *
  * Guards against a rack that changes its owner while a job on its account's
- * guarantee starts: its former owner cannot reclaim the shape, and takes from
- * the rack only what its owner offers. It shows as a guaranteed shape that is
- * late, though the owner would have had it.
+ * guarantee starts: the former owner cannot reclaim the shape and may only use
+ * what the new owner offers, so the guaranteed shape would be delayed although
+ * the new owner could provide it.
  */
 bool rj_route_prefers_peer(const struct rj_job *job)
 {
@@ -52,8 +57,11 @@
 	       guarantee_owner(job->core, &submission);
 }
 
-/* The peer with the shortest queue of those that own a rack with room now;
- * `*here` is set when an own rack has room. */
+/*
+ * Returns the peer with the shortest queue among the owners of racks with
+ * enough free capacity. If a rack of this instance has enough, sets `*here` and
+ * returns NULL.
+ */
 static const struct rj_member_view *
 owner_with_free_capacity(struct rj_core_state *core,
 			 const struct rj_shape *shape, bool *here)
@@ -83,13 +91,13 @@
 	return best;
 }
 
-/* Whether a peer has just handed the job here: it is not handed back. */
+/* Whether the peer forwarded the job to this instance; it is not sent back. */
 static bool is_sender(const struct rj_submission *submission, const char *peer)
 {
 	return submission->peer && !strcmp(submission->peer, peer);
 }
 
-/* The peer of the failure domain with the shortest queue, or NULL. */
+/* Returns the peer of this failure domain with the shortest queue, or NULL. */
 static const struct rj_member_view *
 shortest_queue(struct rj_core_state *core,
 	       const struct rj_submission *submission)
@@ -111,7 +119,10 @@
 	return best;
 }
 
-/* A peer of the domain to serve the job, or NULL to serve it here. */
+/*
+ * Returns the peer of this failure domain that should serve the job, or NULL to
+ * serve it here.
+ */
 static const char *choose_peer(struct rj_core_state *core,
 			       const struct rj_submission *submission)
 {
@@ -124,9 +135,11 @@
 		return NULL;
 	if (best && !is_sender(submission, best->name))
 		return best->name;
-	/* Nobody has room now. Where the account has a guarantee, its owner
-	   can reclaim it; else the job waits here, or at any peer when this
-	   instance has no rack or is to stop. */
+	/*
+	 * No free capacity anywhere. An owner of the account's guarantee can
+	 * reclaim it; otherwise the job waits here, or at any peer if this
+	 * instance has no rack or is stopping.
+	 */
 	owner = guarantee_owner(core, submission);
 	if (owner && !is_sender(submission, owner))
 		return owner;
@@ -137,8 +150,8 @@
 }
 
 /*
- * Whether the account can have a guaranteed shape for the job here, counting
- * the jobs that it has open at this instance against its guarantees.
+ * Whether a guaranteed shape is left for the job here, after the account's
+ * other open jobs at this instance.
  */
 static bool within_guarantee(const struct rj_core_state *core,
 			     const struct rj_submission *submission)
@@ -154,9 +167,11 @@
 	return rj_jobs_open(core, false, account->name) <= count;
 }
 
-/* An instance of another domain that is much quicker, or NULL. A guarantee
- * holds in its own failure domain: elsewhere the job would wait its turn with
- * others, and its shape would come late. */
+/*
+ * Returns an instance of another domain with a much shorter wait, or NULL. A
+ * guarantee only applies in its own failure domain: elsewhere the job would
+ * queue with others, and its guaranteed shape would be delayed.
+ */
 static const char *choose_domain(struct rj_core_state *core,
 				 const struct rj_submission *submission)
 {
@@ -188,7 +203,7 @@
 	return best->name;
 }
 
-/* Forward the job to where it is best served, at most once each way. */
+/* Forwards the job to where it is best served, at most once each way. */
 static enum rj_filter_verdict route(struct rj_core_state *core,
 				    struct rj_submission *submission)
 {
@@ -196,7 +211,7 @@
 	bool other = false;
 
 	if (!submission->spec.wait)
-		return RJ_FILTER_NEXT; /* the log gives it an owner */
+		return RJ_FILTER_NEXT; /* the log determines its owner */
 	if (!submission->hops ||
 	    (submission->hops < HOPS_MAX && rj_racks_hand_on(core)))
 		peer = choose_peer(core, submission);
--- a/src/libradishjunction/core/filters/validate.c
+++ b/src/libradishjunction/core/filters/validate.c
@@ -1,13 +1,13 @@
 /*
- * Whether the job can be served at all: its class exists, its shape makes
- * sense, and work that must not run twice has a key. The job's id is given
- * here: from the key, so that every instance gives the same one, or new.
+ * Validates the submission: its class exists, its shape is valid, and a class
+ * that is not idempotent has a key. Assigns the job id: derived from the key,
+ * so that it is the same at every instance, or random.
  */
 #include <string.h>
 
 #include "private/core_state.h"
 
-/* The id of a keyed job: the same at every instance. */
+/* Returns the id of a keyed job, the same at every instance. */
 static uint64_t keyed_id(const struct rj_job_spec *spec)
 {
 	uint64_t seed = rj_hash64_string(spec->account, 0);
@@ -16,7 +16,7 @@
 	return id ? id : 1;
 }
 
-/* An id that no other instance gives. */
+/* Returns a random id that is unique across instances. */
 static uint64_t fresh_id(struct rj_core_state *core)
 {
 	uint64_t id;
@@ -29,7 +29,7 @@
 	return id;
 }
 
-/* What is wrong with the submission, or NULL. */
+/* Returns an error message, or NULL if the shape is valid. */
 static const char *shape_error(const struct rj_shape *shape)
 {
 	if (!shape->tasks || shape->tasks > RJ_GANG_MAX)
@@ -39,7 +39,7 @@
 	return NULL;
 }
 
-/* Check the submission and give its job an id. */
+/* Validates the submission and assigns its job id. */
 static enum rj_filter_verdict validate(struct rj_core_state *core,
 				       struct rj_submission *submission)
 {
--- a/src/libradishjunction/core/status.c
+++ b/src/libradishjunction/core/status.c
@@ -1,6 +1,5 @@
 /*
- * What an instance says of itself: its view as JSON, and the decisions about
- * one job in words.
+ * Status of an instance as JSON, and the decisions about one job.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -15,7 +14,7 @@
 	[RJ_UPSTREAM_SET_ASIDE] = "set_aside",
 };
 
-/* The peers, and whether they are believed alive. */
+/* Lists the peers, and whether they are believed alive. */
 static json_t *peers_json(const struct rj_core_state *core)
 {
 	json_t *list = json_array();
@@ -38,7 +37,7 @@
 	return list;
 }
 
-/* The workers of the own failure domain. */
+/* Lists the workers of this failure domain. */
 static json_t *workers_json(const struct rj_core_state *core)
 {
 	json_t *list = json_array();
@@ -63,7 +62,7 @@
 	return list;
 }
 
-/* How many jobs are in each state. */
+/* Counts the jobs in each state. */
 static json_t *jobs_json(const struct rj_core_state *core)
 {
 	uint32_t counts[RJ_JOB_STATE_COUNT] = { 0 };
@@ -79,7 +78,7 @@
 	return object;
 }
 
-/* The guarantees of this failure domain. */
+/* Lists the guarantees in this failure domain. */
 static json_t *guarantees_json(const struct rj_core_state *core)
 {
 	json_t *list = json_array();
@@ -110,10 +109,10 @@
 }
 
 /*
- * Which configuration is in force here, as a JSON object that the caller
- * owns: what a publication asks of each instance again and again, so that it
- * has no more than that. `config_changes` says that this version takes
- * publications that hold the change alone.
+ * Returns the configuration in force as a JSON object owned by the caller. It
+ * is kept small because a publication polls every instance for it.
+ * `config_changes` tells that this version accepts publications that contain
+ * only the change.
  */
 json_t *rj_core_revision(const struct rj_core *handle)
 {
@@ -126,8 +125,8 @@
 }
 
 /*
- * The view of this instance as a JSON object that the caller owns: who it
- * is, which revision is in force, peers, workers, guarantees and queues.
+ * Returns the status of this instance as a JSON object owned by the caller: its
+ * name, the revision in force, peers, workers, guarantees and queues.
  */
 json_t *rj_core_status(const struct rj_core *handle, uint64_t now_us)
 {
@@ -157,9 +156,9 @@
 }
 
 /*
- * Where a job is at the last event, and what it waits for: a job that waits
- * for room has no decision that says so. In the form of a decision, so that
- * older versions of the command print it, too.
+ * Returns the job's state at the last event, with its shape and the free
+ * capacity: no decision is logged while a job waits for capacity. It has the
+ * form of a decision so that older versions of the command print it, too.
  */
 static json_t *current_state_json(const struct rj_core_state *core,
 				  const struct rj_job *job)
@@ -183,9 +182,9 @@
 }
 
 /*
- * Every decision about one job that this instance still remembers, oldest
- * first, and where it is now if it is here, as a JSON array that the caller
- * owns; empty when there is nothing to tell.
+ * Returns the decisions about a job that are still in the ring buffer, oldest
+ * first, followed by its present state if this instance serves it, as a JSON
+ * array owned by the caller. The array is empty for an unknown job.
  */
 json_t *rj_core_explain(const struct rj_core *handle, uint64_t job_id)
 {
@@ -218,8 +217,8 @@
 }
 
 /*
- * The client account that a job of this instance or of the log belongs to,
- * or NULL: whoever explains a job to a caller checks it first.
+ * Returns the client account of a job of this instance or of the log, or NULL.
+ * It must be checked before a job is explained to a caller.
  */
 const char *rj_core_job_account(const struct rj_core *handle, uint64_t job_id)
 {
@@ -234,7 +233,7 @@
 }
 
 /*
- * The configuration in force, or NULL; it stays the core's.
+ * Returns the configuration in force, owned by the core, or NULL.
  */
 const struct rj_config *rj_core_config(const struct rj_core *handle)
 {
--- a/src/libradishjunction/core/timer.c
+++ b/src/libradishjunction/core/timer.c
@@ -7,7 +7,7 @@
 #include "radishjunction/types.h"
 
 /*
- * Start an empty heap whose array is a talloc child of `mem`.
+ * Initialises an empty heap whose array is a talloc child of `mem`.
  */
 void rj_timers_init(struct rj_timers *timers, void *mem)
 {
@@ -16,7 +16,7 @@
 }
 
 /*
- * Make a timer that is not armed and calls `fire` when it is due.
+ * Initialises a disarmed timer that calls `fire` when it is due.
  */
 void rj_timer_init(struct rj_timer *timer,
 		   void (*fire)(struct rj_core_state *core,
@@ -26,7 +26,6 @@
 	timer->fire = fire;
 }
 
-/* Whether `a` fires before `b`. */
 static bool fires_before(const struct rj_timer *a, const struct rj_timer *b)
 {
 	if (a->at_us != b->at_us)
@@ -34,7 +33,6 @@
 	return a->order < b->order;
 }
 
-/* Put `timer` into slot `index` of the heap. */
 static void place(struct rj_timers *timers, struct rj_timer *timer,
 		  uint32_t index)
 {
@@ -42,7 +40,7 @@
 	timer->index = index;
 }
 
-/* Move `timer` towards the root until its parent fires before it. */
+/* Moves `timer` towards the root until its parent fires before it. */
 static void sift_up(struct rj_timers *timers, struct rj_timer *timer)
 {
 	uint32_t index = timer->index;
@@ -54,7 +52,7 @@
 	place(timers, timer, index);
 }
 
-/* Move `timer` towards the leaves until it fires before its children. */
+/* Moves `timer` towards the leaves until it fires before its children. */
 static void sift_down(struct rj_timers *timers, struct rj_timer *timer)
 {
 	uint32_t index = timer->index;
@@ -76,8 +74,7 @@
 }
 
 /*
- * Arm `timer` for `at_us`, whether it was armed or not. RJ_NEVER_US clears
- * it.
+ * Arms or re-arms `timer` for `at_us`. RJ_NEVER_US disarms it.
  */
 void rj_timer_set(struct rj_timers *timers, struct rj_timer *timer,
 		  uint64_t at_us)
@@ -100,7 +97,7 @@
 }
 
 /*
- * Disarm `timer`; harmless when it is not armed.
+ * Disarms `timer`; no effect if it is not armed.
  */
 void rj_timer_clear(struct rj_timers *timers, struct rj_timer *timer)
 {
@@ -120,7 +117,7 @@
 }
 
 /*
- * Take the first timer that is due at `now_us`, disarmed, or NULL.
+ * Removes and returns the first timer that is due at `now_us`, or NULL.
  */
 struct rj_timer *rj_timers_pop_due(struct rj_timers *timers, uint64_t now_us)
 {
@@ -134,7 +131,7 @@
 }
 
 /*
- * When the first timer is due, or RJ_NEVER_US.
+ * Returns when the first timer is due, or RJ_NEVER_US.
  */
 uint64_t rj_timers_next_us(const struct rj_timers *timers)
 {
--- a/src/libradishjunction/core/topology_guarantee.c
+++ b/src/libradishjunction/core/topology_guarantee.c
@@ -5,15 +5,14 @@
 #include <talloc.h>
 
 /*
- * Which workers carry which guaranteed shape is worked out from the
- * configuration alone: from the racks and the workers that the domain is
- * configured to have. Instances with the same configuration thus agree
- * without a word, whichever workers they know, and a worker that comes back
- * or is replaced stands in the same place.
+ * Guaranteed shapes are mapped to workers using the configuration alone, that
+ * is the configured racks and workers of the domain. Instances with the same
+ * configuration thus agree without communication, whichever workers they know,
+ * and a worker that returns or is replaced keeps its position.
  */
 
 /*
- * In the order of the layout; equal ones stay in that of the configuration.
+ * Layout order; equal shapes stay in configuration order.
  */
 static gint compare_guaranteed_shapes(gconstpointer a, gconstpointer b)
 {
@@ -29,7 +28,7 @@
 }
 
 /*
- * List the shapes that a configured account is guaranteed in this domain.
+ * Adds the shapes that a configured account is guaranteed in this domain.
  */
 static void add_guaranteed_shapes(struct rj_topology_state *state,
 				  const struct rj_account *configured)
@@ -60,9 +59,9 @@
 }
 
 /*
- * Work out the homes of all guaranteed shapes of the configuration. A shape
- * for which no room is left stays without; the configuration's check refuses
- * such guarantees by the same layout.
+ * Maps all guaranteed shapes of the configuration to worker positions. A shape
+ * that no longer fits gets none; validation of the configuration rejects such
+ * guarantees using the same layout.
  */
 void rj_topology_layout_guarantees(struct rj_topology_state *state,
 				   const struct rj_config *config)
@@ -88,8 +87,8 @@
 }
 
 /*
- * The lowest rack that is reached from `rack` over guaranteed shapes that
- * span several racks. One owner of the whole group can reclaim each of its
+ * Returns the lowest rack connected to `rack` by guaranteed shapes that span
+ * several racks. A single owner of the whole group can reclaim each of its
  * shapes; two owners would each see half of what runs there.
  */
 uint32_t rj_topology_rack_group(const struct rj_topology_state *state,
@@ -120,8 +119,9 @@
 }
 
 /*
- * The first rack of a home of `account` that `shape` fits by its size, or
- * UINT32_MAX: its owner can reclaim the guarantee.
+ * Returns the first rack of a guaranteed shape of `account` that is at least as
+ * large as `shape`, or UINT32_MAX. The owner of that rack can reclaim the
+ * guarantee.
  */
 uint32_t rj_topology_guarantee_rack(const struct rj_topology_state *state,
 				    const char *account,
@@ -143,7 +143,7 @@
 }
 
 /*
- * The worker that stands at a part's place now, or NULL.
+ * Returns the worker at the position of `part`, or NULL.
  */
 static struct rj_capacity_worker *
 worker_at(const struct rj_topology_state *state,
@@ -159,7 +159,7 @@
 }
 
 /*
- * Write the guarantees of the homes into the ledgers of the known workers.
+ * Writes the guarantees into the ledgers of the known workers.
  */
 void rj_topology_apply_guarantees(struct rj_topology_state *state)
 {
@@ -187,10 +187,10 @@
 }
 
 /*
- * What the account may still claim of one home: what its own work there
- * leaves. A place whose worker is missing counts as unused, so that the
- * account gets its shape elsewhere. Returns for how many tasks of `entry`
- * that would do, and adds it to `claim` if for any.
+ * Determines the part of a guaranteed shape that its account does not use yet.
+ * A position without a worker counts as unused, so that the account gets its
+ * shape elsewhere. Returns the number of tasks of `entry` that fit, and adds
+ * the unused resources to `unused` if any fit.
  */
 static uint32_t unused_guarantee(const struct rj_topology_state *state,
 				 const struct rj_guaranteed_shape *guaranteed,
@@ -232,9 +232,9 @@
 }
 
 /*
- * Whether the account may claim room for the waiting job from its guarantee
- * in the racks that are planned here: its own work on the guarantee's
- * workers, and what it was granted in their stead, leave enough.
+ * Whether the waiting job is covered by its account's guarantees in the racks
+ * planned here, less the account's own work on the guaranteed workers and the
+ * capacity it was granted on other workers instead.
  */
 bool rj_topology_is_entitled(const struct rj_topology_state *state,
 			     const struct rj_plan_entry *entry)
--- a/src/libradishjunction/core/topology_pass.c
+++ b/src/libradishjunction/core/topology_pass.c
@@ -4,14 +4,17 @@
 #include <string.h>
 #include <talloc.h>
 
-/* So many blocked gangs have room kept for them at once. */
+/* Number of blocked gangs that have soft reservations at the same time. */
 #define SOFT_RESERVATIONS_MAX 2
 
-/* A worker that kept what was reclaimed is not asked again for this long. */
+/*
+ * A worker that does not release reclaimed capacity in time is skipped by
+ * reclaims for this long.
+ */
 #define SKIP_WORKER_US (30 * RJ_US_PER_S)
 
 /*
- * Whether all members lie on what the account is guaranteed there.
+ * Whether all members are within the account's guarantee on their workers.
  */
 static bool is_within_guarantee(const struct rj_topology_state *state,
 				const struct rj_plan_entry *entry)
@@ -29,7 +32,7 @@
 }
 
 /*
- * Start a waiting job on the members in `state->members`.
+ * Starts a waiting job on the members in `state->members`.
  */
 static void start(struct rj_topology_state *state, struct rj_plan_entry *entry,
 		  uint32_t count, enum rj_reason reason, uint64_t now_us,
@@ -50,7 +53,7 @@
 }
 
 /*
- * Give up a waiting job, with a time to come back.
+ * Refuses a waiting job with a retry delay.
  */
 static void refuse(struct rj_topology_state *state, struct rj_plan_entry *entry,
 		   enum rj_reason reason, struct rj_decisions *decisions)
@@ -67,7 +70,7 @@
 }
 
 /*
- * Give up every job whose deadline has passed, so that none waits in vain.
+ * Refuses every job whose deadline has passed.
  */
 static void refuse_expired(struct rj_topology_state *state, uint64_t now_us,
 			   struct rj_decisions *decisions)
@@ -87,9 +90,9 @@
 }
 
 /*
- * Whether all that is firmly kept is free by now. Of two that wait for parts
- * of the same worker the older is served first, so that one silent task
- * cannot keep both waiting.
+ * Whether all capacity of a firm reservation is free. If several reservations
+ * include the same worker, the older one is served first, so that a single
+ * unresponsive task cannot block them all.
  */
 static bool is_ready(const struct rj_topology_state *state,
 		     const struct rj_reservation *reservation)
@@ -122,8 +125,8 @@
 }
 
 /*
- * Note the workers that did not give back what was reclaimed in time, so
- * that the next search chooses another shape.
+ * Marks the workers that did not release reclaimed capacity in time, so that
+ * the next search chooses others.
  */
 static void skip_unresponsive_workers(struct rj_topology_state *state,
 				      const struct rj_reservation *reservation,
@@ -142,7 +145,8 @@
 }
 
 /*
- * Start what is ready, and give up what is overdue.
+ * Starts jobs whose reservations are ready and cancels reservations that are
+ * overdue.
  */
 static void process_reservations(struct rj_topology_state *state,
 				 uint64_t now_us,
@@ -177,7 +181,8 @@
 }
 
 /*
- * Try to start the job at the head of a bucket as things lie.
+ * Tries to start the job at the head of a bucket with the present free
+ * capacity.
  */
 static bool try_start(struct rj_topology_state *state,
 		      struct rj_plan_entry *entry, uint64_t now_us,
@@ -198,7 +203,7 @@
 }
 
 /*
- * For how many jobs room is loosely kept.
+ * Returns the number of soft reservations.
  */
 static uint32_t soft_reservation_count(const struct rj_topology_state *state)
 {
@@ -214,8 +219,8 @@
 }
 
 /*
- * Do for a job that does not fit what may be done: reclaim, or keep room.
- * One that has room firmly kept waits for it outside of its bucket.
+ * Handles a job that does not fit: preempts other jobs for it, or makes a soft
+ * reservation. A job with a firm reservation waits outside of its bucket.
  */
 static void handle_blocked(struct rj_topology_state *state,
 			   struct rj_plan_entry *entry, uint64_t now_us,
@@ -241,7 +246,7 @@
 }
 
 /*
- * Take over what has changed of the workers as a whole.
+ * Recomputes state derived from the workers.
  */
 static void refresh_workers(struct rj_topology_state *state)
 {
@@ -269,8 +274,8 @@
 }
 
 /*
- * Decide all that can be decided now. Jobs are tried in the order of the
- * queue; one that does not fit keeps no other back but by a reservation.
+ * Makes all decisions that are possible now. Jobs are tried in queue order; a
+ * job that does not fit delays others only by a reservation.
  */
 void rj_topology_pass(struct rj_topology_state *state, uint64_t now_us,
 		      struct rj_decisions *decisions)
--- a/src/libradishjunction/core/topology_place.c
+++ b/src/libradishjunction/core/topology_place.c
@@ -4,18 +4,18 @@
 #include <stdlib.h>
 
 /*
- * A job may pass a reservation if nine in ten of its kind end in time.
+ * A job may be backfilled if nine in ten jobs of its kind end in time.
  */
 #define BACKFILL_PERCENTILE 90
 
 /*
- * What a job may lose, in accelerator time, and still pass a reservation. It
- * is what a gang of a worker and a half loses by its checkpoint, and lets
- * pass a preview of ten seconds.
+ * Maximum accelerator time that a backfilled job may lose when it is stopped:
+ * what a gang of a worker and a half loses with a checkpoint, or a preview of
+ * ten seconds.
  */
 #define BACKFILL_LOSS_MAX_US (12 * RJ_US_PER_S)
 
-/* The parts of a score, from the weightiest down; a lower score is better. */
+/* Components of a score in descending order of weight; lower is better. */
 #define SCORE_NOT_OWNED (1ULL << 50)
 #define SCORE_OTHERS_GUARANTEE (1ULL << 49)
 #define SCORE_RESERVED (1ULL << 48)
@@ -25,13 +25,14 @@
 #define SCORE_LEFTOVER_UNIT (1ULL << 24)
 #define SCORE_WORST UINT64_MAX
 
-/* More accelerators than this in a rack are counted as this many. */
+/* Limit of the accelerators counted per rack. */
 #define GANG_BLOCKING_MAX 4095
 
 /*
- * Whether so little of the job is lost when it is stopped that it may start
- * where that is to be expected: it has checkpoints, or is small and short by
- * the run times learnt. Urgent work is not started to be stopped.
+ * Whether stopping the job would lose so little that it may start on capacity
+ * from which it is likely to be preempted: it has checkpoints, or is small and
+ * short according to recorded run times. Urgent jobs without checkpoints do not
+ * qualify.
  */
 static bool is_cheap_to_stop(const struct rj_plan_entry *entry, uint64_t run_us)
 {
@@ -44,9 +45,9 @@
 }
 
 /*
- * Whether the job may run on what is kept for `reservation`: it ends in
- * time by the run times learnt, or it can be stopped at little loss when
- * the reservation's job starts.
+ * Whether the job may run on capacity reserved for another: only if the
+ * reservation is soft, and the job is expected to end in time or is cheap to
+ * stop when the reservation's job starts.
  */
 static bool may_backfill(const struct rj_plan_entry *entry,
 			 const struct rj_reservation *reservation,
@@ -62,14 +63,14 @@
 }
 
 /*
- * What `entry` may take of `worker` now: what is free, without what is kept
- * for others (loosely kept capacity only counts if it may not be passed, or
- * not at all with `firm_only`), and for a job that cannot be stopped without
- * what must stay reclaimable.
+ * Returns the capacity of `worker` that `entry` may allocate now: its free
+ * capacity less the reservations of other jobs (soft ones only if the job may
+ * not be backfilled, none of them with `firm_only`) and, for a non-preemptible
+ * job, less what must stay reclaimable.
  *
- * A worker of a peer's rack is treated as if no job could be stopped there:
- * the peer, who has to give a guaranteed shape back, cannot reclaim what it
- * does not plan, and the shape would come late.
+ * On a worker in a peer's rack every job is treated as non-preemptible: the
+ * peer cannot preempt jobs that it does not plan, so a guaranteed shape that it
+ * has to reclaim would be delayed.
  */
 struct rj_resources
 rj_topology_available(const struct rj_capacity_worker *worker,
@@ -99,7 +100,7 @@
 }
 
 /*
- * Accelerators here that are guaranteed to others and lie idle.
+ * Returns the idle accelerators that are guaranteed to other accounts.
  */
 static uint32_t
 idle_guaranteed_to_others(const struct rj_capacity_worker *worker,
@@ -120,7 +121,7 @@
 }
 
 /*
- * Whether nothing of ours runs in the rack.
+ * Whether no task of this planner runs in the rack.
  */
 static bool rack_is_empty(struct rj_worker_set rack)
 {
@@ -131,9 +132,9 @@
 }
 
 /*
- * How well one task fits the worker, without regard to its rack: prefer
- * what this instance owns, then what nobody else is guaranteed or waits for,
- * then a worker that is broken up already, then the tightest fit.
+ * Scores one task on a worker, apart from its rack. Prefers workers in owned
+ * racks, then without guarantees or reservations of others, then those already
+ * in use, then the tightest fit.
  */
 static uint64_t score_worker(const struct rj_capacity_worker *worker,
 			     const struct rj_plan_entry *entry,
@@ -155,9 +156,6 @@
 	return score;
 }
 
-/*
- * The accelerators free in a rack.
- */
 static uint32_t rack_free(struct rj_worker_set rack)
 {
 	uint32_t free = 0;
@@ -168,8 +166,8 @@
 }
 
 /*
- * Work that makes way for no gang is kept together, so that it breaks few
- * racks: the rack with most of it is best.
+ * Scores a rack for work that no gang may preempt. Such work is packed together
+ * to fragment few racks: the rack with the most of it is best.
  */
 static uint64_t score_gang_blocking(struct rj_worker_set rack,
 				    const struct rj_plan_entry *entry)
@@ -185,7 +183,7 @@
 }
 
 /*
- * Place a single task on the best worker. Returns 1, or 0 if none has room.
+ * Places a single task on the best worker. Returns 1, or 0 if it fits none.
  */
 static uint32_t place_task(struct rj_topology_state *state,
 			   struct rj_plan_entry *entry, uint64_t now_us)
@@ -226,7 +224,7 @@
 }
 
 /*
- * How many tasks of a gang the site has room for, up to all of them.
+ * Returns how many tasks of a gang fit the set, at most all of them.
  */
 static uint32_t set_fit_count(struct rj_topology_state *state,
 			      struct rj_worker_set set,
@@ -251,7 +249,7 @@
 }
 
 /*
- * How well a gang fits a rack that has room for it.
+ * Scores a rack that fits the whole gang.
  */
 static uint64_t score_rack(struct rj_worker_set rack,
 			   const struct rj_plan_entry *entry)
@@ -281,7 +279,7 @@
 };
 
 /*
- * The most broken up worker first.
+ * Workers with the least free capacity first.
  */
 static int compare_candidates(const void *a, const void *b)
 {
@@ -296,8 +294,9 @@
 }
 
 /*
- * Put up to `want` tasks on the workers of a rack, the most broken up ones
- * first, after the `count` members there are. Returns the members then.
+ * Places up to `*needed` tasks on the workers of a rack, those with the least
+ * free capacity first, after the `count` members so far. Returns the new number
+ * of members.
  */
 static uint32_t fill_rack(struct rj_topology_state *state,
 			  struct rj_worker_set rack,
@@ -333,8 +332,8 @@
 }
 
 /*
- * The rack with the best score that has room for the whole gang, or the
- * number of racks if none has. `fits` is filled for each rack.
+ * Returns the rack with the best score that fits the whole gang, or the number
+ * of racks if none does. Fills in `fits` for every rack.
  */
 static uint32_t best_rack(struct rj_topology_state *state,
 			  const struct rj_plan_entry *entry, uint64_t now_us,
@@ -360,8 +359,8 @@
 }
 
 /*
- * The next rack of a gang that needs several: the tightest that takes all
- * that is left, else the one that takes most.
+ * Returns the next rack for a gang that spans racks: the tightest that fits all
+ * remaining tasks, else the one that fits most.
  */
 static uint32_t next_rack(const struct rj_topology_state *state,
 			  const uint32_t *fits, uint32_t needed)
@@ -381,8 +380,8 @@
 }
 
 /*
- * Place a gang in one rack, or, unless its tasks are to be adjacent, in as
- * few racks as will do. Returns the members, 0 if it does not fit.
+ * Places a gang in one rack or, unless its tasks must be adjacent, in few
+ * racks. Returns the number of members, 0 if it does not fit.
  */
 static uint32_t place_gang(struct rj_topology_state *state,
 			   struct rj_plan_entry *entry, uint64_t now_us)
@@ -413,8 +412,8 @@
 }
 
 /*
- * Find where the waiting job fits now; the members are in `state->members`.
- * Returns how many there are, 0 if it does not fit.
+ * Finds a placement for a waiting job; the members are in `state->members`.
+ * Returns their number, 0 if the job does not fit.
  */
 uint32_t rj_topology_place(struct rj_topology_state *state,
 			   struct rj_plan_entry *entry, uint64_t now_us)
@@ -426,7 +425,7 @@
 }
 
 /*
- * Whether the members lie on capacity that is loosely kept for another job.
+ * Whether any of the members is on capacity reserved for another job.
  */
 bool rj_topology_is_backfill(const struct rj_plan_entry *entry,
 			     const struct rj_plan_member *members,
--- a/src/libradishjunction/core/topology_queue.c
+++ b/src/libradishjunction/core/topology_queue.c
@@ -5,9 +5,9 @@
 #include <talloc.h>
 
 /*
- * How much later than it came a job of each priority is taken to have come.
- * This is the ageing: a bulk job that has waited half an hour goes before an
- * urgent one that has just come.
+ * Offset added to the arrival time by priority. It implements ageing: a bulk
+ * job that has waited half an hour goes before an urgent job that has just
+ * arrived.
  */
 static const uint64_t priority_delay_us[RJ_PRIORITY_COUNT] = {
 	[RJ_PRIORITY_URGENT] = 0,
@@ -16,26 +16,27 @@
 };
 
 /*
- * How much earlier a job larger than a worker is taken to have come, for each
- * worker that it fills: what it needs comes together seldom, and goes in bits
- * to what comes before it. A gang of six workers thus goes with urgent work.
+ * Offset subtracted from the arrival time of a job larger than a worker, for
+ * each worker that it fills: otherwise the free capacity it needs seldom comes
+ * together, as smaller jobs use it up. A gang of six workers thus ranks with
+ * urgent work.
  */
 #define SIZE_CREDIT_US (300 * RJ_US_PER_S)
 
 /*
- * An account that uses twice its fair share above its guarantee goes this
- * much behind one that uses none of it.
+ * Offset added to the arrival time for each fair share that an account uses
+ * above its guarantee.
  */
 #define FAIR_SHARE_PENALTY_US (60 * RJ_US_PER_S)
 
-/* The penalty of the fair share stops growing at this many shares. */
+/* Maximum number of fair shares that are penalised. */
 #define FAIR_SHARE_PENALTY_MAX 4
 
-/* One part in so many of the queue is kept for urgent jobs. */
+/* One part in this many of the queue is reserved for urgent jobs. */
 #define URGENT_QUEUE_DIVISOR 8
 
 /*
- * The bucket of jobs like `entry`, made if there is none.
+ * Returns the bucket for jobs like `entry`, creating it if necessary.
  */
 static struct rj_plan_bucket *bucket_of(struct rj_topology_state *state,
 					const struct rj_plan_entry *entry)
@@ -62,7 +63,7 @@
 }
 
 /*
- * Put a job in back-off among the others, soonest first.
+ * Inserts a job in back-off, in order of the end of the back-off.
  */
 static void insert_into_delayed(struct rj_topology_state *state,
 				struct rj_plan_entry *entry)
@@ -82,7 +83,7 @@
 }
 
 /*
- * The soonest deadline first; the job's id breaks ties.
+ * Earliest deadline first; the job id breaks ties.
  */
 static gint compare_deadlines(gconstpointer a, gconstpointer b, gpointer data)
 {
@@ -97,22 +98,21 @@
 }
 
 /*
- * Let the job wait in its bucket. A job that comes first there may fit where
- * the former first did not, so the bucket is tried again.
+ * Queues the job in its bucket. If it becomes the head, the bucket is tried
+ * again, since it may fit where the former head did not.
  */
 static void insert_into_bucket(struct rj_topology_state *state,
 			       struct rj_plan_entry *entry)
 {
 	entry->bucket = bucket_of(state, entry);
-	/* Only a new head can fit where the old one did not. */
 	rj_plan_queue_insert(&entry->bucket->queue, entry);
 	if (entry->bucket->queue.head == &entry->link)
 		entry->bucket->blocked_version = 0;
 }
 
 /*
- * The accelerators that are the account's fair share: its part of all by
- * weight, among the accounts that have jobs at all.
+ * Returns the account's fair share of the accelerators, by weight among the
+ * accounts that have jobs.
  */
 uint64_t rj_topology_fair_share(const struct rj_topology_state *state,
 				const struct rj_plan_account *account)
@@ -122,7 +122,7 @@
 }
 
 /*
- * Count the account in or out after its jobs have come or gone.
+ * Updates the account's activity after jobs were added or removed.
  */
 void rj_topology_update_active(struct rj_topology_state *state,
 			       struct rj_plan_account *account)
@@ -139,7 +139,7 @@
 }
 
 /*
- * Let the job wait, in its bucket or until its back-off ends.
+ * Queues the job, in its bucket or until its back-off ends.
  */
 void rj_topology_enqueue(struct rj_topology_state *state,
 			 struct rj_plan_entry *entry, uint64_t now_us)
@@ -161,7 +161,7 @@
 }
 
 /*
- * The job waits no longer.
+ * Removes the job from the queue.
  */
 void rj_topology_dequeue(struct rj_topology_state *state,
 			 struct rj_plan_entry *entry)
@@ -186,7 +186,7 @@
 }
 
 /*
- * Let the jobs whose back-off has ended wait for a place.
+ * Moves jobs whose back-off has ended to their buckets.
  */
 void rj_topology_release_delayed(struct rj_topology_state *state,
 				 uint64_t now_us)
@@ -202,8 +202,7 @@
 }
 
 /*
- * How far behind its arrival an account's jobs are put for using more than
- * its fair share, in microseconds.
+ * Returns the offset of an account's jobs for use above its fair share.
  */
 static uint64_t fair_penalty_us(const struct rj_topology_state *state,
 				const struct rj_plan_account *account)
@@ -218,8 +217,8 @@
 }
 
 /*
- * How far behind its arrival a job is put for its priority. A gang makes up
- * for some of it by its size, but never goes before urgent work.
+ * Returns the offset of a job for its priority. A gang's size reduces it, but
+ * never below that of urgent work.
  */
 static uint64_t priority_penalty_us(const struct rj_topology_state *state,
 				    const struct rj_plan_entry *entry)
@@ -234,9 +233,9 @@
 }
 
 /*
- * The bucket whose first job is next in this state, or NULL when each has
- * been found blocked. A job is taken in order of its arrival, its priority,
- * its size and its account's use above the guarantee.
+ * Returns the bucket whose head is next, or NULL if all are blocked in this
+ * state. Jobs are ordered by arrival, priority, size and the account's use
+ * above its guarantee.
  */
 struct rj_plan_bucket *rj_topology_next_bucket(struct rj_topology_state *state,
 					       uint64_t now_us)
@@ -261,8 +260,8 @@
 }
 
 /*
- * How long a job of `priority` that comes now will wait, by the learnt run
- * times of what waits before it, in microseconds.
+ * Returns the expected wait of a new job of `priority`, from the recorded run
+ * times of the jobs that are queued before it.
  */
 uint64_t rj_topology_expected_wait_us(const struct rj_topology_state *state,
 				      enum rj_priority priority)
@@ -275,9 +274,9 @@
 }
 
 /*
- * When a refused caller should come back: the wait, spread over half of it
- * either way by the job, so that those refused together return apart. The
- * spread needs no state and is the same in each run.
+ * Returns the retry delay of a refused caller: the expected wait, plus or minus
+ * half of it depending on the job id, so that callers refused at the same time
+ * do not retry at the same time. The spread is stateless and deterministic.
  */
 uint64_t rj_topology_retry_after_us(uint64_t wait_us, uint64_t job_id)
 {
@@ -288,9 +287,9 @@
 }
 
 /*
- * Whether there is no room for one more. The last part of the queue takes
- * urgent jobs only, and once it is half full no account may have more than
- * its share of it, so that a burst of one account does not shut out others.
+ * Whether the queue is full for `entry`. The last part accepts urgent jobs
+ * only, and from half full on no account may exceed its share, so that a burst
+ * of one account does not exclude others.
  */
 bool rj_topology_queue_is_full(const struct rj_topology_state *state,
 			       const struct rj_plan_entry *entry)
--- a/src/libradishjunction/core/topology_reclaim.c
+++ b/src/libradishjunction/core/topology_reclaim.c
@@ -5,50 +5,59 @@
 #include <string.h>
 #include <talloc.h>
 
-/* A reclaim that has not freed its shape by the limit and this is given up. */
+/*
+ * A reclaim that has not freed its shape by the time limit plus this is
+ * cancelled.
+ */
 #define RECLAIM_GRACE_US (200 * RJ_US_PER_MS)
 
-/* Work is small beside a gang that is so many times as large. */
+/*
+ * A job is small compared with a gang that is at least this many times as
+ * large.
+ */
 #define SMALL_JOB_DIVISOR 2
 
-/* A gang that has waited may cost others so much of its own work. */
+/* Work of others that a waiting gang may cost, relative to its own. */
 #define WAITED_LOSS_MAX_PERCENT 5
 
-/* What a checkpoint costs a job, as run time lost. */
+/* Run time lost by a checkpoint. */
 #define CHECKPOINT_COST_US RJ_US_PER_S
 
-/* Urgent work that is lost weighs as so much other work. */
+/* Weight of lost urgent work relative to other work. */
 #define URGENT_LOSS_FACTOR 20
 
-/* Urgent work waits this long before it stops what others borrow. */
+/* Urgent work waits this long before it preempts jobs that borrow. */
 #define URGENT_PREEMPTION_DELAY_US RJ_US_PER_S
 
 /*
- * A gang waits at least this long before it stops small work: most of what
- * ends within seconds has ended then, and need not be lost.
+ * Minimum wait of a gang before it preempts small jobs: most jobs that last a
+ * few seconds end meanwhile and need not be stopped.
  */
 #define GANG_PREEMPTION_DELAY_US (3 * RJ_US_PER_S)
 
-/* It waits so much longer for each point that fragmentation weighs less. */
+/*
+ * Additional wait of a gang for each point that the fragmentation weight is
+ * below 100.
+ */
 #define FRAGMENTATION_POINT_DELAY_US (100 * RJ_US_PER_MS)
 
-/* On which ground a job asks for room. */
+/* The policy by which a job may preempt others. */
 enum policy {
-	POLICY_GUARANTEE, /* its account's guarantee */
-	POLICY_GUARANTEE_OVER_RESERVATIONS, /* the same, before what is kept for others */
-	POLICY_URGENT, /* urgent work before borrowed capacity */
-	POLICY_BACKFILLED, /* work that passed its reservation */
-	POLICY_WAITED, /* a gang that has waited, before cheap small work */
+	POLICY_GUARANTEE, /* for its account's guarantee */
+	POLICY_GUARANTEE_OVER_RESERVATIONS, /* also over other reservations */
+	POLICY_URGENT, /* urgent: from borrowed capacity */
+	POLICY_BACKFILLED, /* from jobs backfilled on its reservation */
+	POLICY_WAITED, /* waiting gang: from cheap small jobs */
 };
 
 struct victim {
 	struct rj_plan_entry *entry;
-	double cost; /* lost accelerator time for each accelerator of use */
+	double cost; /* lost accelerator time per accelerator freed */
 	uint64_t lost;
 	bool chosen;
 };
 
-/* A search of one site for the jobs to stop. */
+/* A search of one set of workers for jobs to preempt. */
 struct search {
 	struct rj_topology_state *state;
 	struct rj_plan_entry *entry;
@@ -63,8 +72,8 @@
 };
 
 /*
- * Accelerator time that is lost if the job is stopped now; that of urgent
- * work weighs more, so that it is stopped last.
+ * Returns the accelerator time lost if the job is stopped now. Urgent work is
+ * weighted so that it is preempted last.
  */
 static uint64_t lost_work(const struct rj_plan_entry *entry, uint64_t now_us)
 {
@@ -74,13 +83,10 @@
 		ran_us = MIN(ran_us, CHECKPOINT_COST_US);
 	if (entry->job.priority == RJ_PRIORITY_URGENT)
 		ran_us = (ran_us + RJ_US_PER_S) * URGENT_LOSS_FACTOR;
-	/* A task that has just started still costs its start again. */
+	/* Even a task that has just started has to be started again. */
 	return (ran_us + RJ_US_PER_MS) * rj_topology_job_size(entry);
 }
 
-/*
- * Whether the ground is the account's guarantee.
- */
 static bool is_guarantee_policy(enum policy policy)
 {
 	return policy == POLICY_GUARANTEE ||
@@ -88,8 +94,8 @@
 }
 
 /*
- * Whether the search must leave alone what the reservation keeps. A claim on
- * a guarantee that finds no other room goes before all but such claims.
+ * Whether the search must leave the reservation alone. With
+ * POLICY_GUARANTEE_OVER_RESERVATIONS, only reservations for guarantees count.
  */
 static bool must_respect(const struct search *search,
 			 const struct rj_reservation *reservation)
@@ -100,9 +106,9 @@
 }
 
 /*
- * Whether the search must leave alone what others are guaranteed and do not
- * use. Only work that can be stopped may borrow it, in racks whose owner can
- * stop it, and not on the ground of a guarantee: two claims then never cross.
+ * Whether the search must leave idle guarantees of other accounts alone. Only
+ * preemptible work may borrow them, in racks whose owner can preempt it, and
+ * not by a guarantee policy, so that two claims on guarantees never conflict.
  */
 static bool must_leave_idle_guarantees(const struct search *search,
 				       const struct rj_capacity_worker *worker)
@@ -112,8 +118,8 @@
 }
 
 /*
- * What the job may take of the worker once the chosen victims, and what is
- * being stopped already, are gone.
+ * Returns the capacity of the worker that the job may use once the chosen
+ * victims, and jobs being stopped already, have ended.
  */
 static struct rj_resources
 available_after(const struct search *search,
@@ -158,7 +164,7 @@
 }
 
 /*
- * Count again how many tasks fit the worker at this place of the site.
+ * Recomputes how many tasks fit the worker at index `at` of the set.
  */
 static void update_fit(struct search *search, uint32_t at)
 {
@@ -173,7 +179,7 @@
 }
 
 /*
- * Whether the whole job fits after what was evicted so far.
+ * Whether the whole job fits after the evictions so far.
  */
 static bool fits_all_tasks(const struct search *search)
 {
@@ -181,7 +187,8 @@
 }
 
 /*
- * Whether the job is urgent and was stopped before: it waits since then.
+ * Whether the job is urgent and was stopped before, so that it waits since
+ * then.
  */
 static bool is_preempted_urgent(const struct rj_plan_entry *entry)
 {
@@ -190,7 +197,7 @@
 }
 
 /*
- * Whether the ground allows to stop `entry` at all, wherever it runs.
+ * Whether the policy allows preempting `entry`, wherever it runs.
  */
 static bool may_preempt(const struct search *search,
 			const struct rj_plan_entry *entry)
@@ -210,10 +217,10 @@
 		return entry->backfilled && !is_preempted_urgent(entry);
 	case POLICY_WAITED:
 		/*
-		 * Never another gang: they would take turns. What passed a
-		 * reservation was let run only until the room is wanted, and
-		 * goes with the small work, urgent or not: the most that may
-		 * be lost holds for both.
+		 * Never another gang, or the two would preempt each other in
+		 * turn. A backfilled job was only admitted until its capacity
+		 * is needed, and is treated like small work, urgent or not: the
+		 * limit of lost work applies to both.
 		 */
 		return (entry->backfilled && !is_preempted_urgent(entry)) ||
 		       (job->priority != RJ_PRIORITY_URGENT &&
@@ -224,9 +231,9 @@
 }
 
 /*
- * Whether the job borrows on some worker of the site: its account uses more
- * there than its guarantee. What stays within a guarantee is never stopped
- * for another account.
+ * Whether the job borrows on a worker of the set, that is, its account uses
+ * more there than its guarantee. Use within a guarantee is never preempted for
+ * another account.
  */
 static bool borrows(const struct search *search,
 		    const struct rj_plan_entry *entry)
@@ -250,7 +257,7 @@
 }
 
 /*
- * Take the job out of the workers in thought, or put it back.
+ * Tentatively removes the job from its workers (`evicted`), or puts it back.
  */
 static void evict(struct search *search, struct victim *victim, bool evicted)
 {
@@ -277,7 +284,7 @@
 }
 
 /*
- * The cheapest first; the job's id breaks ties.
+ * Lowest cost first; the job id breaks ties.
  */
 static int compare_victims(const void *a, const void *b)
 {
@@ -290,7 +297,7 @@
 }
 
 /*
- * Accelerators of the job that lie within the site, as far as they are
+ * Returns the accelerators of the job within the set, at most as many as are
  * needed: a gang stopped for a preview frees no more than the preview.
  */
 static uint64_t freed_in_set(const struct search *search,
@@ -310,7 +317,7 @@
 }
 
 /*
- * List the jobs of the site that may be stopped, cheapest first.
+ * Lists the jobs of the set that may be preempted, lowest cost first.
  */
 static void list_victims(struct search *search)
 {
@@ -342,7 +349,7 @@
 }
 
 /*
- * Start a search of the site: nothing is evicted, the victims are listed.
+ * Begins a search of the set: nothing evicted, victims listed.
  */
 static void search_init(struct search *search, struct rj_topology_state *state,
 			struct rj_plan_entry *entry, enum policy policy,
@@ -366,9 +373,6 @@
 	list_victims(search);
 }
 
-/*
- * Free what the search took.
- */
 static void search_finish(struct search *search)
 {
 	g_free(search->fits);
@@ -376,9 +380,8 @@
 }
 
 /*
- * Choose victims, cheapest first, until the job fits; then let go those
- * that turned out not to be needed, the dearest first. Returns whether the
- * job fits.
+ * Chooses victims, lowest cost first, until the job fits, then drops those that
+ * turn out to be unnecessary, highest cost first. Returns whether the job fits.
  */
 static bool search_run(struct search *search)
 {
@@ -402,7 +405,7 @@
 }
 
 /*
- * Put every chosen victim back; the ledgers are as before the search.
+ * Puts every chosen victim back; the ledgers are as before the search.
  */
 static void search_undo(struct search *search)
 {
@@ -412,8 +415,8 @@
 }
 
 /*
- * Write down where the job goes, the workers with the least room first so
- * that they are filled.
+ * Fills in the members of the job, in the order of the set. Returns their
+ * number.
  */
 static uint32_t search_members(const struct search *search,
 			       struct rj_plan_member *members)
@@ -435,7 +438,7 @@
 }
 
 /*
- * Ask for every chosen victim to be stopped.
+ * Requests a stop of every chosen victim.
  */
 static void stop_victims(const struct search *search,
 			 struct rj_decisions *decisions)
@@ -461,8 +464,8 @@
 }
 
 /*
- * The work that a search of the site would cost, RJ_NEVER_US if the job
- * would not fit.
+ * Returns the work lost by preempting in the set, RJ_NEVER_US if the job would
+ * not fit.
  */
 static uint64_t cost_of(struct rj_topology_state *state,
 			struct rj_plan_entry *entry, enum policy policy,
@@ -488,7 +491,8 @@
 };
 
 /*
- * The most work that may be lost on the ground, in accelerator microseconds.
+ * Returns the most work that may be lost by the policy, in accelerator
+ * microseconds.
  */
 static uint64_t max_lost_work(const struct rj_plan_entry *entry,
 			      enum policy policy)
@@ -500,7 +504,8 @@
 }
 
 /*
- * Stop what is in the way in this site and keep its room for the job.
+ * Preempts jobs in the set and makes a firm reservation for the job. Returns
+ * whether it did.
  */
 static bool preempt_in(struct rj_topology_state *state,
 		       struct rj_plan_entry *entry, enum policy policy,
@@ -538,8 +543,8 @@
 }
 
 /*
- * The site where the job costs others least: a rack, or all racks for a
- * gang that may span them.
+ * Preempts where the least work is lost: in one rack, or in all racks together
+ * if no single rack will do and the gang may span racks.
  */
 static bool reclaim_by(struct rj_topology_state *state,
 		       struct rj_plan_entry *entry, enum policy policy,
@@ -570,8 +575,8 @@
 }
 
 /*
- * Whether urgent work of the account may stop what others borrow: it has
- * waited a moment, and the account stays within guarantee and fair share.
+ * Whether an urgent job may preempt jobs that borrow: it has waited long
+ * enough, and its account stays within its guarantee and fair share.
  */
 static bool urgent_may_preempt(const struct rj_topology_state *state,
 			       const struct rj_plan_entry *entry,
@@ -587,8 +592,9 @@
 }
 
 /*
- * How long a gang waits before it may stop small work: the more the
- * operators weigh fragmentation against completion, the shorter.
+ * Returns how long a job waits before it may preempt others. For a gang it is
+ * shorter the higher the fragmentation weight that operators have set;
+ * RJ_NEVER_US for other jobs that are not urgent.
  */
 uint64_t rj_topology_preemption_delay_us(const struct rj_topology_state *state,
 					 const struct rj_plan_entry *entry)
@@ -604,7 +610,7 @@
 }
 
 /*
- * Whether the gang has waited long enough for small work to make way.
+ * Whether the gang has waited long enough to preempt small jobs.
  */
 static bool gang_may_preempt(const struct rj_topology_state *state,
 			     const struct rj_plan_entry *entry, uint64_t now_us)
@@ -617,10 +623,11 @@
 }
 
 /*
- * Make room for a job that does not fit: first on the ground of its
- * account's guarantee, then of urgency, then of its own reservation, then of
- * its wait. Whole gangs are stopped, those with the least work lost. Returns whether room
- * is firmly kept now; it is free when all that was stopped has ended.
+ * Preempts for a job that does not fit. The policies are tried in order: its
+ * account's guarantee, urgency, jobs backfilled on its reservation, then its
+ * wait. Gangs are stopped as a whole, and the victims with the least lost work
+ * are chosen. Returns whether a firm reservation was made; its capacity is free
+ * when all victims have ended.
  */
 bool rj_topology_reclaim(struct rj_topology_state *state,
 			 struct rj_plan_entry *entry, uint64_t now_us,
--- a/src/libradishjunction/core/topology_reserve.c
+++ b/src/libradishjunction/core/topology_reserve.c
@@ -5,14 +5,14 @@
 #include <string.h>
 #include <talloc.h>
 
-/* A loose reservation is worked out again this often: estimates change. */
+/* Interval at which soft reservations are recomputed, as estimates change. */
 #define SOFT_RESERVATION_REFRESH_US (5 * RJ_US_PER_S)
 
-/* The time at which half of a kind of jobs have ended. */
+/* Percentile of the run times by which a job is expected to end. */
 #define END_PERCENTILE 50
 
 /*
- * Keep `members` for `entry`. See `struct rj_reservation` for the two ways.
+ * Reserves `members` for `entry`, firm or soft. See `struct rj_reservation`.
  */
 struct rj_reservation *rj_topology_reserve(struct rj_topology_state *state,
 					   struct rj_plan_entry *entry,
@@ -41,7 +41,7 @@
 }
 
 /*
- * Keep nothing for the job any more; others may fit now.
+ * Removes the reservation; blocked jobs are tried again.
  */
 void rj_topology_unreserve(struct rj_topology_state *state,
 			   struct rj_reservation *reservation)
@@ -59,9 +59,6 @@
 	state->version++;
 }
 
-/*
- * Whether a reservation keeps part of the worker.
- */
 bool rj_reservation_includes(const struct rj_reservation *reservation,
 			     uint32_t worker)
 {
@@ -72,7 +69,7 @@
 }
 
 /*
- * The job's account has room on its guarantee's behalf by it.
+ * Counts the job as covered by its account's guarantee on other workers.
  */
 void rj_topology_grant(struct rj_plan_entry *entry)
 {
@@ -82,7 +79,7 @@
 }
 
 /*
- * The job's account no longer has room on its guarantee's behalf by it.
+ * Reverts `rj_topology_grant`, if the job was granted.
  */
 void rj_topology_revoke(struct rj_plan_entry *entry)
 {
@@ -94,8 +91,7 @@
 }
 
 /*
- * Keep nothing for the job any more. One that waited outside of its bucket
- * for firmly kept room goes back to it.
+ * Cancels the reservation. If it was firm, its job returns to its bucket.
  */
 void rj_topology_cancel_reservation(struct rj_topology_state *state,
 				    struct rj_reservation *reservation,
@@ -114,7 +110,8 @@
 }
 
 /*
- * Give up what is firmly kept on the members for anything but a guarantee.
+ * Cancels firm reservations that include the members' workers, except those for
+ * guarantees.
  */
 void rj_topology_displace_reservations(struct rj_topology_state *state,
 				       const struct rj_plan_member *members,
@@ -131,21 +128,24 @@
 		if (!overlaps || !reservation->firm ||
 		    reservation->reason == RJ_REASON_GUARANTEE)
 			continue;
-		/* Or it would stop others again at once, for nothing. */
+		/*
+		 * Restart the wait, or it would preempt others again at once in
+		 * vain.
+		 */
 		reservation->entry->waiting_since_us = now_us;
 		rj_topology_cancel_reservation(state, reservation, now_us);
 	}
 }
 
-/* A run that is expected to end and free part of a worker. */
+/* The expected end of a run, which frees part of a worker. */
 struct expected_end {
 	uint64_t at_us;
-	uint32_t worker; /* index in the site */
+	uint32_t worker; /* index in the set */
 	const struct rj_worker_run *run;
 };
 
 /*
- * The soonest first; the place in the site breaks ties.
+ * Earliest first; the index in the set breaks ties.
  */
 static int compare_expected_ends(const void *a, const void *b)
 {
@@ -160,9 +160,9 @@
 }
 
 /*
- * The most that a job may ever take of the worker: none while it cannot be
- * used or is kept for another, and not what others are guaranteed if the job
- * cannot be stopped.
+ * Returns the upper bound of what the job may use on the worker: nothing while
+ * the worker is unusable or has reservations of other jobs, and for a
+ * non-preemptible job not what others are guaranteed.
  */
 static struct rj_resources
 max_available(const struct rj_capacity_worker *worker,
@@ -190,7 +190,7 @@
 	return limit;
 }
 
-/* The state of the search of one site. */
+/* Forecast of the free capacity in one set of workers. */
 struct forecast {
 	struct rj_worker_set set;
 	struct rj_resources *free;
@@ -202,7 +202,7 @@
 };
 
 /*
- * Count again how many tasks fit the worker at this place of the site.
+ * Recomputes how many tasks fit the worker at index `at` of the set.
  */
 static void forecast_refit(struct forecast *forecast,
 			   const struct rj_plan_entry *entry, uint32_t at)
@@ -217,7 +217,7 @@
 }
 
 /*
- * Begin with what is free on the worker now, and list its runs.
+ * Initialises a worker with its present free capacity and adds its runs.
  */
 static void forecast_worker(struct forecast *forecast,
 			    const struct rj_plan_entry *entry, uint32_t at,
@@ -245,7 +245,8 @@
 }
 
 /*
- * Begin with the site as it is now, and list its runs by their expected ends.
+ * Initialises the forecast with the present state, its runs in order of their
+ * expected ends.
  */
 static void forecast_init(struct forecast *forecast, struct rj_worker_set set,
 			  const struct rj_plan_entry *entry, uint64_t now_us)
@@ -267,9 +268,6 @@
 	      sizeof(struct expected_end), compare_expected_ends);
 }
 
-/*
- * Free what the forecast took.
- */
 static void forecast_finish(struct forecast *forecast)
 {
 	g_free(forecast->free);
@@ -279,8 +277,8 @@
 }
 
 /*
- * Let runs end until the job fits. Returns the time, RJ_NEVER_US if it does
- * not fit though all have ended.
+ * Lets runs end until the job fits. Returns that time, or RJ_NEVER_US if it
+ * does not fit after all have ended.
  */
 static uint64_t forecast_run(struct forecast *forecast,
 			     const struct rj_plan_entry *entry, uint64_t now_us)
@@ -303,7 +301,7 @@
 }
 
 /*
- * Write down the places that the job has at the forecast's time.
+ * Fills in the members of the job at the forecast time. Returns their number.
  */
 static uint32_t forecast_members(const struct forecast *forecast,
 				 const struct rj_plan_entry *entry,
@@ -327,8 +325,9 @@
 }
 
 /*
- * When and where the job will fit in the site; the members are in
- * `state->members` if that is before `*best_us`. Returns how many, or 0.
+ * Finds the earliest time at which the job fits the set. If it is before
+ * `*best_us`, updates it, fills in `state->members` and returns their number;
+ * otherwise returns 0.
  */
 static uint32_t earliest_in(struct rj_topology_state *state,
 			    struct rj_worker_set set,
@@ -350,9 +349,9 @@
 }
 
 /*
- * Keep for a blocked job the place that is expected to be free soonest.
- * Nothing is kept for a job that does not fit even when all has ended: it
- * may never run, and what were kept for it would idle for ever.
+ * Makes a soft reservation for a blocked job where it is expected to fit first.
+ * A job that would not fit after all runs have ended gets none: it may never
+ * run, and the reserved capacity would stay idle.
  */
 void rj_topology_reserve_earliest(struct rj_topology_state *state,
 				  struct rj_plan_entry *entry, uint64_t now_us)
--- a/src/libradishjunction/core/topology_state.c
+++ b/src/libradishjunction/core/topology_state.c
@@ -5,12 +5,12 @@
 #include <string.h>
 #include <talloc.h>
 
-/* The run time of a class of which nothing is known. */
+/* Assumed run time of a class without a configured estimate. */
 #define EXPECTED_US_DEFAULT (10 * RJ_US_PER_S)
 
 /*
- * The account of this name, made at the first call; it is never freed
- * before the planner, so that its name may come and go in configurations.
+ * Returns the account, creating it if necessary. It is kept as long as the
+ * planner, since configurations may drop its name and add it again.
  */
 struct rj_plan_account *rj_topology_account(struct rj_topology_state *state,
 					    const char *name)
@@ -28,7 +28,7 @@
 }
 
 /*
- * What the configuration expects of a class.
+ * Returns the configured run time estimate of a class.
  */
 static uint64_t expected_us(const struct rj_topology_state *state,
 			    const char *class_name)
@@ -41,7 +41,7 @@
 }
 
 /*
- * The run times under this key, an empty record if there are none yet.
+ * Returns the histogram with this key, creating an empty one if necessary.
  */
 static struct rj_runtime *runtime_get(struct rj_topology_state *state,
 				      const char *key, const char *class_name,
@@ -61,7 +61,7 @@
 }
 
 /*
- * What has been learnt of the job's class and account.
+ * Returns the histogram of the job's class and account.
  */
 struct rj_runtime *rj_topology_runtime(struct rj_topology_state *state,
 				       const struct rj_plan_job *job)
@@ -75,7 +75,7 @@
 }
 
 /*
- * When `percent` of the jobs like this running one have ended.
+ * Returns when `percent` of the jobs like this running one have ended.
  */
 uint64_t rj_topology_expected_end_us(const struct rj_plan_entry *entry,
 				     uint32_t percent, uint64_t now_us)
@@ -88,7 +88,7 @@
 }
 
 /*
- * The accelerators of the job; a task without any counts as one.
+ * Returns the accelerators of the job; a task without any counts as one.
  */
 uint32_t rj_topology_job_size(const struct rj_plan_entry *entry)
 {
@@ -96,9 +96,6 @@
 	       MAX(entry->job.shape.each.accelerators, 1);
 }
 
-/*
- * The workers of the rack at `index`.
- */
 struct rj_worker_set
 rj_topology_rack_workers(const struct rj_topology_state *state, uint32_t index)
 {
@@ -108,7 +105,7 @@
 }
 
 /*
- * All workers, those of racks that this instance owns first.
+ * Returns all workers, those of owned racks first.
  */
 struct rj_worker_set rj_topology_all_workers(struct rj_topology_state *state)
 {
@@ -128,7 +125,7 @@
 }
 
 /*
- * Count the job as running on the members.
+ * Counts the job as running on the members.
  */
 void rj_topology_attach(struct rj_topology_state *state,
 			struct rj_plan_entry *entry,
@@ -145,8 +142,7 @@
 }
 
 /*
- * The job gives back what it holds; it waits for nothing and runs nowhere
- * afterwards.
+ * Removes the job from its workers or from the queue, with its reservation.
  */
 void rj_topology_detach(struct rj_topology_state *state,
 			struct rj_plan_entry *entry)
@@ -174,7 +170,7 @@
 }
 
 /*
- * The job is over: it gives back what it holds and leaves the table.
+ * Detaches the job and removes it from the table.
  */
 void rj_topology_remove(struct rj_topology_state *state,
 			struct rj_plan_entry *entry)
