--- a/src/libradishjunction/core/filters/identify.c
+++ b/src/libradishjunction/core/filters/identify.c
@@ -24,8 +24,8 @@
 		return rj_filter_refuse(
 			core, submission, RJ_ANSWER_NOT_RUN,
 			RJ_REASON_UNAUTHORIZED, 0,
-			"Authorization: this token belongs to no client "
-			"account; use the one that was made for yours");
+			"Authorization: the token belongs to no client "
+			"account; use the token issued for your account");
 	g_strlcpy(submission->spec.account, submission->account->name,
 		  sizeof(submission->spec.account));
 	return RJ_FILTER_NEXT;
--- a/src/libradishjunction/core/filters/limit.c
+++ b/src/libradishjunction/core/filters/limit.c
@@ -21,22 +21,22 @@
 		return rj_filter_refuse(
 			core, submission, RJ_ANSWER_NOT_RUN, RJ_REASON_DRAINING,
 			DRAINING_RETRY_US,
-			"this instance is stopping: ask another one");
+			"this instance is stopping: retry at another one");
 	if (submission->account &&
 	    rj_jobs_open(core, false, submission->account->name) >=
 		    submission->account->open_max)
 		return rj_filter_refuse(
 			core, submission, RJ_ANSWER_NOT_RUN,
 			RJ_REASON_ACCOUNT_LIMIT, retry_us,
-			"the account has as many open jobs here as its "
-			"open_max: wait for some, or raise it");
+			"the account has reached its open_max of open jobs "
+			"at this instance: wait for some, or raise it");
 	if (rj_jobs_open(core, true, submission->class->name) >=
 	    submission->class->open_max)
 		return rj_filter_refuse(
 			core, submission, RJ_ANSWER_NOT_RUN,
 			RJ_REASON_QUEUE_FULL, retry_us,
-			"the class has as many open jobs here as its "
-			"open_max: wait for some, or raise it");
+			"the class has reached its open_max of open jobs "
+			"at this instance: wait for some, or raise it");
 	return RJ_FILTER_NEXT;
 }
 
--- a/src/libradishjunction/core/filters/log.c
+++ b/src/libradishjunction/core/filters/log.c
@@ -93,12 +93,12 @@
 			core, submission, RJ_ANSWER_UNKNOWN, reason,
 			retry_after_us,
 			"the log cannot be read now, and an earlier request "
-			"with this key may have run: ask again with the same "
+			"with this key may have run: retry with the same "
 			"key");
 	return rj_filter_refuse(
 		core, submission, RJ_ANSWER_NOT_RUN, reason, retry_after_us,
-		"a job is accepted only once it is in the log, which cannot "
-		"be reached now: wait on the connection, or come back");
+		"a job is accepted only once it is in the log, which is "
+		"unavailable now: wait on the connection, or retry later");
 }
 
 /*
--- a/src/libradishjunction/core/filters/repeat.c
+++ b/src/libradishjunction/core/filters/repeat.c
@@ -11,10 +11,10 @@
 static enum rj_filter_verdict key_reused(struct rj_core_state *core,
 					 struct rj_submission *submission)
 {
-	return rj_filter_refuse(core, submission, RJ_ANSWER_NOT_RUN,
-				RJ_REASON_KEY_REUSED, 0,
-				"Idempotency-Key: was used for another class, "
-				"shape or body; use a new key for a new job");
+	return rj_filter_refuse(
+		core, submission, RJ_ANSWER_NOT_RUN, RJ_REASON_KEY_REUSED, 0,
+		"Idempotency-Key: already used for another class, "
+		"shape or body; use a new key for a new job");
 }
 
 /*
--- a/src/libradishjunction/core/filters/validate.c
+++ b/src/libradishjunction/core/filters/validate.c
@@ -66,7 +66,7 @@
 			core, submission, RJ_ANSWER_NOT_RUN,
 			RJ_REASON_KEY_REQUIRED, 0,
 			"Idempotency-Key: this class runs at most once, so "
-			"each request needs a key of its own");
+			"each request needs its own key");
 	if (!spec->job_id)
 		spec->job_id = spec->key[0] ? keyed_id(spec) : fresh_id(core);
 	return RJ_FILTER_NEXT;
