--- a/src/libradishjunction/core/filters/log.c
+++ b/src/libradishjunction/core/filters/log.c
@@ -7,9 +7,8 @@
 #include "private/core_state.h"
 
 /*
- * Whether the submission cannot proceed without the log: a key that must run at
- * most once may have run elsewhere, and a job is accepted only once it is in
- * the log.
+ * Whether the submission cannot proceed without the log: a key that must not run
+ * twice may have run elsewhere, and a job is accepted only once it is in the log.
  */
 static bool needs_log(const struct rj_submission *submission)
 {
--- a/src/libradishjunction/core/topology_reserve.c
+++ b/src/libradishjunction/core/topology_reserve.c
@@ -8,7 +8,7 @@
 /* Interval at which soft reservations are recomputed, as estimates change. */
 #define SOFT_RESERVATION_REFRESH_US (5 * RJ_US_PER_S)
 
-/* Percentile of the run times by which a job is expected to end. */
+/* A job is expected to end when half of its kind have ended. */
 #define END_PERCENTILE 50
 
 /*
