--- a/src/libradishjunction/core/filters/find.c
+++ b/src/libradishjunction/core/filters/find.c
@@ -1,11 +1,11 @@
 /*
- * Look-ups and cancels of jobs by their id.
+ * Lookups and cancels of jobs by id.
  */
 #include <string.h>
 
 #include "private/core_state.h"
 
-/* Make a job that watches what the log will say of an entry. */
+/* Creates a job that follows the records of a ledger entry. */
 static struct rj_job *watch_entry(struct rj_core_state *core,
 				  const struct rj_job_entry *entry)
 {
@@ -18,10 +18,10 @@
 	return job;
 }
 
-/* Answer from what the log says of the job. */
-static enum rj_filter_verdict found_in_log(struct rj_core_state *core,
-					   struct rj_submission *submission,
-					   const struct rj_job_entry *entry)
+/* Answers from the job ledger. */
+static enum rj_filter_verdict answer_from_log(struct rj_core_state *core,
+					      struct rj_submission *submission,
+					      const struct rj_job_entry *entry)
 {
 	struct rj_answer answer;
 	struct rj_job *job;
@@ -49,10 +49,10 @@
 	return RJ_FILTER_HANDLED;
 }
 
-/* Answer from a job of this instance. */
-static enum rj_filter_verdict found_here(struct rj_core_state *core,
-					 struct rj_submission *submission,
-					 struct rj_job *job)
+/* Answers from a job of this instance. */
+static enum rj_filter_verdict answer_from_job(struct rj_core_state *core,
+					      struct rj_submission *submission,
+					      struct rj_job *job)
 {
 	if (rj_job_may_tell(job)) {
 		rj_core_answer(core, submission->request_id, &job->final);
@@ -69,7 +69,7 @@
 	return RJ_FILTER_HANDLED;
 }
 
-/* Take look-ups and cancels; a job of another account is not found. */
+/* Handles lookups and cancels; jobs of other accounts are not found. */
 static enum rj_filter_verdict find(struct rj_core_state *core,
 				   struct rj_submission *submission)
 {
@@ -81,11 +81,11 @@
 		return RJ_FILTER_NEXT;
 	job = rj_jobs_find(core, job_id);
 	if (job && !strcmp(job->spec.account, submission->account->name))
-		return found_here(core, submission, job);
+		return answer_from_job(core, submission, job);
 	entry = rj_job_ledger_find(&core->ledger, job_id);
 	if (entry && !job &&
 	    !strcmp(entry->spec.account, submission->account->name))
-		return found_in_log(core, submission, entry);
+		return answer_from_log(core, submission, entry);
 	if (!rj_log_usable(core))
 		return rj_filter_refuse(
 			core, submission, RJ_ANSWER_UNKNOWN,
--- a/src/libradishjunction/core/filters/repeat.c
+++ b/src/libradishjunction/core/filters/repeat.c
@@ -1,27 +1,29 @@
 /*
- * Repeats of a key: what this instance serves already, and what the log
- * knows of the job.
+ * Repeats of a key: jobs that this instance serves already, and jobs known from
+ * the log.
  */
 #include <assert.h>
 #include <string.h>
 
 #include "private/core_state.h"
 
-/* The same key with another body: refused, and nothing of it runs. */
+/* Refuses a key that was used with other content; nothing is run. */
 static enum rj_filter_verdict key_reused(struct rj_core_state *core,
 					 struct rj_submission *submission)
 {
-	return rj_filter_refuse(core, submission, RJ_ANSWER_NOT_RUN,
-				RJ_REASON_KEY_REUSED, 0,
-				"Idempotency-Key: was used for another class, "
-				"shape or body; use a new key for a new job");
+	return rj_filter_refuse(
+		core, submission, RJ_ANSWER_NOT_RUN, RJ_REASON_KEY_REUSED, 0,
+		"Idempotency-Key: already used for another class, "
+		"shape or body; use a new key for a new job");
 }
 
-/* A repeat that does not wait: the job is accepted. Others may wait for its
- * end, so only this caller is answered. */
+/*
+ * Answers a repeat that does not wait, of an accepted job. Only this caller is
+ * answered, as others may wait for the job to end.
+ */
 static enum rj_filter_verdict
-accepted_already(struct rj_core_state *core,
-		 const struct rj_submission *submission)
+answer_accepted(struct rj_core_state *core,
+		const struct rj_submission *submission)
 {
 	struct rj_answer answer;
 
@@ -32,29 +34,35 @@
 	return RJ_FILTER_HANDLED;
 }
 
-/* A job that this instance has handed on comes back to it.
+/*
+ * Refuses a job that this instance has forwarded and that comes back to it.
  *
- * Guards against instances whose views of the racks' owners differ: each
- * would wait for the next, and the caller for ever. Nothing was started here;
- * the sender serves the job itself. */
-static enum rj_filter_verdict sent_round(struct rj_core_state *core,
-					 struct rj_submission *submission)
+ * Guards against instances that disagree on rack owners: each would wait for
+ * the next, and the caller for ever. Nothing was started here, so the sender
+ * serves the job itself.
+ */
+static enum rj_filter_verdict
+refuse_forward_loop(struct rj_core_state *core,
+		    struct rj_submission *submission)
 {
 	return rj_filter_refuse(core, submission, RJ_ANSWER_UNKNOWN,
 				RJ_REASON_IN_PROGRESS, 0, NULL);
 }
 
-/* A repeat that waits, of a job that was forwarded to be accepted: the peer's
- * answer will not be the job's end. By then this caller can look it up. */
+/*
+ * Refuses a repeat that waits, of a job that was forwarded only to be accepted:
+ * the peer's answer will not be the job's outcome. When the caller retries, the
+ * job can be found by its id.
+ */
 static enum rj_filter_verdict
-acceptance_under_way(struct rj_core_state *core,
-		     const struct rj_submission *submission)
+refuse_pending_acceptance(struct rj_core_state *core,
+			  const struct rj_submission *submission)
 {
 	return rj_filter_refuse(core, submission, RJ_ANSWER_UNKNOWN,
 				RJ_REASON_IN_PROGRESS, RJ_US_PER_S, NULL);
 }
 
-/* Let the submission's caller wait for a job that is served already. */
+/* Adds the caller as a waiter of a job that is served already. */
 static enum rj_filter_verdict join(struct rj_core_state *core,
 				   struct rj_submission *submission,
 				   struct rj_job *job)
@@ -73,18 +81,18 @@
 		return RJ_FILTER_HANDLED;
 	}
 	if (submission->peer && job->state == RJ_JOB_FORWARDED)
-		return sent_round(core, submission);
+		return refuse_forward_loop(core, submission);
 	if (job->state == RJ_JOB_FORWARDED && !job->spec.wait &&
 	    submission->spec.wait)
-		return acceptance_under_way(core, submission);
+		return refuse_pending_acceptance(core, submission);
 	if (job->accepted && !submission->spec.wait)
-		return accepted_already(core, submission);
+		return answer_accepted(core, submission);
 	rj_job_wait(job, submission->request_id, submission->peer,
 		    submission->forward_id);
 	return RJ_FILTER_HANDLED;
 }
 
-/* The log knows the job: answer from it, or wait for what it will say. */
+/* Answers from the ledger, or follows the job's records in the log. */
 static enum rj_filter_verdict known_in_log(struct rj_core_state *core,
 					   struct rj_submission *submission,
 					   const struct rj_job_entry *entry)
@@ -97,7 +105,7 @@
 		   RJ_DIGEST_BYTES))
 		return key_reused(core, submission);
 	if (!entry->settled && !entry->claimed && !entry->accepted)
-		return RJ_FILTER_NEXT; /* every attempt of it was void */
+		return RJ_FILTER_NEXT; /* all attempts were voided */
 	job = rj_filter_ensure_job(core, submission);
 	if (entry->settled) {
 		rj_claims_answer(entry, &answer);
@@ -113,7 +121,7 @@
 	return RJ_FILTER_HANDLED;
 }
 
-/* Answer or join repeats; let first requests pass. */
+/* Answers or joins repeats; lets first requests pass. */
 static enum rj_filter_verdict repeat(struct rj_core_state *core,
 				     struct rj_submission *submission)
 {
--- a/src/libradishjunction/core/ledger.c
+++ b/src/libradishjunction/core/ledger.c
@@ -5,10 +5,10 @@
 #include <talloc.h>
 
 /*
- * The larger of each dimension.
+ * Returns the maximum in each dimension.
  */
-static struct rj_resources larger(const struct rj_resources *one,
-				  const struct rj_resources *two)
+static struct rj_resources resources_max(const struct rj_resources *one,
+					 const struct rj_resources *two)
 {
 	return (struct rj_resources){
 		MAX(one->slots, two->slots),
@@ -19,7 +19,7 @@
 }
 
 /*
- * Whether `one` is more than `two` in any dimension.
+ * Whether `one` is larger than `two` in any dimension.
  */
 bool rj_resources_exceed(const struct rj_resources *one,
 			 const struct rj_resources *two)
@@ -28,7 +28,7 @@
 }
 
 /*
- * What is left of `have` without `part`, never less than nothing.
+ * Returns `have` minus `part`, saturating at 0 in each dimension.
  */
 struct rj_resources rj_resources_remaining(const struct rj_resources *have,
 					   const struct rj_resources *part)
@@ -40,7 +40,7 @@
 }
 
 /*
- * The ledger of `worker`, made at the first call.
+ * Returns the ledger of `worker`, creating it at the first call.
  */
 struct rj_ledger *rj_ledger_get(struct rj_capacity_worker *worker)
 {
@@ -52,62 +52,62 @@
 }
 
 /*
- * The share of `account`, or NULL if it has none here.
+ * Returns the usage of `account`, or NULL if it has none on this worker.
  */
 struct rj_worker_usage *rj_ledger_usage(const struct rj_ledger *ledger,
 					const struct rj_plan_account *account)
 {
-	for (uint32_t i = 0; i < ledger->share_count; i++)
-		if (ledger->shares[i].account == account)
-			return &ledger->shares[i];
+	for (uint32_t i = 0; i < ledger->usage_count; i++)
+		if (ledger->usages[i].account == account)
+			return &ledger->usages[i];
 	return NULL;
 }
 
 /*
- * The share of `account`, made if it has none here yet.
+ * Returns the usage of `account`, creating it if necessary.
  */
-static struct rj_worker_usage *share_add(struct rj_ledger *ledger,
+static struct rj_worker_usage *usage_add(struct rj_ledger *ledger,
 					 struct rj_plan_account *account)
 {
-	struct rj_worker_usage *share = rj_ledger_usage(ledger, account);
-
-	if (share)
-		return share;
-	ledger->shares =
-		talloc_realloc(ledger, ledger->shares, struct rj_worker_usage,
-			       ledger->share_count + 1);
-	assert(ledger->shares);
-	share = &ledger->shares[ledger->share_count++];
-	memset(share, 0, sizeof(*share));
-	share->account = account;
-	return share;
+	struct rj_worker_usage *usage = rj_ledger_usage(ledger, account);
+
+	if (usage)
+		return usage;
+	ledger->usages =
+		talloc_realloc(ledger, ledger->usages, struct rj_worker_usage,
+			       ledger->usage_count + 1);
+	assert(ledger->usages);
+	usage = &ledger->usages[ledger->usage_count++];
+	memset(usage, 0, sizeof(*usage));
+	usage->account = account;
+	return usage;
 }
 
 /*
- * Work out the bound again, and drop shares that say nothing.
+ * Recomputes the committed capacity and removes empty usages.
  */
-static void settle(struct rj_ledger *ledger)
+static void update_committed(struct rj_ledger *ledger)
 {
 	static const struct rj_resources none;
-	uint32_t kept = 0;
+	uint32_t remaining = 0;
 
-	memset(&ledger->bound, 0, sizeof(ledger->bound));
-	for (uint32_t i = 0; i < ledger->share_count; i++) {
-		const struct rj_worker_usage *share = &ledger->shares[i];
-		struct rj_resources most =
-			larger(&share->guaranteed, &share->pinned);
+	memset(&ledger->committed, 0, sizeof(ledger->committed));
+	for (uint32_t i = 0; i < ledger->usage_count; i++) {
+		const struct rj_worker_usage *usage = &ledger->usages[i];
+		struct rj_resources most = resources_max(
+			&usage->guaranteed, &usage->non_preemptible);
 
 		if (!rj_resources_exceed(&most, &none) &&
-		    !rj_resources_exceed(&share->used, &none))
+		    !rj_resources_exceed(&usage->used, &none))
 			continue;
-		rj_resources_add(&ledger->bound, &most, 1);
-		ledger->shares[kept++] = *share;
+		rj_resources_add(&ledger->committed, &most, 1);
+		ledger->usages[remaining++] = *usage;
 	}
-	ledger->share_count = kept;
+	ledger->usage_count = remaining;
 }
 
 /*
- * Guarantee `tasks` times `each` of the worker to `account`.
+ * Guarantees `tasks` times `each` of the worker to `account`.
  */
 void rj_ledger_guarantee(struct rj_capacity_worker *worker,
 			 struct rj_plan_account *account,
@@ -115,25 +115,25 @@
 {
 	struct rj_ledger *ledger = rj_ledger_get(worker);
 
-	rj_resources_add(&share_add(ledger, account)->guaranteed, each, tasks);
-	settle(ledger);
+	rj_resources_add(&usage_add(ledger, account)->guaranteed, each, tasks);
+	update_committed(ledger);
 }
 
 /*
- * Take back all guarantees, before a new configuration gives its own.
+ * Clears all guarantees, before those of a new configuration are applied.
  */
 void rj_ledger_clear_guarantees(struct rj_capacity_worker *worker)
 {
 	struct rj_ledger *ledger = rj_ledger_get(worker);
 
-	for (uint32_t i = 0; i < ledger->share_count; i++)
-		memset(&ledger->shares[i].guaranteed, 0,
+	for (uint32_t i = 0; i < ledger->usage_count; i++)
+		memset(&ledger->usages[i].guaranteed, 0,
 		       sizeof(struct rj_resources));
-	settle(ledger);
+	update_committed(ledger);
 }
 
 /*
- * Whether the job's tasks are never stopped for a gang that has waited.
+ * Whether the job is never preempted for a waiting gang.
  */
 bool rj_ledger_blocks_gangs(const struct rj_plan_job *job)
 {
@@ -141,18 +141,18 @@
 }
 
 /*
- * Tasks of a job have been placed on the worker.
+ * Adds tasks of a job that were placed on the worker.
  */
 void rj_ledger_add_run(struct rj_capacity_worker *worker,
 		       struct rj_plan_entry *entry, uint32_t tasks)
 {
 	struct rj_ledger *ledger = rj_ledger_get(worker);
-	struct rj_worker_usage *share = share_add(ledger, entry->account);
+	struct rj_worker_usage *usage = usage_add(ledger, entry->account);
 	const struct rj_resources *each = &entry->job.shape.each;
 
-	rj_resources_add(&share->used, each, tasks);
+	rj_resources_add(&usage->used, each, tasks);
 	if (!entry->job.preemptible)
-		rj_resources_add(&share->pinned, each, tasks);
+		rj_resources_add(&usage->non_preemptible, each, tasks);
 	ledger->runs =
 		talloc_realloc(ledger, ledger->runs, struct rj_worker_run,
 			       ledger->run_count + 1);
@@ -160,93 +160,97 @@
 	ledger->runs[ledger->run_count].entry = entry;
 	ledger->runs[ledger->run_count].tasks = tasks;
 	ledger->run_count++;
-	settle(ledger);
+	update_committed(ledger);
 }
 
 /*
- * Tasks of a job are no longer on the worker.
+ * Removes tasks of a job from the worker.
  */
 void rj_ledger_remove_run(struct rj_capacity_worker *worker,
 			  struct rj_plan_entry *entry, uint32_t tasks)
 {
 	struct rj_ledger *ledger = rj_ledger_get(worker);
-	struct rj_worker_usage *share = rj_ledger_usage(ledger, entry->account);
+	struct rj_worker_usage *usage = rj_ledger_usage(ledger, entry->account);
 	const struct rj_resources *each = &entry->job.shape.each;
 	uint32_t at = 0;
 
-	assert(share);
-	rj_resources_take(&share->used, each, tasks);
+	assert(usage);
+	rj_resources_take(&usage->used, each, tasks);
 	if (!entry->job.preemptible)
-		rj_resources_take(&share->pinned, each, tasks);
+		rj_resources_take(&usage->non_preemptible, each, tasks);
 	if (rj_ledger_blocks_gangs(&entry->job))
-		ledger->staying -= each->accelerators * tasks;
+		ledger->gang_blocking -= each->accelerators * tasks;
 	while (ledger->runs[at].entry != entry)
 		at++;
 	ledger->run_count--;
 	memmove(&ledger->runs[at], &ledger->runs[at + 1],
 		(ledger->run_count - at) * sizeof(*ledger->runs));
-	settle(ledger);
+	update_committed(ledger);
 }
 
 /*
- * Keep `tasks` of the reservation's job free here, in the reservation's way.
+ * Reserves capacity for `tasks` of the reservation's job on this worker.
+ * Whether it is firm or soft is up to the reservation.
  */
 void rj_ledger_reserve(struct rj_capacity_worker *worker,
 		       struct rj_reservation *reservation, uint32_t tasks)
 {
 	struct rj_ledger *ledger = rj_ledger_get(worker);
-	struct rj_worker_reservation *hold;
-
-	ledger->holds = talloc_realloc(ledger, ledger->holds,
-				       struct rj_worker_reservation,
-				       ledger->reservation_count + 1);
-	assert(ledger->holds);
-	hold = &ledger->holds[ledger->reservation_count++];
-	memset(hold, 0, sizeof(*hold));
-	hold->reservation = reservation;
-	rj_resources_add(&hold->want, &reservation->entry->job.shape.each,
+	struct rj_worker_reservation *reserved;
+
+	ledger->reservations = talloc_realloc(ledger, ledger->reservations,
+					      struct rj_worker_reservation,
+					      ledger->reservation_count + 1);
+	assert(ledger->reservations);
+	reserved = &ledger->reservations[ledger->reservation_count++];
+	memset(reserved, 0, sizeof(*reserved));
+	reserved->reservation = reservation;
+	rj_resources_add(&reserved->amount, &reservation->entry->job.shape.each,
 			 tasks);
 }
 
 /*
- * Keep nothing for the reservation any more.
+ * Removes the reservation from this worker.
  */
 void rj_ledger_unreserve(struct rj_capacity_worker *worker,
 			 struct rj_reservation *reservation)
 {
 	struct rj_ledger *ledger = rj_ledger_get(worker);
-	uint32_t kept = 0;
+	uint32_t remaining = 0;
 
 	for (uint32_t i = 0; i < ledger->reservation_count; i++)
-		if (ledger->holds[i].reservation != reservation)
-			ledger->holds[kept++] = ledger->holds[i];
-	ledger->reservation_count = kept;
+		if (ledger->reservations[i].reservation != reservation)
+			ledger->reservations[remaining++] =
+				ledger->reservations[i];
+	ledger->reservation_count = remaining;
 }
 
 /*
- * What tasks of `account` that cannot be stopped may still take here
- * without breaking the rule.
+ * Returns how much non-preemptible tasks of `account` may still allocate on
+ * this worker without violating the invariant in ledger.h.
  */
 struct rj_resources
 rj_ledger_non_preemptible_limit(const struct rj_capacity_worker *worker,
 				const struct rj_plan_account *account)
 {
 	const struct rj_ledger *ledger = worker->ledger;
-	const struct rj_worker_usage *share;
+	const struct rj_worker_usage *usage;
 	struct rj_resources others;
 	struct rj_resources own;
-	struct rj_resources room = rj_resources_remaining(
+	struct rj_resources limit = rj_resources_remaining(
 		&worker->plan.capacity, &worker->plan.foreign);
 
 	if (!ledger)
-		return room;
-	share = rj_ledger_usage(ledger, account);
-	others = ledger->bound;
-	if (share) {
-		own = larger(&share->guaranteed, &share->pinned);
+		return limit;
+	usage = rj_ledger_usage(ledger, account);
+	others = ledger->committed;
+	if (usage) {
+		own = resources_max(&usage->guaranteed,
+				    &usage->non_preemptible);
 		rj_resources_take(&others, &own, 1);
-		rj_resources_subtract_saturating(&room, &share->pinned);
+		rj_resources_subtract_saturating(&limit,
+						 &usage->non_preemptible);
 	}
-	rj_resources_subtract_saturating(&room, &others);
-	return room;
+	rj_resources_subtract_saturating(&limit, &others);
+	return limit;
 }
--- a/src/libradishjunction/core/timer.c
+++ b/src/libradishjunction/core/timer.c
@@ -7,7 +7,7 @@
 #include "radishjunction/types.h"
 
 /*
- * Start an empty heap whose array is a talloc child of `mem`.
+ * Initialises an empty heap whose array is a talloc child of `mem`.
  */
 void rj_timers_init(struct rj_timers *timers, void *mem)
 {
@@ -16,7 +16,7 @@
 }
 
 /*
- * Make a timer that is not armed and calls `fire` when it is due.
+ * Initialises a disarmed timer that calls `fire` when it is due.
  */
 void rj_timer_init(struct rj_timer *timer,
 		   void (*fire)(struct rj_core_state *core,
@@ -26,15 +26,13 @@
 	timer->fire = fire;
 }
 
-/* Whether `a` fires before `b`. */
-static bool earlier(const struct rj_timer *a, const struct rj_timer *b)
+static bool fires_before(const struct rj_timer *a, const struct rj_timer *b)
 {
 	if (a->at_us != b->at_us)
 		return a->at_us < b->at_us;
 	return a->order < b->order;
 }
 
-/* Put `timer` into slot `index` of the heap. */
 static void place(struct rj_timers *timers, struct rj_timer *timer,
 		  uint32_t index)
 {
@@ -42,19 +40,19 @@
 	timer->index = index;
 }
 
-/* Move `timer` towards the root until its parent fires before it. */
+/* Moves `timer` towards the root until its parent fires before it. */
 static void sift_up(struct rj_timers *timers, struct rj_timer *timer)
 {
 	uint32_t index = timer->index;
 
-	while (index > 1 && earlier(timer, timers->heap[index / 2])) {
+	while (index > 1 && fires_before(timer, timers->heap[index / 2])) {
 		place(timers, timers->heap[index / 2], index);
 		index /= 2;
 	}
 	place(timers, timer, index);
 }
 
-/* Move `timer` towards the leaves until it fires before its children. */
+/* Moves `timer` towards the leaves until it fires before its children. */
 static void sift_down(struct rj_timers *timers, struct rj_timer *timer)
 {
 	uint32_t index = timer->index;
@@ -65,9 +63,9 @@
 		if (child > timers->count)
 			break;
 		if (child < timers->count &&
-		    earlier(timers->heap[child + 1], timers->heap[child]))
+		    fires_before(timers->heap[child + 1], timers->heap[child]))
 			child++;
-		if (!earlier(timers->heap[child], timer))
+		if (!fires_before(timers->heap[child], timer))
 			break;
 		place(timers, timers->heap[child], index);
 		index = child;
@@ -76,8 +74,7 @@
 }
 
 /*
- * Arm `timer` for `at_us`, whether it was armed or not. RJ_NEVER_US clears
- * it.
+ * Arms or re-arms `timer` for `at_us`. RJ_NEVER_US disarms it.
  */
 void rj_timer_set(struct rj_timers *timers, struct rj_timer *timer,
 		  uint64_t at_us)
@@ -100,7 +97,7 @@
 }
 
 /*
- * Disarm `timer`; harmless when it is not armed.
+ * Disarms `timer`; no effect if it is not armed.
  */
 void rj_timer_clear(struct rj_timers *timers, struct rj_timer *timer)
 {
@@ -120,7 +117,7 @@
 }
 
 /*
- * Take the first timer that is due at `now_us`, disarmed, or NULL.
+ * Removes and returns the first timer that is due at `now_us`, or NULL.
  */
 struct rj_timer *rj_timers_pop_due(struct rj_timers *timers, uint64_t now_us)
 {
@@ -134,7 +131,7 @@
 }
 
 /*
- * When the first timer is due, or RJ_NEVER_US.
+ * Returns when the first timer is due, or RJ_NEVER_US.
  */
 uint64_t rj_timers_next_us(const struct rj_timers *timers)
 {
--- a/src/libradishjunction/core/topology_pass.c
+++ b/src/libradishjunction/core/topology_pass.c
@@ -4,32 +4,35 @@
 #include <string.h>
 #include <talloc.h>
 
-/* So many blocked gangs have room kept for them at once. */
-#define LOOSE_MAX 2
+/* Number of blocked gangs that have soft reservations at the same time. */
+#define SOFT_RESERVATIONS_MAX 2
 
-/* A worker that kept what was reclaimed is not asked again for this long. */
-#define SILENT_US (30 * RJ_US_PER_S)
+/*
+ * A worker that does not release reclaimed capacity in time is skipped by
+ * reclaims for this long.
+ */
+#define SKIP_WORKER_US (30 * RJ_US_PER_S)
 
 /*
- * Whether all members lie on what the account is guaranteed there.
+ * Whether all members are within the account's guarantee on their workers.
  */
-static bool is_at_home(const struct rj_topology_state *state,
-		       const struct rj_plan_entry *entry)
+static bool is_within_guarantee(const struct rj_topology_state *state,
+				const struct rj_plan_entry *entry)
 {
 	for (uint32_t i = 0; i < entry->member_count; i++) {
 		const struct rj_capacity_worker *worker = rj_capacity_find(
 			&state->capacity, entry->members[i].worker);
-		const struct rj_worker_usage *share =
+		const struct rj_worker_usage *usage =
 			rj_ledger_usage(worker->ledger, entry->account);
 
-		if (rj_resources_exceed(&share->used, &share->guaranteed))
+		if (rj_resources_exceed(&usage->used, &usage->guaranteed))
 			return false;
 	}
 	return true;
 }
 
 /*
- * Start a waiting job on the members in `state->members`.
+ * Starts a waiting job on the members in `state->members`.
  */
 static void start(struct rj_topology_state *state, struct rj_plan_entry *entry,
 		  uint32_t count, enum rj_reason reason, uint64_t now_us,
@@ -42,15 +45,15 @@
 	if (entry->reservation)
 		rj_topology_unreserve(state, entry->reservation);
 	entry->backfilled = reason == RJ_REASON_BACKFILL;
-	entry->claims = reason == RJ_REASON_GUARANTEE;
+	entry->on_guarantee = reason == RJ_REASON_GUARANTEE;
 	rj_topology_dequeue(state, entry);
 	rj_topology_attach(state, entry, decision->members, count, now_us);
-	if (is_at_home(state, entry))
+	if (is_within_guarantee(state, entry))
 		rj_topology_revoke(entry);
 }
 
 /*
- * Give up a waiting job, with a time to come back.
+ * Refuses a waiting job with a retry delay.
  */
 static void refuse(struct rj_topology_state *state, struct rj_plan_entry *entry,
 		   enum rj_reason reason, struct rj_decisions *decisions)
@@ -67,10 +70,10 @@
 }
 
 /*
- * Give up every job whose deadline has passed, so that none waits in vain.
+ * Refuses every job whose deadline has passed.
  */
-static void refuse_late(struct rj_topology_state *state, uint64_t now_us,
-			struct rj_decisions *decisions)
+static void refuse_expired(struct rj_topology_state *state, uint64_t now_us,
+			   struct rj_decisions *decisions)
 {
 	for (;;) {
 		GSequenceIter *first =
@@ -87,9 +90,9 @@
 }
 
 /*
- * Whether all that is firmly kept is free by now. Of two that wait for parts
- * of the same worker the older is served first, so that one silent task
- * cannot keep both waiting.
+ * Whether all capacity of a firm reservation is free. If several reservations
+ * include the same worker, the older one is served first, so that a single
+ * unresponsive task cannot block them all.
  */
 static bool is_ready(const struct rj_topology_state *state,
 		     const struct rj_reservation *reservation)
@@ -100,18 +103,21 @@
 		const struct rj_plan_member *member = &reservation->members[i];
 		const struct rj_capacity_worker *worker =
 			rj_capacity_find(&state->capacity, member->worker);
-		struct rj_resources room = worker->free;
+		struct rj_resources available = worker->free;
 		struct rj_resources limit =
 			rj_ledger_non_preemptible_limit(worker, entry->account);
 
 		for (uint32_t j = 0;
-		     worker->ledger->holds[j].reservation != reservation; j++)
-			if (worker->ledger->holds[j].reservation->firm)
+		     worker->ledger->reservations[j].reservation != reservation;
+		     j++)
+			if (worker->ledger->reservations[j].reservation->firm)
 				rj_resources_subtract_saturating(
-					&room, &worker->ledger->holds[j].want);
+					&available,
+					&worker->ledger->reservations[j]
+						 .amount);
 		if (!entry->job.preemptible)
-			rj_resources_clamp(&room, &limit);
-		if (rj_resources_fit_count(&entry->job.shape.each, &room,
+			rj_resources_clamp(&available, &limit);
+		if (rj_resources_fit_count(&entry->job.shape.each, &available,
 					   member->tasks) < member->tasks)
 			return false;
 	}
@@ -119,12 +125,12 @@
 }
 
 /*
- * Note the workers that did not give back what was reclaimed in time, so
- * that the next search chooses another shape.
+ * Marks the workers that did not release reclaimed capacity in time, so that
+ * the next search chooses others.
  */
-static void note_silent(struct rj_topology_state *state,
-			const struct rj_reservation *reservation,
-			uint64_t now_us)
+static void skip_unresponsive_workers(struct rj_topology_state *state,
+				      const struct rj_reservation *reservation,
+				      uint64_t now_us)
 {
 	for (uint32_t i = 0; i < reservation->member_count; i++) {
 		struct rj_ledger *ledger =
@@ -134,32 +140,34 @@
 
 		for (uint32_t j = 0; j < ledger->run_count; j++)
 			if (ledger->runs[j].entry->reclaiming)
-				ledger->skip_until_us = now_us + SILENT_US;
+				ledger->skip_until_us = now_us + SKIP_WORKER_US;
 	}
 }
 
 /*
- * Start what is ready, and give up what is overdue.
+ * Starts jobs whose reservations are ready and cancels reservations that are
+ * overdue.
  */
-static void serve_reservations(struct rj_topology_state *state, uint64_t now_us,
-			       struct rj_decisions *decisions)
+static void process_reservations(struct rj_topology_state *state,
+				 uint64_t now_us,
+				 struct rj_decisions *decisions)
 {
 	for (uint32_t i = 0; i < state->reservations->len;) {
 		struct rj_reservation *reservation =
 			g_ptr_array_index(state->reservations, i);
 		struct rj_plan_entry *entry = reservation->entry;
 
-		if (reservation->from_us <= now_us)
-			reservation->from_us = 0;
-		if (reservation->firm && !reservation->from_us &&
+		if (reservation->backoff_until_us <= now_us)
+			reservation->backoff_until_us = 0;
+		if (reservation->firm && !reservation->backoff_until_us &&
 		    is_ready(state, reservation)) {
 			memcpy(state->members, reservation->members,
 			       sizeof(*state->members) *
 				       reservation->member_count);
 			start(state, entry, reservation->member_count,
 			      reservation->reason, now_us, decisions);
-		} else if (reservation->firm && reservation->at_us <= now_us) {
-			note_silent(state, reservation, now_us);
+		} else if (reservation->firm && reservation->due_us <= now_us) {
+			skip_unresponsive_workers(state, reservation, now_us);
 			rj_topology_cancel_reservation(state, reservation,
 						       now_us);
 		} else if (!reservation->firm &&
@@ -173,7 +181,8 @@
 }
 
 /*
- * Try to start the job at the head of a bucket as things lie.
+ * Tries to start the job at the head of a bucket with the present free
+ * capacity.
  */
 static bool try_start(struct rj_topology_state *state,
 		      struct rj_plan_entry *entry, uint64_t now_us,
@@ -194,9 +203,9 @@
 }
 
 /*
- * For how many jobs room is loosely kept.
+ * Returns the number of soft reservations.
  */
-static uint32_t loose_count(const struct rj_topology_state *state)
+static uint32_t soft_reservation_count(const struct rj_topology_state *state)
 {
 	uint32_t count = 0;
 
@@ -210,35 +219,36 @@
 }
 
 /*
- * Do for a job that does not fit what may be done: reclaim, or keep room.
- * One that has room firmly kept waits for it outside of its bucket.
+ * Handles a job that does not fit: preempts other jobs for it, or makes a soft
+ * reservation. A job with a firm reservation waits outside of its bucket.
  */
 static void handle_blocked(struct rj_topology_state *state,
 			   struct rj_plan_entry *entry, uint64_t now_us,
 			   struct rj_decisions *decisions)
 {
-	uint64_t patience_us = rj_topology_preemption_delay_us(state, entry);
+	uint64_t delay_us = rj_topology_preemption_delay_us(state, entry);
 
 	entry->bucket->blocked_version = state->version;
 	if (rj_topology_reclaim(state, entry, now_us, decisions)) {
 		rj_topology_dequeue(state, entry);
-		entry->not_before_us = entry->reservation->at_us;
+		entry->not_before_us = entry->reservation->due_us;
 		rj_topology_enqueue(state, entry, now_us);
 		return;
 	}
-	if (patience_us != RJ_NEVER_US &&
-	    entry->waiting_since_us + patience_us > now_us)
+	if (delay_us != RJ_NEVER_US &&
+	    entry->waiting_since_us + delay_us > now_us)
 		state->retry_us = MIN(state->retry_us,
-				      entry->waiting_since_us + patience_us);
-	if (!entry->reservation && loose_count(state) < LOOSE_MAX &&
+				      entry->waiting_since_us + delay_us);
+	if (!entry->reservation &&
+	    soft_reservation_count(state) < SOFT_RESERVATIONS_MAX &&
 	    rj_topology_job_size(entry) > state->worker_accelerators)
 		rj_topology_reserve_earliest(state, entry, now_us);
 }
 
 /*
- * Take over what has changed of the workers as a whole.
+ * Recomputes state derived from the workers.
  */
-static void survey(struct rj_topology_state *state)
+static void refresh_workers(struct rj_topology_state *state)
 {
 	state->accelerators = 0;
 	state->worker_accelerators = 1;
@@ -246,14 +256,14 @@
 		struct rj_worker_set rack = rj_topology_rack_workers(state, i);
 
 		for (uint32_t j = 0; j < rack.count; j++) {
-			uint32_t has =
+			uint32_t accelerators =
 				rack.workers[j]->plan.capacity.accelerators;
 
 			rj_ledger_get(rack.workers[j]);
 			if (rack.workers[j]->plan.usable)
-				state->accelerators += has;
+				state->accelerators += accelerators;
 			state->worker_accelerators =
-				MAX(state->worker_accelerators, has);
+				MAX(state->worker_accelerators, accelerators);
 		}
 	}
 	if (state->guarantees_changed)
@@ -264,8 +274,8 @@
 }
 
 /*
- * Decide all that can be decided now. Jobs are tried in the order of the
- * queue; one that does not fit keeps no other back but by a reservation.
+ * Makes all decisions that are possible now. Jobs are tried in queue order; a
+ * job that does not fit delays others only by a reservation.
  */
 void rj_topology_pass(struct rj_topology_state *state, uint64_t now_us,
 		      struct rj_decisions *decisions)
@@ -273,13 +283,13 @@
 	struct rj_plan_bucket *bucket;
 
 	if (state->workers_changed)
-		survey(state);
+		refresh_workers(state);
 	if (state->retry_us <= now_us)
 		state->version++;
 	if (state->retry_us <= now_us)
 		state->retry_us = RJ_NEVER_US;
-	refuse_late(state, now_us, decisions);
-	serve_reservations(state, now_us, decisions);
+	refuse_expired(state, now_us, decisions);
+	process_reservations(state, now_us, decisions);
 	rj_topology_release_delayed(state, now_us);
 	while ((bucket = rj_topology_next_bucket(state, now_us))) {
 		struct rj_plan_entry *entry = bucket->queue.head->data;
@@ -287,5 +297,5 @@
 		if (!try_start(state, entry, now_us, decisions))
 			handle_blocked(state, entry, now_us, decisions);
 	}
-	serve_reservations(state, now_us, decisions);
+	process_reservations(state, now_us, decisions);
 }
--- a/src/libradishjunction/core/topology_reserve.c
+++ b/src/libradishjunction/core/topology_reserve.c
@@ -5,14 +5,14 @@
 #include <string.h>
 #include <talloc.h>
 
-/* A loose reservation is worked out again this often: estimates change. */
-#define REFRESH_US (5 * RJ_US_PER_S)
+/* Interval at which soft reservations are recomputed, as estimates change. */
+#define SOFT_RESERVATION_REFRESH_US (5 * RJ_US_PER_S)
 
-/* The time at which half of a kind of jobs have ended. */
-#define END_PERCENT 50
+/* A job is expected to end when half of its kind have ended. */
+#define END_PERCENTILE 50
 
 /*
- * Keep `members` for `entry`. See `struct rj_reservation` for the two ways.
+ * Reserves `members` for `entry`, firm or soft. See `struct rj_reservation`.
  */
 struct rj_reservation *rj_topology_reserve(struct rj_topology_state *state,
 					   struct rj_plan_entry *entry,
@@ -30,7 +30,7 @@
 	assert(reservation->members);
 	reservation->member_count = count;
 	reservation->firm = firm;
-	reservation->at_us = at_us;
+	reservation->due_us = at_us;
 	for (uint32_t i = 0; i < count; i++)
 		rj_ledger_reserve(
 			rj_capacity_find(&state->capacity, members[i].worker),
@@ -41,7 +41,7 @@
 }
 
 /*
- * Keep nothing for the job any more; others may fit now.
+ * Removes the reservation; blocked jobs are tried again.
  */
 void rj_topology_unreserve(struct rj_topology_state *state,
 			   struct rj_reservation *reservation)
@@ -59,9 +59,6 @@
 	state->version++;
 }
 
-/*
- * Whether a reservation keeps part of the worker.
- */
 bool rj_reservation_includes(const struct rj_reservation *reservation,
 			     uint32_t worker)
 {
@@ -72,7 +69,7 @@
 }
 
 /*
- * The job's account has room on its guarantee's behalf by it.
+ * Counts the job as covered by its account's guarantee on other workers.
  */
 void rj_topology_grant(struct rj_plan_entry *entry)
 {
@@ -82,7 +79,7 @@
 }
 
 /*
- * The job's account no longer has room on its guarantee's behalf by it.
+ * Reverts `rj_topology_grant`, if the job was granted.
  */
 void rj_topology_revoke(struct rj_plan_entry *entry)
 {
@@ -94,8 +91,7 @@
 }
 
 /*
- * Keep nothing for the job any more. One that waited outside of its bucket
- * for firmly kept room goes back to it.
+ * Cancels the reservation. If it was firm, its job returns to its bucket.
  */
 void rj_topology_cancel_reservation(struct rj_topology_state *state,
 				    struct rj_reservation *reservation,
@@ -114,7 +110,8 @@
 }
 
 /*
- * Give up what is firmly kept on the members for anything but a guarantee.
+ * Cancels firm reservations that include the members' workers, except those for
+ * guarantees.
  */
 void rj_topology_displace_reservations(struct rj_topology_state *state,
 				       const struct rj_plan_member *members,
@@ -123,34 +120,37 @@
 	for (uint32_t i = state->reservations->len; i--;) {
 		struct rj_reservation *reservation =
 			g_ptr_array_index(state->reservations, i);
-		bool in_the_way = false;
+		bool overlaps = false;
 
 		for (uint32_t j = 0; j < count; j++)
-			in_the_way |= rj_reservation_includes(
-				reservation, members[j].worker);
-		if (!in_the_way || !reservation->firm ||
+			overlaps |= rj_reservation_includes(reservation,
+							    members[j].worker);
+		if (!overlaps || !reservation->firm ||
 		    reservation->reason == RJ_REASON_GUARANTEE)
 			continue;
-		/* Or it would stop others again at once, for nothing. */
+		/*
+		 * Restart the wait, or it would preempt others again at once in
+		 * vain.
+		 */
 		reservation->entry->waiting_since_us = now_us;
 		rj_topology_cancel_reservation(state, reservation, now_us);
 	}
 }
 
-/* A run that is expected to end and free part of a worker. */
-struct ending {
+/* The expected end of a run, which frees part of a worker. */
+struct expected_end {
 	uint64_t at_us;
-	uint32_t worker; /* index in the site */
+	uint32_t worker; /* index in the set */
 	const struct rj_worker_run *run;
 };
 
 /*
- * The soonest first; the place in the site breaks ties.
+ * Earliest first; the index in the set breaks ties.
  */
-static int compare_endings(const void *a, const void *b)
+static int compare_expected_ends(const void *a, const void *b)
 {
-	const struct ending *one = a;
-	const struct ending *two = b;
+	const struct expected_end *one = a;
+	const struct expected_end *two = b;
 
 	if (one->at_us != two->at_us)
 		return one->at_us < two->at_us ? -1 : 1;
@@ -160,183 +160,185 @@
 }
 
 /*
- * The most that a job may ever take of the worker: none while it cannot be
- * used or is kept for another, and not what others are guaranteed if the job
- * cannot be stopped.
+ * Returns the upper bound of what the job may use on the worker: nothing while
+ * the worker is unusable or has reservations of other jobs, and for a
+ * non-preemptible job not what others are guaranteed.
  */
-static struct rj_resources ceiling(const struct rj_capacity_worker *worker,
-				   const struct rj_plan_entry *entry,
-				   uint64_t now_us)
+static struct rj_resources
+max_available(const struct rj_capacity_worker *worker,
+	      const struct rj_plan_entry *entry, uint64_t now_us)
 {
 	const struct rj_ledger *ledger = worker->ledger;
-	struct rj_resources most = { 0 };
+	struct rj_resources limit = { 0 };
 
-	if (!worker->plan.usable || worker->gone)
-		return most;
-	most = rj_resources_remaining(&worker->plan.capacity,
-				      &worker->plan.foreign);
+	if (!worker->plan.usable || worker->removed)
+		return limit;
+	limit = rj_resources_remaining(&worker->plan.capacity,
+				       &worker->plan.foreign);
 	if (!ledger)
-		return most;
+		return limit;
 	if (ledger->skip_until_us > now_us)
 		return (struct rj_resources){ 0 };
 	for (uint32_t i = 0; i < ledger->reservation_count; i++)
-		if (ledger->holds[i].reservation->entry != entry)
+		if (ledger->reservations[i].reservation->entry != entry)
 			return (struct rj_resources){ 0 };
-	for (uint32_t i = 0; !entry->job.preemptible && i < ledger->share_count;
+	for (uint32_t i = 0; !entry->job.preemptible && i < ledger->usage_count;
 	     i++)
-		if (ledger->shares[i].account != entry->account)
+		if (ledger->usages[i].account != entry->account)
 			rj_resources_subtract_saturating(
-				&most, &ledger->shares[i].guaranteed);
-	return most;
+				&limit, &ledger->usages[i].guaranteed);
+	return limit;
 }
 
-/* The state of the search of one site. */
+/* Forecast of the free capacity in one set of workers. */
 struct forecast {
-	struct rj_worker_set site;
+	struct rj_worker_set set;
 	struct rj_resources *free;
-	struct rj_resources *most;
+	struct rj_resources *limit;
 	uint32_t *fits;
 	uint32_t total;
-	struct ending *endings;
-	uint32_t ending_count;
+	struct expected_end *expected_ends;
+	uint32_t expected_end_count;
 };
 
 /*
- * Count again how many tasks fit the worker at this place of the site.
+ * Recomputes how many tasks fit the worker at index `at` of the set.
  */
 static void forecast_refit(struct forecast *forecast,
 			   const struct rj_plan_entry *entry, uint32_t at)
 {
-	struct rj_resources room = forecast->free[at];
+	struct rj_resources available = forecast->free[at];
 
-	rj_resources_clamp(&room, &forecast->most[at]);
+	rj_resources_clamp(&available, &forecast->limit[at]);
 	forecast->total -= forecast->fits[at];
 	forecast->fits[at] = rj_resources_fit_count(
-		&entry->job.shape.each, &room, entry->job.shape.tasks);
+		&entry->job.shape.each, &available, entry->job.shape.tasks);
 	forecast->total += forecast->fits[at];
 }
 
 /*
- * Begin with what is free on the worker now, and list its runs.
+ * Initialises a worker with its present free capacity and adds its runs.
  */
 static void forecast_worker(struct forecast *forecast,
 			    const struct rj_plan_entry *entry, uint32_t at,
 			    uint64_t now_us)
 {
 	static const struct rj_resources none;
-	const struct rj_capacity_worker *worker = forecast->site.workers[at];
+	const struct rj_capacity_worker *worker = forecast->set.workers[at];
 
 	forecast->free[at] = worker->free;
-	forecast->most[at] = ceiling(worker, entry, now_us);
+	forecast->limit[at] = max_available(worker, entry, now_us);
 	forecast_refit(forecast, entry, at);
-	if (!worker->ledger || !rj_resources_exceed(&forecast->most[at], &none))
+	if (!worker->ledger ||
+	    !rj_resources_exceed(&forecast->limit[at], &none))
 		return;
 	for (uint32_t i = 0; i < worker->ledger->run_count; i++) {
-		struct ending *ending =
-			&forecast->endings[forecast->ending_count++];
-
-		ending->run = &worker->ledger->runs[i];
-		ending->worker = at;
-		ending->at_us = rj_topology_expected_end_us(
-			ending->run->entry, END_PERCENT, now_us);
+		struct expected_end *expected_end =
+			&forecast->expected_ends
+				 [forecast->expected_end_count++];
+
+		expected_end->run = &worker->ledger->runs[i];
+		expected_end->worker = at;
+		expected_end->at_us = rj_topology_expected_end_us(
+			expected_end->run->entry, END_PERCENTILE, now_us);
 	}
 }
 
 /*
- * Begin with the site as it is now, and list its runs by their expected ends.
+ * Initialises the forecast with the present state, its runs in order of their
+ * expected ends.
  */
-static void forecast_init(struct forecast *forecast, struct rj_worker_set site,
+static void forecast_init(struct forecast *forecast, struct rj_worker_set set,
 			  const struct rj_plan_entry *entry, uint64_t now_us)
 {
 	uint32_t runs = 0;
 
 	memset(forecast, 0, sizeof(*forecast));
-	forecast->site = site;
-	for (uint32_t i = 0; i < site.count; i++)
-		if (site.workers[i]->ledger)
-			runs += site.workers[i]->ledger->run_count;
-	forecast->free = g_new0(struct rj_resources, site.count + 1);
-	forecast->most = g_new0(struct rj_resources, site.count + 1);
-	forecast->fits = g_new0(uint32_t, site.count + 1);
-	forecast->endings = g_new(struct ending, runs + 1);
-	for (uint32_t i = 0; i < site.count; i++)
+	forecast->set = set;
+	for (uint32_t i = 0; i < set.count; i++)
+		if (set.workers[i]->ledger)
+			runs += set.workers[i]->ledger->run_count;
+	forecast->free = g_new0(struct rj_resources, set.count + 1);
+	forecast->limit = g_new0(struct rj_resources, set.count + 1);
+	forecast->fits = g_new0(uint32_t, set.count + 1);
+	forecast->expected_ends = g_new(struct expected_end, runs + 1);
+	for (uint32_t i = 0; i < set.count; i++)
 		forecast_worker(forecast, entry, i, now_us);
-	qsort(forecast->endings, forecast->ending_count, sizeof(struct ending),
-	      compare_endings);
+	qsort(forecast->expected_ends, forecast->expected_end_count,
+	      sizeof(struct expected_end), compare_expected_ends);
 }
 
-/*
- * Free what the forecast took.
- */
 static void forecast_finish(struct forecast *forecast)
 {
 	g_free(forecast->free);
-	g_free(forecast->most);
+	g_free(forecast->limit);
 	g_free(forecast->fits);
-	g_free(forecast->endings);
+	g_free(forecast->expected_ends);
 }
 
 /*
- * Let runs end until the job fits. Returns the time, RJ_NEVER_US if it does
- * not fit though all have ended.
+ * Lets runs end until the job fits. Returns that time, or RJ_NEVER_US if it
+ * does not fit after all have ended.
  */
 static uint64_t forecast_run(struct forecast *forecast,
 			     const struct rj_plan_entry *entry, uint64_t now_us)
 {
 	uint64_t at_us = now_us;
 
-	for (uint32_t i = 0; i < forecast->ending_count; i++) {
-		const struct ending *ending = &forecast->endings[i];
+	for (uint32_t i = 0; i < forecast->expected_end_count; i++) {
+		const struct expected_end *expected_end =
+			&forecast->expected_ends[i];
 
 		if (forecast->total >= entry->job.shape.tasks)
 			break;
-		at_us = ending->at_us;
-		rj_resources_add(&forecast->free[ending->worker],
-				 &ending->run->entry->job.shape.each,
-				 ending->run->tasks);
-		forecast_refit(forecast, entry, ending->worker);
+		at_us = expected_end->at_us;
+		rj_resources_add(&forecast->free[expected_end->worker],
+				 &expected_end->run->entry->job.shape.each,
+				 expected_end->run->tasks);
+		forecast_refit(forecast, entry, expected_end->worker);
 	}
 	return forecast->total >= entry->job.shape.tasks ? at_us : RJ_NEVER_US;
 }
 
 /*
- * Write down the places that the job has at the forecast's time.
+ * Fills in the members of the job at the forecast time. Returns their number.
  */
 static uint32_t forecast_members(const struct forecast *forecast,
 				 const struct rj_plan_entry *entry,
 				 struct rj_plan_member *members)
 {
-	uint32_t want = entry->job.shape.tasks;
+	uint32_t remaining = entry->job.shape.tasks;
 	uint32_t count = 0;
 
-	for (uint32_t i = 0; want && i < forecast->site.count; i++) {
-		uint32_t tasks = MIN(want, forecast->fits[i]);
+	for (uint32_t i = 0; remaining && i < forecast->set.count; i++) {
+		uint32_t tasks = MIN(remaining, forecast->fits[i]);
 
 		if (!tasks)
 			continue;
-		members[count].worker = forecast->site.workers[i]->plan.id;
+		members[count].worker = forecast->set.workers[i]->plan.id;
 		members[count].tasks = tasks;
 		count++;
-		want -= tasks;
+		remaining -= tasks;
 	}
-	assert(!want);
+	assert(!remaining);
 	return count;
 }
 
 /*
- * When and where the job will fit in the site; the members are in
- * `state->members` if that is before `*best_us`. Returns how many, or 0.
+ * Finds the earliest time at which the job fits the set. If it is before
+ * `*best_us`, updates it, fills in `state->members` and returns their number;
+ * otherwise returns 0.
  */
-static uint32_t soonest_in(struct rj_topology_state *state,
-			   struct rj_worker_set site,
-			   const struct rj_plan_entry *entry, uint64_t now_us,
-			   uint64_t *best_us)
+static uint32_t earliest_in(struct rj_topology_state *state,
+			    struct rj_worker_set set,
+			    const struct rj_plan_entry *entry, uint64_t now_us,
+			    uint64_t *best_us)
 {
 	struct forecast forecast;
 	uint32_t count = 0;
 	uint64_t at_us;
 
-	forecast_init(&forecast, site, entry, now_us);
+	forecast_init(&forecast, set, entry, now_us);
 	at_us = forecast_run(&forecast, entry, now_us);
 	if (at_us < *best_us) {
 		*best_us = at_us;
@@ -347,9 +349,9 @@
 }
 
 /*
- * Keep for a blocked job the place that is expected to be free soonest.
- * Nothing is kept for a job that does not fit even when all has ended: it
- * may never run, and what were kept for it would idle for ever.
+ * Makes a soft reservation for a blocked job where it is expected to fit first.
+ * A job that would not fit after all runs have ended gets none: it may never
+ * run, and the reserved capacity would stay idle.
  */
 void rj_topology_reserve_earliest(struct rj_topology_state *state,
 				  struct rj_plan_entry *entry, uint64_t now_us)
@@ -359,18 +361,18 @@
 
 	if (entry->job.shape.adjacent || entry->job.shape.tasks == 1) {
 		for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
-			uint32_t found = soonest_in(
+			uint32_t found = earliest_in(
 				state, rj_topology_rack_workers(state, i),
 				entry, now_us, &best_us);
 
 			count = found ? found : count;
 		}
 	} else {
-		count = soonest_in(state, rj_topology_all_workers(state), entry,
-				   now_us, &best_us);
+		count = earliest_in(state, rj_topology_all_workers(state),
+				    entry, now_us, &best_us);
 	}
 	if (!count)
 		return;
 	rj_topology_reserve(state, entry, state->members, count, false, best_us)
-		->refresh_us = now_us + REFRESH_US;
+		->refresh_us = now_us + SOFT_RESERVATION_REFRESH_US;
 }
