--- a/src/libradishjunction/cell/cell_advice.c
+++ b/src/libradishjunction/cell/cell_advice.c
@@ -6,7 +6,7 @@
 
 #include "private/cell_owner.h"
 #include "private/cell_place.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* A ticket that expires sooner is not used: the order takes some milliseconds
  * and may be repeated once. */
@@ -178,12 +178,13 @@
 	owner->now_us = reply->now_us;
 	owner->advice_pending = false;
 	occurrence = find_occurrence(request);
-	rj_note("advice", RJ_NOTE_TEXT("job", request->job),
-		RJ_NOTE_NUMBER("step", request->step),
-		RJ_NOTE_NUMBER("asked", request->count),
-		RJ_NOTE_NUMBER("answered", reply->answered),
-		RJ_NOTE_NUMBER("allowed", reply->count),
-		RJ_NOTE_AGE_MS("took_ms", reply->now_us - request->sent_us));
+	rj_log_event(
+		"advice", RJ_LOG_TEXT("job", request->job),
+		RJ_LOG_NUMBER("step", request->step),
+		RJ_LOG_NUMBER("asked", request->count),
+		RJ_LOG_NUMBER("answered", reply->answered),
+		RJ_LOG_NUMBER("allowed", reply->count),
+		RJ_LOG_AGE_MS("took_ms", reply->now_us - request->sent_us));
 	if (!reply->answered)
 		owner->advice_due_us = owner->now_us + ASK_RETRY_US;
 	else if (occurrence)
--- a/src/libradishjunction/cell/cell_completions.c
+++ b/src/libradishjunction/cell/cell_completions.c
@@ -4,7 +4,7 @@
 #include <talloc.h>
 
 #include "private/cell_owner.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 const char *const rj_cell_completion_string[RJ_CELL_COMPLETION_COUNT] = {
 	[RJ_CELL_COMPLETION_DONE] = "done",
@@ -108,18 +108,19 @@
 		owner->counters.completed++;
 	if (state == RJ_CELL_JOB_FAILED)
 		owner->counters.failed++;
-	rj_note("job_end", RJ_NOTE_TEXT("job", job->job_spec->id),
-		RJ_NOTE_TEXT("account", job->job_spec->account),
-		RJ_NOTE_TEXT("state", rj_cell_job_state_string[state]),
-		RJ_NOTE_AGE_MS("after_ms", owner->now_us - job->accepted_us),
-		RJ_NOTE_AGE_MS("objective_ms",
-			       job->objective_us - job->accepted_us),
-		RJ_NOTE_AGE_MS("began_ms",
-			       job->first_start_us ?
-				       job->first_start_us - job->accepted_us :
-				       RJ_NEVER_US),
-		RJ_NOTE_NUMBER("runs_lost", job->runs_lost),
-		RJ_NOTE_NUMBER("split", job->split));
+	rj_log_event(
+		"job_end", RJ_LOG_TEXT("job", job->job_spec->id),
+		RJ_LOG_TEXT("account", job->job_spec->account),
+		RJ_LOG_TEXT("state", rj_cell_job_state_string[state]),
+		RJ_LOG_AGE_MS("after_ms", owner->now_us - job->accepted_us),
+		RJ_LOG_AGE_MS("objective_ms",
+			      job->objective_us - job->accepted_us),
+		RJ_LOG_AGE_MS("began_ms",
+			      job->first_start_us ?
+				      job->first_start_us - job->accepted_us :
+				      RJ_NEVER_US),
+		RJ_LOG_NUMBER("runs_lost", job->runs_lost),
+		RJ_LOG_NUMBER("split", job->split));
 	if (state != RJ_CELL_JOB_COMPLETED)
 		rj_cell_completions_stop_job(owner, job,
 					     rj_cell_job_state_string[state]);
@@ -269,10 +270,10 @@
 	if (!early && worker->bad_streak < FAILURE_STREAK_MAX)
 		return;
 	if (owner->now_us >= worker->suspect_until_us)
-		rj_note("worker_suspect", RJ_NOTE_TEXT("worker", worker->id),
-			RJ_NOTE_TEXT("why",
-				     early ? "failed_early" : "failures"),
-			RJ_NOTE_NUMBER("streak", worker->bad_streak));
+		rj_log_event(
+			"worker_suspect", RJ_LOG_TEXT("worker", worker->id),
+			RJ_LOG_TEXT("why", early ? "failed_early" : "failures"),
+			RJ_LOG_NUMBER("streak", worker->bad_streak));
 	worker->suspect_until_us =
 		owner->now_us + (worker->bad_streak < FAILURE_STREAK_MAX ?
 					 SUSPECT_EARLY_PERIOD_US :
@@ -404,13 +405,14 @@
 
 	owner->counters.completions[end]++;
 	owner->plan_wanted = true;
-	rj_note("run_end", RJ_NOTE_TEXT("task", run->name),
-		RJ_NOTE_NUMBER("run", run->number),
-		RJ_NOTE_TEXT("worker", worker->id),
-		RJ_NOTE_TEXT("end", rj_cell_completion_string[end]),
-		RJ_NOTE_TEXT("why", run->reason),
-		RJ_NOTE_AGE_MS("ran_ms",
-			       run->placed_us ? owner->now_us - run->placed_us :
+	rj_log_event(
+		"run_end", RJ_LOG_TEXT("task", run->name),
+		RJ_LOG_NUMBER("run", run->number),
+		RJ_LOG_TEXT("worker", worker->id),
+		RJ_LOG_TEXT("end", rj_cell_completion_string[end]),
+		RJ_LOG_TEXT("why", run->reason),
+		RJ_LOG_AGE_MS("ran_ms", run->placed_us ?
+						owner->now_us - run->placed_us :
 						0));
 	if (!task) {
 		rj_cell_run_free(run);
@@ -500,10 +502,10 @@
 		rj_cell_owner_find_task(owner, row->name, NULL);
 	struct rj_cell_occurrence *occurrence;
 
-	rj_note("orphan_end", RJ_NOTE_TEXT("task", row->name),
-		RJ_NOTE_NUMBER("run", row->number),
-		RJ_NOTE_TEXT("worker", worker->id),
-		RJ_NOTE_TEXT("end", rj_cell_completion_string[row->end]));
+	rj_log_event("orphan_end", RJ_LOG_TEXT("task", row->name),
+		     RJ_LOG_NUMBER("run", row->number),
+		     RJ_LOG_TEXT("worker", worker->id),
+		     RJ_LOG_TEXT("end", rj_cell_completion_string[row->end]));
 	count_unreported_failure(owner, task, row);
 	if (!completes_task(task, row))
 		return;
--- a/src/libradishjunction/cell/cell_flush.c
+++ b/src/libradishjunction/cell/cell_flush.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 #include "private/cell_admit.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* Interval of the owner's heartbeats. Other instances take over after three
  * missed ones. */
--- a/src/libradishjunction/cell/cell_frontend.c
+++ b/src/libradishjunction/cell/cell_frontend.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* Wait of a client that does not announce one. */
 #define DEFAULT_WAIT_MS 3000
@@ -127,26 +127,27 @@
 		       frontend->now_us - request->received_us);
 	if (request->call->verb != RJ_CELL_VERB_QUERY ||
 	    reply->verdict >= RJ_CELL_VERDICT_NO_QUEUE)
-		rj_note("answer", RJ_NOTE_TEXT("job", request->id),
-			RJ_NOTE_TEXT("account", request->account),
-			RJ_NOTE_TEXT("call",
-				     rj_cell_verb_string[request->call->verb]),
-			RJ_NOTE_TEXT("verdict",
-				     rj_cell_verdict_string[reply->verdict]),
-			RJ_NOTE_TEXT("why", reply->reason),
-			RJ_NOTE_NUMBER("come_back_ms", reply->retry_after_ms),
-			RJ_NOTE_AGE_MS("took_ms",
-				       frontend->now_us - request->received_us),
-			RJ_NOTE_NUMBER("config",
-				       frontend->config ?
-					       frontend->config->version :
-					       0),
-			RJ_NOTE_AGE_MS("config_ms", rj_cell_log_reader_age_us(
-							    frontend->configs,
-							    frontend->now_us)),
-			RJ_NOTE_AGE_MS("jobs_ms", rj_cell_log_reader_age_us(
-							  frontend->jobs,
-							  frontend->now_us)));
+		rj_log_event(
+			"answer", RJ_LOG_TEXT("job", request->id),
+			RJ_LOG_TEXT("account", request->account),
+			RJ_LOG_TEXT("call",
+				    rj_cell_verb_string[request->call->verb]),
+			RJ_LOG_TEXT("verdict",
+				    rj_cell_verdict_string[reply->verdict]),
+			RJ_LOG_TEXT("why", reply->reason),
+			RJ_LOG_NUMBER("come_back_ms", reply->retry_after_ms),
+			RJ_LOG_AGE_MS("took_ms",
+				      frontend->now_us - request->received_us),
+			RJ_LOG_NUMBER("config",
+				      frontend->config ?
+					      frontend->config->version :
+					      0),
+			RJ_LOG_AGE_MS("config_ms", rj_cell_log_reader_age_us(
+							   frontend->configs,
+							   frontend->now_us)),
+			RJ_LOG_AGE_MS("jobs_ms", rj_cell_log_reader_age_us(
+							 frontend->jobs,
+							 frontend->now_us)));
 	request->call->answer(request->call, reply);
 	request->call = NULL;
 	release(request);
@@ -540,13 +541,13 @@
 	if (answered_us && rj_cell_log_availability_update(
 				   &frontend->log_availability, answered_us,
 				   refuses, frontend->now_us))
-		rj_note(frontend->log_availability.unavailable_since_us ?
-				"log_away" :
-				"log_back",
-			RJ_NOTE_AGE_MS("silent_ms",
-				       frontend->now_us - answered_us),
-			RJ_NOTE_NUMBER("refuses", refuses),
-			RJ_NOTE_NUMBER("open", frontend->open));
+		rj_log_event(frontend->log_availability.unavailable_since_us ?
+				     "log_away" :
+				     "log_back",
+			     RJ_LOG_AGE_MS("silent_ms",
+					   frontend->now_us - answered_us),
+			     RJ_LOG_NUMBER("refuses", refuses),
+			     RJ_LOG_NUMBER("open", frontend->open));
 }
 
 /*
--- a/src/libradishjunction/cell/cell_log_reader.c
+++ b/src/libradishjunction/cell/cell_log_reader.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* Initial delay after a failed read, doubled with each consecutive failure so
  * that retries do not add load to a store that rejects calls. */
@@ -102,15 +102,14 @@
 			    << (reader->failures < 3 ? reader->failures : 3);
 
 	if (!reader->failures)
-		rj_note("log_lost",
-			RJ_NOTE_TEXT("log",
-				     rj_cell_topic_string[reader->topic]),
-			RJ_NOTE_TEXT("why",
-				     rj_cell_store_status_string[status]),
-			RJ_NOTE_NUMBER("from", reader->next),
-			RJ_NOTE_AGE_MS("confirmed_ms",
-				       rj_cell_log_reader_age_us(
-					       reader, reader->now_us)));
+		rj_log_event(
+			"log_lost",
+			RJ_LOG_TEXT("log", rj_cell_topic_string[reader->topic]),
+			RJ_LOG_TEXT("why", rj_cell_store_status_string[status]),
+			RJ_LOG_NUMBER("from", reader->next),
+			RJ_LOG_AGE_MS("confirmed_ms",
+				      rj_cell_log_reader_age_us(
+					      reader, reader->now_us)));
 	reader->failures++;
 	if (delay_us > RETRY_MAX_US)
 		delay_us = RETRY_MAX_US;
@@ -121,10 +120,10 @@
 static void record_success(struct rj_cell_log_reader *reader)
 {
 	if (reader->failures)
-		rj_note("log_regained",
-			RJ_NOTE_TEXT("log",
-				     rj_cell_topic_string[reader->topic]),
-			RJ_NOTE_NUMBER("failures", reader->failures));
+		rj_log_event(
+			"log_regained",
+			RJ_LOG_TEXT("log", rj_cell_topic_string[reader->topic]),
+			RJ_LOG_NUMBER("failures", reader->failures));
 	reader->failures = 0;
 	reader->answered_us = reader->now_us;
 }
@@ -147,9 +146,9 @@
 /* Loads again, because the records at the current offset have expired. */
 static void reload(struct rj_cell_log_reader *reader)
 {
-	rj_note("log_reload",
-		RJ_NOTE_TEXT("log", rj_cell_topic_string[reader->topic]),
-		RJ_NOTE_NUMBER("from", reader->next));
+	rj_log_event("log_reload",
+		     RJ_LOG_TEXT("log", rj_cell_topic_string[reader->topic]),
+		     RJ_LOG_NUMBER("from", reader->next));
 	rj_cell_log_reader_start(reader, reader->now_us);
 }
 
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* Long-poll durations. They keep the age of the data well below what API keys
  * allow, and reveal an unreachable owner soon enough. */
@@ -73,8 +73,9 @@
 	if (strlen(record->key) >= RJ_NAME_BYTES ||
 	    node->options.codec->decode_worker(record->value, &heartbeat,
 					       &err)) {
-		rj_note("worker_entry_bad", RJ_NOTE_TEXT("worker", record->key),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("worker_entry_bad",
+			     RJ_LOG_TEXT("worker", record->key),
+			     RJ_LOG_TEXT("error", err.message));
 		return;
 	}
 	rj_cell_owner_update_worker(&node->owner, record->key, &heartbeat,
@@ -116,8 +117,8 @@
 	config = node->options.codec->decode_config(node->mem, record->value,
 						    &err);
 	if (!config) {
-		rj_note("config_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("config_bad", RJ_LOG_TEXT("key", record->key),
+			     RJ_LOG_TEXT("error", err.message));
 		return;
 	}
 	/* Versions rise; a load may return an older one again. */
@@ -125,11 +126,11 @@
 		talloc_free(config);
 		return;
 	}
-	rj_note("config", RJ_NOTE_NUMBER("version", config->version),
-		RJ_NOTE_NUMBER("before",
-			       node->config ? node->config->version : 0),
-		RJ_NOTE_NUMBER("queues", config->queue_count),
-		RJ_NOTE_NUMBER("accounts", config->account_count));
+	rj_log_event("config", RJ_LOG_NUMBER("version", config->version),
+		     RJ_LOG_NUMBER("before",
+				   node->config ? node->config->version : 0),
+		     RJ_LOG_NUMBER("queues", config->queue_count),
+		     RJ_LOG_NUMBER("accounts", config->account_count));
 	talloc_free(node->config);
 	node->config = config;
 	node->frontend.config = config;
@@ -142,9 +143,9 @@
 			  const struct rj_cell_record *record)
 {
 	if (!domain[0] || strlen(domain) >= RJ_NAME_BYTES) {
-		rj_note("cordon_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", "not a valid failure domain "
-					      "name; remove the record"));
+		rj_log_event("cordon_bad", RJ_LOG_TEXT("key", record->key),
+			     RJ_LOG_TEXT("error", "not a valid failure domain "
+						  "name; remove the record"));
 		return;
 	}
 	if (record->value.length)
@@ -168,10 +169,10 @@
 		cordon_record(node, name, record);
 		break;
 	default:
-		rj_note("operators_record_unknown",
-			RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_NUMBER("version", record->offset),
-			RJ_NOTE_NUMBER("length", record->value.length));
+		rj_log_event("operators_record_unknown",
+			     RJ_LOG_TEXT("key", record->key),
+			     RJ_LOG_NUMBER("version", record->offset),
+			     RJ_LOG_NUMBER("length", record->value.length));
 	}
 }
 
@@ -206,8 +207,8 @@
 	struct rj_error err;
 
 	if (rj_cell_owner_decode(record->value, &owner, &err)) {
-		rj_note("record_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("record_bad", RJ_LOG_TEXT("key", record->key),
+			     RJ_LOG_TEXT("error", err.message));
 		return;
 	}
 	if (node->ownership.known &&
@@ -219,9 +220,9 @@
 	node->ownership.record = owner;
 	node->ownership.token = record->offset + 1;
 	node->ownership.seen_us = node->jobs.now_us;
-	rj_note("owner_seen", RJ_NOTE_TEXT("instance", owner.name),
-		RJ_NOTE_NUMBER("token", node->ownership.token),
-		RJ_NOTE_NUMBER("leaving", owner.leaving));
+	rj_log_event("owner_seen", RJ_LOG_TEXT("instance", owner.name),
+		     RJ_LOG_NUMBER("token", node->ownership.token),
+		     RJ_LOG_NUMBER("leaving", owner.leaving));
 }
 
 /* Handles a heartbeat of the owner, which carries the load of the queues. */
@@ -232,8 +233,8 @@
 	struct rj_error err;
 
 	if (rj_cell_owner_heartbeat_decode(record->value, &heartbeat, &err)) {
-		rj_note("record_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("record_bad", RJ_LOG_TEXT("key", record->key),
+			     RJ_LOG_TEXT("error", err.message));
 		return;
 	}
 	node->frontend.heartbeat = heartbeat;
@@ -249,8 +250,8 @@
 	const char *id;
 
 	if (rj_cell_record_kind(record->key, &kind, &id)) {
-		rj_note("record_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", "unknown record key"));
+		rj_log_event("record_bad", RJ_LOG_TEXT("key", record->key),
+			     RJ_LOG_TEXT("error", "unknown record key"));
 		return;
 	}
 	if (kind == RJ_CELL_RECORD_STATE || kind == RJ_CELL_RECORD_HEARTBEAT ||
@@ -450,10 +451,10 @@
 	node->acquiring = false;
 	node->acquire_due_us =
 		reply->now_us + ACQUIRE_RETRY_US + node->stagger_us;
-	rj_note("acquire",
-		RJ_NOTE_TEXT("outcome",
-			     rj_cell_store_status_string[reply->status]),
-		RJ_NOTE_NUMBER("end", reply->end));
+	rj_log_event("acquire",
+		     RJ_LOG_TEXT("outcome",
+				 rj_cell_store_status_string[reply->status]),
+		     RJ_LOG_NUMBER("end", reply->end));
 	node->jobs.due_us = reply->now_us;
 }
 
@@ -554,12 +555,12 @@
 	if (is_owner(node) || node->acquiring || node->draining ||
 	    !should_acquire(node))
 		return;
-	rj_note("owner_silent",
-		RJ_NOTE_TEXT("instance", node->ownership.record.name),
-		RJ_NOTE_NUMBER("token", node->ownership.token),
-		RJ_NOTE_NUMBER("strength", node->ownership.record.strength),
-		RJ_NOTE_AGE_MS("silent_ms",
-			       node->now_us - node->ownership.seen_us));
+	rj_log_event("owner_silent",
+		     RJ_LOG_TEXT("instance", node->ownership.record.name),
+		     RJ_LOG_NUMBER("token", node->ownership.token),
+		     RJ_LOG_NUMBER("strength", node->ownership.record.strength),
+		     RJ_LOG_AGE_MS("silent_ms",
+				   node->now_us - node->ownership.seen_us));
 	write_owner(node);
 }
 
@@ -630,8 +631,8 @@
 		return;
 	node->now_us = now_us;
 	node->draining = true;
-	rj_note("drain", RJ_NOTE_NUMBER("open", node->frontend.open),
-		RJ_NOTE_NUMBER("owner", is_owner(node)));
+	rj_log_event("drain", RJ_LOG_NUMBER("open", node->frontend.open),
+		     RJ_LOG_NUMBER("owner", is_owner(node)));
 	rj_cell_owner_release(&node->owner, now_us);
 }
 
--- a/src/libradishjunction/cell/cell_polls.c
+++ b/src/libradishjunction/cell/cell_polls.c
@@ -5,7 +5,7 @@
 
 #include "private/cell_calls.h"
 #include "private/cell_run_health.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* How long a worker may delay its answer to a poll until a run completes; the
  * worker protocol allows at most 2,000 ms. Shorter polls detect an unreachable
@@ -123,9 +123,9 @@
 	run->state = RJ_CELL_RUN_STARTING;
 	run->order_tries = 0;
 	rj_cell_run_schedule_order(run, owner->now_us);
-	rj_note("start_again", RJ_NOTE_TEXT("task", run->name),
-		RJ_NOTE_NUMBER("run", run->number),
-		RJ_NOTE_TEXT("worker", run->worker->id));
+	rj_log_event("start_again", RJ_LOG_TEXT("task", run->name),
+		     RJ_LOG_NUMBER("run", run->number),
+		     RJ_LOG_TEXT("worker", run->worker->id));
 	return true;
 }
 
@@ -200,10 +200,10 @@
 			       struct rj_cell_worker *worker,
 			       const struct rj_cell_order_reply *reply)
 {
-	rj_note("worker_met", RJ_NOTE_TEXT("worker", worker->id),
-		RJ_NOTE_NUMBER("incarnation", reply->incarnation),
-		RJ_NOTE_NUMBER("before", worker->incarnation),
-		RJ_NOTE_NUMBER("rows", reply->row_count));
+	rj_log_event("worker_met", RJ_LOG_TEXT("worker", worker->id),
+		     RJ_LOG_NUMBER("incarnation", reply->incarnation),
+		     RJ_LOG_NUMBER("before", worker->incarnation),
+		     RJ_LOG_NUMBER("rows", reply->row_count));
 	worker->incarnation = reply->incarnation;
 	worker->stored_position = 0;
 	worker->applied_position = 0;
--- a/src/libradishjunction/cell/cell_record.c
+++ b/src/libradishjunction/cell/cell_record.c
@@ -268,14 +268,14 @@
 {
 	uint32_t count = (uint32_t)rj_unpack_number(in, "runs", UINT16_MAX);
 
-	for (uint32_t i = 0; i < count && !in->bad; i++) {
+	for (uint32_t i = 0; i < count && !in->bad_field; i++) {
 		uint32_t position = (uint32_t)rj_unpack_number(
 			in, "worker", workers->len ? workers->len - 1 : 0);
 		uint32_t number =
 			(uint32_t)rj_unpack_number(in, "number", UINT32_MAX);
 		struct rj_cell_run *run;
 
-		if (in->bad || position >= workers->len) {
+		if (in->bad_field || position >= workers->len) {
 			rj_unpack_fail(in, "worker");
 			return;
 		}
@@ -315,14 +315,14 @@
 {
 	uint32_t count = (uint32_t)rj_unpack_number(in, "rounds", UINT16_MAX);
 
-	for (uint32_t i = 0; i < count && !in->bad; i++) {
+	for (uint32_t i = 0; i < count && !in->bad_field; i++) {
 		uint32_t number =
 			(uint32_t)rj_unpack_number(in, "round", UINT32_MAX - 1);
 		struct rj_cell_occurrence *occurrence =
 			rj_cell_job_begin_occurrence(job, number);
 
-		for (uint32_t j = 0; j < job->job_spec->task_count && !in->bad;
-		     j++)
+		for (uint32_t j = 0;
+		     j < job->job_spec->task_count && !in->bad_field; j++)
 			read_task(in, &occurrence->tasks[j], workers, now_us);
 	}
 }
@@ -350,7 +350,7 @@
  * duration, limits how long these failures count. */
 static void read_unreported(struct rj_unpacker *in, struct rj_cell_job *job)
 {
-	while (!in->bad && in->offset < in->length) {
+	while (!in->bad_field && in->offset < in->length) {
 		uint32_t occurrence = (uint32_t)rj_unpack_number(
 			in, "unseen_round", UINT32_MAX);
 		uint32_t position = (uint32_t)rj_unpack_number(
@@ -392,11 +392,11 @@
 	begun = (uint32_t)rj_unpack_number(&in, "begun", UINT32_MAX);
 	job->occurrences_done =
 		(uint32_t)rj_unpack_number(&in, "done", UINT32_MAX);
-	if (!has_ended(job->state) && !in.bad) {
+	if (!has_ended(job->state) && !in.bad_field) {
 		uint32_t count =
 			(uint32_t)rj_unpack_number(&in, "workers", UINT16_MAX);
 
-		for (uint32_t i = 0; i < count && !in.bad; i++) {
+		for (uint32_t i = 0; i < count && !in.bad_field; i++) {
 			char id[RJ_NAME_BYTES];
 
 			rj_unpack_text(&in, "worker_id", id, sizeof(id));
--- a/src/libradishjunction/cell/cell_view.c
+++ b/src/libradishjunction/cell/cell_view.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "private/note.h"
+#include "private/log_event.h"
 
 /*
  * Initializes an empty view.
@@ -77,8 +77,8 @@
 		return;
 	entry->job_spec = rj_cell_job_spec_decode(entry, record->value, &err);
 	if (!entry->job_spec)
-		rj_note("record_bad", RJ_NOTE_TEXT("job", entry->id),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("record_bad", RJ_LOG_TEXT("job", entry->id),
+			     RJ_LOG_TEXT("error", err.message));
 	entry->seen_us = now_us;
 }
 
@@ -106,8 +106,8 @@
 	struct rj_error err;
 
 	if (rj_cell_summary_decode(record->value, &summary, &err)) {
-		rj_note("record_bad", RJ_NOTE_TEXT("job", entry->id),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("record_bad", RJ_LOG_TEXT("job", entry->id),
+			     RJ_LOG_TEXT("error", err.message));
 		return;
 	}
 	rj_cell_view_set_summary(entry, &summary, now_us);
@@ -160,8 +160,8 @@
 	struct rj_error err;
 
 	if (rj_cell_progress_summary(record->value, &summary, &err)) {
-		rj_note("record_bad", RJ_NOTE_TEXT("job", entry->id),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("record_bad", RJ_LOG_TEXT("job", entry->id),
+			     RJ_LOG_TEXT("error", err.message));
 		return;
 	}
 	rj_cell_view_set_summary(entry, &summary, now_us);
--- a/src/libradishjunction/cell/cell_writer.c
+++ b/src/libradishjunction/cell/cell_writer.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* Base delay before a lost append is repeated, doubled with each try. The store
  * answers within 4 ms, or 0.25 s when it is slow. */
@@ -178,10 +178,10 @@
  * unknown; a higher epoch allows further appends. */
 static void renew_epoch(struct rj_cell_writer *writer)
 {
-	rj_note("append_out_of_sequence",
-		RJ_NOTE_TEXT("producer", writer->producer),
-		RJ_NOTE_NUMBER("epoch", writer->epoch),
-		RJ_NOTE_NUMBER("sequence", writer->sequence));
+	rj_log_event("append_out_of_sequence",
+		     RJ_LOG_TEXT("producer", writer->producer),
+		     RJ_LOG_NUMBER("epoch", writer->epoch),
+		     RJ_LOG_NUMBER("sequence", writer->sequence));
 	writer->epoch++;
 	writer->sequence = 0;
 	complete_batch(writer, RJ_CELL_WRITE_UNKNOWN);
@@ -239,9 +239,10 @@
 		break;
 	default:
 		if (!writer->uncertain)
-			rj_note("append_lost",
-				RJ_NOTE_TEXT("producer", writer->producer),
-				RJ_NOTE_NUMBER("sequence", writer->sequence));
+			rj_log_event(
+				"append_lost",
+				RJ_LOG_TEXT("producer", writer->producer),
+				RJ_LOG_NUMBER("sequence", writer->sequence));
 		writer->lost++;
 		writer->uncertain = true;
 		retry_later(writer);
--- a/src/libradishjunction/config.c
+++ b/src/libradishjunction/config.c
@@ -285,8 +285,8 @@
  * Add to `notes` what is allowed but may surprise: work that can be neither
  * repeated nor interrupted never borrows another account's guarantee.
  */
-void rj_config_notes(const struct rj_config *config,
-		     struct rj_error_list *notes)
+void rj_config_warnings(const struct rj_config *config,
+			struct rj_error_list *notes)
 {
 	for (uint32_t i = 0; i < config->class_count; i++) {
 		const struct rj_job_class *class = &config->classes[i];
--- a/src/libradishjunction/config_log.c
+++ b/src/libradishjunction/config_log.c
@@ -14,8 +14,8 @@
 	[RJ_CONFIG_STALE] = "stale",
 	[RJ_CONFIG_BAD_TEXT] = "bad_text",
 	[RJ_CONFIG_BAD_CHANGE] = "bad_change",
-	[RJ_CONFIG_NOT_ONE] = "not_one",
-	[RJ_CONFIG_UNJUDGED] = "unjudged",
+	[RJ_CONFIG_MALFORMED] = "not_one",
+	[RJ_CONFIG_UNDECIDED] = "unjudged",
 	[RJ_CONFIG_READ_AGAIN] = "read_again",
 };
 
@@ -37,7 +37,7 @@
  * ones before it, and put a refused one in force. It holds because with a
  * gap nothing is judged until a carried record tells where to start.
  */
-void rj_config_log_batch(struct rj_config_log *log, uint64_t oldest)
+void rj_config_log_begin_batch(struct rj_config_log *log, uint64_t oldest)
 {
 	log->oldest = oldest;
 	if (oldest <= log->next)
@@ -48,7 +48,7 @@
 
 /*
  * Of a long stream, go straight to its newest records; `head` is one past
- * the newest offset. To be called after `rj_config_log_batch`.
+ * the newest offset. To be called after `rj_config_log_begin_batch`.
  *
  * A reader without a configuration would else apply every change that the
  * log keeps: 45,000 in a week at 6,400 a day. Going on from there is safe,
@@ -56,7 +56,7 @@
  * tells where to start. Where none is found, the stream is read from its
  * oldest record after all.
  */
-void rj_config_log_skip(struct rj_config_log *log, uint64_t head)
+void rj_config_log_skip_ahead(struct rj_config_log *log, uint64_t head)
 {
 	if (log->config)
 		return;
@@ -199,7 +199,7 @@
 		    in_force(log, record->config_id);
 
 	if (record->as_of > record->offset || !record->config_text)
-		return RJ_CONFIG_NOT_ONE;
+		return RJ_CONFIG_MALFORMED;
 	if (same)
 		set_anchor(log, record, now_us);
 	if (record->revision < revision || (same && !log->gap))
@@ -207,7 +207,7 @@
 	if (record->revision == revision && !same)
 		return RJ_CONFIG_STALE;
 	if (record->as_of < log->oldest)
-		return RJ_CONFIG_UNJUDGED;
+		return RJ_CONFIG_UNDECIDED;
 	if (!same && !put_in_force(log, record->revision, record->config_id,
 				   record->config_text, errors))
 		return RJ_CONFIG_BAD_TEXT;
@@ -224,13 +224,13 @@
 					      struct rj_error_list *errors)
 {
 	if (record->revision != record->base_revision + 1)
-		return RJ_CONFIG_NOT_ONE;
+		return RJ_CONFIG_MALFORMED;
 	if (in_force(log, record->config_id))
 		return RJ_CONFIG_REPEATED;
 	if (record->base_revision < rj_config_log_revision(log))
 		return RJ_CONFIG_STALE;
 	if (log->gap)
-		return RJ_CONFIG_UNJUDGED;
+		return RJ_CONFIG_UNDECIDED;
 	if (record->base_revision != rj_config_log_revision(log))
 		return RJ_CONFIG_STALE;
 	if (record->config_change.patch)
@@ -267,7 +267,7 @@
 					   uint64_t now_us,
 					   struct rj_error_list *errors)
 {
-	enum rj_config_verdict verdict = RJ_CONFIG_NOT_ONE;
+	enum rj_config_verdict verdict = RJ_CONFIG_MALFORMED;
 
 	if (record->offset != log->next)
 		return RJ_CONFIG_READ_AGAIN;
@@ -380,8 +380,8 @@
  * Fill the record that carries the configuration in force. It points into
  * `log` until that changes.
  */
-void rj_config_log_carry(const struct rj_config_log *log,
-			 struct rj_record *record)
+void rj_config_log_fill_carried(const struct rj_config_log *log,
+				struct rj_record *record)
 {
 	assert(log->config);
 	memset(record, 0, sizeof(*record));
--- a/src/libradishjunction/core/capacity.c
+++ b/src/libradishjunction/core/capacity.c
@@ -326,7 +326,8 @@
 			rj_capacity_find(capacity, members[i].worker);
 
 		assert(worker && worker->tasks >= members[i].tasks);
-		rj_resources_take(&worker->allocated, each, members[i].tasks);
+		rj_resources_subtract(&worker->allocated, each,
+				      members[i].tasks);
 		worker->tasks -= members[i].tasks;
 		update_free(worker);
 		if (worker->removed && !worker->tasks)
--- a/src/libradishjunction/core/ledger.c
+++ b/src/libradishjunction/core/ledger.c
@@ -175,9 +175,9 @@
 	uint32_t at = 0;
 
 	assert(usage);
-	rj_resources_take(&usage->used, each, tasks);
+	rj_resources_subtract(&usage->used, each, tasks);
 	if (!entry->job.preemptible)
-		rj_resources_take(&usage->non_preemptible, each, tasks);
+		rj_resources_subtract(&usage->non_preemptible, each, tasks);
 	if (rj_ledger_blocks_gangs(&entry->job))
 		ledger->gang_blocking -= each->accelerators * tasks;
 	while (ledger->runs[at].entry != entry)
@@ -247,7 +247,7 @@
 	if (usage) {
 		own = resources_max(&usage->guaranteed,
 				    &usage->non_preemptible);
-		rj_resources_take(&others, &own, 1);
+		rj_resources_subtract(&others, &own, 1);
 		rj_resources_subtract_saturating(&limit,
 						 &usage->non_preemptible);
 	}
--- a/src/libradishjunction/core/topology_reclaim.c
+++ b/src/libradishjunction/core/topology_reclaim.c
@@ -274,9 +274,9 @@
 			rj_resources_add(&usage->evicted,
 					 &entry->job.shape.each, member->tasks);
 		else
-			rj_resources_take(&usage->evicted,
-					  &entry->job.shape.each,
-					  member->tasks);
+			rj_resources_subtract(&usage->evicted,
+					      &entry->job.shape.each,
+					      member->tasks);
 		if (worker->ledger->set_stamp == search->state->stamp)
 			update_fit(search, worker->ledger->set_index);
 	}
--- a/src/libradishjunction/guarantee_layout.c
+++ b/src/libradishjunction/guarantee_layout.c
@@ -94,7 +94,7 @@
 		if (best_fit == UINT32_MAX)
 			return tasks;
 		best_fit = MIN(best_fit, tasks);
-		rj_resources_take(&layout->free[best], each, best_fit);
+		rj_resources_subtract(&layout->free[best], each, best_fit);
 		note_part(layout, parts, best, best_fit);
 		tasks -= best_fit;
 	}
--- a/src/libradishjunction/http_client.c
+++ b/src/libradishjunction/http_client.c
@@ -314,8 +314,8 @@
  * Open at most so many connections to one address and port from now on; those
  * that stand are not closed for it.
  */
-void rj_http_client_limit(struct rj_http_client *client,
-			  uint32_t host_connections_max)
+void rj_http_client_set_host_connections_max(struct rj_http_client *client,
+					     uint32_t host_connections_max)
 {
 	curl_multi_setopt(client->multi, CURLMOPT_MAX_HOST_CONNECTIONS,
 			  (long)host_connections_max);
@@ -325,8 +325,8 @@
  * Keep so many connections open to all hosts together, in use or idle; each
  * takes a descriptor and some kilobytes.
  */
-void rj_http_client_keep(struct rj_http_client *client,
-			 uint32_t connections_max)
+void rj_http_client_set_connections_max(struct rj_http_client *client,
+					uint32_t connections_max)
 {
 	curl_multi_setopt(client->multi, CURLMOPT_MAXCONNECTS,
 			  (long)connections_max);
@@ -358,7 +358,7 @@
 	curl_multi_setopt(client->multi, CURLMOPT_SOCKETDATA, client);
 	curl_multi_setopt(client->multi, CURLMOPT_TIMERFUNCTION, timer_wanted);
 	curl_multi_setopt(client->multi, CURLMOPT_TIMERDATA, client);
-	rj_http_client_limit(client, host_connections_max);
+	rj_http_client_set_host_connections_max(client, host_connections_max);
 	curl_multi_setopt(client->multi, CURLMOPT_MAXCONNECTS,
 			  CACHED_CONNECTIONS_MAX);
 	/* Without this header libcurl waits for "100 Continue". */
@@ -378,7 +378,7 @@
 
 /* The client's headers and those of one request. */
 static void join_headers(struct transfer *transfer,
-			 const struct rj_http_send *send)
+			 const struct rj_http_request *send)
 {
 	const struct curl_slist *at;
 
@@ -393,7 +393,7 @@
 
 /* All that libcurl is told of one transfer. */
 static void set_options(struct transfer *transfer,
-			const struct rj_http_send *send)
+			const struct rj_http_request *send)
 {
 	CURL *easy = transfer->easy;
 
@@ -432,7 +432,7 @@
  * private_data, which the client takes over.
  */
 void rj_http_client_send(struct rj_http_client *client,
-			 const struct rj_http_send *send)
+			 const struct rj_http_request *send)
 {
 	struct transfer *transfer = talloc_zero(client->mem, struct transfer);
 
@@ -442,7 +442,7 @@
 	transfer->has_body = send->length > 0;
 	transfer->body = talloc_memdup(transfer, send->body, send->length);
 	transfer->length = send->length;
-	transfer->answer_max = send->answer_max_bytes;
+	transfer->answer_max = send->response_max_bytes;
 	transfer->done = send->done;
 	transfer->private_data = talloc_steal(transfer, send->private_data);
 	transfer->easy = obtain_handle(client);
--- a/src/libradishjunction/include/private/pack.h
+++ b/src/libradishjunction/include/private/pack.h
@@ -45,8 +45,8 @@
 		    size_t size);
 struct rj_bytes rj_unpack_data(struct rj_unpacker *reader, const char *field,
 			       uint32_t max);
-bool rj_unpack_more(const struct rj_unpacker *reader);
-void rj_unpack_exactly(struct rj_unpacker *reader, const char *field,
-		       uint8_t *data, uint32_t length);
+bool rj_unpack_has_more(const struct rj_unpacker *reader);
+void rj_unpack_fixed_data(struct rj_unpacker *reader, const char *field,
+			  uint8_t *data, uint32_t length);
 
 #endif
--- a/src/libradishjunction/include/private/schema.h
+++ b/src/libradishjunction/include/private/schema.h
@@ -116,6 +116,7 @@
 void rj_schema_fill_zero(struct rj_schema_check *check,
 			 const struct rj_schema_field *field,
 			 const struct rj_schema_path *path, void *out);
-void rj_schema_value(char out[RJ_SCHEMA_VALUE_BYTES], const json_t *value);
+void rj_schema_format_value(char out[RJ_SCHEMA_VALUE_BYTES],
+			    const json_t *value);
 
 #endif
--- a/src/libradishjunction/pack.c
+++ b/src/libradishjunction/pack.c
@@ -190,14 +190,14 @@
 /*
  * Whether fields follow that an older version does not write.
  */
-bool rj_unpack_more(const struct rj_unpacker *reader)
+bool rj_unpack_has_more(const struct rj_unpacker *reader)
 {
 	return !reader->bad && reader->offset < reader->length;
 }
 
 /* Exactly `length` bytes. */
-void rj_unpack_exactly(struct rj_unpacker *reader, const char *field,
-		       uint8_t *data, uint32_t length)
+void rj_unpack_fixed_data(struct rj_unpacker *reader, const char *field,
+			  uint8_t *data, uint32_t length)
 {
 	struct rj_bytes bytes = rj_unpack_data(reader, field, length);
 
--- a/src/libradishjunction/schema.c
+++ b/src/libradishjunction/schema.c
@@ -56,7 +56,8 @@
  * Write `value` as a message shows it: ASCII on one line, cut with "..."
  * when it is long. Text from outside thereby never breaks a log line.
  */
-void rj_schema_value(char out[RJ_SCHEMA_VALUE_BYTES], const json_t *value)
+void rj_schema_format_value(char out[RJ_SCHEMA_VALUE_BYTES],
+			    const json_t *value)
 {
 	const char *shown = "a value that cannot be shown";
 	char *text = NULL;
@@ -85,7 +86,7 @@
 {
 	char shown[RJ_SCHEMA_VALUE_BYTES];
 
-	rj_schema_value(shown, value);
+	rj_schema_format_value(shown, value);
 	rj_schema_report(check, path, "%s is not %s; give %s", shown,
 			 field->type->name, field->type->name);
 }
@@ -128,7 +129,7 @@
 				 sizeof(known) - strlen(known), "%s%s",
 				 i ? ", " : "", schema->fields[i].name);
 		name_json = json_string(name);
-		rj_schema_value(shown, name_json);
+		rj_schema_format_value(shown, name_json);
 		json_decref(name_json);
 		at.field = shown;
 		rj_schema_report(check, &at,
@@ -242,7 +243,7 @@
 					    json_integer((json_int_t)i));
 			continue;
 		}
-		rj_schema_value(shown, json_object_get(element, "name"));
+		rj_schema_format_value(shown, json_object_get(element, "name"));
 		rj_schema_report(check, &at,
 				 "%s is a duplicate of element %d; rename one",
 				 shown, (int)json_integer_value(first));
--- a/src/libradishjunction/schema_texts.c
+++ b/src/libradishjunction/schema_texts.c
@@ -52,7 +52,7 @@
 			 "ABCDEFGHIJKLMNOPQRSTUVWXYZ._-") == strlen(text) &&
 	    !rj_name_set(out, text))
 		return;
-	rj_schema_value(shown, value);
+	rj_schema_format_value(shown, value);
 	rj_schema_report(check, path,
 			 "%s is no name; use 1 to %d letters, digits, "
 			 "'.', '_' or '-'",
@@ -270,7 +270,7 @@
 	const char *text = json_string_value(value);
 	char shown[RJ_SCHEMA_VALUE_BYTES];
 
-	rj_schema_value(shown, value);
+	rj_schema_format_value(shown, value);
 	if (!text || rj_address_parse(address, text))
 		rj_schema_report(check, path,
 				 "%s is no address; give an IP number and a "
