--- a/include/radishjunction/config.h
+++ b/include/radishjunction/config.h
@@ -78,8 +78,8 @@
 				  struct rj_error_list *errors);
 struct rj_config *rj_config_ref(struct rj_config *config);
 void rj_config_unref(struct rj_config *config);
-void rj_config_notes(const struct rj_config *config,
-		     struct rj_error_list *notes);
+void rj_config_warnings(const struct rj_config *config,
+			struct rj_error_list *notes);
 const struct rj_account *rj_config_account(const struct rj_config *config,
 					   const char *name);
 const struct rj_account *
--- a/include/radishjunction/config_log.h
+++ b/include/radishjunction/config_log.h
@@ -14,7 +14,7 @@
  * from there, and judges nothing until then. A carried one is always whole.
  *
  * Life cycle: `rj_config_log_init` on the caller's memory; for each answered
- * read `rj_config_log_batch`, `rj_config_log_skip` and then
+ * read `rj_config_log_begin_batch`, `rj_config_log_skip_ahead` and then
  * `rj_config_log_apply` for each of its records in order; the next read
  * begins at `next`, which may lie before records already seen;
  * `rj_config_log_finish`.
@@ -40,8 +40,8 @@
 	RJ_CONFIG_STALE, /* refused: another publication came first */
 	RJ_CONFIG_BAD_TEXT, /* refused: the text has errors */
 	RJ_CONFIG_BAD_CHANGE, /* refused: it does not make what it names */
-	RJ_CONFIG_NOT_ONE, /* not a well-formed publication */
-	RJ_CONFIG_UNJUDGED, /* records before it were missed */
+	RJ_CONFIG_MALFORMED, /* not a well-formed publication */
+	RJ_CONFIG_UNDECIDED, /* records before it were missed */
 	RJ_CONFIG_READ_AGAIN, /* comes later, when it is read from `next` */
 	RJ_CONFIG_VERDICT_COUNT
 };
@@ -69,8 +69,8 @@
 };
 
 void rj_config_log_init(struct rj_config_log *log, void *mem);
-void rj_config_log_batch(struct rj_config_log *log, uint64_t oldest);
-void rj_config_log_skip(struct rj_config_log *log, uint64_t head);
+void rj_config_log_begin_batch(struct rj_config_log *log, uint64_t oldest);
+void rj_config_log_skip_ahead(struct rj_config_log *log, uint64_t head);
 enum rj_config_verdict rj_config_log_apply(struct rj_config_log *log,
 					   const struct rj_record *record,
 					   uint64_t now_us,
@@ -85,8 +85,8 @@
 uint64_t rj_config_log_revision(const struct rj_config_log *log);
 bool rj_config_log_carry_due(const struct rj_config_log *log, uint64_t now_us,
 			     uint64_t retention_us);
-void rj_config_log_carry(const struct rj_config_log *log,
-			 struct rj_record *record);
+void rj_config_log_fill_carried(const struct rj_config_log *log,
+				struct rj_record *record);
 void rj_config_log_finish(struct rj_config_log *log);
 
 #endif
--- a/include/radishjunction/types.h
+++ b/include/radishjunction/types.h
@@ -103,7 +103,7 @@
 	RJ_REASON_PEER_LOST,
 	RJ_REASON_RETRY_BUDGET,
 	RJ_REASON_LEASE_REFUSED,
-	RJ_REASON_LEASE_LAPSED,
+	RJ_REASON_LEASE_EXPIRED,
 	RJ_REASON_CLAIM_LOST,
 	RJ_REASON_RECLAIMED,
 	/* reasons of placements */
@@ -161,7 +161,7 @@
 		      const struct rj_resources *have);
 void rj_resources_add(struct rj_resources *sum, const struct rj_resources *part,
 		      uint32_t times);
-void rj_resources_take(struct rj_resources *have,
-		       const struct rj_resources *part, uint32_t times);
+void rj_resources_subtract(struct rj_resources *have,
+			   const struct rj_resources *part, uint32_t times);
 
 #endif
--- a/src/bench/load.c
+++ b/src/bench/load.c
@@ -39,10 +39,10 @@
 static void shoot(struct load *load, uint64_t due_us)
 {
 	struct shot *shot = talloc_zero(NULL, struct shot);
-	struct rj_http_send send = {
+	struct rj_http_request send = {
 		.method = "POST",
 		.timeout_us = load->options.timeout_us,
-		.answer_max_bytes = ANSWER_MAX_BYTES,
+		.response_max_bytes = ANSWER_MAX_BYTES,
 		.done = shot_done,
 		.private_data = shot,
 	};
--- a/src/bench/load.h
+++ b/src/bench/load.h
@@ -14,7 +14,7 @@
 struct load_options {
 	/* The URL and body of request `index`, as talloc children of `mem`. */
 	void (*make)(const struct load *load, void *mem, uint32_t index,
-		     struct rj_http_send *send);
+		     struct rj_http_request *send);
 	/* Whether the answer is the one that was wanted. */
 	bool (*check)(const struct load *load, const char *answer);
 	const void *data; /* for these two */
--- a/src/bench/path.c
+++ b/src/bench/path.c
@@ -42,7 +42,7 @@
 
 /* A small job, submitted by a caller that waits for its answer. */
 static void make_submit(const struct load *load, void *mem, uint32_t index,
-			struct rj_http_send *send)
+			struct rj_http_request *send)
 {
 	const struct path *path = load->options.data;
 
@@ -60,7 +60,7 @@
 
 /* The same job, run by a worker that is called directly. */
 static void make_run(const struct load *load, void *mem, uint32_t index,
-		     struct rj_http_send *send)
+		     struct rj_http_request *send)
 {
 	const struct path *path = load->options.data;
 	uint32_t worker = index % path->worker_count;
@@ -187,7 +187,7 @@
 struct way {
 	const char *name;
 	void (*make)(const struct load *load, void *mem, uint32_t index,
-		     struct rj_http_send *send);
+		     struct rj_http_request *send);
 	bool (*check)(const struct load *load, const char *answer);
 };
 
@@ -263,7 +263,7 @@
 
 /* A job that stays open while the memory is read. */
 static void make_held(const struct load *load, void *mem, uint32_t index,
-		      struct rj_http_send *send)
+		      struct rj_http_request *send)
 {
 	const struct path *path = load->options.data;
 
--- a/src/libradishjunction/buffer.c
+++ b/src/libradishjunction/buffer.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#define FIRST_BYTES 1024
+#define INITIAL_CAPACITY_BYTES 1024
 
 /*
  * Append `length` bytes; an empty part makes an empty buffer a text.
@@ -12,13 +12,13 @@
 void rj_buffer_append(struct rj_buffer *buffer, void *mem, const char *data,
 		      size_t length)
 {
-	size_t need = buffer->length + length + 1;
+	size_t required = buffer->length + length + 1;
 
-	if (need > buffer->capacity || !buffer->data) {
-		size_t doubled =
-			buffer->capacity ? 2 * buffer->capacity : FIRST_BYTES;
+	if (required > buffer->capacity || !buffer->data) {
+		size_t grown = buffer->capacity ? 2 * buffer->capacity :
+						  INITIAL_CAPACITY_BYTES;
 
-		buffer->capacity = doubled > need ? doubled : need;
+		buffer->capacity = grown > required ? grown : required;
 		buffer->data = talloc_realloc(mem, buffer->data, char,
 					      buffer->capacity);
 		assert(buffer->data);
--- a/src/libradishjunction/cell/cell_advice.c
+++ b/src/libradishjunction/cell/cell_advice.c
@@ -6,7 +6,7 @@
 
 #include "private/cell_owner.h"
 #include "private/cell_place.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* A ticket that ends sooner is not used: the order takes some milliseconds,
  * and may be repeated once. */
@@ -171,12 +171,13 @@
 	owner->now_us = reply->now_us;
 	owner->advice_open = false;
 	round = round_of(question);
-	rj_note("advice", RJ_NOTE_TEXT("job", question->job),
-		RJ_NOTE_NUMBER("step", question->step),
-		RJ_NOTE_NUMBER("asked", question->count),
-		RJ_NOTE_NUMBER("answered", reply->answered),
-		RJ_NOTE_NUMBER("allowed", reply->count),
-		RJ_NOTE_AGE_MS("took_ms", reply->now_us - question->sent_us));
+	rj_log_event(
+		"advice", RJ_LOG_TEXT("job", question->job),
+		RJ_LOG_NUMBER("step", question->step),
+		RJ_LOG_NUMBER("asked", question->count),
+		RJ_LOG_NUMBER("answered", reply->answered),
+		RJ_LOG_NUMBER("allowed", reply->count),
+		RJ_LOG_AGE_MS("took_ms", reply->now_us - question->sent_us));
 	if (!reply->answered)
 		owner->advice_due_us = owner->now_us + RETRY_US;
 	else if (round)
--- a/src/libradishjunction/cell/cell_backlog.c
+++ b/src/libradishjunction/cell/cell_backlog.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "private/cell_place.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* Add the tasks of one step that have not started. */
 static void add_unit(struct rj_cell_backlog *backlog,
@@ -67,28 +67,29 @@
 	const struct rj_cell_backlog_class *normal = &backlog->classes[1];
 	const struct rj_cell_backlog_class *batch = &backlog->classes[2];
 
-	rj_note("backlog", RJ_NOTE_NUMBER("urgent_tasks", urgent->tasks),
-		RJ_NOTE_NUMBER("normal_tasks", normal->tasks),
-		RJ_NOTE_NUMBER("batch_tasks", batch->tasks),
-		RJ_NOTE_AGE_MS("urgent_oldest_ms", urgent->oldest_us),
-		RJ_NOTE_AGE_MS("normal_oldest_ms", normal->oldest_us),
-		RJ_NOTE_AGE_MS("batch_oldest_ms", batch->oldest_us),
-		RJ_NOTE_NUMBER("urgent_held", urgent->held),
-		RJ_NOTE_NUMBER("normal_held", normal->held),
-		RJ_NOTE_NUMBER("batch_held", batch->held),
-		RJ_NOTE_NUMBER("late_tasks", urgent->late_tasks +
-						     normal->late_tasks +
-						     batch->late_tasks),
-		RJ_NOTE_NUMBER("workers", backlog->workers),
-		RJ_NOTE_NUMBER("accelerators", usage->accelerators.all),
-		RJ_NOTE_NUMBER("accelerators_used", usage->accelerators.used),
-		RJ_NOTE_NUMBER("cpu_milli", usage->cpu.all),
-		RJ_NOTE_NUMBER("cpu_milli_used", usage->cpu.used),
-		RJ_NOTE_NUMBER("memory_mb", usage->memory.all),
-		RJ_NOTE_NUMBER("memory_mb_used", usage->memory.used),
-		RJ_NOTE_NUMBER("reserved", backlog->reserved),
-		RJ_NOTE_NUMBER("exclusive", backlog->exclusive),
-		RJ_NOTE_NUMBER("reserved_free", backlog->reserved_free),
-		RJ_NOTE_NUMBER("promised", backlog->promised),
-		RJ_NOTE_NUMBER("urgent_of_late", backlog->urgent));
+	rj_log_event(
+		"backlog", RJ_LOG_NUMBER("urgent_tasks", urgent->tasks),
+		RJ_LOG_NUMBER("normal_tasks", normal->tasks),
+		RJ_LOG_NUMBER("batch_tasks", batch->tasks),
+		RJ_LOG_AGE_MS("urgent_oldest_ms", urgent->oldest_us),
+		RJ_LOG_AGE_MS("normal_oldest_ms", normal->oldest_us),
+		RJ_LOG_AGE_MS("batch_oldest_ms", batch->oldest_us),
+		RJ_LOG_NUMBER("urgent_held", urgent->held),
+		RJ_LOG_NUMBER("normal_held", normal->held),
+		RJ_LOG_NUMBER("batch_held", batch->held),
+		RJ_LOG_NUMBER("late_tasks", urgent->late_tasks +
+						    normal->late_tasks +
+						    batch->late_tasks),
+		RJ_LOG_NUMBER("workers", backlog->workers),
+		RJ_LOG_NUMBER("accelerators", usage->accelerators.all),
+		RJ_LOG_NUMBER("accelerators_used", usage->accelerators.used),
+		RJ_LOG_NUMBER("cpu_milli", usage->cpu.all),
+		RJ_LOG_NUMBER("cpu_milli_used", usage->cpu.used),
+		RJ_LOG_NUMBER("memory_mb", usage->memory.all),
+		RJ_LOG_NUMBER("memory_mb_used", usage->memory.used),
+		RJ_LOG_NUMBER("reserved", backlog->reserved),
+		RJ_LOG_NUMBER("exclusive", backlog->exclusive),
+		RJ_LOG_NUMBER("reserved_free", backlog->reserved_free),
+		RJ_LOG_NUMBER("promised", backlog->promised),
+		RJ_LOG_NUMBER("urgent_of_late", backlog->urgent));
 }
--- a/src/libradishjunction/cell/cell_calls.c
+++ b/src/libradishjunction/cell/cell_calls.c
@@ -3,7 +3,7 @@
 #include <talloc.h>
 
 #include "private/cell_calls.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 const char *const rj_cell_order_status_string[RJ_CELL_ORDER_STATUS_COUNT] = {
 	[RJ_CELL_ORDER_OK] = "ok",
@@ -113,11 +113,11 @@
 	if (worker->answers == answers)
 		return;
 	worker->answers = answers;
-	rj_note(answers ? "worker_regained" : "worker_silent",
-		RJ_NOTE_TEXT("worker", worker->id),
-		RJ_NOTE_TEXT("why", rj_cell_order_status_string[status]),
-		RJ_NOTE_AGE_MS("answered_ms",
-			       owner->now_us - worker->answered_us));
+	rj_log_event(answers ? "worker_regained" : "worker_silent",
+		     RJ_LOG_TEXT("worker", worker->id),
+		     RJ_LOG_TEXT("why", rj_cell_order_status_string[status]),
+		     RJ_LOG_AGE_MS("answered_ms",
+				   owner->now_us - worker->answered_us));
 	owner->plan_wanted = true;
 }
 
--- a/src/libradishjunction/cell/cell_cordon.c
+++ b/src/libradishjunction/cell/cell_cordon.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* The cordon at a place of the list. */
 static struct rj_cell_cordon *at(const struct rj_cell_cordons *cordons,
@@ -27,10 +27,10 @@
 			uint64_t version, bool cordoned)
 {
 	cordons->changes++;
-	rj_note("cordon", RJ_NOTE_TEXT("domain", domain),
-		RJ_NOTE_NUMBER("cordoned", cordoned),
-		RJ_NOTE_NUMBER("version", version),
-		RJ_NOTE_NUMBER("loaded", cordons->loading));
+	rj_log_event("cordon", RJ_LOG_TEXT("domain", domain),
+		     RJ_LOG_NUMBER("cordoned", cordoned),
+		     RJ_LOG_NUMBER("version", version),
+		     RJ_LOG_NUMBER("loaded", cordons->loading));
 }
 
 /*
--- a/src/libradishjunction/cell/cell_ends.c
+++ b/src/libradishjunction/cell/cell_ends.c
@@ -4,7 +4,7 @@
 #include <talloc.h>
 
 #include "private/cell_owner.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 const char *const rj_cell_end_string[RJ_CELL_END_COUNT] = {
 	[RJ_CELL_END_DONE] = "done",	   [RJ_CELL_END_FAILED] = "failed",
@@ -103,18 +103,19 @@
 		owner->counters.completed++;
 	if (state == RJ_CELL_JOB_FAILED)
 		owner->counters.failed++;
-	rj_note("job_end", RJ_NOTE_TEXT("job", work->def->id),
-		RJ_NOTE_TEXT("account", work->def->account),
-		RJ_NOTE_TEXT("state", rj_cell_job_state_string[state]),
-		RJ_NOTE_AGE_MS("after_ms", owner->now_us - work->accepted_us),
-		RJ_NOTE_AGE_MS("objective_ms",
-			       work->objective_us - work->accepted_us),
-		RJ_NOTE_AGE_MS("began_ms",
-			       work->began_us ?
-				       work->began_us - work->accepted_us :
-				       RJ_NEVER_US),
-		RJ_NOTE_NUMBER("runs_lost", work->runs_lost),
-		RJ_NOTE_NUMBER("split", work->split));
+	rj_log_event(
+		"job_end", RJ_LOG_TEXT("job", work->def->id),
+		RJ_LOG_TEXT("account", work->def->account),
+		RJ_LOG_TEXT("state", rj_cell_job_state_string[state]),
+		RJ_LOG_AGE_MS("after_ms", owner->now_us - work->accepted_us),
+		RJ_LOG_AGE_MS("objective_ms",
+			      work->objective_us - work->accepted_us),
+		RJ_LOG_AGE_MS("began_ms",
+			      work->began_us ?
+				      work->began_us - work->accepted_us :
+				      RJ_NEVER_US),
+		RJ_LOG_NUMBER("runs_lost", work->runs_lost),
+		RJ_LOG_NUMBER("split", work->split));
 	if (state != RJ_CELL_JOB_COMPLETED)
 		rj_cell_ends_stop_work(owner, work,
 				       rj_cell_job_state_string[state]);
@@ -251,10 +252,10 @@
 	if (!early && worker->bad_streak < BAD_STREAK_MAX)
 		return;
 	if (owner->now_us >= worker->suspect_until_us)
-		rj_note("worker_suspect", RJ_NOTE_TEXT("worker", worker->id),
-			RJ_NOTE_TEXT("why",
-				     early ? "failed_early" : "failures"),
-			RJ_NOTE_NUMBER("streak", worker->bad_streak));
+		rj_log_event(
+			"worker_suspect", RJ_LOG_TEXT("worker", worker->id),
+			RJ_LOG_TEXT("why", early ? "failed_early" : "failures"),
+			RJ_LOG_NUMBER("streak", worker->bad_streak));
 	worker->suspect_until_us =
 		owner->now_us + (worker->bad_streak < BAD_STREAK_MAX ?
 					 SUSPECT_EARLY_US :
@@ -379,14 +380,15 @@
 
 	owner->counters.ends[end]++;
 	owner->plan_wanted = true;
-	rj_note("run_end", RJ_NOTE_TEXT("task", run->name),
-		RJ_NOTE_NUMBER("run", run->number),
-		RJ_NOTE_TEXT("worker", worker->id),
-		RJ_NOTE_TEXT("end", rj_cell_end_string[end]),
-		RJ_NOTE_TEXT("why", run->why),
-		RJ_NOTE_AGE_MS("ran_ms", run->begun_us ?
-						 owner->now_us - run->begun_us :
-						 0));
+	rj_log_event(
+		"run_end", RJ_LOG_TEXT("task", run->name),
+		RJ_LOG_NUMBER("run", run->number),
+		RJ_LOG_TEXT("worker", worker->id),
+		RJ_LOG_TEXT("end", rj_cell_end_string[end]),
+		RJ_LOG_TEXT("why", run->why),
+		RJ_LOG_AGE_MS("ran_ms", run->begun_us ?
+						owner->now_us - run->begun_us :
+						0));
 	if (!task) {
 		rj_cell_run_free(run);
 		return;
@@ -471,10 +473,10 @@
 	struct rj_cell_task *task = rj_cell_owner_task(owner, row->name, NULL);
 	struct rj_cell_round *round;
 
-	rj_note("orphan_end", RJ_NOTE_TEXT("task", row->name),
-		RJ_NOTE_NUMBER("run", row->number),
-		RJ_NOTE_TEXT("worker", worker->id),
-		RJ_NOTE_TEXT("end", rj_cell_end_string[row->end]));
+	rj_log_event("orphan_end", RJ_LOG_TEXT("task", row->name),
+		     RJ_LOG_NUMBER("run", row->number),
+		     RJ_LOG_TEXT("worker", worker->id),
+		     RJ_LOG_TEXT("end", rj_cell_end_string[row->end]));
 	count_unseen(owner, task, row);
 	if (!was_done_before(task, row))
 		return;
--- a/src/libradishjunction/cell/cell_flush.c
+++ b/src/libradishjunction/cell/cell_flush.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 #include "private/cell_admit.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* The owner shows its life in the log so often. Others wait for three of
  * these in vain before they take over. */
--- a/src/libradishjunction/cell/cell_follow.c
+++ b/src/libradishjunction/cell/cell_follow.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* A failed read is repeated after this, doubled with each failure in a row;
  * a store that turns calls away must not get more of them. */
@@ -101,13 +101,12 @@
 			    << (follow->failures < 3 ? follow->failures : 3);
 
 	if (!follow->failures)
-		rj_note("log_lost",
-			RJ_NOTE_TEXT("log",
-				     rj_cell_topic_string[follow->topic]),
-			RJ_NOTE_TEXT("why",
-				     rj_cell_store_status_string[status]),
-			RJ_NOTE_NUMBER("from", follow->next),
-			RJ_NOTE_AGE_MS(
+		rj_log_event(
+			"log_lost",
+			RJ_LOG_TEXT("log", rj_cell_topic_string[follow->topic]),
+			RJ_LOG_TEXT("why", rj_cell_store_status_string[status]),
+			RJ_LOG_NUMBER("from", follow->next),
+			RJ_LOG_AGE_MS(
 				"confirmed_ms",
 				rj_cell_follow_age_us(follow, follow->now_us)));
 	follow->failures++;
@@ -120,10 +119,10 @@
 static void note_success(struct rj_cell_follow *follow)
 {
 	if (follow->failures)
-		rj_note("log_regained",
-			RJ_NOTE_TEXT("log",
-				     rj_cell_topic_string[follow->topic]),
-			RJ_NOTE_NUMBER("failures", follow->failures));
+		rj_log_event(
+			"log_regained",
+			RJ_LOG_TEXT("log", rj_cell_topic_string[follow->topic]),
+			RJ_LOG_NUMBER("failures", follow->failures));
 	follow->failures = 0;
 	follow->answered_us = follow->now_us;
 }
@@ -146,9 +145,9 @@
 /* Load anew: the records from here on have expired. */
 static void reload(struct rj_cell_follow *follow)
 {
-	rj_note("log_reload",
-		RJ_NOTE_TEXT("log", rj_cell_topic_string[follow->topic]),
-		RJ_NOTE_NUMBER("from", follow->next));
+	rj_log_event("log_reload",
+		     RJ_LOG_TEXT("log", rj_cell_topic_string[follow->topic]),
+		     RJ_LOG_NUMBER("from", follow->next));
 	rj_cell_follow_start(follow, follow->now_us);
 }
 
--- a/src/libradishjunction/cell/cell_front.c
+++ b/src/libradishjunction/cell/cell_front.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* A client that does not say how long it waits is taken to wait this long. */
 #define WAIT_MS 3000
@@ -123,25 +123,26 @@
 		       front->now_us - request->begun_us);
 	if (request->call->verb != RJ_CELL_VERB_ASK ||
 	    what->verdict >= RJ_CELL_VERDICT_NO_QUEUE)
-		rj_note("answer", RJ_NOTE_TEXT("job", request->id),
-			RJ_NOTE_TEXT("account", request->account),
-			RJ_NOTE_TEXT("call",
-				     rj_cell_verb_string[request->call->verb]),
-			RJ_NOTE_TEXT("verdict",
-				     rj_cell_verdict_string[what->verdict]),
-			RJ_NOTE_TEXT("why", what->why),
-			RJ_NOTE_NUMBER("come_back_ms", what->come_back_ms),
-			RJ_NOTE_AGE_MS("took_ms",
-				       front->now_us - request->begun_us),
-			RJ_NOTE_NUMBER("config",
-				       front->config ? front->config->version :
-						       0),
-			RJ_NOTE_AGE_MS("config_ms",
-				       rj_cell_follow_age_us(front->configs,
-							     front->now_us)),
-			RJ_NOTE_AGE_MS("jobs_ms",
-				       rj_cell_follow_age_us(front->jobs,
-							     front->now_us)));
+		rj_log_event(
+			"answer", RJ_LOG_TEXT("job", request->id),
+			RJ_LOG_TEXT("account", request->account),
+			RJ_LOG_TEXT("call",
+				    rj_cell_verb_string[request->call->verb]),
+			RJ_LOG_TEXT("verdict",
+				    rj_cell_verdict_string[what->verdict]),
+			RJ_LOG_TEXT("why", what->why),
+			RJ_LOG_NUMBER("come_back_ms", what->come_back_ms),
+			RJ_LOG_AGE_MS("took_ms",
+				      front->now_us - request->begun_us),
+			RJ_LOG_NUMBER("config", front->config ?
+							front->config->version :
+							0),
+			RJ_LOG_AGE_MS("config_ms",
+				      rj_cell_follow_age_us(front->configs,
+							    front->now_us)),
+			RJ_LOG_AGE_MS("jobs_ms",
+				      rj_cell_follow_age_us(front->jobs,
+							    front->now_us)));
 	request->call->answer(request->call, what);
 	request->call = NULL;
 	release(request);
@@ -515,11 +516,11 @@
 
 	if (answered_us && rj_cell_contact_update(&front->contact, answered_us,
 						  refuses, front->now_us))
-		rj_note(front->contact.away_us ? "log_away" : "log_back",
-			RJ_NOTE_AGE_MS("silent_ms",
-				       front->now_us - answered_us),
-			RJ_NOTE_NUMBER("refuses", refuses),
-			RJ_NOTE_NUMBER("open", front->open));
+		rj_log_event(
+			front->contact.away_us ? "log_away" : "log_back",
+			RJ_LOG_AGE_MS("silent_ms", front->now_us - answered_us),
+			RJ_LOG_NUMBER("refuses", refuses),
+			RJ_LOG_NUMBER("open", front->open));
 }
 
 /*
--- a/src/libradishjunction/cell/cell_health.c
+++ b/src/libradishjunction/cell/cell_health.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 
 #include "private/cell_calls.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* A run whose percentage does not rise for so long stands still: even at a
  * seventh of the usual speed a task of 11 s gains a percent in a second. */
@@ -94,9 +94,9 @@
 			continue;
 		worker->suspect_until_us = owner->now_us + STALL_SUSPECT_US;
 		rj_cell_ends_avoid(owner, run->task, worker);
-		rj_note("run_stalled", RJ_NOTE_TEXT("task", run->name),
-			RJ_NOTE_TEXT("worker", worker->id),
-			RJ_NOTE_NUMBER("percent", run->percent));
+		rj_log_event("run_stalled", RJ_LOG_TEXT("task", run->name),
+			     RJ_LOG_TEXT("worker", worker->id),
+			     RJ_LOG_NUMBER("percent", run->percent));
 		rj_cell_ends_stop_run(owner, run, "stalled");
 	}
 }
@@ -139,9 +139,9 @@
 
 		if (!run->slow_us || owner->now_us - run->slow_us < SLOW_US)
 			continue;
-		rj_note("bound_missed", RJ_NOTE_TEXT("task", run->name),
-			RJ_NOTE_TEXT("worker", worker->id),
-			RJ_NOTE_NUMBER("beside", worker->filling));
+		rj_log_event("bound_missed", RJ_LOG_TEXT("task", run->name),
+			     RJ_LOG_TEXT("worker", worker->id),
+			     RJ_LOG_NUMBER("beside", worker->filling));
 		stop_filling(owner, worker);
 		return;
 	}
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* Long polls: short enough that the age of what is known stays well below
  * what keys allow, and that an owner's silence shows. */
@@ -71,8 +71,9 @@
 	if (strlen(record->key) >= RJ_NAME_BYTES ||
 	    node->options.codec->decode_worker(record->value, &heartbeat,
 					       &err)) {
-		rj_note("worker_entry_bad", RJ_NOTE_TEXT("worker", record->key),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("worker_entry_bad",
+			     RJ_LOG_TEXT("worker", record->key),
+			     RJ_LOG_TEXT("error", err.message));
 		return;
 	}
 	rj_cell_owner_worker(&node->owner, record->key, &heartbeat, written_us);
@@ -112,8 +113,8 @@
 	config = node->options.codec->decode_config(node->mem, record->value,
 						    &err);
 	if (!config) {
-		rj_note("config_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("config_bad", RJ_LOG_TEXT("key", record->key),
+			     RJ_LOG_TEXT("error", err.message));
 		return;
 	}
 	/* Versions rise; a load may show an older one again. */
@@ -121,11 +122,11 @@
 		talloc_free(config);
 		return;
 	}
-	rj_note("config", RJ_NOTE_NUMBER("version", config->version),
-		RJ_NOTE_NUMBER("before",
-			       node->config ? node->config->version : 0),
-		RJ_NOTE_NUMBER("queues", config->queue_count),
-		RJ_NOTE_NUMBER("accounts", config->account_count));
+	rj_log_event("config", RJ_LOG_NUMBER("version", config->version),
+		     RJ_LOG_NUMBER("before",
+				   node->config ? node->config->version : 0),
+		     RJ_LOG_NUMBER("queues", config->queue_count),
+		     RJ_LOG_NUMBER("accounts", config->account_count));
 	talloc_free(node->config);
 	node->config = config;
 	node->front.config = config;
@@ -138,9 +139,9 @@
 			  const struct rj_cell_record *record)
 {
 	if (!domain[0] || strlen(domain) >= RJ_NAME_BYTES) {
-		rj_note("cordon_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", "no failure domain of such a "
-					      "name; remove the record"));
+		rj_log_event("cordon_bad", RJ_LOG_TEXT("key", record->key),
+			     RJ_LOG_TEXT("error", "no failure domain of such a "
+						  "name; remove the record"));
 		return;
 	}
 	if (record->value.length)
@@ -164,10 +165,10 @@
 		cordon_record(node, name, record);
 		break;
 	default:
-		rj_note("operators_record_unknown",
-			RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_NUMBER("version", record->offset),
-			RJ_NOTE_NUMBER("length", record->value.length));
+		rj_log_event("operators_record_unknown",
+			     RJ_LOG_TEXT("key", record->key),
+			     RJ_LOG_NUMBER("version", record->offset),
+			     RJ_LOG_NUMBER("length", record->value.length));
 	}
 }
 
@@ -202,8 +203,8 @@
 	struct rj_error err;
 
 	if (rj_cell_owner_decode(record->value, &owner, &err)) {
-		rj_note("record_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("record_bad", RJ_LOG_TEXT("key", record->key),
+			     RJ_LOG_TEXT("error", err.message));
 		return;
 	}
 	if (node->tenure.known && record->offset + 1 <= node->tenure.token)
@@ -214,9 +215,9 @@
 	node->tenure.record = owner;
 	node->tenure.token = record->offset + 1;
 	node->tenure.seen_us = node->jobs.now_us;
-	rj_note("owner_seen", RJ_NOTE_TEXT("instance", owner.name),
-		RJ_NOTE_NUMBER("token", node->tenure.token),
-		RJ_NOTE_NUMBER("leaving", owner.leaving));
+	rj_log_event("owner_seen", RJ_LOG_TEXT("instance", owner.name),
+		     RJ_LOG_NUMBER("token", node->tenure.token),
+		     RJ_LOG_NUMBER("leaving", owner.leaving));
 }
 
 /* The owner shows that it lives, and how loaded the cell is. */
@@ -227,8 +228,8 @@
 	struct rj_error err;
 
 	if (rj_cell_beat_decode(record->value, &beat, &err)) {
-		rj_note("record_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("record_bad", RJ_LOG_TEXT("key", record->key),
+			     RJ_LOG_TEXT("error", err.message));
 		return;
 	}
 	node->front.beat = beat;
@@ -244,8 +245,9 @@
 	const char *id;
 
 	if (rj_cell_record_kind(record->key, &kind, &id)) {
-		rj_note("record_bad", RJ_NOTE_TEXT("key", record->key),
-			RJ_NOTE_TEXT("error", "a key that we did not write"));
+		rj_log_event(
+			"record_bad", RJ_LOG_TEXT("key", record->key),
+			RJ_LOG_TEXT("error", "a key that we did not write"));
 		return;
 	}
 	if (kind == RJ_CELL_RECORD_STATE || kind == RJ_CELL_RECORD_BEAT ||
@@ -437,10 +439,10 @@
 	node->acquiring = false;
 	node->acquire_due_us =
 		reply->now_us + ACQUIRE_PAUSE_US + node->stagger_us;
-	rj_note("acquire",
-		RJ_NOTE_TEXT("outcome",
-			     rj_cell_store_status_string[reply->status]),
-		RJ_NOTE_NUMBER("end", reply->end));
+	rj_log_event("acquire",
+		     RJ_LOG_TEXT("outcome",
+				 rj_cell_store_status_string[reply->status]),
+		     RJ_LOG_NUMBER("end", reply->end));
 	node->jobs.due_us = reply->now_us;
 }
 
@@ -538,12 +540,12 @@
 	if (is_owner(node) || node->acquiring || node->draining ||
 	    !should_acquire(node))
 		return;
-	rj_note("owner_silent",
-		RJ_NOTE_TEXT("instance", node->tenure.record.name),
-		RJ_NOTE_NUMBER("token", node->tenure.token),
-		RJ_NOTE_NUMBER("strength", node->tenure.record.strength),
-		RJ_NOTE_AGE_MS("silent_ms",
-			       node->now_us - node->tenure.seen_us));
+	rj_log_event("owner_silent",
+		     RJ_LOG_TEXT("instance", node->tenure.record.name),
+		     RJ_LOG_NUMBER("token", node->tenure.token),
+		     RJ_LOG_NUMBER("strength", node->tenure.record.strength),
+		     RJ_LOG_AGE_MS("silent_ms",
+				   node->now_us - node->tenure.seen_us));
 	write_owner(node);
 }
 
@@ -614,8 +616,8 @@
 		return;
 	node->now_us = now_us;
 	node->draining = true;
-	rj_note("drain", RJ_NOTE_NUMBER("open", node->front.open),
-		RJ_NOTE_NUMBER("owner", is_owner(node)));
+	rj_log_event("drain", RJ_LOG_NUMBER("open", node->front.open),
+		     RJ_LOG_NUMBER("owner", is_owner(node)));
 	rj_cell_owner_leave(&node->owner, now_us);
 }
 
--- a/src/libradishjunction/cell/cell_orders.c
+++ b/src/libradishjunction/cell/cell_orders.c
@@ -4,7 +4,7 @@
 
 #include "private/cell_calls.h"
 #include "private/cell_evacuate.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* An order without an answer is sent again after this. */
 #define ORDER_RETRY_US (100 * RJ_US_PER_MS)
@@ -48,10 +48,10 @@
 static void withdraw(struct rj_cell_owner *owner, struct rj_cell_run *run,
 		     enum rj_cell_order_status status)
 {
-	rj_note("start_refused", RJ_NOTE_TEXT("task", run->name),
-		RJ_NOTE_NUMBER("run", run->number),
-		RJ_NOTE_TEXT("worker", run->worker->id),
-		RJ_NOTE_TEXT("why", rj_cell_order_status_string[status]));
+	rj_log_event("start_refused", RJ_LOG_TEXT("task", run->name),
+		     RJ_LOG_NUMBER("run", run->number),
+		     RJ_LOG_TEXT("worker", run->worker->id),
+		     RJ_LOG_TEXT("why", rj_cell_order_status_string[status]));
 	run->why = rj_cell_order_status_string[status];
 	if (run->task)
 		run->task->not_before_us =
@@ -206,10 +206,10 @@
 	struct rj_cell_order_done done;
 
 	if (!run->order_tries)
-		rj_note("stop", RJ_NOTE_TEXT("task", run->name),
-			RJ_NOTE_NUMBER("run", run->number),
-			RJ_NOTE_TEXT("worker", run->worker->id),
-			RJ_NOTE_TEXT("why", run->why));
+		rj_log_event("stop", RJ_LOG_TEXT("task", run->name),
+			     RJ_LOG_NUMBER("run", run->number),
+			     RJ_LOG_TEXT("worker", run->worker->id),
+			     RJ_LOG_TEXT("why", run->why));
 	done.call = stop_done;
 	done.private_data = rj_cell_call_new(owner, run->worker, run);
 	run->stop_open = true;
@@ -314,9 +314,9 @@
 	if (worker->answers || worker->runs.next == &worker->runs ||
 	    owner->now_us <= worker->lapsed_us)
 		return;
-	rj_note("worker_lapsed", RJ_NOTE_TEXT("worker", worker->id),
-		RJ_NOTE_AGE_MS("answered_ms",
-			       owner->now_us - worker->answered_us));
+	rj_log_event("worker_lapsed", RJ_LOG_TEXT("worker", worker->id),
+		     RJ_LOG_AGE_MS("answered_ms",
+				   owner->now_us - worker->answered_us));
 	worker->given_up_us = owner->now_us;
 	rj_cell_call_lose_runs(owner, worker, "lease_lapsed");
 }
--- a/src/libradishjunction/cell/cell_owner.c
+++ b/src/libradishjunction/cell/cell_owner.c
@@ -8,7 +8,7 @@
 #include "private/cell_flush.h"
 #include "private/cell_plan.h"
 #include "private/cell_starts.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* Plans are this far apart at least, so that what ends together is planned
  * for together. */
@@ -136,8 +136,8 @@
 	if (entry->progress.length &&
 	    rj_cell_progress_decode(entry->progress, work, &owner->fleet,
 				    owner->now_us, &err))
-		rj_note("record_bad", RJ_NOTE_TEXT("job", entry->id),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("record_bad", RJ_LOG_TEXT("job", entry->id),
+			     RJ_LOG_TEXT("error", err.message));
 	/* It has ended and nobody was told, or it was stored by the version
 	 * before. */
 	if (entry->progress.length && !entry->moved)
@@ -155,28 +155,28 @@
 	const struct rj_cell_def *def = entry->def;
 	const struct rj_cell_step *step = &def->steps[0];
 
-	rj_note("job_taken", RJ_NOTE_TEXT("job", entry->id),
-		RJ_NOTE_TEXT("account", def->account),
-		RJ_NOTE_TEXT("queue", def->queue),
-		RJ_NOTE_NUMBER("priority", def->priority),
-		RJ_NOTE_NUMBER("steps", def->step_count),
-		RJ_NOTE_NUMBER("tasks", def->task_count),
-		RJ_NOTE_NUMBER("cpu_milli", step->each.cpu_milli),
-		RJ_NOTE_NUMBER("memory_mb", step->each.memory_mb),
-		RJ_NOTE_NUMBER("accelerators", step->each.accelerators),
-		RJ_NOTE_NUMBER("estimate_ms", step->estimate_ms),
-		RJ_NOTE_NUMBER("gang", step->gang),
-		RJ_NOTE_NUMBER("one_rack", step->one_rack),
-		RJ_NOTE_NUMBER("checkpoints", step->checkpoints),
-		RJ_NOTE_NUMBER("speculative", step->speculative),
-		RJ_NOTE_NUMBER("perpetual", step->perpetual),
-		RJ_NOTE_NUMBER("scavenges", step->scavenges),
-		RJ_NOTE_TEXT("rack", step->rack),
-		RJ_NOTE_TEXT("label", step->label),
-		RJ_NOTE_NUMBER("per_worker_max", step->per_worker_max),
-		RJ_NOTE_NUMBER("may_miss", step->may_miss),
-		RJ_NOTE_NUMBER("target_ms", step->target_ms),
-		RJ_NOTE_NUMBER("repeats", def->repeats));
+	rj_log_event("job_taken", RJ_LOG_TEXT("job", entry->id),
+		     RJ_LOG_TEXT("account", def->account),
+		     RJ_LOG_TEXT("queue", def->queue),
+		     RJ_LOG_NUMBER("priority", def->priority),
+		     RJ_LOG_NUMBER("steps", def->step_count),
+		     RJ_LOG_NUMBER("tasks", def->task_count),
+		     RJ_LOG_NUMBER("cpu_milli", step->each.cpu_milli),
+		     RJ_LOG_NUMBER("memory_mb", step->each.memory_mb),
+		     RJ_LOG_NUMBER("accelerators", step->each.accelerators),
+		     RJ_LOG_NUMBER("estimate_ms", step->estimate_ms),
+		     RJ_LOG_NUMBER("gang", step->gang),
+		     RJ_LOG_NUMBER("one_rack", step->one_rack),
+		     RJ_LOG_NUMBER("checkpoints", step->checkpoints),
+		     RJ_LOG_NUMBER("speculative", step->speculative),
+		     RJ_LOG_NUMBER("perpetual", step->perpetual),
+		     RJ_LOG_NUMBER("scavenges", step->scavenges),
+		     RJ_LOG_TEXT("rack", step->rack),
+		     RJ_LOG_TEXT("label", step->label),
+		     RJ_LOG_NUMBER("per_worker_max", step->per_worker_max),
+		     RJ_LOG_NUMBER("may_miss", step->may_miss),
+		     RJ_LOG_NUMBER("target_ms", step->target_ms),
+		     RJ_LOG_NUMBER("repeats", def->repeats));
 }
 
 /*
@@ -222,9 +222,9 @@
 		worker->left_us = owner->now_us;
 		worker->poll_due_us = owner->now_us;
 	}
-	rj_note("worker_unlisted", RJ_NOTE_TEXT("worker", worker->id),
-		RJ_NOTE_NUMBER("holds", worker->held.memory_mb),
-		RJ_NOTE_NUMBER("left", worker->left_us != 0));
+	rj_log_event("worker_unlisted", RJ_LOG_TEXT("worker", worker->id),
+		     RJ_LOG_NUMBER("holds", worker->held.memory_mb),
+		     RJ_LOG_NUMBER("left", worker->left_us != 0));
 	owner->plan_wanted = true;
 }
 
@@ -263,10 +263,10 @@
 	worker->left_us = 0;
 	rj_cell_polls_trust(owner, worker);
 	if (!worker->listed || was_draining != heartbeat->draining) {
-		rj_note("worker_listed", RJ_NOTE_TEXT("worker", id),
-			RJ_NOTE_TEXT("domain", heartbeat->domain),
-			RJ_NOTE_TEXT("rack", heartbeat->rack),
-			RJ_NOTE_NUMBER("draining", heartbeat->draining));
+		rj_log_event("worker_listed", RJ_LOG_TEXT("worker", id),
+			     RJ_LOG_TEXT("domain", heartbeat->domain),
+			     RJ_LOG_TEXT("rack", heartbeat->rack),
+			     RJ_LOG_NUMBER("draining", heartbeat->draining));
 		/* In a load there is news of all; see rj_cell_polls_loaded. */
 		if (written_us)
 			rj_cell_polls_soon(owner, worker);
@@ -367,10 +367,10 @@
 	}
 	rj_cell_view_drop_progress(owner->view);
 	bound_leases(owner, renewals_us);
-	rj_note("own", RJ_NOTE_NUMBER("token", owner->token),
-		RJ_NOTE_AGE_MS("renewals_ms", renewals_us),
-		RJ_NOTE_NUMBER("jobs", jobs),
-		RJ_NOTE_NUMBER("workers", owner->fleet.count));
+	rj_log_event("own", RJ_LOG_NUMBER("token", owner->token),
+		     RJ_LOG_AGE_MS("renewals_ms", renewals_us),
+		     RJ_LOG_NUMBER("jobs", jobs),
+		     RJ_LOG_NUMBER("workers", owner->fleet.count));
 }
 
 /*
@@ -385,10 +385,10 @@
 
 	if (!owner->active && !owner->taking)
 		return;
-	rj_note("resign", RJ_NOTE_NUMBER("token", owner->token),
-		RJ_NOTE_TEXT("why", why),
-		RJ_NOTE_AGE_MS("stored_ms",
-			       owner->now_us - owner->writer.stored_us));
+	rj_log_event("resign", RJ_LOG_NUMBER("token", owner->token),
+		     RJ_LOG_TEXT("why", why),
+		     RJ_LOG_AGE_MS("stored_ms",
+				   owner->now_us - owner->writer.stored_us));
 	owner->active = false;
 	owner->taking = false;
 	owner->lost = false;
--- a/src/libradishjunction/cell/cell_polls.c
+++ b/src/libradishjunction/cell/cell_polls.c
@@ -5,7 +5,7 @@
 
 #include "private/cell_calls.h"
 #include "private/cell_health.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* A poll waits so long for an end; at most 2,000 by the workers' protocol.
  * Shorter ones find a silent worker sooner, but each has its price. */
@@ -117,9 +117,9 @@
 	run->state = RJ_CELL_RUN_STARTING;
 	run->order_tries = 0;
 	rj_cell_run_order(run, owner->now_us);
-	rj_note("start_again", RJ_NOTE_TEXT("task", run->name),
-		RJ_NOTE_NUMBER("run", run->number),
-		RJ_NOTE_TEXT("worker", run->worker->id));
+	rj_log_event("start_again", RJ_LOG_TEXT("task", run->name),
+		     RJ_LOG_NUMBER("run", run->number),
+		     RJ_LOG_TEXT("worker", run->worker->id));
 	return true;
 }
 
@@ -189,10 +189,10 @@
 static void meet(struct rj_cell_owner *owner, struct rj_cell_worker *worker,
 		 const struct rj_cell_order_reply *reply)
 {
-	rj_note("worker_met", RJ_NOTE_TEXT("worker", worker->id),
-		RJ_NOTE_NUMBER("incarnation", reply->incarnation),
-		RJ_NOTE_NUMBER("before", worker->incarnation),
-		RJ_NOTE_NUMBER("rows", reply->row_count));
+	rj_log_event("worker_met", RJ_LOG_TEXT("worker", worker->id),
+		     RJ_LOG_NUMBER("incarnation", reply->incarnation),
+		     RJ_LOG_NUMBER("before", worker->incarnation),
+		     RJ_LOG_NUMBER("rows", reply->row_count));
 	worker->incarnation = reply->incarnation;
 	worker->seen = 0;
 	worker->seen_taken = 0;
--- a/src/libradishjunction/cell/cell_record.c
+++ b/src/libradishjunction/cell/cell_record.c
@@ -264,14 +264,14 @@
 {
 	uint32_t count = (uint32_t)rj_unpack_number(in, "runs", UINT16_MAX);
 
-	for (uint32_t i = 0; i < count && !in->bad; i++) {
+	for (uint32_t i = 0; i < count && !in->bad_field; i++) {
 		uint32_t place = (uint32_t)rj_unpack_number(
 			in, "worker", workers->len ? workers->len - 1 : 0);
 		uint32_t number =
 			(uint32_t)rj_unpack_number(in, "number", UINT32_MAX);
 		struct rj_cell_run *run;
 
-		if (in->bad || place >= workers->len) {
+		if (in->bad_field || place >= workers->len) {
 			rj_unpack_fail(in, "worker");
 			return;
 		}
@@ -312,13 +312,14 @@
 {
 	uint32_t count = (uint32_t)rj_unpack_number(in, "rounds", UINT16_MAX);
 
-	for (uint32_t i = 0; i < count && !in->bad; i++) {
+	for (uint32_t i = 0; i < count && !in->bad_field; i++) {
 		uint32_t number =
 			(uint32_t)rj_unpack_number(in, "round", UINT32_MAX - 1);
 		struct rj_cell_round *round =
 			rj_cell_work_begin_round(work, number);
 
-		for (uint32_t j = 0; j < work->def->task_count && !in->bad; j++)
+		for (uint32_t j = 0;
+		     j < work->def->task_count && !in->bad_field; j++)
 			read_task(in, &round->tasks[j], workers, now_us);
 	}
 }
@@ -343,7 +344,7 @@
  * knows how long leases last. */
 static void read_unseen(struct rj_unpacker *in, struct rj_cell_work *work)
 {
-	while (!in->bad && in->offset < in->length) {
+	while (!in->bad_field && in->offset < in->length) {
 		uint32_t round = (uint32_t)rj_unpack_number(in, "unseen_round",
 							    UINT32_MAX);
 		uint32_t place = (uint32_t)rj_unpack_number(in, "unseen_task",
@@ -384,11 +385,11 @@
 	work->started = summary.started;
 	begun = (uint32_t)rj_unpack_number(&in, "begun", UINT32_MAX);
 	work->rounds_done = (uint32_t)rj_unpack_number(&in, "done", UINT32_MAX);
-	if (!has_ended(work->state) && !in.bad) {
+	if (!has_ended(work->state) && !in.bad_field) {
 		uint32_t count =
 			(uint32_t)rj_unpack_number(&in, "workers", UINT16_MAX);
 
-		for (uint32_t i = 0; i < count && !in.bad; i++) {
+		for (uint32_t i = 0; i < count && !in.bad_field; i++) {
 			char id[RJ_NAME_BYTES];
 
 			rj_unpack_text(&in, "worker_id", id, sizeof(id));
--- a/src/libradishjunction/cell/cell_starts.c
+++ b/src/libradishjunction/cell/cell_starts.c
@@ -3,7 +3,7 @@
 #include <talloc.h>
 
 #include "private/cell_reach.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* Whether a member of a gang that had better be in one rack starts in another
  * rack than the first. */
@@ -42,12 +42,13 @@
 	if (work->state == RJ_CELL_JOB_QUEUED)
 		work->state = RJ_CELL_JOB_RUNNING;
 	rj_cell_owner_dirty(owner, work);
-	rj_note("place", RJ_NOTE_TEXT("task", run->name),
-		RJ_NOTE_NUMBER("run", run->number),
-		RJ_NOTE_TEXT("worker", choice->worker->id),
-		RJ_NOTE_AGE_MS("heard_ms",
-			       owner->now_us - choice->worker->answered_us),
-		RJ_NOTE_AGE_MS("waited_ms", owner->now_us - task->waiting_us));
+	rj_log_event(
+		"place", RJ_LOG_TEXT("task", run->name),
+		RJ_LOG_NUMBER("run", run->number),
+		RJ_LOG_TEXT("worker", choice->worker->id),
+		RJ_LOG_AGE_MS("heard_ms",
+			      owner->now_us - choice->worker->answered_us),
+		RJ_LOG_AGE_MS("waited_ms", owner->now_us - task->waiting_us));
 }
 
 /* The members of a gang start under one number. */
--- a/src/libradishjunction/cell/cell_view.c
+++ b/src/libradishjunction/cell/cell_view.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "private/note.h"
+#include "private/log_event.h"
 
 /*
  * Prepare an empty view.
@@ -77,8 +77,8 @@
 		return;
 	entry->def = rj_cell_def_decode(entry, record->value, &err);
 	if (!entry->def)
-		rj_note("record_bad", RJ_NOTE_TEXT("job", entry->id),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("record_bad", RJ_LOG_TEXT("job", entry->id),
+			     RJ_LOG_TEXT("error", err.message));
 	entry->seen_us = now_us;
 }
 
@@ -105,8 +105,8 @@
 	struct rj_error err;
 
 	if (rj_cell_summary_decode(record->value, &summary, &err)) {
-		rj_note("record_bad", RJ_NOTE_TEXT("job", entry->id),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("record_bad", RJ_LOG_TEXT("job", entry->id),
+			     RJ_LOG_TEXT("error", err.message));
 		return;
 	}
 	rj_cell_view_tell(entry, &summary, now_us);
@@ -158,8 +158,8 @@
 	struct rj_error err;
 
 	if (rj_cell_progress_summary(record->value, &summary, &err)) {
-		rj_note("record_bad", RJ_NOTE_TEXT("job", entry->id),
-			RJ_NOTE_TEXT("error", err.message));
+		rj_log_event("record_bad", RJ_LOG_TEXT("job", entry->id),
+			     RJ_LOG_TEXT("error", err.message));
 		return;
 	}
 	rj_cell_view_tell(entry, &summary, now_us);
--- a/src/libradishjunction/cell/cell_writer.c
+++ b/src/libradishjunction/cell/cell_writer.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "private/note.h"
+#include "private/log_event.h"
 
 /* An append that was lost is repeated after this: the store answers in 4 ms,
  * and in a quarter of a second when it is slow. */
@@ -177,10 +177,10 @@
  * and a higher epoch lets us go on. */
 static void renew_epoch(struct rj_cell_writer *writer)
 {
-	rj_note("append_out_of_sequence",
-		RJ_NOTE_TEXT("producer", writer->producer),
-		RJ_NOTE_NUMBER("epoch", writer->epoch),
-		RJ_NOTE_NUMBER("sequence", writer->sequence));
+	rj_log_event("append_out_of_sequence",
+		     RJ_LOG_TEXT("producer", writer->producer),
+		     RJ_LOG_NUMBER("epoch", writer->epoch),
+		     RJ_LOG_NUMBER("sequence", writer->sequence));
 	writer->epoch++;
 	writer->sequence = 0;
 	end_batch(writer, RJ_CELL_WRITE_UNKNOWN);
@@ -238,9 +238,10 @@
 		break;
 	default:
 		if (!writer->uncertain)
-			rj_note("append_lost",
-				RJ_NOTE_TEXT("producer", writer->producer),
-				RJ_NOTE_NUMBER("sequence", writer->sequence));
+			rj_log_event(
+				"append_lost",
+				RJ_LOG_TEXT("producer", writer->producer),
+				RJ_LOG_NUMBER("sequence", writer->sequence));
 		writer->lost++;
 		writer->uncertain = true;
 		retry_later(writer);
--- a/src/libradishjunction/config.c
+++ b/src/libradishjunction/config.c
@@ -16,7 +16,7 @@
 #define GUARANTEES_MAX 64
 #define GUARANTEE_COUNT_MAX 4096
 #define CLASSES_MAX 256
-#define OPEN_MAX 1000000
+#define OPEN_JOBS_MAX 1000000
 #define SHARE_MAX 10000
 #define WEEK_S (7 * 24 * 3600)
 #define HOUR_MS (3600 * 1000)
@@ -83,7 +83,7 @@
 	{ RJ_FIELD(u32, rj_account, share), .optional = true, .min = 1,
 	  .max = SHARE_MAX, .fallback = 1 },
 	{ RJ_FIELD(u32, rj_account, open_max), .optional = true, .min = 1,
-	  .max = OPEN_MAX, .fallback = 1000 },
+	  .max = OPEN_JOBS_MAX, .fallback = 1000 },
 	{ RJ_FIELD(array, rj_account, guarantees), .optional = true,
 	  .count_offset = offsetof(struct rj_account, guarantee_count),
 	  .max = GUARANTEES_MAX, .schema = &rj_guarantee_schema },
@@ -110,7 +110,7 @@
 	  .scale = RJ_US_PER_MS,
 	  .offset = offsetof(struct rj_job_class, expected_us) },
 	{ RJ_FIELD(u32, rj_job_class, open_max), .optional = true, .min = 1,
-	  .max = OPEN_MAX, .fallback = 1000 },
+	  .max = OPEN_JOBS_MAX, .fallback = 1000 },
 };
 
 const struct rj_schema rj_job_class_schema = {
@@ -122,7 +122,7 @@
 
 static const struct rj_schema_field limits_fields[] = {
 	{ RJ_FIELD(u32, rj_config_limits, queue_max), .optional = true,
-	  .min = 1, .max = OPEN_MAX, .fallback = 10000 },
+	  .min = 1, .max = OPEN_JOBS_MAX, .fallback = 10000 },
 	{ RJ_FIELD(u32, rj_config_limits, retry_percent), .optional = true,
 	  .max = 100, .fallback = 10 },
 	{ RJ_FIELD(u32, rj_config_limits, lease_life_ms), .optional = true,
@@ -285,8 +285,8 @@
  * Add to `notes` what is allowed but may surprise: work that can be neither
  * repeated nor interrupted never borrows another account's guarantee.
  */
-void rj_config_notes(const struct rj_config *config,
-		     struct rj_error_list *notes)
+void rj_config_warnings(const struct rj_config *config,
+			struct rj_error_list *notes)
 {
 	for (uint32_t i = 0; i < config->class_count; i++) {
 		const struct rj_job_class *class = &config->classes[i];
--- a/src/libradishjunction/config_capacity.c
+++ b/src/libradishjunction/config_capacity.c
@@ -29,15 +29,15 @@
 /*
  * Put all shapes of a guarantee; returns how many tasks found no place.
  */
-static uint64_t lay_guarantee(struct layout *layout,
-			      const struct rj_guarantee *guarantee)
+static uint64_t place_guarantee(struct layout *layout,
+				const struct rj_guarantee *guarantee)
 {
-	uint64_t left = 0;
+	uint64_t unplaced = 0;
 
 	for (uint32_t i = 0; i < guarantee->count; i++)
-		left += rj_layout_place(&layout->workers, &guarantee->shape,
-					NULL);
-	return left;
+		unplaced += rj_layout_place(&layout->workers, &guarantee->shape,
+					    NULL);
+	return unplaced;
 }
 
 /*
@@ -100,13 +100,13 @@
 {
 	const struct rj_domain *domain = layout->domain;
 	const struct rj_shape *shape = &entry->guarantee->shape;
-	uint64_t room = (uint64_t)rj_resources_times(
-				&shape->each, &domain->worker, UINT32_MAX) *
-			domain->workers_per_rack;
+	uint64_t capacity = (uint64_t)rj_resources_times(
+				    &shape->each, &domain->worker, UINT32_MAX) *
+			    domain->workers_per_rack;
 
 	if (!shape->adjacent)
-		room *= domain->racks;
-	if (shape->tasks <= room)
+		capacity *= domain->racks;
+	if (shape->tasks <= capacity)
 		return true;
 	rj_error_list_add(errors, RJ_ERR_INVALID,
 			  "accounts[%u].guarantees[%u].tasks: %u tasks do not "
@@ -114,7 +114,7 @@
 			  "it%s",
 			  entry->account, entry->index, shape->tasks,
 			  shape->adjacent ? "rack" : "failure domain",
-			  domain->name, (unsigned long long)room,
+			  domain->name, (unsigned long long)capacity,
 			  shape->adjacent ? " or set \"adjacent\" to false" :
 					    " or guarantee less");
 	return false;
@@ -179,12 +179,12 @@
 		      sizeof(*layout.entries), compare_entries);
 	for (uint32_t i = 0; i < layout.entry_count; i++) {
 		const struct entry *entry = &layout.entries[i];
-		uint64_t left;
+		uint64_t unplaced;
 
 		if (!entry->fits_alone)
 			continue;
-		left = lay_guarantee(&layout, entry->guarantee);
-		if (!left)
+		unplaced = place_guarantee(&layout, entry->guarantee);
+		if (!unplaced)
 			continue;
 		rj_error_list_add(
 			errors, RJ_ERR_INVALID,
@@ -193,7 +193,7 @@
 			"(%llu tasks are left over); lower it or add racks",
 			entry->account, entry->index, entry->guarantee->count,
 			entry->guarantee->shape.tasks, domain->name,
-			(unsigned long long)left);
+			(unsigned long long)unplaced);
 	}
 	rj_layout_finish(&layout.workers);
 }
--- a/src/libradishjunction/config_change.c
+++ b/src/libradishjunction/config_change.c
@@ -10,16 +10,16 @@
 #include "private/schema.h"
 
 /* Where one operation of a patch takes effect. */
-struct place {
+struct target {
 	json_t *parent; /* borrowed */
-	char *key; /* the last part of the path, unescaped */
+	char *key; /* the last token of the path, unescaped */
 	size_t index; /* of `key`, when the parent is an array */
 };
 
 /*
  * The canonical text of parsed JSON, a talloc child of `mem`.
  */
-static char *canonical(void *mem, const json_t *json)
+static char *canonical_text(void *mem, const json_t *json)
 {
 	char *dumped = json_dumps(json, JSON_COMPACT | JSON_SORT_KEYS);
 	char *text;
@@ -38,7 +38,7 @@
 char *rj_config_canonical(void *mem, const char *text)
 {
 	json_t *json = json_loads(text, JSON_REJECT_DUPLICATES, NULL);
-	char *result = json ? canonical(mem, json) : NULL;
+	char *result = json ? canonical_text(mem, json) : NULL;
 
 	json_decref(json);
 	return result;
@@ -47,34 +47,34 @@
 /*
  * The digest by which a change names its result.
  */
-static void digest_of(uint8_t digest[RJ_DIGEST_BYTES], const char *text)
+static void digest_text(uint8_t digest[RJ_DIGEST_BYTES], const char *text)
 {
-	struct rj_bytes part = { (const uint8_t *)text,
-				 (uint32_t)strlen(text) };
+	struct rj_bytes bytes = { (const uint8_t *)text,
+				  (uint32_t)strlen(text) };
 
-	rj_digest(digest, &part, 1);
+	rj_digest(digest, &bytes, 1);
 }
 
 /*
- * Append one part to a path, escaped as RFC 6901 has it.
+ * Append one token to a path, escaped as RFC 6901 has it.
  */
-static void push_part(GString *path, const char *part)
+static void append_token(GString *path, const char *token)
 {
 	g_string_append_c(path, '/');
-	for (; *part; part++) {
-		if (*part == '~')
+	for (; *token; token++) {
+		if (*token == '~')
 			g_string_append(path, "~0");
-		else if (*part == '/')
+		else if (*token == '/')
 			g_string_append(path, "~1");
 		else
-			g_string_append_c(path, *part);
+			g_string_append_c(path, *token);
 	}
 }
 
 /*
  * Append the number of an element to a path.
  */
-static void push_index(GString *path, size_t index)
+static void append_index(GString *path, size_t index)
 {
 	g_string_append_printf(path, "/%zu", index);
 }
@@ -110,7 +110,7 @@
 	{
 		if (json_object_get(to, key))
 			continue;
-		push_part(path, key);
+		append_token(path, key);
 		add_operation(patch, "remove", path, NULL);
 		g_string_truncate(path, length);
 	}
@@ -118,7 +118,7 @@
 	{
 		json_t *old = json_object_get(from, key);
 
-		push_part(path, key);
+		append_token(path, key);
 		if (old)
 			add_difference(patch, path, old, value);
 		else
@@ -150,18 +150,18 @@
 		to_end--;
 	}
 	for (; at < from_end && at < to_end; at++) {
-		push_index(path, at);
+		append_index(path, at);
 		add_difference(patch, path, json_array_get(from, at),
 			       json_array_get(to, at));
 		g_string_truncate(path, length);
 	}
 	for (; from_end > at; from_end--) {
-		push_index(path, from_end - 1);
+		append_index(path, from_end - 1);
 		add_operation(patch, "remove", path, NULL);
 		g_string_truncate(path, length);
 	}
 	for (; at < to_end; at++) {
-		push_index(path, at);
+		append_index(path, at);
 		add_operation(patch, "add", path, json_array_get(to, at));
 		g_string_truncate(path, length);
 	}
@@ -204,9 +204,9 @@
 	if (!json_is_object(from) || !json_is_object(to))
 		goto out;
 	add_difference(patch, path, from, to);
-	change->patch = canonical(mem, patch);
-	whole = canonical(mem, to);
-	digest_of(change->digest, whole);
+	change->patch = canonical_text(mem, patch);
+	whole = canonical_text(mem, to);
+	digest_text(change->digest, whole);
 	if (strlen(change->patch) <= RJ_CONFIG_CHANGE_MAX_BYTES &&
 	    strlen(change->patch) < strlen(whole))
 		result = 0;
@@ -220,16 +220,16 @@
 }
 
 /*
- * Undo the escapes of one part of a path, in place.
+ * Undo the escapes of one token of a path, in place.
  */
-static void unescape(char *part)
+static void unescape(char *token)
 {
-	char *out = part;
+	char *out = token;
 
-	for (; *part; part++) {
-		*out = *part;
-		if (*part == '~' && (part[1] == '0' || part[1] == '1'))
-			*out = *++part == '0' ? '~' : '/';
+	for (; *token; token++) {
+		*out = *token;
+		if (*token == '~' && (token[1] == '0' || token[1] == '1'))
+			*out = *++token == '0' ? '~' : '/';
 		out++;
 	}
 	*out = 0;
@@ -238,92 +238,92 @@
 /*
  * The number of an array's element, which may be one past its last.
  */
-static bool index_of(const json_t *array, const char *part, size_t *index)
+static bool parse_index(const json_t *array, const char *token, size_t *index)
 {
-	size_t digits = strspn(part, "0123456789");
+	size_t digits = strspn(token, "0123456789");
 
-	if (!digits || part[digits] || (part[0] == '0' && digits > 1))
+	if (!digits || token[digits] || (token[0] == '0' && digits > 1))
 		return false;
-	*index = (size_t)strtoul(part, NULL, 10);
+	*index = (size_t)strtoul(token, NULL, 10);
 	return *index <= json_array_size(array);
 }
 
 /*
- * The value that one part of a path leads to, or NULL.
+ * The value that one token of a path leads to, or NULL.
  */
-static json_t *step(json_t *from, const char *part)
+static json_t *child_of(json_t *from, const char *token)
 {
 	size_t index;
 
 	if (json_is_object(from))
-		return json_object_get(from, part);
-	if (json_is_array(from) && index_of(from, part, &index))
+		return json_object_get(from, token);
+	if (json_is_array(from) && parse_index(from, token, &index))
 		return json_array_get(from, index);
 	return NULL;
 }
 
 /*
- * Walk a path down to its last part. Returns whether it leads somewhere; the
+ * Walk a path down to its last token. Returns whether it leads somewhere; the
  * key is a talloc child of `mem`.
  *
  * The path "/" names a field without a name, which no configuration has.
  * Guards against a patch with it, which would crash every reader of the log,
- * since the library splits an empty text into no parts at all.
+ * since the library splits an empty text into no tokens at all.
  */
-static bool find_place(void *mem, json_t *document, const char *path,
-		       struct place *place)
+static bool find_target(void *mem, json_t *document, const char *path,
+			struct target *target)
 {
-	char **parts;
+	char **tokens;
 	guint count;
 	bool found = false;
 
 	if (path[0] != '/' || !path[1])
 		return false;
-	parts = g_strsplit(path + 1, "/", 0);
-	count = g_strv_length(parts);
-	place->parent = document;
-	for (guint i = 0; place->parent && i + 1 < count; i++) {
-		unescape(parts[i]);
-		place->parent = step(place->parent, parts[i]);
+	tokens = g_strsplit(path + 1, "/", 0);
+	count = g_strv_length(tokens);
+	target->parent = document;
+	for (guint i = 0; target->parent && i + 1 < count; i++) {
+		unescape(tokens[i]);
+		target->parent = child_of(target->parent, tokens[i]);
 	}
-	if (!place->parent)
+	if (!target->parent)
 		goto out;
-	unescape(parts[count - 1]);
-	place->key = talloc_strdup(mem, parts[count - 1]);
-	assert(place->key);
-	found = json_is_object(place->parent) ||
-		(json_is_array(place->parent) &&
-		 index_of(place->parent, place->key, &place->index));
+	unescape(tokens[count - 1]);
+	target->key = talloc_strdup(mem, tokens[count - 1]);
+	assert(target->key);
+	found = json_is_object(target->parent) ||
+		(json_is_array(target->parent) &&
+		 parse_index(target->parent, target->key, &target->index));
 out:
-	g_strfreev(parts);
+	g_strfreev(tokens);
 	return found;
 }
 
 /*
  * Add, remove or replace a field of an object; false if it cannot be.
  */
-static bool change_field(const struct place *place, const char *name,
-			 json_t *value)
+static bool apply_to_object(const struct target *target, const char *name,
+			    json_t *value)
 {
 	if (!strcmp(name, "remove"))
-		return !json_object_del(place->parent, place->key);
+		return !json_object_del(target->parent, target->key);
 	if (!strcmp(name, "replace") &&
-	    !json_object_get(place->parent, place->key))
+	    !json_object_get(target->parent, target->key))
 		return false;
-	return !json_object_set(place->parent, place->key, value);
+	return !json_object_set(target->parent, target->key, value);
 }
 
 /*
  * Add, remove or replace an element of an array; false if it cannot be.
  */
-static bool change_element(const struct place *place, const char *name,
+static bool apply_to_array(const struct target *target, const char *name,
 			   json_t *value)
 {
 	if (!strcmp(name, "remove"))
-		return !json_array_remove(place->parent, place->index);
+		return !json_array_remove(target->parent, target->index);
 	if (!strcmp(name, "replace"))
-		return !json_array_set(place->parent, place->index, value);
-	return !json_array_insert(place->parent, place->index, value);
+		return !json_array_set(target->parent, target->index, value);
+	return !json_array_insert(target->parent, target->index, value);
 }
 
 /*
@@ -337,18 +337,18 @@
 	const char *path =
 		json_string_value(json_object_get(operation, "path"));
 	json_t *value = json_object_get(operation, "value");
-	struct place place;
+	struct target target;
 
-	if (!name || !path || !find_place(mem, document, path, &place))
+	if (!name || !path || !find_target(mem, document, path, &target))
 		return false;
 	if (strcmp(name, "remove") != 0 && strcmp(name, "add") != 0 &&
 	    strcmp(name, "replace") != 0)
 		return false;
 	if (strcmp(name, "remove") != 0 && !value)
 		return false;
-	return json_is_object(place.parent) ?
-		       change_field(&place, name, value) :
-		       change_element(&place, name, value);
+	return json_is_object(target.parent) ?
+		       apply_to_object(&target, name, value) :
+		       apply_to_array(&target, name, value);
 }
 
 /*
@@ -359,18 +359,18 @@
 {
 	void *mem = talloc_new(NULL);
 	json_t *operation;
-	int bad = -1;
+	int failed = -1;
 	size_t i;
 
 	json_array_foreach(patch, i, operation)
 	{
 		if (apply_operation(mem, document, operation))
 			continue;
-		bad = (int)i;
+		failed = (int)i;
 		break;
 	}
 	talloc_free(mem);
-	return bad;
+	return failed;
 }
 
 /*
@@ -387,7 +387,7 @@
 {
 	uint8_t digest[RJ_DIGEST_BYTES];
 
-	digest_of(digest, result);
+	digest_text(digest, result);
 	return !memcmp(digest, change->digest, RJ_DIGEST_BYTES);
 }
 
@@ -406,7 +406,7 @@
 	json_t *document = rj_schema_load(base, errors);
 	json_t *patch = rj_schema_load(change->patch, errors);
 	char *result = NULL;
-	int bad;
+	int failed;
 
 	if (!document || !patch)
 		goto out;
@@ -419,15 +419,15 @@
 				  RJ_CONFIG_CHANGE_MAX_BYTES);
 		goto out;
 	}
-	bad = apply_patch(document, patch);
-	if (bad >= 0) {
+	failed = apply_patch(document, patch);
+	if (failed >= 0) {
 		rj_error_list_add(errors, RJ_ERR_INVALID,
 				  "change[%d]: does not fit the configuration "
 				  "that it names as its base; publish again",
-				  bad);
+				  failed);
 		goto out;
 	}
-	result = canonical(mem, document);
+	result = canonical_text(mem, document);
 	if (!is_intended(result, change)) {
 		rj_error_list_add(errors, RJ_ERR_INVALID,
 				  "change: its result has another digest than "
--- a/src/libradishjunction/config_log.c
+++ b/src/libradishjunction/config_log.c
@@ -6,7 +6,7 @@
 
 /* What a new reader reads of a long stream: a carried one stands in its
  * first half, unless nobody carried in time. */
-#define SKIP_RECORDS (2UL * RJ_CONFIG_CARRY_RECORDS)
+#define SKIP_WINDOW_RECORDS (2UL * RJ_CONFIG_CARRY_RECORDS)
 
 const char *const rj_config_verdict_string[RJ_CONFIG_VERDICT_COUNT] = {
 	[RJ_CONFIG_ACCEPTED] = "accepted",
@@ -14,8 +14,8 @@
 	[RJ_CONFIG_STALE] = "stale",
 	[RJ_CONFIG_BAD_TEXT] = "bad_text",
 	[RJ_CONFIG_BAD_CHANGE] = "bad_change",
-	[RJ_CONFIG_NOT_ONE] = "not_one",
-	[RJ_CONFIG_UNJUDGED] = "unjudged",
+	[RJ_CONFIG_MALFORMED] = "not_one",
+	[RJ_CONFIG_UNDECIDED] = "unjudged",
 	[RJ_CONFIG_READ_AGAIN] = "read_again",
 };
 
@@ -37,7 +37,7 @@
  * ones before it, and put a refused one in force. It holds because with a
  * gap nothing is judged until a carried record tells where to start.
  */
-void rj_config_log_batch(struct rj_config_log *log, uint64_t oldest)
+void rj_config_log_begin_batch(struct rj_config_log *log, uint64_t oldest)
 {
 	log->oldest = oldest;
 	if (oldest <= log->next)
@@ -48,7 +48,7 @@
 
 /*
  * Of a long stream, go straight to its newest records; `head` is one past
- * the newest offset. To be called after `rj_config_log_batch`.
+ * the newest offset. To be called after `rj_config_log_begin_batch`.
  *
  * A reader without a configuration would else apply every change that the
  * log keeps: 45,000 in a week at 6,400 a day. Going on from there is safe,
@@ -56,7 +56,7 @@
  * tells where to start. Where none is found, the stream is read from its
  * oldest record after all.
  */
-void rj_config_log_skip(struct rj_config_log *log, uint64_t head)
+void rj_config_log_skip_ahead(struct rj_config_log *log, uint64_t head)
 {
 	if (log->config)
 		return;
@@ -66,11 +66,11 @@
 		log->gap = log->oldest > 0;
 		return;
 	}
-	if (log->skip_tried || head < log->next + SKIP_RECORDS)
+	if (log->skip_tried || head < log->next + SKIP_WINDOW_RECORDS)
 		return;
 	log->skip_tried = true;
 	log->skipped = true;
-	log->next = head - SKIP_RECORDS;
+	log->next = head - SKIP_WINDOW_RECORDS;
 	log->gap = true;
 }
 
@@ -85,7 +85,7 @@
 /*
  * Whether `id` names the publication in force.
  */
-static bool in_force(const struct rj_config_log *log, const char *id)
+static bool is_active(const struct rj_config_log *log, const char *id)
 {
 	return log->config && !strcmp(log->config->id, id);
 }
@@ -93,7 +93,7 @@
 /*
  * Let go of the change that made the configuration before this one.
  */
-static void forget_change(struct rj_config_log *log)
+static void drop_change(struct rj_config_log *log)
 {
 	talloc_free((void *)(uintptr_t)log->change.patch);
 	memset(&log->change, 0, sizeof(log->change));
@@ -102,9 +102,9 @@
 /*
  * Put the text in force as `revision`, unless it has errors.
  */
-static bool put_in_force(struct rj_config_log *log, uint64_t revision,
-			 const char *id, const char *text,
-			 struct rj_error_list *errors)
+static bool activate_text(struct rj_config_log *log, uint64_t revision,
+			  const char *id, const char *text,
+			  struct rj_error_list *errors)
 {
 	struct rj_config *config = rj_config_parse(log->mem, text, errors);
 
@@ -115,7 +115,7 @@
 	memcpy(config->id, id, strlen(id) + 1);
 	rj_config_unref(log->config);
 	log->config = config;
-	forget_change(log);
+	drop_change(log);
 	return true;
 }
 
@@ -123,7 +123,7 @@
  * What `change` makes of the configuration in force, a talloc child of the
  * fold's memory, or NULL with the error added to `errors`.
  */
-static char *changed_text(struct rj_config_log *log,
+static char *apply_change(struct rj_config_log *log,
 			  const struct rj_config_change *change,
 			  struct rj_error_list *errors)
 {
@@ -141,17 +141,17 @@
  * the change for peers who are one revision behind.
  */
 static enum rj_config_verdict
-put_change_in_force(struct rj_config_log *log, uint64_t revision,
-		    const char *id, const struct rj_config_change *change,
-		    struct rj_error_list *errors)
+activate_change(struct rj_config_log *log, uint64_t revision, const char *id,
+		const struct rj_config_change *change,
+		struct rj_error_list *errors)
 {
-	char *text = changed_text(log, change, errors);
+	char *text = apply_change(log, change, errors);
 	enum rj_config_verdict verdict = RJ_CONFIG_BAD_CHANGE;
 
 	if (!text)
 		return verdict;
 	verdict = RJ_CONFIG_BAD_TEXT;
-	if (put_in_force(log, revision, id, text, errors)) {
+	if (activate_text(log, revision, id, text, errors)) {
 		log->change = *change;
 		log->change.patch = talloc_strdup(log->mem, change->patch);
 		assert(log->change.patch);
@@ -175,7 +175,7 @@
 /*
  * Read on from `as_of`, where the configuration in force was current.
  */
-static void start_from(struct rj_config_log *log, uint64_t as_of)
+static void resume_from(struct rj_config_log *log, uint64_t as_of)
 {
 	log->next = as_of;
 	log->as_of = as_of;
@@ -196,10 +196,10 @@
 {
 	uint64_t revision = rj_config_log_revision(log);
 	bool same = record->revision == revision &&
-		    in_force(log, record->config_id);
+		    is_active(log, record->config_id);
 
 	if (record->as_of > record->offset || !record->config_text)
-		return RJ_CONFIG_NOT_ONE;
+		return RJ_CONFIG_MALFORMED;
 	if (same)
 		set_anchor(log, record, now_us);
 	if (record->revision < revision || (same && !log->gap))
@@ -207,12 +207,12 @@
 	if (record->revision == revision && !same)
 		return RJ_CONFIG_STALE;
 	if (record->as_of < log->oldest)
-		return RJ_CONFIG_UNJUDGED;
-	if (!same && !put_in_force(log, record->revision, record->config_id,
-				   record->config_text, errors))
+		return RJ_CONFIG_UNDECIDED;
+	if (!same && !activate_text(log, record->revision, record->config_id,
+				    record->config_text, errors))
 		return RJ_CONFIG_BAD_TEXT;
 	set_anchor(log, record, now_us);
-	start_from(log, record->as_of);
+	resume_from(log, record->as_of);
 	return same ? RJ_CONFIG_REPEATED : RJ_CONFIG_ACCEPTED;
 }
 
@@ -224,21 +224,20 @@
 					      struct rj_error_list *errors)
 {
 	if (record->revision != record->base_revision + 1)
-		return RJ_CONFIG_NOT_ONE;
-	if (in_force(log, record->config_id))
+		return RJ_CONFIG_MALFORMED;
+	if (is_active(log, record->config_id))
 		return RJ_CONFIG_REPEATED;
 	if (record->base_revision < rj_config_log_revision(log))
 		return RJ_CONFIG_STALE;
 	if (log->gap)
-		return RJ_CONFIG_UNJUDGED;
+		return RJ_CONFIG_UNDECIDED;
 	if (record->base_revision != rj_config_log_revision(log))
 		return RJ_CONFIG_STALE;
 	if (record->config_change.patch)
-		return put_change_in_force(log, record->revision,
-					   record->config_id,
-					   &record->config_change, errors);
-	if (!put_in_force(log, record->revision, record->config_id,
-			  record->config_text, errors))
+		return activate_change(log, record->revision, record->config_id,
+				       &record->config_change, errors);
+	if (!activate_text(log, record->revision, record->config_id,
+			   record->config_text, errors))
 		return RJ_CONFIG_BAD_TEXT;
 	return RJ_CONFIG_ACCEPTED;
 }
@@ -267,7 +266,7 @@
 					   uint64_t now_us,
 					   struct rj_error_list *errors)
 {
-	enum rj_config_verdict verdict = RJ_CONFIG_NOT_ONE;
+	enum rj_config_verdict verdict = RJ_CONFIG_MALFORMED;
 
 	if (record->offset != log->next)
 		return RJ_CONFIG_READ_AGAIN;
@@ -302,19 +301,19 @@
 static void end_gap(struct rj_config_log *log, uint64_t revision,
 		    const char *id, uint64_t as_of)
 {
-	if (revision == rj_config_log_revision(log) && in_force(log, id) &&
+	if (revision == rj_config_log_revision(log) && is_active(log, id) &&
 	    log->gap && as_of >= log->oldest)
-		start_from(log, as_of);
+		resume_from(log, as_of);
 }
 
 /*
  * A peer's configuration came into force: read on from where it had read.
  */
-static void adopted(struct rj_config_log *log, uint64_t as_of)
+static void finish_adoption(struct rj_config_log *log, uint64_t as_of)
 {
 	log->as_of = as_of;
 	if (as_of >= log->oldest)
-		start_from(log, as_of);
+		resume_from(log, as_of);
 }
 
 /*
@@ -329,9 +328,9 @@
 {
 	end_gap(log, revision, id, as_of);
 	if (!is_newer(log, revision, id) ||
-	    !put_in_force(log, revision, id, text, errors))
+	    !activate_text(log, revision, id, text, errors))
 		return false;
-	adopted(log, as_of);
+	finish_adoption(log, as_of);
 	return true;
 }
 
@@ -353,10 +352,10 @@
 	end_gap(log, revision, id, as_of);
 	if (!is_newer(log, revision, id) ||
 	    revision != rj_config_log_revision(log) + 1 ||
-	    put_change_in_force(log, revision, id, change, errors) !=
+	    activate_change(log, revision, id, change, errors) !=
 		    RJ_CONFIG_ACCEPTED)
 		return false;
-	adopted(log, as_of);
+	finish_adoption(log, as_of);
 	return true;
 }
 
@@ -380,8 +379,8 @@
  * Fill the record that carries the configuration in force. It points into
  * `log` until that changes.
  */
-void rj_config_log_carry(const struct rj_config_log *log,
-			 struct rj_record *record)
+void rj_config_log_fill_carried(const struct rj_config_log *log,
+				struct rj_record *record)
 {
 	assert(log->config);
 	memset(record, 0, sizeof(*record));
@@ -400,6 +399,6 @@
 void rj_config_log_finish(struct rj_config_log *log)
 {
 	rj_config_unref(log->config);
-	forget_change(log);
+	drop_change(log);
 	memset(log, 0, sizeof(*log));
 }
--- a/src/libradishjunction/core/capacity.c
+++ b/src/libradishjunction/core/capacity.c
@@ -336,7 +336,7 @@
 			rj_capacity_find(capacity, members[i].worker);
 
 		assert(worker && worker->tasks >= members[i].tasks);
-		rj_resources_take(&worker->taken, each, members[i].tasks);
+		rj_resources_subtract(&worker->taken, each, members[i].tasks);
 		worker->tasks -= members[i].tasks;
 		refresh(worker);
 		if (worker->gone && !worker->tasks)
--- a/src/libradishjunction/core/controllers/claims_controller.c
+++ b/src/libradishjunction/core/controllers/claims_controller.c
@@ -245,7 +245,7 @@
 	struct rj_record record;
 
 	rj_core_count(job->core, RJ_COUNT_VOIDS);
-	rj_core_log(job->core, RJ_LOG_VOID, RJ_REASON_LEASE_LAPSED, job, NULL);
+	rj_core_log(job->core, RJ_LOG_VOID, RJ_REASON_LEASE_EXPIRED, job, NULL);
 	fill_record(job, RJ_RECORD_VOID, &record);
 	rj_log_append(job->core, RJ_STREAM_JOBS, &record);
 	job->claimed = false;
--- a/src/libradishjunction/core/controllers/config_controller.c
+++ b/src/libradishjunction/core/controllers/config_controller.c
@@ -71,8 +71,8 @@
 {
 	struct rj_error_list errors;
 
-	rj_config_log_batch(&core->config_log, records->oldest);
-	rj_config_log_skip(&core->config_log, records->head);
+	rj_config_log_begin_batch(&core->config_log, records->oldest);
+	rj_config_log_skip_ahead(&core->config_log, records->head);
 	for (uint32_t i = 0; i < records->count; i++) {
 		enum rj_config_verdict verdict;
 
@@ -177,6 +177,6 @@
 	if (!rj_ownership_owns(core, core->domain, core->config->revision))
 		return;
 	core->config_carried_us = core->now_us;
-	rj_config_log_carry(&core->config_log, &record);
+	rj_config_log_fill_carried(&core->config_log, &record);
 	rj_log_append(core, RJ_STREAM_CONFIG, &record);
 }
--- a/src/libradishjunction/core/controllers/racks_controller.c
+++ b/src/libradishjunction/core/controllers/racks_controller.c
@@ -176,7 +176,7 @@
 	if (!rj_upstreams_usable(upstream))
 		return 0;
 	while (tasks < most && rj_resources_fit(&shape->each, &left)) {
-		rj_resources_take(&left, &shape->each, 1);
+		rj_resources_subtract(&left, &shape->each, 1);
 		tasks++;
 	}
 	return tasks;
--- a/src/libradishjunction/core/controllers/recovery_controller.c
+++ b/src/libradishjunction/core/controllers/recovery_controller.c
@@ -81,7 +81,7 @@
 				 rj_core_jitter_us(core, RJ_COME_BACK_US));
 		return;
 	}
-	rj_job_requeue(job, 0, RJ_REASON_LEASE_LAPSED);
+	rj_job_requeue(job, 0, RJ_REASON_LEASE_EXPIRED);
 }
 
 /* Whether the planner here knows the workers of every member. */
--- a/src/libradishjunction/core/controllers/run_controller.c
+++ b/src/libradishjunction/core/controllers/run_controller.c
@@ -250,13 +250,13 @@
 	if (member->upstream)
 		rj_upstreams_poll_soon(job->core, member->upstream);
 	if (job->member_count > 1) {
-		rj_job_stop_after_failure(job, RJ_REASON_LEASE_LAPSED);
+		rj_job_stop_after_failure(job, RJ_REASON_LEASE_EXPIRED);
 		return;
 	}
 	job->started = false;
 	if (job->claimed)
 		rj_claims_void(job);
-	rj_job_retry(job, RJ_REASON_LEASE_LAPSED);
+	rj_job_retry(job, RJ_REASON_LEASE_EXPIRED);
 }
 
 /*
--- a/src/libradishjunction/core/controllers/stop_controller.c
+++ b/src/libradishjunction/core/controllers/stop_controller.c
@@ -37,7 +37,7 @@
 	if (job->cancelled)
 		rj_job_give_up(job, job->final.reason, 0);
 	else if (!rj_job_leave_bodiless(job))
-		rj_job_retry(job, RJ_REASON_LEASE_LAPSED);
+		rj_job_retry(job, RJ_REASON_LEASE_EXPIRED);
 }
 
 /* Every member has stopped: end the job or let it wait again. */
--- a/src/libradishjunction/core/controllers/upstreams_controller.c
+++ b/src/libradishjunction/core/controllers/upstreams_controller.c
@@ -439,7 +439,7 @@
 			continue;
 		if (!rj_resources_fit(&task->each, &left))
 			return (struct rj_resources){ 0 };
-		rj_resources_take(&left, &task->each, 1);
+		rj_resources_subtract(&left, &task->each, 1);
 	}
 	return left;
 }
--- a/src/libradishjunction/core/ledger.c
+++ b/src/libradishjunction/core/ledger.c
@@ -175,9 +175,9 @@
 	uint32_t at = 0;
 
 	assert(share);
-	rj_resources_take(&share->used, each, tasks);
+	rj_resources_subtract(&share->used, each, tasks);
 	if (!entry->job.stoppable)
-		rj_resources_take(&share->pinned, each, tasks);
+		rj_resources_subtract(&share->pinned, each, tasks);
 	if (rj_ledger_stays(&entry->job))
 		ledger->staying -= each->accelerators * tasks;
 	while (ledger->runs[at].entry != entry)
@@ -243,7 +243,7 @@
 	others = ledger->bound;
 	if (share) {
 		own = larger(&share->guaranteed, &share->pinned);
-		rj_resources_take(&others, &own, 1);
+		rj_resources_subtract(&others, &own, 1);
 		rj_resources_take_or_zero(&room, &share->pinned);
 	}
 	rj_resources_take_or_zero(&room, &others);
--- a/src/libradishjunction/core/topology_reclaim.c
+++ b/src/libradishjunction/core/topology_reclaim.c
@@ -263,9 +263,9 @@
 			rj_resources_add(&share->evicted,
 					 &entry->job.shape.each, member->tasks);
 		else
-			rj_resources_take(&share->evicted,
-					  &entry->job.shape.each,
-					  member->tasks);
+			rj_resources_subtract(&share->evicted,
+					      &entry->job.shape.each,
+					      member->tasks);
 		if (worker->ledger->site_stamp == search->state->stamp)
 			refit(search, worker->ledger->site_index);
 	}
--- a/src/libradishjunction/core/topology_reserve.c
+++ b/src/libradishjunction/core/topology_reserve.c
@@ -89,8 +89,8 @@
 	if (!entry->granted)
 		return;
 	entry->granted = false;
-	rj_resources_take(&entry->account->granted, &entry->job.shape.each,
-			  entry->job.shape.tasks);
+	rj_resources_subtract(&entry->account->granted, &entry->job.shape.each,
+			      entry->job.shape.tasks);
 }
 
 /*
--- a/src/libradishjunction/guarantee_layout.c
+++ b/src/libradishjunction/guarantee_layout.c
@@ -51,9 +51,9 @@
 /*
  * Note that tasks were put on a worker, if the caller wants to know.
  */
-static void note_part(const struct rj_layout *layout,
-		      struct rj_layout_parts *parts, uint32_t worker,
-		      uint32_t tasks)
+static void record_part(const struct rj_layout *layout,
+			struct rj_layout_parts *parts, uint32_t worker,
+			uint32_t tasks)
 {
 	uint32_t width = layout->domain->workers_per_rack;
 
@@ -73,10 +73,10 @@
  * that hold the fewest of them, so that whole workers stay whole. Returns
  * how many found no place.
  */
-static uint32_t lay_tasks(struct rj_layout *layout,
-			  const struct rj_resources *each, uint32_t tasks,
-			  uint32_t first, uint32_t count,
-			  struct rj_layout_parts *parts)
+static uint32_t place_tasks(struct rj_layout *layout,
+			    const struct rj_resources *each, uint32_t tasks,
+			    uint32_t first, uint32_t count,
+			    struct rj_layout_parts *parts)
 {
 	while (tasks) {
 		uint32_t best_fit = UINT32_MAX;
@@ -94,8 +94,8 @@
 		if (best_fit == UINT32_MAX)
 			return tasks;
 		best_fit = MIN(best_fit, tasks);
-		rj_resources_take(&layout->free[best], each, best_fit);
-		note_part(layout, parts, best, best_fit);
+		rj_resources_subtract(&layout->free[best], each, best_fit);
+		record_part(layout, parts, best, best_fit);
 		tasks -= best_fit;
 	}
 	return 0;
@@ -128,22 +128,23 @@
 			 struct rj_layout_parts *parts)
 {
 	uint32_t width = layout->domain->workers_per_rack;
-	uint64_t best_room = UINT64_MAX;
+	uint64_t best_free_tasks = UINT64_MAX;
 	uint32_t best = 0;
 
 	for (uint32_t rack = 0; rack < layout->domain->racks; rack++) {
-		uint64_t room = tasks_in_rack(layout, rack, &shape->each);
+		uint64_t free_tasks = tasks_in_rack(layout, rack, &shape->each);
 
-		if (room >= shape->tasks && room < best_room) {
-			best_room = room;
+		if (free_tasks >= shape->tasks &&
+		    free_tasks < best_free_tasks) {
+			best_free_tasks = free_tasks;
 			best = rack;
 		}
 	}
-	if (best_room == UINT64_MAX && shape->adjacent)
+	if (best_free_tasks == UINT64_MAX && shape->adjacent)
 		return shape->tasks;
-	if (best_room == UINT64_MAX)
-		return lay_tasks(layout, &shape->each, shape->tasks, 0,
-				 layout->domain->racks * width, parts);
-	return lay_tasks(layout, &shape->each, shape->tasks, best * width,
-			 width, parts);
+	if (best_free_tasks == UINT64_MAX)
+		return place_tasks(layout, &shape->each, shape->tasks, 0,
+				   layout->domain->racks * width, parts);
+	return place_tasks(layout, &shape->each, shape->tasks, best * width,
+			   width, parts);
 }
--- a/src/libradishjunction/http_client.c
+++ b/src/libradishjunction/http_client.c
@@ -17,7 +17,7 @@
  */
 #define KEEPALIVE_S 5L
 /* Handles kept for the next calls: an owner ends so many at a time. */
-#define SPARE_HANDLES_MAX 64
+#define IDLE_HANDLES_MAX 64
 
 const char *const rj_http_outcome_string[RJ_HTTP_OUTCOME_COUNT] = {
 	[RJ_HTTP_ANSWERED] = "answered",
@@ -29,28 +29,28 @@
 	struct rj_list link; /* in the client's open transfers */
 	struct rj_http_client *client;
 	uint64_t deadline_us;
-	GSequenceIter *in_deadlines;
+	GSequenceIter *deadline_iter;
 	CURL *easy;
 	struct curl_slist *headers; /* NULL: those of the client */
 	char *body;
 	size_t length;
 	size_t sent; /* bytes of the body that libcurl has taken */
 	bool has_body;
-	struct rj_buffer answer;
-	size_t answer_max;
+	struct rj_buffer response;
+	size_t response_max_bytes;
 	bool too_long;
 	void (*done)(void *private_data, const struct rj_http_result *result);
 	void *private_data;
 };
 
 /* A handle: one that was used before, or a new one. */
-static CURL *obtain_handle(struct rj_http_client *client)
+static CURL *acquire_handle(struct rj_http_client *client)
 {
 	CURL *easy;
 
-	if (client->spare->len)
-		return g_ptr_array_steal_index_fast(client->spare,
-						    client->spare->len - 1);
+	if (client->idle_handles->len)
+		return g_ptr_array_steal_index_fast(
+			client->idle_handles, client->idle_handles->len - 1);
 	easy = curl_easy_init();
 	assert(easy);
 	return easy;
@@ -59,19 +59,19 @@
 /* Keep a handle for the next call; its options are those of a new one. */
 static void release_handle(struct rj_http_client *client, CURL *easy)
 {
-	if (client->spare->len >= SPARE_HANDLES_MAX) {
+	if (client->idle_handles->len >= IDLE_HANDLES_MAX) {
 		curl_easy_cleanup(easy);
 		return;
 	}
 	curl_easy_reset(easy);
-	g_ptr_array_add(client->spare, easy);
+	g_ptr_array_add(client->idle_handles, easy);
 }
 
 /* libcurl must let go of the handle before it is used again. */
 static int transfer_destructor(struct transfer *transfer)
 {
 	rj_list_remove(&transfer->link);
-	g_sequence_remove(transfer->in_deadlines);
+	g_sequence_remove(transfer->deadline_iter);
 	curl_multi_remove_handle(transfer->client->multi, transfer->easy);
 	release_handle(transfer->client, transfer->easy);
 	curl_slist_free_all(transfer->headers);
@@ -100,22 +100,22 @@
 }
 
 /* Keep a part of the answer; a short count makes libcurl fail the transfer. */
-static size_t write_answer(char *data, size_t size, size_t count,
-			   void *private_data)
+static size_t write_response(char *data, size_t size, size_t count,
+			     void *private_data)
 {
 	struct transfer *transfer = private_data;
 	size_t length = size * count;
 
-	if (transfer->answer.length + length > transfer->answer_max) {
+	if (transfer->response.length + length > transfer->response_max_bytes) {
 		transfer->too_long = true;
 		return 0;
 	}
-	rj_buffer_append(&transfer->answer, transfer, data, length);
+	rj_buffer_append(&transfer->response, transfer, data, length);
 	return length;
 }
 
 /* Tell how the transfer ended and free it. */
-static void transfer_end(struct transfer *transfer, CURLcode code)
+static void finish_transfer(struct transfer *transfer, CURLcode code)
 {
 	struct rj_http_result result = { .outcome = RJ_HTTP_LOST };
 	long status = 0;
@@ -126,8 +126,8 @@
 		result.outcome = RJ_HTTP_ANSWERED;
 		result.status = (uint32_t)status;
 		result.body =
-			transfer->answer.data ? transfer->answer.data : "";
-		result.length = transfer->answer.length;
+			transfer->response.data ? transfer->response.data : "";
+		result.length = transfer->response.length;
 	} else if (transfer->has_body && !transfer->sent) {
 		/* A server does not act on a request whose body it lacks. */
 		result.outcome = RJ_HTTP_NOT_SENT;
@@ -139,7 +139,7 @@
 }
 
 /* Report every transfer that libcurl has ended. */
-static void reap(struct rj_http_client *client)
+static void report_completed(struct rj_http_client *client)
 {
 	struct transfer *transfer;
 	CURLMsg *message;
@@ -150,7 +150,7 @@
 			continue;
 		curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE,
 				  &transfer);
-		transfer_end(transfer, message->data.result);
+		finish_transfer(transfer, message->data.result);
 	}
 }
 
@@ -182,7 +182,7 @@
 
 		if (first->deadline_us > now_us)
 			break;
-		transfer_end(first, CURLE_OPERATION_TIMEDOUT);
+		finish_transfer(first, CURLE_OPERATION_TIMEDOUT);
 	}
 	arm_deadlines(client);
 }
@@ -231,7 +231,7 @@
 		mask |= CURL_CSELECT_OUT;
 	curl_multi_socket_action(client->multi, (int)tevent_fd_get_tag(fde),
 				 mask, &running);
-	reap(client);
+	report_completed(client);
 }
 
 /*
@@ -241,8 +241,8 @@
  * only to those who wait to read, and libcurl waits to write until it is
  * connected, so that it would find out by its own timer 200 ms later.
  */
-static int socket_wanted(CURL *easy, curl_socket_t fd, int what,
-			 void *private_data, void *socket_data)
+static int socket_callback(CURL *easy, curl_socket_t fd, int what,
+			   void *private_data, void *socket_data)
 {
 	struct rj_http_client *client = private_data;
 	struct tevent_fd *fde = socket_data;
@@ -269,7 +269,7 @@
 	return 0;
 }
 
-/* The time that libcurl asked for in timer_wanted has come. */
+/* The time that libcurl asked for in timer_callback has come. */
 static void timer_due(struct tevent_context *ev, struct tevent_timer *timer,
 		      struct timeval now, void *private_data)
 {
@@ -279,11 +279,11 @@
 	client->timer = NULL;
 	curl_multi_socket_action(client->multi, CURL_SOCKET_TIMEOUT, 0,
 				 &running);
-	reap(client);
+	report_completed(client);
 }
 
 /* libcurl says when it wants to be called; -1 for never. */
-static int timer_wanted(CURLM *multi, long timeout_ms, void *private_data)
+static int timer_callback(CURLM *multi, long timeout_ms, void *private_data)
 {
 	struct rj_http_client *client = private_data;
 
@@ -314,8 +314,8 @@
  * Open at most so many connections to one address and port from now on; those
  * that stand are not closed for it.
  */
-void rj_http_client_limit(struct rj_http_client *client,
-			  uint32_t host_connections_max)
+void rj_http_client_set_host_connections_max(struct rj_http_client *client,
+					     uint32_t host_connections_max)
 {
 	curl_multi_setopt(client->multi, CURLMOPT_MAX_HOST_CONNECTIONS,
 			  (long)host_connections_max);
@@ -325,8 +325,8 @@
  * Keep so many connections open to all hosts together, in use or idle; each
  * takes a descriptor and some kilobytes.
  */
-void rj_http_client_keep(struct rj_http_client *client,
-			 uint32_t connections_max)
+void rj_http_client_set_connections_max(struct rj_http_client *client,
+					uint32_t connections_max)
 {
 	curl_multi_setopt(client->multi, CURLMOPT_MAXCONNECTS,
 			  (long)connections_max);
@@ -343,7 +343,7 @@
 {
 	memset(client, 0, sizeof(*client));
 	client->ev = ev;
-	rj_list_init(&client->open);
+	rj_list_init(&client->transfers);
 	client->multi = curl_multi_init();
 	if (!client->multi)
 		return rj_error_set(err, RJ_ERR_IO,
@@ -352,13 +352,15 @@
 	assert(client->mem);
 	client->deadlines = g_sequence_new(NULL);
 	client->deadline_us = RJ_NEVER_US;
-	client->spare = g_ptr_array_new_with_free_func(curl_easy_cleanup);
+	client->idle_handles =
+		g_ptr_array_new_with_free_func(curl_easy_cleanup);
 	curl_multi_setopt(client->multi, CURLMOPT_SOCKETFUNCTION,
-			  socket_wanted);
+			  socket_callback);
 	curl_multi_setopt(client->multi, CURLMOPT_SOCKETDATA, client);
-	curl_multi_setopt(client->multi, CURLMOPT_TIMERFUNCTION, timer_wanted);
+	curl_multi_setopt(client->multi, CURLMOPT_TIMERFUNCTION,
+			  timer_callback);
 	curl_multi_setopt(client->multi, CURLMOPT_TIMERDATA, client);
-	rj_http_client_limit(client, host_connections_max);
+	rj_http_client_set_host_connections_max(client, host_connections_max);
 	curl_multi_setopt(client->multi, CURLMOPT_MAXCONNECTS,
 			  CACHED_CONNECTIONS_MAX);
 	/* Without this header libcurl waits for "100 Continue". */
@@ -377,30 +379,30 @@
 }
 
 /* The client's headers and those of one request. */
-static void join_headers(struct transfer *transfer,
-			 const struct rj_http_send *send)
+static void merge_headers(struct transfer *transfer,
+			  const struct rj_http_request *request)
 {
 	const struct curl_slist *at;
 
 	for (at = transfer->client->headers; at; at = at->next)
 		transfer->headers =
 			curl_slist_append(transfer->headers, at->data);
-	for (uint32_t i = 0; i < send->header_count; i++)
-		transfer->headers =
-			curl_slist_append(transfer->headers, send->headers[i]);
+	for (uint32_t i = 0; i < request->header_count; i++)
+		transfer->headers = curl_slist_append(transfer->headers,
+						      request->headers[i]);
 	assert(transfer->headers);
 }
 
 /* All that libcurl is told of one transfer. */
 static void set_options(struct transfer *transfer,
-			const struct rj_http_send *send)
+			const struct rj_http_request *request)
 {
 	CURL *easy = transfer->easy;
 
-	curl_easy_setopt(easy, CURLOPT_URL, send->url);
+	curl_easy_setopt(easy, CURLOPT_URL, request->url);
 	curl_easy_setopt(easy, CURLOPT_PRIVATE, transfer);
-	if (send->header_count)
-		join_headers(transfer, send);
+	if (request->header_count)
+		merge_headers(transfer, request);
 	curl_easy_setopt(easy, CURLOPT_HTTPHEADER,
 			 transfer->headers ? transfer->headers :
 					     transfer->client->headers);
@@ -415,16 +417,16 @@
 	curl_easy_setopt(easy, CURLOPT_TCP_KEEPALIVE, 1L);
 	curl_easy_setopt(easy, CURLOPT_TCP_KEEPIDLE, KEEPALIVE_S);
 	curl_easy_setopt(easy, CURLOPT_TCP_KEEPINTVL, KEEPALIVE_S);
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, write_answer);
+	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, write_response);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, transfer);
 	if (transfer->has_body) {
 		curl_easy_setopt(easy, CURLOPT_POST, 1L);
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE_LARGE,
-				 (curl_off_t)send->length);
+				 (curl_off_t)request->length);
 		curl_easy_setopt(easy, CURLOPT_READFUNCTION, read_body);
 		curl_easy_setopt(easy, CURLOPT_READDATA, transfer);
 	}
-	curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, send->method);
+	curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request->method);
 }
 
 /*
@@ -432,25 +434,26 @@
  * private_data, which the client takes over.
  */
 void rj_http_client_send(struct rj_http_client *client,
-			 const struct rj_http_send *send)
+			 const struct rj_http_request *request)
 {
 	struct transfer *transfer = talloc_zero(client->mem, struct transfer);
 
-	assert(transfer && send->done);
-	rj_list_append(&client->open, &transfer->link);
+	assert(transfer && request->done);
+	rj_list_append(&client->transfers, &transfer->link);
 	transfer->client = client;
-	transfer->has_body = send->length > 0;
-	transfer->body = talloc_memdup(transfer, send->body, send->length);
-	transfer->length = send->length;
-	transfer->answer_max = send->answer_max_bytes;
-	transfer->done = send->done;
-	transfer->private_data = talloc_steal(transfer, send->private_data);
-	transfer->easy = obtain_handle(client);
-	transfer->deadline_us = rj_clock_now_us() + send->timeout_us;
-	transfer->in_deadlines = g_sequence_insert_sorted(
+	transfer->has_body = request->length > 0;
+	transfer->body =
+		talloc_memdup(transfer, request->body, request->length);
+	transfer->length = request->length;
+	transfer->response_max_bytes = request->response_max_bytes;
+	transfer->done = request->done;
+	transfer->private_data = talloc_steal(transfer, request->private_data);
+	transfer->easy = acquire_handle(client);
+	transfer->deadline_us = rj_clock_now_us() + request->timeout_us;
+	transfer->deadline_iter = g_sequence_insert_sorted(
 		client->deadlines, transfer, by_deadline, NULL);
 	talloc_set_destructor(transfer, transfer_destructor);
-	set_options(transfer, send);
+	set_options(transfer, request);
 	arm_deadlines(client);
 	curl_multi_add_handle(client->multi, transfer->easy);
 }
@@ -479,10 +482,10 @@
 
 	if (!client->multi)
 		return;
-	RJ_FOR_EACH (at, next, &client->open)
+	RJ_FOR_EACH (at, next, &client->transfers)
 		talloc_free(RJ_CONTAINER(at, struct transfer, link));
 	g_sequence_free(client->deadlines);
-	g_ptr_array_free(client->spare, TRUE);
+	g_ptr_array_free(client->idle_handles, TRUE);
 	curl_multi_cleanup(client->multi);
 	client->multi = NULL;
 	curl_slist_free_all(client->headers);
--- a/src/libradishjunction/http_loop.c
+++ b/src/libradishjunction/http_loop.c
@@ -7,7 +7,7 @@
 #include "private/clock.h"
 #include "radishjunction/types.h"
 
-static void run(struct rj_http_loop *loop);
+static void run_daemon(struct rj_http_loop *loop);
 
 /* The daemon runs again after a kick. */
 static void kicked(struct tevent_context *ev, struct tevent_immediate *kick,
@@ -16,7 +16,7 @@
 	struct rj_http_loop *loop = private_data;
 
 	loop->kicked = false;
-	run(loop);
+	run_daemon(loop);
 }
 
 /* A timeout of the daemon is due. */
@@ -26,14 +26,14 @@
 	struct rj_http_loop *loop = private_data;
 
 	loop->timer = NULL;
-	run(loop);
+	run_daemon(loop);
 }
 
 /* A socket of the daemon's own epoll set is ready. */
 static void epoll_ready(struct tevent_context *ev, struct tevent_fd *fde,
 			uint16_t flags, void *private_data)
 {
-	run(private_data);
+	run_daemon(private_data);
 }
 
 /* Come back when the daemon asks; a timer that is due before that stays. */
@@ -61,7 +61,7 @@
 }
 
 /* Let the daemon do what it can without waiting. */
-static void run(struct rj_http_loop *loop)
+static void run_daemon(struct rj_http_loop *loop)
 {
 	MHD_run(loop->daemon);
 	arm_timer(loop);
--- a/src/libradishjunction/include/private/http_client.h
+++ b/src/libradishjunction/include/private/http_client.h
@@ -32,16 +32,16 @@
 	uint32_t status; /* with RJ_HTTP_ANSWERED */
 	const char *body; /* with RJ_HTTP_ANSWERED, freed after `done` */
 	size_t length;
-	bool too_long; /* lost because of answer_max_bytes */
+	bool too_long; /* lost because of response_max_bytes */
 };
 
-struct rj_http_send {
+struct rj_http_request {
 	const char *method;
 	const char *url;
 	const char *body; /* may be empty; copied */
 	size_t length;
 	uint64_t timeout_us; /* from now to the whole answer */
-	size_t answer_max_bytes; /* a longer answer is lost */
+	size_t response_max_bytes; /* a longer answer is lost */
 	const char *const *headers; /* beside the client's, "Name: value" */
 	uint32_t header_count;
 	void (*done)(void *private_data, const struct rj_http_result *result);
@@ -54,24 +54,24 @@
 	CURLM *multi;
 	struct curl_slist *headers;
 	struct tevent_timer *timer;
-	struct rj_list open;
+	struct rj_list transfers;
 	GSequence *deadlines; /* of the open transfers, the earliest first */
 	struct tevent_timer *deadline_timer;
 	uint64_t deadline_us; /* that it is for */
-	GPtrArray *spare; /* CURL handles for the next calls */
+	GPtrArray *idle_handles; /* CURL handles for the next calls */
 };
 
 int rj_http_client_init(struct rj_http_client *client, void *mem,
 			struct tevent_context *ev, const char *instance,
 			uint32_t host_connections_max, struct rj_error *err);
-void rj_http_client_keep(struct rj_http_client *client,
-			 uint32_t connections_max);
-void rj_http_client_limit(struct rj_http_client *client,
-			  uint32_t host_connections_max);
+void rj_http_client_set_connections_max(struct rj_http_client *client,
+					uint32_t connections_max);
+void rj_http_client_set_host_connections_max(struct rj_http_client *client,
+					     uint32_t host_connections_max);
 void rj_http_client_add_header(struct rj_http_client *client,
 			       const char *header);
 void rj_http_client_send(struct rj_http_client *client,
-			 const struct rj_http_send *send);
+			 const struct rj_http_request *request);
 char *rj_http_url(void *mem, const struct rj_address *address,
 		  const char *path);
 void rj_http_client_finish(struct rj_http_client *client);
--- a/src/libradishjunction/include/private/latency.h
+++ b/src/libradishjunction/include/private/latency.h
@@ -17,7 +17,7 @@
 	uint64_t count;
 };
 
-void rj_latency_add(struct rj_latency *latency, uint64_t took_us);
+void rj_latency_add(struct rj_latency *latency, uint64_t duration_us);
 void rj_latency_write(const struct rj_latency *latency, const char *name,
 		      const char *label, const char *value, GString *text);
 
--- a/src/libradishjunction/include/private/pack.h
+++ b/src/libradishjunction/include/private/pack.h
@@ -25,7 +25,7 @@
 	const char *data;
 	size_t length;
 	size_t offset;
-	const char *bad; /* the field that could not be read */
+	const char *bad_field; /* the field that could not be read */
 	msgpack_unpacked unpacked;
 };
 
@@ -45,8 +45,8 @@
 		    size_t size);
 struct rj_bytes rj_unpack_data(struct rj_unpacker *reader, const char *field,
 			       uint32_t max);
-bool rj_unpack_more(const struct rj_unpacker *reader);
-void rj_unpack_exactly(struct rj_unpacker *reader, const char *field,
-		       uint8_t *data, uint32_t length);
+bool rj_unpack_has_more(const struct rj_unpacker *reader);
+void rj_unpack_fixed_data(struct rj_unpacker *reader, const char *field,
+			  uint8_t *data, uint32_t length);
 
 #endif
--- a/src/libradishjunction/include/private/schema.h
+++ b/src/libradishjunction/include/private/schema.h
@@ -82,7 +82,7 @@
 	const struct rj_schema_field *fields;
 	size_t size; /* of the struct */
 	uint32_t field_count;
-	bool open; /* unknown fields are passed over */
+	bool allow_unknown; /* unknown fields are passed over */
 	bool unique_names; /* elements of an array differ in "name" */
 };
 
@@ -116,6 +116,7 @@
 void rj_schema_fill_zero(struct rj_schema_check *check,
 			 const struct rj_schema_field *field,
 			 const struct rj_schema_path *path, void *out);
-void rj_schema_value(char out[RJ_SCHEMA_VALUE_BYTES], const json_t *value);
+void rj_schema_format_value(char out[RJ_SCHEMA_VALUE_BYTES],
+			    const json_t *value);
 
 #endif
--- a/src/libradishjunction/latency.c
+++ b/src/libradishjunction/latency.c
@@ -11,17 +11,17 @@
 };
 
 /*
- * Count one event that took `took_us`.
+ * Count one event that took `duration_us`.
  */
-void rj_latency_add(struct rj_latency *latency, uint64_t took_us)
+void rj_latency_add(struct rj_latency *latency, uint64_t duration_us)
 {
 	uint32_t bucket = 0;
 
 	while (bucket < RJ_LATENCY_BUCKETS &&
-	       took_us > bucket_ms[bucket] * RJ_US_PER_MS)
+	       duration_us > bucket_ms[bucket] * RJ_US_PER_MS)
 		bucket++;
 	latency->buckets[bucket]++;
-	latency->sum_us += took_us;
+	latency->sum_us += duration_us;
 	latency->count++;
 }
 
--- a/src/libradishjunction/note.c
+++ b/src/libradishjunction/log_event.c
@@ -1,4 +1,4 @@
-#include "private/note.h"
+#include "private/log_event.h"
 
 #include <glib.h>
 
@@ -6,11 +6,12 @@
  * Hand one event to the program's log. Without a writer that knows notes,
  * only the event's name is logged.
  */
-void rj_note_emit(const char *event, const struct rj_note_field *fields)
+void rj_log_event_emit(const char *event,
+		       const struct rj_log_event_field *fields)
 {
-	const struct rj_note note = { event, fields };
+	const struct rj_log_event note = { event, fields };
 	const GLogField parts[] = {
-		{ RJ_NOTE_FIELD, &note, sizeof(note) },
+		{ RJ_LOG_EVENT_FIELD, &note, sizeof(note) },
 		{ "MESSAGE", event, -1 },
 		{ "GLIB_DOMAIN", "radishjunction", -1 },
 	};
--- a/src/libradishjunction/pack.c
+++ b/src/libradishjunction/pack.c
@@ -65,20 +65,20 @@
 int rj_unpack_finish(struct rj_unpacker *reader, struct rj_error *err)
 {
 	msgpack_unpacked_destroy(&reader->unpacked);
-	if (!reader->bad)
+	if (!reader->bad_field)
 		return 0;
 	return rj_error_set(err, RJ_ERR_MALFORMED,
 			    "packed data: %s is missing, of the wrong type or "
 			    "out of range near byte %zu; run one version of "
 			    "the program on both sides",
-			    reader->bad, reader->offset);
+			    reader->bad_field, reader->offset);
 }
 
 /* Keep the first bad field: what follows it was never read. */
 void rj_unpack_fail(struct rj_unpacker *reader, const char *field)
 {
-	if (!reader->bad)
-		reader->bad = field;
+	if (!reader->bad_field)
+		reader->bad_field = field;
 }
 
 /*
@@ -88,7 +88,7 @@
  * the unpacker allocates room for all of it first, and the process grows by
  * gigabytes. Messages hold scalars only, so none is ever unpacked.
  */
-static bool opens_container(uint8_t first)
+static bool is_container(uint8_t first)
 {
 	return (first >= 0x80 && first <= 0x9f) ||
 	       (first >= 0xc7 && first <= 0xc9) ||
@@ -104,14 +104,14 @@
 	msgpack_unpack_return status;
 	uint8_t first;
 
-	if (reader->bad)
+	if (reader->bad_field)
 		return NULL;
 	if (reader->offset >= reader->length) {
 		rj_unpack_fail(reader, field);
 		return NULL;
 	}
 	first = (uint8_t)reader->data[reader->offset];
-	if (opens_container(first)) {
+	if (is_container(first)) {
 		rj_unpack_fail(reader, field);
 		return NULL;
 	}
@@ -190,14 +190,14 @@
 /*
  * Whether fields follow that an older version does not write.
  */
-bool rj_unpack_more(const struct rj_unpacker *reader)
+bool rj_unpack_has_more(const struct rj_unpacker *reader)
 {
-	return !reader->bad && reader->offset < reader->length;
+	return !reader->bad_field && reader->offset < reader->length;
 }
 
 /* Exactly `length` bytes. */
-void rj_unpack_exactly(struct rj_unpacker *reader, const char *field,
-		       uint8_t *data, uint32_t length)
+void rj_unpack_fixed_data(struct rj_unpacker *reader, const char *field,
+			  uint8_t *data, uint32_t length)
 {
 	struct rj_bytes bytes = rj_unpack_data(reader, field, length);
 
--- a/src/libradishjunction/peer/peer_codec.c
+++ b/src/libradishjunction/peer/peer_codec.c
@@ -61,7 +61,7 @@
 	rj_unpack_text(reader, "account", spec->account, RJ_NAME_BYTES);
 	rj_unpack_text(reader, "class", spec->class_name, RJ_NAME_BYTES);
 	rj_unpack_text(reader, "key", spec->key, RJ_KEY_BYTES);
-	rj_unpack_exactly(reader, "digest", spec->digest, RJ_DIGEST_BYTES);
+	rj_unpack_fixed_data(reader, "digest", spec->digest, RJ_DIGEST_BYTES);
 	spec->shape.tasks =
 		(uint32_t)rj_unpack_number(reader, "tasks", RJ_GANG_MAX);
 	read_resources(reader, &spec->shape.each);
@@ -108,7 +108,7 @@
 		(uint32_t)rj_unpack_number(reader, "queued", UINT32_MAX);
 	heartbeat->wait_us = rj_unpack_number(reader, "wait_us", UINT64_MAX);
 	heartbeat->log_from = UINT64_MAX;
-	if (!rj_unpack_more(reader))
+	if (!rj_unpack_has_more(reader))
 		return;
 	heartbeat->log_from = rj_unpack_number(reader, "log_from", UINT64_MAX);
 	heartbeat->log_next = rj_unpack_number(reader, "log_next", UINT64_MAX);
@@ -181,12 +181,12 @@
 	rj_unpack_text(reader, "id", config->id, sizeof(config->id));
 	config->text =
 		read_long_text(reader, "text", mem, CONFIG_TEXT_MAX_BYTES);
-	if (!rj_unpack_more(reader))
+	if (!rj_unpack_has_more(reader))
 		return;
 	config->change.patch = read_long_text(reader, "change", mem,
 					      RJ_CONFIG_CHANGE_MAX_BYTES);
-	rj_unpack_exactly(reader, "digest", config->change.digest,
-			  RJ_DIGEST_BYTES);
+	rj_unpack_fixed_data(reader, "digest", config->change.digest,
+			     RJ_DIGEST_BYTES);
 }
 
 /* An answer with its whole result. */
@@ -254,7 +254,7 @@
 {
 	cancel->forward_id = rj_unpack_number(reader, "forward_id", UINT64_MAX);
 	cancel->job_id = rj_unpack_number(reader, "job_id", UINT64_MAX);
-	if (!rj_unpack_more(reader))
+	if (!rj_unpack_has_more(reader))
 		return;
 	cancel->reclaim_owner =
 		rj_unpack_number(reader, "reclaim_owner", UINT64_MAX);
@@ -398,7 +398,8 @@
 	rj_unpack_text(&reader, "domain", hello->domain, RJ_NAME_BYTES);
 	hello->incarnation =
 		rj_unpack_number(&reader, "incarnation", UINT64_MAX);
-	rj_unpack_exactly(&reader, "nonce", hello->nonce, RJ_PEER_NONCE_BYTES);
+	rj_unpack_fixed_data(&reader, "nonce", hello->nonce,
+			     RJ_PEER_NONCE_BYTES);
 	if (!hello->name[0])
 		rj_unpack_fail(&reader, "name");
 	return rj_unpack_finish(&reader, err);
--- a/src/libradishjunction/platform/http_platform.c
+++ b/src/libradishjunction/platform/http_platform.c
@@ -53,11 +53,11 @@
 
 /* Send a request whose path is formatted; `send` has all but the URL. */
 static void send_to(struct rj_http_platform *platform,
-		    struct rj_http_send *send, const char *format, ...)
+		    struct rj_http_request *send, const char *format, ...)
 	__attribute__((format(printf, 3, 4)));
 
 static void send_to(struct rj_http_platform *platform,
-		    struct rj_http_send *send, const char *format, ...)
+		    struct rj_http_request *send, const char *format, ...)
 {
 	char *path;
 	va_list args;
@@ -66,7 +66,7 @@
 	path = talloc_vasprintf(send->private_data, format, args);
 	va_end(args);
 	send->url = rj_http_url(send->private_data, &platform->address, path);
-	send->answer_max_bytes = ANSWER_MAX_BYTES;
+	send->response_max_bytes = ANSWER_MAX_BYTES;
 	rj_http_client_send(platform->client, send);
 }
 
@@ -144,7 +144,7 @@
 {
 	struct rj_http_platform *platform = (struct rj_http_platform *)base;
 	struct pending *pending = pending_new(platform);
-	struct rj_http_send send = {
+	struct rj_http_request send = {
 		.method = "POST",
 		.timeout_us = APPEND_TIMEOUT_US,
 		.done = append_done,
@@ -252,7 +252,7 @@
 {
 	struct rj_http_platform *platform = (struct rj_http_platform *)base;
 	struct pending *pending = pending_new(platform);
-	struct rj_http_send send = {
+	struct rj_http_request send = {
 		.method = "GET",
 		.timeout_us = read->wait_us + READ_TIMEOUT_US,
 		.done = read_done,
@@ -295,7 +295,7 @@
 static void http_list(struct rj_platform *base)
 {
 	struct rj_http_platform *platform = (struct rj_http_platform *)base;
-	struct rj_http_send send = {
+	struct rj_http_request send = {
 		.method = "GET",
 		.timeout_us = LIST_TIMEOUT_US,
 		.done = list_done,
--- a/src/libradishjunction/platform/platform_wire.c
+++ b/src/libradishjunction/platform/platform_wire.c
@@ -25,7 +25,7 @@
 	.fields = entry_fields,
 	.field_count = RJ_FIELD_COUNT(entry_fields),
 	.size = sizeof(struct rj_log_entry),
-	.open = true,
+	.allow_unknown = true,
 };
 
 static const struct rj_schema_field page_fields[] = {
@@ -42,7 +42,7 @@
 	.fields = page_fields,
 	.field_count = RJ_FIELD_COUNT(page_fields),
 	.size = sizeof(struct rj_log_page),
-	.open = true,
+	.allow_unknown = true,
 };
 
 struct append_answer {
@@ -57,7 +57,7 @@
 	.fields = append_fields,
 	.field_count = RJ_FIELD_COUNT(append_fields),
 	.size = sizeof(struct append_answer),
-	.open = true,
+	.allow_unknown = true,
 };
 
 enum wire_state { STATE_LIVE, STATE_LEAVING, STATE_COUNT };
@@ -97,7 +97,7 @@
 	.fields = instance_fields,
 	.field_count = RJ_FIELD_COUNT(instance_fields),
 	.size = sizeof(struct wire_instance),
-	.open = true,
+	.allow_unknown = true,
 };
 
 static const struct rj_schema_field name_fields[] = {
@@ -108,7 +108,7 @@
 	.fields = name_fields,
 	.field_count = RJ_FIELD_COUNT(name_fields),
 	.size = sizeof(struct rj_instance_name),
-	.open = true,
+	.allow_unknown = true,
 };
 
 struct wire_instances {
@@ -140,7 +140,7 @@
 	.fields = instances_fields,
 	.field_count = RJ_FIELD_COUNT(instances_fields),
 	.size = sizeof(struct wire_instances),
-	.open = true,
+	.allow_unknown = true,
 };
 
 /*
--- a/src/libradishjunction/record.c
+++ b/src/libradishjunction/record.c
@@ -22,7 +22,7 @@
 	.fields = attempt_fields,
 	.field_count = RJ_FIELD_COUNT(attempt_fields),
 	.size = sizeof(struct rj_attempt),
-	.open = true,
+	.allow_unknown = true,
 };
 
 static const struct rj_schema_field each_fields[] = {
@@ -40,7 +40,7 @@
 	.fields = each_fields,
 	.field_count = RJ_FIELD_COUNT(each_fields),
 	.size = sizeof(struct rj_resources),
-	.open = true,
+	.allow_unknown = true,
 };
 
 static const struct rj_schema_field shape_fields[] = {
@@ -55,7 +55,7 @@
 	.fields = shape_fields,
 	.field_count = RJ_FIELD_COUNT(shape_fields),
 	.size = sizeof(struct rj_shape),
-	.open = true,
+	.allow_unknown = true,
 };
 
 static const struct rj_schema_field spec_fields[] = {
@@ -81,7 +81,7 @@
 	.fields = spec_fields,
 	.field_count = RJ_FIELD_COUNT(spec_fields),
 	.size = sizeof(struct rj_job_spec),
-	.open = true,
+	.allow_unknown = true,
 };
 
 static const struct rj_schema_field member_fields[] = {
@@ -95,7 +95,7 @@
 	.fields = member_fields,
 	.field_count = RJ_FIELD_COUNT(member_fields),
 	.size = sizeof(struct rj_claim_member),
-	.open = true,
+	.allow_unknown = true,
 };
 
 #define KIND_FIELD                                       \
@@ -169,7 +169,7 @@
 #define RECORD_SCHEMA(fields_)                                               \
 	{                                                                    \
 		.fields = (fields_), .field_count = RJ_FIELD_COUNT(fields_), \
-		.size = sizeof(struct rj_record), .open = true               \
+		.size = sizeof(struct rj_record), .allow_unknown = true      \
 	}
 
 /* By kind; RJ_RECORD_MALFORMED is never written and has none. */
--- a/src/libradishjunction/schema.c
+++ b/src/libradishjunction/schema.c
@@ -13,22 +13,23 @@
  * Write the path into `out` as `accounts[2].guarantees[0].tasks`, from the
  * root on, and return its length.
  */
-static size_t path_text(const struct rj_schema_path *path, char out[PATH_BYTES])
+static size_t format_path(const struct rj_schema_path *path,
+			  char out[PATH_BYTES])
 {
 	size_t length = 0;
-	int more;
+	int written;
 
 	out[0] = 0;
 	if (!path)
 		return 0;
-	length = path_text(path->parent, out);
+	length = format_path(path->parent, out);
 	if (path->field)
-		more = snprintf(out + length, PATH_BYTES - length, "%s%s",
-				length ? "." : "", path->field);
+		written = snprintf(out + length, PATH_BYTES - length, "%s%s",
+				   length ? "." : "", path->field);
 	else
-		more = snprintf(out + length, PATH_BYTES - length, "[%u]",
-				path->index);
-	length += (size_t)more;
+		written = snprintf(out + length, PATH_BYTES - length, "[%u]",
+				   path->index);
+	length += (size_t)written;
 	return length < PATH_BYTES ? length : PATH_BYTES - 1;
 }
 
@@ -46,7 +47,7 @@
 	va_start(args, format);
 	vsnprintf(message, sizeof(message), format, args);
 	va_end(args);
-	path_text(path, where);
+	format_path(path, where);
 	check->failed = true;
 	rj_error_list_add(check->errors, RJ_ERR_INVALID, "%s: %s",
 			  where[0] ? where : "(top)", message);
@@ -56,7 +57,8 @@
  * Write `value` as a message shows it: ASCII on one line, cut with "..."
  * when it is long. Text from outside thereby never breaks a log line.
  */
-void rj_schema_value(char out[RJ_SCHEMA_VALUE_BYTES], const json_t *value)
+void rj_schema_format_value(char out[RJ_SCHEMA_VALUE_BYTES],
+			    const json_t *value)
 {
 	const char *shown = "a value that cannot be shown";
 	char *text = NULL;
@@ -85,7 +87,7 @@
 {
 	char shown[RJ_SCHEMA_VALUE_BYTES];
 
-	rj_schema_value(shown, value);
+	rj_schema_format_value(shown, value);
 	rj_schema_report(check, path, "%s is not %s; give %s", shown,
 			 field->type->name, field->type->name);
 }
@@ -106,10 +108,10 @@
  * Report each field of the text that the schema does not know. A misspelt
  * optional field would otherwise pass for one that was left out.
  */
-static void check_unknown(struct rj_schema_check *check,
-			  const struct rj_schema *schema,
-			  const struct rj_schema_path *path,
-			  const json_t *object)
+static void report_unknown_fields(struct rj_schema_check *check,
+				  const struct rj_schema *schema,
+				  const struct rj_schema_path *path,
+				  const json_t *object)
 {
 	const char *name;
 	json_t *value;
@@ -128,7 +130,7 @@
 				 sizeof(known) - strlen(known), "%s%s",
 				 i ? ", " : "", schema->fields[i].name);
 		name_json = json_string(name);
-		rj_schema_value(shown, name_json);
+		rj_schema_format_value(shown, name_json);
 		json_decref(name_json);
 		at.field = shown;
 		rj_schema_report(check, &at,
@@ -146,8 +148,8 @@
 			  const json_t *object, void *out)
 {
 	memset(out, 0, schema->size);
-	if (!schema->open)
-		check_unknown(check, schema, path, object);
+	if (!schema->allow_unknown)
+		report_unknown_fields(check, schema, path, object);
 	for (uint32_t i = 0; i < schema->field_count; i++) {
 		const struct rj_schema_field *field = &schema->fields[i];
 		struct rj_schema_path at = { path, field->name, 0 };
@@ -219,8 +221,9 @@
 /*
  * Report each element whose "name" an earlier element bears already.
  */
-static void check_unique(struct rj_schema_check *check,
-			 const struct rj_schema_path *path, const json_t *array)
+static void report_duplicate_names(struct rj_schema_check *check,
+				   const struct rj_schema_path *path,
+				   const json_t *array)
 {
 	size_t count = json_array_size(array);
 	json_t *seen = json_object();
@@ -242,7 +245,7 @@
 					    json_integer((json_int_t)i));
 			continue;
 		}
-		rj_schema_value(shown, json_object_get(element, "name"));
+		rj_schema_format_value(shown, json_object_get(element, "name"));
 		rj_schema_report(check, &at,
 				 "%s is a duplicate of element %d; rename one",
 				 shown, (int)json_integer_value(first));
@@ -294,7 +297,7 @@
 					 "not an object; give an object");
 	}
 	if (field->schema->unique_names)
-		check_unique(check, path, value);
+		report_duplicate_names(check, path, value);
 	memcpy(out, &elements, sizeof(elements));
 	*count = (uint32_t)length;
 }
--- a/src/libradishjunction/schema_texts.c
+++ b/src/libradishjunction/schema_texts.c
@@ -52,7 +52,7 @@
 			 "ABCDEFGHIJKLMNOPQRSTUVWXYZ._-") == strlen(text) &&
 	    !rj_name_set(out, text))
 		return;
-	rj_schema_value(shown, value);
+	rj_schema_format_value(shown, value);
 	rj_schema_report(check, path,
 			 "%s is no name; use 1 to %d letters, digits, "
 			 "'.', '_' or '-'",
@@ -198,7 +198,7 @@
 	struct rj_bytes bytes = { NULL, 0 };
 	const char *text = json_string_value(value);
 	const char *end = text;
-	size_t room;
+	size_t capacity;
 	size_t length = 0;
 	uint8_t *data;
 
@@ -206,15 +206,15 @@
 		rj_schema_report_type(check, field, path, value);
 		return;
 	}
-	room = strlen(text) / 4 * 3 + 3;
-	if (room > field->max + 5) {
+	capacity = strlen(text) / 4 * 3 + 3;
+	if (capacity > field->max + 5) {
 		rj_schema_report(check, path, "longer than %" PRIu64 " bytes",
 				 field->max);
 		return;
 	}
-	data = talloc_size(check->mem, room);
+	data = talloc_size(check->mem, capacity);
 	assert(data);
-	if (sodium_base642bin(data, room, text, strlen(text), NULL, &length,
+	if (sodium_base642bin(data, capacity, text, strlen(text), NULL, &length,
 			      &end, sodium_base64_VARIANT_ORIGINAL) ||
 	    *end || length > field->max) {
 		rj_schema_report(check, path,
@@ -234,16 +234,16 @@
 			     const void *in)
 {
 	const struct rj_bytes *bytes = in;
-	size_t room = sodium_base64_encoded_len(bytes->length,
-						sodium_base64_VARIANT_ORIGINAL);
+	size_t capacity = sodium_base64_encoded_len(
+		bytes->length, sodium_base64_VARIANT_ORIGINAL);
 	char *text;
 	json_t *json;
 
 	if (field->optional && !bytes->length)
 		return NULL;
-	text = talloc_size(NULL, room);
+	text = talloc_size(NULL, capacity);
 	assert(text);
-	sodium_bin2base64(text, room, bytes->data, bytes->length,
+	sodium_bin2base64(text, capacity, bytes->data, bytes->length,
 			  sodium_base64_VARIANT_ORIGINAL);
 	json = json_string(text);
 	talloc_free(text);
@@ -270,7 +270,7 @@
 	const char *text = json_string_value(value);
 	char shown[RJ_SCHEMA_VALUE_BYTES];
 
-	rj_schema_value(shown, value);
+	rj_schema_format_value(shown, value);
 	if (!text || rj_address_parse(address, text))
 		rj_schema_report(check, path,
 				 "%s is no address; give an IP number and a "
--- a/src/libradishjunction/schema_types.c
+++ b/src/libradishjunction/schema_types.c
@@ -246,7 +246,7 @@
 		*(uint32_t *)out = (uint32_t)field->fallback;
 		return;
 	}
-	rj_schema_value(shown, value);
+	rj_schema_format_value(shown, value);
 	rj_schema_report(check, path, "%s is not known; use one of: %s", shown,
 			 known);
 }
--- a/src/libradishjunction/settings.c
+++ b/src/libradishjunction/settings.c
@@ -7,7 +7,7 @@
 #include "private/schemas.h"
 
 /* A key that is guessed lets a stranger speak as a peer. */
-#define PEER_KEY_MIN 32
+#define PEER_KEY_MIN_CHARS 32
 #define PEERS_MAX 1024
 #define WEEK_S (7 * 24 * 3600)
 
@@ -33,7 +33,7 @@
 	{ RJ_FIELD(array, rj_settings, peers), .optional = true,
 	  .count_offset = offsetof(struct rj_settings, peer_count),
 	  .max = PEERS_MAX, .schema = &peer_schema },
-	{ RJ_FIELD(text, rj_settings, peer_key), .min = PEER_KEY_MIN,
+	{ RJ_FIELD(text, rj_settings, peer_key), .min = PEER_KEY_MIN_CHARS,
 	  .size = RJ_TOKEN_BYTES },
 	{ RJ_FIELD(u32, rj_settings, retention_s), .optional = true, .min = 10,
 	  .max = 52 * WEEK_S, .fallback = WEEK_S },
--- a/src/libradishjunction/tcp_socket.c
+++ b/src/libradishjunction/tcp_socket.c
@@ -17,7 +17,7 @@
 #define KEEPALIVE_PROBES 3
 #define UNACKNOWLEDGED_MAX_MS 10000
 /* Connections that wait to be accepted. */
-#define BACKLOG 128
+#define ACCEPT_BACKLOG 128
 
 /* Fill a socket address from an IP number and a port; 0 if it is no IP. */
 static socklen_t to_sockaddr(const struct rj_address *address,
@@ -136,7 +136,7 @@
 		return -1;
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
 	if (bind(fd, (struct sockaddr *)&storage, length) ||
-	    listen(fd, BACKLOG)) {
+	    listen(fd, ACCEPT_BACKLOG)) {
 		rj_error_set(err, RJ_ERR_IO,
 			     "listen %s:%u: %s; choose a free port or 0",
 			     address->ip, address->port, strerror(errno));
--- a/src/libradishjunction/types.c
+++ b/src/libradishjunction/types.c
@@ -45,7 +45,7 @@
 	[RJ_REASON_PEER_LOST] = "peer_lost",
 	[RJ_REASON_RETRY_BUDGET] = "retry_budget",
 	[RJ_REASON_LEASE_REFUSED] = "lease_refused",
-	[RJ_REASON_LEASE_LAPSED] = "lease_lapsed",
+	[RJ_REASON_LEASE_EXPIRED] = "lease_lapsed",
 	[RJ_REASON_CLAIM_LOST] = "claim_lost",
 	[RJ_REASON_RECLAIMED] = "reclaimed",
 	[RJ_REASON_FIRST_FIT] = "first_fit",
@@ -302,8 +302,8 @@
 /*
  * Take `times` times `part` from `have`, which must hold that much.
  */
-void rj_resources_take(struct rj_resources *have,
-		       const struct rj_resources *part, uint32_t times)
+void rj_resources_subtract(struct rj_resources *have,
+			   const struct rj_resources *part, uint32_t times)
 {
 	assert(have->slots >= part->slots * times);
 	assert(have->accelerators >= part->accelerators * times);
--- a/src/libradishjunction/worker/http_workers.c
+++ b/src/libradishjunction/worker/http_workers.c
@@ -124,7 +124,8 @@
 	share[RJ_WORKER_POOL_RUN] = most - control - checkpoint;
 	workers->connections_max = most;
 	for (uint32_t i = 0; i < RJ_WORKER_POOL_COUNT; i++)
-		rj_http_client_limit(workers->pools[i], share[i]);
+		rj_http_client_set_host_connections_max(workers->pools[i],
+							share[i]);
 }
 
 /* See rj_workers_ops: every call is a POST whose path names the operation. */
@@ -133,10 +134,10 @@
 {
 	struct rj_http_workers *workers = (struct rj_http_workers *)base;
 	struct pending *pending = talloc_zero(NULL, struct pending);
-	struct rj_http_send send = {
+	struct rj_http_request send = {
 		.method = "POST",
 		.timeout_us = call->timeout_us,
-		.answer_max_bytes = ANSWER_MAX_BYTES,
+		.response_max_bytes = ANSWER_MAX_BYTES,
 		.done = call_done,
 		.private_data = pending,
 	};
--- a/src/libradishjunction/worker/worker_wire.c
+++ b/src/libradishjunction/worker/worker_wire.c
@@ -21,7 +21,7 @@
 	.fields = attempt_fields,
 	.field_count = RJ_FIELD_COUNT(attempt_fields),
 	.size = sizeof(struct rj_attempt),
-	.open = true,
+	.allow_unknown = true,
 };
 
 static const struct rj_schema_field resources_fields[] = {
@@ -35,7 +35,7 @@
 	.fields = resources_fields,
 	.field_count = RJ_FIELD_COUNT(resources_fields),
 	.size = sizeof(struct rj_resources),
-	.open = true,
+	.allow_unknown = true,
 };
 
 static const struct rj_schema_field call_fields[] = {
@@ -75,7 +75,7 @@
 	.fields = call_fields,
 	.field_count = RJ_FIELD_COUNT(call_fields),
 	.size = sizeof(struct rj_worker_call),
-	.open = true,
+	.allow_unknown = true,
 };
 
 /* A result with what tells whether it is whole. */
@@ -95,7 +95,7 @@
 	.fields = result_fields,
 	.field_count = RJ_FIELD_COUNT(result_fields),
 	.size = sizeof(struct wire_result),
-	.open = true,
+	.allow_unknown = true,
 };
 
 struct wire_task {
@@ -127,7 +127,7 @@
 	.fields = task_fields,
 	.field_count = RJ_FIELD_COUNT(task_fields),
 	.size = sizeof(struct wire_task),
-	.open = true,
+	.allow_unknown = true,
 };
 
 struct wire_report {
@@ -156,7 +156,7 @@
 	.fields = report_fields,
 	.field_count = RJ_FIELD_COUNT(report_fields),
 	.size = sizeof(struct wire_report),
-	.open = true,
+	.allow_unknown = true,
 };
 
 struct wire_reply {
@@ -210,14 +210,14 @@
 	.fields = reply_fields,
 	.field_count = RJ_FIELD_COUNT(reply_fields),
 	.size = sizeof(struct wire_reply),
-	.open = true,
+	.allow_unknown = true,
 };
 
 static const struct rj_schema report_reply_schema = {
 	.fields = report_reply_fields,
 	.field_count = RJ_FIELD_COUNT(report_reply_fields),
 	.size = sizeof(struct wire_reply),
-	.open = true,
+	.allow_unknown = true,
 };
 
 /* The schema of the reply to `op`. */
--- a/src/libstandin/task_ops.c
+++ b/src/libstandin/task_ops.c
@@ -33,7 +33,7 @@
 	struct rj_task *task = rj_tasks_find(tasks, call);
 
 	if (task && (task->fenced || task->state == RJ_TASK_DEAD)) {
-		refuse(reply, RJ_REASON_LEASE_LAPSED);
+		refuse(reply, RJ_REASON_LEASE_EXPIRED);
 		return NULL;
 	}
 	if (task)
@@ -78,7 +78,7 @@
 
 	if (!task || task->token != call->token || !call->token ||
 	    task->fenced || task->state == RJ_TASK_DEAD) {
-		refuse(reply, RJ_REASON_LEASE_LAPSED);
+		refuse(reply, RJ_REASON_LEASE_EXPIRED);
 		return NULL;
 	}
 	if (task->state == RJ_TASK_HELD)
@@ -95,7 +95,7 @@
 
 	if (!task || !owns(call, task) || task->fenced ||
 	    task->state == RJ_TASK_DEAD) {
-		refuse(reply, RJ_REASON_LEASE_LAPSED);
+		refuse(reply, RJ_REASON_LEASE_EXPIRED);
 		return task;
 	}
 	if (rj_task_is_active(task)) {
@@ -204,7 +204,7 @@
 	if (!task)
 		return NULL;
 	if (!owns(call, task)) {
-		refuse(reply, RJ_REASON_LEASE_LAPSED);
+		refuse(reply, RJ_REASON_LEASE_EXPIRED);
 		return task;
 	}
 	if (call->op == RJ_WORKER_CHECKPOINT)
--- a/src/libstandin/tasks.c
+++ b/src/libstandin/tasks.c
@@ -148,7 +148,7 @@
 		  const struct rj_worker_call *call, uint64_t now_us)
 {
 	assert(task->state == RJ_TASK_NONE && !task->fenced);
-	rj_resources_take(&tasks->unused, &call->each, 1);
+	rj_resources_subtract(&tasks->unused, &call->each, 1);
 	task->state = RJ_TASK_HELD;
 	task->each = call->each;
 	task->token = random_id();
--- a/src/radishjunction/answers.c
+++ b/src/radishjunction/answers.c
@@ -220,7 +220,7 @@
 	config = rj_config_parse(mem, config_compact(mem, text), errors);
 	check_instances(answers, errors);
 	if (config && errors->count == before)
-		rj_config_notes(config, errors);
+		rj_config_warnings(config, errors);
 	rj_config_unref(config);
 	talloc_free(mem);
 }
--- a/src/radishjunction/check.c
+++ b/src/radishjunction/check.c
@@ -63,7 +63,7 @@
 	config = rj_config_parse(mem, config_compact(mem, text), errors);
 	if (!config)
 		return false;
-	rj_config_notes(config, errors);
+	rj_config_warnings(config, errors);
 	return true;
 }
 
--- a/src/radishjunction/generate.c
+++ b/src/radishjunction/generate.c
@@ -91,7 +91,7 @@
 		print_errors(options->answers, &errors);
 		return EXIT_REFUSED;
 	}
-	rj_config_notes(config, &errors);
+	rj_config_warnings(config, &errors);
 	print_errors(options->answers, &errors);
 	if (tell_tokens(mem, options->tokens, tokens, count, &err) ||
 	    file_write(options->output, text, false, &err))
--- a/src/radishjunction/load.c
+++ b/src/radishjunction/load.c
@@ -214,12 +214,12 @@
 	bool post = !ask->accepted && (kind->keyed || !ask->job_id);
 	struct ask **slot = talloc(load, struct ask *);
 	char *url;
-	struct rj_http_send send = {
+	struct rj_http_request send = {
 		.method = post ? "POST" : "GET",
 		.body = post ? ask->job->text : "",
 		.length = post ? strlen(ask->job->text) : 0,
 		.timeout_us = load->plan->answer_limit_s * RJ_US_PER_S,
-		.answer_max_bytes = ANSWER_MAX_BYTES,
+		.response_max_bytes = ANSWER_MAX_BYTES,
 		.headers = headers,
 		.header_count = post && kind->keyed ? 2 : 1,
 		.done = on_answer,
--- a/src/radishjunction/load_account.c
+++ b/src/radishjunction/load_account.c
@@ -43,13 +43,13 @@
 {
 	struct get get = { false, NULL };
 	struct get **slot = talloc(load, struct get *);
-	struct rj_http_send send = {
+	struct rj_http_request send = {
 		.method = "GET",
 		.url = talloc_asprintf(slot, "http://%s:%u%s", address->ip,
 				       address->port, path),
 		.body = "",
 		.timeout_us = ANSWER_LIMIT_US,
-		.answer_max_bytes = ANSWER_MAX_BYTES,
+		.response_max_bytes = ANSWER_MAX_BYTES,
 		.done = on_got,
 		.private_data = slot,
 	};
--- a/src/radishjunction/publish.c
+++ b/src/radishjunction/publish.c
@@ -179,7 +179,7 @@
 		printf("accepted as revision %" PRIu64 " (publication %s)\n",
 		       own->base + 1, own->id);
 		return EXIT_DONE;
-	case RJ_CONFIG_UNJUDGED:
+	case RJ_CONFIG_UNDECIDED:
 		printf("in the log as revision %" PRIu64 " (publication %s); "
 		       "the instances judge it\n",
 		       own->base + 1, own->id);
@@ -254,7 +254,7 @@
  */
 static void print_not_everywhere(const struct publication *own, uint32_t done)
 {
-	if (!done && own->stream.verdict == RJ_CONFIG_UNJUDGED)
+	if (!done && own->stream.verdict == RJ_CONFIG_UNDECIDED)
 		fprintf(stderr,
 			"radishjunction publish: no instance has judged it; "
 			"if every one answers and shows the same revision, all "
--- a/src/radishjunction/stream.c
+++ b/src/radishjunction/stream.c
@@ -85,12 +85,12 @@
 					      answer.detail);
 		goto out;
 	}
-	rj_config_log_batch(&stream->log,
-			    (uint64_t)json_integer_value(
-				    json_object_get(answer.json, "oldest")));
+	rj_config_log_begin_batch(
+		&stream->log, (uint64_t)json_integer_value(
+				      json_object_get(answer.json, "oldest")));
 	stream->head = (uint64_t)json_integer_value(
 		json_object_get(answer.json, "head"));
-	rj_config_log_skip(&stream->log, stream->head);
+	rj_config_log_skip_ahead(&stream->log, stream->head);
 	json_array_foreach(records, i, record) fold_record(stream, record);
 out:
 	json_decref(answer.json);
--- a/src/share/log_writer.c
+++ b/src/share/log_writer.c
@@ -13,7 +13,7 @@
 #include <unistd.h>
 
 #include "private/clock.h"
-#include "private/note.h"
+#include "private/log_event.h"
 
 #define DOMAIN "radishjunction"
 /* The field of a structured message that holds a decision. */
@@ -143,9 +143,9 @@
 }
 
 /* Append the fields of a note. */
-static void add_note(GString *line, const struct rj_note *note)
+static void add_note(GString *line, const struct rj_log_event *note)
 {
-	const struct rj_note_field *field;
+	const struct rj_log_event_field *field;
 
 	add_text(line, "event", note->event);
 	for (field = note->fields; field->name; field++) {
@@ -230,7 +230,8 @@
 {
 	const struct rj_decision_log *decision =
 		field_value(fields, count, DECISION_FIELD);
-	const struct rj_note *note = field_value(fields, count, RJ_NOTE_FIELD);
+	const struct rj_log_event *note =
+		field_value(fields, count, RJ_LOG_EVENT_FIELD);
 	const char *text = field_value(fields, count, "MESSAGE");
 	GString *line = logger.buffer;
 
--- a/src/standin/fleet.c
+++ b/src/standin/fleet.c
@@ -78,10 +78,10 @@
 {
 	struct rj_fleet *fleet = member->fleet;
 	struct registration *registration = talloc(NULL, struct registration);
-	struct rj_http_send send = {
+	struct rj_http_request send = {
 		.method = "PUT",
 		.timeout_us = REGISTER_TIMEOUT_US,
-		.answer_max_bytes = REGISTER_ANSWER_MAX_BYTES,
+		.response_max_bytes = REGISTER_ANSWER_MAX_BYTES,
 		.done = registered,
 		.private_data = registration,
 	};
--- a/src/test_libradishjunction/support/cell_world.c
+++ b/src/test_libradishjunction/support/cell_world.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 #include <time.h>
 
-#include "private/note.h"
+#include "private/log_event.h"
 #include "private/pack.h"
 
 #define TICK_US (20 * MS)
@@ -276,12 +276,12 @@
 				   const GLogField *fields, gsize count,
 				   gpointer unused)
 {
-	const struct rj_note_field *field;
+	const struct rj_log_event_field *field;
 
 	for (gsize i = 0; i < count; i++) {
-		const struct rj_note *note = fields[i].value;
+		const struct rj_log_event *note = fields[i].value;
 
-		if (strcmp(fields[i].key, RJ_NOTE_FIELD) != 0)
+		if (strcmp(fields[i].key, RJ_LOG_EVENT_FIELD) != 0)
 			continue;
 		printf("%9.3f n%u %s",
 		       (double)trace.world->now_us / (double)S - 3600,
--- a/src/test_libradishjunction/support/checker_answers.c
+++ b/src/test_libradishjunction/support/checker_answers.c
@@ -90,7 +90,7 @@
 	if (answer->kind != RJ_ANSWER_UNKNOWN)
 		return true;
 	return answer->reason == RJ_REASON_WORKER_LOST ||
-	       answer->reason == RJ_REASON_LEASE_LAPSED ||
+	       answer->reason == RJ_REASON_LEASE_EXPIRED ||
 	       answer->reason == RJ_REASON_CANCELLED ||
 	       answer->reason == RJ_REASON_KEY_EXPIRED;
 }
--- a/src/test_libradishjunction/support/config_stream.c
+++ b/src/test_libradishjunction/support/config_stream.c
@@ -83,7 +83,7 @@
 	struct rj_record *record = config_stream_append(stream);
 	uint64_t offset = record->offset;
 
-	rj_config_log_carry(log, record);
+	rj_config_log_fill_carried(log, record);
 	record->offset = offset;
 	record->config_text = talloc_strdup(stream->mem, record->config_text);
 }
@@ -96,12 +96,12 @@
 					  struct rj_config_log *log,
 					  uint32_t limit)
 {
-	enum rj_config_verdict verdict = RJ_CONFIG_NOT_ONE;
+	enum rj_config_verdict verdict = RJ_CONFIG_MALFORMED;
 	struct rj_error_list errors;
 
 	rj_error_list_init(&errors, NULL);
-	rj_config_log_batch(log, stream->oldest);
-	rj_config_log_skip(log, stream->head);
+	rj_config_log_begin_batch(log, stream->oldest);
+	rj_config_log_skip_ahead(log, stream->head);
 	while (limit-- && log->next < stream->head)
 		verdict = rj_config_log_apply(log, &stream->records[log->next],
 					      0, &errors);
--- a/src/test_libradishjunction/support/fake_worker.c
+++ b/src/test_libradishjunction/support/fake_worker.c
@@ -238,7 +238,7 @@
 	if (task && task->token && task->state != RJ_TASK_DEAD)
 		return task;
 	if (task) {
-		refuse(world, from, task, RJ_REASON_LEASE_LAPSED);
+		refuse(world, from, task, RJ_REASON_LEASE_EXPIRED);
 		return NULL;
 	}
 	if ((worker->leaving && worker->tells_leaving) || worker->refuses ||
@@ -251,7 +251,7 @@
 	task->token = (uint64_t)(worker->index + 1) << 48 |
 		      worker->incarnation << 32 | ++worker->next_token;
 	renew(world, worker, task, call->life_us);
-	rj_resources_take(&worker->free, &task->each, 1);
+	rj_resources_subtract(&worker->free, &task->each, 1);
 	return task;
 }
 
@@ -304,7 +304,7 @@
 			uint32_t percent, bool wait)
 {
 	if (!task || task->state == RJ_TASK_DEAD) {
-		refuse(world, from, task, RJ_REASON_LEASE_LAPSED);
+		refuse(world, from, task, RJ_REASON_LEASE_EXPIRED);
 		return;
 	}
 	if (task->state == RJ_TASK_HELD &&
@@ -432,13 +432,13 @@
 	const struct rj_worker_call *call = &from->call;
 
 	if (!task) {
-		refuse(world, from, NULL, RJ_REASON_LEASE_LAPSED);
+		refuse(world, from, NULL, RJ_REASON_LEASE_EXPIRED);
 		return;
 	}
 	switch (call->op) {
 	case RJ_WORKER_RENEW:
 		if (has_ended(task)) {
-			refuse(world, from, task, RJ_REASON_LEASE_LAPSED);
+			refuse(world, from, task, RJ_REASON_LEASE_EXPIRED);
 			return;
 		}
 		renew(world, worker, task, call->life_us);
@@ -449,7 +449,7 @@
 		return;
 	case RJ_WORKER_THROTTLE:
 		if (task->state != RJ_TASK_RUNNING) {
-			refuse(world, from, task, RJ_REASON_LEASE_LAPSED);
+			refuse(world, from, task, RJ_REASON_LEASE_EXPIRED);
 			return;
 		}
 		throttle(world, task, call->throttle_percent);
--- a/src/test_libradishjunction/support/plan_world.c
+++ b/src/test_libradishjunction/support/plan_world.c
@@ -59,9 +59,9 @@
 	struct world_job *job = &world->jobs[index];
 
 	for (uint32_t i = 0; i < job->member_count; i++)
-		rj_resources_take(&world->taken[job->members[i].worker],
-				  &truth->plan.shape.each,
-				  job->members[i].tasks);
+		rj_resources_subtract(&world->taken[job->members[i].worker],
+				      &truth->plan.shape.each,
+				      job->members[i].tasks);
 	TALLOC_FREE(job->members);
 	job->member_count = 0;
 	job->stopping = false;
@@ -90,8 +90,8 @@
 		(double)(started_us - truth->plan.queued_us) / RJ_US_PER_S;
 
 	job->state = WORLD_OVER;
-	rj_resources_take(&world->open[truth->account], &truth->plan.shape.each,
-			  truth->plan.shape.tasks);
+	rj_resources_subtract(&world->open[truth->account],
+			      &truth->plan.shape.each, truth->plan.shape.tasks);
 	if (truth->cancel_us != RJ_NEVER_US)
 		return;
 	g_array_append_val(
--- a/src/test_libradishjunction/test_config.c
+++ b/src/test_libradishjunction/test_config.c
@@ -186,10 +186,10 @@
 
 	rj_error_list_init(&list, mem);
 	config = rj_config_parse(mem, text_with(mem, ""), &list);
-	rj_config_notes(config, &list);
+	rj_config_warnings(config, &list);
 	g_assert_cmpuint(list.count, ==, 0);
 	config->classes[0].idempotent = false;
-	rj_config_notes(config, &list);
+	rj_config_warnings(config, &list);
 	g_assert_cmpuint(list.count, ==, 1);
 	g_assert_cmpint(list.errors[0].kind, ==, RJ_ERR_NONE);
 	rj_config_unref(config);
--- a/src/test_libradishjunction/test_config_changes.c
+++ b/src/test_libradishjunction/test_config_changes.c
@@ -135,13 +135,13 @@
 	config_stream_change(stream, "both", 1, site.text[1], site.text[2])
 		->config_text = site.text[2];
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
-			RJ_CONFIG_NOT_ONE);
+			RJ_CONFIG_MALFORMED);
 	record = config_stream_change(stream, "carried", 1, site.text[1],
 				      site.text[2]);
 	record->carried = true;
 	record->as_of = 1;
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
-			RJ_CONFIG_NOT_ONE);
+			RJ_CONFIG_MALFORMED);
 	expect(&site, log, 1, "first", site.text[1]);
 	config_stream_change(stream, "good", 1, site.text[1], site.text[2]);
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
@@ -264,9 +264,9 @@
 	config_stream_change(stream, "fourth", 3, site.text[3], site.text[5]);
 	stream->oldest = 2;
 	g_assert_cmpint(config_stream_read(stream, &new, 1), ==,
-			RJ_CONFIG_UNJUDGED);
+			RJ_CONFIG_UNDECIDED);
 	g_assert_cmpint(config_stream_read(stream, &new, 1), ==,
-			RJ_CONFIG_UNJUDGED);
+			RJ_CONFIG_UNDECIDED);
 	config_stream_read(stream, &new, 99);
 	config_stream_read(stream, &site.readers[0], 99);
 	expect(&site, &new, 4, "fourth", site.text[5]);
--- a/src/test_libradishjunction/test_config_log.c
+++ b/src/test_libradishjunction/test_config_log.c
@@ -30,7 +30,7 @@
 			RJ_CONFIG_BAD_TEXT);
 	config_stream_append(stream); /* malformed */
 	g_assert_cmpint(config_stream_read(stream, &log, 9), ==,
-			RJ_CONFIG_NOT_ONE);
+			RJ_CONFIG_MALFORMED);
 	config_stream_publish(stream, "first", 0, GOOD_TEXT);
 	g_assert_cmpint(config_stream_read(stream, &log, 9), ==,
 			RJ_CONFIG_ACCEPTED);
@@ -77,7 +77,7 @@
 	stream->oldest = 1;
 
 	g_assert_cmpint(config_stream_read(stream, &new, 1), ==,
-			RJ_CONFIG_UNJUDGED);
+			RJ_CONFIG_UNDECIDED);
 	g_assert_null(new.config);
 	config_stream_read(stream, &new, 99);
 	config_stream_read(stream, &old, 99);
@@ -116,7 +116,7 @@
 
 	for (int i = 0; i < 2; i++) {
 		g_assert_cmpint(config_stream_read(stream, &logs[i], 1), ==,
-				RJ_CONFIG_UNJUDGED);
+				RJ_CONFIG_UNDECIDED);
 		g_assert_false(rj_config_log_carry_due(&logs[i], 0, 0));
 		config_stream_read(stream, &logs[i], 99);
 		g_assert_cmpstr(logs[i].config->id, ==, "restart");
--- a/src/test_libradishjunction/test_http_client.c
+++ b/src/test_libradishjunction/test_http_client.c
@@ -88,12 +88,12 @@
 		    const char *body, uint64_t timeout_us)
 {
 	struct fixture **data = talloc(NULL, struct fixture *);
-	struct rj_http_send send = {
+	struct rj_http_request send = {
 		.method = "POST",
 		.body = body,
 		.length = strlen(body),
 		.timeout_us = timeout_us,
-		.answer_max_bytes = ANSWER_MAX_BYTES,
+		.response_max_bytes = ANSWER_MAX_BYTES,
 		.done = done,
 		.private_data = data,
 	};
--- a/src/test_libradishjunction/test_http_server.c
+++ b/src/test_libradishjunction/test_http_server.c
@@ -65,14 +65,14 @@
 {
 	struct fixture **self = talloc(f->ev, struct fixture *);
 	char *url = rj_http_url(f->ev, &f->server.address, "/");
-	struct rj_http_send send = { .method = "POST",
-				     .url = url,
-				     .body = "{}",
-				     .length = 2,
-				     .timeout_us = 60 * RJ_US_PER_S,
-				     .answer_max_bytes = 64,
-				     .done = done,
-				     .private_data = self };
+	struct rj_http_request send = { .method = "POST",
+					.url = url,
+					.body = "{}",
+					.length = 2,
+					.timeout_us = 60 * RJ_US_PER_S,
+					.response_max_bytes = 64,
+					.done = done,
+					.private_data = self };
 
 	*self = f;
 	f->request = NULL;
--- a/src/test_libradishjunction/test_http_workers.c
+++ b/src/test_libradishjunction/test_http_workers.c
@@ -213,7 +213,7 @@
 	call(fixture, RJ_WORKER_LEASE);
 	fixture->call.token = fixture->reply.token;
 	call(fixture, RJ_WORKER_START);
-	assert_status(fixture, RJ_REPLY_REFUSED, RJ_REASON_LEASE_LAPSED);
+	assert_status(fixture, RJ_REPLY_REFUSED, RJ_REASON_LEASE_EXPIRED);
 	g_assert_cmpuint(starts(fixture), ==, 0);
 }
 
--- a/src/test_libradishjunction/test_schema.c
+++ b/src/test_libradishjunction/test_schema.c
@@ -209,7 +209,7 @@
 	json_t *json = json_string("a\n\"\xc3\xa9\" and so on and so on and so "
 				   "on and so on and so on");
 
-	rj_schema_value(shown, json);
+	rj_schema_format_value(shown, json);
 	g_assert_true(g_str_is_ascii(shown));
 	g_assert_null(strchr(shown, '\n'));
 	g_assert_true(g_str_has_suffix(shown, "..."));
--- a/src/test_libradishjunction/test_standin_tasks.c
+++ b/src/test_libradishjunction/test_standin_tasks.c
@@ -76,9 +76,9 @@
 	lease(fixture);
 	fixture->now_us += LIFE_US;
 	call(fixture, RJ_WORKER_START);
-	assert_refused(fixture, RJ_REASON_LEASE_LAPSED);
+	assert_refused(fixture, RJ_REASON_LEASE_EXPIRED);
 	call(fixture, RJ_WORKER_RENEW);
-	assert_refused(fixture, RJ_REASON_LEASE_LAPSED);
+	assert_refused(fixture, RJ_REASON_LEASE_EXPIRED);
 	g_assert_cmpuint(g_hash_table_size(fixture->tasks.ran), ==, 0);
 	g_assert_cmpuint(fixture->tasks.unused.slots, ==, 2);
 }
@@ -97,9 +97,9 @@
 	call(fixture, RJ_WORKER_FENCE);
 	assert_state(fixture, RJ_TASK_NONE);
 	call(fixture, RJ_WORKER_RUN);
-	assert_refused(fixture, RJ_REASON_LEASE_LAPSED);
+	assert_refused(fixture, RJ_REASON_LEASE_EXPIRED);
 	call(fixture, RJ_WORKER_LEASE);
-	assert_refused(fixture, RJ_REASON_LEASE_LAPSED);
+	assert_refused(fixture, RJ_REASON_LEASE_EXPIRED);
 	g_assert_cmpuint(g_hash_table_size(fixture->tasks.ran), ==, 0);
 }
 
@@ -110,7 +110,7 @@
 	call(fixture, RJ_WORKER_FENCE);
 	assert_state(fixture, RJ_TASK_DEAD);
 	call(fixture, RJ_WORKER_START);
-	assert_refused(fixture, RJ_REASON_LEASE_LAPSED);
+	assert_refused(fixture, RJ_REASON_LEASE_EXPIRED);
 }
 
 static void test_release_kills_a_held_token(struct fixture *fixture,
@@ -120,7 +120,7 @@
 	call(fixture, RJ_WORKER_RELEASE);
 	assert_state(fixture, RJ_TASK_DEAD);
 	call(fixture, RJ_WORKER_START);
-	assert_refused(fixture, RJ_REASON_LEASE_LAPSED);
+	assert_refused(fixture, RJ_REASON_LEASE_EXPIRED);
 	g_assert_cmpuint(fixture->tasks.unused.slots, ==, 2);
 }
 
@@ -137,9 +137,9 @@
 	fixture->now_us += RJ_US_PER_S;
 	call(fixture, RJ_WORKER_RELEASE);
 	call(fixture, RJ_WORKER_START);
-	assert_refused(fixture, RJ_REASON_LEASE_LAPSED);
+	assert_refused(fixture, RJ_REASON_LEASE_EXPIRED);
 	call(fixture, RJ_WORKER_RUN);
-	assert_refused(fixture, RJ_REASON_LEASE_LAPSED);
+	assert_refused(fixture, RJ_REASON_LEASE_EXPIRED);
 }
 
 static void test_calls_repeat_their_answers(struct fixture *fixture,
--- a/src/test_soak/callers.c
+++ b/src/test_soak/callers.c
@@ -134,14 +134,15 @@
 				      .port = instance->callers.port };
 	struct call *call = talloc_zero(soak->ev, struct call);
 	char *path = talloc_asprintf(call, "/p/%s", job->id);
-	struct rj_http_send send = { .method = methods[verb],
-				     .url = rj_http_url(call, &address, path),
-				     .timeout_us = CALL_TIMEOUT_US,
-				     .answer_max_bytes = ANSWER_MAX_BYTES,
-				     .headers = headers,
-				     .header_count = G_N_ELEMENTS(headers),
-				     .done = answered,
-				     .private_data = call };
+	struct rj_http_request send = { .method = methods[verb],
+					.url = rj_http_url(call, &address,
+							   path),
+					.timeout_us = CALL_TIMEOUT_US,
+					.response_max_bytes = ANSWER_MAX_BYTES,
+					.headers = headers,
+					.header_count = G_N_ELEMENTS(headers),
+					.done = answered,
+					.private_data = call };
 
 	call->job = job;
 	call->verb = verb;
--- a/src/test_soak/site.c
+++ b/src/test_soak/site.c
@@ -71,14 +71,14 @@
 	       const char *body)
 {
 	struct post *post = talloc_zero(soak->ev, struct post);
-	struct rj_http_send send = { .method = "POST",
-				     .url = rj_http_url(post, to, path),
-				     .body = body,
-				     .length = strlen(body),
-				     .timeout_us = CONTROL_TIMEOUT_US,
-				     .answer_max_bytes = ANSWER_MAX_BYTES,
-				     .done = posted,
-				     .private_data = post };
+	struct rj_http_request send = { .method = "POST",
+					.url = rj_http_url(post, to, path),
+					.body = body,
+					.length = strlen(body),
+					.timeout_us = CONTROL_TIMEOUT_US,
+					.response_max_bytes = ANSWER_MAX_BYTES,
+					.done = posted,
+					.private_data = post };
 
 	post->soak = soak;
 	post->to = *to;
