--- a/include/radishjunction/adapter.h
+++ b/include/radishjunction/adapter.h
@@ -1,10 +1,10 @@
 /*
- * The outside parties, each behind a vtable of its own: a new wire format
- * costs one file.
+ * Interfaces to the external systems, one vtable each, so that a new wire
+ * format is one new file.
  *
- * An adapter is initialised on the caller's memory with an event loop and a
- * sink; calls never block; what becomes of each call arrives at the sink as
- * an event. Whatever a call points to is copied before it returns.
+ * An adapter is initialised on the caller's memory with an event loop and an
+ * event sink. Calls never block; the result of each call is delivered to the
+ * sink as an event. Everything a call points to is copied before it returns.
  */
 #ifndef RADISHJUNCTION_ADAPTER_H
 #define RADISHJUNCTION_ADAPTER_H
@@ -16,12 +16,12 @@
 
 struct rj_platform_ops {
 	const char *name;
-	/* Ends in RJ_EVENT_APPENDED. */
+	/* Results in RJ_EVENT_APPENDED. */
 	void (*append)(struct rj_platform *platform,
 		       const struct rj_append *append);
-	/* Ends in RJ_EVENT_RECORDS or RJ_EVENT_READ_FAILED. */
+	/* Results in RJ_EVENT_RECORDS or RJ_EVENT_READ_FAILED. */
 	void (*read)(struct rj_platform *platform, const struct rj_read *read);
-	/* Ends in RJ_EVENT_INSTANCES, or in nothing. */
+	/* Results in RJ_EVENT_INSTANCES, or in no event. */
 	void (*list)(struct rj_platform *platform);
 	void (*finish)(struct rj_platform *platform);
 };
@@ -34,7 +34,7 @@
 
 struct rj_workers_ops {
 	const char *name;
-	/* Ends in RJ_EVENT_WORKER_REPLY, with LOST after the timeout. */
+	/* Results in RJ_EVENT_WORKER_REPLY; RJ_REPLY_LOST on timeout. */
 	void (*call)(struct rj_workers *workers,
 		     const struct rj_worker_call *call);
 	void (*finish)(struct rj_workers *workers);
@@ -51,7 +51,7 @@
 	void (*connect)(struct rj_peers *peers, const char *name,
 			const struct rj_address *address);
 	void (*drop)(struct rj_peers *peers, const char *name);
-	/* Lost without a link; a link that is full is closed. */
+	/* Dropped when there is no link; closes a link whose queue is full. */
 	void (*send)(struct rj_peers *peers, const char *name,
 		     const struct rj_peer_message *message);
 	void (*finish)(struct rj_peers *peers);
@@ -65,7 +65,7 @@
 
 struct rj_callers_ops {
 	const char *name;
-	/* An answer to a request that is gone is dropped. */
+	/* Ignored when the request is no longer open. */
 	void (*answer)(struct rj_callers *callers, uint64_t request_id,
 		       const struct rj_answer *answer);
 	void (*finish)(struct rj_callers *callers);
--- a/include/radishjunction/config_change.h
+++ b/include/radishjunction/config_change.h
@@ -1,11 +1,11 @@
 /*
- * What differs between two configurations: a JSON patch (RFC 6902) of the
- * operations `add`, `remove` and `replace`, with the digest of the text that
- * it must result in.
+ * Difference between two configurations: a JSON patch (RFC 6902) with the
+ * operations `add`, `remove` and `replace`, and the digest of the resulting
+ * text.
  *
- * The result is always the canonical text: compact, the fields of each object
- * in the order of their names. Whoever applies the same change to the same
- * base, however that was written, gets the same bytes.
+ * The result is always the canonical text: compact, with the fields of each
+ * object sorted by name. Applying the same change to the same base, however
+ * the base was formatted, gives the same bytes.
  */
 #ifndef RADISHJUNCTION_CONFIG_CHANGE_H
 #define RADISHJUNCTION_CONFIG_CHANGE_H
@@ -14,12 +14,13 @@
 #include "radishjunction/types.h"
 
 /*
- * More is published whole. It bounds the time that a reader spends on one
- * change; every version must keep it, or two readers judge differently.
+ * A larger change is published as a whole configuration. Bounds the time that
+ * a reader spends on one change. All versions must use the same limit, or
+ * readers would decide differently about the same record.
  */
 #define RJ_CONFIG_CHANGE_MAX_BYTES (64 * 1024)
 
-/* A change as it travels; with an empty `patch` there is none. */
+/* A change as transmitted; an empty `patch` means none. */
 struct rj_config_change {
 	const char *patch;
 	uint8_t digest[RJ_DIGEST_BYTES]; /* of the canonical result */
--- a/include/radishjunction/config_log.h
+++ b/include/radishjunction/config_log.h
@@ -1,22 +1,23 @@
 /*
- * Which published configuration is in force: a fold over the log's `config`
- * stream that every reader makes alike.
+ * The active configuration, computed from the `config` stream of the log by
+ * rules that give every reader the same result.
  *
- * A publication names the revision that it was made from. The first valid
- * one in log order for the current revision is accepted and makes the next;
- * every other is refused. Revisions only rise. A publication holds the whole
- * configuration or the change that makes it of the one that it names; a
- * change whose result is not the one that its author had is refused.
+ * A publication names its base revision. The first valid publication in log
+ * order for the current revision is accepted and becomes the next revision;
+ * all others are rejected. Revisions only increase. A publication holds the
+ * whole configuration, or the change from its base; a change whose result
+ * differs from the result that its author had is rejected.
  *
- * Old records are dropped, so the newest configuration is carried: appended
- * again with `as_of`, the offset up to which its author had read. It states
- * "at `as_of` this revision was current". Whoever has missed records starts
- * from there, and judges nothing until then. A carried one is always whole.
+ * The log drops old records, so the active configuration is carried: appended
+ * again with `as_of`, the offset up to which its author had read. A carried
+ * record states that its revision was current at `as_of`. A reader that has
+ * missed records decides nothing until it finds a carried record, and
+ * continues from there. A carried record always holds the whole configuration.
  *
- * Life cycle: `rj_config_log_init` on the caller's memory; for each answered
- * read `rj_config_log_begin_batch`, `rj_config_log_skip_ahead` and then
- * `rj_config_log_apply` for each of its records in order; the next read
- * begins at `next`, which may lie before records already seen;
+ * Life cycle: `rj_config_log_init` on the caller's memory; for each
+ * successful read `rj_config_log_begin_batch`, `rj_config_log_skip_ahead` and
+ * then `rj_config_log_apply` for each of its records in order; the next read
+ * starts at `next`, which may be before records already seen;
  * `rj_config_log_finish`.
  */
 #ifndef RADISHJUNCTION_CONFIG_LOG_H
@@ -27,22 +28,22 @@
 #include "radishjunction/record.h"
 
 /*
- * A configuration is carried again after so many records, so that a reader
- * who starts anew has at most twice as many changes to apply: some 4 s of
- * processor time with 290 accounts. At 6,400 changes a day that is a whole
- * one an hour.
+ * The configuration is carried again after this many records, so that a new
+ * reader has at most twice as many changes to apply, about 4 s of processor
+ * time with 290 accounts. At 6,400 changes a day, one whole configuration is
+ * appended each hour.
  */
 #define RJ_CONFIG_CARRY_RECORDS 256
 
 enum rj_config_verdict {
-	RJ_CONFIG_ACCEPTED, /* in force from here on */
-	RJ_CONFIG_REPEATED, /* in force already, or older: nothing changes */
-	RJ_CONFIG_STALE, /* refused: another publication came first */
-	RJ_CONFIG_BAD_TEXT, /* refused: the text has errors */
-	RJ_CONFIG_BAD_CHANGE, /* refused: it does not make what it names */
-	RJ_CONFIG_MALFORMED, /* not a well-formed publication */
-	RJ_CONFIG_UNDECIDED, /* records before it were missed */
-	RJ_CONFIG_READ_AGAIN, /* comes later, when it is read from `next` */
+	RJ_CONFIG_ACCEPTED, /* active from this record on */
+	RJ_CONFIG_REPEATED, /* already active, or older: no change */
+	RJ_CONFIG_STALE, /* rejected: another publication came first */
+	RJ_CONFIG_BAD_TEXT, /* rejected: the text has errors */
+	RJ_CONFIG_BAD_CHANGE, /* rejected: fails, or gives another result */
+	RJ_CONFIG_MALFORMED, /* not a valid publication record */
+	RJ_CONFIG_UNDECIDED, /* earlier records were missed */
+	RJ_CONFIG_READ_AGAIN, /* not at `next`: comes with a later read */
 	RJ_CONFIG_VERDICT_COUNT
 };
 
@@ -50,22 +51,23 @@
 
 struct rj_config_log {
 	void *mem;
-	struct rj_config *config; /* in force: one reference, or NULL */
-	/* How `config` was made of the revision before it; its patch is NULL
-	 * when it came whole. */
+	struct rj_config *config; /* active; holds one reference; or NULL */
+	/* Change from the previous revision to `config`; its patch is NULL
+	 * when `config` was published whole. */
 	struct rj_config_change change;
-	uint64_t next; /* the offset to read from */
-	uint64_t oldest; /* of the last read */
-	uint64_t as_of; /* at this offset `config` was surely current */
-	/* The time of the newest record to start from; with `anchored`. */
+	uint64_t next; /* offset to read from */
+	uint64_t oldest; /* oldest offset kept, as of the last read */
+	uint64_t as_of; /* offset at which `config` is known current */
+	/* Newest record that a new reader can start from, if `anchored`:
+	 * the time when it was written and its offset. */
 	int64_t anchor_us;
 	uint64_t anchor_offset;
 	bool anchored;
 	bool gap; /* records before `next` were missed */
-	/* It has gone straight to the newest records, and has yet to find a
-	 * configuration there. */
+	/* Skipped ahead to the newest records and has found no configuration
+	 * there yet. */
 	bool skipped;
-	bool skip_tried; /* once is enough */
+	bool skip_tried; /* skips ahead at most once */
 };
 
 void rj_config_log_init(struct rj_config_log *log, void *mem);
--- a/include/radishjunction/error.h
+++ b/include/radishjunction/error.h
@@ -1,9 +1,9 @@
 /*
- * Typed errors whose messages name the remedy.
+ * Typed errors with messages that name the remedy.
  *
- * An error is filled by the function that fails and read by its caller; it
- * owns no memory, so it lives on the stack and needs no finish. A list
- * collects every error of one check, so that all are shown at once.
+ * The failing function fills an error and its caller reads it. An error owns
+ * no memory: it can live on the stack and needs no clean-up. A list collects
+ * all errors of one check so that they can be reported together.
  */
 #ifndef RADISHJUNCTION_ERROR_H
 #define RADISHJUNCTION_ERROR_H
--- a/include/radishjunction/types.h
+++ b/include/radishjunction/types.h
@@ -1,10 +1,10 @@
 /*
- * The vocabulary that events, actions, records and messages share.
+ * Types shared by events, actions, records and messages.
  *
- * All of these are plain values: fixed arrays for names, `struct rj_bytes`
- * for a body or a result. Whoever holds the enclosing struct says who owns
- * the bytes. Durations are in microseconds and times are microseconds of the
- * instance's own monotonic clock; only durations travel between instances.
+ * All are plain values: fixed arrays for names, `struct rj_bytes` for a body
+ * or a result. The enclosing struct defines who owns the bytes. Durations are
+ * in microseconds; points in time are microseconds of the instance's own
+ * monotonic clock. Only durations are exchanged between instances.
  */
 #ifndef RADISHJUNCTION_TYPES_H
 #define RADISHJUNCTION_TYPES_H
@@ -13,24 +13,24 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define RJ_NAME_BYTES 48 /* a name with its terminating zero */
-#define RJ_KEY_BYTES 72 /* an idempotency key with its terminating zero */
-#define RJ_IP_BYTES 46 /* the longest IPv6 text form */
+#define RJ_NAME_BYTES 48 /* name with terminating zero */
+#define RJ_KEY_BYTES 72 /* idempotency key with terminating zero */
+#define RJ_IP_BYTES 46 /* longest IPv6 text form with terminating zero */
 #define RJ_DIGEST_BYTES 16
-#define RJ_TOKEN_BYTES 72 /* a caller's token with its terminating zero */
+#define RJ_TOKEN_BYTES 72 /* caller's token with terminating zero */
 
-/* A gang of 512 is the largest that letter 1 asks for. */
+/* Largest gang size that the requirements ask for. */
 #define RJ_GANG_MAX 512
-/* A body or result travels in one frame, one record or one HTTP body. */
+/* A body or result must fit one frame, one log record or one HTTP body. */
 #define RJ_BODY_MAX_BYTES (256 * 1024)
-/* A result kept in the log, so that a repeat elsewhere gets all of it. */
+/* A result kept in the log, to answer repeats at other instances in full. */
 #define RJ_RESULT_MAX_BYTES (64 * 1024)
 
 #define RJ_US_PER_MS 1000ULL
 #define RJ_US_PER_S 1000000ULL
 #define RJ_NEVER_US UINT64_MAX
 
-/* Bytes that someone else owns. */
+/* Borrowed bytes. */
 struct rj_bytes {
 	const uint8_t *data;
 	uint32_t length;
@@ -41,7 +41,7 @@
 	uint16_t port;
 };
 
-/* What one task needs, or what a worker has. */
+/* Resource demand of one task, or capacity of a worker. */
 struct rj_resources {
 	uint32_t slots;
 	uint32_t accelerators;
@@ -57,7 +57,7 @@
 };
 
 enum rj_priority {
-	RJ_PRIORITY_URGENT, /* starts first, may reclaim borrowed capacity */
+	RJ_PRIORITY_URGENT, /* starts first; may reclaim borrowed capacity */
 	RJ_PRIORITY_NORMAL,
 	RJ_PRIORITY_BULK, /* may wait for hours */
 	RJ_PRIORITY_COUNT
@@ -66,17 +66,17 @@
 extern const char *const rj_priority_string[RJ_PRIORITY_COUNT];
 
 enum rj_answer_kind {
-	RJ_ANSWER_DONE, /* ran to its end; the result is whole */
+	RJ_ANSWER_DONE, /* completed; the result is complete */
 	RJ_ANSWER_FAILED, /* ran and failed */
-	RJ_ANSWER_NOT_RUN, /* did not run and will not run */
-	RJ_ANSWER_UNKNOWN, /* may have run; ask again with the same key */
-	RJ_ANSWER_ACCEPTED, /* its record is in the log; ask by id */
+	RJ_ANSWER_NOT_RUN, /* did not run and never will */
+	RJ_ANSWER_UNKNOWN, /* may have run; repeat with the same key */
+	RJ_ANSWER_ACCEPTED, /* recorded in the log; query by id */
 	RJ_ANSWER_KIND_COUNT
 };
 
 extern const char *const rj_answer_kind_string[RJ_ANSWER_KIND_COUNT];
 
-/* Why an answer is what it is, or why a decision was taken. */
+/* Reason for an answer or a decision. */
 enum rj_reason {
 	RJ_REASON_NONE,
 	RJ_REASON_BAD_REQUEST,
@@ -106,7 +106,7 @@
 	RJ_REASON_LEASE_EXPIRED,
 	RJ_REASON_CLAIM_LOST,
 	RJ_REASON_RECLAIMED,
-	/* reasons of placements */
+	/* reasons for placements */
 	RJ_REASON_FIRST_FIT,
 	RJ_REASON_BEST_FIT,
 	RJ_REASON_GUARANTEE,
@@ -121,14 +121,14 @@
 
 extern const char *const rj_reason_string[RJ_REASON_COUNT];
 
-/* Names one attempt of one job, by one incarnation of one instance. */
+/* Identifies one attempt at a job by one incarnation of an instance. */
 struct rj_attempt {
 	uint64_t job_id;
 	uint64_t owner; /* incarnation of the instance that plans it */
 	uint32_t number;
 };
 
-/* A job as it travels: from a caller, between peers and in the log. */
+/* A job as sent by a caller, between peers and to the log. */
 struct rj_job_spec {
 	uint64_t job_id;
 	char account[RJ_NAME_BYTES];
@@ -137,8 +137,8 @@
 	uint8_t digest[RJ_DIGEST_BYTES]; /* of class, shape and body */
 	struct rj_shape shape;
 	uint64_t declared_us; /* the caller's estimate; 0 if not given */
-	uint64_t deadline_in_us; /* counted from receipt; 0 if none */
-	bool wait; /* the caller waits on its connection */
+	uint64_t deadline_in_us; /* relative to receipt; 0 if none */
+	bool wait; /* the caller's connection waits for the result */
 	struct rj_bytes body;
 };
 
@@ -146,9 +146,9 @@
 	enum rj_answer_kind kind;
 	enum rj_reason reason;
 	uint64_t job_id;
-	uint64_t retry_after_us; /* when to come back; 0 if of no use */
+	uint64_t retry_after_us; /* delay before a retry; 0 if useless */
 	struct rj_bytes result;
-	char detail[160]; /* field and remedy, for a person */
+	char detail[160]; /* human-readable: field and remedy */
 };
 
 uint64_t rj_hash64(const void *data, size_t length, uint64_t seed);
--- a/src/libradishjunction/address.c
+++ b/src/libradishjunction/address.c
@@ -6,9 +6,9 @@
 #include <string.h>
 
 /*
- * Read an address such as `127.0.0.1:7070` or `[::1]:7070`. Only IP numbers
- * are taken: nothing here resolves names. Returns 0, or -1 when `text` is no
- * such address; `address` is zeroed then.
+ * Parse an address such as `127.0.0.1:7070` or `[::1]:7070`. Host names are
+ * not accepted. Returns 0, or -1 if `text` is not a valid address; `address`
+ * is then zeroed.
  */
 int rj_address_parse(struct rj_address *address, const char *text)
 {
@@ -42,8 +42,8 @@
 }
 
 /*
- * Write an address as `rj_address_parse` reads it, with brackets around an
- * IPv6 number.
+ * Format an address in the form that `rj_address_parse` accepts, with
+ * brackets around an IPv6 address.
  */
 void rj_address_format(char text[RJ_ADDRESS_BYTES],
 		       const struct rj_address *address)
--- a/src/libradishjunction/buffer.c
+++ b/src/libradishjunction/buffer.c
@@ -7,7 +7,8 @@
 #define INITIAL_CAPACITY_BYTES 1024
 
 /*
- * Append `length` bytes; an empty part makes an empty buffer a text.
+ * Append `length` bytes. Appending 0 bytes to an empty buffer makes it a valid
+ * empty string.
  */
 void rj_buffer_append(struct rj_buffer *buffer, void *mem, const char *data,
 		      size_t length)
--- a/src/libradishjunction/clock.c
+++ b/src/libradishjunction/clock.c
@@ -7,12 +7,11 @@
 #include "radishjunction/types.h"
 
 /*
- * Microseconds since the machine was started, the time that it slept
- * included. Unlike the wall clock it is never set back, so a lease counted
- * with it cannot be made longer by an operator.
+ * Microseconds since boot, including time in suspend. Unlike the wall clock it
+ * is never set back, so changing the system time cannot extend a lease.
  *
- * Guards against an instance that was suspended: a clock that stands still
- * meanwhile would show its leases and its keys as young as before.
+ * Guards against the suspension of an instance: with a clock that stops
+ * meanwhile, its leases and idempotency keys would not have aged.
  */
 uint64_t rj_clock_now_us(void)
 {
@@ -26,7 +25,7 @@
 }
 
 /*
- * The time that a tevent timer takes to fire `delay_us` from now.
+ * The expiry to pass to a tevent timer that fires `delay_us` from now.
  */
 struct timeval rj_clock_timeval_in(uint64_t delay_us)
 {
--- a/src/libradishjunction/config.c
+++ b/src/libradishjunction/config.c
@@ -50,7 +50,7 @@
 	.unique_names = true,
 };
 
-/* A guarantee is written flat: its shape beside its count. */
+/* The shape of a guarantee has no object of its own in the JSON. */
 #define SHAPE_FIELD(type_, member)                                     \
 	.type = &rj_schema_##type_, .name = #member, .optional = true, \
 	.offset = offsetof(struct rj_guarantee, shape.member)
@@ -162,8 +162,8 @@
 };
 
 /*
- * Report each guarantee whose failure domain does not exist. Names that were
- * in error themselves are empty and passed over.
+ * Report each guarantee whose failure domain does not exist. Invalid names
+ * were reported already and are empty here; they are skipped.
  */
 static void check_domain_names(const struct rj_config *config,
 			       struct rj_error_list *errors)
@@ -181,7 +181,7 @@
 			rj_error_list_add(
 				errors, RJ_ERR_INVALID,
 				"accounts[%u].guarantees[%u].domain: \"%s\" "
-				"is no failure domain; add it to \"domains\" "
+				"is not a failure domain; add it to \"domains\" "
 				"or use one of these, such as \"%s\"",
 				i, j, name, config->domains[0].name);
 		}
@@ -189,8 +189,8 @@
 }
 
 /*
- * Report two accounts with the same token: each could read and cancel the
- * other's jobs.
+ * Report accounts that share a token: each could read and cancel the other's
+ * jobs.
  */
 static void check_tokens(const struct rj_config *config,
 			 struct rj_error_list *errors)
@@ -199,7 +199,7 @@
 		const uint8_t *hash = config->accounts[i].token_hash;
 		uint32_t j = 0;
 
-		/* A hash that was in error itself is zero. */
+		/* An invalid hash was reported already and is zero. */
 		if (sodium_is_zero(hash, RJ_TOKEN_HASH_BYTES))
 			continue;
 		while (j < i && memcmp(hash, config->accounts[j].token_hash,
@@ -208,7 +208,7 @@
 		if (j < i)
 			rj_error_list_add(
 				errors, RJ_ERR_INVALID,
-				"accounts[%u].token_hash: the same as that of "
+				"accounts[%u].token_hash: same as that of "
 				"accounts[%u]; give each account a token of "
 				"its own",
 				i, j);
@@ -216,11 +216,11 @@
 }
 
 /*
- * Read a configuration from JSON text and check it whole.
+ * Parse and validate a configuration from JSON text.
  *
- * Returns one reference, whose memory is a talloc child of `mem`, or NULL
- * with every error added to `errors`. The revision is 0 and the id empty
- * until the caller sets them from the log's record.
+ * Returns one reference to a configuration that is a talloc child of `mem`,
+ * or NULL with every error added to `errors`. The caller sets the revision and
+ * the id from the log record; until then they are 0 and empty.
  */
 struct rj_config *rj_config_parse(void *mem, const char *text,
 				  struct rj_error_list *errors)
@@ -258,9 +258,6 @@
 	return config;
 }
 
-/*
- * Take one more reference.
- */
 struct rj_config *rj_config_ref(struct rj_config *config)
 {
 	assert(config->refs);
@@ -269,7 +266,7 @@
 }
 
 /*
- * Give one reference back; the last frees the configuration. NULL is
+ * Release one reference; the last one frees the configuration. NULL is
  * allowed.
  */
 void rj_config_unref(struct rj_config *config)
@@ -282,11 +279,11 @@
 }
 
 /*
- * Add to `notes` what is allowed but may surprise: work that can be neither
- * repeated nor interrupted never borrows another account's guarantee.
+ * Add to `warnings` what is valid but may surprise: jobs that can be neither
+ * repeated nor checkpointed never borrow another account's guarantee.
  */
 void rj_config_warnings(const struct rj_config *config,
-			struct rj_error_list *notes)
+			struct rj_error_list *warnings)
 {
 	for (uint32_t i = 0; i < config->class_count; i++) {
 		const struct rj_job_class *class = &config->classes[i];
@@ -294,16 +291,16 @@
 		if (class->idempotent || class->checkpoint)
 			continue;
 		rj_error_list_add(
-			notes, RJ_ERR_NONE,
+			warnings, RJ_ERR_NONE,
 			"classes[%u] (%s): neither idempotent nor with "
 			"checkpoints, so it runs only on its own account's "
-			"guarantees and on capacity that nobody is guaranteed",
+			"guarantees and on capacity that no account is guaranteed",
 			i, class->name);
 	}
 }
 
 /*
- * The account of that name, or NULL.
+ * The account with that name, or NULL.
  */
 const struct rj_account *rj_config_account(const struct rj_config *config,
 					   const char *name)
@@ -317,8 +314,8 @@
 /*
  * The account that the caller's token belongs to, or NULL.
  *
- * Guards against a caller that guesses a token by the time of the refusal:
- * every account is compared, each in constant time, and only hashes are.
+ * Guards against timing attacks on the token: only hashes are compared, each
+ * in constant time and always those of every account.
  */
 const struct rj_account *
 rj_config_account_by_token(const struct rj_config *config, const char *token)
@@ -335,7 +332,7 @@
 }
 
 /*
- * The job class of that name, or NULL.
+ * The job class with that name, or NULL.
  */
 const struct rj_job_class *rj_config_class(const struct rj_config *config,
 					   const char *name)
@@ -347,7 +344,7 @@
 }
 
 /*
- * The failure domain of that name, or NULL.
+ * The failure domain with that name, or NULL.
  */
 const struct rj_domain *rj_config_domain(const struct rj_config *config,
 					 const char *name)
@@ -359,9 +356,9 @@
 }
 
 /*
- * The hash of a caller's token, as the configuration keeps it. Tokens are
- * random and long, so a fast hash is as good as a slow one. Source: libsodium,
- * "Generic hashing".
+ * Hash a caller's token as the configuration stores it. Tokens are long and
+ * random, so a slow password hash is not needed. See "Generic hashing" in the
+ * libsodium documentation.
  */
 void rj_token_hash(uint8_t hash[RJ_TOKEN_HASH_BYTES], const char *token)
 {
--- a/src/libradishjunction/config_capacity.c
+++ b/src/libradishjunction/config_capacity.c
@@ -7,15 +7,15 @@
 #include "private/capacity.h"
 #include "private/guarantee_layout.h"
 
-/* One guarantee of one account in the failure domain that is checked. */
+/* One guarantee of one account in the checked failure domain. */
 struct entry {
 	const struct rj_guarantee *guarantee;
 	uint32_t account;
 	uint32_t index;
-	bool fits_alone;
+	bool fits_alone; /* fits the empty failure domain */
 };
 
-/* The workers of one failure domain while guarantees are laid out on them. */
+/* Layout of the guarantees of one failure domain on its workers. */
 struct layout {
 	const struct rj_domain *domain;
 	struct rj_layout workers;
@@ -24,10 +24,8 @@
 };
 
 /*
- * The lesser of two counts.
- */
-/*
- * Put all shapes of a guarantee; returns how many tasks found no place.
+ * Place all shapes of a guarantee. Returns the number of tasks that could not
+ * be placed.
  */
 static uint64_t place_guarantee(struct layout *layout,
 				const struct rj_guarantee *guarantee)
@@ -41,7 +39,7 @@
 }
 
 /*
- * The hardest to place first, equal ones in the order of the configuration.
+ * Hardest to place first; equal ones in the order of the configuration.
  */
 static int compare_entries(const void *first, const void *second)
 {
@@ -58,7 +56,8 @@
 }
 
 /*
- * Report each resource of one task that no worker of the domain has.
+ * Report each resource of which one task needs more than a worker has.
+ * Returns whether the task fits a worker.
  */
 static bool fits_worker(const struct layout *layout, const struct entry *entry,
 			struct rj_error_list *errors)
@@ -93,7 +92,8 @@
 }
 
 /*
- * Report a single shape that even the empty domain could not hold.
+ * Report a shape that does not fit the empty failure domain. Returns whether
+ * it fits.
  */
 static bool fits_empty(const struct layout *layout, const struct entry *entry,
 		       struct rj_error_list *errors)
@@ -121,8 +121,8 @@
 }
 
 /*
- * Collect the guarantees of one failure domain and report each that could
- * not be held by the domain alone.
+ * Collect the guarantees of one failure domain and report each that does not
+ * fit it even alone.
  */
 static void collect_entries(struct layout *layout,
 			    const struct rj_config *config,
@@ -157,14 +157,14 @@
 }
 
 /*
- * Lay all guarantees of one failure domain out on its empty workers.
+ * Lay out all guarantees of one failure domain on its empty workers and
+ * report those that do not fit beside the others.
  *
- * Guards against a promise that cannot be kept: sums that fit while the
- * shapes do not, such as three adjacent gangs of five workers in two racks
- * of eight. It would show as a reclaim that frees enough accelerators and
- * never the shape. It holds because a layout that was found is a proof; one
- * that first fit by size does not find is refused, even if a cleverer search
- * would find it.
+ * Guards against guarantees whose sum fits but whose shapes do not, such as
+ * three adjacent gangs of five workers in two racks of eight: a reclaim would
+ * free enough accelerators but never the shape. A layout that is found proves
+ * that the guarantees can be honoured. The search is first fit by decreasing
+ * size, so a configuration may be rejected although a layout exists.
  */
 static void check_domain(const struct rj_config *config,
 			 const struct rj_domain *domain,
@@ -189,8 +189,8 @@
 		rj_error_list_add(
 			errors, RJ_ERR_INVALID,
 			"accounts[%u].guarantees[%u].count: %u shapes of %u "
-			"tasks find no room in %s beside the other guarantees "
-			"(%llu tasks are left over); lower it or add racks",
+			"tasks do not fit %s beside the other guarantees "
+			"(%llu tasks cannot be placed); lower it or add racks",
 			entry->account, entry->index, entry->guarantee->count,
 			entry->guarantee->shape.tasks, domain->name,
 			(unsigned long long)unplaced);
@@ -199,9 +199,9 @@
 }
 
 /*
- * Report every guarantee that its failure domain cannot hold, alone or with
- * the others. What is in error itself, and is zero therefore, is passed over,
- * and so are guarantees whose domain does not exist: the caller reports them.
+ * Report every guarantee that does not fit its failure domain, alone or beside
+ * the others. Invalid fields are zero and skipped, as are guarantees whose
+ * domain does not exist: the caller reports them.
  */
 void rj_config_capacity_check(const struct rj_config *config,
 			      struct rj_error_list *errors)
--- a/src/libradishjunction/config_change.c
+++ b/src/libradishjunction/config_change.c
@@ -9,15 +9,15 @@
 
 #include "private/schema.h"
 
-/* Where one operation of a patch takes effect. */
+/* The location that one operation of a patch modifies. */
 struct target {
 	json_t *parent; /* borrowed */
 	char *key; /* the last token of the path, unescaped */
-	size_t index; /* of `key`, when the parent is an array */
+	size_t index; /* `key` as a number if the parent is an array */
 };
 
 /*
- * The canonical text of parsed JSON, a talloc child of `mem`.
+ * Format parsed JSON as canonical text, a talloc child of `mem`.
  */
 static char *canonical_text(void *mem, const json_t *json)
 {
@@ -32,8 +32,8 @@
 }
 
 /*
- * The canonical form of a configuration's text, a talloc child of `mem`, or
- * NULL when it is not JSON.
+ * The canonical form of a configuration text, a talloc child of `mem`, or NULL
+ * if the text is not valid JSON.
  */
 char *rj_config_canonical(void *mem, const char *text)
 {
@@ -45,7 +45,7 @@
 }
 
 /*
- * The digest by which a change names its result.
+ * Compute the digest by which a change identifies its result.
  */
 static void digest_text(uint8_t digest[RJ_DIGEST_BYTES], const char *text)
 {
@@ -72,7 +72,7 @@
 }
 
 /*
- * Append the number of an element to a path.
+ * Append an array index to a JSON pointer.
  */
 static void append_index(GString *path, size_t index)
 {
@@ -80,7 +80,7 @@
 }
 
 /*
- * Add one operation to a patch; `value` is NULL for a removal.
+ * Append one operation to a patch; `value` is NULL for "remove".
  */
 static void add_operation(json_t *patch, const char *name, const GString *path,
 			  json_t *value)
@@ -97,7 +97,7 @@
 			   json_t *to);
 
 /*
- * Add what turns the fields of `from` into those of `to`.
+ * Append the operations that turn object `from` into object `to`.
  */
 static void add_object_difference(json_t *patch, GString *path, json_t *from,
 				  json_t *to)
@@ -128,9 +128,9 @@
 }
 
 /*
- * Add what turns the elements of `from` into those of `to`: what is equal at
- * both ends stays, and what lies between is changed in place, as far as both
- * have elements there, then removed or added.
+ * Append the operations that turn array `from` into array `to`. The common
+ * prefix and suffix are kept; between them, elements are changed in place
+ * while both arrays have some, and the rest is removed or added.
  */
 static void add_array_difference(json_t *patch, GString *path, json_t *from,
 				 json_t *to)
@@ -168,7 +168,7 @@
 }
 
 /*
- * Add what turns `from` into `to`, both at `path`.
+ * Append the operations that turn `from` into `to`, both at `path`.
  */
 static void add_difference(json_t *patch, GString *path, json_t *from,
 			   json_t *to)
@@ -184,11 +184,12 @@
 }
 
 /*
- * Make the change that turns the configuration `base` into `text`. Its patch
- * is a talloc child of `mem`.
+ * Compute the change that turns the configuration `base` into `text`. Its
+ * patch is a talloc child of `mem`.
  *
- * Returns 0, or -1 when the configuration has to go whole: one of the texts
- * is no JSON object, or the change would be no shorter than the result.
+ * Returns 0, or -1 when the configuration must be published whole: one of the
+ * texts is not a JSON object, or the patch is no shorter than the result or
+ * longer than RJ_CONFIG_CHANGE_MAX_BYTES.
  */
 int rj_config_change_make(void *mem, const char *base, const char *text,
 			  struct rj_config_change *change)
@@ -236,7 +237,8 @@
 }
 
 /*
- * The number of an array's element, which may be one past its last.
+ * Parse an array index. It may be one past the last element, as "add" allows.
+ * Returns whether it is valid.
  */
 static bool parse_index(const json_t *array, const char *token, size_t *index)
 {
@@ -300,7 +302,7 @@
 }
 
 /*
- * Add, remove or replace a field of an object; false if it cannot be.
+ * Apply one operation to a field of an object. Returns whether it succeeded.
  */
 static bool apply_to_object(const struct target *target, const char *name,
 			    json_t *value)
@@ -314,7 +316,7 @@
 }
 
 /*
- * Add, remove or replace an element of an array; false if it cannot be.
+ * Apply one operation to an element of an array. Returns whether it succeeded.
  */
 static bool apply_to_array(const struct target *target, const char *name,
 			   json_t *value)
@@ -327,8 +329,8 @@
 }
 
 /*
- * Carry out one operation of a patch; false if it cannot be. Fields of an
- * operation that RFC 6902 does not name are passed over, as it asks for.
+ * Apply one operation of a patch. Returns whether it succeeded. Members of the
+ * operation that RFC 6902 does not define are ignored, as it requires.
  */
 static bool apply_operation(void *mem, json_t *document,
 			    const json_t *operation)
@@ -352,8 +354,8 @@
 }
 
 /*
- * Carry out a whole patch on `document`. Returns the number of the first
- * operation that cannot be, or -1 when all were.
+ * Apply a patch to `document`. Returns the index of the first operation that
+ * fails, or -1 if all succeed.
  */
 static int apply_patch(json_t *document, const json_t *patch)
 {
@@ -374,13 +376,13 @@
 }
 
 /*
- * Whether the result is the one that the change was made for.
+ * Whether the result is the one that the author of the change had.
  *
- * Guards against a change that meets another base than its author had (the
- * log was started anew, or a peer offers it): it would result in a
- * configuration that nobody wrote, and readers would hold different ones
- * under one revision. The digest is of the whole result, so that any
- * difference in the base shows.
+ * Guards against applying a change to another base than its author had, after
+ * the log was recreated or when a peer sends the change: the result would be a
+ * configuration that no one published, and readers would hold different
+ * configurations under one revision. The digest covers the whole result, so
+ * it detects any difference in the base.
  */
 static bool is_intended(const char *result,
 			const struct rj_config_change *change)
@@ -392,12 +394,12 @@
 }
 
 /*
- * The configuration that `change` makes of `base`: canonical text, a talloc
- * child of `mem`. Whether it is a valid configuration is not checked here.
+ * Apply `change` to `base`. Returns the canonical text of the result, a talloc
+ * child of `mem`; it is not validated as a configuration.
  *
- * Returns NULL with the error added to `errors` when the patch is malformed
- * or does not fit the base, or when the result has another digest. Every
- * reader with this base decides alike.
+ * Returns NULL with the error added to `errors` if the patch is malformed or
+ * does not apply to the base, or if the digest of the result differs. The
+ * outcome is the same for every reader with this base.
  */
 char *rj_config_change_apply(void *mem, const char *base,
 			     const struct rj_config_change *change,
@@ -413,25 +415,26 @@
 	if (!json_is_array(patch) ||
 	    strlen(change->patch) > RJ_CONFIG_CHANGE_MAX_BYTES) {
 		rj_error_list_add(errors, RJ_ERR_INVALID,
-				  "change: not a list of operations of at "
-				  "most %d bytes; publish the configuration "
-				  "whole",
+				  "change: must be a list of operations of at "
+				  "most %d bytes; publish the whole "
+				  "configuration",
 				  RJ_CONFIG_CHANGE_MAX_BYTES);
 		goto out;
 	}
 	failed = apply_patch(document, patch);
 	if (failed >= 0) {
 		rj_error_list_add(errors, RJ_ERR_INVALID,
-				  "change[%d]: does not fit the configuration "
-				  "that it names as its base; publish again",
+				  "change[%d]: cannot be applied to the "
+				  "configuration that it names as its base; "
+				  "publish again",
 				  failed);
 		goto out;
 	}
 	result = canonical_text(mem, document);
 	if (!is_intended(result, change)) {
 		rj_error_list_add(errors, RJ_ERR_INVALID,
-				  "change: its result has another digest than "
-				  "its author had; publish again");
+				  "change: the digest of the result differs "
+				  "from the author's; publish again");
 		TALLOC_FREE(result);
 	}
 out:
--- a/src/libradishjunction/config_log.c
+++ b/src/libradishjunction/config_log.c
@@ -4,8 +4,8 @@
 #include <string.h>
 #include <talloc.h>
 
-/* What a new reader reads of a long stream: a carried one stands in its
- * first half, unless nobody carried in time. */
+/* Records at the end of a long stream that a new reader reads. The first half
+ * of them holds a carried record, unless the configuration was carried late. */
 #define SKIP_WINDOW_RECORDS (2UL * RJ_CONFIG_CARRY_RECORDS)
 
 const char *const rj_config_verdict_string[RJ_CONFIG_VERDICT_COUNT] = {
@@ -20,7 +20,7 @@
 };
 
 /*
- * Start without a configuration, at the beginning of the stream.
+ * Initialise without a configuration, at the beginning of the stream.
  */
 void rj_config_log_init(struct rj_config_log *log, void *mem)
 {
@@ -29,13 +29,14 @@
 }
 
 /*
- * Begin the records of one answered read; `oldest` is the oldest offset that
+ * Begin the records of one successful read; `oldest` is the oldest offset that
  * the log still keeps.
  *
- * Guards against a reader that was paused past retention, or that starts on
- * a log whose beginning is gone: it would judge a publication without the
- * ones before it, and put a refused one in force. It holds because with a
- * gap nothing is judged until a carried record tells where to start.
+ * Guards against a reader that was paused for longer than the retention, or
+ * that starts on a log whose beginning was dropped: it would evaluate a
+ * publication without the ones before it and activate one that all others
+ * rejected. After a gap, nothing is decided until a carried record gives a
+ * position to start from.
  */
 void rj_config_log_begin_batch(struct rj_config_log *log, uint64_t oldest)
 {
@@ -47,14 +48,14 @@
 }
 
 /*
- * Of a long stream, go straight to its newest records; `head` is one past
- * the newest offset. To be called after `rj_config_log_begin_batch`.
+ * Skip to the newest records of a long stream; `head` is one past the newest
+ * offset. Must be called after `rj_config_log_begin_batch`.
  *
- * A reader without a configuration would else apply every change that the
- * log keeps: 45,000 in a week at 6,400 a day. Going on from there is safe,
- * since it is a gap, in which nothing is judged before a carried record
- * tells where to start. Where none is found, the stream is read from its
- * oldest record after all.
+ * Without this, a reader that has no configuration would apply every change in
+ * the log: 45,000 in a week at 6,400 a day. Skipping is safe because it counts
+ * as a gap, after which nothing is decided until a carried record gives a
+ * position to start from. If there is none among the newest records, the
+ * stream is read from its oldest record.
  */
 void rj_config_log_skip_ahead(struct rj_config_log *log, uint64_t head)
 {
@@ -75,7 +76,7 @@
 }
 
 /*
- * The revision in force, 0 for none.
+ * The active revision, or 0 for none.
  */
 uint64_t rj_config_log_revision(const struct rj_config_log *log)
 {
@@ -83,7 +84,7 @@
 }
 
 /*
- * Whether `id` names the publication in force.
+ * Whether `id` is the id of the active publication.
  */
 static bool is_active(const struct rj_config_log *log, const char *id)
 {
@@ -91,7 +92,7 @@
 }
 
 /*
- * Let go of the change that made the configuration before this one.
+ * Free the change that led to the previous configuration.
  */
 static void drop_change(struct rj_config_log *log)
 {
@@ -100,7 +101,7 @@
 }
 
 /*
- * Put the text in force as `revision`, unless it has errors.
+ * Activate the text as `revision`. Returns false if it has errors.
  */
 static bool activate_text(struct rj_config_log *log, uint64_t revision,
 			  const char *id, const char *text,
@@ -120,8 +121,8 @@
 }
 
 /*
- * What `change` makes of the configuration in force, a talloc child of the
- * fold's memory, or NULL with the error added to `errors`.
+ * Apply `change` to the active configuration. Returns the resulting text, a
+ * talloc child of `log->mem`, or NULL with the error added to `errors`.
  */
 static char *apply_change(struct rj_config_log *log,
 			  const struct rj_config_change *change,
@@ -132,13 +133,13 @@
 					      change, errors);
 	rj_error_list_add(errors, RJ_ERR_INVALID,
 			  "change: there is no configuration to change; "
-			  "publish the configuration whole");
+			  "publish the whole configuration");
 	return NULL;
 }
 
 /*
- * Put in force what `change` makes of the configuration in force, and keep
- * the change for peers who are one revision behind.
+ * Activate the result of applying `change` to the active configuration, and
+ * keep the change for peers that are one revision behind.
  */
 static enum rj_config_verdict
 activate_change(struct rj_config_log *log, uint64_t revision, const char *id,
@@ -162,7 +163,7 @@
 }
 
 /*
- * Note when the newest record from which a reader can start was written.
+ * Record the time and offset of the newest record that a reader can start from.
  */
 static void set_anchor(struct rj_config_log *log,
 		       const struct rj_record *record, uint64_t now_us)
@@ -173,7 +174,7 @@
 }
 
 /*
- * Read on from `as_of`, where the configuration in force was current.
+ * Continue reading at `as_of`, where the active configuration was current.
  */
 static void resume_from(struct rj_config_log *log, uint64_t as_of)
 {
@@ -184,10 +185,10 @@
 }
 
 /*
- * Judge a carried record. One that is needed, because it is newer or because
- * records were missed, also says where to read on: at the offset up to which
- * its author had read. The author may have lagged, so publications between
- * that offset and the carried record are judged in order, from its state.
+ * Evaluate a carried record. If it is needed, because it is newer or because
+ * records were missed, reading continues at the offset up to which its author
+ * had read. The author may have lagged, so the publications between that
+ * offset and the carried record are evaluated in order from its state.
  */
 static enum rj_config_verdict apply_carried(struct rj_config_log *log,
 					    const struct rj_record *record,
@@ -217,7 +218,7 @@
 }
 
 /*
- * Judge a publication.
+ * Evaluate a publication.
  */
 static enum rj_config_verdict apply_published(struct rj_config_log *log,
 					      const struct rj_record *record,
@@ -243,8 +244,8 @@
 }
 
 /*
- * Whether the record has what a publication needs: the whole text or a
- * change, and not both.
+ * Whether the record is a valid publication: it has an id and either the whole
+ * text or a change, but not both.
  */
 static bool is_publication(const struct rj_record *record)
 {
@@ -254,12 +255,12 @@
 
 /*
  * Apply the record at offset `next` of the stream, at the reader's time
- * `now_us`. A record at another offset was handed over in a read from before
- * `next` moved: it is left alone and comes again with the next read.
+ * `now_us`. A record at another offset comes from a read that was started
+ * before `next` moved: it is ignored and returned again by the next read.
  *
  * Returns the verdict; with RJ_CONFIG_BAD_TEXT and RJ_CONFIG_BAD_CHANGE the
- * errors are added to `errors`. Nothing that is refused changes what is in
- * force.
+ * errors are added to `errors`. A rejected record does not change the active
+ * configuration.
  */
 enum rj_config_verdict rj_config_log_apply(struct rj_config_log *log,
 					   const struct rj_record *record,
@@ -271,7 +272,7 @@
 	if (record->offset != log->next)
 		return RJ_CONFIG_READ_AGAIN;
 	log->next++;
-	/* While the stream's beginning is kept, it is a place to start. */
+	/* A reader can also start from the beginning of the stream. */
 	if (!record->offset)
 		set_anchor(log, record, now_us);
 	if (is_publication(record))
@@ -284,8 +285,8 @@
 }
 
 /*
- * Whether a publication that a peer names can be the next after the one in
- * force: `revision` is newer, and `id` fits.
+ * Whether a publication named by a peer can replace the active one: `revision`
+ * is newer and `id` is not empty and fits.
  */
 static bool is_newer(const struct rj_config_log *log, uint64_t revision,
 		     const char *id)
@@ -295,8 +296,8 @@
 }
 
 /*
- * A peer that had read the stream up to `as_of` has the same configuration
- * in force: that ends a gap.
+ * End a gap if a peer that had read the stream up to `as_of` has the same
+ * active configuration.
  */
 static void end_gap(struct rj_config_log *log, uint64_t revision,
 		    const char *id, uint64_t as_of)
@@ -307,7 +308,7 @@
 }
 
 /*
- * A peer's configuration came into force: read on from where it had read.
+ * After activating a peer's configuration, continue where the peer had read.
  */
 static void finish_adoption(struct rj_config_log *log, uint64_t as_of)
 {
@@ -317,10 +318,10 @@
 }
 
 /*
- * Take a newer configuration from a peer that had read the stream up to
- * `as_of`; the next read goes on from there. Returns whether it came into
- * force now. One that is not newer, or whose text has errors, changes nothing,
- * but that one which is in force already ends a gap.
+ * Adopt a newer configuration from a peer that had read the stream up to
+ * `as_of`; the next read continues there. Returns whether the configuration
+ * was activated. One that is not newer or has errors changes nothing, except
+ * that the configuration that is already active ends a gap.
  */
 bool rj_config_log_adopt(struct rj_config_log *log, uint64_t revision,
 			 const char *id, const char *text, uint64_t as_of,
@@ -335,14 +336,14 @@
 }
 
 /*
- * Take the change that made a peer's configuration, as rj_config_log_adopt
- * does with a whole one.
+ * Adopt the change that led to a peer's configuration, like
+ * rj_config_log_adopt does with a whole configuration.
  *
- * Guards against a change that comes before its base, or long after it (the
- * peer's view of this reader was old): applied to another revision it would
- * make a configuration that nobody wrote. Only one against the revision in
- * force is taken; whoever misses its base gets the whole one, since the next
- * heartbeat shows that it is behind.
+ * Guards against a change that arrives before its base or long after it,
+ * because the peer's view of this reader was outdated: applied to another
+ * revision it would give a configuration that no one published. Only a change
+ * from the active revision is applied. A reader that lacks the base is sent
+ * the whole configuration, since its next heartbeat shows that it is behind.
  */
 bool rj_config_log_adopt_change(struct rj_config_log *log, uint64_t revision,
 				const char *id,
@@ -360,9 +361,9 @@
 }
 
 /*
- * Whether the configuration in force has to be appended again. Half of the
- * retention leaves the other half for outages of the log; after many records
- * it is due sooner, see RJ_CONFIG_CARRY_RECORDS.
+ * Whether the active configuration must be appended again. It is due after
+ * half of the retention, which leaves the other half for outages of the log,
+ * or earlier after many records; see RJ_CONFIG_CARRY_RECORDS.
  */
 bool rj_config_log_carry_due(const struct rj_config_log *log, uint64_t now_us,
 			     uint64_t retention_us)
@@ -376,8 +377,8 @@
 }
 
 /*
- * Fill the record that carries the configuration in force. It points into
- * `log` until that changes.
+ * Fill in a record that carries the active configuration. It points into
+ * `log` and is valid until `log` changes.
  */
 void rj_config_log_fill_carried(const struct rj_config_log *log,
 				struct rj_record *record)
@@ -394,7 +395,7 @@
 }
 
 /*
- * Give the configuration back; the fold is empty afterwards.
+ * Release the configuration; `log` is zeroed.
  */
 void rj_config_log_finish(struct rj_config_log *log)
 {
--- a/src/libradishjunction/error.c
+++ b/src/libradishjunction/error.c
@@ -19,9 +19,9 @@
 };
 
 /*
- * Fill `err` (which may be NULL) and return -1, so that a caller can fail in
- * one line. The message names the field, the value and the remedy; it is cut
- * at RJ_ERROR_MESSAGE_BYTES.
+ * Fill `err`, which may be NULL, and return -1, so that a caller can fail in
+ * one statement. The message names the field, the value and the remedy; it is
+ * truncated to RJ_ERROR_MESSAGE_BYTES.
  */
 int rj_error_set(struct rj_error *err, enum rj_error_kind kind,
 		 const char *format, ...)
@@ -38,7 +38,7 @@
 }
 
 /*
- * Start an empty list whose errors are talloc children of `mem`.
+ * Initialise an empty list whose errors are talloc children of `mem`.
  */
 void rj_error_list_init(struct rj_error_list *list, void *mem)
 {
@@ -48,7 +48,7 @@
 }
 
 /*
- * Add one error; the list grows as needed and keeps their order.
+ * Append one error; the message is as for rj_error_set.
  */
 void rj_error_list_add(struct rj_error_list *list, enum rj_error_kind kind,
 		       const char *format, ...)
@@ -67,7 +67,7 @@
 }
 
 /*
- * Free the errors; the list is empty afterwards and may be used again.
+ * Free the errors; the list is empty and can be used again.
  */
 void rj_error_list_finish(struct rj_error_list *list)
 {
--- a/src/libradishjunction/guarantee_layout.c
+++ b/src/libradishjunction/guarantee_layout.c
@@ -6,7 +6,7 @@
 #include "private/capacity.h"
 
 /*
- * Start with the empty domain; all memory is a talloc child of `mem`.
+ * Initialise with an empty domain; memory is a talloc child of `mem`.
  */
 void rj_layout_init(struct rj_layout *layout, void *mem,
 		    const struct rj_domain *domain)
@@ -20,17 +20,14 @@
 		layout->free[i] = domain->worker;
 }
 
-/*
- * Free what the layout took.
- */
 void rj_layout_finish(struct rj_layout *layout)
 {
 	TALLOC_FREE(layout->free);
 }
 
 /*
- * The hardest to place first: adjacent shapes by size, then large tasks.
- * Equal ones (0) are to stay in the order of the configuration.
+ * Order shapes by decreasing difficulty: adjacent shapes by size, then large
+ * tasks. The caller must keep equal shapes (0) in configuration order.
  */
 int rj_layout_compare(const struct rj_shape *one, const struct rj_shape *two)
 {
@@ -49,7 +46,7 @@
 }
 
 /*
- * Note that tasks were put on a worker, if the caller wants to know.
+ * Record the tasks placed on a worker, unless `parts` is NULL.
  */
 static void record_part(const struct rj_layout *layout,
 			struct rj_layout_parts *parts, uint32_t worker,
@@ -69,9 +66,9 @@
 }
 
 /*
- * Put up to `tasks` tasks onto `count` workers from `first` on, those first
- * that hold the fewest of them, so that whole workers stay whole. Returns
- * how many found no place.
+ * Place up to `tasks` tasks on `count` workers from `first` on. Workers that
+ * fit the fewest tasks are filled first, to keep empty workers empty. Returns
+ * the number of tasks that could not be placed.
  */
 static uint32_t place_tasks(struct rj_layout *layout,
 			    const struct rj_resources *each, uint32_t tasks,
@@ -102,8 +99,8 @@
 }
 
 /*
- * How many tasks of `each` fit onto the workers of a rack, each task whole
- * on one.
+ * The number of tasks of size `each` that fit the workers of a rack; a task
+ * does not span workers.
  */
 static uint64_t tasks_in_rack(const struct rj_layout *layout, uint32_t rack,
 			      const struct rj_resources *each)
@@ -118,11 +115,12 @@
 }
 
 /*
- * Put the shape into the rack that it fills most; one that need not be
- * adjacent and fits no rack goes onto the workers that hold fewest of its
- * tasks, wherever. One rack is better, as all of it then has one owner. Notes
- * where in `parts`, which may be NULL. Returns how many tasks found no
- * place: of an adjacent shape all or none.
+ * Place the shape in the rack with the least sufficient free capacity (best
+ * fit). A shape that need not be adjacent and fits no rack is spread over the
+ * workers that fit the fewest of its tasks. One rack is preferred because it
+ * has one owner. Appends the placement to `parts`, which may be NULL. Returns
+ * the number of tasks that could not be placed: for an adjacent shape, all or
+ * none.
  */
 uint32_t rj_layout_place(struct rj_layout *layout, const struct rj_shape *shape,
 			 struct rj_layout_parts *parts)
--- a/src/libradishjunction/include/private/buffer.h
+++ b/src/libradishjunction/include/private/buffer.h
@@ -1,8 +1,8 @@
 /*
- * Bytes that grow as they come in, with a terminating zero behind them.
+ * Growable byte buffer that keeps a terminating zero after its contents.
  *
- * A zeroed struct is empty; its bytes are a talloc child of the context of
- * the first append.
+ * A zeroed struct is an empty buffer. The bytes are a talloc child of the
+ * context passed to the first append.
  */
 #ifndef RADISHJUNCTION_PRIVATE_BUFFER_H
 #define RADISHJUNCTION_PRIVATE_BUFFER_H
@@ -10,7 +10,7 @@
 #include <stddef.h>
 
 struct rj_buffer {
-	char *data; /* NULL while nothing was appended */
+	char *data; /* NULL before the first append */
 	size_t length;
 	size_t capacity;
 };
--- a/src/libradishjunction/include/private/clock.h
+++ b/src/libradishjunction/include/private/clock.h
@@ -1,6 +1,6 @@
 /*
- * The monotonic clock of this process, for shells and adapters. The decision
- * core never reads it: its time comes with each event.
+ * Monotonic clock for the process shells and adapters. The decision core never
+ * reads it: each event carries its own time.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CLOCK_H
 #define RADISHJUNCTION_PRIVATE_CLOCK_H
--- a/src/libradishjunction/include/private/config_capacity.h
+++ b/src/libradishjunction/include/private/config_capacity.h
@@ -1,7 +1,7 @@
 /*
- * Whether the guarantees of a configuration can all be held at once.
+ * Checks that all guarantees of a configuration can be satisfied at once.
  *
- * Called once for each configuration that is parsed; keeps nothing.
+ * Runs once for each parsed configuration and keeps no state.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CONFIG_CAPACITY_H
 #define RADISHJUNCTION_PRIVATE_CONFIG_CAPACITY_H
--- a/src/libradishjunction/include/private/guarantee_layout.h
+++ b/src/libradishjunction/include/private/guarantee_layout.h
@@ -1,20 +1,19 @@
 /*
- * Where guaranteed shapes lie on the workers that a failure domain is
- * configured to have.
+ * Layout of guaranteed shapes on the configured workers of a failure domain.
  *
- * The check of a configuration and the planner lay out by the same steps, so
- * that what was accepted can be kept: sort the shapes by
- * `rj_layout_compare`, then `rj_layout_place` each.
+ * The configuration check and the planner compute the layout by the same
+ * steps, so that every accepted guarantee can be honoured: sort the shapes
+ * with `rj_layout_compare`, then call `rj_layout_place` for each.
  *
  * Life cycle: `rj_layout_init` on the caller's memory, any number of
- * `rj_layout_place`, `rj_layout_finish`. The domain must outlive it.
+ * `rj_layout_place`, `rj_layout_finish`. The domain must outlive the layout.
  */
 #ifndef RADISHJUNCTION_PRIVATE_GUARANTEE_LAYOUT_H
 #define RADISHJUNCTION_PRIVATE_GUARANTEE_LAYOUT_H
 
 #include "radishjunction/config.h"
 
-/* Some tasks of a shape on one worker, by its place and not by its name. */
+/* Tasks of a shape on one worker, identified by position, not by name. */
 struct rj_layout_part {
 	uint32_t rack;
 	uint32_t position; /* in the rack */
@@ -23,10 +22,10 @@
 
 struct rj_layout {
 	const struct rj_domain *domain;
-	struct rj_resources *free; /* racks x workers_per_rack */
+	struct rj_resources *free; /* by worker: racks x workers_per_rack */
 };
 
-/* Where a shape was put; zeroed memory is an empty one. */
+/* Placement of one shape; zeroed memory is an empty list. */
 struct rj_layout_parts {
 	struct rj_layout_part *list; /* talloc child of `mem` */
 	uint32_t count;
--- a/src/libradishjunction/include/private/http_client.h
+++ b/src/libradishjunction/include/private/http_client.h
@@ -1,11 +1,10 @@
 /*
- * HTTP requests under a tevent loop: a libcurl multi handle whose sockets
- * and timer are tevent's.
+ * Asynchronous HTTP client: a libcurl multi handle driven by a tevent loop.
  *
  * Life cycle: `rj_http_client_init` on the caller's memory; each
- * `rj_http_client_send` ends in exactly one call of its `done`, never before
- * it has returned; `rj_http_client_finish` drops what is open without
- * calling `done`. `done` must not finish the client.
+ * `rj_http_client_send` leads to exactly one call of `done`, never before
+ * `rj_http_client_send` has returned; `rj_http_client_finish` cancels open
+ * requests without calling `done`. `done` must not finish the client.
  */
 #ifndef RADISHJUNCTION_PRIVATE_HTTP_CLIENT_H
 #define RADISHJUNCTION_PRIVATE_HTTP_CLIENT_H
@@ -19,9 +18,9 @@
 #include "radishjunction/types.h"
 
 enum rj_http_outcome {
-	RJ_HTTP_ANSWERED, /* a whole answer, of whatever status */
-	RJ_HTTP_NOT_SENT, /* no byte of the request's body left here */
-	RJ_HTTP_LOST, /* no whole answer: it may have taken effect */
+	RJ_HTTP_ANSWERED, /* complete response, with any status */
+	RJ_HTTP_NOT_SENT, /* no byte of the request body was sent */
+	RJ_HTTP_LOST, /* no complete response; may have taken effect */
 	RJ_HTTP_OUTCOME_COUNT
 };
 
@@ -32,7 +31,7 @@
 	uint32_t status; /* with RJ_HTTP_ANSWERED */
 	const char *body; /* with RJ_HTTP_ANSWERED, freed after `done` */
 	size_t length;
-	bool too_long; /* lost because of response_max_bytes */
+	bool too_long; /* lost: longer than response_max_bytes */
 };
 
 struct rj_http_request {
@@ -40,12 +39,12 @@
 	const char *url;
 	const char *body; /* may be empty; copied */
 	size_t length;
-	uint64_t timeout_us; /* from now to the whole answer */
-	size_t response_max_bytes; /* a longer answer is lost */
-	const char *const *headers; /* beside the client's, "Name: value" */
+	uint64_t timeout_us; /* from now until the complete response */
+	size_t response_max_bytes; /* a longer response counts as lost */
+	const char *const *headers; /* added to the client's; "Name: value" */
 	uint32_t header_count;
 	void (*done)(void *private_data, const struct rj_http_result *result);
-	void *private_data; /* talloc: owned by the client, freed after done */
+	void *private_data; /* talloc; taken over, freed after `done` */
 };
 
 struct rj_http_client {
@@ -55,10 +54,10 @@
 	struct curl_slist *headers;
 	struct tevent_timer *timer;
 	struct rj_list transfers;
-	GSequence *deadlines; /* of the open transfers, the earliest first */
+	GSequence *deadlines; /* open transfers, earliest deadline first */
 	struct tevent_timer *deadline_timer;
-	uint64_t deadline_us; /* that it is for */
-	GPtrArray *idle_handles; /* CURL handles for the next calls */
+	uint64_t deadline_us; /* expiry of deadline_timer */
+	GPtrArray *idle_handles; /* CURL handles kept for reuse */
 };
 
 int rj_http_client_init(struct rj_http_client *client, void *mem,
--- a/src/libradishjunction/include/private/http_loop.h
+++ b/src/libradishjunction/include/private/http_loop.h
@@ -1,8 +1,8 @@
 /*
- * A libmicrohttpd daemon in external epoll mode, run by a tevent loop.
+ * Runs a libmicrohttpd daemon in external epoll mode from a tevent loop.
  *
  * Life cycle: `rj_http_loop_init` with a started daemon; `rj_http_loop_kick`
- * after each resume of a connection; `rj_http_loop_finish` before the daemon
+ * each time a connection is resumed; `rj_http_loop_finish` before the daemon
  * is stopped.
  */
 #ifndef RADISHJUNCTION_PRIVATE_HTTP_LOOP_H
@@ -19,8 +19,8 @@
 	void *mem; /* parent of the loop's events */
 	struct tevent_timer *timer; /* for the daemon's next timeout */
 	uint64_t timer_at_us;
-	struct tevent_immediate *kick;
-	bool kicked;
+	struct tevent_immediate *kick; /* runs the daemon soon */
+	bool kicked; /* `kick` is scheduled */
 };
 
 void rj_http_loop_init(struct rj_http_loop *loop, void *mem,
--- a/src/libradishjunction/include/private/latency.h
+++ b/src/libradishjunction/include/private/latency.h
@@ -1,7 +1,7 @@
 /*
- * A histogram of latencies, as it is shown on a metrics address.
+ * Latency histogram in the form that a metrics endpoint exports.
  *
- * Life cycle: a zeroed struct is empty; it holds no memory of its own.
+ * A zeroed struct is an empty histogram; it owns no memory.
  */
 #ifndef RADISHJUNCTION_PRIVATE_LATENCY_H
 #define RADISHJUNCTION_PRIVATE_LATENCY_H
@@ -12,7 +12,7 @@
 #define RJ_LATENCY_BUCKETS 16
 
 struct rj_latency {
-	uint64_t buckets[RJ_LATENCY_BUCKETS + 1]; /* the last: above all */
+	uint64_t buckets[RJ_LATENCY_BUCKETS + 1]; /* last: above all bounds */
 	uint64_t sum_us;
 	uint64_t count;
 };
--- a/src/libradishjunction/include/private/list.h
+++ b/src/libradishjunction/include/private/list.h
@@ -1,6 +1,6 @@
 /*
- * A doubly linked list whose links live in its elements. Order is the order
- * of insertion, so that iteration is the same in every run.
+ * Intrusive doubly linked list. Elements keep their order of insertion, so
+ * that iteration is deterministic.
  */
 #ifndef RADISHJUNCTION_PRIVATE_LIST_H
 #define RADISHJUNCTION_PRIVATE_LIST_H
@@ -15,13 +15,13 @@
 #define RJ_CONTAINER(pointer, type, member) \
 	((type *)((char *)(pointer)-offsetof(type, member)))
 
-/* `next_` lets the body remove `at`. */
+/* The loop body may remove `at`: `next_` is read before it runs. */
 #define RJ_FOR_EACH(at, next_, list)                                    \
 	for ((at) = (list)->next, (next_) = (at)->next; (at) != (list); \
 	     (at) = (next_), (next_) = (at)->next)
 
 /*
- * Make an empty list, or a link that belongs to none.
+ * Initialise an empty list, or a link that is in no list.
  */
 static inline void rj_list_init(struct rj_list *list)
 {
@@ -29,9 +29,6 @@
 	list->prev = list;
 }
 
-/*
- * Put `link` at the end of `list`.
- */
 static inline void rj_list_append(struct rj_list *list, struct rj_list *link)
 {
 	link->prev = list->prev;
@@ -41,7 +38,7 @@
 }
 
 /*
- * Take `link` out of its list; harmless on one that belongs to none.
+ * Remove `link` from its list; no effect on a link that is in no list.
  */
 static inline void rj_list_remove(struct rj_list *link)
 {
--- a/src/libradishjunction/include/private/log_event.h
+++ b/src/libradishjunction/include/private/log_event.h
@@ -1,21 +1,21 @@
 /*
- * One log line for one decision or one change of belief: an event and its
- * fields, handed to GLib's logging as structured data. A program's log
- * writer makes a line of JSON of it.
+ * Structured log events. An event is a name and a list of fields that is
+ * passed to GLib's structured logging; the log writer of each program formats
+ * it as one line of JSON.
  *
- * Fields are only borrowed for the call.
+ * Fields are borrowed for the duration of the call.
  */
 #ifndef RADISHJUNCTION_PRIVATE_LOG_EVENT_H
 #define RADISHJUNCTION_PRIVATE_LOG_EVENT_H
 
 #include <stdint.h>
 
-/* The field of a structured message that points to a struct rj_log_event. */
+/* GLib log field whose value points to a struct rj_log_event. */
 #define RJ_LOG_EVENT_FIELD "RADISHJUNCTION_NOTE"
 
 struct rj_log_event_field {
 	const char *name; /* NULL ends a list */
-	const char *text; /* NULL: the number counts */
+	const char *text; /* NULL: the value is `number` */
 	int64_t number;
 };
 
@@ -24,7 +24,7 @@
 	const struct rj_log_event_field *fields;
 };
 
-/* A text that may be missing. */
+/* The text, or "" for NULL. */
 static inline const char *rj_log_event_text_or_empty(const char *text)
 {
 	return text ? text : "";
@@ -36,7 +36,7 @@
 #define RJ_LOG_NUMBER(name_, number_)                  \
 	((struct rj_log_event_field){ .name = (name_), \
 				      .number = (int64_t)(number_) })
-/* A duration in microseconds, shown in ms; -1 for "never". */
+/* A duration in microseconds, logged in ms; -1 for RJ_NEVER_US. */
 #define RJ_LOG_AGE_MS(name_, us_)     \
 	((struct rj_log_event_field){ \
 		.name = (name_),      \
--- a/src/libradishjunction/include/private/pack.h
+++ b/src/libradishjunction/include/private/pack.h
@@ -1,11 +1,12 @@
 /*
- * Scalars in msgpack, one after the other: what frames between instances and
- * records in the log have in common.
+ * Serialization of a sequence of scalars as msgpack, used by the frames
+ * between instances and by the records in the log.
  *
- * Life cycle: `rj_pack_init`, any number of writes, `rj_pack_finish` hands
- * the bytes over. `rj_unpack_init` on bytes that outlive the reader, reads in
- * the same order, `rj_unpack_finish` says whether all of them were good. After
- * the first bad field every read gives zero, so one check at the end will do.
+ * Life cycle of a writer: `rj_pack_init`, any number of writes, then
+ * `rj_pack_finish` transfers the bytes to the caller. Of a reader:
+ * `rj_unpack_init` on bytes that outlive it, reads in the order of the writes,
+ * then `rj_unpack_finish` reports the first invalid field. After an invalid
+ * field every read returns zero, so one check at the end is enough.
  */
 #ifndef RADISHJUNCTION_PRIVATE_PACK_H
 #define RADISHJUNCTION_PRIVATE_PACK_H
@@ -20,12 +21,11 @@
 	msgpack_packer packer;
 };
 
-/* Reads scalars in order; after the first error it reads only zeros. */
 struct rj_unpacker {
 	const char *data;
 	size_t length;
 	size_t offset;
-	const char *bad_field; /* the field that could not be read */
+	const char *bad_field; /* first invalid field, or NULL */
 	msgpack_unpacked unpacked;
 };
 
--- a/src/libradishjunction/include/private/schema.h
+++ b/src/libradishjunction/include/private/schema.h
@@ -1,10 +1,10 @@
 /*
- * A table-driven checker that turns JSON into structs and back.
+ * Table-driven validation and conversion between JSON and structs.
  *
- * A schema is a constant table of fields; nothing has to be started or
- * finished. `rj_schema_parse` checks a whole text, collects every error, and
- * fills the struct; what the struct points to becomes a talloc child of
- * `mem`. Each message names the path, the value and the remedy.
+ * A schema is a constant table of fields and needs no set-up.
+ * `rj_schema_parse` validates a whole text, collects every error and fills the
+ * struct; memory that the struct points to is a talloc child of `mem`. Each
+ * error message names the path, the value and the remedy.
  */
 #ifndef RADISHJUNCTION_PRIVATE_SCHEMA_H
 #define RADISHJUNCTION_PRIVATE_SCHEMA_H
@@ -17,33 +17,33 @@
 struct rj_schema;
 struct rj_schema_field;
 
-/* Where in the text a value stands; a list from the value to the root. */
+/* Path of a value in the text, linked from the value to the root. */
 struct rj_schema_path {
 	const struct rj_schema_path *parent;
 	const char *field; /* NULL for an element of an array */
 	uint32_t index;
 };
 
-/* One check of one text. */
+/* State of the validation of one text. */
 struct rj_schema_check {
 	void *mem;
 	struct rj_error_list *errors;
 	bool failed;
 };
 
-/* What a type of field does; each type is one constant below. */
+/* Operations of a field type; the types are the constants below. */
 struct rj_schema_type {
-	const char *name; /* as a message says it: "a whole number" */
-	/* Check `value` and store it at `out`, reporting at `path`. */
+	const char *name; /* as in error messages: "a whole number" */
+	/* Validate `value` and store it at `out`; errors name `path`. */
 	void (*decode)(struct rj_schema_check *check,
 		       const struct rj_schema_field *field,
 		       const struct rj_schema_path *path, const json_t *value,
 		       void *out);
-	/* Store the fallback of an optional field that was left out. */
+	/* Store the fallback of an optional field that is absent. */
 	void (*fill)(struct rj_schema_check *check,
 		     const struct rj_schema_field *field,
 		     const struct rj_schema_path *path, void *out);
-	/* A new JSON value, or NULL when it equals the fallback. */
+	/* Returns a new JSON value, or NULL to omit the field. */
 	json_t *(*encode)(const struct rj_schema_field *field, const void *in);
 };
 
@@ -65,28 +65,28 @@
 	const struct rj_schema_type *type; /* first member, always */
 	const char *name;
 	size_t offset; /* of the member in its struct */
-	size_t count_offset; /* array: of its uint32_t count */
-	/* Bounds of a number, of a text's or bytes' length, or of a count. */
+	size_t count_offset; /* array: of its uint32_t count member */
+	/* Bounds of a number, a text or byte length, or an array count. */
 	uint64_t min;
 	uint64_t max;
-	uint64_t fallback; /* number, bool or choice that is left out */
-	uint64_t scale; /* the member's unit in the text's unit; 0 is 1 */
+	uint64_t fallback; /* value of an absent number, bool or choice */
+	uint64_t scale; /* member value = JSON value x scale; 0 means 1 */
 	const struct rj_schema *schema; /* object, array */
-	const char *const *choices; /* choice: the enum's strings */
-	uint32_t size; /* text, hex: bytes of the member */
+	const char *const *choices; /* choice: strings by enum value */
+	uint32_t size; /* text, hex: size of the member in bytes */
 	bool optional;
-	bool lenient; /* choice: an unknown word counts as the fallback */
+	bool lenient; /* choice: decode an unknown word as the fallback */
 };
 
 struct rj_schema {
 	const struct rj_schema_field *fields;
 	size_t size; /* of the struct */
 	uint32_t field_count;
-	bool allow_unknown; /* unknown fields are passed over */
-	bool unique_names; /* elements of an array differ in "name" */
+	bool allow_unknown; /* ignore unknown fields */
+	bool unique_names; /* array elements must differ in "name" */
 };
 
-/* The first three members of a row: type, name of the field, its place. */
+/* Initialises the type, JSON name and offset of a field of that name. */
 #define RJ_FIELD(type_, struct_, member)             \
 	.type = &rj_schema_##type_, .name = #member, \
 	.offset = offsetof(struct struct_, member)
@@ -104,8 +104,8 @@
 void rj_schema_defaults(const struct rj_schema *schema, void *out);
 json_t *rj_schema_encode(const struct rj_schema *schema, const void *in);
 
-/* For the types. */
-#define RJ_SCHEMA_VALUE_BYTES 64 /* a value as a message shows it */
+/* For implementations of field types. */
+#define RJ_SCHEMA_VALUE_BYTES 64 /* of a value in an error message */
 void rj_schema_report(struct rj_schema_check *check,
 		      const struct rj_schema_path *path, const char *format,
 		      ...) __attribute__((format(printf, 3, 4)));
--- a/src/libradishjunction/include/private/schemas.h
+++ b/src/libradishjunction/include/private/schemas.h
@@ -1,6 +1,6 @@
 /*
- * The schemas of the configuration and of the settings, for whoever writes
- * such texts from structs.
+ * Schemas of the configuration and the settings, for code that writes such
+ * texts from structs.
  */
 #ifndef RADISHJUNCTION_PRIVATE_SCHEMAS_H
 #define RADISHJUNCTION_PRIVATE_SCHEMAS_H
--- a/src/libradishjunction/include/private/tcp_socket.h
+++ b/src/libradishjunction/include/private/tcp_socket.h
@@ -1,5 +1,6 @@
 /*
- * Non-blocking TCP sockets by IP number. The caller owns and closes each.
+ * Non-blocking TCP sockets for numeric IP addresses. The caller owns and
+ * closes each returned descriptor.
  */
 #ifndef RADISHJUNCTION_PRIVATE_TCP_SOCKET_H
 #define RADISHJUNCTION_PRIVATE_TCP_SOCKET_H
--- a/src/libradishjunction/include/private/wire.h
+++ b/src/libradishjunction/include/private/wire.h
@@ -1,6 +1,6 @@
 /*
- * Structs as one JSON text, by their schema: what every body that travels
- * between programs has in common.
+ * Encoding of structs as JSON text by their schema, as used for all HTTP
+ * bodies between programs.
  */
 #ifndef RADISHJUNCTION_PRIVATE_WIRE_H
 #define RADISHJUNCTION_PRIVATE_WIRE_H
--- a/src/libradishjunction/latency.c
+++ b/src/libradishjunction/latency.c
@@ -4,14 +4,14 @@
 
 #include "radishjunction/types.h"
 
-/* The upper bounds of the buckets: 1, 2, 5 in each decade to 100 s. */
+/* Upper bounds of the buckets: 1, 2 and 5 in each decade, up to 100 s. */
 static const uint32_t bucket_ms[RJ_LATENCY_BUCKETS] = {
 	1,   2,	   5,	 10,   20,    50,    100,   200,
 	500, 1000, 2000, 5000, 10000, 20000, 50000, 100000,
 };
 
 /*
- * Count one event that took `duration_us`.
+ * Count one event of duration `duration_us`.
  */
 void rj_latency_add(struct rj_latency *latency, uint64_t duration_us)
 {
@@ -26,8 +26,8 @@
 }
 
 /*
- * Append the histogram as lines of text: cumulative buckets, sum in
- * milliseconds and count, each with one label.
+ * Append the histogram to `text` in the Prometheus text format: cumulative
+ * buckets, the sum in milliseconds and the count, each with one label.
  */
 void rj_latency_write(const struct rj_latency *latency, const char *name,
 		      const char *label, const char *value, GString *text)
--- a/src/libradishjunction/log_event.c
+++ b/src/libradishjunction/log_event.c
@@ -3,15 +3,15 @@
 #include <glib.h>
 
 /*
- * Hand one event to the program's log. Without a writer that knows notes,
- * only the event's name is logged.
+ * Pass one event to GLib's logging at level INFO. A log writer that does not
+ * know RJ_LOG_EVENT_FIELD logs only the name of the event.
  */
 void rj_log_event_emit(const char *event,
 		       const struct rj_log_event_field *fields)
 {
-	const struct rj_log_event note = { event, fields };
+	const struct rj_log_event log_event = { event, fields };
 	const GLogField parts[] = {
-		{ RJ_LOG_EVENT_FIELD, &note, sizeof(note) },
+		{ RJ_LOG_EVENT_FIELD, &log_event, sizeof(log_event) },
 		{ "MESSAGE", event, -1 },
 		{ "GLIB_DOMAIN", "radishjunction", -1 },
 	};
