--- a/src/libradishjunction/config_change.c
+++ b/src/libradishjunction/config_change.c
@@ -12,7 +12,7 @@
 /* The location that one operation of a patch modifies. */
 struct target {
 	json_t *parent; /* borrowed */
-	char *key; /* the last token of the path, unescaped */
+	char *key; /* last token of the path, unescaped */
 	size_t index; /* `key` as a number if the parent is an array */
 };
 
@@ -56,7 +56,7 @@
 }
 
 /*
- * Append one token to a path, escaped as RFC 6901 has it.
+ * Append one reference token to a JSON pointer, escaped as RFC 6901 requires.
  */
 static void append_token(GString *path, const char *token)
 {
@@ -221,7 +221,7 @@
 }
 
 /*
- * Undo the escapes of one token of a path, in place.
+ * Unescape one token of a JSON pointer in place.
  */
 static void unescape(char *token)
 {
@@ -251,7 +251,7 @@
 }
 
 /*
- * The value that one token of a path leads to, or NULL.
+ * The child of `from` that one token refers to, or NULL.
  */
 static json_t *child_of(json_t *from, const char *token)
 {
@@ -265,12 +265,12 @@
 }
 
 /*
- * Walk a path down to its last token. Returns whether it leads somewhere; the
- * key is a talloc child of `mem`.
+ * Resolve a JSON pointer up to its last token. Returns whether the target can
+ * be modified; its key is a talloc child of `mem`.
  *
- * The path "/" names a field without a name, which no configuration has.
- * Guards against a patch with it, which would crash every reader of the log,
- * since the library splits an empty text into no tokens at all.
+ * The path "/" refers to a field with an empty name, which no configuration
+ * has, and is rejected. Guards against a patch that would crash every reader
+ * of the log, since g_strsplit() splits an empty string into no tokens.
  */
 static bool find_target(void *mem, json_t *document, const char *path,
 			struct target *target)
--- a/src/libradishjunction/config_log.c
+++ b/src/libradishjunction/config_log.c
@@ -92,7 +92,7 @@
 }
 
 /*
- * Free the change that led to the previous configuration.
+ * Free the change that led to the current revision.
  */
 static void drop_change(struct rj_config_log *log)
 {
--- a/src/libradishjunction/http_client.c
+++ b/src/libradishjunction/http_client.c
@@ -7,16 +7,17 @@
 #include "private/buffer.h"
 #include "private/clock.h"
 
-/* Idle connections kept open to all hosts together, unless told otherwise. */
+/* Default limit of connections kept open to all hosts together. */
 #define CACHED_CONNECTIONS_MAX 2048L
 /*
- * Guards against a host that was replaced at its address while a call waited
- * on it: without probes the call would hold its connection until its
- * timeout, and a few such calls all connections to the new host, which
- * answers the first probe with a reset.
+ * Interval of TCP keepalive probes. Guards against a host that is replaced at
+ * its address while a call waits for its response: without probes the call
+ * would occupy its connection until its timeout, and a few such calls would
+ * occupy all connections allowed to the new host, which answers the first
+ * probe with a reset.
  */
 #define KEEPALIVE_S 5L
-/* Handles kept for the next calls: an owner ends so many at a time. */
+/* An owner completes about this many calls at a time. */
 #define IDLE_HANDLES_MAX 64
 
 const char *const rj_http_outcome_string[RJ_HTTP_OUTCOME_COUNT] = {
@@ -26,15 +27,15 @@
 };
 
 struct transfer {
-	struct rj_list link; /* in the client's open transfers */
+	struct rj_list link; /* in the client's `transfers` */
 	struct rj_http_client *client;
 	uint64_t deadline_us;
 	GSequenceIter *deadline_iter;
 	CURL *easy;
-	struct curl_slist *headers; /* NULL: those of the client */
+	struct curl_slist *headers; /* NULL: uses the client's */
 	char *body;
 	size_t length;
-	size_t sent; /* bytes of the body that libcurl has taken */
+	size_t sent; /* bytes of the body passed to libcurl */
 	bool has_body;
 	struct rj_buffer response;
 	size_t response_max_bytes;
@@ -43,7 +44,7 @@
 	void *private_data;
 };
 
-/* A handle: one that was used before, or a new one. */
+/* Take an idle handle or create one. */
 static CURL *acquire_handle(struct rj_http_client *client)
 {
 	CURL *easy;
@@ -56,7 +57,7 @@
 	return easy;
 }
 
-/* Keep a handle for the next call; its options are those of a new one. */
+/* Reset the options of a handle and keep it for reuse. */
 static void release_handle(struct rj_http_client *client, CURL *easy)
 {
 	if (client->idle_handles->len >= IDLE_HANDLES_MAX) {
@@ -67,7 +68,7 @@
 	g_ptr_array_add(client->idle_handles, easy);
 }
 
-/* libcurl must let go of the handle before it is used again. */
+/* Detaches the handle from libcurl's multi handle before it is reused. */
 static int transfer_destructor(struct transfer *transfer)
 {
 	rj_list_remove(&transfer->link);
@@ -79,13 +80,13 @@
 }
 
 /*
- * Give libcurl the next part of the body.
+ * libcurl read callback: copy the next part of the body.
  *
- * Guards against libcurl sending a request twice: when a kept connection is
- * closed before its answer, libcurl sends again on a new one, and an append
- * that had taken effect would stand in the log twice. There is no seek
- * function beside this one, so libcurl cannot rewind a body of which a part
- * was taken, and fails the transfer, which is reported as lost.
+ * Guards against libcurl sending a request twice. When a reused connection is
+ * closed before the response, libcurl repeats the request on a new one, and an
+ * append that had taken effect would be in the log twice. No seek callback is
+ * set, so libcurl cannot rewind a body that was partly read; it fails the
+ * transfer, which is reported as lost.
  */
 static size_t read_body(char *buffer, size_t size, size_t count,
 			void *private_data)
@@ -99,7 +100,10 @@
 	return part;
 }
 
-/* Keep a part of the answer; a short count makes libcurl fail the transfer. */
+/*
+ * libcurl write callback: store a part of the response. A short count makes
+ * libcurl fail the transfer.
+ */
 static size_t write_response(char *data, size_t size, size_t count,
 			     void *private_data)
 {
@@ -114,7 +118,7 @@
 	return length;
 }
 
-/* Tell how the transfer ended and free it. */
+/* Report the result of a transfer to its owner and free the transfer. */
 static void finish_transfer(struct transfer *transfer, CURLcode code)
 {
 	struct rj_http_result result = { .outcome = RJ_HTTP_LOST };
@@ -129,7 +133,7 @@
 			transfer->response.data ? transfer->response.data : "";
 		result.length = transfer->response.length;
 	} else if (transfer->has_body && !transfer->sent) {
-		/* A server does not act on a request whose body it lacks. */
+		/* A server does not act on a request without its body. */
 		result.outcome = RJ_HTTP_NOT_SENT;
 	}
 	result.too_long = transfer->too_long;
@@ -138,7 +142,7 @@
 	talloc_free(transfer);
 }
 
-/* Report every transfer that libcurl has ended. */
+/* Finish every transfer that libcurl has completed. */
 static void report_completed(struct rj_http_client *client)
 {
 	struct transfer *transfer;
@@ -156,7 +160,6 @@
 
 static void arm_deadlines(struct rj_http_client *client);
 
-/* Earlier deadlines first. */
 static gint by_deadline(gconstpointer a, gconstpointer b, gpointer unused)
 {
 	const struct transfer *left = a;
@@ -167,7 +170,7 @@
 							0;
 }
 
-/* End the transfers whose whole answer was not here in time. */
+/* Fail the transfers whose deadline has passed. */
 static void deadline_due(struct tevent_context *ev, struct tevent_timer *timer,
 			 struct timeval now, void *private_data)
 {
@@ -188,12 +191,12 @@
 }
 
 /*
- * Wake up at the earliest deadline.
+ * Set the timer to the earliest deadline.
  *
- * Guards against work that grows with the number of open calls: tevent keeps
- * its timers in a list, and one for each of a thousand calls made each new
- * timer walk past them. libcurl's own time limit does not hold for a call
- * that waits for a connection.
+ * One timer serves all transfers: tevent keeps its timers in a sorted list,
+ * and with one per call, each new timer would walk past those of a thousand
+ * open calls. libcurl's own timeout does not cover a call that waits for a
+ * connection.
  */
 static void arm_deadlines(struct rj_http_client *client)
 {
@@ -217,7 +220,7 @@
 	assert(client->deadline_timer);
 }
 
-/* Tell libcurl which events a socket has, and report what ended by them. */
+/* Pass the events of a socket to libcurl and finish completed transfers. */
 static void socket_ready(struct tevent_context *ev, struct tevent_fd *fde,
 			 uint16_t flags, void *private_data)
 {
@@ -235,11 +238,12 @@
 }
 
 /*
- * libcurl says which events of a socket it waits for.
+ * libcurl socket callback: watch a socket for the requested events.
  *
- * Guards against a refused connect that is noticed late: tevent tells errors
- * only to those who wait to read, and libcurl waits to write until it is
- * connected, so that it would find out by its own timer 200 ms later.
+ * TEVENT_FD_READ is always set with TEVENT_FD_WRITE. Guards against detecting
+ * a refused connection late: tevent reports errors only to readers, and
+ * libcurl waits only for writability until it is connected, so it would detect
+ * the failure by its own timer 200 ms later.
  */
 static int socket_callback(CURL *easy, curl_socket_t fd, int what,
 			   void *private_data, void *socket_data)
@@ -269,7 +273,7 @@
 	return 0;
 }
 
-/* The time that libcurl asked for in timer_callback has come. */
+/* The timer that libcurl set with timer_callback has expired. */
 static void timer_due(struct tevent_context *ev, struct tevent_timer *timer,
 		      struct timeval now, void *private_data)
 {
@@ -282,7 +286,7 @@
 	report_completed(client);
 }
 
-/* libcurl says when it wants to be called; -1 for never. */
+/* libcurl timer callback; a timeout of -1 deletes the timer. */
 static int timer_callback(CURLM *multi, long timeout_ms, void *private_data)
 {
 	struct rj_http_client *client = private_data;
@@ -299,7 +303,7 @@
 }
 
 /*
- * Send `header`, such as "Name: value", with every request from now on.
+ * Add `header`, such as "Name: value", to every further request.
  */
 void rj_http_client_add_header(struct rj_http_client *client,
 			       const char *header)
@@ -311,8 +315,8 @@
 }
 
 /*
- * Open at most so many connections to one address and port from now on; those
- * that stand are not closed for it.
+ * Limit the connections to one address and port. Connections above the limit
+ * that are already open are not closed.
  */
 void rj_http_client_set_host_connections_max(struct rj_http_client *client,
 					     uint32_t host_connections_max)
@@ -322,8 +326,8 @@
 }
 
 /*
- * Keep so many connections open to all hosts together, in use or idle; each
- * takes a descriptor and some kilobytes.
+ * Limit the connections kept open to all hosts together, in use or idle. Each
+ * takes a file descriptor and some kilobytes.
  */
 void rj_http_client_set_connections_max(struct rj_http_client *client,
 					uint32_t connections_max)
@@ -333,9 +337,9 @@
 }
 
 /*
- * Start a client on `ev` that sends `instance` (if not NULL) as the header
- * X-Instance and keeps at most `host_connections_max` connections to one
- * address and port. Returns 0, or -1 with `err` when libcurl has no memory.
+ * Initialise a client on `ev`. It sends `instance`, unless NULL, as the header
+ * X-Instance and opens at most `host_connections_max` connections to one
+ * address and port. Returns 0, or -1 with `err` if libcurl is out of memory.
  */
 int rj_http_client_init(struct rj_http_client *client, void *mem,
 			struct tevent_context *ev, const char *instance,
@@ -346,8 +350,9 @@
 	rj_list_init(&client->transfers);
 	client->multi = curl_multi_init();
 	if (!client->multi)
-		return rj_error_set(err, RJ_ERR_IO,
-				    "http client: no memory; free some");
+		return rj_error_set(
+			err, RJ_ERR_IO,
+			"http client: out of memory; free some memory");
 	client->mem = talloc_named_const(mem, 0, "http client");
 	assert(client->mem);
 	client->deadlines = g_sequence_new(NULL);
@@ -363,7 +368,7 @@
 	rj_http_client_set_host_connections_max(client, host_connections_max);
 	curl_multi_setopt(client->multi, CURLMOPT_MAXCONNECTS,
 			  CACHED_CONNECTIONS_MAX);
-	/* Without this header libcurl waits for "100 Continue". */
+	/* An empty Expect header stops libcurl from awaiting "100 Continue". */
 	client->headers = curl_slist_append(NULL, "Expect:");
 	client->headers = curl_slist_append(client->headers,
 					    "Content-Type: application/json");
@@ -378,7 +383,7 @@
 	return 0;
 }
 
-/* The client's headers and those of one request. */
+/* Combine the client's headers with those of one request. */
 static void merge_headers(struct transfer *transfer,
 			  const struct rj_http_request *request)
 {
@@ -393,7 +398,7 @@
 	assert(transfer->headers);
 }
 
-/* All that libcurl is told of one transfer. */
+/* Set all libcurl options of one transfer. */
 static void set_options(struct transfer *transfer,
 			const struct rj_http_request *request)
 {
@@ -411,8 +416,8 @@
 	curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
-	/* Addresses are numbers; libcurl would look through all that it has
-	 * kept for old ones at each call. */
+	/* Never expire cached addresses: they are numeric, and libcurl would
+	 * scan its whole cache for expired entries at each call. */
 	curl_easy_setopt(easy, CURLOPT_DNS_CACHE_TIMEOUT, -1L);
 	curl_easy_setopt(easy, CURLOPT_TCP_KEEPALIVE, 1L);
 	curl_easy_setopt(easy, CURLOPT_TCP_KEEPIDLE, KEEPALIVE_S);
@@ -430,8 +435,8 @@
 }
 
 /*
- * Send one request. Whatever `send` points to is copied, but for
- * private_data, which the client takes over.
+ * Start one request. Everything `request` points to is copied, except
+ * private_data, which is moved to the client with talloc_steal().
  */
 void rj_http_client_send(struct rj_http_client *client,
 			 const struct rj_http_request *request)
@@ -459,7 +464,8 @@
 }
 
 /*
- * The URL of `path` (from its first slash) at `address`.
+ * The HTTP URL of `path`, which starts with a slash, at `address`; a talloc
+ * child of `mem`.
  */
 char *rj_http_url(void *mem, const struct rj_address *address, const char *path)
 {
@@ -473,7 +479,8 @@
 }
 
 /*
- * Drop what is open without telling, and close all connections.
+ * Cancel open requests without calling `done` and close all connections. A
+ * client that was not initialised but zeroed is allowed.
  */
 void rj_http_client_finish(struct rj_http_client *client)
 {
--- a/src/libradishjunction/http_loop.c
+++ b/src/libradishjunction/http_loop.c
@@ -9,7 +9,6 @@
 
 static void run_daemon(struct rj_http_loop *loop);
 
-/* The daemon runs again after a kick. */
 static void kicked(struct tevent_context *ev, struct tevent_immediate *kick,
 		   void *private_data)
 {
@@ -19,7 +18,6 @@
 	run_daemon(loop);
 }
 
-/* A timeout of the daemon is due. */
 static void timer_due(struct tevent_context *ev, struct tevent_timer *timer,
 		      struct timeval now, void *private_data)
 {
@@ -29,14 +27,14 @@
 	run_daemon(loop);
 }
 
-/* A socket of the daemon's own epoll set is ready. */
+/* A socket in the daemon's epoll set is ready. */
 static void epoll_ready(struct tevent_context *ev, struct tevent_fd *fde,
 			uint16_t flags, void *private_data)
 {
 	run_daemon(private_data);
 }
 
-/* Come back when the daemon asks; a timer that is due before that stays. */
+/* Set the timer to the daemon's next timeout, unless it expires earlier. */
 static void arm_timer(struct rj_http_loop *loop)
 {
 	MHD_UNSIGNED_LONG_LONG timeout_ms;
@@ -60,7 +58,7 @@
 	assert(loop->timer);
 }
 
-/* Let the daemon do what it can without waiting. */
+/* Run the daemon once without blocking and set the timer for its next run. */
 static void run_daemon(struct rj_http_loop *loop)
 {
 	MHD_run(loop->daemon);
@@ -68,7 +66,7 @@
 }
 
 /*
- * Run `daemon` from `ev`. The loop's events are talloc children of `mem`.
+ * Start running `daemon` from `ev`. The events are talloc children of `mem`.
  */
 void rj_http_loop_init(struct rj_http_loop *loop, void *mem,
 		       struct tevent_context *ev, struct MHD_Daemon *daemon)
@@ -91,12 +89,12 @@
 }
 
 /*
- * See to it that the daemon runs soon.
+ * Run the daemon from the next iteration of the event loop.
  *
- * Guards against a resumed connection that is never served: a connection
- * that is resumed while the daemon runs is not in its epoll set, and the
- * daemon asks for no timeout. Its client waits until some other connection
- * has traffic. The kick is apart from the timer, which may be due later.
+ * Guards against a resumed connection that is not served: a connection that is
+ * resumed while the daemon runs is not in its epoll set, and the daemon
+ * requests no timeout, so the client would wait until another connection has
+ * traffic. The kick is separate from the timer, which may expire later.
  */
 void rj_http_loop_kick(struct rj_http_loop *loop)
 {
@@ -107,7 +105,7 @@
 }
 
 /*
- * Run the daemon no more. It may be stopped afterwards.
+ * Stop running the daemon, which can then be stopped.
  */
 void rj_http_loop_finish(struct rj_http_loop *loop)
 {
--- a/src/libradishjunction/pack.c
+++ b/src/libradishjunction/pack.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Start writing into an empty buffer. */
+/* Initialise a writer with an empty buffer. */
 void rj_pack_init(struct rj_packer *writer)
 {
 	msgpack_sbuffer_init(&writer->buffer);
@@ -12,7 +12,7 @@
 			    msgpack_sbuffer_write);
 }
 
-/* Hand over what was written as a talloc child of `mem`. */
+/* Return the written bytes as a talloc child of `mem` and free the writer. */
 struct rj_bytes rj_pack_finish(struct rj_packer *writer, void *mem)
 {
 	struct rj_bytes bytes;
@@ -25,13 +25,12 @@
 	return bytes;
 }
 
-/* Numbers take as many bytes as their value needs. */
+/* Write an unsigned number in the shortest encoding of its value. */
 void rj_pack_number(struct rj_packer *writer, uint64_t value)
 {
 	msgpack_pack_uint64(&writer->packer, value);
 }
 
-/* One byte. */
 void rj_pack_bool(struct rj_packer *writer, bool value)
 {
 	if (value)
@@ -40,19 +39,19 @@
 		msgpack_pack_false(&writer->packer);
 }
 
-/* A text, without its terminating zero. */
+/* Write a text without its terminating zero. */
 void rj_pack_text(struct rj_packer *writer, const char *text)
 {
 	msgpack_pack_str_with_body(&writer->packer, text, strlen(text));
 }
 
-/* Bytes that may hold anything. */
+/* Write arbitrary bytes. */
 void rj_pack_data(struct rj_packer *writer, const void *data, size_t length)
 {
 	msgpack_pack_bin_with_body(&writer->packer, data, length);
 }
 
-/* Start reading `bytes`, which must outlive the reader. */
+/* Initialise a reader of `bytes`, which must outlive it. */
 void rj_unpack_init(struct rj_unpacker *reader, struct rj_bytes bytes)
 {
 	memset(reader, 0, sizeof(*reader));
@@ -61,7 +60,7 @@
 	msgpack_unpacked_init(&reader->unpacked);
 }
 
-/* Free what the reader holds; -1 with `err` if a field was bad. */
+/* Free the reader. Returns 0, or -1 with `err` if a field was invalid. */
 int rj_unpack_finish(struct rj_unpacker *reader, struct rj_error *err)
 {
 	msgpack_unpacked_destroy(&reader->unpacked);
@@ -69,12 +68,12 @@
 		return 0;
 	return rj_error_set(err, RJ_ERR_MALFORMED,
 			    "packed data: %s is missing, of the wrong type or "
-			    "out of range near byte %zu; run one version of "
-			    "the program on both sides",
+			    "out of range near byte %zu; run the same version "
+			    "of the program on both sides",
 			    reader->bad_field, reader->offset);
 }
 
-/* Keep the first bad field: what follows it was never read. */
+/* Mark `field` as invalid; only the first invalid field is kept. */
 void rj_unpack_fail(struct rj_unpacker *reader, const char *field)
 {
 	if (!reader->bad_field)
@@ -82,11 +81,12 @@
 }
 
 /*
- * Whether the next byte opens an array, a map or an extension type.
+ * Whether a value with this first byte is an array, a map or an extension.
  *
- * Guards against a frame of a few bytes that announces an array of millions:
- * the unpacker allocates room for all of it first, and the process grows by
- * gigabytes. Messages hold scalars only, so none is ever unpacked.
+ * Guards against a frame of a few bytes that declares an array of millions of
+ * elements: msgpack allocates memory for all of them first, and the process
+ * would grow by gigabytes. Messages hold only scalars, so these types are
+ * rejected before unpacking.
  */
 static bool is_container(uint8_t first)
 {
@@ -96,7 +96,7 @@
 	       (first >= 0xdc && first <= 0xdf);
 }
 
-/* The next scalar if it is of `type`, else NULL and the reader is bad. */
+/* The next scalar, or NULL after marking `field` if it is not of `type`. */
 static const msgpack_object *read_object(struct rj_unpacker *reader,
 					 const char *field,
 					 msgpack_object_type type)
@@ -125,7 +125,7 @@
 	return &reader->unpacked.data;
 }
 
-/* An unsigned number of at most `max`. */
+/* Read an unsigned number of at most `max`; 0 if invalid. */
 uint64_t rj_unpack_number(struct rj_unpacker *reader, const char *field,
 			  uint64_t max)
 {
@@ -141,7 +141,7 @@
 	return object->via.u64;
 }
 
-/* False when the field is bad. */
+/* Read a boolean; false if invalid. */
 bool rj_unpack_bool(struct rj_unpacker *reader, const char *field)
 {
 	const msgpack_object *object =
@@ -150,7 +150,10 @@
 	return object && object->via.boolean;
 }
 
-/* A text without a zero byte into `size` bytes, terminated. */
+/*
+ * Read a text without zero bytes into `text`, a buffer of `size` bytes, and
+ * terminate it; "" if invalid.
+ */
 void rj_unpack_text(struct rj_unpacker *reader, const char *field, char *text,
 		    size_t size)
 {
@@ -168,7 +171,7 @@
 	memcpy(text, object->via.str.ptr, object->via.str.size);
 }
 
-/* Bytes of at most `max`, which stay where the frame holds them. */
+/* Read at most `max` bytes without copying: they point into the input. */
 struct rj_bytes rj_unpack_data(struct rj_unpacker *reader, const char *field,
 			       uint32_t max)
 {
@@ -188,14 +191,14 @@
 }
 
 /*
- * Whether fields follow that an older version does not write.
+ * Whether more fields follow, which older versions do not write.
  */
 bool rj_unpack_has_more(const struct rj_unpacker *reader)
 {
 	return !reader->bad_field && reader->offset < reader->length;
 }
 
-/* Exactly `length` bytes. */
+/* Read exactly `length` bytes into `data`; all zero if invalid. */
 void rj_unpack_fixed_data(struct rj_unpacker *reader, const char *field,
 			  uint8_t *data, uint32_t length)
 {
--- a/src/libradishjunction/record.c
+++ b/src/libradishjunction/record.c
@@ -8,7 +8,7 @@
 
 #include "private/schema.h"
 
-/* Whole numbers of JSON have a sign; half of the range is ample. */
+/* JSON integers are signed in jansson; half of the range is sufficient. */
 #define NUMBER_MAX INT64_MAX
 
 static const struct rj_schema_field attempt_fields[] = {
@@ -105,7 +105,7 @@
 			.choices = rj_record_kind_string \
 	}
 
-/* What claims, voids, outcomes, accepted jobs and cancels share. */
+/* Fields of claim, void, outcome, accept and cancel records. */
 #define JOB_FIELDS                                                            \
 	KIND_FIELD, { RJ_FIELD(bool, rj_record, carried), .optional = true }, \
 		{ RJ_FIELD(name, rj_record, author), .optional = true },      \
@@ -128,8 +128,8 @@
 };
 
 /*
- * An instance of a newer version may give a reason that this one does not
- * know; the outcome itself counts all the same.
+ * The reason is lenient: an instance of a newer version may write a reason
+ * that this version does not know, and the outcome is valid regardless.
  */
 static const struct rj_schema_field outcome_fields[] = {
 	JOB_FIELDS,
@@ -172,7 +172,7 @@
 		.size = sizeof(struct rj_record), .allow_unknown = true      \
 	}
 
-/* By kind; RJ_RECORD_MALFORMED is never written and has none. */
+/* By kind; RJ_RECORD_MALFORMED is never written and has no schema. */
 static const struct rj_schema record_schemas[RJ_RECORD_KIND_COUNT] = {
 	[RJ_RECORD_CONFIG] = RECORD_SCHEMA(config_fields),
 	[RJ_RECORD_CLAIM] = RECORD_SCHEMA(claim_fields),
@@ -183,9 +183,9 @@
 };
 
 /*
- * Whether the texts that come from outside are UTF-8. JSON carries nothing
- * else: a claim would be written without its key, and the same request
- * could be claimed a second time.
+ * Whether all texts of the record are valid UTF-8. JSON cannot represent other
+ * texts: a claim would be written without its idempotency key, and the same
+ * request could be claimed a second time.
  */
 static bool texts_are_utf8(const struct rj_record *record)
 {
@@ -203,10 +203,10 @@
 }
 
 /*
- * The JSON text of a record, a talloc child of `mem` of at most
- * RJ_RECORD_TEXT_MAX_BYTES. Only the fields of its kind are written. NULL
- * when a text of the record is not UTF-8 or the whole is too long: such a
- * request must be refused, not claimed.
+ * Encode a record as JSON text, a talloc child of `mem`. Only the fields of
+ * its kind are written. Returns NULL if a text of the record is not UTF-8 or
+ * the result is longer than RJ_RECORD_TEXT_MAX_BYTES; such a request must be
+ * rejected and not claimed.
  */
 char *rj_record_encode(void *mem, const struct rj_record *record)
 {
@@ -231,7 +231,7 @@
 }
 
 /*
- * The kind that the JSON names, or RJ_RECORD_MALFORMED.
+ * The kind named in the JSON, or RJ_RECORD_MALFORMED if missing or unknown.
  */
 static enum rj_record_kind find_kind(const json_t *json)
 {
@@ -245,12 +245,12 @@
 }
 
 /*
- * Decode one record of the log. `offset` and `age_us` are left 0 for the
- * reader to set; pointers in `record` are talloc children of `mem`.
+ * Decode one log record. `offset` and `age_us` are left 0 for the caller to
+ * set; pointers in `record` are talloc children of `mem`.
  *
- * Returns 0, or -1 with `err` of kind RJ_ERR_MALFORMED; `record` is zeroed
- * then, so that its kind is RJ_RECORD_MALFORMED and every reader skips it
- * alike. Unknown fields are passed over: a newer instance may add some.
+ * Returns 0, or -1 with `err` of kind RJ_ERR_MALFORMED; `record` is then
+ * zeroed, so that its kind is RJ_RECORD_MALFORMED and every reader skips it.
+ * Unknown fields are ignored: instances of newer versions may add some.
  */
 int rj_record_decode(void *mem, const char *text, struct rj_record *record,
 		     struct rj_error *err)
@@ -264,7 +264,7 @@
 	rj_error_list_init(&errors, NULL);
 	if (strlen(text) > RJ_RECORD_TEXT_MAX_BYTES) {
 		rj_error_set(err, RJ_ERR_MALFORMED,
-			     "record: longer than %d bytes; write less",
+			     "record: longer than %d bytes; shorten it",
 			     RJ_RECORD_TEXT_MAX_BYTES);
 		return -1;
 	}
@@ -274,8 +274,8 @@
 	kind = find_kind(json);
 	if (kind == RJ_RECORD_MALFORMED) {
 		rj_error_list_add(&errors, RJ_ERR_MALFORMED,
-				  "kind: missing or not known; write one that "
-				  "this version knows");
+				  "kind: missing or unknown; write a kind that "
+				  "this version supports");
 		goto out;
 	}
 	result = rj_schema_decode(&record_schemas[kind], mem, json, record,
--- a/src/libradishjunction/schema.c
+++ b/src/libradishjunction/schema.c
@@ -6,12 +6,12 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Longer paths than any schema here has are cut in the message. */
+/* Longer than the paths of all schemas; a longer path would be truncated. */
 #define PATH_BYTES 160
 
 /*
- * Write the path into `out` as `accounts[2].guarantees[0].tasks`, from the
- * root on, and return its length.
+ * Format the path from the root, such as `accounts[2].guarantees[0].tasks`.
+ * Returns its length.
  */
 static size_t format_path(const struct rj_schema_path *path,
 			  char out[PATH_BYTES])
@@ -34,7 +34,7 @@
 }
 
 /*
- * Add an error that begins with the path of the value.
+ * Add an error whose message is prefixed with the path of the value.
  */
 void rj_schema_report(struct rj_schema_check *check,
 		      const struct rj_schema_path *path, const char *format,
@@ -54,8 +54,8 @@
 }
 
 /*
- * Write `value` as a message shows it: ASCII on one line, cut with "..."
- * when it is long. Text from outside thereby never breaks a log line.
+ * Format `value` for an error message as ASCII on one line, truncated with
+ * "..." when it is long, so that external text cannot break a log line.
  */
 void rj_schema_format_value(char out[RJ_SCHEMA_VALUE_BYTES],
 			    const json_t *value)
@@ -78,7 +78,7 @@
 }
 
 /*
- * Report a value of the wrong type.
+ * Report a value of the wrong JSON type.
  */
 void rj_schema_report_type(struct rj_schema_check *check,
 			   const struct rj_schema_field *field,
@@ -93,7 +93,7 @@
 }
 
 /*
- * The field of that name, or NULL.
+ * The field with that name, or NULL.
  */
 static const struct rj_schema_field *find_field(const struct rj_schema *schema,
 						const char *name)
@@ -105,8 +105,8 @@
 }
 
 /*
- * Report each field of the text that the schema does not know. A misspelt
- * optional field would otherwise pass for one that was left out.
+ * Report each field that is not in the schema. A misspelt optional field would
+ * otherwise be treated as absent.
  */
 static void report_unknown_fields(struct rj_schema_check *check,
 				  const struct rj_schema *schema,
@@ -168,7 +168,7 @@
 }
 
 /*
- * An object is decoded into the nested struct that begins at the member.
+ * Decode an object into the nested struct at `out`.
  */
 static void object_decode(struct rj_schema_check *check,
 			  const struct rj_schema_field *field,
@@ -183,8 +183,8 @@
 }
 
 /*
- * An object that is left out is as good as an empty one: its own fields have
- * their fallbacks, or are reported as missing.
+ * Treat an absent object as an empty one: its fields get their fallbacks or
+ * are reported as missing.
  */
 static void object_fill(struct rj_schema_check *check,
 			const struct rj_schema_field *field,
@@ -197,7 +197,7 @@
 }
 
 /*
- * The nested struct, left out when it is optional and all of its fields are.
+ * Encode the nested struct; an optional one without any fields is omitted.
  */
 static json_t *object_encode(const struct rj_schema_field *field,
 			     const void *in)
@@ -219,7 +219,7 @@
 };
 
 /*
- * Report each element whose "name" an earlier element bears already.
+ * Report each element with the same "name" as an earlier element.
  */
 static void report_duplicate_names(struct rj_schema_check *check,
 				   const struct rj_schema_path *path,
@@ -254,15 +254,15 @@
 }
 
 /*
- * Check the count, then each element into one talloc array, so that the errors
- * of all elements are reported.
+ * Check the count and decode all elements into one talloc array, reporting the
+ * errors of every element.
  */
 static void array_decode(struct rj_schema_check *check,
 			 const struct rj_schema_field *field,
 			 const struct rj_schema_path *path, const json_t *value,
 			 void *out)
 {
-	/* The count lies at a fixed distance from the pointer. */
+	/* The count is a member of the same struct as the pointer. */
 	uint32_t *count =
 		(uint32_t *)((char *)out - field->offset + field->count_offset);
 	size_t size = field->schema->size;
@@ -303,7 +303,7 @@
 }
 
 /*
- * An array that is left out is empty: NULL and a count of 0, as it was zeroed.
+ * An absent array is empty: pointer and count stay zero.
  */
 static void array_fill(struct rj_schema_check *check,
 		       const struct rj_schema_field *field,
@@ -313,7 +313,7 @@
 }
 
 /*
- * The elements in their order; an optional empty array is left out.
+ * Encode the elements in order; an optional empty array is omitted.
  */
 static json_t *array_encode(const struct rj_schema_field *field, const void *in)
 {
@@ -343,8 +343,8 @@
 };
 
 /*
- * Read JSON text. Returns a new reference, or NULL with one error that
- * names line and column; a field that stands twice in an object is one.
+ * Parse JSON text. Returns a new reference, or NULL with one error that names
+ * line and column. Duplicate fields of an object are an error.
  */
 json_t *rj_schema_load(const char *text, struct rj_error_list *errors)
 {
@@ -359,12 +359,11 @@
 }
 
 /*
- * Check `json` against `schema` and fill the struct at `out` as far as it is
- * good, so that a caller can check further and report all at once.
+ * Validate `json` against `schema` and decode all valid fields into `out`, so
+ * that the caller can make further checks and report all errors at once.
  *
- * Returns 0, or -1 with every error added to `errors`; the members of `out`
- * that were in error are zero then. Pointers in `out` are talloc children of
- * `mem`.
+ * Returns 0, or -1 with every error added to `errors`; invalid members of
+ * `out` are zero. Pointers in `out` are talloc children of `mem`.
  */
 int rj_schema_decode_partly(const struct rj_schema *schema, void *mem,
 			    const json_t *json, void *out,
@@ -381,14 +380,14 @@
 }
 
 /*
- * As `rj_schema_decode_partly`, but after an error `out` is zeroed whole and
- * what it pointed to is freed.
+ * Like `rj_schema_decode_partly`, but on an error `out` is zeroed and the
+ * memory it pointed to is freed.
  */
 int rj_schema_decode(const struct rj_schema *schema, void *mem,
 		     const json_t *json, void *out,
 		     struct rj_error_list *errors)
 {
-	/* All children in one context, so that a bad text leaves nothing. */
+	/* Parent of all allocations, so that an error can free them. */
 	void *children = talloc_new(mem);
 
 	assert(children);
@@ -403,7 +402,7 @@
 }
 
 /*
- * As `rj_schema_decode`, from JSON text.
+ * Like `rj_schema_decode`, from JSON text.
  */
 int rj_schema_parse(const struct rj_schema *schema, void *mem, const char *text,
 		    void *out, struct rj_error_list *errors)
@@ -421,7 +420,7 @@
 }
 
 /*
- * Fill the struct with the fallbacks of its optional fields; the others are
+ * Set the optional fields of the struct to their fallbacks and all others to
  * zero.
  */
 void rj_schema_defaults(const struct rj_schema *schema, void *out)
@@ -436,8 +435,8 @@
 }
 
 /*
- * The JSON of a struct: a new reference. Optional fields that equal their
- * fallback are left out, so that what is written reads back the same.
+ * Encode a struct as JSON; returns a new reference. Optional fields that equal
+ * their fallback are omitted; decoding the result gives the same struct.
  */
 json_t *rj_schema_encode(const struct rj_schema *schema, const void *in)
 {
--- a/src/libradishjunction/schema_texts.c
+++ b/src/libradishjunction/schema_texts.c
@@ -9,8 +9,8 @@
 #include "radishjunction/settings.h"
 
 /*
- * The text of a string value if its length is within min..max, or NULL after
- * an error.
+ * The text of a string value whose length is within field->min..max, or NULL
+ * after reporting an error.
  */
 static const char *check_text(struct rj_schema_check *check,
 			      const struct rj_schema_field *field,
@@ -33,8 +33,8 @@
 }
 
 /*
- * Names stand in URLs, logs and terminals, so they keep to characters that
- * mean nothing special in any of these.
+ * Decode a name. Names appear in URLs, logs and terminals, so they are limited
+ * to characters without a special meaning there.
  */
 static void name_decode(struct rj_schema_check *check,
 			const struct rj_schema_field *field,
@@ -60,7 +60,7 @@
 }
 
 /*
- * The JSON of a zero-terminated text, or NULL for an optional empty one.
+ * Encode a zero-terminated text; NULL for an optional empty one.
  */
 static json_t *text_json(const struct rj_schema_field *field, const char *text)
 {
@@ -70,7 +70,7 @@
 }
 
 /*
- * The text in the buffer; an optional empty one is left out.
+ * Encode the text in a buffer; an optional empty one is omitted.
  */
 static json_t *text_encode(const struct rj_schema_field *field, const void *in)
 {
@@ -85,7 +85,7 @@
 };
 
 /*
- * Copy a text that fits its buffer with the terminating zero.
+ * Copy a text into the member, a buffer of field->size bytes.
  */
 static void text_decode(struct rj_schema_check *check,
 			const struct rj_schema_field *field,
@@ -108,7 +108,7 @@
 };
 
 /*
- * Keep a copy of a text as a talloc child.
+ * Store a copy of a text as a talloc child of check->mem.
  */
 static void string_decode(struct rj_schema_check *check,
 			  const struct rj_schema_field *field,
@@ -126,7 +126,7 @@
 }
 
 /*
- * The text that the member points to; NULL counts as empty.
+ * Encode the text that the member points to; NULL is empty.
  */
 static json_t *string_encode(const struct rj_schema_field *field,
 			     const void *in)
@@ -145,7 +145,7 @@
 };
 
 /*
- * Fill the whole buffer from exactly twice as many digits.
+ * Fill the member from exactly two digits per byte.
  */
 static void hex_decode(struct rj_schema_check *check,
 		       const struct rj_schema_field *field,
@@ -166,7 +166,7 @@
 }
 
 /*
- * Two digits a byte; optional bytes that are all 0 are left out.
+ * Encode two digits per byte; optional all-zero bytes are omitted.
  */
 static json_t *hex_encode(const struct rj_schema_field *field, const void *in)
 {
@@ -187,8 +187,8 @@
 };
 
 /*
- * Keep the decoded bytes as a talloc child, at most `max` of them. Texts that
- * are too long are refused before anything is decoded.
+ * Store the decoded bytes, at most field->max, as a talloc child of
+ * check->mem. Longer texts are rejected before memory is allocated.
  */
 static void base64_decode(struct rj_schema_check *check,
 			  const struct rj_schema_field *field,
@@ -228,7 +228,7 @@
 }
 
 /*
- * The bytes as base64 with padding; optional empty ones are left out.
+ * Encode the bytes as base64 with padding; optional empty ones are omitted.
  */
 static json_t *base64_encode(const struct rj_schema_field *field,
 			     const void *in)
@@ -258,8 +258,8 @@
 };
 
 /*
- * `min` and `max` bound the port: 1 as the least where 0, "any free one",
- * makes no sense.
+ * Decode an address. A `min` of 1 rejects port 0 ("any free port") where it is
+ * not valid.
  */
 static void address_decode(struct rj_schema_check *check,
 			   const struct rj_schema_field *field,
@@ -272,10 +272,11 @@
 
 	rj_schema_format_value(shown, value);
 	if (!text || rj_address_parse(address, text))
-		rj_schema_report(check, path,
-				 "%s is no address; give an IP number and a "
-				 "port, such as 127.0.0.1:7070 or [::1]:7070",
-				 shown);
+		rj_schema_report(
+			check, path,
+			"%s is not an address; give an IP number and a "
+			"port, such as 127.0.0.1:7070 or [::1]:7070",
+			shown);
 	else if (address->port < field->min)
 		rj_schema_report(check, path,
 				 "%s has port 0; give the port of the other "
@@ -284,7 +285,7 @@
 }
 
 /*
- * The address as `rj_address_parse` reads it.
+ * Encode an address in the form that `rj_address_parse` accepts.
  */
 static json_t *address_encode(const struct rj_schema_field *field,
 			      const void *in)
--- a/src/libradishjunction/schema_types.c
+++ b/src/libradishjunction/schema_types.c
@@ -9,7 +9,7 @@
 #define ID_DIGITS 16
 
 /*
- * Keep the zero that the struct was filled with.
+ * Leave the member zero, as decoding has initialised it.
  */
 void rj_schema_fill_zero(struct rj_schema_check *check,
 			 const struct rj_schema_field *field,
@@ -18,7 +18,7 @@
 }
 
 /*
- * Store true or false; numbers and texts are not taken for them.
+ * Decode true or false; numbers and texts are not converted.
  */
 static void bool_decode(struct rj_schema_check *check,
 			const struct rj_schema_field *field,
@@ -32,9 +32,6 @@
 	*(bool *)out = json_is_true(value);
 }
 
-/*
- * Store the fallback.
- */
 static void bool_fill(struct rj_schema_check *check,
 		      const struct rj_schema_field *field,
 		      const struct rj_schema_path *path, void *out)
@@ -43,7 +40,7 @@
 }
 
 /*
- * True or false, left out when it is the fallback.
+ * Encode true or false; an optional fallback is omitted.
  */
 static json_t *bool_encode(const struct rj_schema_field *field, const void *in)
 {
@@ -62,8 +59,8 @@
 };
 
 /*
- * Check a whole number against the field's bounds and return it in the
- * member's unit; 0 after an error.
+ * Check an integer against the field's bounds. Returns it in the unit of the
+ * member, or 0 after reporting an error.
  */
 static uint64_t check_number(struct rj_schema_check *check,
 			     const struct rj_schema_field *field,
@@ -96,7 +93,7 @@
 }
 
 /*
- * The JSON of a number in the text's unit, or NULL for the fallback.
+ * Encode a number in the unit of the JSON value; NULL for an optional fallback.
  */
 static json_t *number_json(const struct rj_schema_field *field, uint64_t value)
 {
@@ -108,7 +105,7 @@
 }
 
 /*
- * Store a number within bounds that fits 32 bits.
+ * Decode an integer within the field's bounds, which fit 32 bits.
  */
 static void u32_decode(struct rj_schema_check *check,
 		       const struct rj_schema_field *field,
@@ -120,7 +117,7 @@
 }
 
 /*
- * Store the fallback, which is in the unit of the member.
+ * Store the fallback, which is in the unit of the member: it is not scaled.
  */
 static void u32_fill(struct rj_schema_check *check,
 		     const struct rj_schema_field *field,
@@ -129,9 +126,6 @@
 	*(uint32_t *)out = (uint32_t)field->fallback;
 }
 
-/*
- * The number in the text's unit.
- */
 static json_t *u32_encode(const struct rj_schema_field *field, const void *in)
 {
 	return number_json(field, *(const uint32_t *)in);
@@ -145,7 +139,7 @@
 };
 
 /*
- * Store a number within bounds, in the member's unit.
+ * Decode an integer within the field's bounds, scaled to the member's unit.
  */
 static void u64_decode(struct rj_schema_check *check,
 		       const struct rj_schema_field *field,
@@ -156,7 +150,7 @@
 }
 
 /*
- * Store the fallback, which is in the text's unit.
+ * Store the fallback, which is in the unit of the JSON value, scaled.
  */
 static void u64_fill(struct rj_schema_check *check,
 		     const struct rj_schema_field *field,
@@ -165,9 +159,6 @@
 	*(uint64_t *)out = field->fallback * (field->scale ? field->scale : 1);
 }
 
-/*
- * The number in the text's unit.
- */
 static json_t *u64_encode(const struct rj_schema_field *field, const void *in)
 {
 	return number_json(field, *(const uint64_t *)in);
@@ -181,8 +172,9 @@
 };
 
 /*
- * Identifiers and lease tokens use all 64 bits, which a JSON number does not
- * keep; as 16 digits they also read the same in logs and URLs.
+ * Decode an identifier or lease token. These use all 64 bits, which a JSON
+ * number cannot represent; 16 hexadecimal digits also look the same in logs
+ * and URLs.
  */
 static void id_decode(struct rj_schema_check *check,
 		      const struct rj_schema_field *field,
@@ -200,7 +192,7 @@
 }
 
 /*
- * Sixteen digits; an optional 0 is left out.
+ * Encode 16 digits; an optional 0 is omitted.
  */
 static json_t *id_encode(const struct rj_schema_field *field, const void *in)
 {
@@ -219,7 +211,7 @@
 };
 
 /*
- * Store the index of the word in the table of strings.
+ * Decode a word to its index in field->choices.
  */
 static void choice_decode(struct rj_schema_check *check,
 			  const struct rj_schema_field *field,
@@ -252,7 +244,7 @@
 }
 
 /*
- * The word of the index; an optional fallback is left out.
+ * Encode the word at the index; an optional fallback is omitted.
  */
 static json_t *choice_encode(const struct rj_schema_field *field,
 			     const void *in)
--- a/src/libradishjunction/settings.c
+++ b/src/libradishjunction/settings.c
@@ -6,7 +6,7 @@
 
 #include "private/schemas.h"
 
-/* A key that is guessed lets a stranger speak as a peer. */
+/* Guessing the key would allow anyone to act as a peer. */
 #define PEER_KEY_MIN_CHARS 32
 #define PEERS_MAX 1024
 #define WEEK_S (7 * 24 * 3600)
@@ -57,8 +57,8 @@
 };
 
 /*
- * Take this daemon out of its own list of peers, so that one list serves
- * all instances.
+ * Remove this daemon from its list of peers, so that all instances can be
+ * configured with the same list.
  */
 static void remove_self(struct rj_settings *settings)
 {
@@ -75,7 +75,7 @@
 }
 
 /*
- * Read the settings of one daemon from JSON text. Returns a talloc child of
+ * Parse the settings of one daemon from JSON text. Returns a talloc child of
  * `mem`, or NULL with every error added to `errors`.
  */
 struct rj_settings *rj_settings_parse(void *mem, const char *text,
--- a/src/libradishjunction/tcp_socket.c
+++ b/src/libradishjunction/tcp_socket.c
@@ -8,18 +8,20 @@
 #include <unistd.h>
 
 /*
- * A peer that is cut off sends nothing, and without these a link to it would
- * stand for hours: it is probed after 5 s of silence and given up after 10 s
- * without an acknowledgement.
+ * Without keepalive, a connection to an unreachable peer would stay open for
+ * hours. It is probed after 5 s of inactivity and closed after 10 s without an
+ * acknowledgement.
  */
 #define KEEPALIVE_IDLE_S 5
 #define KEEPALIVE_INTERVAL_S 2
 #define KEEPALIVE_PROBES 3
 #define UNACKNOWLEDGED_MAX_MS 10000
-/* Connections that wait to be accepted. */
 #define ACCEPT_BACKLOG 128
 
-/* Fill a socket address from an IP number and a port; 0 if it is no IP. */
+/*
+ * Convert an address to a socket address. Returns its length, or 0 if the IP
+ * is invalid.
+ */
 static socklen_t to_sockaddr(const struct rj_address *address,
 			     struct sockaddr_storage *storage)
 {
@@ -40,7 +42,7 @@
 	return 0;
 }
 
-/* Small frames at once, and silent peers found in seconds. */
+/* Send small frames without delay and detect unreachable peers in seconds. */
 static void set_link_options(int fd)
 {
 	int on = 1;
@@ -59,7 +61,10 @@
 		   sizeof(unacknowledged_ms));
 }
 
-/* A non-blocking socket for `address`, which is put into `storage`; or -1. */
+/*
+ * Create a non-blocking socket and fill `storage` with the socket address of
+ * `address`. Returns the socket, or -1 with `err`.
+ */
 static int open_socket(const struct rj_address *address,
 		       struct sockaddr_storage *storage, socklen_t *length,
 		       struct rj_error *err)
@@ -69,7 +74,7 @@
 	*length = to_sockaddr(address, storage);
 	if (!*length)
 		return rj_error_set(err, RJ_ERR_INVALID,
-				    "address: \"%s\" is no IP number; write "
+				    "address: \"%s\" is not an IP number; give "
 				    "one",
 				    address->ip);
 	fd = socket(storage->ss_family,
@@ -83,7 +88,7 @@
 
 /*
  * Start to connect. Returns a non-blocking socket that becomes writable when
- * the connection stands or has failed, or -1 with `err` of kind
+ * the connection is established or has failed, or -1 with `err` of kind
  * RJ_ERR_INVALID or RJ_ERR_IO.
  */
 int rj_tcp_connect(const struct rj_address *address, struct rj_error *err)
@@ -98,13 +103,14 @@
 	if (!connect(fd, (struct sockaddr *)&storage, length) ||
 	    errno == EINPROGRESS)
 		return fd;
-	rj_error_set(err, RJ_ERR_IO, "connect %s:%u: %s; see whether it runs",
-		     address->ip, address->port, strerror(errno));
+	rj_error_set(err, RJ_ERR_IO,
+		     "connect %s:%u: %s; check that it is running", address->ip,
+		     address->port, strerror(errno));
 	close(fd);
 	return -1;
 }
 
-/* The address that a listening socket was given. */
+/* Set the port of `bound` to the one that a listening socket is bound to. */
 static void bound_address(int fd, struct rj_address *bound)
 {
 	struct sockaddr_storage storage;
@@ -120,8 +126,8 @@
 }
 
 /*
- * Listen at `address`, whose port may be 0; `*bound` gets the port that was
- * taken. Returns a non-blocking socket, or -1 with `err` of kind
+ * Listen on `address`, whose port may be 0. `*bound` is set to the address with
+ * the actual port. Returns a non-blocking socket, or -1 with `err` of kind
  * RJ_ERR_INVALID or RJ_ERR_IO.
  */
 int rj_tcp_listen(const struct rj_address *address, struct rj_address *bound,
@@ -149,8 +155,8 @@
 }
 
 /*
- * Accept one connection; a non-blocking socket, or -1 when none waits or
- * none can be had.
+ * Accept one connection. Returns a non-blocking socket, or -1 when no
+ * connection is pending or accepting one fails.
  */
 int rj_tcp_accept(int listener)
 {
--- a/src/libradishjunction/types.c
+++ b/src/libradishjunction/types.c
@@ -195,7 +195,7 @@
 	[RJ_COUNT_PEER_MESSAGES] = "peer_messages",
 };
 
-/* The finaliser of splitmix64: each input bit reaches each output bit. */
+/* Finaliser of splitmix64: every input bit affects every output bit. */
 static uint64_t mix64(uint64_t x)
 {
 	x ^= x >> 30;
@@ -207,8 +207,8 @@
 }
 
 /*
- * Hash `length` bytes with `seed`; equal on every machine, so that all
- * instances agree on an owner. Not for secrets: see rj_digest.
+ * Hash `length` bytes with `seed`. The result is the same on every machine, so
+ * that all instances agree on an owner. Not cryptographic: see rj_digest.
  */
 uint64_t rj_hash64(const void *data, size_t length, uint64_t seed)
 {
@@ -222,16 +222,13 @@
 	return mix64(hash);
 }
 
-/*
- * Hash a zero-terminated text with `seed`.
- */
 uint64_t rj_hash64_string(const char *text, uint64_t seed)
 {
 	return rj_hash64(text, strlen(text), seed);
 }
 
 /*
- * The next number of the generator whose state is `*state` (splitmix64).
+ * Advance the splitmix64 generator `*state` and return its next number.
  */
 uint64_t rj_random64(uint64_t *state)
 {
@@ -240,8 +237,8 @@
 }
 
 /*
- * A cryptographic digest of the parts, each with its length, so that no two
- * lists of parts run together.
+ * Cryptographic digest of `count` parts. The length of each part is included,
+ * so that different lists of parts with the same concatenation differ.
  */
 void rj_digest(uint8_t digest[RJ_DIGEST_BYTES], const struct rj_bytes *parts,
 	       uint32_t count)
@@ -262,8 +259,8 @@
 }
 
 /*
- * Copy `text` into a name. Returns 0, or -1 when it is empty or does not
- * fit; the name is empty then.
+ * Copy `text` to `name`. Returns 0, or -1 if it is empty or does not fit;
+ * `name` is then empty.
  */
 int rj_name_set(char name[RJ_NAME_BYTES], const char *text)
 {
@@ -277,7 +274,7 @@
 }
 
 /*
- * Whether `want` fits into `have` in every dimension.
+ * Whether `want` is at most `have` in every resource.
  */
 bool rj_resources_fit(const struct rj_resources *want,
 		      const struct rj_resources *have)
@@ -288,7 +285,7 @@
 }
 
 /*
- * Add `times` times `part` to `sum`.
+ * Add `part`, multiplied by `times`, to `sum`.
  */
 void rj_resources_add(struct rj_resources *sum, const struct rj_resources *part,
 		      uint32_t times)
@@ -300,7 +297,8 @@
 }
 
 /*
- * Take `times` times `part` from `have`, which must hold that much.
+ * Subtract `part`, multiplied by `times`, from `have`, which must be at least
+ * that much.
  */
 void rj_resources_subtract(struct rj_resources *have,
 			   const struct rj_resources *part, uint32_t times)
--- a/src/libradishjunction/wire.c
+++ b/src/libradishjunction/wire.c
@@ -4,13 +4,12 @@
 
 #include "private/buffer.h"
 
-/* Where a text is written to. */
 struct writer {
 	struct rj_buffer buffer;
 	void *mem;
 };
 
-/* Append a part of the text, as libjansson makes it. */
+/* jansson dump callback. */
 static int write_part(const char *data, size_t length, void *private_data)
 {
 	struct writer *writer = private_data;
@@ -20,7 +19,7 @@
 }
 
 /*
- * The compact text of `json`, as a talloc child of `mem`.
+ * Format `json` as compact text, a talloc child of `mem`.
  */
 char *rj_wire_text(void *mem, const json_t *json)
 {
@@ -34,7 +33,7 @@
 }
 
 /*
- * The text of the struct at `in`, as a talloc child of `mem`.
+ * Encode the struct at `in` as JSON text, a talloc child of `mem`.
  */
 char *rj_wire_encode(void *mem, const struct rj_schema *schema, const void *in)
 {
@@ -46,8 +45,8 @@
 }
 
 /*
- * Fill the struct at `out` from `text`. Returns 0, or -1 with the first
- * error as `err` (which may be NULL); `out` is zeroed then.
+ * Decode the struct at `out` from JSON text. Returns 0, or -1 with the first
+ * error in `err`, which may be NULL; `out` is then zeroed.
  */
 int rj_wire_decode(const struct rj_schema *schema, void *mem, const char *text,
 		   void *out, struct rj_error *err)
