--- a/src/libradishjunction/config.c
+++ b/src/libradishjunction/config.c
@@ -50,7 +50,7 @@
 	.unique_names = true,
 };
 
-/* The shape of a guarantee has no object of its own in the JSON. */
+/* In JSON, the members of a guarantee's shape are fields of the guarantee. */
 #define SHAPE_FIELD(type_, member)                                     \
 	.type = &rj_schema_##type_, .name = #member, .optional = true, \
 	.offset = offsetof(struct rj_guarantee, shape.member)
--- a/src/libradishjunction/config_capacity.c
+++ b/src/libradishjunction/config_capacity.c
@@ -163,8 +163,8 @@
  * Guards against guarantees whose sum fits but whose shapes do not, such as
  * three adjacent gangs of five workers in two racks of eight: a reclaim would
  * free enough accelerators but never the shape. A layout that is found proves
- * that the guarantees can be honoured. The search is first fit by decreasing
- * size, so a configuration may be rejected although a layout exists.
+ * that the guarantees can be honoured. The search is greedy, hardest shapes
+ * first, so a configuration may be rejected although a layout exists.
  */
 static void check_domain(const struct rj_config *config,
 			 const struct rj_domain *domain,
--- a/src/libradishjunction/http_client.c
+++ b/src/libradishjunction/http_client.c
@@ -118,7 +118,7 @@
 	return length;
 }
 
-/* Report the result of a transfer to its owner and free the transfer. */
+/* Call `done` with the result of a transfer and free the transfer. */
 static void finish_transfer(struct transfer *transfer, CURLcode code)
 {
 	struct rj_http_result result = { .outcome = RJ_HTTP_LOST };
@@ -160,7 +160,7 @@
 
 static void arm_deadlines(struct rj_http_client *client);
 
-static gint by_deadline(gconstpointer a, gconstpointer b, gpointer unused)
+static gint compare_deadlines(gconstpointer a, gconstpointer b, gpointer unused)
 {
 	const struct transfer *left = a;
 	const struct transfer *right = b;
@@ -456,7 +456,7 @@
 	transfer->easy = acquire_handle(client);
 	transfer->deadline_us = rj_clock_now_us() + request->timeout_us;
 	transfer->deadline_iter = g_sequence_insert_sorted(
-		client->deadlines, transfer, by_deadline, NULL);
+		client->deadlines, transfer, compare_deadlines, NULL);
 	talloc_set_destructor(transfer, transfer_destructor);
 	set_options(transfer, request);
 	arm_deadlines(client);
--- a/src/libradishjunction/schema_texts.c
+++ b/src/libradishjunction/schema_texts.c
@@ -188,7 +188,8 @@
 
 /*
  * Store the decoded bytes, at most field->max, as a talloc child of
- * check->mem. Longer texts are rejected before memory is allocated.
+ * check->mem. A text that is clearly too long is rejected before memory is
+ * allocated.
  */
 static void base64_decode(struct rj_schema_check *check,
 			  const struct rj_schema_field *field,
