--- a/src/libradishjunction/config_capacity.c
+++ b/src/libradishjunction/config_capacity.c
@@ -7,15 +7,15 @@
 #include "private/capacity.h"
 #include "private/guarantee_layout.h"
 
-/* One guarantee of one account in the failure domain that is checked. */
+/* One guarantee of one account in the checked failure domain. */
 struct entry {
 	const struct rj_guarantee *guarantee;
 	uint32_t account;
 	uint32_t index;
-	bool fits_alone;
+	bool fits_alone; /* fits the empty failure domain */
 };
 
-/* The workers of one failure domain while guarantees are laid out on them. */
+/* Layout of the guarantees of one failure domain on its workers. */
 struct layout {
 	const struct rj_domain *domain;
 	struct rj_layout workers;
@@ -24,24 +24,22 @@
 };
 
 /*
- * The lesser of two counts.
+ * Place all shapes of a guarantee. Returns the number of tasks that could not
+ * be placed.
  */
-/*
- * Put all shapes of a guarantee; returns how many tasks found no place.
- */
-static uint64_t lay_guarantee(struct layout *layout,
-			      const struct rj_guarantee *guarantee)
+static uint64_t place_guarantee(struct layout *layout,
+				const struct rj_guarantee *guarantee)
 {
-	uint64_t left = 0;
+	uint64_t unplaced = 0;
 
 	for (uint32_t i = 0; i < guarantee->count; i++)
-		left += rj_layout_place(&layout->workers, &guarantee->shape,
-					NULL);
-	return left;
+		unplaced += rj_layout_place(&layout->workers, &guarantee->shape,
+					    NULL);
+	return unplaced;
 }
 
 /*
- * The hardest to place first, equal ones in the order of the configuration.
+ * Hardest to place first; equal ones in the order of the configuration.
  */
 static int compare_entries(const void *first, const void *second)
 {
@@ -58,7 +56,8 @@
 }
 
 /*
- * Report each resource of one task that no worker of the domain has.
+ * Report each resource of which one task needs more than a worker has.
+ * Returns whether the task fits a worker.
  */
 static bool fits_worker(const struct layout *layout, const struct entry *entry,
 			struct rj_error_list *errors)
@@ -93,20 +92,21 @@
 }
 
 /*
- * Report a single shape that even the empty domain could not hold.
+ * Report a shape that does not fit the empty failure domain. Returns whether
+ * it fits.
  */
 static bool fits_empty(const struct layout *layout, const struct entry *entry,
 		       struct rj_error_list *errors)
 {
 	const struct rj_domain *domain = layout->domain;
 	const struct rj_shape *shape = &entry->guarantee->shape;
-	uint64_t room = (uint64_t)rj_resources_fit_count(
-				&shape->each, &domain->worker, UINT32_MAX) *
-			domain->workers_per_rack;
+	uint64_t capacity = (uint64_t)rj_resources_fit_count(
+				    &shape->each, &domain->worker, UINT32_MAX) *
+			    domain->workers_per_rack;
 
 	if (!shape->adjacent)
-		room *= domain->racks;
-	if (shape->tasks <= room)
+		capacity *= domain->racks;
+	if (shape->tasks <= capacity)
 		return true;
 	rj_error_list_add(errors, RJ_ERR_INVALID,
 			  "accounts[%u].guarantees[%u].tasks: %u tasks do not "
@@ -114,15 +114,15 @@
 			  "it%s",
 			  entry->account, entry->index, shape->tasks,
 			  shape->adjacent ? "rack" : "failure domain",
-			  domain->name, (unsigned long long)room,
+			  domain->name, (unsigned long long)capacity,
 			  shape->adjacent ? " or set \"adjacent\" to false" :
 					    " or guarantee less");
 	return false;
 }
 
 /*
- * Collect the guarantees of one failure domain and report each that could
- * not be held by the domain alone.
+ * Collect the guarantees of one failure domain and report each that does not
+ * fit it even alone.
  */
 static void collect_entries(struct layout *layout,
 			    const struct rj_config *config,
@@ -157,14 +157,14 @@
 }
 
 /*
- * Lay all guarantees of one failure domain out on its empty workers.
+ * Lay out all guarantees of one failure domain on its empty workers and
+ * report those that do not fit beside the others.
  *
- * Guards against a promise that cannot be kept: sums that fit while the
- * shapes do not, such as three adjacent gangs of five workers in two racks
- * of eight. It would show as a reclaim that frees enough accelerators and
- * never the shape. It holds because a layout that was found is a proof; one
- * that first fit by size does not find is refused, even if a cleverer search
- * would find it.
+ * Guards against guarantees whose sum fits but whose shapes do not, such as
+ * three adjacent gangs of five workers in two racks of eight: a reclaim would
+ * free enough accelerators but never the shape. A layout that is found proves
+ * that the guarantees can be honoured. The search is greedy, hardest shapes
+ * first, so a configuration may be rejected although a layout exists.
  */
 static void check_domain(const struct rj_config *config,
 			 const struct rj_domain *domain,
@@ -179,29 +179,29 @@
 		      sizeof(*layout.entries), compare_entries);
 	for (uint32_t i = 0; i < layout.entry_count; i++) {
 		const struct entry *entry = &layout.entries[i];
-		uint64_t left;
+		uint64_t unplaced;
 
 		if (!entry->fits_alone)
 			continue;
-		left = lay_guarantee(&layout, entry->guarantee);
-		if (!left)
+		unplaced = place_guarantee(&layout, entry->guarantee);
+		if (!unplaced)
 			continue;
 		rj_error_list_add(
 			errors, RJ_ERR_INVALID,
 			"accounts[%u].guarantees[%u].count: %u shapes of %u "
-			"tasks find no room in %s beside the other guarantees "
-			"(%llu tasks are left over); lower it or add racks",
+			"tasks do not fit %s beside the other guarantees "
+			"(%llu tasks cannot be placed); lower it or add racks",
 			entry->account, entry->index, entry->guarantee->count,
 			entry->guarantee->shape.tasks, domain->name,
-			(unsigned long long)left);
+			(unsigned long long)unplaced);
 	}
 	rj_layout_finish(&layout.workers);
 }
 
 /*
- * Report every guarantee that its failure domain cannot hold, alone or with
- * the others. What is in error itself, and is zero therefore, is passed over,
- * and so are guarantees whose domain does not exist: the caller reports them.
+ * Report every guarantee that does not fit its failure domain, alone or beside
+ * the others. Invalid fields are zero and skipped, as are guarantees whose
+ * domain does not exist: the caller reports them.
  */
 void rj_config_capacity_check(const struct rj_config *config,
 			      struct rj_error_list *errors)
--- a/src/libradishjunction/config_change.c
+++ b/src/libradishjunction/config_change.c
@@ -9,17 +9,17 @@
 
 #include "private/schema.h"
 
-/* Where one operation of a patch takes effect. */
-struct place {
+/* The location that one operation of a patch modifies. */
+struct target {
 	json_t *parent; /* borrowed */
-	char *key; /* the last part of the path, unescaped */
-	size_t index; /* of `key`, when the parent is an array */
+	char *key; /* last token of the path, unescaped */
+	size_t index; /* `key` as a number if the parent is an array */
 };
 
 /*
- * The canonical text of parsed JSON, a talloc child of `mem`.
+ * Format parsed JSON as canonical text, a talloc child of `mem`.
  */
-static char *canonical(void *mem, const json_t *json)
+static char *canonical_text(void *mem, const json_t *json)
 {
 	char *dumped = json_dumps(json, JSON_COMPACT | JSON_SORT_KEYS);
 	char *text;
@@ -32,55 +32,55 @@
 }
 
 /*
- * The canonical form of a configuration's text, a talloc child of `mem`, or
- * NULL when it is not JSON.
+ * The canonical form of a configuration text, a talloc child of `mem`, or NULL
+ * if the text is not valid JSON.
  */
 char *rj_config_canonical(void *mem, const char *text)
 {
 	json_t *json = json_loads(text, JSON_REJECT_DUPLICATES, NULL);
-	char *result = json ? canonical(mem, json) : NULL;
+	char *result = json ? canonical_text(mem, json) : NULL;
 
 	json_decref(json);
 	return result;
 }
 
 /*
- * The digest by which a change names its result.
+ * Compute the digest by which a change identifies its result.
  */
-static void digest_of(uint8_t digest[RJ_DIGEST_BYTES], const char *text)
+static void digest_text(uint8_t digest[RJ_DIGEST_BYTES], const char *text)
 {
-	struct rj_bytes part = { (const uint8_t *)text,
-				 (uint32_t)strlen(text) };
+	struct rj_bytes bytes = { (const uint8_t *)text,
+				  (uint32_t)strlen(text) };
 
-	rj_digest(digest, &part, 1);
+	rj_digest(digest, &bytes, 1);
 }
 
 /*
- * Append one part to a path, escaped as RFC 6901 has it.
+ * Append one reference token to a JSON pointer, escaped as RFC 6901 requires.
  */
-static void push_part(GString *path, const char *part)
+static void append_token(GString *path, const char *token)
 {
 	g_string_append_c(path, '/');
-	for (; *part; part++) {
-		if (*part == '~')
+	for (; *token; token++) {
+		if (*token == '~')
 			g_string_append(path, "~0");
-		else if (*part == '/')
+		else if (*token == '/')
 			g_string_append(path, "~1");
 		else
-			g_string_append_c(path, *part);
+			g_string_append_c(path, *token);
 	}
 }
 
 /*
- * Append the number of an element to a path.
+ * Append an array index to a JSON pointer.
  */
-static void push_index(GString *path, size_t index)
+static void append_index(GString *path, size_t index)
 {
 	g_string_append_printf(path, "/%zu", index);
 }
 
 /*
- * Add one operation to a patch; `value` is NULL for a removal.
+ * Append one operation to a patch; `value` is NULL for "remove".
  */
 static void add_operation(json_t *patch, const char *name, const GString *path,
 			  json_t *value)
@@ -97,7 +97,7 @@
 			   json_t *to);
 
 /*
- * Add what turns the fields of `from` into those of `to`.
+ * Append the operations that turn object `from` into object `to`.
  */
 static void add_object_difference(json_t *patch, GString *path, json_t *from,
 				  json_t *to)
@@ -110,7 +110,7 @@
 	{
 		if (json_object_get(to, key))
 			continue;
-		push_part(path, key);
+		append_token(path, key);
 		add_operation(patch, "remove", path, NULL);
 		g_string_truncate(path, length);
 	}
@@ -118,7 +118,7 @@
 	{
 		json_t *old = json_object_get(from, key);
 
-		push_part(path, key);
+		append_token(path, key);
 		if (old)
 			add_difference(patch, path, old, value);
 		else
@@ -128,9 +128,9 @@
 }
 
 /*
- * Add what turns the elements of `from` into those of `to`: what is equal at
- * both ends stays, and what lies between is changed in place, as far as both
- * have elements there, then removed or added.
+ * Append the operations that turn array `from` into array `to`. The common
+ * prefix and suffix are kept; between them, elements are changed in place
+ * while both arrays have some, and the rest is removed or added.
  */
 static void add_array_difference(json_t *patch, GString *path, json_t *from,
 				 json_t *to)
@@ -150,25 +150,25 @@
 		to_end--;
 	}
 	for (; at < from_end && at < to_end; at++) {
-		push_index(path, at);
+		append_index(path, at);
 		add_difference(patch, path, json_array_get(from, at),
 			       json_array_get(to, at));
 		g_string_truncate(path, length);
 	}
 	for (; from_end > at; from_end--) {
-		push_index(path, from_end - 1);
+		append_index(path, from_end - 1);
 		add_operation(patch, "remove", path, NULL);
 		g_string_truncate(path, length);
 	}
 	for (; at < to_end; at++) {
-		push_index(path, at);
+		append_index(path, at);
 		add_operation(patch, "add", path, json_array_get(to, at));
 		g_string_truncate(path, length);
 	}
 }
 
 /*
- * Add what turns `from` into `to`, both at `path`.
+ * Append the operations that turn `from` into `to`, both at `path`.
  */
 static void add_difference(json_t *patch, GString *path, json_t *from,
 			   json_t *to)
@@ -184,11 +184,12 @@
 }
 
 /*
- * Make the change that turns the configuration `base` into `text`. Its patch
- * is a talloc child of `mem`.
+ * Compute the change that turns the configuration `base` into `text`. Its
+ * patch is a talloc child of `mem`.
  *
- * Returns 0, or -1 when the configuration has to go whole: one of the texts
- * is no JSON object, or the change would be no shorter than the result.
+ * Returns 0, or -1 when the configuration must be published whole: one of the
+ * texts is not a JSON object, or the patch is no shorter than the result or
+ * longer than RJ_CONFIG_CHANGE_MAX_BYTES.
  */
 int rj_config_change_make(void *mem, const char *base, const char *text,
 			  struct rj_config_change *change)
@@ -204,9 +205,9 @@
 	if (!json_is_object(from) || !json_is_object(to))
 		goto out;
 	add_difference(patch, path, from, to);
-	change->patch = canonical(mem, patch);
-	whole = canonical(mem, to);
-	digest_of(change->digest, whole);
+	change->patch = canonical_text(mem, patch);
+	whole = canonical_text(mem, to);
+	digest_text(change->digest, whole);
 	if (strlen(change->patch) <= RJ_CONFIG_CHANGE_MAX_BYTES &&
 	    strlen(change->patch) < strlen(whole))
 		result = 0;
@@ -220,115 +221,116 @@
 }
 
 /*
- * Undo the escapes of one part of a path, in place.
+ * Unescape one token of a JSON pointer in place.
  */
-static void unescape(char *part)
+static void unescape(char *token)
 {
-	char *out = part;
+	char *out = token;
 
-	for (; *part; part++) {
-		*out = *part;
-		if (*part == '~' && (part[1] == '0' || part[1] == '1'))
-			*out = *++part == '0' ? '~' : '/';
+	for (; *token; token++) {
+		*out = *token;
+		if (*token == '~' && (token[1] == '0' || token[1] == '1'))
+			*out = *++token == '0' ? '~' : '/';
 		out++;
 	}
 	*out = 0;
 }
 
 /*
- * The number of an array's element, which may be one past its last.
+ * Parse an array index. It may be one past the last element, as "add" allows.
+ * Returns whether it is valid.
  */
-static bool index_of(const json_t *array, const char *part, size_t *index)
+static bool parse_index(const json_t *array, const char *token, size_t *index)
 {
-	size_t digits = strspn(part, "0123456789");
+	size_t digits = strspn(token, "0123456789");
 
-	if (!digits || part[digits] || (part[0] == '0' && digits > 1))
+	if (!digits || token[digits] || (token[0] == '0' && digits > 1))
 		return false;
-	*index = (size_t)strtoul(part, NULL, 10);
+	*index = (size_t)strtoul(token, NULL, 10);
 	return *index <= json_array_size(array);
 }
 
 /*
- * The value that one part of a path leads to, or NULL.
+ * The child of `from` that one token refers to, or NULL.
  */
-static json_t *step(json_t *from, const char *part)
+static json_t *child_of(json_t *from, const char *token)
 {
 	size_t index;
 
 	if (json_is_object(from))
-		return json_object_get(from, part);
-	if (json_is_array(from) && index_of(from, part, &index))
+		return json_object_get(from, token);
+	if (json_is_array(from) && parse_index(from, token, &index))
 		return json_array_get(from, index);
 	return NULL;
 }
 
 /*
- * Walk a path down to its last part. Returns whether it leads somewhere; the
- * key is a talloc child of `mem`.
+ * Resolve a JSON pointer up to its last token. Returns whether the target can
+ * be modified; its key is a talloc child of `mem`.
  *
- * The path "/" names a field without a name, which no configuration has.
- * Guards against a patch with it, which would crash every reader of the log,
- * since the library splits an empty text into no parts at all.
+ * The path "/" refers to a field with an empty name, which no configuration
+ * has, and is rejected. Guards against a patch that would crash every reader
+ * of the log, since g_strsplit() splits an empty string into no tokens.
  */
-static bool find_place(void *mem, json_t *document, const char *path,
-		       struct place *place)
+static bool find_target(void *mem, json_t *document, const char *path,
+			struct target *target)
 {
-	char **parts;
+	char **tokens;
 	guint count;
 	bool found = false;
 
 	if (path[0] != '/' || !path[1])
 		return false;
-	parts = g_strsplit(path + 1, "/", 0);
-	count = g_strv_length(parts);
-	place->parent = document;
-	for (guint i = 0; place->parent && i + 1 < count; i++) {
-		unescape(parts[i]);
-		place->parent = step(place->parent, parts[i]);
+	tokens = g_strsplit(path + 1, "/", 0);
+	count = g_strv_length(tokens);
+	target->parent = document;
+	for (guint i = 0; target->parent && i + 1 < count; i++) {
+		unescape(tokens[i]);
+		target->parent = child_of(target->parent, tokens[i]);
 	}
-	if (!place->parent)
+	if (!target->parent)
 		goto out;
-	unescape(parts[count - 1]);
-	place->key = talloc_strdup(mem, parts[count - 1]);
-	assert(place->key);
-	found = json_is_object(place->parent) ||
-		(json_is_array(place->parent) &&
-		 index_of(place->parent, place->key, &place->index));
+	unescape(tokens[count - 1]);
+	target->key = talloc_strdup(mem, tokens[count - 1]);
+	assert(target->key);
+	found = json_is_object(target->parent) ||
+		(json_is_array(target->parent) &&
+		 parse_index(target->parent, target->key, &target->index));
 out:
-	g_strfreev(parts);
+	g_strfreev(tokens);
 	return found;
 }
 
 /*
- * Add, remove or replace a field of an object; false if it cannot be.
+ * Apply one operation to a field of an object. Returns whether it succeeded.
  */
-static bool change_field(const struct place *place, const char *name,
-			 json_t *value)
+static bool apply_to_object(const struct target *target, const char *name,
+			    json_t *value)
 {
 	if (!strcmp(name, "remove"))
-		return !json_object_del(place->parent, place->key);
+		return !json_object_del(target->parent, target->key);
 	if (!strcmp(name, "replace") &&
-	    !json_object_get(place->parent, place->key))
+	    !json_object_get(target->parent, target->key))
 		return false;
-	return !json_object_set(place->parent, place->key, value);
+	return !json_object_set(target->parent, target->key, value);
 }
 
 /*
- * Add, remove or replace an element of an array; false if it cannot be.
+ * Apply one operation to an element of an array. Returns whether it succeeded.
  */
-static bool change_element(const struct place *place, const char *name,
+static bool apply_to_array(const struct target *target, const char *name,
 			   json_t *value)
 {
 	if (!strcmp(name, "remove"))
-		return !json_array_remove(place->parent, place->index);
+		return !json_array_remove(target->parent, target->index);
 	if (!strcmp(name, "replace"))
-		return !json_array_set(place->parent, place->index, value);
-	return !json_array_insert(place->parent, place->index, value);
+		return !json_array_set(target->parent, target->index, value);
+	return !json_array_insert(target->parent, target->index, value);
 }
 
 /*
- * Carry out one operation of a patch; false if it cannot be. Fields of an
- * operation that RFC 6902 does not name are passed over, as it asks for.
+ * Apply one operation of a patch. Returns whether it succeeded. Members of the
+ * operation that RFC 6902 does not define are ignored, as it requires.
  */
 static bool apply_operation(void *mem, json_t *document,
 			    const json_t *operation)
@@ -337,67 +339,67 @@
 	const char *path =
 		json_string_value(json_object_get(operation, "path"));
 	json_t *value = json_object_get(operation, "value");
-	struct place place;
+	struct target target;
 
-	if (!name || !path || !find_place(mem, document, path, &place))
+	if (!name || !path || !find_target(mem, document, path, &target))
 		return false;
 	if (strcmp(name, "remove") != 0 && strcmp(name, "add") != 0 &&
 	    strcmp(name, "replace") != 0)
 		return false;
 	if (strcmp(name, "remove") != 0 && !value)
 		return false;
-	return json_is_object(place.parent) ?
-		       change_field(&place, name, value) :
-		       change_element(&place, name, value);
+	return json_is_object(target.parent) ?
+		       apply_to_object(&target, name, value) :
+		       apply_to_array(&target, name, value);
 }
 
 /*
- * Carry out a whole patch on `document`. Returns the number of the first
- * operation that cannot be, or -1 when all were.
+ * Apply a patch to `document`. Returns the index of the first operation that
+ * fails, or -1 if all succeed.
  */
 static int apply_patch(json_t *document, const json_t *patch)
 {
 	void *mem = talloc_new(NULL);
 	json_t *operation;
-	int bad = -1;
+	int failed = -1;
 	size_t i;
 
 	json_array_foreach(patch, i, operation)
 	{
 		if (apply_operation(mem, document, operation))
 			continue;
-		bad = (int)i;
+		failed = (int)i;
 		break;
 	}
 	talloc_free(mem);
-	return bad;
+	return failed;
 }
 
 /*
- * Whether the result is the one that the change was made for.
+ * Whether the result is the one that the author of the change had.
  *
- * Guards against a change that meets another base than its author had (the
- * log was started anew, or a peer offers it): it would result in a
- * configuration that nobody wrote, and readers would hold different ones
- * under one revision. The digest is of the whole result, so that any
- * difference in the base shows.
+ * Guards against applying a change to another base than its author had, after
+ * the log was recreated or when a peer sends the change: the result would be a
+ * configuration that no one published, and readers would hold different
+ * configurations under one revision. The digest covers the whole result, so
+ * it detects any difference in the base.
  */
 static bool is_intended(const char *result,
 			const struct rj_config_change *change)
 {
 	uint8_t digest[RJ_DIGEST_BYTES];
 
-	digest_of(digest, result);
+	digest_text(digest, result);
 	return !memcmp(digest, change->digest, RJ_DIGEST_BYTES);
 }
 
 /*
- * The configuration that `change` makes of `base`: canonical text, a talloc
- * child of `mem`. Whether it is a valid configuration is not checked here.
+ * Apply `change` to `base`. Returns the canonical text of the result, a talloc
+ * child of `mem`; it is not validated as a configuration.
  *
- * Returns NULL with the error added to `errors` when the patch is malformed
- * or does not fit the base, or when the result has another digest. Every
- * reader with this base decides alike.
+ * Returns NULL with the error added to `errors` if the patch is malformed or
+ * does not apply to the base, or if the digest of the result differs. The
+ * outcome is the same for every reader with this base.
  */
 char *rj_config_change_apply(void *mem, const char *base,
 			     const struct rj_config_change *change,
@@ -406,32 +408,33 @@
 	json_t *document = rj_schema_load(base, errors);
 	json_t *patch = rj_schema_load(change->patch, errors);
 	char *result = NULL;
-	int bad;
+	int failed;
 
 	if (!document || !patch)
 		goto out;
 	if (!json_is_array(patch) ||
 	    strlen(change->patch) > RJ_CONFIG_CHANGE_MAX_BYTES) {
 		rj_error_list_add(errors, RJ_ERR_INVALID,
-				  "change: not a list of operations of at "
-				  "most %d bytes; publish the configuration "
-				  "whole",
+				  "change: must be a list of operations of at "
+				  "most %d bytes; publish the whole "
+				  "configuration",
 				  RJ_CONFIG_CHANGE_MAX_BYTES);
 		goto out;
 	}
-	bad = apply_patch(document, patch);
-	if (bad >= 0) {
+	failed = apply_patch(document, patch);
+	if (failed >= 0) {
 		rj_error_list_add(errors, RJ_ERR_INVALID,
-				  "change[%d]: does not fit the configuration "
-				  "that it names as its base; publish again",
-				  bad);
+				  "change[%d]: cannot be applied to the "
+				  "configuration that it names as its base; "
+				  "publish again",
+				  failed);
 		goto out;
 	}
-	result = canonical(mem, document);
+	result = canonical_text(mem, document);
 	if (!is_intended(result, change)) {
 		rj_error_list_add(errors, RJ_ERR_INVALID,
-				  "change: its result has another digest than "
-				  "its author had; publish again");
+				  "change: the digest of the result differs "
+				  "from the author's; publish again");
 		TALLOC_FREE(result);
 	}
 out:
--- a/src/libradishjunction/config_log.c
+++ b/src/libradishjunction/config_log.c
@@ -4,9 +4,9 @@
 #include <string.h>
 #include <talloc.h>
 
-/* What a new reader reads of a long stream: a carried one stands in its
- * first half, unless nobody carried in time. */
-#define SKIP_RECORDS (2UL * RJ_CONFIG_CARRY_RECORDS)
+/* Records at the end of a long stream that a new reader reads. The first half
+ * of them holds a carried record, unless the configuration was carried late. */
+#define SKIP_WINDOW_RECORDS (2UL * RJ_CONFIG_CARRY_RECORDS)
 
 const char *const rj_config_verdict_string[RJ_CONFIG_VERDICT_COUNT] = {
 	[RJ_CONFIG_ACCEPTED] = "accepted",
@@ -20,7 +20,7 @@
 };
 
 /*
- * Start without a configuration, at the beginning of the stream.
+ * Initialise without a configuration, at the beginning of the stream.
  */
 void rj_config_log_init(struct rj_config_log *log, void *mem)
 {
@@ -29,13 +29,14 @@
 }
 
 /*
- * Begin the records of one answered read; `oldest` is the oldest offset that
+ * Begin the records of one successful read; `oldest` is the oldest offset that
  * the log still keeps.
  *
- * Guards against a reader that was paused past retention, or that starts on
- * a log whose beginning is gone: it would judge a publication without the
- * ones before it, and put a refused one in force. It holds because with a
- * gap nothing is judged until a carried record tells where to start.
+ * Guards against a reader that was paused for longer than the retention, or
+ * that starts on a log whose beginning was dropped: it would evaluate a
+ * publication without the ones before it and activate one that all others
+ * rejected. After a gap, nothing is decided until a carried record gives a
+ * position to start from.
  */
 void rj_config_log_begin_batch(struct rj_config_log *log, uint64_t oldest)
 {
@@ -47,14 +48,14 @@
 }
 
 /*
- * Of a long stream, go straight to its newest records; `head` is one past
- * the newest offset. To be called after `rj_config_log_begin_batch`.
+ * Skip to the newest records of a long stream; `head` is one past the newest
+ * offset. Must be called after `rj_config_log_begin_batch`.
  *
- * A reader without a configuration would else apply every change that the
- * log keeps: 45,000 in a week at 6,400 a day. Going on from there is safe,
- * since it is a gap, in which nothing is judged before a carried record
- * tells where to start. Where none is found, the stream is read from its
- * oldest record after all.
+ * Without this, a reader that has no configuration would apply every change in
+ * the log: 45,000 in a week at 6,400 a day. Skipping is safe because it counts
+ * as a gap, after which nothing is decided until a carried record gives a
+ * position to start from. If there is none among the newest records, the
+ * stream is read from its oldest record.
  */
 void rj_config_log_skip_ahead(struct rj_config_log *log, uint64_t head)
 {
@@ -66,16 +67,16 @@
 		log->gap = log->oldest > 0;
 		return;
 	}
-	if (log->skip_tried || head < log->next + SKIP_RECORDS)
+	if (log->skip_tried || head < log->next + SKIP_WINDOW_RECORDS)
 		return;
 	log->skip_tried = true;
 	log->skipped = true;
-	log->next = head - SKIP_RECORDS;
+	log->next = head - SKIP_WINDOW_RECORDS;
 	log->gap = true;
 }
 
 /*
- * The revision in force, 0 for none.
+ * The active revision, or 0 for none.
  */
 uint64_t rj_config_log_revision(const struct rj_config_log *log)
 {
@@ -83,28 +84,28 @@
 }
 
 /*
- * Whether `id` names the publication in force.
+ * Whether `id` is the id of the active publication.
  */
-static bool in_force(const struct rj_config_log *log, const char *id)
+static bool is_active(const struct rj_config_log *log, const char *id)
 {
 	return log->config && !strcmp(log->config->id, id);
 }
 
 /*
- * Let go of the change that made the configuration before this one.
+ * Free the change that led to the current revision.
  */
-static void forget_change(struct rj_config_log *log)
+static void drop_change(struct rj_config_log *log)
 {
 	talloc_free((void *)(uintptr_t)log->change.patch);
 	memset(&log->change, 0, sizeof(log->change));
 }
 
 /*
- * Put the text in force as `revision`, unless it has errors.
+ * Activate the text as `revision`. Returns false if it has errors.
  */
-static bool put_in_force(struct rj_config_log *log, uint64_t revision,
-			 const char *id, const char *text,
-			 struct rj_error_list *errors)
+static bool activate_text(struct rj_config_log *log, uint64_t revision,
+			  const char *id, const char *text,
+			  struct rj_error_list *errors)
 {
 	struct rj_config *config = rj_config_parse(log->mem, text, errors);
 
@@ -115,15 +116,15 @@
 	memcpy(config->id, id, strlen(id) + 1);
 	rj_config_unref(log->config);
 	log->config = config;
-	forget_change(log);
+	drop_change(log);
 	return true;
 }
 
 /*
- * What `change` makes of the configuration in force, a talloc child of the
- * fold's memory, or NULL with the error added to `errors`.
+ * Apply `change` to the active configuration. Returns the resulting text, a
+ * talloc child of `log->mem`, or NULL with the error added to `errors`.
  */
-static char *changed_text(struct rj_config_log *log,
+static char *apply_change(struct rj_config_log *log,
 			  const struct rj_config_change *change,
 			  struct rj_error_list *errors)
 {
@@ -132,26 +133,26 @@
 					      change, errors);
 	rj_error_list_add(errors, RJ_ERR_INVALID,
 			  "change: there is no configuration to change; "
-			  "publish the configuration whole");
+			  "publish the whole configuration");
 	return NULL;
 }
 
 /*
- * Put in force what `change` makes of the configuration in force, and keep
- * the change for peers who are one revision behind.
+ * Activate the result of applying `change` to the active configuration, and
+ * keep the change for peers that are one revision behind.
  */
 static enum rj_config_verdict
-put_change_in_force(struct rj_config_log *log, uint64_t revision,
-		    const char *id, const struct rj_config_change *change,
-		    struct rj_error_list *errors)
+activate_change(struct rj_config_log *log, uint64_t revision, const char *id,
+		const struct rj_config_change *change,
+		struct rj_error_list *errors)
 {
-	char *text = changed_text(log, change, errors);
+	char *text = apply_change(log, change, errors);
 	enum rj_config_verdict verdict = RJ_CONFIG_BAD_CHANGE;
 
 	if (!text)
 		return verdict;
 	verdict = RJ_CONFIG_BAD_TEXT;
-	if (put_in_force(log, revision, id, text, errors)) {
+	if (activate_text(log, revision, id, text, errors)) {
 		log->change = *change;
 		log->change.patch = talloc_strdup(log->mem, change->patch);
 		assert(log->change.patch);
@@ -162,7 +163,7 @@
 }
 
 /*
- * Note when the newest record from which a reader can start was written.
+ * Record the time and offset of the newest record that a reader can start from.
  */
 static void set_anchor(struct rj_config_log *log,
 		       const struct rj_record *record, uint64_t now_us)
@@ -173,9 +174,9 @@
 }
 
 /*
- * Read on from `as_of`, where the configuration in force was current.
+ * Continue reading at `as_of`, where the active configuration was current.
  */
-static void start_from(struct rj_config_log *log, uint64_t as_of)
+static void resume_from(struct rj_config_log *log, uint64_t as_of)
 {
 	log->next = as_of;
 	log->as_of = as_of;
@@ -184,10 +185,10 @@
 }
 
 /*
- * Judge a carried record. One that is needed, because it is newer or because
- * records were missed, also says where to read on: at the offset up to which
- * its author had read. The author may have lagged, so publications between
- * that offset and the carried record are judged in order, from its state.
+ * Evaluate a carried record. If it is needed, because it is newer or because
+ * records were missed, reading continues at the offset up to which its author
+ * had read. The author may have lagged, so the publications between that
+ * offset and the carried record are evaluated in order from its state.
  */
 static enum rj_config_verdict apply_carried(struct rj_config_log *log,
 					    const struct rj_record *record,
@@ -196,7 +197,7 @@
 {
 	uint64_t revision = rj_config_log_revision(log);
 	bool same = record->revision == revision &&
-		    in_force(log, record->config_id);
+		    is_active(log, record->config_id);
 
 	if (record->as_of > record->offset || !record->config_text)
 		return RJ_CONFIG_MALFORMED;
@@ -208,16 +209,16 @@
 		return RJ_CONFIG_STALE;
 	if (record->as_of < log->oldest)
 		return RJ_CONFIG_UNDECIDED;
-	if (!same && !put_in_force(log, record->revision, record->config_id,
-				   record->config_text, errors))
+	if (!same && !activate_text(log, record->revision, record->config_id,
+				    record->config_text, errors))
 		return RJ_CONFIG_BAD_TEXT;
 	set_anchor(log, record, now_us);
-	start_from(log, record->as_of);
+	resume_from(log, record->as_of);
 	return same ? RJ_CONFIG_REPEATED : RJ_CONFIG_ACCEPTED;
 }
 
 /*
- * Judge a publication.
+ * Evaluate a publication.
  */
 static enum rj_config_verdict apply_published(struct rj_config_log *log,
 					      const struct rj_record *record,
@@ -225,7 +226,7 @@
 {
 	if (record->revision != record->base_revision + 1)
 		return RJ_CONFIG_MALFORMED;
-	if (in_force(log, record->config_id))
+	if (is_active(log, record->config_id))
 		return RJ_CONFIG_REPEATED;
 	if (record->base_revision < rj_config_log_revision(log))
 		return RJ_CONFIG_STALE;
@@ -234,18 +235,17 @@
 	if (record->base_revision != rj_config_log_revision(log))
 		return RJ_CONFIG_STALE;
 	if (record->config_change.patch)
-		return put_change_in_force(log, record->revision,
-					   record->config_id,
-					   &record->config_change, errors);
-	if (!put_in_force(log, record->revision, record->config_id,
-			  record->config_text, errors))
+		return activate_change(log, record->revision, record->config_id,
+				       &record->config_change, errors);
+	if (!activate_text(log, record->revision, record->config_id,
+			   record->config_text, errors))
 		return RJ_CONFIG_BAD_TEXT;
 	return RJ_CONFIG_ACCEPTED;
 }
 
 /*
- * Whether the record has what a publication needs: the whole text or a
- * change, and not both.
+ * Whether the record is a valid publication: it has an id and either the whole
+ * text or a change, but not both.
  */
 static bool is_publication(const struct rj_record *record)
 {
@@ -255,12 +255,12 @@
 
 /*
  * Apply the record at offset `next` of the stream, at the reader's time
- * `now_us`. A record at another offset was handed over in a read from before
- * `next` moved: it is left alone and comes again with the next read.
+ * `now_us`. A record at another offset comes from a read that was started
+ * before `next` moved: it is ignored and returned again by the next read.
  *
  * Returns the verdict; with RJ_CONFIG_BAD_TEXT and RJ_CONFIG_BAD_CHANGE the
- * errors are added to `errors`. Nothing that is refused changes what is in
- * force.
+ * errors are added to `errors`. A rejected record does not change the active
+ * configuration.
  */
 enum rj_config_verdict rj_config_log_apply(struct rj_config_log *log,
 					   const struct rj_record *record,
@@ -272,7 +272,7 @@
 	if (record->offset != log->next)
 		return RJ_CONFIG_READ_AGAIN;
 	log->next++;
-	/* While the stream's beginning is kept, it is a place to start. */
+	/* A reader can also start from the beginning of the stream. */
 	if (!record->offset)
 		set_anchor(log, record, now_us);
 	if (is_publication(record))
@@ -285,8 +285,8 @@
 }
 
 /*
- * Whether a publication that a peer names can be the next after the one in
- * force: `revision` is newer, and `id` fits.
+ * Whether a publication named by a peer can replace the active one: `revision`
+ * is newer and `id` is not empty and fits.
  */
 static bool is_newer(const struct rj_config_log *log, uint64_t revision,
 		     const char *id)
@@ -296,32 +296,32 @@
 }
 
 /*
- * A peer that had read the stream up to `as_of` has the same configuration
- * in force: that ends a gap.
+ * End a gap if a peer that had read the stream up to `as_of` has the same
+ * active configuration.
  */
 static void end_gap(struct rj_config_log *log, uint64_t revision,
 		    const char *id, uint64_t as_of)
 {
-	if (revision == rj_config_log_revision(log) && in_force(log, id) &&
+	if (revision == rj_config_log_revision(log) && is_active(log, id) &&
 	    log->gap && as_of >= log->oldest)
-		start_from(log, as_of);
+		resume_from(log, as_of);
 }
 
 /*
- * A peer's configuration came into force: read on from where it had read.
+ * After activating a peer's configuration, continue where the peer had read.
  */
-static void adopted(struct rj_config_log *log, uint64_t as_of)
+static void finish_adoption(struct rj_config_log *log, uint64_t as_of)
 {
 	log->as_of = as_of;
 	if (as_of >= log->oldest)
-		start_from(log, as_of);
+		resume_from(log, as_of);
 }
 
 /*
- * Take a newer configuration from a peer that had read the stream up to
- * `as_of`; the next read goes on from there. Returns whether it came into
- * force now. One that is not newer, or whose text has errors, changes nothing,
- * but that one which is in force already ends a gap.
+ * Adopt a newer configuration from a peer that had read the stream up to
+ * `as_of`; the next read continues there. Returns whether the configuration
+ * was activated. One that is not newer or has errors changes nothing, except
+ * that the configuration that is already active ends a gap.
  */
 bool rj_config_log_adopt(struct rj_config_log *log, uint64_t revision,
 			 const char *id, const char *text, uint64_t as_of,
@@ -329,21 +329,21 @@
 {
 	end_gap(log, revision, id, as_of);
 	if (!is_newer(log, revision, id) ||
-	    !put_in_force(log, revision, id, text, errors))
+	    !activate_text(log, revision, id, text, errors))
 		return false;
-	adopted(log, as_of);
+	finish_adoption(log, as_of);
 	return true;
 }
 
 /*
- * Take the change that made a peer's configuration, as rj_config_log_adopt
- * does with a whole one.
+ * Adopt the change that led to a peer's configuration, like
+ * rj_config_log_adopt does with a whole configuration.
  *
- * Guards against a change that comes before its base, or long after it (the
- * peer's view of this reader was old): applied to another revision it would
- * make a configuration that nobody wrote. Only one against the revision in
- * force is taken; whoever misses its base gets the whole one, since the next
- * heartbeat shows that it is behind.
+ * Guards against a change that arrives before its base or long after it,
+ * because the peer's view of this reader was outdated: applied to another
+ * revision it would give a configuration that no one published. Only a change
+ * from the active revision is applied. A reader that lacks the base is sent
+ * the whole configuration, since its next heartbeat shows that it is behind.
  */
 bool rj_config_log_adopt_change(struct rj_config_log *log, uint64_t revision,
 				const char *id,
@@ -353,17 +353,17 @@
 	end_gap(log, revision, id, as_of);
 	if (!is_newer(log, revision, id) ||
 	    revision != rj_config_log_revision(log) + 1 ||
-	    put_change_in_force(log, revision, id, change, errors) !=
+	    activate_change(log, revision, id, change, errors) !=
 		    RJ_CONFIG_ACCEPTED)
 		return false;
-	adopted(log, as_of);
+	finish_adoption(log, as_of);
 	return true;
 }
 
 /*
- * Whether the configuration in force has to be appended again. Half of the
- * retention leaves the other half for outages of the log; after many records
- * it is due sooner, see RJ_CONFIG_CARRY_RECORDS.
+ * Whether the active configuration must be appended again. It is due after
+ * half of the retention, which leaves the other half for outages of the log,
+ * or earlier after many records; see RJ_CONFIG_CARRY_RECORDS.
  */
 bool rj_config_log_carry_due(const struct rj_config_log *log, uint64_t now_us,
 			     uint64_t retention_us)
@@ -377,8 +377,8 @@
 }
 
 /*
- * Fill the record that carries the configuration in force. It points into
- * `log` until that changes.
+ * Fill in a record that carries the active configuration. It points into
+ * `log` and is valid until `log` changes.
  */
 void rj_config_log_fill_carried(const struct rj_config_log *log,
 				struct rj_record *record)
@@ -395,11 +395,11 @@
 }
 
 /*
- * Give the configuration back; the fold is empty afterwards.
+ * Release the configuration; `log` is zeroed.
  */
 void rj_config_log_finish(struct rj_config_log *log)
 {
 	rj_config_unref(log->config);
-	forget_change(log);
+	drop_change(log);
 	memset(log, 0, sizeof(*log));
 }
