--- a/src/libradishjunction/caller/caller_request.c
+++ b/src/libradishjunction/caller/caller_request.c
@@ -93,7 +93,7 @@
 		set_json(request, MHD_HTTP_OK, explanation);
 		return;
 	}
-	set_text(request, rj_caller_status(answer),
+	set_text(request, rj_caller_http_status(answer),
 		 rj_caller_answer_text(answer, errors), JSON_TYPE);
 }
 
@@ -168,7 +168,7 @@
  * Refuse by the headers alone what would be refused anyway, before a body
  * is sent. Returns whether it was refused.
  */
-bool rj_caller_request_early_refusal(struct rj_caller_request *request)
+bool rj_caller_request_check_headers(struct rj_caller_request *request)
 {
 	const struct rj_http_callers_options *options =
 		&request->state->options;
@@ -199,11 +199,11 @@
  * Keep a piece of the body, up to the bound; what is above it is counted and
  * thrown away.
  */
-void rj_caller_request_take(struct rj_caller_request *request, const char *data,
-			    size_t length)
+void rj_caller_request_append_body(struct rj_caller_request *request,
+				   const char *data, size_t length)
 {
-	request->body_seen += length;
-	if (request->body_seen <= request->state->options.body_max_bytes)
+	request->body_received += length;
+	if (request->body_received <= request->state->options.body_max_bytes)
 		rj_buffer_append(&request->body, request, data, length);
 }
 
@@ -406,7 +406,7 @@
 {
 	bool known = false;
 
-	if (request->body_seen > request->state->options.body_max_bytes) {
+	if (request->body_received > request->state->options.body_max_bytes) {
 		rj_caller_request_refuse(request, 0, RJ_REASON_TOO_LARGE,
 					 "body: above the limit; send less");
 		return;
--- a/src/libradishjunction/caller/http_callers.c
+++ b/src/libradishjunction/caller/http_callers.c
@@ -153,12 +153,12 @@
 		request->over_limit = kept(connection)->over_limit;
 		rj_caller_connection_busy(kept(connection));
 		*slot = request;
-		if (rj_caller_request_early_refusal(request))
+		if (rj_caller_request_check_headers(request))
 			return respond(request);
 		return MHD_YES;
 	}
 	if (*upload_length) {
-		rj_caller_request_take(request, upload, *upload_length);
+		rj_caller_request_append_body(request, upload, *upload_length);
 		*upload_length = 0;
 		/* A body sent byte by byte would never idle. */
 		if (rj_clock_now_us() - request->began_us >
@@ -382,7 +382,7 @@
  * Guards against requests that come while the last answers are sent: the
  * core would pass over them, and their callers would wait in vain.
  */
-void rj_http_callers_close(struct rj_http_callers *callers)
+void rj_http_callers_stop_dispatch(struct rj_http_callers *callers)
 {
 	callers->state->closed = true;
 	abandon_all(callers->state);
@@ -391,7 +391,7 @@
 /*
  * Requests whose answer has not been sent whole.
  */
-uint32_t rj_http_callers_open(const struct rj_http_callers *callers)
+uint32_t rj_http_callers_open_requests(const struct rj_http_callers *callers)
 {
 	return callers->state->open;
 }
--- a/src/libradishjunction/include/private/caller_request.h
+++ b/src/libradishjunction/include/private/caller_request.h
@@ -2,7 +2,7 @@
  * One HTTP request of a caller, from its headers to its answer.
  *
  * Life cycle: `rj_caller_request_begin` when the headers have come,
- * `rj_caller_request_take` for each piece of the body, then
+ * `rj_caller_request_append_body` for each piece of the body, then
  * `rj_caller_request_dispatch`, which answers at once or hands the request to
  * the core; `rj_caller_request_answer` sets the answer; freed with talloc.
  */
@@ -50,15 +50,15 @@
 	size_t text_length;
 	const char *content_type;
 	struct rj_buffer body;
-	uint64_t body_seen; /* also what was thrown away */
+	uint64_t body_received; /* also what was thrown away */
 	struct tevent_fd *watch; /* whether the caller is still there */
 };
 
 struct rj_caller_request *
 rj_caller_request_begin(struct rj_http_callers_state *state,
 			struct MHD_Connection *connection, const char *method);
-void rj_caller_request_take(struct rj_caller_request *request, const char *data,
-			    size_t length);
+void rj_caller_request_append_body(struct rj_caller_request *request,
+				   const char *data, size_t length);
 void rj_caller_request_dispatch(struct rj_caller_request *request,
 				const char *url, const char *method);
 void rj_caller_request_answer(struct rj_caller_request *request,
@@ -68,6 +68,6 @@
 			      unsigned int status, enum rj_reason reason,
 			      const char *detail);
 void rj_caller_request_abandon(struct rj_caller_request *request);
-bool rj_caller_request_early_refusal(struct rj_caller_request *request);
+bool rj_caller_request_check_headers(struct rj_caller_request *request);
 
 #endif
--- a/src/libradishjunction/include/private/peer_link.h
+++ b/src/libradishjunction/include/private/peer_link.h
@@ -21,7 +21,8 @@
 	/* `message` is good until the call returns. */
 	void (*message)(struct rj_peer_link *link,
 			const struct rj_peer_message *message);
-	void (*closed)(struct rj_peer_link *link, enum rj_peer_close reason);
+	void (*closed)(struct rj_peer_link *link,
+		       enum rj_peer_close_reason reason);
 };
 
 struct rj_peer_link {
@@ -29,7 +30,7 @@
 	const struct rj_peer_link_ops *ops;
 	struct rj_peer_session session;
 	const char *expected; /* who it goes out to; NULL if it came in */
-	bool hello_taken;
+	bool hello_received;
 	bool proven;
 	struct tevent_timer *deadline;
 };
@@ -40,7 +41,8 @@
 		       const char *expected);
 void rj_peer_link_send(struct rj_peer_link *link,
 		       const struct rj_peer_message *message);
-void rj_peer_link_close(struct rj_peer_link *link, enum rj_peer_close reason);
+void rj_peer_link_close(struct rj_peer_link *link,
+			enum rj_peer_close_reason reason);
 void rj_peer_link_finish(struct rj_peer_link *link);
 
 #endif
--- a/src/libradishjunction/peer/peer_link.c
+++ b/src/libradishjunction/peer/peer_link.c
@@ -23,7 +23,7 @@
 }
 
 /* The reason to close after a bad frame. */
-static enum rj_peer_close close_reason(const struct rj_error *err)
+static enum rj_peer_close_reason close_reason(const struct rj_error *err)
 {
 	switch (err->kind) {
 	case RJ_ERR_VERSION:
@@ -44,14 +44,14 @@
 	static const struct rj_bytes nothing = { NULL, 0 };
 	const struct rj_peer_hello *other = &link->session.other;
 
-	if (rj_peer_session_take_hello(&link->session, frame, err))
+	if (rj_peer_session_receive_hello(&link->session, frame, err))
 		return -1;
 	if (link->expected && strcmp(other->name, link->expected) != 0)
 		return rj_error_set(err, RJ_ERR_CONFLICT,
 				    "hello: %s answers at the address of %s; "
 				    "correct the peers of the settings",
 				    other->name, link->expected);
-	link->hello_taken = true;
+	link->hello_received = true;
 	send_sealed(link, nothing);
 	return 0;
 }
@@ -99,7 +99,7 @@
 	struct rj_error err;
 	int failed;
 
-	if (!link->hello_taken)
+	if (!link->hello_received)
 		failed = take_hello(link, frame, &err);
 	else
 		failed = take_sealed(link, frame, &err);
@@ -113,14 +113,14 @@
 static void on_connected(struct rj_tcp_link *tcp)
 {
 	struct rj_peer_link *link = (struct rj_peer_link *)tcp;
-	struct rj_bytes hello = { link->session.own_bytes,
-				  link->session.own_length };
+	struct rj_bytes hello = { link->session.local_hello,
+				  link->session.local_hello_length };
 
 	rj_tcp_link_send(tcp, &hello, 1);
 }
 
 /* The connection has ended, whoever ended it. */
-static void on_closed(struct rj_tcp_link *tcp, enum rj_peer_close reason)
+static void on_closed(struct rj_tcp_link *tcp, enum rj_peer_close_reason reason)
 {
 	struct rj_peer_link *link = (struct rj_peer_link *)tcp;
 
@@ -164,7 +164,7 @@
 	randombytes_buf(hello.nonce, sizeof(hello.nonce));
 	link->ops = ops;
 	link->expected = expected;
-	link->hello_taken = false;
+	link->hello_received = false;
 	link->proven = false;
 	rj_peer_session_init(&link->session, options->key, &hello);
 	rj_tcp_link_init(&link->tcp, mem, &tcp_ops, options->loop, fd,
@@ -197,7 +197,8 @@
 /*
  * End the link; `closed` is called later, from the event loop.
  */
-void rj_peer_link_close(struct rj_peer_link *link, enum rj_peer_close reason)
+void rj_peer_link_close(struct rj_peer_link *link,
+			enum rj_peer_close_reason reason)
 {
 	rj_tcp_link_close(&link->tcp, reason);
 }
--- a/src/libradishjunction/peer/peer_session.c
+++ b/src/libradishjunction/peer/peer_session.c
@@ -20,8 +20,8 @@
 			   (const uint8_t *)key, strlen(key), NULL, 0);
 	bytes = rj_peer_hello_encode(NULL, own);
 	assert(bytes.length <= RJ_PEER_HELLO_MAX_BYTES);
-	memcpy(session->own_bytes, bytes.data, bytes.length);
-	session->own_length = bytes.length;
+	memcpy(session->local_hello, bytes.data, bytes.length);
+	session->local_hello_length = bytes.length;
 	talloc_free((void *)bytes.data);
 }
 
@@ -43,7 +43,8 @@
  */
 static void derive_keys(struct rj_peer_session *session, struct rj_bytes hello)
 {
-	struct rj_bytes own = { session->own_bytes, session->own_length };
+	struct rj_bytes own = { session->local_hello,
+				session->local_hello_length };
 	bool lower = strcmp(session->own.name, session->other.name) < 0;
 	struct rj_bytes parts[2] = { lower ? own : hello, lower ? hello : own };
 	uint8_t link_key[RJ_PEER_KEY_BYTES];
@@ -74,8 +75,8 @@
  * Returns 0, or -1 with `err` of kind RJ_ERR_MALFORMED, RJ_ERR_VERSION or
  * RJ_ERR_CONFLICT (the name).
  */
-int rj_peer_session_take_hello(struct rj_peer_session *session,
-			       struct rj_bytes hello, struct rj_error *err)
+int rj_peer_session_receive_hello(struct rj_peer_session *session,
+				  struct rj_bytes hello, struct rj_error *err)
 {
 	const struct rj_peer_hello *own = &session->own;
 	struct rj_peer_hello *other = &session->other;
--- a/src/libradishjunction/peer/tcp_link.c
+++ b/src/libradishjunction/peer/tcp_link.c
@@ -68,7 +68,8 @@
  * The call comes later because frames are handled within loops over the
  * link's own buffer, which the owner frees in `closed`.
  */
-void rj_tcp_link_close(struct rj_tcp_link *link, enum rj_peer_close reason)
+void rj_tcp_link_close(struct rj_tcp_link *link,
+		       enum rj_peer_close_reason reason)
 {
 	if (link->ended)
 		return;
--- a/src/libradishjunction/peer/tcp_peers.c
+++ b/src/libradishjunction/peer/tcp_peers.c
@@ -23,7 +23,7 @@
 /* Without a free descriptor an accept fails and would be tried at once. */
 #define ACCEPT_PAUSE_US (100 * RJ_US_PER_MS)
 
-const char *const rj_peer_close_string[RJ_PEER_CLOSE_COUNT] = {
+const char *const rj_peer_close_reason_string[RJ_PEER_CLOSE_COUNT] = {
 	[RJ_PEER_CLOSE_END] = "end",
 	[RJ_PEER_CLOSE_IO] = "io",
 	[RJ_PEER_CLOSE_OVERSIZED] = "oversized",
@@ -123,7 +123,8 @@
 }
 
 /* The connection has ended: tell, count and, if it is wanted, come back. */
-static void on_closed(struct rj_peer_link *base, enum rj_peer_close reason)
+static void on_closed(struct rj_peer_link *base,
+		      enum rj_peer_close_reason reason)
 {
 	struct peer_link *link = (struct peer_link *)base;
 	const char *name = base->session.other.name;
@@ -459,8 +460,8 @@
 /*
  * How many links ended for `reason` since the start.
  */
-uint64_t rj_tcp_peers_closed(const struct rj_tcp_peers *peers,
-			     enum rj_peer_close reason)
+uint64_t rj_tcp_peers_close_count(const struct rj_tcp_peers *peers,
+				  enum rj_peer_close_reason reason)
 {
 	assert(reason < RJ_PEER_CLOSE_COUNT);
 	return peers->state->closed[reason];
--- a/src/libradishjunction/platform/http_platform.c
+++ b/src/libradishjunction/platform/http_platform.c
@@ -283,7 +283,7 @@
 	if (result->outcome == RJ_HTTP_ANSWERED &&
 	    result->status == STATUS_OK &&
 	    !rj_instances_decode(mem, result->body, &answer, NULL) &&
-	    rj_instance_list_take(list, &answer)) {
+	    rj_instance_list_apply(list, &answer)) {
 		event.u.instances.list = list->lines;
 		event.u.instances.count = list->count;
 		deliver(pending->platform, &event);
--- a/src/libradishjunction/platform/instance_list.c
+++ b/src/libradishjunction/platform/instance_list.c
@@ -72,8 +72,8 @@
  * against the version held. Should the list still not be as long as the
  * platform says, nobody is told, and it is asked for whole.
  */
-bool rj_instance_list_take(struct rj_instance_list *list,
-			   const struct rj_instances_answer *answer)
+bool rj_instance_list_apply(struct rj_instance_list *list,
+			    const struct rj_instances_answer *answer)
 {
 	if (answer->unchanged)
 		return false;
--- a/src/libradishjunction/worker/worker_report.c
+++ b/src/libradishjunction/worker/worker_report.c
@@ -27,8 +27,8 @@
  * and hours pass between two changes of most of them. The version is a
  * digest, so that a worker keeps nothing for it; never 0.
  */
-void rj_worker_report_seal(struct rj_worker_report *report,
-			   uint64_t known_version)
+void rj_worker_report_set_version(struct rj_worker_report *report,
+				  uint64_t known_version)
 {
 	uint64_t digest = mix(report->leaving, report->incarnation);
 
