--- a/include/radishjunction/http_callers.h
+++ b/include/radishjunction/http_callers.h
@@ -6,8 +6,8 @@
  * RJ_EVENT_REQUEST, whose `now_us` is left to the sink, and is answered
  * through `base.ops->answer`. After `rj_http_callers_drain` every answer
  * closes its connection; after `rj_http_callers_stop_listening` connections
- * are refused. `rj_http_callers_close` comes when the core takes no more
- * events; when `rj_http_callers_open` is 0 then, `base.ops->finish` cuts off
+ * are refused. `rj_http_callers_stop_dispatch` comes when the core takes no more
+ * events; when `rj_http_callers_open_requests` is 0 then, `base.ops->finish` cuts off
  * nobody.
  */
 #ifndef RADISHJUNCTION_HTTP_CALLERS_H
@@ -65,8 +65,8 @@
 void rj_http_callers_serve(struct rj_http_callers *callers);
 void rj_http_callers_drain(struct rj_http_callers *callers);
 void rj_http_callers_stop_listening(struct rj_http_callers *callers);
-void rj_http_callers_close(struct rj_http_callers *callers);
-uint32_t rj_http_callers_open(const struct rj_http_callers *callers);
+void rj_http_callers_stop_dispatch(struct rj_http_callers *callers);
+uint32_t rj_http_callers_open_requests(const struct rj_http_callers *callers);
 uint32_t rj_http_callers_connections(const struct rj_http_callers *callers);
 
 #endif
--- a/include/radishjunction/tcp_peers.h
+++ b/include/radishjunction/tcp_peers.h
@@ -17,7 +17,7 @@
 struct tevent_context;
 
 /* Why a link ended; each is counted. */
-enum rj_peer_close {
+enum rj_peer_close_reason {
 	RJ_PEER_CLOSE_END, /* the other side closed it */
 	RJ_PEER_CLOSE_IO, /* the connection failed or was never made */
 	RJ_PEER_CLOSE_OVERSIZED, /* a frame above the bound */
@@ -33,7 +33,7 @@
 	RJ_PEER_CLOSE_COUNT
 };
 
-extern const char *const rj_peer_close_string[RJ_PEER_CLOSE_COUNT];
+extern const char *const rj_peer_close_reason_string[RJ_PEER_CLOSE_COUNT];
 
 struct rj_tcp_peers_options {
 	struct tevent_context *loop;
@@ -57,7 +57,7 @@
 		      const struct rj_tcp_peers_options *options,
 		      struct rj_error *err);
 struct rj_address rj_tcp_peers_address(const struct rj_tcp_peers *peers);
-uint64_t rj_tcp_peers_closed(const struct rj_tcp_peers *peers,
-			     enum rj_peer_close reason);
+uint64_t rj_tcp_peers_close_count(const struct rj_tcp_peers *peers,
+				  enum rj_peer_close_reason reason);
 
 #endif
--- a/include/radishjunction/worker.h
+++ b/include/radishjunction/worker.h
@@ -127,7 +127,7 @@
 	uint64_t incarnation;
 	bool leaving;
 	struct rj_resources capacity;
-	/* Digest of the rest; see rj_worker_report_seal. */
+	/* Digest of the rest; see rj_worker_report_set_version. */
 	uint64_t version;
 	bool unchanged; /* as in the report that the caller knows; no tasks */
 	struct rj_task_report *tasks;
@@ -150,7 +150,7 @@
 	struct rj_worker_report report; /* REPORT */
 };
 
-void rj_worker_report_seal(struct rj_worker_report *report,
-			   uint64_t known_version);
+void rj_worker_report_set_version(struct rj_worker_report *report,
+				  uint64_t known_version);
 
 #endif
--- a/src/bench/control_site.c
+++ b/src/bench/control_site.c
@@ -83,7 +83,7 @@
 	}
 	reply->report.tasks = tasks;
 	reply->report.task_count = TASKS_A_WORKER;
-	rj_worker_report_seal(&reply->report, call->known_version);
+	rj_worker_report_set_version(&reply->report, call->known_version);
 	out = rj_worker_wire_encode_call(event, call);
 	in = rj_worker_wire_encode_reply(event, call, reply);
 	count(control, &control->reports,
@@ -195,7 +195,7 @@
 	else
 		text = rj_instances_encode_changes(event, &answer);
 	g_assert(!rj_instances_decode(event, text, &answer, NULL));
-	if (!rj_instance_list_take(&control->list, &answer))
+	if (!rj_instance_list_apply(&control->list, &answer))
 		event->kind = RJ_EVENT_TIMER; /* nothing is delivered */
 	event->u.instances.list = control->list.lines;
 	event->u.instances.count = control->list.count;
--- a/src/libradishjunction/caller/caller_connections.c
+++ b/src/libradishjunction/caller/caller_connections.c
@@ -24,7 +24,7 @@
 	connections->headers_limit_us = headers_limit_us;
 }
 
-static void arm(struct rj_caller_connections *connections);
+static void schedule_check(struct rj_caller_connections *connections);
 
 /*
  * End each connection whose next headers have not come within the limit.
@@ -37,15 +37,16 @@
  *
  * Only the socket is shut down: the library sees its end and closes it.
  */
-static void on_timer(struct tevent_context *loop, struct tevent_timer *timer,
-		     struct timeval now, void *private_data)
+static void on_timer(struct tevent_context *loop,
+		     struct tevent_timer *check_timer, struct timeval now,
+		     void *private_data)
 {
 	struct rj_caller_connections *connections = private_data;
 	uint64_t now_us = rj_clock_now_us();
 	struct rj_list *at;
 	struct rj_list *next;
 
-	connections->timer = NULL; /* the event loop frees it */
+	connections->check_timer = NULL; /* the event loop frees it */
 	RJ_FOR_EACH (at, next, &connections->list) {
 		struct rj_caller_connection *connection =
 			RJ_CONTAINER(at, struct rj_caller_connection, link);
@@ -56,17 +57,17 @@
 			(void)shutdown(connection->fd, SHUT_RDWR);
 	}
 	if (connections->count)
-		arm(connections);
+		schedule_check(connections);
 }
 
 /* Look at all connections again after half of the limit. */
-static void arm(struct rj_caller_connections *connections)
+static void schedule_check(struct rj_caller_connections *connections)
 {
-	connections->timer = tevent_add_timer(
+	connections->check_timer = tevent_add_timer(
 		connections->loop, connections->mem,
 		rj_clock_timeval_in(connections->headers_limit_us / 2),
 		on_timer, connections);
-	assert(connections->timer);
+	assert(connections->check_timer);
 }
 
 /*
@@ -79,13 +80,13 @@
 		talloc_zero(connections->mem, struct rj_caller_connection);
 
 	assert(connection);
-	connection->all = connections;
+	connection->connections = connections;
 	connection->fd = fd;
 	connection->over_limit = ++connections->count > connections->max;
 	rj_list_append(&connections->list, &connection->link);
 	rj_caller_connection_idle(connection);
-	if (!connections->timer)
-		arm(connections);
+	if (!connections->check_timer)
+		schedule_check(connections);
 	return connection;
 }
 
@@ -110,7 +111,7 @@
  */
 void rj_caller_connection_close(struct rj_caller_connection *connection)
 {
-	connection->all->count--;
+	connection->connections->count--;
 	rj_list_remove(&connection->link);
 	talloc_free(connection);
 }
--- a/src/libradishjunction/caller/caller_json.c
+++ b/src/libradishjunction/caller/caller_json.c
@@ -169,7 +169,7 @@
 /*
  * The HTTP status that goes with an answer; docs/API.md has the table.
  */
-unsigned int rj_caller_status(const struct rj_answer *answer)
+unsigned int rj_caller_http_status(const struct rj_answer *answer)
 {
 	switch (answer->kind) {
 	case RJ_ANSWER_DONE:
--- a/src/libradishjunction/caller/caller_metrics.c
+++ b/src/libradishjunction/caller/caller_metrics.c
@@ -34,5 +34,5 @@
 				rj_reason_string[i], metrics->reasons[i]);
 	g_string_append_printf(text,
 			       "radishjunction_callers_gone %" PRIu64 "\n",
-			       metrics->gone);
+			       metrics->disconnected);
 }
--- a/src/libradishjunction/caller/caller_request.c
+++ b/src/libradishjunction/caller/caller_request.c
@@ -39,10 +39,11 @@
 	assert(request);
 	request->state = state;
 	request->connection = connection;
-	request->began_us = rj_clock_now_us();
-	request->plain = strcmp(method, MHD_HTTP_METHOD_POST) == 0 &&
-			 !MHD_lookup_connection_value(
-				 connection, MHD_HEADER_KIND, KEY_HEADER);
+	request->headers_received_us = rj_clock_now_us();
+	request->unkeyed_submission =
+		strcmp(method, MHD_HTTP_METHOD_POST) == 0 &&
+		!MHD_lookup_connection_value(connection, MHD_HEADER_KIND,
+					     KEY_HEADER);
 	state->open++;
 	talloc_set_destructor(request, request_destructor);
 	return request;
@@ -87,13 +88,13 @@
 		explanation = views->ops->explain(views, request->job_id);
 	rj_caller_metrics_add(&request->state->metrics, answer->kind,
 			      answer->reason,
-			      rj_clock_now_us() - request->began_us);
+			      rj_clock_now_us() - request->headers_received_us);
 	request->retry_after_us = answer->retry_after_us;
 	if (explanation) {
 		set_json(request, MHD_HTTP_OK, explanation);
 		return;
 	}
-	set_text(request, rj_caller_status(answer),
+	set_text(request, rj_caller_http_status(answer),
 		 rj_caller_answer_text(answer, errors), JSON_TYPE);
 }
 
@@ -129,7 +130,7 @@
 
 	if (reason == RJ_REASON_QUEUE_FULL || reason == RJ_REASON_DRAINING) {
 		answer.retry_after_us = busy_retry_us(request->state);
-		if (!request->plain)
+		if (!request->unkeyed_submission)
 			answer.kind = RJ_ANSWER_UNKNOWN;
 	}
 	g_strlcpy(answer.detail, detail, sizeof(answer.detail));
@@ -168,7 +169,7 @@
  * Refuse by the headers alone what would be refused anyway, before a body
  * is sent. Returns whether it was refused.
  */
-bool rj_caller_request_early_refusal(struct rj_caller_request *request)
+bool rj_caller_request_check_headers(struct rj_caller_request *request)
 {
 	const struct rj_http_callers_options *options =
 		&request->state->options;
@@ -199,16 +200,16 @@
  * Keep a piece of the body, up to the bound; what is above it is counted and
  * thrown away.
  */
-void rj_caller_request_take(struct rj_caller_request *request, const char *data,
-			    size_t length)
+void rj_caller_request_append_body(struct rj_caller_request *request,
+				   const char *data, size_t length)
 {
-	request->body_seen += length;
-	if (request->body_seen <= request->state->options.body_max_bytes)
+	request->body_received += length;
+	if (request->body_received <= request->state->options.body_max_bytes)
 		rj_buffer_append(&request->body, request, data, length);
 }
 
 /* Copy the caller's token; refuses and returns -1 without a good one. */
-static int take_token(struct rj_caller_request *request,
+static int read_token(struct rj_caller_request *request,
 		      char token[RJ_TOKEN_BYTES])
 {
 	const char *header = MHD_lookup_connection_value(
@@ -231,7 +232,7 @@
 }
 
 /* Copy the idempotency key, if any; refuses and returns -1 on a bad one. */
-static int take_key(struct rj_caller_request *request, char key[RJ_KEY_BYTES])
+static int read_key(struct rj_caller_request *request, char key[RJ_KEY_BYTES])
 {
 	const char *header = MHD_lookup_connection_value(
 		request->connection, MHD_HEADER_KIND, KEY_HEADER);
@@ -253,35 +254,36 @@
 }
 
 /* Hand the request to the core, unless too many are open. */
-static void ask_core(struct rj_caller_request *request, struct rj_event *event)
+static void submit_to_core(struct rj_caller_request *request,
+			   struct rj_event *event)
 {
 	struct rj_http_callers_state *state = request->state;
 
-	if (state->closed) {
+	if (state->dispatch_stopped) {
 		rj_caller_request_refuse(request, 0, RJ_REASON_DRAINING,
 					 "this instance has stopped: ask "
 					 "another one");
 		return;
 	}
-	if (g_hash_table_size(state->asked) >= state->options.requests_max) {
+	if (g_hash_table_size(state->pending) >= state->options.requests_max) {
 		rj_caller_request_refuse(
 			request, 0, RJ_REASON_QUEUE_FULL,
 			"requests: too many are open; come back "
 			"or ask another instance");
 		return;
 	}
-	request->id = ++state->last_id;
+	request->id = ++state->last_request_id;
 	event->kind = RJ_EVENT_REQUEST;
 	event->u.request.request_id = request->id;
-	g_hash_table_insert(state->asked, &request->id, request);
+	g_hash_table_insert(state->pending, &request->id, request);
 	state->options.sink->deliver(state->options.sink, event);
 }
 
 /* POST /v1/jobs */
-static void submit(struct rj_caller_request *request)
+static void post_job(struct rj_caller_request *request)
 {
 	struct rj_event event = { 0 };
-	struct rj_request *asked = &event.u.request;
+	struct rj_request *core_request = &event.u.request;
 	const char *text = request->body.data ? request->body.data : "";
 	struct rj_error_list errors;
 	struct rj_answer answer = {
@@ -289,7 +291,7 @@
 		.reason = RJ_REASON_BAD_REQUEST,
 	};
 
-	if (take_token(request, asked->token))
+	if (read_token(request, core_request->token))
 		return;
 	if (strlen(text) != request->body.length) {
 		rj_caller_request_refuse(request, 0, RJ_REASON_BAD_REQUEST,
@@ -297,28 +299,29 @@
 		return;
 	}
 	rj_error_list_init(&errors, request);
-	if (rj_caller_parse_submit(request, text, &asked->spec, &errors)) {
+	if (rj_caller_parse_submit(request, text, &core_request->spec,
+				   &errors)) {
 		g_strlcpy(answer.detail, errors.errors[0].message,
 			  sizeof(answer.detail));
 		rj_caller_request_answer(request, &answer, &errors);
 		return;
 	}
-	if (take_key(request, asked->spec.key))
+	if (read_key(request, core_request->spec.key))
 		return;
-	asked->op = RJ_REQUEST_SUBMIT;
-	ask_core(request, &event);
+	core_request->op = RJ_REQUEST_SUBMIT;
+	submit_to_core(request, &event);
 }
 
 /* GET or DELETE of one job. */
-static void ask_about_job(struct rj_caller_request *request,
-			  enum rj_request_op op, const char *id)
+static void request_job(struct rj_caller_request *request,
+			enum rj_request_op op, const char *id)
 {
 	const char *wait = MHD_lookup_connection_value(
 		request->connection, MHD_GET_ARGUMENT_KIND, "wait");
 	struct rj_event event = { 0 };
-	struct rj_request *asked = &event.u.request;
+	struct rj_request *core_request = &event.u.request;
 
-	if (take_token(request, asked->token))
+	if (read_token(request, core_request->token))
 		return;
 	if (rj_caller_parse_job_id(&request->job_id, id)) {
 		rj_caller_request_refuse(request, 0, RJ_REASON_BAD_REQUEST,
@@ -326,14 +329,15 @@
 					 "the \"job\" of an answer");
 		return;
 	}
-	asked->op = op;
-	asked->job_id = request->job_id;
-	asked->wait = !request->explain && wait && strcmp(wait, "1") == 0;
-	ask_core(request, &event);
+	core_request->op = op;
+	core_request->job_id = request->job_id;
+	core_request->wait =
+		!request->explain && wait && strcmp(wait, "1") == 0;
+	submit_to_core(request, &event);
 }
 
 /* GET /metrics */
-static void metrics(struct rj_caller_request *request)
+static void get_metrics(struct rj_caller_request *request)
 {
 	struct rj_http_callers_state *state = request->state;
 	struct rj_caller_views *views = state->options.views;
@@ -343,14 +347,14 @@
 	g_string_append_printf(text, "radishjunction_caller_connections %u\n",
 			       state->connections.count);
 	g_string_append_printf(text, "radishjunction_requests_open %u\n",
-			       g_hash_table_size(state->asked));
+			       g_hash_table_size(state->pending));
 	views->ops->metrics(views, text);
 	set_text(request, MHD_HTTP_OK, strdup(text->str), "text/plain");
 	g_string_free(text, TRUE);
 }
 
 /* GET /v1/ready: 200 if it serves, else 503; for the balancer. */
-static void ready(struct rj_caller_request *request)
+static void get_ready(struct rj_caller_request *request)
 {
 	struct rj_caller_views *views = request->state->options.views;
 	bool is_ready = !request->state->draining && views->ops->ready(views);
@@ -360,31 +364,31 @@
 }
 
 /* What is read without asking the core; false if there is no such path. */
-static bool read_view(struct rj_caller_request *request, const char *url)
+static bool dispatch_view(struct rj_caller_request *request, const char *url)
 {
 	struct rj_caller_views *views = request->state->options.views;
 
 	if (strcmp(url, "/v1/ready") == 0)
-		ready(request);
+		get_ready(request);
 	else if (strcmp(url, "/v1/status") == 0)
 		set_json(request, MHD_HTTP_OK, views->ops->status(views));
 	else if (strcmp(url, "/v1/revision") == 0)
 		set_json(request, MHD_HTTP_OK, views->ops->revision(views));
 	else if (strcmp(url, "/metrics") == 0)
-		metrics(request);
+		get_metrics(request);
 	else
 		return false;
 	return true;
 }
 
 /* GET or DELETE under /v1/jobs/; false if there is no such path. */
-static bool job_path(struct rj_caller_request *request, const char *path,
-		     const char *method)
+static bool dispatch_job_path(struct rj_caller_request *request,
+			      const char *path, const char *method)
 {
 	char *id;
 
 	if (strcmp(method, MHD_HTTP_METHOD_DELETE) == 0) {
-		ask_about_job(request, RJ_REQUEST_CANCEL, path);
+		request_job(request, RJ_REQUEST_CANCEL, path);
 		return true;
 	}
 	if (strcmp(method, MHD_HTTP_METHOD_GET) != 0)
@@ -393,7 +397,7 @@
 	id = talloc_strdup(request, path);
 	if (request->explain)
 		id[strlen(id) - strlen(EXPLAIN_SUFFIX)] = 0;
-	ask_about_job(request, RJ_REQUEST_LOOKUP, id);
+	request_job(request, RJ_REQUEST_LOOKUP, id);
 	return true;
 }
 
@@ -406,19 +410,20 @@
 {
 	bool known = false;
 
-	if (request->body_seen > request->state->options.body_max_bytes) {
+	if (request->body_received > request->state->options.body_max_bytes) {
 		rj_caller_request_refuse(request, 0, RJ_REASON_TOO_LARGE,
 					 "body: above the limit; send less");
 		return;
 	}
 	if (strcmp(url, JOBS_PATH) == 0 &&
 	    strcmp(method, MHD_HTTP_METHOD_POST) == 0) {
-		submit(request);
+		post_job(request);
 		known = true;
 	} else if (g_str_has_prefix(url, JOBS_PATH "/")) {
-		known = job_path(request, url + strlen(JOBS_PATH "/"), method);
+		known = dispatch_job_path(request, url + strlen(JOBS_PATH "/"),
+					  method);
 	} else if (strcmp(method, MHD_HTTP_METHOD_GET) == 0) {
-		known = read_view(request, url);
+		known = dispatch_view(request, url);
 	}
 	if (!known)
 		rj_caller_request_refuse(request, MHD_HTTP_NOT_FOUND,
--- a/src/libradishjunction/caller/http_callers.c
+++ b/src/libradishjunction/caller/http_callers.c
@@ -21,10 +21,10 @@
 #define HEADERS_LIMIT_IDLES 2
 
 /* Take the request from those that wait for the core. */
-static void stop_waiting(struct rj_caller_request *request)
+static void remove_pending(struct rj_caller_request *request)
 {
-	g_hash_table_remove(request->state->asked, &request->id);
-	TALLOC_FREE(request->watch);
+	g_hash_table_remove(request->state->pending, &request->id);
+	TALLOC_FREE(request->disconnect_watch);
 }
 
 /* Let the daemon go on with a connection whose answer is set. */
@@ -37,7 +37,7 @@
 }
 
 /* The socket of a connection. */
-static int socket_of(struct MHD_Connection *connection)
+static int connection_socket(struct MHD_Connection *connection)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		connection, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -54,24 +54,24 @@
 {
 	struct rj_caller_request *request = private_data;
 	struct rj_http_callers_state *state = request->state;
-	struct rj_event gone = { .kind = RJ_EVENT_CALLER_GONE };
+	struct rj_event disconnect = { .kind = RJ_EVENT_CALLER_GONE };
 	char byte;
-	ssize_t got = recv(socket_of(request->connection), &byte, 1,
+	ssize_t got = recv(connection_socket(request->connection), &byte, 1,
 			   MSG_PEEK | MSG_DONTWAIT);
 
 	if (got < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
-	TALLOC_FREE(request->watch);
+	TALLOC_FREE(request->disconnect_watch);
 	if (got > 0)
 		return;
-	gone.u.request_id = request->id;
-	state->metrics.gone++;
-	stop_waiting(request);
+	disconnect.u.request_id = request->id;
+	state->metrics.disconnected++;
+	remove_pending(request);
 	request->status = MHD_HTTP_SERVICE_UNAVAILABLE;
 	request->content_type = "text/plain";
 	request->answered = true;
 	resume(request);
-	state->options.sink->deliver(state->options.sink, &gone);
+	state->options.sink->deliver(state->options.sink, &disconnect);
 }
 
 /* Set the connection aside until the core has answered. */
@@ -81,10 +81,11 @@
 
 	request->suspended = true;
 	MHD_suspend_connection(request->connection);
-	request->watch = tevent_add_fd(state->options.loop, request,
-				       socket_of(request->connection),
-				       TEVENT_FD_READ, on_watch, request);
-	assert(request->watch);
+	request->disconnect_watch =
+		tevent_add_fd(state->options.loop, request,
+			      connection_socket(request->connection),
+			      TEVENT_FD_READ, on_watch, request);
+	assert(request->disconnect_watch);
 }
 
 /* Queue the response of an answered request. */
@@ -128,7 +129,8 @@
 }
 
 /* What on_connection keeps for a connection. */
-static struct rj_caller_connection *kept(struct MHD_Connection *connection)
+static struct rj_caller_connection *
+connection_context(struct MHD_Connection *connection)
 {
 	return MHD_get_connection_info(connection,
 				       MHD_CONNECTION_INFO_SOCKET_CONTEXT)
@@ -150,18 +152,19 @@
 
 	if (!request) {
 		request = rj_caller_request_begin(state, connection, method);
-		request->over_limit = kept(connection)->over_limit;
-		rj_caller_connection_busy(kept(connection));
+		request->over_limit =
+			connection_context(connection)->over_limit;
+		rj_caller_connection_busy(connection_context(connection));
 		*slot = request;
-		if (rj_caller_request_early_refusal(request))
+		if (rj_caller_request_check_headers(request))
 			return respond(request);
 		return MHD_YES;
 	}
 	if (*upload_length) {
-		rj_caller_request_take(request, upload, *upload_length);
+		rj_caller_request_append_body(request, upload, *upload_length);
 		*upload_length = 0;
 		/* A body sent byte by byte would never idle. */
-		if (rj_clock_now_us() - request->began_us >
+		if (rj_clock_now_us() - request->headers_received_us >
 		    state->options.idle_timeout_s * RJ_US_PER_S)
 			return MHD_NO;
 		return MHD_YES;
@@ -179,7 +182,7 @@
 			 void **slot, enum MHD_RequestTerminationCode code)
 {
 	TALLOC_FREE(*slot);
-	rj_caller_connection_idle(kept(connection));
+	rj_caller_connection_idle(connection_context(connection));
 }
 
 /* Keep the connections; one above the limit is marked for a refusal. */
@@ -191,8 +194,8 @@
 	if (code == MHD_CONNECTION_NOTIFY_CLOSED)
 		rj_caller_connection_close(*slot);
 	else
-		*slot = rj_caller_connection_open(&state->connections,
-						  socket_of(connection));
+		*slot = rj_caller_connection_open(
+			&state->connections, connection_socket(connection));
 }
 
 /* See rj_callers_ops. */
@@ -201,26 +204,26 @@
 {
 	struct rj_http_callers *callers = (struct rj_http_callers *)base;
 	struct rj_caller_request *request =
-		g_hash_table_lookup(callers->state->asked, &request_id);
+		g_hash_table_lookup(callers->state->pending, &request_id);
 
 	if (!request)
 		return;
-	stop_waiting(request);
+	remove_pending(request);
 	rj_caller_request_answer(request, answer, NULL);
 	if (request->suspended)
 		resume(request);
 }
 
 /* Answer all that the core has taken and will not answer. */
-static void abandon_all(struct rj_http_callers_state *state)
+static void abandon_pending(struct rj_http_callers_state *state)
 {
 	struct rj_caller_request *request;
 	GHashTableIter iterator;
 
-	g_hash_table_iter_init(&iterator, state->asked);
+	g_hash_table_iter_init(&iterator, state->pending);
 	while (g_hash_table_iter_next(&iterator, NULL, (void **)&request)) {
 		g_hash_table_iter_remove(&iterator);
-		TALLOC_FREE(request->watch);
+		TALLOC_FREE(request->disconnect_watch);
 		rj_caller_request_abandon(request);
 		if (request->suspended)
 			resume(request);
@@ -233,11 +236,11 @@
 	struct rj_http_callers *callers = (struct rj_http_callers *)base;
 	struct rj_http_callers_state *state = callers->state;
 
-	abandon_all(state);
+	abandon_pending(state);
 	MHD_run(state->daemon);
 	rj_http_loop_finish(&state->loop);
 	MHD_stop_daemon(state->daemon);
-	g_hash_table_destroy(state->asked);
+	g_hash_table_destroy(state->pending);
 	TALLOC_FREE(callers->state);
 }
 
@@ -297,7 +300,7 @@
 		&state->connections, state, options->loop,
 		options->connections_max,
 		HEADERS_LIMIT_IDLES * options->idle_timeout_s * RJ_US_PER_S);
-	listener = rj_tcp_listen(&options->address, &state->bound, err);
+	listener = rj_tcp_listen(&options->address, &state->bound_address, err);
 	if (listener < 0)
 		goto free_state;
 	state->daemon = start_daemon(state, listener);
@@ -307,7 +310,7 @@
 			     "the limit of open files");
 		goto close_listener;
 	}
-	state->asked = g_hash_table_new(g_int64_hash, g_int64_equal);
+	state->pending = g_hash_table_new(g_int64_hash, g_int64_equal);
 	if (!options->deferred)
 		rj_http_loop_init(&state->loop, state, options->loop,
 				  state->daemon);
@@ -344,7 +347,7 @@
  */
 struct rj_address rj_http_callers_address(const struct rj_http_callers *callers)
 {
-	return callers->state->bound;
+	return callers->state->bound_address;
 }
 
 /*
@@ -382,16 +385,16 @@
  * Guards against requests that come while the last answers are sent: the
  * core would pass over them, and their callers would wait in vain.
  */
-void rj_http_callers_close(struct rj_http_callers *callers)
+void rj_http_callers_stop_dispatch(struct rj_http_callers *callers)
 {
-	callers->state->closed = true;
-	abandon_all(callers->state);
+	callers->state->dispatch_stopped = true;
+	abandon_pending(callers->state);
 }
 
 /*
  * Requests whose answer has not been sent whole.
  */
-uint32_t rj_http_callers_open(const struct rj_http_callers *callers)
+uint32_t rj_http_callers_open_requests(const struct rj_http_callers *callers)
 {
 	return callers->state->open;
 }
--- a/src/libradishjunction/include/private/caller_connections.h
+++ b/src/libradishjunction/include/private/caller_connections.h
@@ -22,7 +22,7 @@
 	struct rj_list list;
 	void *mem; /* parent of all connections */
 	struct tevent_context *loop;
-	struct tevent_timer *timer; /* NULL while none stands */
+	struct tevent_timer *check_timer; /* NULL while none stands */
 	uint64_t headers_limit_us;
 	uint32_t max; /* one more is marked */
 	uint32_t count;
@@ -30,7 +30,7 @@
 
 struct rj_caller_connection {
 	struct rj_list link;
-	struct rj_caller_connections *all;
+	struct rj_caller_connections *connections;
 	int fd;
 	uint64_t idle_since_us; /* 0 while a request is open */
 	bool over_limit; /* it was one too many when it came */
--- a/src/libradishjunction/include/private/caller_metrics.h
+++ b/src/libradishjunction/include/private/caller_metrics.h
@@ -14,7 +14,7 @@
 struct rj_caller_metrics {
 	struct rj_latency answers[RJ_ANSWER_KIND_COUNT];
 	uint64_t reasons[RJ_REASON_COUNT];
-	uint64_t gone; /* callers that left before their answer */
+	uint64_t disconnected; /* callers that left before their answer */
 };
 
 void rj_caller_metrics_add(struct rj_caller_metrics *metrics,
--- a/src/libradishjunction/include/private/caller_request.h
+++ b/src/libradishjunction/include/private/caller_request.h
@@ -2,7 +2,7 @@
  * One HTTP request of a caller, from its headers to its answer.
  *
  * Life cycle: `rj_caller_request_begin` when the headers have come,
- * `rj_caller_request_take` for each piece of the body, then
+ * `rj_caller_request_append_body` for each piece of the body, then
  * `rj_caller_request_dispatch`, which answers at once or hands the request to
  * the core; `rj_caller_request_answer` sets the answer; freed with talloc.
  */
@@ -20,16 +20,16 @@
 
 struct rj_http_callers_state {
 	struct rj_http_callers_options options;
-	struct rj_address bound;
+	struct rj_address bound_address;
 	struct MHD_Daemon *daemon;
 	struct rj_http_loop loop;
 	bool draining;
-	bool closed; /* the core takes no more events */
+	bool dispatch_stopped; /* the core takes no more events */
 	struct rj_caller_connections connections;
 	uint64_t random; /* of the spread of refused callers */
 	uint32_t open; /* requests from their headers to their last byte */
-	GHashTable *asked; /* id -> request that waits for the core */
-	uint64_t last_id;
+	GHashTable *pending; /* id -> request that waits for the core */
+	uint64_t last_request_id;
 	struct rj_caller_metrics metrics;
 };
 
@@ -37,8 +37,8 @@
 	struct rj_http_callers_state *state;
 	struct MHD_Connection *connection;
 	uint64_t id; /* of the event; 0 if the core was not asked */
-	uint64_t began_us;
-	bool plain; /* a submission without a key */
+	uint64_t headers_received_us;
+	bool unkeyed_submission; /* a submission without a key */
 	bool over_limit; /* its connection is one too many */
 	bool explain; /* the answer is the explanation, if allowed */
 	uint64_t job_id;
@@ -50,15 +50,16 @@
 	size_t text_length;
 	const char *content_type;
 	struct rj_buffer body;
-	uint64_t body_seen; /* also what was thrown away */
-	struct tevent_fd *watch; /* whether the caller is still there */
+	uint64_t body_received; /* also what was thrown away */
+	struct tevent_fd
+		*disconnect_watch; /* whether the caller is still there */
 };
 
 struct rj_caller_request *
 rj_caller_request_begin(struct rj_http_callers_state *state,
 			struct MHD_Connection *connection, const char *method);
-void rj_caller_request_take(struct rj_caller_request *request, const char *data,
-			    size_t length);
+void rj_caller_request_append_body(struct rj_caller_request *request,
+				   const char *data, size_t length);
 void rj_caller_request_dispatch(struct rj_caller_request *request,
 				const char *url, const char *method);
 void rj_caller_request_answer(struct rj_caller_request *request,
@@ -68,6 +69,6 @@
 			      unsigned int status, enum rj_reason reason,
 			      const char *detail);
 void rj_caller_request_abandon(struct rj_caller_request *request);
-bool rj_caller_request_early_refusal(struct rj_caller_request *request);
+bool rj_caller_request_check_headers(struct rj_caller_request *request);
 
 #endif
--- a/src/libradishjunction/include/private/peer_link.h
+++ b/src/libradishjunction/include/private/peer_link.h
@@ -17,30 +17,32 @@
 struct rj_peer_link;
 
 struct rj_peer_link_ops {
-	void (*proven)(struct rj_peer_link *link);
+	void (*authenticated)(struct rj_peer_link *link);
 	/* `message` is good until the call returns. */
 	void (*message)(struct rj_peer_link *link,
 			const struct rj_peer_message *message);
-	void (*closed)(struct rj_peer_link *link, enum rj_peer_close reason);
+	void (*closed)(struct rj_peer_link *link,
+		       enum rj_peer_close_reason reason);
 };
 
 struct rj_peer_link {
 	struct rj_tcp_link tcp; /* first member, always */
 	const struct rj_peer_link_ops *ops;
 	struct rj_peer_session session;
-	const char *expected; /* who it goes out to; NULL if it came in */
-	bool hello_taken;
-	bool proven;
-	struct tevent_timer *deadline;
+	const char *expected_name; /* who it goes out to; NULL if it came in */
+	bool hello_received;
+	bool authenticated;
+	struct tevent_timer *handshake_timer;
 };
 
 void rj_peer_link_init(struct rj_peer_link *link, void *mem,
 		       const struct rj_peer_link_ops *ops,
 		       const struct rj_tcp_peers_options *options, int fd,
-		       const char *expected);
+		       const char *expected_name);
 void rj_peer_link_send(struct rj_peer_link *link,
 		       const struct rj_peer_message *message);
-void rj_peer_link_close(struct rj_peer_link *link, enum rj_peer_close reason);
+void rj_peer_link_close(struct rj_peer_link *link,
+			enum rj_peer_close_reason reason);
 void rj_peer_link_finish(struct rj_peer_link *link);
 
 #endif
--- a/src/libradishjunction/include/private/peer_session.h
+++ b/src/libradishjunction/include/private/peer_session.h
@@ -17,10 +17,10 @@
 
 struct rj_peer_session {
 	uint8_t shared_key[RJ_PEER_KEY_BYTES];
-	struct rj_peer_hello own;
-	struct rj_peer_hello other;
-	uint8_t own_bytes[RJ_PEER_HELLO_MAX_BYTES];
-	uint32_t own_length;
+	struct rj_peer_hello local;
+	struct rj_peer_hello remote;
+	uint8_t local_hello[RJ_PEER_HELLO_MAX_BYTES];
+	uint32_t local_hello_length;
 	uint32_t version; /* the lower of the two sides' */
 	uint8_t send_key[RJ_PEER_KEY_BYTES];
 	uint8_t receive_key[RJ_PEER_KEY_BYTES];
@@ -29,9 +29,9 @@
 };
 
 void rj_peer_session_init(struct rj_peer_session *session, const char *key,
-			  const struct rj_peer_hello *own);
-int rj_peer_session_take_hello(struct rj_peer_session *session,
-			       struct rj_bytes hello, struct rj_error *err);
+			  const struct rj_peer_hello *local);
+int rj_peer_session_receive_hello(struct rj_peer_session *session,
+				  struct rj_bytes hello, struct rj_error *err);
 void rj_peer_session_seal(struct rj_peer_session *session,
 			  uint8_t mac[RJ_PEER_MAC_BYTES], struct rj_bytes body);
 int rj_peer_session_open(struct rj_peer_session *session, struct rj_bytes frame,
--- a/src/libradishjunction/include/private/tcp_link.h
+++ b/src/libradishjunction/include/private/tcp_link.h
@@ -24,7 +24,8 @@
 	void (*connected)(struct rj_tcp_link *link);
 	/* `frame` is good until the call returns. */
 	void (*frame)(struct rj_tcp_link *link, struct rj_bytes frame);
-	void (*closed)(struct rj_tcp_link *link, enum rj_peer_close reason);
+	void (*closed)(struct rj_tcp_link *link,
+		       enum rj_peer_close_reason reason);
 };
 
 struct rj_link_buffer {
@@ -43,7 +44,7 @@
 	int fd;
 	bool connecting;
 	bool ended;
-	enum rj_peer_close reason; /* once it has ended */
+	enum rj_peer_close_reason reason; /* once it has ended */
 	uint32_t frame_max; /* small until the other side is proven */
 	struct rj_link_buffer in;
 	struct rj_link_buffer out;
@@ -54,7 +55,8 @@
 		      struct tevent_context *loop, int fd, bool connecting);
 void rj_tcp_link_send(struct rj_tcp_link *link, const struct rj_bytes *parts,
 		      uint32_t count);
-void rj_tcp_link_close(struct rj_tcp_link *link, enum rj_peer_close reason);
+void rj_tcp_link_close(struct rj_tcp_link *link,
+		       enum rj_peer_close_reason reason);
 void rj_tcp_link_flush(struct rj_tcp_link *link);
 void rj_tcp_link_finish(struct rj_tcp_link *link);
 
--- a/src/libradishjunction/peer/peer_codec.c
+++ b/src/libradishjunction/peer/peer_codec.c
@@ -14,8 +14,8 @@
 #define HOPS_MAX 16
 
 /* Four numbers, in the order of the struct. */
-static void write_resources(struct rj_packer *writer,
-			    const struct rj_resources *resources)
+static void encode_resources(struct rj_packer *writer,
+			     const struct rj_resources *resources)
 {
 	rj_pack_number(writer, resources->slots);
 	rj_pack_number(writer, resources->accelerators);
@@ -23,9 +23,9 @@
 	rj_pack_number(writer, resources->memory_mb);
 }
 
-/* What write_resources wrote. */
-static void read_resources(struct rj_unpacker *reader,
-			   struct rj_resources *resources)
+/* What encode_resources wrote. */
+static void decode_resources(struct rj_unpacker *reader,
+			     struct rj_resources *resources)
 {
 	resources->slots =
 		(uint32_t)rj_unpack_number(reader, "slots", UINT32_MAX);
@@ -38,7 +38,8 @@
 }
 
 /* A whole job; the body comes last of its known fields. */
-static void write_spec(struct rj_packer *writer, const struct rj_job_spec *spec)
+static void encode_job_spec(struct rj_packer *writer,
+			    const struct rj_job_spec *spec)
 {
 	rj_pack_number(writer, spec->job_id);
 	rj_pack_text(writer, spec->account);
@@ -46,7 +47,7 @@
 	rj_pack_text(writer, spec->key);
 	rj_pack_data(writer, spec->digest, RJ_DIGEST_BYTES);
 	rj_pack_number(writer, spec->shape.tasks);
-	write_resources(writer, &spec->shape.each);
+	encode_resources(writer, &spec->shape.each);
 	rj_pack_bool(writer, spec->shape.adjacent);
 	rj_pack_number(writer, spec->declared_us);
 	rj_pack_number(writer, spec->deadline_in_us);
@@ -54,8 +55,9 @@
 	rj_pack_data(writer, spec->body.data, spec->body.length);
 }
 
-/* What write_spec wrote; the body stays in the frame. */
-static void read_spec(struct rj_unpacker *reader, struct rj_job_spec *spec)
+/* What encode_job_spec wrote; the body stays in the frame. */
+static void decode_job_spec(struct rj_unpacker *reader,
+			    struct rj_job_spec *spec)
 {
 	spec->job_id = rj_unpack_number(reader, "job_id", UINT64_MAX);
 	rj_unpack_text(reader, "account", spec->account, RJ_NAME_BYTES);
@@ -64,7 +66,7 @@
 	rj_unpack_exactly(reader, "digest", spec->digest, RJ_DIGEST_BYTES);
 	spec->shape.tasks =
 		(uint32_t)rj_unpack_number(reader, "tasks", RJ_GANG_MAX);
-	read_resources(reader, &spec->shape.each);
+	decode_resources(reader, &spec->shape.each);
 	spec->shape.adjacent = rj_unpack_bool(reader, "adjacent");
 	spec->declared_us = rj_unpack_number(reader, "declared_us", UINT64_MAX);
 	spec->deadline_in_us =
@@ -74,8 +76,8 @@
 }
 
 /* The fields of RJ_PEER_HEARTBEAT. */
-static void write_heartbeat(struct rj_packer *writer,
-			    const struct rj_peer_heartbeat *heartbeat)
+static void encode_heartbeat(struct rj_packer *writer,
+			     const struct rj_peer_heartbeat *heartbeat)
 {
 	rj_pack_text(writer, heartbeat->domain);
 	rj_pack_number(writer, heartbeat->incarnation);
@@ -92,9 +94,9 @@
 	rj_pack_bool(writer, heartbeat->config_changes);
 }
 
-/* What write_heartbeat wrote, or an older peer, which counts nothing. */
-static void read_heartbeat(struct rj_unpacker *reader,
-			   struct rj_peer_heartbeat *heartbeat)
+/* What encode_heartbeat wrote, or an older peer, which counts nothing. */
+static void decode_heartbeat(struct rj_unpacker *reader,
+			     struct rj_peer_heartbeat *heartbeat)
 {
 	rj_unpack_text(reader, "domain", heartbeat->domain, RJ_NAME_BYTES);
 	heartbeat->incarnation =
@@ -118,8 +120,8 @@
 }
 
 /* The fields of RJ_PEER_SUMMARY, the workers after their count. */
-static void write_summary(struct rj_packer *writer,
-			  const struct rj_peer_summary *summary)
+static void encode_summary(struct rj_packer *writer,
+			   const struct rj_peer_summary *summary)
 {
 	assert(summary->worker_count <= RJ_RACK_WORKERS_MAX);
 	rj_pack_text(writer, summary->domain);
@@ -128,12 +130,12 @@
 	rj_pack_number(writer, summary->version);
 	rj_pack_number(writer, summary->worker_count);
 	for (uint32_t i = 0; i < summary->worker_count; i++)
-		write_resources(writer, &summary->free[i]);
+		encode_resources(writer, &summary->free[i]);
 }
 
-/* What write_summary wrote. */
-static void read_summary(struct rj_unpacker *reader,
-			 struct rj_peer_summary *summary)
+/* What encode_summary wrote. */
+static void decode_summary(struct rj_unpacker *reader,
+			   struct rj_peer_summary *summary)
 {
 	rj_unpack_text(reader, "domain", summary->domain, RJ_NAME_BYTES);
 	summary->rack = (uint32_t)rj_unpack_number(reader, "rack", UINT32_MAX);
@@ -142,12 +144,12 @@
 	summary->worker_count = (uint32_t)rj_unpack_number(
 		reader, "worker_count", RJ_RACK_WORKERS_MAX);
 	for (uint32_t i = 0; i < summary->worker_count; i++)
-		read_resources(reader, &summary->free[i]);
+		decode_resources(reader, &summary->free[i]);
 }
 
 /* The fields of RJ_PEER_CONFIG, the text as bytes. */
-static void write_config(struct rj_packer *writer,
-			 const struct rj_peer_config *config)
+static void encode_config(struct rj_packer *writer,
+			  const struct rj_peer_config *config)
 {
 	rj_pack_number(writer, config->revision);
 	rj_pack_number(writer, config->offset);
@@ -161,8 +163,8 @@
 }
 
 /* A text that a frame holds as bytes, as a talloc child of `mem`. */
-static char *read_long_text(struct rj_unpacker *reader, const char *field,
-			    void *mem, uint32_t max)
+static char *decode_long_text(struct rj_unpacker *reader, const char *field,
+			      void *mem, uint32_t max)
 {
 	struct rj_bytes bytes = rj_unpack_data(reader, field, max);
 	char *text = talloc_strndup(
@@ -172,26 +174,26 @@
 	return text;
 }
 
-/* What write_config wrote; its texts are talloc children of `mem`. */
-static void read_config(struct rj_unpacker *reader, void *mem,
-			struct rj_peer_config *config)
+/* What encode_config wrote; its texts are talloc children of `mem`. */
+static void decode_config(struct rj_unpacker *reader, void *mem,
+			  struct rj_peer_config *config)
 {
 	config->revision = rj_unpack_number(reader, "revision", UINT64_MAX);
 	config->offset = rj_unpack_number(reader, "offset", UINT64_MAX);
 	rj_unpack_text(reader, "id", config->id, sizeof(config->id));
 	config->text =
-		read_long_text(reader, "text", mem, CONFIG_TEXT_MAX_BYTES);
+		decode_long_text(reader, "text", mem, CONFIG_TEXT_MAX_BYTES);
 	if (!rj_unpack_more(reader))
 		return;
-	config->change.patch = read_long_text(reader, "change", mem,
-					      RJ_CONFIG_CHANGE_MAX_BYTES);
+	config->change.patch = decode_long_text(reader, "change", mem,
+						RJ_CONFIG_CHANGE_MAX_BYTES);
 	rj_unpack_exactly(reader, "digest", config->change.digest,
 			  RJ_DIGEST_BYTES);
 }
 
 /* An answer with its whole result. */
-static void write_answer(struct rj_packer *writer,
-			 const struct rj_answer *answer)
+static void encode_answer(struct rj_packer *writer,
+			  const struct rj_answer *answer)
 {
 	rj_pack_number(writer, answer->kind);
 	rj_pack_number(writer, answer->reason);
@@ -201,8 +203,8 @@
 	rj_pack_text(writer, answer->detail);
 }
 
-/* What write_answer wrote; the result stays in the frame. */
-static void read_answer(struct rj_unpacker *reader, struct rj_answer *answer)
+/* What encode_answer wrote; the result stays in the frame. */
+static void decode_answer(struct rj_unpacker *reader, struct rj_answer *answer)
 {
 	answer->kind =
 		rj_unpack_number(reader, "answer", RJ_ANSWER_KIND_COUNT - 1);
@@ -217,29 +219,29 @@
 }
 
 /* The fields of RJ_PEER_FORWARD. */
-static void write_forward(struct rj_packer *writer,
-			  const struct rj_peer_forward *forward)
+static void encode_forward(struct rj_packer *writer,
+			   const struct rj_peer_forward *forward)
 {
 	rj_pack_number(writer, forward->forward_id);
 	rj_pack_number(writer, forward->hops);
 	rj_pack_bool(writer, forward->other_domain);
-	write_spec(writer, &forward->spec);
+	encode_job_spec(writer, &forward->spec);
 }
 
-/* What write_forward wrote. */
-static void read_forward(struct rj_unpacker *reader,
-			 struct rj_peer_forward *forward)
+/* What encode_forward wrote. */
+static void decode_forward(struct rj_unpacker *reader,
+			   struct rj_peer_forward *forward)
 {
 	forward->forward_id =
 		rj_unpack_number(reader, "forward_id", UINT64_MAX);
 	forward->hops = (uint32_t)rj_unpack_number(reader, "hops", HOPS_MAX);
 	forward->other_domain = rj_unpack_bool(reader, "other_domain");
-	read_spec(reader, &forward->spec);
+	decode_job_spec(reader, &forward->spec);
 }
 
 /* The fields of RJ_PEER_CANCEL. */
-static void write_cancel(struct rj_packer *writer,
-			 const struct rj_peer_cancel *cancel)
+static void encode_cancel(struct rj_packer *writer,
+			  const struct rj_peer_cancel *cancel)
 {
 	rj_pack_number(writer, cancel->forward_id);
 	rj_pack_number(writer, cancel->job_id);
@@ -248,9 +250,9 @@
 	rj_pack_number(writer, cancel->limit_us);
 }
 
-/* What write_cancel wrote, or an older peer, which reclaims nothing. */
-static void read_cancel(struct rj_unpacker *reader,
-			struct rj_peer_cancel *cancel)
+/* What encode_cancel wrote, or an older peer, which reclaims nothing. */
+static void decode_cancel(struct rj_unpacker *reader,
+			  struct rj_peer_cancel *cancel)
 {
 	cancel->forward_id = rj_unpack_number(reader, "forward_id", UINT64_MAX);
 	cancel->job_id = rj_unpack_number(reader, "job_id", UINT64_MAX);
@@ -275,27 +277,27 @@
 	rj_pack_number(&writer, message->kind);
 	switch (message->kind) {
 	case RJ_PEER_HEARTBEAT:
-		write_heartbeat(&writer, &message->u.heartbeat);
+		encode_heartbeat(&writer, &message->u.heartbeat);
 		break;
 	case RJ_PEER_SUMMARY:
-		write_summary(&writer, &message->u.summary);
+		encode_summary(&writer, &message->u.summary);
 		break;
 	case RJ_PEER_CONFIG:
-		write_config(&writer, &message->u.config);
+		encode_config(&writer, &message->u.config);
 		break;
 	case RJ_PEER_LEAVING:
 		rj_pack_text(&writer, message->u.leaving.worker);
 		rj_pack_number(&writer, message->u.leaving.incarnation);
 		break;
 	case RJ_PEER_FORWARD:
-		write_forward(&writer, &message->u.forward);
+		encode_forward(&writer, &message->u.forward);
 		break;
 	case RJ_PEER_FORWARD_ANSWER:
 		rj_pack_number(&writer, message->u.forward_answer.forward_id);
-		write_answer(&writer, &message->u.forward_answer.answer);
+		encode_answer(&writer, &message->u.forward_answer.answer);
 		break;
 	case RJ_PEER_CANCEL:
-		write_cancel(&writer, &message->u.cancel);
+		encode_cancel(&writer, &message->u.cancel);
 		break;
 	case RJ_PEER_MESSAGE_KIND_COUNT:
 		assert(!"a message has a kind");
@@ -324,13 +326,13 @@
 					 RJ_PEER_MESSAGE_KIND_COUNT - 1);
 	switch (message->kind) {
 	case RJ_PEER_HEARTBEAT:
-		read_heartbeat(&reader, &message->u.heartbeat);
+		decode_heartbeat(&reader, &message->u.heartbeat);
 		break;
 	case RJ_PEER_SUMMARY:
-		read_summary(&reader, &message->u.summary);
+		decode_summary(&reader, &message->u.summary);
 		break;
 	case RJ_PEER_CONFIG:
-		read_config(&reader, mem, &message->u.config);
+		decode_config(&reader, mem, &message->u.config);
 		break;
 	case RJ_PEER_LEAVING:
 		rj_unpack_text(&reader, "worker", message->u.leaving.worker,
@@ -339,15 +341,15 @@
 			rj_unpack_number(&reader, "incarnation", UINT64_MAX);
 		break;
 	case RJ_PEER_FORWARD:
-		read_forward(&reader, &message->u.forward);
+		decode_forward(&reader, &message->u.forward);
 		break;
 	case RJ_PEER_FORWARD_ANSWER:
 		message->u.forward_answer.forward_id =
 			rj_unpack_number(&reader, "forward_id", UINT64_MAX);
-		read_answer(&reader, &message->u.forward_answer.answer);
+		decode_answer(&reader, &message->u.forward_answer.answer);
 		break;
 	case RJ_PEER_CANCEL:
-		read_cancel(&reader, &message->u.cancel);
+		decode_cancel(&reader, &message->u.cancel);
 		break;
 	case RJ_PEER_MESSAGE_KIND_COUNT:
 		assert(!"a number is at most its bound");
--- a/src/libradishjunction/peer/peer_link.c
+++ b/src/libradishjunction/peer/peer_link.c
@@ -23,7 +23,7 @@
 }
 
 /* The reason to close after a bad frame. */
-static enum rj_peer_close close_reason(const struct rj_error *err)
+static enum rj_peer_close_reason close_reason(const struct rj_error *err)
 {
 	switch (err->kind) {
 	case RJ_ERR_VERSION:
@@ -38,36 +38,37 @@
 }
 
 /* The first frame: learn who it is and prove the key. */
-static int take_hello(struct rj_peer_link *link, struct rj_bytes frame,
-		      struct rj_error *err)
+static int receive_hello(struct rj_peer_link *link, struct rj_bytes frame,
+			 struct rj_error *err)
 {
 	static const struct rj_bytes nothing = { NULL, 0 };
-	const struct rj_peer_hello *other = &link->session.other;
+	const struct rj_peer_hello *remote = &link->session.remote;
 
-	if (rj_peer_session_take_hello(&link->session, frame, err))
+	if (rj_peer_session_receive_hello(&link->session, frame, err))
 		return -1;
-	if (link->expected && strcmp(other->name, link->expected) != 0)
+	if (link->expected_name &&
+	    strcmp(remote->name, link->expected_name) != 0)
 		return rj_error_set(err, RJ_ERR_CONFLICT,
 				    "hello: %s answers at the address of %s; "
 				    "correct the peers of the settings",
-				    other->name, link->expected);
-	link->hello_taken = true;
+				    remote->name, link->expected_name);
+	link->hello_received = true;
 	send_sealed(link, nothing);
 	return 0;
 }
 
 /* The first sealed frame proves the key: larger ones may follow. */
-static void take_proof(struct rj_peer_link *link)
+static void receive_proof(struct rj_peer_link *link)
 {
-	TALLOC_FREE(link->deadline);
-	link->proven = true;
+	TALLOC_FREE(link->handshake_timer);
+	link->authenticated = true;
 	link->tcp.frame_max = RJ_FRAME_MAX_BYTES;
-	link->ops->proven(link);
+	link->ops->authenticated(link);
 }
 
 /* A later frame: check it and hand its message to the owner. */
-static int take_sealed(struct rj_peer_link *link, struct rj_bytes frame,
-		       struct rj_error *err)
+static int receive_sealed(struct rj_peer_link *link, struct rj_bytes frame,
+			  struct rj_error *err)
 {
 	struct rj_peer_message message;
 	struct rj_bytes body;
@@ -75,8 +76,8 @@
 
 	if (rj_peer_session_open(&link->session, frame, &body, err))
 		return -1;
-	if (!link->proven) {
-		take_proof(link);
+	if (!link->authenticated) {
+		receive_proof(link);
 		return 0;
 	}
 	mem = talloc_new(NULL);
@@ -99,10 +100,10 @@
 	struct rj_error err;
 	int failed;
 
-	if (!link->hello_taken)
-		failed = take_hello(link, frame, &err);
+	if (!link->hello_received)
+		failed = receive_hello(link, frame, &err);
 	else
-		failed = take_sealed(link, frame, &err);
+		failed = receive_sealed(link, frame, &err);
 	if (!failed)
 		return;
 	g_info("peer link closed: %s", err.message);
@@ -113,14 +114,14 @@
 static void on_connected(struct rj_tcp_link *tcp)
 {
 	struct rj_peer_link *link = (struct rj_peer_link *)tcp;
-	struct rj_bytes hello = { link->session.own_bytes,
-				  link->session.own_length };
+	struct rj_bytes hello = { link->session.local_hello,
+				  link->session.local_hello_length };
 
 	rj_tcp_link_send(tcp, &hello, 1);
 }
 
 /* The connection has ended, whoever ended it. */
-static void on_closed(struct rj_tcp_link *tcp, enum rj_peer_close reason)
+static void on_closed(struct rj_tcp_link *tcp, enum rj_peer_close_reason reason)
 {
 	struct rj_peer_link *link = (struct rj_peer_link *)tcp;
 
@@ -139,7 +140,7 @@
 {
 	struct rj_peer_link *link = private_data;
 
-	link->deadline = NULL;
+	link->handshake_timer = NULL;
 	rj_tcp_link_close(&link->tcp, RJ_PEER_CLOSE_TIMEOUT);
 }
 
@@ -151,7 +152,7 @@
 void rj_peer_link_init(struct rj_peer_link *link, void *mem,
 		       const struct rj_peer_link_ops *ops,
 		       const struct rj_tcp_peers_options *options, int fd,
-		       const char *expected)
+		       const char *expected_name)
 {
 	struct rj_peer_hello hello = {
 		.version = RJ_PEER_VERSION,
@@ -163,18 +164,18 @@
 	rj_name_set(hello.domain, options->domain);
 	randombytes_buf(hello.nonce, sizeof(hello.nonce));
 	link->ops = ops;
-	link->expected = expected;
-	link->hello_taken = false;
-	link->proven = false;
+	link->expected_name = expected_name;
+	link->hello_received = false;
+	link->authenticated = false;
 	rj_peer_session_init(&link->session, options->key, &hello);
 	rj_tcp_link_init(&link->tcp, mem, &tcp_ops, options->loop, fd,
-			 expected != NULL);
+			 expected_name != NULL);
 	link->tcp.frame_max = RJ_PEER_HELLO_MAX_BYTES;
-	link->deadline = tevent_add_timer(
+	link->handshake_timer = tevent_add_timer(
 		options->loop, mem, rj_clock_timeval_in(HANDSHAKE_LIMIT_US),
 		on_deadline, link);
-	assert(link->deadline);
-	if (!expected)
+	assert(link->handshake_timer);
+	if (!expected_name)
 		on_connected(&link->tcp);
 }
 
@@ -186,7 +187,7 @@
 {
 	struct rj_bytes body;
 
-	assert(link->proven);
+	assert(link->authenticated);
 	if (link->tcp.ended)
 		return;
 	body = rj_peer_encode(NULL, message);
@@ -197,7 +198,8 @@
 /*
  * End the link; `closed` is called later, from the event loop.
  */
-void rj_peer_link_close(struct rj_peer_link *link, enum rj_peer_close reason)
+void rj_peer_link_close(struct rj_peer_link *link,
+			enum rj_peer_close_reason reason)
 {
 	rj_tcp_link_close(&link->tcp, reason);
 }
@@ -207,6 +209,6 @@
  */
 void rj_peer_link_finish(struct rj_peer_link *link)
 {
-	TALLOC_FREE(link->deadline);
+	TALLOC_FREE(link->handshake_timer);
 	rj_tcp_link_finish(&link->tcp);
 }
--- a/src/libradishjunction/peer/peer_session.c
+++ b/src/libradishjunction/peer/peer_session.c
@@ -10,18 +10,18 @@
  * given as text of any length.
  */
 void rj_peer_session_init(struct rj_peer_session *session, const char *key,
-			  const struct rj_peer_hello *own)
+			  const struct rj_peer_hello *local)
 {
 	struct rj_bytes bytes;
 
 	memset(session, 0, sizeof(*session));
-	session->own = *own;
+	session->local = *local;
 	crypto_generichash(session->shared_key, RJ_PEER_KEY_BYTES,
 			   (const uint8_t *)key, strlen(key), NULL, 0);
-	bytes = rj_peer_hello_encode(NULL, own);
+	bytes = rj_peer_hello_encode(NULL, local);
 	assert(bytes.length <= RJ_PEER_HELLO_MAX_BYTES);
-	memcpy(session->own_bytes, bytes.data, bytes.length);
-	session->own_length = bytes.length;
+	memcpy(session->local_hello, bytes.data, bytes.length);
+	session->local_hello_length = bytes.length;
 	talloc_free((void *)bytes.data);
 }
 
@@ -43,9 +43,11 @@
  */
 static void derive_keys(struct rj_peer_session *session, struct rj_bytes hello)
 {
-	struct rj_bytes own = { session->own_bytes, session->own_length };
-	bool lower = strcmp(session->own.name, session->other.name) < 0;
-	struct rj_bytes parts[2] = { lower ? own : hello, lower ? hello : own };
+	struct rj_bytes local = { session->local_hello,
+				  session->local_hello_length };
+	bool lower = strcmp(session->local.name, session->remote.name) < 0;
+	struct rj_bytes parts[2] = { lower ? local : hello,
+				     lower ? hello : local };
 	uint8_t link_key[RJ_PEER_KEY_BYTES];
 	crypto_generichash_state state;
 
@@ -60,8 +62,8 @@
 					  parts[i].length);
 	}
 	crypto_generichash_final(&state, link_key, RJ_PEER_KEY_BYTES);
-	direction_key(session->send_key, link_key, session->own.name);
-	direction_key(session->receive_key, link_key, session->other.name);
+	direction_key(session->send_key, link_key, session->local.name);
+	direction_key(session->receive_key, link_key, session->remote.name);
 }
 
 /*
@@ -74,33 +76,33 @@
  * Returns 0, or -1 with `err` of kind RJ_ERR_MALFORMED, RJ_ERR_VERSION or
  * RJ_ERR_CONFLICT (the name).
  */
-int rj_peer_session_take_hello(struct rj_peer_session *session,
-			       struct rj_bytes hello, struct rj_error *err)
+int rj_peer_session_receive_hello(struct rj_peer_session *session,
+				  struct rj_bytes hello, struct rj_error *err)
 {
-	const struct rj_peer_hello *own = &session->own;
-	struct rj_peer_hello *other = &session->other;
+	const struct rj_peer_hello *local = &session->local;
+	struct rj_peer_hello *remote = &session->remote;
 
 	if (hello.length > RJ_PEER_HELLO_MAX_BYTES)
 		return rj_error_set(err, RJ_ERR_MALFORMED,
 				    "hello: %u bytes; at most %u are taken",
 				    hello.length, RJ_PEER_HELLO_MAX_BYTES);
-	if (rj_peer_hello_decode(hello, other, err))
+	if (rj_peer_hello_decode(hello, remote, err))
 		return -1;
-	if (strcmp(other->name, own->name) == 0)
+	if (strcmp(remote->name, local->name) == 0)
 		return rj_error_set(err, RJ_ERR_CONFLICT,
 				    "hello: the name %s is this instance's "
 				    "own; give each instance its own name",
-				    other->name);
-	session->version =
-		own->version < other->version ? own->version : other->version;
-	if (session->version < own->version_min ||
-	    session->version < other->version_min)
+				    remote->name);
+	session->version = local->version < remote->version ? local->version :
+							      remote->version;
+	if (session->version < local->version_min ||
+	    session->version < remote->version_min)
 		return rj_error_set(err, RJ_ERR_VERSION,
 				    "hello: %s speaks versions %u to %u, this "
 				    "instance %u to %u; replace the older one",
-				    other->name, other->version_min,
-				    other->version, own->version_min,
-				    own->version);
+				    remote->name, remote->version_min,
+				    remote->version, local->version_min,
+				    local->version);
 	derive_keys(session, hello);
 	return 0;
 }
@@ -160,5 +162,5 @@
 			    "frame %llu from %s: the MAC does not verify; "
 			    "give all instances the same peer_key",
 			    (unsigned long long)session->received,
-			    session->other.name);
+			    session->remote.name);
 }
--- a/src/libradishjunction/peer/tcp_link.c
+++ b/src/libradishjunction/peer/tcp_link.c
@@ -8,9 +8,9 @@
 #include <tevent.h>
 #include <unistd.h>
 
-#define LENGTH_BYTES 4
+#define FRAME_LENGTH_BYTES 4
 /* Read so much at a time, so that one busy link does not starve others. */
-#define READ_BYTES (64 * 1024)
+#define READ_MAX_BYTES (64 * 1024)
 /* An empty buffer above this is given back. */
 #define IDLE_BUFFER_BYTES (64 * 1024)
 
@@ -38,7 +38,7 @@
 }
 
 /* Take `length` bytes from the front; an empty large buffer is freed. */
-static void buffer_take(struct rj_link_buffer *buffer, uint32_t length)
+static void buffer_consume(struct rj_link_buffer *buffer, uint32_t length)
 {
 	assert(buffer->end - buffer->start >= length);
 	buffer->start += length;
@@ -68,7 +68,8 @@
  * The call comes later because frames are handled within loops over the
  * link's own buffer, which the owner frees in `closed`.
  */
-void rj_tcp_link_close(struct rj_tcp_link *link, enum rj_peer_close reason)
+void rj_tcp_link_close(struct rj_tcp_link *link,
+		       enum rj_peer_close_reason reason)
 {
 	if (link->ended)
 		return;
@@ -79,7 +80,7 @@
 }
 
 /* The length at the front of the read buffer. */
-static uint32_t next_length(const struct rj_tcp_link *link)
+static uint32_t next_frame_length(const struct rj_tcp_link *link)
 {
 	const uint8_t *data = link->in.data + link->in.start;
 
@@ -88,24 +89,24 @@
 }
 
 /* Hand over each whole frame of the read buffer. */
-static void take_frames(struct rj_tcp_link *link)
+static void receive_frames(struct rj_tcp_link *link)
 {
 	struct rj_link_buffer *in = &link->in;
 
-	while (!link->ended && in->end - in->start >= LENGTH_BYTES) {
-		uint32_t length = next_length(link);
+	while (!link->ended && in->end - in->start >= FRAME_LENGTH_BYTES) {
+		uint32_t length = next_frame_length(link);
 		struct rj_bytes frame;
 
 		if (length > link->frame_max) {
 			rj_tcp_link_close(link, RJ_PEER_CLOSE_OVERSIZED);
 			return;
 		}
-		if (in->end - in->start < LENGTH_BYTES + length)
+		if (in->end - in->start < FRAME_LENGTH_BYTES + length)
 			return;
-		frame.data = in->data + in->start + LENGTH_BYTES;
+		frame.data = in->data + in->start + FRAME_LENGTH_BYTES;
 		frame.length = length;
 		link->ops->frame(link, frame);
-		buffer_take(in, LENGTH_BYTES + length);
+		buffer_consume(in, FRAME_LENGTH_BYTES + length);
 	}
 }
 
@@ -120,11 +121,11 @@
 {
 	ssize_t got;
 
-	buffer_reserve(&link->in, link->mem, READ_BYTES);
-	got = recv(link->fd, link->in.data + link->in.end, READ_BYTES, 0);
+	buffer_reserve(&link->in, link->mem, READ_MAX_BYTES);
+	got = recv(link->fd, link->in.data + link->in.end, READ_MAX_BYTES, 0);
 	if (got > 0) {
 		link->in.end += (uint32_t)got;
-		take_frames(link);
+		receive_frames(link);
 		return;
 	}
 	if (got == 0)
@@ -143,7 +144,7 @@
 		sent = send(link->fd, out->data + out->start,
 			    out->end - out->start, MSG_NOSIGNAL);
 		if (sent > 0)
-			buffer_take(out, (uint32_t)sent);
+			buffer_consume(out, (uint32_t)sent);
 		else if (sent < 0 && !is_transient(errno))
 			rj_tcp_link_close(link, RJ_PEER_CLOSE_IO);
 	}
@@ -215,7 +216,7 @@
 		      uint32_t count)
 {
 	struct rj_link_buffer *out = &link->out;
-	uint8_t prefix[LENGTH_BYTES];
+	uint8_t prefix[FRAME_LENGTH_BYTES];
 	uint32_t length = 0;
 
 	if (link->ended)
@@ -223,16 +224,17 @@
 	for (uint32_t i = 0; i < count; i++)
 		length += parts[i].length;
 	assert(length <= RJ_FRAME_MAX_BYTES);
-	if (out->end - out->start + LENGTH_BYTES + length >
+	if (out->end - out->start + FRAME_LENGTH_BYTES + length >
 	    RJ_LINK_QUEUE_MAX_BYTES) {
 		rj_tcp_link_close(link, RJ_PEER_CLOSE_QUEUE_FULL);
 		return;
 	}
-	for (uint32_t i = 0; i < LENGTH_BYTES; i++)
-		prefix[i] = (uint8_t)(length >> (8 * (LENGTH_BYTES - 1 - i)));
-	buffer_reserve(out, link->mem, LENGTH_BYTES + length);
-	memcpy(out->data + out->end, prefix, LENGTH_BYTES);
-	out->end += LENGTH_BYTES;
+	for (uint32_t i = 0; i < FRAME_LENGTH_BYTES; i++)
+		prefix[i] =
+			(uint8_t)(length >> (8 * (FRAME_LENGTH_BYTES - 1 - i)));
+	buffer_reserve(out, link->mem, FRAME_LENGTH_BYTES + length);
+	memcpy(out->data + out->end, prefix, FRAME_LENGTH_BYTES);
+	out->end += FRAME_LENGTH_BYTES;
 	for (uint32_t i = 0; i < count; i++) {
 		if (parts[i].length)
 			memcpy(out->data + out->end, parts[i].data,
--- a/src/libradishjunction/peer/tcp_peers.c
+++ b/src/libradishjunction/peer/tcp_peers.c
@@ -14,16 +14,16 @@
 #include "private/tcp_socket.h"
 
 /* Strangers hold at most so many connections at once. */
-#define UNPROVEN_MAX 64
+#define UNAUTHENTICATED_MAX 64
 /* Reconnects back off from here to there, doubling. */
-#define RETRY_FIRST_US (100 * RJ_US_PER_MS)
-#define RETRY_MAX_US (5 * RJ_US_PER_S)
+#define RETRY_DELAY_MIN_US (100 * RJ_US_PER_MS)
+#define RETRY_DELAY_MAX_US (5 * RJ_US_PER_S)
 /* The side with the higher name first leaves it to the other to connect. */
-#define HIGHER_NAME_WAIT_US (1 * RJ_US_PER_S)
+#define HIGHER_NAME_DELAY_US (1 * RJ_US_PER_S)
 /* Without a free descriptor an accept fails and would be tried at once. */
 #define ACCEPT_PAUSE_US (100 * RJ_US_PER_MS)
 
-const char *const rj_peer_close_string[RJ_PEER_CLOSE_COUNT] = {
+const char *const rj_peer_close_reason_string[RJ_PEER_CLOSE_COUNT] = {
 	[RJ_PEER_CLOSE_END] = "end",
 	[RJ_PEER_CLOSE_IO] = "io",
 	[RJ_PEER_CLOSE_OVERSIZED] = "oversized",
@@ -45,11 +45,11 @@
 	struct rj_tcp_peers_state *state;
 	char name[RJ_NAME_BYTES];
 	struct rj_address address;
-	bool wanted; /* keep a link */
+	bool keep_connected; /* keep a link */
 	uint32_t failures; /* since a link last stood */
 	struct peer_link *link; /* proven */
 	struct peer_link *attempt; /* going out, not yet proven */
-	struct tevent_timer *retry;
+	struct tevent_timer *retry_timer;
 };
 
 /* A connection, proven or not. */
@@ -57,18 +57,18 @@
 	struct rj_peer_link base; /* first member, always */
 	struct rj_tcp_peers_state *state;
 	struct rj_list node; /* in the state's links */
-	struct peer *attempt_of; /* of a connection that went out */
+	struct peer *outgoing_peer; /* of a connection that went out */
 };
 
 struct rj_tcp_peers_state {
 	struct rj_tcp_peers_options options;
-	struct rj_address bound;
+	struct rj_address bound_address;
 	int listener;
 	struct tevent_fd *listener_event;
 	struct tevent_timer *accept_pause;
 	GHashTable *peers; /* name -> struct peer */
 	struct rj_list links;
-	uint32_t unproven_incoming;
+	uint32_t unauthenticated_incoming;
 	uint64_t random;
 	uint64_t closed[RJ_PEER_CLOSE_COUNT];
 };
@@ -76,7 +76,8 @@
 static void schedule_retry(struct peer *peer);
 
 /* The entry of `name`, made if there is none. */
-static struct peer *peer_get(struct rj_tcp_peers_state *state, const char *name)
+static struct peer *peer_find_or_create(struct rj_tcp_peers_state *state,
+					const char *name)
 {
 	struct peer *peer = g_hash_table_lookup(state->peers, name);
 
@@ -93,7 +94,7 @@
 /* Forget a peer that nobody wants and that has no connection. */
 static void peer_release(struct peer *peer)
 {
-	if (peer->wanted || peer->link || peer->attempt)
+	if (peer->keep_connected || peer->link || peer->attempt)
 		return;
 	g_hash_table_remove(peer->state->peers, peer->name);
 	talloc_free(peer);
@@ -115,23 +116,24 @@
 {
 	struct rj_tcp_peers_state *state = link->state;
 
-	if (!link->attempt_of && !link->base.proven)
-		state->unproven_incoming--;
+	if (!link->outgoing_peer && !link->base.authenticated)
+		state->unauthenticated_incoming--;
 	rj_list_remove(&link->node);
 	rj_peer_link_finish(&link->base);
 	talloc_free(link);
 }
 
 /* The connection has ended: tell, count and, if it is wanted, come back. */
-static void on_closed(struct rj_peer_link *base, enum rj_peer_close reason)
+static void on_closed(struct rj_peer_link *base,
+		      enum rj_peer_close_reason reason)
 {
 	struct peer_link *link = (struct peer_link *)base;
-	const char *name = base->session.other.name;
+	const char *name = base->session.remote.name;
 	struct rj_tcp_peers_state *state = link->state;
-	struct peer *peer = link->attempt_of;
+	struct peer *peer = link->outgoing_peer;
 
 	state->closed[reason]++;
-	if (base->proven)
+	if (base->authenticated)
 		peer = g_hash_table_lookup(state->peers, name);
 	if (peer && peer->attempt == link) {
 		peer->attempt = NULL;
@@ -148,7 +150,7 @@
 	link_free(link);
 	if (!peer)
 		return;
-	if (peer->wanted)
+	if (peer->keep_connected)
 		schedule_retry(peer);
 	peer_release(peer);
 }
@@ -156,8 +158,8 @@
 /* The instance that made the connection. */
 static const char *initiator(const struct rj_peer_link *link)
 {
-	return link->expected ? link->session.own.name :
-				link->session.other.name;
+	return link->expected_name ? link->session.local.name :
+				     link->session.remote.name;
 }
 
 /*
@@ -167,15 +169,15 @@
  * closed. The link that the lower name made stays, which both sides see
  * alike. Of two by one maker, or after a restart, the older one is dead.
  */
-static bool newer_stays(const struct rj_peer_link *older,
-			const struct rj_peer_link *newer)
+static bool newer_link_stays(const struct rj_peer_link *older,
+			     const struct rj_peer_link *newer)
 {
-	const char *own = newer->session.own.name;
-	const char *other = newer->session.other.name;
-	const char *lower = strcmp(own, other) < 0 ? own : other;
+	const char *local = newer->session.local.name;
+	const char *remote = newer->session.remote.name;
+	const char *lower = strcmp(local, remote) < 0 ? local : remote;
 
-	if (older->session.other.incarnation !=
-	    newer->session.other.incarnation)
+	if (older->session.remote.incarnation !=
+	    newer->session.remote.incarnation)
 		return true;
 	if (strcmp(initiator(older), initiator(newer)) == 0)
 		return true;
@@ -183,25 +185,25 @@
 }
 
 /* The other side has proven the key: the link may stand. */
-static void on_proven(struct rj_peer_link *base)
+static void on_authenticated(struct rj_peer_link *base)
 {
 	struct peer_link *link = (struct peer_link *)base;
 	struct rj_tcp_peers_state *state = link->state;
-	const char *name = base->session.other.name;
-	struct peer *peer = peer_get(state, name);
+	const char *name = base->session.remote.name;
+	struct peer *peer = peer_find_or_create(state, name);
 	struct peer_link *older = peer->link;
 
-	if (!link->attempt_of)
-		state->unproven_incoming--;
+	if (!link->outgoing_peer)
+		state->unauthenticated_incoming--;
 	if (peer->attempt == link)
 		peer->attempt = NULL;
-	if (older && !newer_stays(&older->base, base)) {
+	if (older && !newer_link_stays(&older->base, base)) {
 		rj_peer_link_close(base, RJ_PEER_CLOSE_REPLACED);
 		return;
 	}
 	peer->link = link;
 	peer->failures = 0;
-	TALLOC_FREE(peer->retry);
+	TALLOC_FREE(peer->retry_timer);
 	if (older) {
 		rj_peer_link_close(&older->base, RJ_PEER_CLOSE_REPLACED);
 		deliver(state, RJ_EVENT_PEER_DOWN, name, NULL);
@@ -215,12 +217,12 @@
 {
 	struct peer_link *link = (struct peer_link *)base;
 
-	deliver(link->state, RJ_EVENT_PEER_MESSAGE, base->session.other.name,
+	deliver(link->state, RJ_EVENT_PEER_MESSAGE, base->session.remote.name,
 		message);
 }
 
 static const struct rj_peer_link_ops link_ops = {
-	.proven = on_proven,
+	.authenticated = on_authenticated,
 	.message = on_message,
 	.closed = on_closed,
 };
@@ -233,10 +235,10 @@
 
 	assert(link);
 	link->state = state;
-	link->attempt_of = peer;
+	link->outgoing_peer = peer;
 	rj_list_append(&state->links, &link->node);
 	if (!peer)
-		state->unproven_incoming++;
+		state->unauthenticated_incoming++;
 	rj_peer_link_init(&link->base, link, &link_ops, &state->options, fd,
 			  peer ? peer->name : NULL);
 	return link;
@@ -250,7 +252,7 @@
 	struct rj_error err;
 	int fd;
 
-	peer->retry = NULL;
+	peer->retry_timer = NULL;
 	if (peer->link || peer->attempt)
 		return;
 	fd = rj_tcp_connect(&peer->address, &err);
@@ -276,22 +278,22 @@
 	if (peer->link || peer->attempt)
 		return;
 	if (peer->failures) {
-		delay_us = RETRY_FIRST_US;
+		delay_us = RETRY_DELAY_MIN_US;
 		for (uint32_t i = 1;
-		     i < peer->failures && delay_us < RETRY_MAX_US; i++)
+		     i < peer->failures && delay_us < RETRY_DELAY_MAX_US; i++)
 			delay_us *= 2;
-		if (delay_us > RETRY_MAX_US)
-			delay_us = RETRY_MAX_US;
+		if (delay_us > RETRY_DELAY_MAX_US)
+			delay_us = RETRY_DELAY_MAX_US;
 		delay_us = delay_us / 2 +
 			   rj_random64(&state->random) % (delay_us / 2);
 	}
 	if (strcmp(state->options.name, peer->name) > 0)
-		delay_us += HIGHER_NAME_WAIT_US;
-	talloc_free(peer->retry);
-	peer->retry =
+		delay_us += HIGHER_NAME_DELAY_US;
+	talloc_free(peer->retry_timer);
+	peer->retry_timer =
 		tevent_add_timer(state->options.loop, peer,
 				 rj_clock_timeval_in(delay_us), on_retry, peer);
-	assert(peer->retry);
+	assert(peer->retry_timer);
 }
 
 /* See rj_peers_ops: keep a link to `name`, at the newest address given. */
@@ -305,12 +307,12 @@
 
 	if (strcmp(name, state->options.name) == 0)
 		return;
-	peer = peer_get(state, name);
+	peer = peer_find_or_create(state, name);
 	moved = peer->address.port != address->port ||
 		strcmp(peer->address.ip, address->ip) != 0;
-	if (peer->wanted && !moved)
+	if (peer->keep_connected && !moved)
 		return;
-	peer->wanted = true;
+	peer->keep_connected = true;
 	peer->address = *address;
 	peer->failures = 0;
 	schedule_retry(peer);
@@ -324,8 +326,8 @@
 
 	if (!peer)
 		return;
-	peer->wanted = false;
-	TALLOC_FREE(peer->retry);
+	peer->keep_connected = false;
+	TALLOC_FREE(peer->retry_timer);
 	if (peer->link)
 		rj_peer_link_close(&peer->link->base, RJ_PEER_CLOSE_DROPPED);
 	if (peer->attempt)
@@ -347,7 +349,7 @@
 /* Send what is still queued, as far as the socket takes it, and close. */
 static void finish_link(struct peer_link *link)
 {
-	if (link->base.proven)
+	if (link->base.authenticated)
 		rj_tcp_link_flush(&link->base.tcp);
 	link_free(link);
 }
@@ -408,7 +410,7 @@
 	}
 	if (fd < 0)
 		return;
-	if (state->unproven_incoming >= UNPROVEN_MAX) {
+	if (state->unauthenticated_incoming >= UNAUTHENTICATED_MAX) {
 		state->closed[RJ_PEER_CLOSE_TOO_MANY]++;
 		close(fd);
 		return;
@@ -433,7 +435,8 @@
 	state->options = *options;
 	state->random = options->seed;
 	rj_list_init(&state->links);
-	state->listener = rj_tcp_listen(&options->address, &state->bound, err);
+	state->listener =
+		rj_tcp_listen(&options->address, &state->bound_address, err);
 	if (state->listener < 0) {
 		talloc_free(state);
 		return -1;
@@ -453,14 +456,14 @@
  */
 struct rj_address rj_tcp_peers_address(const struct rj_tcp_peers *peers)
 {
-	return peers->state->bound;
+	return peers->state->bound_address;
 }
 
 /*
  * How many links ended for `reason` since the start.
  */
-uint64_t rj_tcp_peers_closed(const struct rj_tcp_peers *peers,
-			     enum rj_peer_close reason)
+uint64_t rj_tcp_peers_close_count(const struct rj_tcp_peers *peers,
+				  enum rj_peer_close_reason reason)
 {
 	assert(reason < RJ_PEER_CLOSE_COUNT);
 	return peers->state->closed[reason];
--- a/src/libradishjunction/platform/http_platform.c
+++ b/src/libradishjunction/platform/http_platform.c
@@ -52,12 +52,12 @@
 }
 
 /* Send a request whose path is formatted; `send` has all but the URL. */
-static void send_to(struct rj_http_platform *platform,
-		    struct rj_http_send *send, const char *format, ...)
+static void send_request(struct rj_http_platform *platform,
+			 struct rj_http_send *send, const char *format, ...)
 	__attribute__((format(printf, 3, 4)));
 
-static void send_to(struct rj_http_platform *platform,
-		    struct rj_http_send *send, const char *format, ...)
+static void send_request(struct rj_http_platform *platform,
+			 struct rj_http_send *send, const char *format, ...)
 {
 	char *path;
 	va_list args;
@@ -162,8 +162,8 @@
 		return;
 	}
 	send.length = strlen(send.body);
-	send_to(platform, &send, "/v1/streams/%s/append",
-		rj_stream_string[append->stream]);
+	send_request(platform, &send, "/v1/streams/%s/append",
+		     rj_stream_string[append->stream]);
 }
 
 /* Fill the records of an event from a page. */
@@ -199,8 +199,8 @@
  * the largest size is longer than an answer may be, and the same read fails
  * again; the instance never gets past it. One record alone always fits.
  */
-static bool read_fewer(const struct pending *pending,
-		       const struct rj_http_result *result)
+static bool retry_with_fewer_records(const struct pending *pending,
+				     const struct rj_http_result *result)
 {
 	struct rj_http_platform *platform = pending->platform;
 	uint32_t *max = &platform->read_max[pending->stream];
@@ -228,7 +228,7 @@
 	struct rj_log_page page;
 	void *mem;
 
-	if (read_fewer(pending, result))
+	if (retry_with_fewer_records(pending, result))
 		return;
 	mem = talloc_new(NULL);
 	assert(mem);
@@ -262,11 +262,11 @@
 	pending->stream = read->stream;
 	pending->from = read->from;
 	pending->wait_us = read->wait_us;
-	send_to(platform, &send,
-		"/v1/streams/%s?from=%" PRIu64 "&max=%u&wait_ms=%" PRIu64,
-		rj_stream_string[read->stream], read->from,
-		platform->read_max[read->stream],
-		(uint64_t)(read->wait_us / RJ_US_PER_MS));
+	send_request(platform, &send,
+		     "/v1/streams/%s?from=%" PRIu64 "&max=%u&wait_ms=%" PRIu64,
+		     rj_stream_string[read->stream], read->from,
+		     platform->read_max[read->stream],
+		     (uint64_t)(read->wait_us / RJ_US_PER_MS));
 }
 
 /* A list that did not come whole, or that is as it was, ends in no event; the
@@ -283,7 +283,7 @@
 	if (result->outcome == RJ_HTTP_ANSWERED &&
 	    result->status == STATUS_OK &&
 	    !rj_instances_decode(mem, result->body, &answer, NULL) &&
-	    rj_instance_list_take(list, &answer)) {
+	    rj_instance_list_apply(list, &answer)) {
 		event.u.instances.list = list->lines;
 		event.u.instances.count = list->count;
 		deliver(pending->platform, &event);
@@ -302,8 +302,9 @@
 		.private_data = pending_new(platform),
 	};
 
-	send_to(platform, &send, "/v1/instances?known=%016" PRIx64 "&changes=1",
-		platform->list.version);
+	send_request(platform, &send,
+		     "/v1/instances?known=%016" PRIx64 "&changes=1",
+		     platform->list.version);
 }
 
 /* See rj_platform_ops: calls that are open end in no event. */
--- a/src/libradishjunction/platform/instance_list.c
+++ b/src/libradishjunction/platform/instance_list.c
@@ -25,7 +25,7 @@
 }
 
 /* Take an instance out of the list, if it stands there. */
-static void remove_line(struct rj_instance_list *list, const char *name)
+static void remove_instance(struct rj_instance_list *list, const char *name)
 {
 	uint32_t index = index_of(list, name);
 
@@ -34,8 +34,8 @@
 }
 
 /* Put an instance into the list, or its new line in place of the old. */
-static void set_line(struct rj_instance_list *list,
-		     const struct rj_instance *line)
+static void set_instance(struct rj_instance_list *list,
+			 const struct rj_instance *line)
 {
 	uint32_t index = index_of(list, line->name);
 
@@ -48,8 +48,8 @@
 }
 
 /* Take the whole list. */
-static void set_all(struct rj_instance_list *list,
-		    const struct rj_instances_answer *answer)
+static void replace_all(struct rj_instance_list *list,
+			const struct rj_instances_answer *answer)
 {
 	talloc_free(list->lines);
 	list->lines =
@@ -72,21 +72,21 @@
  * against the version held. Should the list still not be as long as the
  * platform says, nobody is told, and it is asked for whole.
  */
-bool rj_instance_list_take(struct rj_instance_list *list,
-			   const struct rj_instances_answer *answer)
+bool rj_instance_list_apply(struct rj_instance_list *list,
+			    const struct rj_instances_answer *answer)
 {
 	if (answer->unchanged)
 		return false;
 	if (!answer->since) {
-		set_all(list, answer);
+		replace_all(list, answer);
 		return true;
 	}
 	if (answer->since != list->version)
 		return false;
 	for (uint32_t i = 0; i < answer->gone_count; i++)
-		remove_line(list, answer->gone[i].name);
+		remove_instance(list, answer->gone[i].name);
 	for (uint32_t i = 0; i < answer->count; i++)
-		set_line(list, &answer->instances[i]);
+		set_instance(list, &answer->instances[i]);
 	list->version = list->count == answer->total ? answer->version : 0;
 	return list->version != 0;
 }
--- a/src/libradishjunction/platform/platform_wire.c
+++ b/src/libradishjunction/platform/platform_wire.c
@@ -315,20 +315,22 @@
 		.gone = answer->gone,
 		.gone_count = answer->gone_count,
 	};
-	void *own = talloc_new(NULL);
+	void *scratch = talloc_new(NULL);
 	char *text;
 
-	wire.instances = talloc_array(own, struct wire_instance, answer->count);
+	wire.instances =
+		talloc_array(scratch, struct wire_instance, answer->count);
 	assert(wire.instances);
 	for (uint32_t i = 0; i < answer->count; i++)
 		to_wire(&wire.instances[i], &answer->instances[i]);
 	text = rj_wire_encode(mem, &instances_schema, &wire);
-	talloc_free(own);
+	talloc_free(scratch);
 	return text;
 }
 
 /* Read the good lines of `list`; returns how many there are. */
-static uint32_t decode_lines(const json_t *list, struct rj_instance *instances)
+static uint32_t decode_instances(const json_t *list,
+				 struct rj_instance *instances)
 {
 	struct wire_instance wire;
 	struct rj_error_list errors;
@@ -347,7 +349,7 @@
 }
 
 /* The version of that field, or 0. */
-static uint64_t version_of(const json_t *json, const char *field)
+static uint64_t decode_version(const json_t *json, const char *field)
 {
 	const char *text = json_string_value(json_object_get(json, field));
 
@@ -355,8 +357,8 @@
 }
 
 /* Read the names of those that are no longer listed. */
-static void decode_gone(void *mem, const json_t *list,
-			struct rj_instances_answer *answer)
+static void decode_removed(void *mem, const json_t *list,
+			   struct rj_instances_answer *answer)
 {
 	const json_t *line;
 	size_t i;
@@ -389,8 +391,8 @@
 	const json_t *gone = json_object_get(json, "gone");
 
 	memset(answer, 0, sizeof(*answer));
-	answer->version = version_of(json, "version");
-	answer->since = version_of(json, "since");
+	answer->version = decode_version(json, "version");
+	answer->since = decode_version(json, "since");
 	answer->unchanged = json_is_true(json_object_get(json, "unchanged"));
 	answer->total =
 		(uint32_t)json_integer_value(json_object_get(json, "total"));
@@ -410,8 +412,8 @@
 	answer->instances =
 		talloc_array(mem, struct rj_instance, json_array_size(list));
 	assert(answer->instances);
-	answer->count = decode_lines(list, answer->instances);
-	decode_gone(mem, gone, answer);
+	answer->count = decode_instances(list, answer->instances);
+	decode_removed(mem, gone, answer);
 	json_decref(json);
 	return 0;
 }
--- a/src/libradishjunction/worker/http_workers.c
+++ b/src/libradishjunction/worker/http_workers.c
@@ -19,7 +19,7 @@
 	[RJ_WORKER_POOL_CONTROL] = "control",
 };
 
-static const uint32_t connections_max[RJ_WORKER_POOL_COUNT] = {
+static const uint32_t pool_connections_max[RJ_WORKER_POOL_COUNT] = {
 	[RJ_WORKER_POOL_RUN] = RJ_WORKER_RUN_CONNECTIONS,
 	[RJ_WORKER_POOL_CHECKPOINT] = RJ_WORKER_CHECKPOINT_CONNECTIONS,
 	[RJ_WORKER_POOL_CONTROL] = RJ_WORKER_CONTROL_CONNECTIONS,
@@ -53,9 +53,9 @@
  * never left, or that the worker could not read, is refused; all else
  * without a whole and matching answer is lost.
  */
-static void decode(void *mem, const struct rj_worker_call *call,
-		   const struct rj_http_result *result,
-		   struct rj_worker_reply *reply)
+static void decode_reply(void *mem, const struct rj_worker_call *call,
+			 const struct rj_http_result *result,
+			 struct rj_worker_reply *reply)
 {
 	if (result->outcome == RJ_HTTP_ANSWERED &&
 	    result->status == STATUS_OK &&
@@ -80,7 +80,7 @@
 	void *mem = talloc_new(NULL);
 
 	assert(mem);
-	decode(mem, &pending->call, result, &event.u.worker_reply);
+	decode_reply(mem, &pending->call, result, &event.u.worker_reply);
 	event.now_us = rj_clock_now_us();
 	pending->workers->sink->deliver(pending->workers->sink, &event);
 	talloc_free(mem);
@@ -93,7 +93,7 @@
  * connections taken by calls that wait, no renewal gets through, and the
  * leases lapse. It holds because nothing that waits uses the control pool.
  */
-static enum rj_worker_pool pool_of(const struct rj_worker_call *call)
+static enum rj_worker_pool pool_for_call(const struct rj_worker_call *call)
 {
 	if (call->op == RJ_WORKER_RUN ||
 	    (call->op == RJ_WORKER_START && call->wait))
@@ -154,7 +154,7 @@
 	send.url = rj_http_url(pending, &call->address, path);
 	send.body = rj_worker_wire_encode_call(pending, call);
 	send.length = strlen(send.body);
-	rj_http_client_send(workers->pools[pool_of(call)], &send);
+	rj_http_client_send(workers->pools[pool_for_call(call)], &send);
 }
 
 /* See rj_workers_ops: calls that are open end in no event. */
@@ -194,7 +194,7 @@
 		assert(pool);
 		workers->pools[i] = pool;
 		if (rj_http_client_init(pool, pool, ev, instance_name,
-					connections_max[i], err))
+					pool_connections_max[i], err))
 			goto fail;
 	}
 	return 0;
--- a/src/libradishjunction/worker/worker_report.c
+++ b/src/libradishjunction/worker/worker_report.c
@@ -3,22 +3,22 @@
 #include <string.h>
 
 /* Add a number to a digest. */
-static uint64_t mix(uint64_t digest, uint64_t number)
+static uint64_t digest_number(uint64_t digest, uint64_t number)
 {
 	return rj_hash64(&number, sizeof(number), digest);
 }
 
 /* What of a task's line makes a report another one: not its progress, nor
  * what is left of its lease. */
-static uint64_t mix_task(uint64_t digest, const struct rj_task_report *task)
+static uint64_t digest_task(uint64_t digest, const struct rj_task_report *task)
 {
-	digest = mix(digest, task->attempt.job_id);
-	digest = mix(digest, task->attempt.owner);
-	digest = mix(digest, task->attempt.number);
-	digest = mix(digest, task->holder);
-	digest = mix(digest, task->member);
-	digest = mix(digest, task->token);
-	return mix(digest, task->state);
+	digest = digest_number(digest, task->attempt.job_id);
+	digest = digest_number(digest, task->attempt.owner);
+	digest = digest_number(digest, task->attempt.number);
+	digest = digest_number(digest, task->holder);
+	digest = digest_number(digest, task->member);
+	digest = digest_number(digest, task->token);
+	return digest_number(digest, task->state);
 }
 
 /*
@@ -27,17 +27,17 @@
  * and hours pass between two changes of most of them. The version is a
  * digest, so that a worker keeps nothing for it; never 0.
  */
-void rj_worker_report_seal(struct rj_worker_report *report,
-			   uint64_t known_version)
+void rj_worker_report_set_version(struct rj_worker_report *report,
+				  uint64_t known_version)
 {
-	uint64_t digest = mix(report->leaving, report->incarnation);
+	uint64_t digest = digest_number(report->leaving, report->incarnation);
 
-	digest = mix(digest, report->capacity.slots);
-	digest = mix(digest, report->capacity.accelerators);
-	digest = mix(digest, report->capacity.cores);
-	digest = mix(digest, report->capacity.memory_mb);
+	digest = digest_number(digest, report->capacity.slots);
+	digest = digest_number(digest, report->capacity.accelerators);
+	digest = digest_number(digest, report->capacity.cores);
+	digest = digest_number(digest, report->capacity.memory_mb);
 	for (uint32_t i = 0; i < report->task_count; i++)
-		digest = mix_task(digest, &report->tasks[i]);
+		digest = digest_task(digest, &report->tasks[i]);
 	report->version = digest ? digest : 1;
 	report->unchanged = report->version == known_version;
 	if (report->unchanged)
--- a/src/libradishjunction/worker/worker_wire.c
+++ b/src/libradishjunction/worker/worker_wire.c
@@ -221,13 +221,13 @@
 };
 
 /* The schema of the reply to `op`. */
-static const struct rj_schema *schema_of(enum rj_worker_op op)
+static const struct rj_schema *reply_schema_for(enum rj_worker_op op)
 {
 	return op == RJ_WORKER_REPORT ? &report_reply_schema : &reply_schema;
 }
 
 /* What a duration such as RJ_NEVER_US becomes where JSON cannot carry it. */
-static uint64_t clamp(uint64_t duration_us)
+static uint64_t clamp_duration(uint64_t duration_us)
 {
 	return duration_us < NUMBER_MAX ? duration_us : NUMBER_MAX;
 }
@@ -240,10 +240,10 @@
 {
 	struct rj_worker_call wire = *call;
 
-	wire.life_us = clamp(call->life_us);
-	wire.limit_us = clamp(call->limit_us);
-	wire.resume_us = clamp(call->resume_us);
-	wire.declared_us = clamp(call->declared_us);
+	wire.life_us = clamp_duration(call->life_us);
+	wire.limit_us = clamp_duration(call->limit_us);
+	wire.resume_us = clamp_duration(call->resume_us);
+	wire.declared_us = clamp_duration(call->declared_us);
 	return rj_wire_encode(mem, &call_schema, &wire);
 }
 
@@ -259,7 +259,8 @@
 }
 
 /* Put the length and digest beside a result. */
-static void seal(struct wire_result *wire, const struct rj_bytes *result)
+static void encode_result(struct wire_result *wire,
+			  const struct rj_bytes *result)
 {
 	wire->bytes = *result;
 	wire->length = result->length;
@@ -273,8 +274,8 @@
  * tutor would get part of a lesson pack. It shows as another length or
  * digest, for the worker took both over what the task gave.
  */
-static int unseal(const struct wire_result *wire, struct rj_bytes *result,
-		  struct rj_error *err)
+static int decode_result(const struct wire_result *wire,
+			 struct rj_bytes *result, struct rj_error *err)
 {
 	uint8_t digest[RJ_DIGEST_BYTES];
 
@@ -306,9 +307,10 @@
 		const struct rj_task_report *task = &report->tasks[i];
 
 		wire->tasks[i].task = *task;
-		wire->tasks[i].task.ran_us = clamp(task->ran_us);
-		wire->tasks[i].task.lease_left_us = clamp(task->lease_left_us);
-		seal(&wire->tasks[i].result, &task->result);
+		wire->tasks[i].task.ran_us = clamp_duration(task->ran_us);
+		wire->tasks[i].task.lease_left_us =
+			clamp_duration(task->lease_left_us);
+		encode_result(&wire->tasks[i].result, &task->result);
 	}
 }
 
@@ -327,8 +329,8 @@
 	assert(report->tasks);
 	for (uint32_t i = 0; i < wire->task_count; i++) {
 		report->tasks[i] = wire->tasks[i].task;
-		if (unseal(&wire->tasks[i].result, &report->tasks[i].result,
-			   err))
+		if (decode_result(&wire->tasks[i].result,
+				  &report->tasks[i].result, err))
 			return -1;
 	}
 	return 0;
@@ -346,11 +348,11 @@
 
 	assert(reply->status != RJ_REPLY_LOST);
 	assert(reply->op == call->op && reply->call_id == call->call_id);
-	wire.reply.ran_us = clamp(reply->ran_us);
-	seal(&wire.result, &reply->result);
+	wire.reply.ran_us = clamp_duration(reply->ran_us);
+	encode_result(&wire.result, &reply->result);
 	if (call->op == RJ_WORKER_REPORT)
 		encode_report(NULL, &wire.report, &reply->report);
-	text = rj_wire_encode(mem, schema_of(call->op), &wire);
+	text = rj_wire_encode(mem, reply_schema_for(call->op), &wire);
 	talloc_free(wire.report.tasks);
 	return text;
 }
@@ -362,8 +364,8 @@
  * shows as another call, operation, worker, attempt or member, which the
  * worker echoes from the call that it answers.
  */
-static bool answers(const struct wire_reply *wire,
-		    const struct rj_worker_call *call)
+static bool reply_matches_call(const struct wire_reply *wire,
+			       const struct rj_worker_call *call)
 {
 	const struct rj_attempt *attempt = &wire->reply.attempt;
 
@@ -388,19 +390,19 @@
 	struct wire_reply wire;
 
 	memset(reply, 0, sizeof(*reply));
-	if (rj_wire_decode(schema_of(call->op), mem, text, &wire, err))
+	if (rj_wire_decode(reply_schema_for(call->op), mem, text, &wire, err))
 		return -1;
 	if (call->op == RJ_WORKER_REPORT) {
 		wire.reply.attempt = call->attempt; /* it is about none */
 		wire.member = call->member;
 	}
-	if (!answers(&wire, call))
+	if (!reply_matches_call(&wire, call))
 		return rj_error_set(err, RJ_ERR_MALFORMED,
 				    "call_id: the answer is to another call; "
 				    "drop it");
 	*reply = wire.reply;
 	if (call->op != RJ_WORKER_REPORT)
-		return unseal(&wire.result, &reply->result, err);
+		return decode_result(&wire.result, &reply->result, err);
 	reply->incarnation = wire.report.incarnation;
 	return decode_report(mem, &wire.report, &reply->report, err);
 }
--- a/src/libstandin/worker.c
+++ b/src/libstandin/worker.c
@@ -176,7 +176,8 @@
 
 	if (call->op == RJ_WORKER_REPORT) {
 		fill_report(worker, request, now_us, &reply.report);
-		rj_worker_report_seal(&reply.report, call->known_version);
+		rj_worker_report_set_version(&reply.report,
+					     call->known_version);
 	}
 	if (waits && rj_task_is_active(task)) {
 		wait_for_end(worker, request, call, &reply);
--- a/src/radishjunctiond/main.c
+++ b/src/radishjunctiond/main.c
@@ -248,7 +248,8 @@
 /* Whether nothing is open and the last answer was sent whole. */
 static bool is_drained(const struct daemon *daemon)
 {
-	return daemon->shell.exiting && !rj_http_callers_open(&daemon->callers);
+	return daemon->shell.exiting &&
+	       !rj_http_callers_open_requests(&daemon->callers);
 }
 
 /*
@@ -275,9 +276,10 @@
 	g_warning("the stop was not complete after %u s; raise "
 		  "drain_limit_s or see what its jobs wait for",
 		  daemon->settings->drain_limit_s);
-	rj_http_callers_close(&daemon->callers);
+	rj_http_callers_stop_dispatch(&daemon->callers);
 	limit_time(daemon, LINGER_US);
-	while (rj_http_callers_open(&daemon->callers) && !daemon->timed_out)
+	while (rj_http_callers_open_requests(&daemon->callers) &&
+	       !daemon->timed_out)
 		tevent_loop_once(daemon->loop);
 }
 
--- a/src/radishjunctiond/shell.c
+++ b/src/radishjunctiond/shell.c
@@ -211,8 +211,8 @@
 			text,
 			"radishjunction_peer_links_closed{reason=\"%s\"} "
 			"%" PRIu64 "\n",
-			rj_peer_close_string[i],
-			rj_tcp_peers_closed(shell->links, i));
+			rj_peer_close_reason_string[i],
+			rj_tcp_peers_close_count(shell->links, i));
 	g_string_append_printf(text,
 			       "radishjunction_log_lines_lost %" PRIu64 "\n",
 			       rj_log_writer_lost());
--- a/src/test_libradishjunction/support/fake_worker.c
+++ b/src/test_libradishjunction/support/fake_worker.c
@@ -407,7 +407,7 @@
 					  task->lease_until_us - world->now_us;
 		line->result = reply_of(task).result;
 	}
-	rj_worker_report_seal(report, from->call.known_version);
+	rj_worker_report_set_version(report, from->call.known_version);
 	fake_worker_answer(world, from, &reply);
 }
 
--- a/src/test_libradishjunction/test_http_callers.c
+++ b/src/test_libradishjunction/test_http_callers.c
@@ -225,7 +225,7 @@
 	callers_client_init(&waiting, &server,
 			    callers_request(jobs, token, "{\"class\":\"q\"}"));
 	RUN_UNTIL(callers_loop, server.asked_count == 1);
-	rj_http_callers_close(&server.callers);
+	rj_http_callers_stop_dispatch(&server.callers);
 	RUN_UNTIL(callers_loop, waiting.closed);
 	g_assert_nonnull(strstr(waiting.got->str, "\"unknown\""));
 	callers_expect(&server, callers_post("{\"class\":\"q\"}"), 503,
--- a/src/test_libradishjunction/test_http_callers_bounds.c
+++ b/src/test_libradishjunction/test_http_callers_bounds.c
@@ -240,7 +240,8 @@
 					server.asked.request_id, &done);
 	server.hold = false;
 	callers_expect(&server, callers_post("{\"class\":\"q\"}"), 200, "done");
-	RUN_UNTIL(callers_loop, !rj_http_callers_open(&server.callers));
+	RUN_UNTIL(callers_loop,
+		  !rj_http_callers_open_requests(&server.callers));
 	callers_server_finish(&server);
 }
 
--- a/src/test_libradishjunction/test_instance_list.c
+++ b/src/test_libradishjunction/test_instance_list.c
@@ -87,7 +87,7 @@
 
 	g_assert_cmpint(rj_instances_decode(site->mem, text, &answer, NULL), ==,
 			0);
-	return rj_instance_list_take(&site->list, &answer);
+	return rj_instance_list_apply(&site->list, &answer);
 }
 
 /* The list as it is held names whom the platform lists, with their lines. */
--- a/src/test_libradishjunction/test_tcp_peers.c
+++ b/src/test_libradishjunction/test_tcp_peers.c
@@ -93,7 +93,7 @@
 	struct raw *raw = (struct raw *)link;
 
 	if (raw->frames++ == 0) {
-		rj_peer_session_take_hello(&raw->session, frame, NULL);
+		rj_peer_session_receive_hello(&raw->session, frame, NULL);
 		return;
 	}
 	g_assert_cmpint(
@@ -105,13 +105,14 @@
 static void raw_connected(struct rj_tcp_link *link)
 {
 	struct raw *raw = (struct raw *)link;
-	struct rj_bytes hello = { raw->session.own_bytes,
-				  raw->session.own_length };
+	struct rj_bytes hello = { raw->session.local_hello,
+				  raw->session.local_hello_length };
 
 	rj_tcp_link_send(link, &hello, 1);
 }
 
-static void raw_closed(struct rj_tcp_link *link, enum rj_peer_close reason)
+static void raw_closed(struct rj_tcp_link *link,
+		       enum rj_peer_close_reason reason)
 {
 	((struct raw *)link)->closed = true;
 }
@@ -167,9 +168,10 @@
 	RUN_UNTIL(loop, node->ups == ups + 1);
 }
 
-static uint64_t closed(const struct node *node, enum rj_peer_close reason)
+static uint64_t closed(const struct node *node,
+		       enum rj_peer_close_reason reason)
 {
-	return rj_tcp_peers_closed(&node->peers, reason);
+	return rj_tcp_peers_close_count(&node->peers, reason);
 }
 
 /* Two linked instances, of which the first is then attacked. */
@@ -371,10 +373,10 @@
 
 	pair_init(&node, &other);
 	raw_init_hello(&raw, &node, &hello);
-	g_assert_cmpmem(raw.session.own_bytes, recorded.length, recorded.data,
+	g_assert_cmpmem(raw.session.local_hello, recorded.length, recorded.data,
 			recorded.length);
-	memcpy(raw.session.own_bytes, recorded.data, recorded.length);
-	raw.session.own_length = recorded.length;
+	memcpy(raw.session.local_hello, recorded.data, recorded.length);
+	raw.session.local_hello_length = recorded.length;
 	raw_prove(&raw, &node);
 	raw_send_all(&raw, &node, recorded_body);
 
