--- a/include/radishjunction/peer_message.h
+++ b/include/radishjunction/peer_message.h
@@ -1,8 +1,8 @@
 /*
- * What instances tell each other, in whatever wire format.
+ * Messages between instances, independent of the wire format.
  *
- * Everything here is a hint or is checked elsewhere: a lost, repeated or
- * late message costs time, never a promise.
+ * Every message is a hint or is verified elsewhere: a lost, duplicated or
+ * late message may delay work but never breaks a guarantee.
  */
 #ifndef RADISHJUNCTION_PEER_MESSAGE_H
 #define RADISHJUNCTION_PEER_MESSAGE_H
@@ -11,24 +11,24 @@
 #include "radishjunction/types.h"
 
 /*
- * The version of the frames; each side speaks the lower of the two. A field
- * that is added goes behind all others of its message, and a reader does
- * without it: an instance that is replaced last sends none. Whatever changes
- * the order or the meaning of fields takes a new version, and the older one
- * is written and read until no instance speaks it.
+ * Version of the frame format; a link uses the lower of its two sides'
+ * versions. A new field is appended to its message and is optional for the
+ * reader, because instances that are not yet upgraded do not send it. A change
+ * of the order or meaning of fields needs a new version, and the old version
+ * stays supported until no instance uses it.
  */
 #define RJ_PEER_VERSION 1
-/* A rack's workers fit one summary. */
+/* All workers of a rack fit into one summary. */
 #define RJ_RACK_WORKERS_MAX 32
 
 enum rj_peer_message_kind {
 	RJ_PEER_HEARTBEAT,
 	RJ_PEER_SUMMARY, /* free capacity of one rack, sent on change */
 	RJ_PEER_CONFIG, /* the newest accepted configuration */
-	RJ_PEER_LEAVING, /* a worker that is leaving */
-	RJ_PEER_FORWARD, /* a request for the receiver to serve */
+	RJ_PEER_LEAVING, /* a worker is about to deregister */
+	RJ_PEER_FORWARD, /* a request that the receiver serves */
 	RJ_PEER_FORWARD_ANSWER,
-	RJ_PEER_CANCEL, /* cancel a forwarded job, or reclaim its room */
+	RJ_PEER_CANCEL, /* cancel a forwarded job, or reclaim its capacity */
 	RJ_PEER_MESSAGE_KIND_COUNT
 };
 
@@ -38,30 +38,30 @@
 struct rj_peer_heartbeat {
 	char domain[RJ_NAME_BYTES];
 	uint64_t incarnation;
-	bool draining; /* takes no new work; its racks go to others */
-	bool log_usable; /* it can have claims read back */
-	bool cut_off; /* it alone has lost the log, for a while */
+	bool draining; /* accepts no new jobs; others take over its racks */
+	bool log_usable; /* it can read claims back from the log */
+	bool cut_off; /* it alone has had no access to the log for a while */
 	uint64_t config_revision;
-	uint32_t queued; /* jobs waiting here */
-	uint64_t wait_us; /* expected wait of a small job here */
-	/* Whoever reads the jobs' records from offset `log_from` on, up to
-	   `log_next`, knows what the sender knows; UINT64_MAX and 0 where the
-	   sender does not say. */
+	uint32_t queued; /* jobs waiting at the sender */
+	uint64_t wait_us; /* expected wait of a small job at the sender */
+	/* A reader of the jobs' records from offset `log_from` up to
+	   `log_next` knows what the sender knows. UINT64_MAX and 0 if the
+	   sender does not report them. */
 	uint64_t log_from;
 	uint64_t log_next;
-	/* Messages other than heartbeats on this link since it stands: sent
-	   before this one, and of the receiver's, lost. An older peer sends
-	   neither. */
+	/* Messages other than heartbeats since the link was established: sent
+	   before this heartbeat, and sent by the receiver but lost. An older
+	   peer reports neither. */
 	uint64_t sent;
 	uint64_t lost;
-	bool config_changes; /* it takes changes of configuration */
+	bool config_changes; /* it accepts incremental configurations */
 };
 
 struct rj_peer_summary {
 	char domain[RJ_NAME_BYTES];
 	uint32_t rack;
 	uint64_t owner; /* incarnation of the sender */
-	uint64_t version; /* rises; the newest of one owner wins */
+	uint64_t version; /* increases; the highest of one owner is current */
 	uint32_t worker_count;
 	struct rj_resources free[RJ_RACK_WORKERS_MAX];
 };
@@ -70,8 +70,8 @@
 	uint64_t revision;
 	uint64_t offset; /* in the config stream */
 	char id[40];
-	const char *text; /* the whole; empty with a change */
-	struct rj_config_change change; /* of the revision before */
+	const char *text; /* full text; empty if `change` is set */
+	struct rj_config_change change; /* against the previous revision */
 };
 
 struct rj_peer_leaving {
@@ -80,9 +80,9 @@
 };
 
 struct rj_peer_forward {
-	uint64_t forward_id; /* of the sender, never reused */
-	uint32_t hops; /* how often it was forwarded already */
-	bool other_domain; /* it left its own failure domain */
+	uint64_t forward_id; /* assigned by the sender, never reused */
+	uint32_t hops; /* number of earlier forwards */
+	bool other_domain; /* it has left its own failure domain */
 	struct rj_job_spec spec;
 };
 
@@ -92,12 +92,12 @@
 };
 
 struct rj_peer_cancel {
-	uint64_t forward_id; /* 0 with a reclaim */
+	uint64_t forward_id; /* 0 for a reclaim */
 	uint64_t job_id;
 	/*
-	 * Of a reclaim: this attempt is to give its room back within limit_us,
-	 * and the job waits again. 0: a plain cancellation. An older peer
-	 * ignores these fields, and knows no forward 0.
+	 * For a reclaim: this attempt releases its capacity within limit_us
+	 * and the job is queued again. All 0 for a plain cancellation. An
+	 * older peer ignores these fields and has no forward with id 0.
 	 */
 	uint64_t reclaim_owner;
 	uint32_t reclaim_attempt;
--- a/include/radishjunction/tcp_peers.h
+++ b/include/radishjunction/tcp_peers.h
@@ -1,12 +1,12 @@
 /*
  * Links to the other instances: msgpack in authenticated frames over TCP.
  *
- * Life cycle: `rj_tcp_peers_init` listens at once; the core's actions connect,
- * send and drop; `base.ops->finish` closes every link. One link stands for a
- * pair of instances. Both sides prove the shared key over both nonces, and
- * each later frame carries a keyed MAC over its place in the sequence.
- * Delivers RJ_EVENT_PEER_UP, PEER_DOWN and PEER_MESSAGE, whose `now_us` is
- * left to the sink.
+ * Life cycle: `rj_tcp_peers_init` listens immediately; the core's actions
+ * connect, send and drop; `base.ops->finish` closes every link. Each pair of
+ * instances shares one link. Both sides prove the shared key over both nonces,
+ * and each later frame carries a keyed MAC that covers its sequence number.
+ * Delivers RJ_EVENT_PEER_UP, PEER_DOWN and PEER_MESSAGE; the sink sets their
+ * `now_us`.
  */
 #ifndef RADISHJUNCTION_TCP_PEERS_H
 #define RADISHJUNCTION_TCP_PEERS_H
@@ -16,20 +16,20 @@
 
 struct tevent_context;
 
-/* Why a link ended; each is counted. */
+/* Why a link ended; each reason has a counter. */
 enum rj_peer_close_reason {
-	RJ_PEER_CLOSE_END, /* the other side closed it */
-	RJ_PEER_CLOSE_IO, /* the connection failed or was never made */
-	RJ_PEER_CLOSE_OVERSIZED, /* a frame above the bound */
+	RJ_PEER_CLOSE_END, /* the remote side closed the connection */
+	RJ_PEER_CLOSE_IO, /* connect failed, or the connection broke */
+	RJ_PEER_CLOSE_OVERSIZED, /* a frame above the size limit */
 	RJ_PEER_CLOSE_MALFORMED,
-	RJ_PEER_CLOSE_AUTHENTICATION, /* another key, or a frame repeated */
-	RJ_PEER_CLOSE_VERSION, /* no version in common */
-	RJ_PEER_CLOSE_NAME, /* not the peer that was expected there */
-	RJ_PEER_CLOSE_TIMEOUT, /* of the handshake */
-	RJ_PEER_CLOSE_QUEUE_FULL, /* the other side reads too slowly */
-	RJ_PEER_CLOSE_REPLACED, /* by a newer link to the same peer */
-	RJ_PEER_CLOSE_DROPPED, /* on request */
-	RJ_PEER_CLOSE_TOO_MANY, /* unproven connections at once */
+	RJ_PEER_CLOSE_AUTHENTICATION, /* different key, or a replayed frame */
+	RJ_PEER_CLOSE_VERSION, /* no common protocol version */
+	RJ_PEER_CLOSE_NAME, /* not the peer expected at that address */
+	RJ_PEER_CLOSE_TIMEOUT, /* handshake not completed in time */
+	RJ_PEER_CLOSE_QUEUE_FULL, /* the remote side reads too slowly */
+	RJ_PEER_CLOSE_REPLACED, /* by another link to the same peer */
+	RJ_PEER_CLOSE_DROPPED, /* on request of the core */
+	RJ_PEER_CLOSE_TOO_MANY, /* too many unauthenticated connections */
 	RJ_PEER_CLOSE_COUNT
 };
 
@@ -43,7 +43,7 @@
 	uint64_t incarnation;
 	struct rj_address address; /* port 0: any free one */
 	char key[RJ_TOKEN_BYTES]; /* shared by all instances */
-	uint64_t seed; /* of the jitter of reconnects */
+	uint64_t seed; /* for the jitter of reconnect delays */
 };
 
 struct rj_tcp_peers_state;
--- a/src/libradishjunction/include/private/peer_codec.h
+++ b/src/libradishjunction/include/private/peer_codec.h
@@ -1,10 +1,11 @@
 /*
- * The bytes of what instances tell each other: msgpack.
+ * msgpack encoding of the messages between instances.
  *
- * A message is a plain sequence of msgpack scalars, its kind first. A newer
- * version may append fields; a reader ignores what follows the fields that
- * it knows. Encoded bytes are a talloc child of the given context; a decoded
- * message points into the frame for bodies and into the context for text.
+ * A message is a flat sequence of msgpack scalars that starts with its kind.
+ * A newer version may append fields; a reader ignores what follows the fields
+ * it knows. Encoded bytes are a talloc child of the given context. A decoded
+ * message points into the frame for bodies; its texts are talloc children of
+ * the context.
  */
 #ifndef RADISHJUNCTION_PRIVATE_PEER_CODEC_H
 #define RADISHJUNCTION_PRIVATE_PEER_CODEC_H
@@ -14,10 +15,10 @@
 
 #define RJ_PEER_NONCE_BYTES 32
 
-/* The first frame of each side. */
+/* The first frame each side sends, in plaintext and without a MAC. */
 struct rj_peer_hello {
-	uint32_t version; /* the highest that the sender speaks */
-	uint32_t version_min; /* the lowest that it still speaks */
+	uint32_t version; /* highest protocol version supported */
+	uint32_t version_min; /* lowest protocol version supported */
 	char name[RJ_NAME_BYTES];
 	char domain[RJ_NAME_BYTES];
 	uint64_t incarnation;
--- a/src/libradishjunction/include/private/peer_link.h
+++ b/src/libradishjunction/include/private/peer_link.h
@@ -1,11 +1,11 @@
 /*
- * One link between two instances, from the handshake to its messages.
+ * An authenticated link between two instances: handshake, then messages.
  *
- * Life cycle: init on a connected or connecting socket, which it owns from
- * then on; `proven` is called once the other side has shown the key, then
- * `message` for each of its messages, and `closed` once at the end, from the
- * event loop and never from within a call; the owner finishes the link there
- * or later.
+ * Life cycle: `rj_peer_link_init` takes ownership of a connected or connecting
+ * socket. `authenticated` is called once the remote side has proven that it
+ * holds the shared key, then `message` for each of its messages. `closed` is
+ * called exactly once, from the event loop and never from within a call; the
+ * owner calls `rj_peer_link_finish` there or later.
  */
 #ifndef RADISHJUNCTION_PRIVATE_PEER_LINK_H
 #define RADISHJUNCTION_PRIVATE_PEER_LINK_H
@@ -18,7 +18,7 @@
 
 struct rj_peer_link_ops {
 	void (*authenticated)(struct rj_peer_link *link);
-	/* `message` is good until the call returns. */
+	/* `message` is valid until the call returns. */
 	void (*message)(struct rj_peer_link *link,
 			const struct rj_peer_message *message);
 	void (*closed)(struct rj_peer_link *link,
@@ -29,7 +29,7 @@
 	struct rj_tcp_link tcp; /* first member, always */
 	const struct rj_peer_link_ops *ops;
 	struct rj_peer_session session;
-	const char *expected_name; /* who it goes out to; NULL if it came in */
+	const char *expected_name; /* remote instance; NULL if incoming */
 	bool hello_received;
 	bool authenticated;
 	struct tevent_timer *handshake_timer;
--- a/src/libradishjunction/include/private/peer_session.h
+++ b/src/libradishjunction/include/private/peer_session.h
@@ -1,9 +1,9 @@
 /*
- * The secrets of one link: who the other side is, and the MAC of each frame.
+ * Key agreement of one link and the MAC of each of its frames.
  *
- * Life cycle: init, take the other side's hello, then seal and open frames
- * in order; owns no memory and does no I/O. Frame number 0 of each side is
- * empty: to seal it is to prove the shared key over both hellos.
+ * Life cycle: init, receive the remote hello, then seal and open frames in
+ * order. Owns no memory and does no I/O. Frame 0 of each side has an empty
+ * body: its MAC proves possession of the shared key over both hellos.
  */
 #ifndef RADISHJUNCTION_PRIVATE_PEER_SESSION_H
 #define RADISHJUNCTION_PRIVATE_PEER_SESSION_H
@@ -12,7 +12,7 @@
 
 #define RJ_PEER_KEY_BYTES 32
 #define RJ_PEER_MAC_BYTES 16
-/* Names, numbers and a nonce, with room for fields of newer versions. */
+/* Leaves space for fields that newer versions append. */
 #define RJ_PEER_HELLO_MAX_BYTES 1024
 
 struct rj_peer_session {
@@ -21,7 +21,7 @@
 	struct rj_peer_hello remote;
 	uint8_t local_hello[RJ_PEER_HELLO_MAX_BYTES];
 	uint32_t local_hello_length;
-	uint32_t version; /* the lower of the two sides' */
+	uint32_t version; /* agreed: the lower of the two sides' */
 	uint8_t send_key[RJ_PEER_KEY_BYTES];
 	uint8_t receive_key[RJ_PEER_KEY_BYTES];
 	uint64_t sent; /* frames sealed */
--- a/src/libradishjunction/include/private/tcp_link.h
+++ b/src/libradishjunction/include/private/tcp_link.h
@@ -1,19 +1,19 @@
 /*
- * One TCP connection that carries frames: a length of four bytes, then the
- * frame. Knows nothing of what is in them.
+ * A TCP connection that carries opaque frames, each prefixed with its length
+ * as four bytes in network byte order.
  *
- * Life cycle: init on a connected or connecting socket, which it owns from
- * then on; `closed` is called once, from the event loop and never from
- * within a call, and the owner finishes the link there or later.
+ * Life cycle: `rj_tcp_link_init` takes ownership of a connected or connecting
+ * socket. `closed` is called exactly once, from the event loop and never from
+ * within a call; the owner calls `rj_tcp_link_finish` there or later.
  */
 #ifndef RADISHJUNCTION_PRIVATE_TCP_LINK_H
 #define RADISHJUNCTION_PRIVATE_TCP_LINK_H
 
 #include "radishjunction/tcp_peers.h"
 
-/* A body of RJ_BODY_MAX_BYTES or a configuration, with their fields. */
+/* Holds a body of RJ_BODY_MAX_BYTES or a configuration, with all fields. */
 #define RJ_FRAME_MAX_BYTES (512 * 1024)
-/* Some frames of the largest size; a peer that is so far behind is lost. */
+/* Several frames of the largest size; a link with a longer queue is closed. */
 #define RJ_LINK_QUEUE_MAX_BYTES (4 * 1024 * 1024)
 
 struct tevent_fd;
@@ -22,7 +22,7 @@
 
 struct rj_tcp_link_ops {
 	void (*connected)(struct rj_tcp_link *link);
-	/* `frame` is good until the call returns. */
+	/* `frame` is valid until the call returns. */
 	void (*frame)(struct rj_tcp_link *link, struct rj_bytes frame);
 	void (*closed)(struct rj_tcp_link *link,
 		       enum rj_peer_close_reason reason);
@@ -44,8 +44,8 @@
 	int fd;
 	bool connecting;
 	bool ended;
-	enum rj_peer_close_reason reason; /* once it has ended */
-	uint32_t frame_max; /* small until the other side is proven */
+	enum rj_peer_close_reason reason; /* valid once `ended` */
+	uint32_t frame_max; /* bytes; small until authenticated */
 	struct rj_link_buffer in;
 	struct rj_link_buffer out;
 };
--- a/src/libradishjunction/include/private/worker_wire.h
+++ b/src/libradishjunction/include/private/worker_wire.h
@@ -1,9 +1,9 @@
 /*
- * Calls to a worker and their replies as JSON, for both ends of the worker
+ * JSON encoding of worker calls and replies, for both ends of the worker
  * protocol (docs/WORKER-PROTOCOL.md).
  *
  * Encoders return text that is a talloc child of `mem`; decoders fill a
- * struct of the caller's whose bytes and lists are talloc children of `mem`.
+ * caller-provided struct whose bytes and lists are talloc children of `mem`.
  */
 #ifndef RADISHJUNCTION_PRIVATE_WORKER_WIRE_H
 #define RADISHJUNCTION_PRIVATE_WORKER_WIRE_H
--- a/src/libradishjunction/peer/peer_codec.c
+++ b/src/libradishjunction/peer/peer_codec.c
@@ -6,14 +6,13 @@
 
 #include "private/pack.h"
 
-/* Opens each hello, so that a stray connection is told at once. */
+/* First field of each hello, to reject stray connections immediately. */
 #define HELLO_MAGIC "radishjunction"
-/* A published configuration fits one frame; see RJ_FRAME_MAX_BYTES. */
+/* A published configuration fits into one frame; see RJ_FRAME_MAX_BYTES. */
 #define CONFIG_TEXT_MAX_BYTES (480 * 1024)
-/* More would hide a loop between failure domains. */
+/* Exposes a forwarding loop between failure domains. */
 #define HOPS_MAX 16
 
-/* Four numbers, in the order of the struct. */
 static void encode_resources(struct rj_packer *writer,
 			     const struct rj_resources *resources)
 {
@@ -23,7 +22,6 @@
 	rj_pack_number(writer, resources->memory_mb);
 }
 
-/* What encode_resources wrote. */
 static void decode_resources(struct rj_unpacker *reader,
 			     struct rj_resources *resources)
 {
@@ -37,7 +35,7 @@
 		(uint32_t)rj_unpack_number(reader, "memory_mb", UINT32_MAX);
 }
 
-/* A whole job; the body comes last of its known fields. */
+/* Encode a job spec; its body is the last field. */
 static void encode_job_spec(struct rj_packer *writer,
 			    const struct rj_job_spec *spec)
 {
@@ -55,7 +53,7 @@
 	rj_pack_data(writer, spec->body.data, spec->body.length);
 }
 
-/* What encode_job_spec wrote; the body stays in the frame. */
+/* Decode a job spec; its body points into the frame. */
 static void decode_job_spec(struct rj_unpacker *reader,
 			    struct rj_job_spec *spec)
 {
@@ -75,7 +73,6 @@
 	spec->body = rj_unpack_data(reader, "body", RJ_BODY_MAX_BYTES);
 }
 
-/* The fields of RJ_PEER_HEARTBEAT. */
 static void encode_heartbeat(struct rj_packer *writer,
 			     const struct rj_peer_heartbeat *heartbeat)
 {
@@ -94,7 +91,10 @@
 	rj_pack_bool(writer, heartbeat->config_changes);
 }
 
-/* What encode_heartbeat wrote, or an older peer, which counts nothing. */
+/*
+ * Decode RJ_PEER_HEARTBEAT. An older peer ends it at `wait_us`: its log
+ * offsets are unreported and its message counts 0.
+ */
 static void decode_heartbeat(struct rj_unpacker *reader,
 			     struct rj_peer_heartbeat *heartbeat)
 {
@@ -119,7 +119,7 @@
 	heartbeat->config_changes = rj_unpack_bool(reader, "config_changes");
 }
 
-/* The fields of RJ_PEER_SUMMARY, the workers after their count. */
+/* Encode RJ_PEER_SUMMARY; the workers follow their count. */
 static void encode_summary(struct rj_packer *writer,
 			   const struct rj_peer_summary *summary)
 {
@@ -133,7 +133,6 @@
 		encode_resources(writer, &summary->free[i]);
 }
 
-/* What encode_summary wrote. */
 static void decode_summary(struct rj_unpacker *reader,
 			   struct rj_peer_summary *summary)
 {
@@ -147,7 +146,10 @@
 		decode_resources(reader, &summary->free[i]);
 }
 
-/* The fields of RJ_PEER_CONFIG, the text as bytes. */
+/*
+ * Encode RJ_PEER_CONFIG. The text is encoded as bytes; a change is appended
+ * only if there is one.
+ */
 static void encode_config(struct rj_packer *writer,
 			  const struct rj_peer_config *config)
 {
@@ -162,7 +164,7 @@
 	rj_pack_data(writer, config->change.digest, RJ_DIGEST_BYTES);
 }
 
-/* A text that a frame holds as bytes, as a talloc child of `mem`. */
+/* Decode a text that is encoded as bytes. Returns a talloc child of `mem`. */
 static char *decode_long_text(struct rj_unpacker *reader, const char *field,
 			      void *mem, uint32_t max)
 {
@@ -174,7 +176,7 @@
 	return text;
 }
 
-/* What encode_config wrote; its texts are talloc children of `mem`. */
+/* Decode RJ_PEER_CONFIG; its texts are talloc children of `mem`. */
 static void decode_config(struct rj_unpacker *reader, void *mem,
 			  struct rj_peer_config *config)
 {
@@ -191,7 +193,6 @@
 			  RJ_DIGEST_BYTES);
 }
 
-/* An answer with its whole result. */
 static void encode_answer(struct rj_packer *writer,
 			  const struct rj_answer *answer)
 {
@@ -203,7 +204,7 @@
 	rj_pack_text(writer, answer->detail);
 }
 
-/* What encode_answer wrote; the result stays in the frame. */
+/* Decode an answer; its result points into the frame. */
 static void decode_answer(struct rj_unpacker *reader, struct rj_answer *answer)
 {
 	answer->kind =
@@ -218,7 +219,6 @@
 		       sizeof(answer->detail));
 }
 
-/* The fields of RJ_PEER_FORWARD. */
 static void encode_forward(struct rj_packer *writer,
 			   const struct rj_peer_forward *forward)
 {
@@ -228,7 +228,7 @@
 	encode_job_spec(writer, &forward->spec);
 }
 
-/* What encode_forward wrote. */
+/* Decode RJ_PEER_FORWARD; the body of its spec points into the frame. */
 static void decode_forward(struct rj_unpacker *reader,
 			   struct rj_peer_forward *forward)
 {
@@ -239,7 +239,6 @@
 	decode_job_spec(reader, &forward->spec);
 }
 
-/* The fields of RJ_PEER_CANCEL. */
 static void encode_cancel(struct rj_packer *writer,
 			  const struct rj_peer_cancel *cancel)
 {
@@ -250,7 +249,7 @@
 	rj_pack_number(writer, cancel->limit_us);
 }
 
-/* What encode_cancel wrote, or an older peer, which reclaims nothing. */
+/* Decode RJ_PEER_CANCEL; an older peer does not send the reclaim fields. */
 static void decode_cancel(struct rj_unpacker *reader,
 			  struct rj_peer_cancel *cancel)
 {
@@ -266,7 +265,7 @@
 }
 
 /*
- * Encode one message, whose names and counts must be within their bounds.
+ * Encode one message; its names and counts must be within their limits.
  * Returns its bytes as a talloc child of `mem`.
  */
 struct rj_bytes rj_peer_encode(void *mem, const struct rj_peer_message *message)
@@ -300,16 +299,16 @@
 		encode_cancel(&writer, &message->u.cancel);
 		break;
 	case RJ_PEER_MESSAGE_KIND_COUNT:
-		assert(!"a message has a kind");
+		assert(!"message without a kind");
 	}
 	return rj_pack_finish(&writer, mem);
 }
 
 /*
- * Decode one message. Every field is bounded; bytes after the last known
- * field are ignored, since a newer version may append some. A kind that this
- * version does not know is malformed: a sender speaks the version of the
- * link.
+ * Decode one message. Every field is checked against its limit; bytes after
+ * the last known field are ignored, because a newer version may append
+ * fields. An unknown kind is malformed: a sender uses only the kinds of the
+ * link's version.
  *
  * Bodies and results point into `bytes`; the text of a configuration is a
  * talloc child of `mem`. Returns 0, or -1 with `err` of kind
@@ -352,7 +351,7 @@
 		decode_cancel(&reader, &message->u.cancel);
 		break;
 	case RJ_PEER_MESSAGE_KIND_COUNT:
-		assert(!"a number is at most its bound");
+		assert(!"number above its bound");
 	}
 	return rj_unpack_finish(&reader, err);
 }
--- a/src/libradishjunction/peer/peer_link.c
+++ b/src/libradishjunction/peer/peer_link.c
@@ -9,10 +9,10 @@
 
 #include "private/clock.h"
 
-/* Two round trips, also over a slow link between regions. */
+/* Covers two round trips on a slow link between regions. */
 #define HANDSHAKE_LIMIT_US (5 * RJ_US_PER_S)
 
-/* Seal and queue one frame. */
+/* Queue one frame with its MAC. */
 static void send_sealed(struct rj_peer_link *link, struct rj_bytes body)
 {
 	uint8_t mac[RJ_PEER_MAC_BYTES];
@@ -22,7 +22,7 @@
 	rj_tcp_link_send(&link->tcp, parts, 2);
 }
 
-/* The reason to close after a bad frame. */
+/* The close reason for the error of a rejected frame. */
 static enum rj_peer_close_reason close_reason(const struct rj_error *err)
 {
 	switch (err->kind) {
@@ -37,7 +37,7 @@
 	}
 }
 
-/* The first frame: learn who it is and prove the key. */
+/* Handle the first frame, the remote hello, and reply with the key proof. */
 static int receive_hello(struct rj_peer_link *link, struct rj_bytes frame,
 			 struct rj_error *err)
 {
@@ -57,7 +57,10 @@
 	return 0;
 }
 
-/* The first sealed frame proves the key: larger ones may follow. */
+/*
+ * The first frame with a valid MAC proves the shared key: mark the link as
+ * authenticated and accept frames of the full size.
+ */
 static void receive_proof(struct rj_peer_link *link)
 {
 	TALLOC_FREE(link->handshake_timer);
@@ -66,7 +69,7 @@
 	link->ops->authenticated(link);
 }
 
-/* A later frame: check it and hand its message to the owner. */
+/* Verify a frame after the hello and deliver its message to the owner. */
 static int receive_sealed(struct rj_peer_link *link, struct rj_bytes frame,
 			  struct rj_error *err)
 {
@@ -91,8 +94,8 @@
 }
 
 /*
- * A frame has come. A bad one closes its link and nothing else: what one
- * peer sends wrongly must not cut this instance off from the others.
+ * Handle one received frame. An invalid frame closes only this link, so that
+ * a faulty peer does not affect the links to others.
  */
 static void on_frame(struct rj_tcp_link *tcp, struct rj_bytes frame)
 {
@@ -110,7 +113,7 @@
 	rj_tcp_link_close(tcp, close_reason(&err));
 }
 
-/* The connection stands: introduce this instance. */
+/* Send the local hello once the connection is established. */
 static void on_connected(struct rj_tcp_link *tcp)
 {
 	struct rj_peer_link *link = (struct rj_peer_link *)tcp;
@@ -120,7 +123,6 @@
 	rj_tcp_link_send(tcp, &hello, 1);
 }
 
-/* The connection has ended, whoever ended it. */
 static void on_closed(struct rj_tcp_link *tcp, enum rj_peer_close_reason reason)
 {
 	struct rj_peer_link *link = (struct rj_peer_link *)tcp;
@@ -134,7 +136,7 @@
 	.closed = on_closed,
 };
 
-/* The other side did not prove itself in time. */
+/* The remote side did not authenticate in time. */
 static void on_deadline(struct tevent_context *loop, struct tevent_timer *timer,
 			struct timeval now, void *private_data)
 {
@@ -145,9 +147,9 @@
 }
 
 /*
- * Start the handshake over `fd`; `expected` is who the connection goes out
- * to, or NULL if it came in, and lives as long as the link. What the link
- * needs is a talloc child of `mem`.
+ * Start the handshake on `fd`. `expected_name` is the remote instance of an
+ * outgoing connection, NULL for an incoming one; it must outlive the link. The
+ * link allocates from `mem`.
  */
 void rj_peer_link_init(struct rj_peer_link *link, void *mem,
 		       const struct rj_peer_link_ops *ops,
@@ -180,7 +182,7 @@
 }
 
 /*
- * Queue a message on a proven link; one that has ended takes none.
+ * Queue a message on an authenticated link; dropped if the link has ended.
  */
 void rj_peer_link_send(struct rj_peer_link *link,
 		       const struct rj_peer_message *message)
@@ -205,7 +207,8 @@
 }
 
 /*
- * Close the socket at once and free what the link holds.
+ * Close the socket immediately and free the link's resources; `closed` is not
+ * called any more.
  */
 void rj_peer_link_finish(struct rj_peer_link *link)
 {
--- a/src/libradishjunction/peer/peer_session.c
+++ b/src/libradishjunction/peer/peer_session.c
@@ -6,8 +6,8 @@
 #include <talloc.h>
 
 /*
- * Start a session that introduces itself with `own`, under the shared key
- * given as text of any length.
+ * Start a session whose hello is `local`. `key` is the shared key as text of
+ * any length.
  */
 void rj_peer_session_init(struct rj_peer_session *session, const char *key,
 			  const struct rj_peer_hello *local)
@@ -25,7 +25,7 @@
 	talloc_free((void *)bytes.data);
 }
 
-/* The key for the frames of the side called `name`. */
+/* Derive the key for the frames that instance `name` sends. */
 static void direction_key(uint8_t key[RJ_PEER_KEY_BYTES],
 			  const uint8_t link_key[RJ_PEER_KEY_BYTES],
 			  const char *name)
@@ -36,10 +36,10 @@
 
 /*
  * Derive the keys of both directions from the shared key and both hellos,
- * the one of the lower name first, so that both sides agree.
+ * that of the lower name first, so that both sides compute the same keys.
  *
- * The hellos hold both nonces, names and versions: frames of an earlier
- * link, of another pair or after a changed version do not verify.
+ * The hellos contain both nonces, names and versions: frames of an earlier
+ * link, of another pair or with a modified version fail verification.
  */
 static void derive_keys(struct rj_peer_session *session, struct rj_bytes hello)
 {
@@ -67,11 +67,11 @@
 }
 
 /*
- * Take the hello of the other side and agree on the lower version.
+ * Process the remote hello: agree on the lower version and derive the keys.
  *
- * A hello with one's own name is refused. Guards against a stranger that
- * sends each frame back: with one name both directions would have one key,
- * and the stranger would look like a peer that knows the secret.
+ * A hello with the local name is rejected, against reflection attacks: with
+ * equal names both directions would use the same key, and a remote side that
+ * echoes each frame would authenticate without the shared key.
  *
  * Returns 0, or -1 with `err` of kind RJ_ERR_MALFORMED, RJ_ERR_VERSION or
  * RJ_ERR_CONFLICT (the name).
@@ -84,7 +84,7 @@
 
 	if (hello.length > RJ_PEER_HELLO_MAX_BYTES)
 		return rj_error_set(err, RJ_ERR_MALFORMED,
-				    "hello: %u bytes; at most %u are taken",
+				    "hello: %u bytes; at most %u are accepted",
 				    hello.length, RJ_PEER_HELLO_MAX_BYTES);
 	if (rj_peer_hello_decode(hello, remote, err))
 		return -1;
@@ -97,17 +97,17 @@
 							      remote->version;
 	if (session->version < local->version_min ||
 	    session->version < remote->version_min)
-		return rj_error_set(err, RJ_ERR_VERSION,
-				    "hello: %s speaks versions %u to %u, this "
-				    "instance %u to %u; replace the older one",
-				    remote->name, remote->version_min,
-				    remote->version, local->version_min,
-				    local->version);
+		return rj_error_set(
+			err, RJ_ERR_VERSION,
+			"hello: %s supports versions %u to %u, this "
+			"instance %u to %u; replace the older one",
+			remote->name, remote->version_min, remote->version,
+			local->version_min, local->version);
 	derive_keys(session, hello);
 	return 0;
 }
 
-/* The MAC of `body` as frame number `number`. */
+/* Compute the MAC of `body` as frame `number` of its direction. */
 static void frame_mac(uint8_t mac[RJ_PEER_MAC_BYTES],
 		      const uint8_t key[RJ_PEER_KEY_BYTES], uint64_t number,
 		      struct rj_bytes body)
@@ -126,8 +126,8 @@
 }
 
 /*
- * Make the MAC of the next frame to send. Frames are sent in the order in
- * which they are sealed, the MAC before the body.
+ * Compute the MAC of the next frame to send. Frames must be sent in the order
+ * in which they are sealed, the MAC before the body.
  */
 void rj_peer_session_seal(struct rj_peer_session *session,
 			  uint8_t mac[RJ_PEER_MAC_BYTES], struct rj_bytes body)
@@ -136,11 +136,11 @@
 }
 
 /*
- * Check the next frame that was received; `*body` points into it.
+ * Verify the next received frame; `*body` points into it.
  *
- * Guards against a frame that is replayed, reordered or left out on the way:
- * a forwarded job would arrive twice, or an old capacity would win. The
- * number of the frame is part of its MAC, so any other order fails here.
+ * Detects frames that were replayed, reordered or dropped in transit, which
+ * would submit a forwarded job twice or restore an outdated capacity. The
+ * frame number is covered by the MAC, so any other order fails verification.
  *
  * Returns 0, or -1 with `err` of kind RJ_ERR_UNAUTHORIZED.
  */
--- a/src/libradishjunction/peer/tcp_link.c
+++ b/src/libradishjunction/peer/tcp_link.c
@@ -9,12 +9,12 @@
 #include <unistd.h>
 
 #define FRAME_LENGTH_BYTES 4
-/* Read so much at a time, so that one busy link does not starve others. */
+/* Limit of one read, so that a busy link does not starve the others. */
 #define READ_MAX_BYTES (64 * 1024)
-/* An empty buffer above this is given back. */
+/* An empty buffer larger than this is freed. */
 #define IDLE_BUFFER_BYTES (64 * 1024)
 
-/* Make room for `length` more bytes at the end of `buffer`. */
+/* Ensure space for `length` more bytes at the end of `buffer`. */
 static void buffer_reserve(struct rj_link_buffer *buffer, void *mem,
 			   uint32_t length)
 {
@@ -37,7 +37,7 @@
 	buffer->capacity = capacity;
 }
 
-/* Take `length` bytes from the front; an empty large buffer is freed. */
+/* Remove `length` bytes from the front; a large buffer is freed when empty. */
 static void buffer_consume(struct rj_link_buffer *buffer, uint32_t length)
 {
 	assert(buffer->end - buffer->start >= length);
@@ -52,7 +52,7 @@
 	buffer->capacity = 0;
 }
 
-/* Report the end of the link from the event loop. */
+/* Report the end of the link to its owner, from the event loop. */
 static void on_closing(struct tevent_context *loop,
 		       struct tevent_immediate *closing, void *private_data)
 {
@@ -62,11 +62,11 @@
 }
 
 /*
- * End the link: nothing is read or sent any more, and `closed` is called
- * from the event loop. Only the first reason counts.
+ * End the link: nothing more is read or sent, and `closed` is called from the
+ * event loop. Only the first reason is kept.
  *
- * The call comes later because frames are handled within loops over the
- * link's own buffer, which the owner frees in `closed`.
+ * The call is deferred because frames are handled while iterating over the
+ * link's buffer, which the owner may free in `closed`.
  */
 void rj_tcp_link_close(struct rj_tcp_link *link,
 		       enum rj_peer_close_reason reason)
@@ -79,7 +79,7 @@
 	tevent_schedule_immediate(link->closing, link->loop, on_closing, link);
 }
 
-/* The length at the front of the read buffer. */
+/* The length prefix at the front of the read buffer, in bytes. */
 static uint32_t next_frame_length(const struct rj_tcp_link *link)
 {
 	const uint8_t *data = link->in.data + link->in.start;
@@ -88,7 +88,7 @@
 	       (uint32_t)data[2] << 8 | data[3];
 }
 
-/* Hand over each whole frame of the read buffer. */
+/* Deliver each complete frame of the read buffer to the owner. */
 static void receive_frames(struct rj_tcp_link *link)
 {
 	struct rj_link_buffer *in = &link->in;
@@ -110,13 +110,13 @@
 	}
 }
 
-/* Whether a failed call on the socket only asks to come back later. */
+/* Whether a failed socket call should be retried later. */
 static bool is_transient(int error)
 {
 	return error == EAGAIN || error == EWOULDBLOCK || error == EINTR;
 }
 
-/* Read what has come, up to a bound, and handle its frames. */
+/* Read up to READ_MAX_BYTES and handle the complete frames. */
 static void on_readable(struct rj_tcp_link *link)
 {
 	ssize_t got;
@@ -134,7 +134,7 @@
 		rj_tcp_link_close(link, RJ_PEER_CLOSE_IO);
 }
 
-/* Send what is queued, as far as the socket takes it. */
+/* Send queued bytes with one call. */
 static void on_writable(struct rj_tcp_link *link)
 {
 	struct rj_link_buffer *out = &link->out;
@@ -152,7 +152,7 @@
 		TEVENT_FD_NOT_WRITEABLE(link->fd_event);
 }
 
-/* The outcome of a connect that was under way. */
+/* Handle the result of a non-blocking connect. */
 static void on_connect_done(struct rj_tcp_link *link)
 {
 	int error = 0;
@@ -167,7 +167,7 @@
 	link->ops->connected(link);
 }
 
-/* The socket can be read or written. */
+/* Handle readiness of the socket. */
 static void on_fd(struct tevent_context *loop, struct tevent_fd *fd_event,
 		  uint16_t flags, void *private_data)
 {
@@ -184,9 +184,9 @@
 }
 
 /*
- * Start a link over `fd`, which is non-blocking and belongs to the link from
- * now on. With `connecting`, `connected` is called when the connection
- * stands. Buffers are talloc children of `mem`, which outlives the link.
+ * Start a link on `fd`, a non-blocking socket that the link takes over. With
+ * `connecting`, `connected` is called once the connection is established.
+ * Buffers are talloc children of `mem`, which must outlive the link.
  */
 void rj_tcp_link_init(struct rj_tcp_link *link, void *mem,
 		      const struct rj_tcp_link_ops *ops,
@@ -209,8 +209,9 @@
 }
 
 /*
- * Queue one frame made of `count` parts. A link whose queue is full is
- * closed: the other side has stopped reading, and what waits grows old.
+ * Queue one frame, the concatenation of `count` parts. A link whose queue is
+ * full is closed: the remote side has stopped reading, and the queued frames
+ * would be outdated.
  */
 void rj_tcp_link_send(struct rj_tcp_link *link, const struct rj_bytes *parts,
 		      uint32_t count)
@@ -245,8 +246,8 @@
 }
 
 /*
- * Send what is queued at once, as far as the socket takes it; for the last
- * frames before the link is finished.
+ * Send queued frames immediately, as far as the socket accepts them without
+ * blocking; for the last frames before the link is finished.
  */
 void rj_tcp_link_flush(struct rj_tcp_link *link)
 {
@@ -255,7 +256,7 @@
 }
 
 /*
- * Close the socket and free the buffers, also of a link that has not ended;
+ * Close the socket and free the buffers, even if the link has not ended;
  * `closed` is not called any more.
  */
 void rj_tcp_link_finish(struct rj_tcp_link *link)
--- a/src/libradishjunction/peer/tcp_peers.c
+++ b/src/libradishjunction/peer/tcp_peers.c
@@ -13,14 +13,14 @@
 #include "private/peer_link.h"
 #include "private/tcp_socket.h"
 
-/* Strangers hold at most so many connections at once. */
+/* Limit of concurrent incoming connections that have not authenticated. */
 #define UNAUTHENTICATED_MAX 64
-/* Reconnects back off from here to there, doubling. */
+/* Reconnect delays double from the minimum to the maximum. */
 #define RETRY_DELAY_MIN_US (100 * RJ_US_PER_MS)
 #define RETRY_DELAY_MAX_US (5 * RJ_US_PER_S)
-/* The side with the higher name first leaves it to the other to connect. */
+/* Lets the side with the lower name connect first. */
 #define HIGHER_NAME_DELAY_US (1 * RJ_US_PER_S)
-/* Without a free descriptor an accept fails and would be tried at once. */
+/* Pause after accept failed for lack of a free file descriptor. */
 #define ACCEPT_PAUSE_US (100 * RJ_US_PER_MS)
 
 const char *const rj_peer_close_reason_string[RJ_PEER_CLOSE_COUNT] = {
@@ -40,24 +40,24 @@
 
 struct peer_link;
 
-/* An instance that is wanted or linked. */
+/* An instance to keep connected, or with a link. */
 struct peer {
 	struct rj_tcp_peers_state *state;
 	char name[RJ_NAME_BYTES];
 	struct rj_address address;
-	bool keep_connected; /* keep a link */
-	uint32_t failures; /* since a link last stood */
-	struct peer_link *link; /* proven */
-	struct peer_link *attempt; /* going out, not yet proven */
+	bool keep_connected; /* requested by the core */
+	uint32_t failures; /* since the last established link */
+	struct peer_link *link; /* authenticated */
+	struct peer_link *attempt; /* outgoing, not yet authenticated */
 	struct tevent_timer *retry_timer;
 };
 
-/* A connection, proven or not. */
+/* A connection, authenticated or not. */
 struct peer_link {
 	struct rj_peer_link base; /* first member, always */
 	struct rj_tcp_peers_state *state;
 	struct rj_list node; /* in the state's links */
-	struct peer *outgoing_peer; /* of a connection that went out */
+	struct peer *outgoing_peer; /* NULL if incoming */
 };
 
 struct rj_tcp_peers_state {
@@ -75,7 +75,6 @@
 
 static void schedule_retry(struct peer *peer);
 
-/* The entry of `name`, made if there is none. */
 static struct peer *peer_find_or_create(struct rj_tcp_peers_state *state,
 					const char *name)
 {
@@ -91,7 +90,7 @@
 	return peer;
 }
 
-/* Forget a peer that nobody wants and that has no connection. */
+/* Free a peer without a connection that is not to be kept connected. */
 static void peer_release(struct peer *peer)
 {
 	if (peer->keep_connected || peer->link || peer->attempt)
@@ -100,7 +99,7 @@
 	talloc_free(peer);
 }
 
-/* Tell the sink that a link stands, ended or brought a message. */
+/* Deliver an event of the link to peer `name`; `message` may be NULL. */
 static void deliver(struct rj_tcp_peers_state *state, enum rj_event_kind kind,
 		    const char *name, const struct rj_peer_message *message)
 {
@@ -111,7 +110,6 @@
 	state->options.sink->deliver(state->options.sink, &event);
 }
 
-/* Free a link and its socket. */
 static void link_free(struct peer_link *link)
 {
 	struct rj_tcp_peers_state *state = link->state;
@@ -123,7 +121,10 @@
 	talloc_free(link);
 }
 
-/* The connection has ended: tell, count and, if it is wanted, come back. */
+/*
+ * The connection has ended: count the reason, deliver RJ_EVENT_PEER_DOWN for
+ * an established link and schedule a reconnect if the peer is to be kept.
+ */
 static void on_closed(struct rj_peer_link *base,
 		      enum rj_peer_close_reason reason)
 {
@@ -155,7 +156,7 @@
 	peer_release(peer);
 }
 
-/* The instance that made the connection. */
+/* The name of the instance that opened the connection. */
 static const char *initiator(const struct rj_peer_link *link)
 {
 	return link->expected_name ? link->session.local.name :
@@ -163,11 +164,12 @@
 }
 
 /*
- * Which of two proven links to one peer stays.
+ * Whether the newer of two authenticated links to one peer replaces the older.
  *
- * Both sides connect at once, and if each kept its own both links would be
- * closed. The link that the lower name made stays, which both sides see
- * alike. Of two by one maker, or after a restart, the older one is dead.
+ * When both sides connect at once and each keeps its own link, both links are
+ * closed. Therefore the link opened by the lower name is kept, which both
+ * sides decide alike. If both links have the same initiator, or the peer has
+ * restarted, the older link is dead.
  */
 static bool newer_link_stays(const struct rj_peer_link *older,
 			     const struct rj_peer_link *newer)
@@ -184,7 +186,7 @@
 	return strcmp(initiator(newer), lower) == 0;
 }
 
-/* The other side has proven the key: the link may stand. */
+/* Make an authenticated link the peer's link, unless the older one is kept. */
 static void on_authenticated(struct rj_peer_link *base)
 {
 	struct peer_link *link = (struct peer_link *)base;
@@ -211,7 +213,7 @@
 	deliver(state, RJ_EVENT_PEER_UP, name, NULL);
 }
 
-/* A message has come over a link that may stand. */
+/* Deliver a message of an authenticated link. */
 static void on_message(struct rj_peer_link *base,
 		       const struct rj_peer_message *message)
 {
@@ -227,7 +229,7 @@
 	.closed = on_closed,
 };
 
-/* Start the handshake over `fd`; `peer` is who it goes out to, or NULL. */
+/* Start the handshake on `fd`; `peer` is NULL for an incoming connection. */
 static struct peer_link *link_new(struct rj_tcp_peers_state *state, int fd,
 				  struct peer *peer)
 {
@@ -244,7 +246,7 @@
 	return link;
 }
 
-/* Try to connect, unless a link has come in meanwhile. */
+/* Try to connect, unless the peer has connected in the meantime. */
 static void on_retry(struct tevent_context *loop, struct tevent_timer *timer,
 		     struct timeval now, void *private_data)
 {
@@ -267,8 +269,9 @@
 }
 
 /*
- * Connect after a delay: none at first, then doubling up to a bound, with
- * half of it left to chance so that instances do not come back together.
+ * Connect after a delay: none at first, then exponential backoff up to
+ * RETRY_DELAY_MAX_US. Half of the delay is random, so that instances do not
+ * reconnect simultaneously.
  */
 static void schedule_retry(struct peer *peer)
 {
@@ -296,7 +299,7 @@
 	assert(peer->retry_timer);
 }
 
-/* See rj_peers_ops: keep a link to `name`, at the newest address given. */
+/* See rj_peers_ops: keep a link to `name`, at the latest given address. */
 static void peers_connect(struct rj_peers *base, const char *name,
 			  const struct rj_address *address)
 {
@@ -318,7 +321,7 @@
 	schedule_retry(peer);
 }
 
-/* See rj_peers_ops: end the link and do not come back. */
+/* See rj_peers_ops: end the link and do not reconnect. */
 static void peers_drop(struct rj_peers *base, const char *name)
 {
 	struct rj_tcp_peers *peers = (struct rj_tcp_peers *)base;
@@ -335,7 +338,7 @@
 	peer_release(peer);
 }
 
-/* See rj_peers_ops: queue a message on the link, if one stands. */
+/* See rj_peers_ops: queue a message; dropped if there is no link. */
 static void peers_send(struct rj_peers *base, const char *name,
 		       const struct rj_peer_message *message)
 {
@@ -346,7 +349,7 @@
 		rj_peer_link_send(&peer->link->base, message);
 }
 
-/* Send what is still queued, as far as the socket takes it, and close. */
+/* Flush the queue, as far as the socket accepts it, and free the link. */
 static void finish_link(struct peer_link *link)
 {
 	if (link->base.authenticated)
@@ -354,7 +357,7 @@
 	link_free(link);
 }
 
-/* Close every link and the listener, without events. */
+/* Close every link and the listener, without delivering events. */
 static void peers_finish(struct rj_peers *base)
 {
 	struct rj_tcp_peers *peers = (struct rj_tcp_peers *)base;
@@ -378,7 +381,7 @@
 	.finish = peers_finish,
 };
 
-/* Accept again after a pause. */
+/* Resume accepting connections. */
 static void on_accept_pause(struct tevent_context *loop,
 			    struct tevent_timer *timer, struct timeval now,
 			    void *private_data)
@@ -390,10 +393,10 @@
 }
 
 /*
- * Connections wait to be accepted.
+ * Accept a connection.
  *
- * Without a free descriptor accept fails and the listener stays readable:
- * the loop would spin on it and starve all links, so it pauses.
+ * Without a free file descriptor accept fails and the listener stays readable:
+ * the event loop would spin and starve all links, so accepting is paused.
  */
 static void on_listener(struct tevent_context *loop, struct tevent_fd *event,
 			uint16_t flags, void *private_data)
@@ -452,7 +455,7 @@
 }
 
 /*
- * Where this instance listens, with the port that it was given.
+ * The address on which this instance listens, with the assigned port.
  */
 struct rj_address rj_tcp_peers_address(const struct rj_tcp_peers *peers)
 {
@@ -460,7 +463,7 @@
 }
 
 /*
- * How many links ended for `reason` since the start.
+ * The number of links that ended for `reason` since init.
  */
 uint64_t rj_tcp_peers_close_count(const struct rj_tcp_peers *peers,
 				  enum rj_peer_close_reason reason)
--- a/src/libradishjunction/worker/http_workers.c
+++ b/src/libradishjunction/worker/http_workers.c
@@ -8,7 +8,7 @@
 #include "private/http_client.h"
 #include "private/worker_wire.h"
 
-/* A result of the largest size as base64, or a report of many tasks. */
+/* Holds a result of the largest size in base64, or a report of many tasks. */
 #define ANSWER_MAX_BYTES (4UL * 1024 * 1024)
 #define STATUS_OK 200
 #define STATUS_BAD_REQUEST 400
@@ -25,13 +25,13 @@
 	[RJ_WORKER_POOL_CONTROL] = RJ_WORKER_CONTROL_CONNECTIONS,
 };
 
-/* What is remembered of a call until its answer; owned by the client. */
+/* State of a call until its answer; owned by the HTTP client. */
 struct pending {
 	struct rj_http_workers *workers;
 	struct rj_worker_call call; /* without its body */
 };
 
-/* Fill what the adapter itself says of the call. */
+/* Fill a reply that the adapter generates itself, without a worker's answer. */
 static void fill_reply(struct rj_worker_reply *reply,
 		       const struct rj_worker_call *call,
 		       enum rj_reply_status status, enum rj_reason reason)
@@ -46,12 +46,12 @@
 }
 
 /*
- * Turn what the client has into a reply.
+ * Convert the result of an HTTP request to a reply.
  *
- * Guards against saying "refused" of a call that took effect, after which
- * its job would be started a second time elsewhere: only a request that
- * never left, or that the worker could not read, is refused; all else
- * without a whole and matching answer is lost.
+ * A call that took effect must never be reported as refused, or its job would
+ * be started a second time elsewhere. Only a request that was never sent, or
+ * that the worker rejected as malformed, is refused; any other outcome without
+ * a complete and matching answer is lost.
  */
 static void decode_reply(void *mem, const struct rj_worker_call *call,
 			 const struct rj_http_result *result,
@@ -72,7 +72,7 @@
 		fill_reply(reply, call, RJ_REPLY_LOST, RJ_REASON_NONE);
 }
 
-/* Turn the end of a call into its event, whose bytes live until then. */
+/* Deliver the reply to a call; its bytes are freed after delivery. */
 static void call_done(void *private_data, const struct rj_http_result *result)
 {
 	const struct pending *pending = private_data;
@@ -87,11 +87,11 @@
 }
 
 /*
- * The pool whose connections the call may use.
+ * The pool whose connections a call may use.
  *
- * Guards against tasks that are stopped while their owner lives: with all
- * connections taken by calls that wait, no renewal gets through, and the
- * leases lapse. It holds because nothing that waits uses the control pool.
+ * Calls that block never use the control pool. Otherwise they could occupy all
+ * connections and delay lease renewals, and the worker would stop tasks of a
+ * live owner when their leases expire.
  */
 static enum rj_worker_pool pool_for_call(const struct rj_worker_call *call)
 {
@@ -104,8 +104,8 @@
 }
 
 /*
- * Share what the caller may have of a worker's connections among the pools:
- * each keeps one at least, and what starts work comes last.
+ * Divide the connections allowed to one worker among the pools. Each pool gets
+ * at least one; the run pool gets what the others leave.
  */
 static void share_connections(struct rj_http_workers *workers, uint32_t most)
 {
@@ -127,7 +127,7 @@
 		rj_http_client_limit(workers->pools[i], share[i]);
 }
 
-/* See rj_workers_ops: every call is a POST whose path names the operation. */
+/* See rj_workers_ops: sends a POST whose path names the operation. */
 static void http_call(struct rj_workers *base,
 		      const struct rj_worker_call *call)
 {
@@ -157,7 +157,7 @@
 	rj_http_client_send(workers->pools[pool_for_call(call)], &send);
 }
 
-/* See rj_workers_ops: calls that are open end in no event. */
+/* See rj_workers_ops: open calls deliver no event. */
 static void http_finish(struct rj_workers *base)
 {
 	struct rj_http_workers *workers = (struct rj_http_workers *)base;
@@ -177,8 +177,9 @@
 };
 
 /*
- * Speak to workers as `instance_name`; events go to `sink` from the loop
- * `ev`, never from within a call. Returns 0, or -1 with `err`.
+ * Initialize an adapter that identifies itself to workers as `instance_name`.
+ * Events are delivered to `sink` from the loop `ev`, never from within a call.
+ * Returns 0, or -1 with `err`.
  */
 int rj_http_workers_init(struct rj_http_workers *workers, void *mem,
 			 struct tevent_context *ev, struct rj_sink *sink,
--- a/src/libradishjunction/worker/worker_report.c
+++ b/src/libradishjunction/worker/worker_report.c
@@ -2,14 +2,12 @@
 
 #include <string.h>
 
-/* Add a number to a digest. */
 static uint64_t digest_number(uint64_t digest, uint64_t number)
 {
 	return rj_hash64(&number, sizeof(number), digest);
 }
 
-/* What of a task's line makes a report another one: not its progress, nor
- * what is left of its lease. */
+/* Add a task to the digest, except its progress and remaining lease time. */
 static uint64_t digest_task(uint64_t digest, const struct rj_task_report *task)
 {
 	digest = digest_number(digest, task->attempt.job_id);
@@ -22,10 +20,10 @@
 }
 
 /*
- * Give a report its version and, when that is the one that the caller knows,
- * leave out its tasks: an owner asks each of its workers every few seconds,
- * and hours pass between two changes of most of them. The version is a
- * digest, so that a worker keeps nothing for it; never 0.
+ * Set the version of a report and omit its tasks if the caller already has
+ * that version: an owner polls each of its workers every few seconds, while
+ * most of them change hours apart. The version is a digest, which needs no
+ * state in the worker, and is never 0.
  */
 void rj_worker_report_set_version(struct rj_worker_report *report,
 				  uint64_t known_version)
--- a/src/libradishjunction/worker/worker_wire.c
+++ b/src/libradishjunction/worker/worker_wire.c
@@ -6,9 +6,9 @@
 
 #include "private/wire.h"
 
-/* Whole numbers of JSON have a sign. */
+/* JSON integers are signed. */
 #define NUMBER_MAX INT64_MAX
-/* More than a worker has slots and remembers ended tasks. */
+/* Exceeds a worker's slots plus the completed tasks it keeps. */
 #define REPORT_TASKS_MAX 4096
 
 static const struct rj_schema_field attempt_fields[] = {
@@ -78,7 +78,7 @@
 	.open = true,
 };
 
-/* A result with what tells whether it is whole. */
+/* A result with the length and digest that verify its integrity. */
 struct wire_result {
 	struct rj_bytes bytes;
 	uint32_t length;
@@ -99,7 +99,7 @@
 };
 
 struct wire_task {
-	struct rj_task_report task; /* but for its result */
+	struct rj_task_report task; /* except its result */
 	struct wire_result result;
 };
 
@@ -160,8 +160,8 @@
 };
 
 struct wire_reply {
-	struct rj_worker_reply reply; /* but for its result and report */
-	uint32_t member; /* echoed, as the attempt is */
+	struct rj_worker_reply reply; /* except its result and report */
+	uint32_t member; /* echoed, like the attempt */
 	struct wire_result result;
 	struct wire_report report;
 };
@@ -170,7 +170,7 @@
 	.type = &rj_schema_##type_, .name = #member_, \
 	.offset = offsetof(struct wire_reply, reply.member_)
 
-/* The fields of every reply but that to a REPORT. */
+/* Fields of the reply to every operation except REPORT. */
 static const struct rj_schema_field reply_fields[] = {
 	{ REPLY_FIELD(id, call_id) },
 	{ REPLY_FIELD(choice, op), .choices = rj_worker_op_string,
@@ -191,8 +191,8 @@
 	{ RJ_FIELD(object, wire_reply, result), .schema = &result_schema },
 };
 
-/* A report is asked for all the time, so its reply carries no more than it
- * needs: it is about no attempt and has no result of its own. */
+/* Reports are polled continuously, so their reply omits the attempt and the
+ * result, which do not apply to them. */
 static const struct rj_schema_field report_reply_fields[] = {
 	{ REPLY_FIELD(id, call_id) },
 	{ REPLY_FIELD(choice, op), .choices = rj_worker_op_string,
@@ -220,21 +220,20 @@
 	.open = true,
 };
 
-/* The schema of the reply to `op`. */
 static const struct rj_schema *reply_schema_for(enum rj_worker_op op)
 {
 	return op == RJ_WORKER_REPORT ? &report_reply_schema : &reply_schema;
 }
 
-/* What a duration such as RJ_NEVER_US becomes where JSON cannot carry it. */
+/* Limit a duration such as RJ_NEVER_US to the range of JSON integers. */
 static uint64_t clamp_duration(uint64_t duration_us)
 {
 	return duration_us < NUMBER_MAX ? duration_us : NUMBER_MAX;
 }
 
 /*
- * A call as the body of POST /v1/OP. The worker's address and the timeout
- * stay with the caller.
+ * Encode a call as the body of POST /v1/OP. The worker's address and the
+ * timeout are not encoded.
  */
 char *rj_worker_wire_encode_call(void *mem, const struct rj_worker_call *call)
 {
@@ -248,8 +247,8 @@
 }
 
 /*
- * Read what rj_worker_wire_encode_call wrote. Returns 0, or -1 with `err`
- * naming the first field that is wrong.
+ * Decode the body of a call. Returns 0, or -1 with `err` naming the first
+ * invalid field.
  */
 int rj_worker_wire_decode_call(void *mem, const char *text,
 			       struct rj_worker_call *call,
@@ -258,7 +257,7 @@
 	return rj_wire_decode(&call_schema, mem, text, call, err);
 }
 
-/* Put the length and digest beside a result. */
+/* Fill a result with its length and digest. */
 static void encode_result(struct wire_result *wire,
 			  const struct rj_bytes *result)
 {
@@ -268,11 +267,10 @@
 }
 
 /*
- * Check a result against its length and digest.
- *
- * Guards against a result that was cut or mixed with another on its way: a
- * tutor would get part of a lesson pack. It shows as another length or
- * digest, for the worker took both over what the task gave.
+ * Verify a result against its length and digest, which the worker computes
+ * over the task's output. Detects results that were truncated or mixed with
+ * another in transit, which a caller would otherwise receive as complete.
+ * Returns 0, or -1 with `err`.
  */
 static int decode_result(const struct wire_result *wire,
 			 struct rj_bytes *result, struct rj_error *err)
@@ -284,13 +282,13 @@
 	    memcmp(wire->digest, digest, sizeof(digest)) != 0)
 		return rj_error_set(err, RJ_ERR_MALFORMED,
 				    "result: %u bytes do not match their "
-				    "length or digest; ask again",
+				    "length or digest; retry the call",
 				    wire->bytes.length);
 	*result = wire->bytes;
 	return 0;
 }
 
-/* Fill the report of a reply; its tasks are a talloc child of `mem`. */
+/* Convert a report; the tasks are a talloc child of `mem`. */
 static void encode_report(void *mem, struct wire_report *wire,
 			  const struct rj_worker_report *report)
 {
@@ -314,7 +312,7 @@
 	}
 }
 
-/* Check each result of a report; one that is not whole spoils all of it. */
+/* Convert a received report; rejects all of it if one result is invalid. */
 static int decode_report(void *mem, const struct wire_report *wire,
 			 struct rj_worker_report *report, struct rj_error *err)
 {
@@ -337,8 +335,8 @@
 }
 
 /*
- * The answer to `call`, with what names the call, so that the caller can
- * tell a crossed answer.
+ * Encode the reply to `call`. It echoes the identity of the call, so that the
+ * caller can detect an answer to another call.
  */
 char *rj_worker_wire_encode_reply(void *mem, const struct rj_worker_call *call,
 				  const struct rj_worker_reply *reply)
@@ -358,11 +356,9 @@
 }
 
 /*
- * Whether a reply is the one to `call`.
- *
- * Guards against a crossed answer: one buyer would get another's quote. It
- * shows as another call, operation, worker, attempt or member, which the
- * worker echoes from the call that it answers.
+ * Whether a reply belongs to `call`: the worker echoes the call id, operation,
+ * worker, attempt and member. Without this check a crossed answer would
+ * deliver the result of another caller's job.
  */
 static bool reply_matches_call(const struct wire_reply *wire,
 			       const struct rj_worker_call *call)
@@ -379,8 +375,8 @@
 }
 
 /*
- * Read the answer to `call`. Returns 0 when it is whole and answers this
- * very call; otherwise -1 with `err`, and nothing of `reply` may be used.
+ * Decode the reply to `call`. Returns 0 if it is complete and belongs to
+ * `call`; otherwise -1 with `err`, and `reply` must not be used.
  */
 int rj_worker_wire_decode_reply(void *mem, const char *text,
 				const struct rj_worker_call *call,
@@ -393,7 +389,7 @@
 	if (rj_wire_decode(reply_schema_for(call->op), mem, text, &wire, err))
 		return -1;
 	if (call->op == RJ_WORKER_REPORT) {
-		wire.reply.attempt = call->attempt; /* it is about none */
+		wire.reply.attempt = call->attempt; /* not echoed in reports */
 		wire.member = call->member;
 	}
 	if (!reply_matches_call(&wire, call))
