--- a/include/radishjunction/http_callers.h
+++ b/include/radishjunction/http_callers.h
@@ -1,14 +1,14 @@
 /*
- * Callers over HTTP and JSON; docs/API.md is the interface.
+ * Caller adapter over HTTP and JSON; docs/API.md describes the interface.
  *
- * Life cycle: `rj_http_callers_init` listens and serves at once, or from
- * `rj_http_callers_serve` on when the options defer it; each request becomes
- * RJ_EVENT_REQUEST, whose `now_us` is left to the sink, and is answered
- * through `base.ops->answer`. After `rj_http_callers_drain` every answer
- * closes its connection; after `rj_http_callers_stop_listening` connections
- * are refused. `rj_http_callers_stop_dispatch` comes when the core takes no more
- * events; when `rj_http_callers_open_requests` is 0 then, `base.ops->finish` cuts off
- * nobody.
+ * Life cycle: `rj_http_callers_init` listens and serves immediately, or from
+ * `rj_http_callers_serve` on if the options defer it. Each request becomes an
+ * RJ_EVENT_REQUEST, whose `now_us` the sink sets, and is answered through
+ * `base.ops->answer`. After `rj_http_callers_drain` every answer closes its
+ * connection; after `rj_http_callers_stop_listening` connections are refused.
+ * `rj_http_callers_stop_dispatch` is called once the core accepts no more
+ * events. `base.ops->finish` interrupts no caller if
+ * `rj_http_callers_open_requests` is then 0.
  */
 #ifndef RADISHJUNCTION_HTTP_CALLERS_H
 #define RADISHJUNCTION_HTTP_CALLERS_H
@@ -22,10 +22,10 @@
 struct tevent_context;
 struct rj_caller_views;
 
-/* What callers may read without asking the core by an event. */
+/* State that callers may read without an event to the core. */
 struct rj_caller_views_ops {
 	bool (*ready)(struct rj_caller_views *views);
-	/* New references; NULL if there is nothing to tell. */
+	/* These return new references; NULL if there is nothing to show. */
 	json_t *(*status)(struct rj_caller_views *views);
 	json_t *(*explain)(struct rj_caller_views *views, uint64_t job_id);
 	/* Append lines "name value". */
@@ -45,9 +45,9 @@
 	uint32_t body_max_bytes;
 	uint32_t connections_max;
 	uint32_t requests_max; /* open at once */
-	uint32_t idle_timeout_s; /* of a connection, and of one body */
-	uint64_t seed; /* of the times at which refused callers come back */
-	bool deferred; /* callers wait for `rj_http_callers_serve` */
+	uint32_t idle_timeout_s; /* of a connection; also limits one body */
+	uint64_t seed; /* for the jitter of Retry-After */
+	bool deferred; /* serve only after `rj_http_callers_serve` */
 };
 
 struct rj_http_callers_state;
--- a/include/radishjunction/http_platform.h
+++ b/include/radishjunction/http_platform.h
@@ -1,9 +1,9 @@
 /*
- * The platform over HTTP and JSON (docs/PLATFORM-PROTOCOL.md), behind the
- * vtable of radishjunction/adapter.h.
+ * Platform adapter over HTTP and JSON (docs/PLATFORM-PROTOCOL.md), an
+ * implementation of `struct rj_platform` in radishjunction/adapter.h.
  *
- * Life cycle: `rj_http_platform_init` on the caller's memory, calls through
- * `base.ops`, and `base.ops->finish`, after which no more events arrive.
+ * Life cycle: `rj_http_platform_init` on caller-provided memory, calls through
+ * `base.ops`, and `base.ops->finish`, after which no more events are delivered.
  */
 #ifndef RADISHJUNCTION_HTTP_PLATFORM_H
 #define RADISHJUNCTION_HTTP_PLATFORM_H
@@ -21,8 +21,8 @@
 	struct rj_sink *sink;
 	struct rj_http_client *client; /* talloc child of init's mem */
 	struct rj_address address;
-	struct rj_instance_list list; /* as it was delivered last */
-	/* So many records are asked for; fewer after a page was too long. */
+	struct rj_instance_list list; /* as last delivered */
+	/* Records to request per read; reduced after a page was too long. */
 	uint32_t read_max[RJ_STREAM_COUNT];
 };
 
--- a/include/radishjunction/instance_list.h
+++ b/include/radishjunction/instance_list.h
@@ -1,5 +1,5 @@
 /*
- * The instances that the platform lists, as an adapter holds them.
+ * An adapter's copy of the instances that the platform lists.
  */
 #ifndef RADISHJUNCTION_INSTANCE_LIST_H
 #define RADISHJUNCTION_INSTANCE_LIST_H
@@ -8,9 +8,9 @@
 
 struct rj_instance_list {
 	void *mem;
-	struct rj_instance *lines; /* talloc array */
+	struct rj_instance *lines; /* one per instance; talloc array */
 	uint32_t count;
-	uint64_t version; /* 0: to be asked for whole */
+	uint64_t version; /* 0: the full list must be fetched */
 };
 
 void rj_instance_list_init(struct rj_instance_list *list, void *mem);
--- a/src/libradishjunction/caller/caller_connections.c
+++ b/src/libradishjunction/caller/caller_connections.c
@@ -9,8 +9,8 @@
 #include "private/clock.h"
 
 /*
- * Start without connections. They are talloc children of `mem`; `mem` and
- * `connections` live as long as `loop` runs.
+ * Initialize without connections. They become talloc children of `mem`; `mem`
+ * and `connections` must live as long as `loop` runs.
  */
 void rj_caller_connections_init(struct rj_caller_connections *connections,
 				void *mem, struct tevent_context *loop,
@@ -27,15 +27,16 @@
 static void schedule_check(struct rj_caller_connections *connections);
 
 /*
- * End each connection whose next headers have not come within the limit.
+ * Shut down each connection that has not received its next headers within the
+ * limit.
  *
- * Guards against callers that send headers byte by byte: every byte counts as
- * activity for the HTTP library, which has no limit for headers as a whole.
- * Such connections would stand until they are as many as the limit, and every
- * other caller would be refused. The limit counts from the connection's start
- * or its last answer, which no caller can put off.
+ * Protects against callers that send headers byte by byte: the HTTP library
+ * counts every byte as activity and has no time limit for the headers as a
+ * whole, so such connections would accumulate up to the connection limit and
+ * all other callers would be refused. The limit runs from the start of the
+ * connection or its last answer, which a caller cannot postpone.
  *
- * Only the socket is shut down: the library sees its end and closes it.
+ * Only the socket is shut down; the library detects that and closes it.
  */
 static void on_timer(struct tevent_context *loop,
 		     struct tevent_timer *check_timer, struct timeval now,
@@ -60,7 +61,7 @@
 		schedule_check(connections);
 }
 
-/* Look at all connections again after half of the limit. */
+/* Check all connections again after half of the limit. */
 static void schedule_check(struct rj_caller_connections *connections)
 {
 	connections->check_timer = tevent_add_timer(
@@ -71,7 +72,7 @@
 }
 
 /*
- * Take on the connection of socket `fd`, which stays the caller's.
+ * Add a connection with socket `fd`, which is not taken over.
  */
 struct rj_caller_connection *
 rj_caller_connection_open(struct rj_caller_connections *connections, int fd)
@@ -91,7 +92,7 @@
 }
 
 /*
- * The headers of a request have come: from here on other limits hold.
+ * The headers of a request are complete: the header limit no longer applies.
  */
 void rj_caller_connection_busy(struct rj_caller_connection *connection)
 {
@@ -99,7 +100,7 @@
 }
 
 /*
- * The request has ended: the next one's headers are awaited.
+ * The request has ended: the limit for the next headers starts.
  */
 void rj_caller_connection_idle(struct rj_caller_connection *connection)
 {
@@ -107,7 +108,7 @@
 }
 
 /*
- * The connection has ended; its memory is freed.
+ * Remove a connection that has ended and free it.
  */
 void rj_caller_connection_close(struct rj_caller_connection *connection)
 {
--- a/src/libradishjunction/caller/caller_json.c
+++ b/src/libradishjunction/caller/caller_json.c
@@ -11,17 +11,17 @@
 
 #include "private/schema.h"
 
-/* Longer than any job of a training runs; keeps sums of times in range. */
+/* 90 days: longer than any training job; keeps sums of durations in range. */
 #define DURATION_MAX_MS (90ULL * 24 * 3600 * 1000)
 #define CORES_MAX 4096
 #define MEMORY_MAX_MB (64 * 1024 * 1024)
 #define ACCELERATORS_MAX 1024
-/* Of the text that stands for a shape in the digest. */
+/* Size of the text that represents a shape in the digest. */
 #define SHAPE_TEXT_BYTES 96
 
 /*
- * Keep a value of any type as compact JSON text, the same for the same
- * value, so that its digest tells a repeated body from another one.
+ * Store a value of any type as canonical JSON text (compact, sorted keys), so
+ * that equal bodies have equal digests.
  */
 static void json_decode(struct rj_schema_check *check,
 			const struct rj_schema_field *field,
@@ -39,7 +39,7 @@
 	free(text);
 }
 
-/* A body that is left out is empty. */
+/* An omitted body is empty. */
 static void json_fill(struct rj_schema_check *check,
 		      const struct rj_schema_field *field,
 		      const struct rj_schema_path *path, void *out)
@@ -84,7 +84,7 @@
 	.size = sizeof(struct rj_job_spec),
 };
 
-/* Fill the digest of class, shape and body. */
+/* Set the digest over class, shape and body. */
 static void fill_digest(struct rj_job_spec *spec)
 {
 	const struct rj_shape *shape = &spec->shape;
@@ -105,10 +105,10 @@
 }
 
 /*
- * Read the body of a submission. The spec's body is a talloc child of `mem`;
+ * Parse the body of a submission. The spec's body is a talloc child of `mem`;
  * account, key and job id are left empty.
  *
- * Returns 0, or -1 with every error added to `errors`: each names the field,
+ * Returns 0, or -1 with all errors added to `errors`; each names the field,
  * the value and the remedy.
  */
 int rj_caller_parse_submit(void *mem, const char *text,
@@ -123,7 +123,7 @@
 }
 
 /*
- * Read a job id of exactly sixteen hexadecimal digits. Returns 0, or -1.
+ * Parse a job id of exactly sixteen hexadecimal digits. Returns 0, or -1.
  */
 int rj_caller_parse_job_id(uint64_t *job_id, const char *text)
 {
@@ -135,7 +135,7 @@
 	return 0;
 }
 
-/* The HTTP status of what was refused or cannot be told, by its reason. */
+/* The HTTP status of a `not_run` or `unknown` answer, by its reason. */
 static unsigned int refusal_status(enum rj_reason reason)
 {
 	switch (reason) {
@@ -167,7 +167,7 @@
 }
 
 /*
- * The HTTP status that goes with an answer; docs/API.md has the table.
+ * The HTTP status of an answer; docs/API.md has the table.
  */
 unsigned int rj_caller_http_status(const struct rj_answer *answer)
 {
@@ -182,7 +182,7 @@
 	}
 }
 
-/* Bytes that are neither JSON nor text. */
+/* Encode bytes that are neither JSON nor text. */
 static json_t *base64_json(struct rj_bytes bytes)
 {
 	size_t size = sodium_base64_encoded_len(bytes.length,
@@ -198,7 +198,7 @@
 	return json;
 }
 
-/* A result as the JSON value that it is, else as text, else in base64. */
+/* A result as JSON value if it is valid JSON, else as text, else as base64. */
 static json_t *result_json(struct rj_bytes result)
 {
 	const char *data = (const char *)result.data;
@@ -214,7 +214,6 @@
 	return json;
 }
 
-/* The messages of all errors. */
 static json_t *errors_json(const struct rj_error_list *errors)
 {
 	json_t *array = json_array();
@@ -226,8 +225,8 @@
 }
 
 /*
- * An answer as JSON text, which the caller frees with free(). With `errors`
- * (which may be NULL) their messages are listed too.
+ * Encode an answer as JSON text, to be freed with free(). The messages of
+ * `errors`, which may be NULL, are included.
  */
 char *rj_caller_answer_text(const struct rj_answer *answer,
 			    const struct rj_error_list *errors)
--- a/src/libradishjunction/caller/caller_metrics.c
+++ b/src/libradishjunction/caller/caller_metrics.c
@@ -4,7 +4,7 @@
 #include <inttypes.h>
 
 /*
- * Count one answer that took `took_us` from the end of its headers.
+ * Count one answer, `took_us` after the headers of its request were received.
  */
 void rj_caller_metrics_add(struct rj_caller_metrics *metrics,
 			   enum rj_answer_kind kind, enum rj_reason reason,
@@ -16,7 +16,7 @@
 }
 
 /*
- * Append every count as lines of text, a name and a value each.
+ * Append all metrics to `text`, one line "name value" each.
  */
 void rj_caller_metrics_write(const struct rj_caller_metrics *metrics,
 			     GString *text)
--- a/src/libradishjunction/caller/caller_request.c
+++ b/src/libradishjunction/caller/caller_request.c
@@ -11,14 +11,14 @@
 #define EXPLAIN_SUFFIX "/explain"
 #define BEARER "Bearer "
 #define KEY_HEADER "Idempotency-Key"
-/* Of names and values of all headers of a request. */
+/* Total length of the names and values of a request's headers. */
 #define HEADERS_MAX_BYTES 8192
-/* Callers that were refused for want of room come back after this, half of it
- * sooner or later. */
+/* Mean Retry-After of callers refused for lack of capacity, with a jitter of
+ * plus or minus half of it. */
 #define BUSY_RETRY_US (1 * RJ_US_PER_S)
 #define JSON_TYPE "application/json"
 
-/* Free the request and what was not handed to a response. */
+/* Free the text that was not handed over to a response. */
 static int request_destructor(struct rj_caller_request *request)
 {
 	request->state->open--;
@@ -27,7 +27,7 @@
 }
 
 /*
- * Start a request whose headers have come; a talloc child of the state.
+ * Create a request whose headers are complete, a talloc child of `state`.
  */
 struct rj_caller_request *
 rj_caller_request_begin(struct rj_http_callers_state *state,
@@ -49,7 +49,7 @@
 	return request;
 }
 
-/* Set the text to send; malloc'ed, it belongs to the request. */
+/* Set the text to send, allocated with malloc; the request takes it over. */
 static void set_text(struct rj_caller_request *request, unsigned int status,
 		     char *text, const char *content_type)
 {
@@ -61,7 +61,7 @@
 	request->answered = true;
 }
 
-/* Set a JSON value, whose reference is taken over; NULL is an empty one. */
+/* Answer with `json`, whose reference is taken over; NULL sends "{}". */
 static void set_json(struct rj_caller_request *request, unsigned int status,
 		     json_t *json)
 {
@@ -73,8 +73,8 @@
 }
 
 /*
- * Set the answer. For an explanation, the answer to the lookup only says
- * whether the caller may see the job.
+ * Set the answer. For a request for an explanation, the answer to the lookup
+ * only decides whether the caller may see the job.
  */
 void rj_caller_request_answer(struct rj_caller_request *request,
 			      const struct rj_answer *answer,
@@ -99,11 +99,10 @@
 }
 
 /*
- * When a caller that finds no room comes back.
+ * The Retry-After time of a caller that is refused for lack of capacity.
  *
- * Guards against callers that are refused together and told the same time:
- * they would return together, find no room again, and so on, while it stands
- * empty in between.
+ * It is randomized: callers that are refused together with the same time would
+ * retry together and be refused again, leaving the instance idle in between.
  */
 static uint64_t busy_retry_us(struct rj_http_callers_state *state)
 {
@@ -112,12 +111,13 @@
 }
 
 /*
- * Refuse a request that the core has not seen. `status` 0 takes the one of
- * the reason.
+ * Refuse a request that was not delivered to the core. With `status` 0 the
+ * HTTP status follows from the reason.
  *
- * Without room, or at a stop, nothing of a submission without a key ran. But
- * one with a key may run for a request at another instance, and a job that
- * is asked about may have run: to say `not_run` of these would be untrue.
+ * When capacity is exhausted or the instance stops, a submission without a key
+ * has certainly not run. A submission with a key may run on behalf of a
+ * request at another instance, and a job that is looked up may have run:
+ * answering `not_run` to these would be wrong.
  */
 void rj_caller_request_refuse(struct rj_caller_request *request,
 			      unsigned int status, enum rj_reason reason,
@@ -141,8 +141,8 @@
 }
 
 /*
- * Answer a request that the core has taken and does not answer any more: its
- * job may have run.
+ * Answer a request that was delivered to the core but will not be answered by
+ * it: its job may have run.
  */
 void rj_caller_request_abandon(struct rj_caller_request *request)
 {
@@ -157,7 +157,7 @@
 	rj_caller_request_answer(request, &answer, NULL);
 }
 
-/* Add up the bytes of one header. */
+/* Add the length of one header to `*sum`. */
 static enum MHD_Result add_header(void *sum, enum MHD_ValueKind kind,
 				  const char *name, const char *value)
 {
@@ -166,8 +166,8 @@
 }
 
 /*
- * Refuse by the headers alone what would be refused anyway, before a body
- * is sent. Returns whether it was refused.
+ * Refuse a request by its headers, before the caller sends its body. Returns
+ * whether it was refused.
  */
 bool rj_caller_request_check_headers(struct rj_caller_request *request)
 {
@@ -183,7 +183,7 @@
 	if (request->over_limit)
 		rj_caller_request_refuse(
 			request, 0, RJ_REASON_QUEUE_FULL,
-			"connections: all are taken; come back "
+			"connections: all are taken; retry later "
 			"or ask another instance");
 	else if (headers > HEADERS_MAX_BYTES)
 		rj_caller_request_refuse(
@@ -197,8 +197,8 @@
 }
 
 /*
- * Keep a piece of the body, up to the bound; what is above it is counted and
- * thrown away.
+ * Append a piece of the body. Bytes above the body limit are counted and
+ * discarded.
  */
 void rj_caller_request_append_body(struct rj_caller_request *request,
 				   const char *data, size_t length)
@@ -208,7 +208,7 @@
 		rj_buffer_append(&request->body, request, data, length);
 }
 
-/* Copy the caller's token; refuses and returns -1 without a good one. */
+/* Copy the caller's token; without a valid one, refuses and returns -1. */
 static int read_token(struct rj_caller_request *request,
 		      char token[RJ_TOKEN_BYTES])
 {
@@ -231,7 +231,7 @@
 	return -1;
 }
 
-/* Copy the idempotency key, if any; refuses and returns -1 on a bad one. */
+/* Copy the idempotency key, if any; if it is invalid, refuses, returns -1. */
 static int read_key(struct rj_caller_request *request, char key[RJ_KEY_BYTES])
 {
 	const char *header = MHD_lookup_connection_value(
@@ -253,7 +253,7 @@
 	return -1;
 }
 
-/* Hand the request to the core, unless too many are open. */
+/* Deliver the request to the core; refuses it if too many are open. */
 static void submit_to_core(struct rj_caller_request *request,
 			   struct rj_event *event)
 {
@@ -268,7 +268,7 @@
 	if (g_hash_table_size(state->pending) >= state->options.requests_max) {
 		rj_caller_request_refuse(
 			request, 0, RJ_REASON_QUEUE_FULL,
-			"requests: too many are open; come back "
+			"requests: too many are open; retry later "
 			"or ask another instance");
 		return;
 	}
@@ -353,7 +353,7 @@
 	g_string_free(text, TRUE);
 }
 
-/* GET /v1/ready: 200 if it serves, else 503; for the balancer. */
+/* GET /v1/ready, for load balancers: 200 if this instance serves, else 503. */
 static void get_ready(struct rj_caller_request *request)
 {
 	struct rj_caller_views *views = request->state->options.views;
@@ -363,7 +363,7 @@
 		 json_pack("{s:b}", "ready", is_ready));
 }
 
-/* What is read without asking the core; false if there is no such path. */
+/* Answer a path that needs no core event; false if there is no such path. */
 static bool dispatch_view(struct rj_caller_request *request, const char *url)
 {
 	struct rj_caller_views *views = request->state->options.views;
@@ -402,8 +402,8 @@
 }
 
 /*
- * Answer the whole request, or hand it to the core, which may have answered
- * on return.
+ * Answer a completely received request, or deliver it to the core, which may
+ * have answered on return.
  */
 void rj_caller_request_dispatch(struct rj_caller_request *request,
 				const char *url, const char *method)
--- a/src/libradishjunction/caller/http_callers.c
+++ b/src/libradishjunction/caller/http_callers.c
@@ -12,22 +12,22 @@
 #include "private/caller_request.h"
 #include "private/tcp_socket.h"
 
-/* So many connections above the limit still get a typed refusal. */
+/* Connections above the limit that are still answered with a refusal. */
 #define SPARE_CONNECTIONS 64
-/* Room for the headers that are allowed and a piece of the body. */
+/* Holds the largest permitted headers and a piece of the body. */
 #define CONNECTION_MEMORY_BYTES (24 * 1024)
-/* The headers of a request may begin when the connection is nearly idle for
- * too long, and take as long again. */
+/* Header limit in idle timeouts: headers may start just before the connection
+ * times out, and take one more idle timeout to arrive. */
 #define HEADERS_LIMIT_IDLES 2
 
-/* Take the request from those that wait for the core. */
+/* The request no longer waits for the core. */
 static void remove_pending(struct rj_caller_request *request)
 {
 	g_hash_table_remove(request->state->pending, &request->id);
 	TALLOC_FREE(request->disconnect_watch);
 }
 
-/* Let the daemon go on with a connection whose answer is set. */
+/* Resume a suspended connection whose answer is set. */
 static void resume(struct rj_caller_request *request)
 {
 	assert(request->suspended && request->answered);
@@ -36,7 +36,6 @@
 	rj_http_loop_kick(&request->state->loop);
 }
 
-/* The socket of a connection. */
 static int connection_socket(struct MHD_Connection *connection)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
@@ -46,8 +45,8 @@
 }
 
 /*
- * The socket of a waiting caller can be read: it has left, or it has sent
- * its next request early, which is left in the socket.
+ * The socket of a waiting caller is readable: the caller has disconnected, or
+ * has pipelined its next request, which stays in the socket.
  */
 static void on_watch(struct tevent_context *loop, struct tevent_fd *event,
 		     uint16_t flags, void *private_data)
@@ -74,7 +73,7 @@
 	state->options.sink->deliver(state->options.sink, &disconnect);
 }
 
-/* Set the connection aside until the core has answered. */
+/* Suspend the connection until the core has answered. */
 static void suspend(struct rj_caller_request *request)
 {
 	struct rj_http_callers_state *state = request->state;
@@ -128,7 +127,7 @@
 	return result;
 }
 
-/* What on_connection keeps for a connection. */
+/* The connection state that on_connection stored. */
 static struct rj_caller_connection *
 connection_context(struct MHD_Connection *connection)
 {
@@ -138,8 +137,9 @@
 }
 
 /*
- * The daemon's call for a request: once with its headers, then with each
- * piece of its body, then at its end, and again after it was resumed.
+ * Request callback of libmicrohttpd: called once the headers are complete,
+ * for each piece of the body, after the last piece, and again after the
+ * connection was resumed.
  */
 static enum MHD_Result on_access(void *private_data,
 				 struct MHD_Connection *connection,
@@ -163,7 +163,7 @@
 	if (*upload_length) {
 		rj_caller_request_append_body(request, upload, *upload_length);
 		*upload_length = 0;
-		/* A body sent byte by byte would never idle. */
+		/* A body sent byte by byte never triggers the idle timeout. */
 		if (rj_clock_now_us() - request->headers_received_us >
 		    state->options.idle_timeout_s * RJ_US_PER_S)
 			return MHD_NO;
@@ -177,7 +177,7 @@
 	return MHD_YES;
 }
 
-/* The last byte was sent, or the connection ended before. */
+/* The answer was sent completely, or the connection ended before that. */
 static void on_completed(void *private_data, struct MHD_Connection *connection,
 			 void **slot, enum MHD_RequestTerminationCode code)
 {
@@ -185,7 +185,7 @@
 	rj_caller_connection_idle(connection_context(connection));
 }
 
-/* Keep the connections; one above the limit is marked for a refusal. */
+/* Track connections; one above the limit is marked, to be refused. */
 static void on_connection(void *private_data, struct MHD_Connection *connection,
 			  void **slot, enum MHD_ConnectionNotificationCode code)
 {
@@ -214,7 +214,7 @@
 		resume(request);
 }
 
-/* Answer all that the core has taken and will not answer. */
+/* Answer all requests that wait for the core and will not be answered. */
 static void abandon_pending(struct rj_http_callers_state *state)
 {
 	struct rj_caller_request *request;
@@ -230,7 +230,7 @@
 	}
 }
 
-/* Stop the daemon, which must not be while a connection is suspended. */
+/* Resume all suspended connections, as libmicrohttpd requires, and stop. */
 static void callers_finish(struct rj_callers *base)
 {
 	struct rj_http_callers *callers = (struct rj_http_callers *)base;
@@ -250,7 +250,7 @@
 	.finish = callers_finish,
 };
 
-/* Messages of the library go where all others go. */
+/* Redirects the messages of libmicrohttpd to the log. */
 static void on_library_log(void *private_data, const char *format, va_list args)
 	__attribute__((format(printf, 2, 0)));
 
@@ -259,7 +259,7 @@
 	g_logv("libmicrohttpd", G_LOG_LEVEL_DEBUG, format, args);
 }
 
-/* Start the daemon on a socket that it owns from then on. */
+/* Start the HTTP daemon on `listener`; on success the daemon owns it. */
 static struct MHD_Daemon *start_daemon(struct rj_http_callers_state *state,
 				       int listener)
 {
@@ -326,12 +326,11 @@
 }
 
 /*
- * Serve from now on, where the options deferred it.
+ * Start serving, if the options deferred it.
  *
- * Guards against refusals by an instance that has just started: callers that
- * reach it before it has its configuration, from a balancer that does not ask
- * whether it is ready, wait in the listening socket for the moment that this
- * takes instead of being told "not run".
+ * A balancer that does not check readiness may send callers to an instance
+ * that has no configuration yet. Until this call they wait in the listen
+ * backlog instead of being refused with "not run".
  */
 void rj_http_callers_serve(struct rj_http_callers *callers)
 {
@@ -343,7 +342,7 @@
 }
 
 /*
- * Where callers are served, with the port that was given.
+ * The address on which callers are served, with the assigned port.
  */
 struct rj_address rj_http_callers_address(const struct rj_http_callers *callers)
 {
@@ -351,8 +350,8 @@
 }
 
 /*
- * Not ready from now on, and every answer closes its connection, so that
- * callers turn to other instances.
+ * Report not ready from now on and close each connection after its answer, so
+ * that callers move to other instances.
  */
 void rj_http_callers_drain(struct rj_http_callers *callers)
 {
@@ -360,12 +359,11 @@
 }
 
 /*
- * Take no more connections; those that stand are served on.
+ * Accept no more connections; established ones are still served.
  *
- * Guards against callers that connect while the process ends: a connection
- * that is refused can be tried elsewhere without a doubt, one that is reset
- * after the request was sent cannot. Those that the system had taken for the
- * daemon are served first.
+ * A caller whose connection is refused can safely retry at another instance;
+ * one whose connection is reset after it sent its request cannot. Connections
+ * already in the listen backlog are therefore accepted first.
  */
 void rj_http_callers_stop_listening(struct rj_http_callers *callers)
 {
@@ -379,11 +377,11 @@
 }
 
 /*
- * The core takes no more events: what it has not answered is answered
- * `unknown` now, and what still comes is refused here.
+ * Deliver no more events to the core: pending requests are answered `unknown`
+ * and later requests are refused.
  *
- * Guards against requests that come while the last answers are sent: the
- * core would pass over them, and their callers would wait in vain.
+ * Without this, the core would ignore requests that arrive while the last
+ * answers are sent, and their callers would never get an answer.
  */
 void rj_http_callers_stop_dispatch(struct rj_http_callers *callers)
 {
@@ -392,7 +390,7 @@
 }
 
 /*
- * Requests whose answer has not been sent whole.
+ * The number of requests whose answer has not been sent completely.
  */
 uint32_t rj_http_callers_open_requests(const struct rj_http_callers *callers)
 {
@@ -400,7 +398,7 @@
 }
 
 /*
- * Connections that stand, also those without a request.
+ * The number of open connections, including those without a request.
  */
 uint32_t rj_http_callers_connections(const struct rj_http_callers *callers)
 {
--- a/src/libradishjunction/include/private/caller_connections.h
+++ b/src/libradishjunction/include/private/caller_connections.h
@@ -1,11 +1,11 @@
 /*
- * The connections of callers: how many stand, and which wait too long for the
+ * Open connections of callers: their count, and a time limit for receiving the
  * headers of a request.
  *
  * Life cycle: `rj_caller_connections_init`, then for each connection
  * `rj_caller_connection_open`, `rj_caller_connection_busy` and
  * `rj_caller_connection_idle` around each of its requests, and
- * `rj_caller_connection_close`, after which it is gone.
+ * `rj_caller_connection_close`, which frees it.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CALLER_CONNECTIONS_H
 #define RADISHJUNCTION_PRIVATE_CALLER_CONNECTIONS_H
@@ -22,9 +22,9 @@
 	struct rj_list list;
 	void *mem; /* parent of all connections */
 	struct tevent_context *loop;
-	struct tevent_timer *check_timer; /* NULL while none stands */
+	struct tevent_timer *check_timer; /* NULL without connections */
 	uint64_t headers_limit_us;
-	uint32_t max; /* one more is marked */
+	uint32_t max; /* connections above it are marked over_limit */
 	uint32_t count;
 };
 
@@ -33,7 +33,7 @@
 	struct rj_caller_connections *connections;
 	int fd;
 	uint64_t idle_since_us; /* 0 while a request is open */
-	bool over_limit; /* it was one too many when it came */
+	bool over_limit; /* opened above `max` */
 };
 
 void rj_caller_connections_init(struct rj_caller_connections *connections,
--- a/src/libradishjunction/include/private/caller_json.h
+++ b/src/libradishjunction/include/private/caller_json.h
@@ -1,5 +1,5 @@
 /*
- * What callers send and get, as JSON. Nothing has to be started or finished.
+ * JSON of the caller API: submissions and answers. Stateless.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CALLER_JSON_H
 #define RADISHJUNCTION_PRIVATE_CALLER_JSON_H
@@ -7,7 +7,7 @@
 #include "radishjunction/error.h"
 #include "radishjunction/types.h"
 
-/* Sixteen hexadecimal digits and a terminating zero. */
+/* Sixteen hexadecimal digits and the terminating zero. */
 #define RJ_JOB_ID_BYTES 17
 
 int rj_caller_parse_submit(void *mem, const char *text,
--- a/src/libradishjunction/include/private/caller_metrics.h
+++ b/src/libradishjunction/include/private/caller_metrics.h
@@ -1,7 +1,7 @@
 /*
- * Counts and latencies of the answers that callers got.
+ * Counts and latencies of the answers sent to callers.
  *
- * Life cycle: a zeroed struct is empty; it holds no memory of its own.
+ * Life cycle: a zeroed struct is empty; owns no memory.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CALLER_METRICS_H
 #define RADISHJUNCTION_PRIVATE_CALLER_METRICS_H
@@ -14,7 +14,7 @@
 struct rj_caller_metrics {
 	struct rj_latency answers[RJ_ANSWER_KIND_COUNT];
 	uint64_t reasons[RJ_REASON_COUNT];
-	uint64_t disconnected; /* callers that left before their answer */
+	uint64_t disconnected; /* callers lost before their answer */
 };
 
 void rj_caller_metrics_add(struct rj_caller_metrics *metrics,
--- a/src/libradishjunction/include/private/caller_request.h
+++ b/src/libradishjunction/include/private/caller_request.h
@@ -1,10 +1,10 @@
 /*
  * One HTTP request of a caller, from its headers to its answer.
  *
- * Life cycle: `rj_caller_request_begin` when the headers have come,
+ * Life cycle: `rj_caller_request_begin` once the headers are received,
  * `rj_caller_request_append_body` for each piece of the body, then
- * `rj_caller_request_dispatch`, which answers at once or hands the request to
- * the core; `rj_caller_request_answer` sets the answer; freed with talloc.
+ * `rj_caller_request_dispatch`, which answers immediately or hands the request
+ * to the core; `rj_caller_request_answer` sets the answer; freed with talloc.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CALLER_REQUEST_H
 #define RADISHJUNCTION_PRIVATE_CALLER_REQUEST_H
@@ -24,11 +24,11 @@
 	struct MHD_Daemon *daemon;
 	struct rj_http_loop loop;
 	bool draining;
-	bool dispatch_stopped; /* the core takes no more events */
+	bool dispatch_stopped; /* the core accepts no more events */
 	struct rj_caller_connections connections;
-	uint64_t random; /* of the spread of refused callers */
-	uint32_t open; /* requests from their headers to their last byte */
-	GHashTable *pending; /* id -> request that waits for the core */
+	uint64_t random; /* state of the Retry-After jitter */
+	uint32_t open; /* requests whose answer is not completely sent */
+	GHashTable *pending; /* id -> request waiting for the core */
 	uint64_t last_request_id;
 	struct rj_caller_metrics metrics;
 };
@@ -36,23 +36,23 @@
 struct rj_caller_request {
 	struct rj_http_callers_state *state;
 	struct MHD_Connection *connection;
-	uint64_t id; /* of the event; 0 if the core was not asked */
+	uint64_t id; /* of the core event; 0 if none was delivered */
 	uint64_t headers_received_us;
-	bool unkeyed_submission; /* a submission without a key */
-	bool over_limit; /* its connection is one too many */
-	bool explain; /* the answer is the explanation, if allowed */
+	bool unkeyed_submission; /* POST without an idempotency key */
+	bool over_limit; /* its connection is above the limit */
+	bool explain; /* answer with the explanation, if permitted */
 	uint64_t job_id;
 	bool suspended;
 	bool answered;
 	unsigned int status;
 	uint64_t retry_after_us;
-	char *text; /* of the answer; freed by the response */
+	char *text; /* of the answer; owned by the response once sent */
 	size_t text_length;
 	const char *content_type;
 	struct rj_buffer body;
-	uint64_t body_received; /* also what was thrown away */
+	uint64_t body_received; /* bytes, including discarded ones */
 	struct tevent_fd
-		*disconnect_watch; /* whether the caller is still there */
+		*disconnect_watch; /* detects that the caller disconnected */
 };
 
 struct rj_caller_request *
--- a/src/libradishjunction/include/private/instance_list.h
+++ b/src/libradishjunction/include/private/instance_list.h
@@ -1,10 +1,10 @@
 /*
- * The platform's list as an adapter holds it: taken whole once, then by its
- * changes.
+ * An adapter's copy of the platform's list of instances, fetched in full once
+ * and then updated incrementally.
  *
- * Life cycle: `rj_instance_list_init` on the caller's memory,
- * `rj_instance_list_apply` for each answer; what it holds are talloc children
- * of init's `mem`.
+ * Life cycle: `rj_instance_list_init` on caller-provided memory, then
+ * `rj_instance_list_apply` for each answer; the list is a talloc child of
+ * init's `mem`.
  */
 #ifndef RADISHJUNCTION_PRIVATE_INSTANCE_LIST_H
 #define RADISHJUNCTION_PRIVATE_INSTANCE_LIST_H
--- a/src/libradishjunction/include/private/platform_wire.h
+++ b/src/libradishjunction/include/private/platform_wire.h
@@ -1,18 +1,18 @@
 /*
- * The bodies of the platform's protocol (docs/PLATFORM-PROTOCOL.md), for
- * both of its ends.
+ * JSON encoding of the platform protocol (docs/PLATFORM-PROTOCOL.md), for both
+ * of its ends.
  *
  * Encoders return text that is a talloc child of `mem`; decoders fill a
- * struct of the caller's whose texts and lists are talloc children of `mem`.
+ * caller-provided struct whose texts and lists are talloc children of `mem`.
  */
 #ifndef RADISHJUNCTION_PRIVATE_PLATFORM_WIRE_H
 #define RADISHJUNCTION_PRIVATE_PLATFORM_WIRE_H
 
 #include "radishjunction/event.h"
 
-/* The most records in one answer to a read. */
+/* Maximum number of records in the answer to one read. */
 #define RJ_LOG_PAGE_MAX 1000
-/* The most instances in one list. */
+/* Maximum number of instances in one list. */
 #define RJ_INSTANCES_MAX 32768
 
 struct rj_log_entry {
@@ -25,12 +25,12 @@
 	char name[RJ_NAME_BYTES];
 };
 
-/* What the platform says of the list of instances. */
+/* The platform's answer to a query of the list of instances. */
 struct rj_instances_answer {
-	uint64_t version; /* of the list as it is now; 0: it has none */
-	uint64_t since; /* only what differs from that version; 0: all */
-	bool unchanged; /* as in the version that was asked about */
-	uint32_t total; /* with `since`: lines of the list as it is now */
+	uint64_t version; /* of the current list; 0: the list has none */
+	uint64_t since; /* base version of the changes; 0: full list */
+	bool unchanged; /* the list still has the queried version */
+	uint32_t total; /* with `since`: length of the current list */
 	struct rj_instance *instances;
 	uint32_t count;
 	struct rj_instance_name *gone; /* with `since`: no longer listed */
--- a/src/libradishjunction/platform/http_platform.c
+++ b/src/libradishjunction/platform/http_platform.c
@@ -13,11 +13,11 @@
 
 #define APPEND_TIMEOUT_US (3 * RJ_US_PER_S)
 #define LIST_TIMEOUT_US (3 * RJ_US_PER_S)
-/* Beyond what a long poll asks the platform to wait. */
+/* Added to the time that a long poll asks the platform to wait. */
 #define READ_TIMEOUT_US (3 * RJ_US_PER_S)
-/* A long poll for each stream, the list, and appends beside them. */
+/* A long poll per stream, the list, and concurrent appends. */
 #define CONNECTIONS_MAX 16
-/* A page of many small records, or of some of the largest. */
+/* Holds a page of many small records, or of several of the largest. */
 #define ANSWER_MAX_BYTES (16UL * 1024 * 1024)
 #define READ_RECORDS_MAX 500
 #define STATUS_OK 200
@@ -25,7 +25,7 @@
 #define STATUS_NOT_FOUND 404
 #define STATUS_TOO_MANY_REQUESTS 429
 
-/* What is remembered of a call until its answer; owned by the client. */
+/* State of a call until its answer; owned by the HTTP client. */
 struct pending {
 	struct rj_http_platform *platform;
 	enum rj_stream stream;
@@ -34,7 +34,7 @@
 	uint64_t wait_us;
 };
 
-/* What every call remembers; the client frees it with the transfer. */
+/* Allocate the state of a call; the HTTP client frees it with the transfer. */
 static struct pending *pending_new(struct rj_http_platform *platform)
 {
 	struct pending *pending = talloc_zero(NULL, struct pending);
@@ -44,14 +44,14 @@
 	return pending;
 }
 
-/* Hand an event to the sink. */
+/* Deliver an event, stamped with the current time. */
 static void deliver(struct rj_http_platform *platform, struct rj_event *event)
 {
 	event->now_us = rj_clock_now_us();
 	platform->sink->deliver(platform->sink, event);
 }
 
-/* Send a request whose path is formatted; `send` has all but the URL. */
+/* Send a request to a formatted path; `send` lacks only the URL. */
 static void send_request(struct rj_http_platform *platform,
 			 struct rj_http_send *send, const char *format, ...)
 	__attribute__((format(printf, 3, 4)));
@@ -71,11 +71,11 @@
 }
 
 /*
- * What became of an append.
+ * The outcome of an append.
  *
- * Guards against taking a lost answer for a refusal: the claim would be
- * given up while it stands in the log. Only an answer that the protocol says
- * is without effect, or a request that never left, counts as refused.
+ * A lost answer must not count as a refusal: the claim would be abandoned
+ * although it may be in the log. Only an answer that the protocol defines as
+ * without effect, or a request that was never sent, is a refusal.
  */
 static enum rj_append_status append_status(const struct rj_http_result *result,
 					   uint64_t *first_offset)
@@ -94,7 +94,7 @@
 	return RJ_APPEND_OK;
 }
 
-/* Turn the end of an append into its event. */
+/* Deliver the result of an append. */
 static void append_done(void *private_data, const struct rj_http_result *result)
 {
 	const struct pending *pending = private_data;
@@ -106,7 +106,7 @@
 	deliver(pending->platform, &event);
 }
 
-/* The body of an append, or NULL when a record cannot be written. */
+/* Encode the body of an append; NULL if a record cannot be encoded. */
 static char *append_body(void *mem, const struct rj_append *append)
 {
 	json_t *records = json_array();
@@ -128,7 +128,7 @@
 	return text;
 }
 
-/* Refuse an append from the loop, as every answer comes. */
+/* Deliver a refusal from the event loop, like every other result. */
 static void refuse_append(struct tevent_context *ev, struct tevent_timer *timer,
 			  struct timeval now, void *private_data)
 {
@@ -138,7 +138,7 @@
 	talloc_free(private_data);
 }
 
-/* See rj_platform_ops: several records in one request take effect together. */
+/* See rj_platform_ops: the records of one request are appended atomically. */
 static void http_append(struct rj_platform *base,
 			const struct rj_append *append)
 {
@@ -166,7 +166,7 @@
 		     rj_stream_string[append->stream]);
 }
 
-/* Fill the records of an event from a page. */
+/* Decode the records of a page into those of an event. */
 static void decode_records(void *mem, const struct rj_log_page *page,
 			   struct rj_records *records)
 {
@@ -192,12 +192,12 @@
 static void http_read(struct rj_platform *base, const struct rj_read *read);
 
 /*
- * Learn from the length of a page how many records to ask for. Returns true
- * when the read has been sent again for fewer.
+ * Adapt the number of records to request to the length of the last page.
+ * Returns true if the read has been sent again for fewer records.
  *
- * Guards against a read that can never succeed: a page of many records of
- * the largest size is longer than an answer may be, and the same read fails
- * again; the instance never gets past it. One record alone always fits.
+ * A page of many records of the largest size exceeds the limit of an answer.
+ * Without this, the same read would fail forever and the instance would never
+ * get past it. A single record always fits.
  */
 static bool retry_with_fewer_records(const struct pending *pending,
 				     const struct rj_http_result *result)
@@ -220,7 +220,7 @@
 	return true;
 }
 
-/* Turn the end of a read into its event, whose records live until then. */
+/* Deliver the result of a read; its records are freed after delivery. */
 static void read_done(void *private_data, const struct rj_http_result *result)
 {
 	const struct pending *pending = private_data;
@@ -247,7 +247,7 @@
 	talloc_free(mem);
 }
 
-/* See rj_platform_ops: the long poll of one stream. */
+/* See rj_platform_ops: a long poll of one stream. */
 static void http_read(struct rj_platform *base, const struct rj_read *read)
 {
 	struct rj_http_platform *platform = (struct rj_http_platform *)base;
@@ -269,8 +269,8 @@
 		     (uint64_t)(read->wait_us / RJ_US_PER_MS));
 }
 
-/* A list that did not come whole, or that is as it was, ends in no event; the
- * core asks again. */
+/* Deliver a changed list. An incomplete answer or an unchanged list delivers
+ * no event; the core queries it again. */
 static void list_done(void *private_data, const struct rj_http_result *result)
 {
 	const struct pending *pending = private_data;
@@ -307,7 +307,7 @@
 		     platform->list.version);
 }
 
-/* See rj_platform_ops: calls that are open end in no event. */
+/* See rj_platform_ops: open calls deliver no event. */
 static void http_finish(struct rj_platform *base)
 {
 	struct rj_http_platform *platform = (struct rj_http_platform *)base;
@@ -325,8 +325,9 @@
 };
 
 /*
- * Speak to the platform at `address` as `instance_name`; events go to `sink`
- * from the loop `ev`, never from within a call. Returns 0, or -1 with `err`.
+ * Initialize an adapter for the platform at `address` that identifies itself
+ * as `instance_name`. Events are delivered to `sink` from the loop `ev`, never
+ * from within a call. Returns 0, or -1 with `err`.
  */
 int rj_http_platform_init(struct rj_http_platform *platform, void *mem,
 			  struct tevent_context *ev, struct rj_sink *sink,
--- a/src/libradishjunction/platform/instance_list.c
+++ b/src/libradishjunction/platform/instance_list.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 /*
- * Start without a list.
+ * Initialize an empty list that is to be fetched in full.
  */
 void rj_instance_list_init(struct rj_instance_list *list, void *mem)
 {
@@ -13,7 +13,7 @@
 	list->mem = mem;
 }
 
-/* Where `name` stands, or `count`. */
+/* The index of `name`, or `count` if it is not listed. */
 static uint32_t index_of(const struct rj_instance_list *list, const char *name)
 {
 	uint32_t index = 0;
@@ -24,7 +24,7 @@
 	return index;
 }
 
-/* Take an instance out of the list, if it stands there. */
+/* Remove an instance from the list, if it is listed. */
 static void remove_instance(struct rj_instance_list *list, const char *name)
 {
 	uint32_t index = index_of(list, name);
@@ -33,7 +33,7 @@
 		list->lines[index] = list->lines[--list->count];
 }
 
-/* Put an instance into the list, or its new line in place of the old. */
+/* Add an instance to the list, or replace its entry. */
 static void set_instance(struct rj_instance_list *list,
 			 const struct rj_instance *line)
 {
@@ -47,7 +47,7 @@
 	list->lines[index] = *line;
 }
 
-/* Take the whole list. */
+/* Replace the whole list. */
 static void replace_all(struct rj_instance_list *list,
 			const struct rj_instances_answer *answer)
 {
@@ -63,14 +63,14 @@
 }
 
 /*
- * Take what the platform answered. Returns whether there is a list to be
- * told on.
+ * Apply an answer of the platform. Returns whether there is a new list to
+ * deliver.
  *
- * Guards against an answer that comes late, after one to a newer question:
- * its changes are against a version that is no longer held here, and the list
- * would hold a line that has been replaced, for good. Changes are taken only
- * against the version held. Should the list still not be as long as the
- * platform says, nobody is told, and it is asked for whole.
+ * Changes are applied only to the version they are based on. An answer that
+ * arrives after the answer to a newer query has another base version; applying
+ * it would leave an outdated entry in the list permanently. If the length of
+ * the list still differs from the platform's, nothing is delivered and the
+ * full list is fetched next.
  */
 bool rj_instance_list_apply(struct rj_instance_list *list,
 			    const struct rj_instances_answer *answer)
--- a/src/libradishjunction/platform/platform_wire.c
+++ b/src/libradishjunction/platform/platform_wire.c
@@ -7,11 +7,11 @@
 
 #include "private/wire.h"
 
-/* Whole numbers of JSON have a sign. */
+/* JSON integers are signed. */
 #define NUMBER_MAX INT64_MAX
 /*
- * More than a record of ours has: one that is too long must not spoil the
- * page that it stands in, but be skipped as malformed by its reader.
+ * Longer than any record this project writes: an oversized record must not
+ * invalidate its page, but be skipped as malformed by its reader.
  */
 #define TEXT_MAX_BYTES (64 * 1024 * 1024)
 
@@ -67,7 +67,7 @@
 	[STATE_LEAVING] = "leaving",
 };
 
-/* An instance as it is listed: struct rj_instance in the platform's words. */
+/* The protocol's representation of struct rj_instance. */
 struct wire_instance {
 	char name[RJ_NAME_BYTES];
 	enum rj_instance_role role;
@@ -113,8 +113,8 @@
 
 struct wire_instances {
 	uint64_t version;
-	uint64_t since; /* only what differs from that version */
-	bool unchanged; /* as in the list that the caller knows */
+	uint64_t since; /* base version of the changes */
+	bool unchanged; /* the list still has the queried version */
 	uint32_t total; /* with `since` */
 	struct wire_instance *instances;
 	uint32_t count;
@@ -144,7 +144,7 @@
 };
 
 /*
- * The answer to a read.
+ * Encode the answer to a read.
  */
 char *rj_log_page_encode(void *mem, const struct rj_log_page *page)
 {
@@ -152,8 +152,8 @@
 }
 
 /*
- * Read the answer to a read. Returns 0, or -1 with `err`, also when its
- * offsets do not follow each other: such a page would hide a record.
+ * Decode the answer to a read. Returns 0, or -1 with `err`, also if its
+ * offsets are not consecutive: such a page would hide a record.
  */
 int rj_log_page_decode(void *mem, const char *text, struct rj_log_page *page,
 		       struct rj_error *err)
@@ -174,7 +174,7 @@
 }
 
 /*
- * The answer to an append.
+ * Encode the answer to an append.
  */
 char *rj_append_answer_encode(void *mem, uint64_t first_offset)
 {
@@ -184,7 +184,7 @@
 }
 
 /*
- * Read the answer to an append. Returns 0, or -1 with `err`.
+ * Decode the answer to an append. Returns 0, or -1 with `err`.
  */
 int rj_append_answer_decode(const char *text, uint64_t *first_offset,
 			    struct rj_error *err)
@@ -197,7 +197,6 @@
 	return 0;
 }
 
-/* An instance in the words of the list. */
 static void to_wire(struct wire_instance *wire,
 		    const struct rj_instance *instance)
 {
@@ -212,7 +211,6 @@
 	wire->state = instance->leaving ? STATE_LEAVING : STATE_LIVE;
 }
 
-/* An instance in the words of the core. */
 static void from_wire(struct rj_instance *instance,
 		      const struct wire_instance *wire)
 {
@@ -228,7 +226,7 @@
 }
 
 /*
- * One instance as it is registered.
+ * Encode one instance for its registration.
  */
 char *rj_instance_encode(void *mem, const struct rj_instance *instance)
 {
@@ -239,7 +237,7 @@
 }
 
 /*
- * Read one instance; its name may be left out. Returns 0, or -1 with `err`.
+ * Decode one instance; its name is optional. Returns 0, or -1 with `err`.
  */
 int rj_instance_decode(const char *text, struct rj_instance *instance,
 		       struct rj_error *err)
@@ -253,8 +251,8 @@
 }
 
 /*
- * The version of a list: a digest of it; a worker's address moves with its
- * incarnation.
+ * The version of a list, a digest of its instances; never 0. IP addresses are
+ * not included, because a worker's address changes only with its incarnation.
  */
 uint64_t rj_instances_version(const struct rj_instance *instances,
 			      uint32_t count)
@@ -274,8 +272,8 @@
 }
 
 /*
- * The list of instances with its version; without its lines when the caller
- * knows that version already.
+ * Encode the list of instances with its version; the instances are omitted if
+ * the version equals `known`.
  */
 char *rj_instances_encode(void *mem, const struct rj_instance *instances,
 			  uint32_t count, uint64_t known)
@@ -301,7 +299,7 @@
 }
 
 /*
- * What differs from the version `answer->since` in the list that is now of
+ * Encode the changes of the list from version `answer->since` to
  * `answer->version`.
  */
 char *rj_instances_encode_changes(void *mem,
@@ -328,7 +326,7 @@
 	return text;
 }
 
-/* Read the good lines of `list`; returns how many there are. */
+/* Decode the valid instances of `list`; returns their number. */
 static uint32_t decode_instances(const json_t *list,
 				 struct rj_instance *instances)
 {
@@ -348,7 +346,7 @@
 	return count;
 }
 
-/* The version of that field, or 0. */
+/* Decode a version; 0 if the field is missing. */
 static uint64_t decode_version(const json_t *json, const char *field)
 {
 	const char *text = json_string_value(json_object_get(json, field));
@@ -356,7 +354,7 @@
 	return text ? g_ascii_strtoull(text, NULL, 16) : 0;
 }
 
-/* Read the names of those that are no longer listed. */
+/* Decode the names of instances that are no longer listed. */
 static void decode_removed(void *mem, const json_t *list,
 			   struct rj_instances_answer *answer)
 {
@@ -378,9 +376,9 @@
 }
 
 /*
- * Read what the platform says of the list; a line that is not as it must be
- * is passed over, so that it does not hide who else is live or leaving.
- * Returns 0, or -1 with `err` when it is no list.
+ * Decode the platform's answer to a query of the list. An invalid entry is
+ * skipped, so that it does not hide other live or leaving instances. Returns
+ * 0, or -1 with `err` if the answer is not a list.
  */
 int rj_instances_decode(void *mem, const char *text,
 			struct rj_instances_answer *answer,
