--- a/src/libradishjunction/peer/peer_codec.c
+++ b/src/libradishjunction/peer/peer_codec.c
@@ -10,7 +10,7 @@
 #define HELLO_MAGIC "radishjunction"
 /* A published configuration fits into one frame; see RJ_FRAME_MAX_BYTES. */
 #define CONFIG_TEXT_MAX_BYTES (480 * 1024)
-/* Exposes a forwarding loop between failure domains. */
+/* A higher limit would hide a forwarding loop between failure domains. */
 #define HOPS_MAX 16
 
 static void encode_resources(struct rj_packer *writer,
@@ -92,8 +92,8 @@
 }
 
 /*
- * Decode RJ_PEER_HEARTBEAT. An older peer ends it at `wait_us`: its log
- * offsets are unreported and its message counts 0.
+ * Decode RJ_PEER_HEARTBEAT. The message of an older peer ends with `wait_us`;
+ * its log offsets are then unreported and its message counts 0.
  */
 static void decode_heartbeat(struct rj_unpacker *reader,
 			     struct rj_peer_heartbeat *heartbeat)
--- a/src/libradishjunction/peer/tcp_peers.c
+++ b/src/libradishjunction/peer/tcp_peers.c
@@ -40,7 +40,7 @@
 
 struct peer_link;
 
-/* An instance to keep connected, or with a link. */
+/* A peer that is to be kept connected or has a connection. */
 struct peer {
 	struct rj_tcp_peers_state *state;
 	char name[RJ_NAME_BYTES];
@@ -123,7 +123,8 @@
 
 /*
  * The connection has ended: count the reason, deliver RJ_EVENT_PEER_DOWN for
- * an established link and schedule a reconnect if the peer is to be kept.
+ * an established link and schedule a reconnect if the peer is to be kept
+ * connected.
  */
 static void on_closed(struct rj_peer_link *base,
 		      enum rj_peer_close_reason reason)
