--- a/src/libradishjunction/caller/caller_connections.c
+++ b/src/libradishjunction/caller/caller_connections.c
@@ -9,8 +9,8 @@
 #include "private/clock.h"
 
 /*
- * Start without connections. They are talloc children of `mem`; `mem` and
- * `connections` live as long as `loop` runs.
+ * Initialize without connections. They become talloc children of `mem`; `mem`
+ * and `connections` must live as long as `loop` runs.
  */
 void rj_caller_connections_init(struct rj_caller_connections *connections,
 				void *mem, struct tevent_context *loop,
@@ -24,28 +24,30 @@
 	connections->headers_limit_us = headers_limit_us;
 }
 
-static void arm(struct rj_caller_connections *connections);
+static void schedule_check(struct rj_caller_connections *connections);
 
 /*
- * End each connection whose next headers have not come within the limit.
+ * Shut down each connection that has not received its next headers within the
+ * limit.
  *
- * Guards against callers that send headers byte by byte: every byte counts as
- * activity for the HTTP library, which has no limit for headers as a whole.
- * Such connections would stand until they are as many as the limit, and every
- * other caller would be refused. The limit counts from the connection's start
- * or its last answer, which no caller can put off.
+ * Protects against callers that send headers byte by byte: the HTTP library
+ * counts every byte as activity and has no time limit for the headers as a
+ * whole, so such connections would accumulate up to the connection limit and
+ * all other callers would be refused. The limit runs from the start of the
+ * connection or its last answer, which a caller cannot postpone.
  *
- * Only the socket is shut down: the library sees its end and closes it.
+ * Only the socket is shut down; the library detects that and closes it.
  */
-static void on_timer(struct tevent_context *loop, struct tevent_timer *timer,
-		     struct timeval now, void *private_data)
+static void on_timer(struct tevent_context *loop,
+		     struct tevent_timer *check_timer, struct timeval now,
+		     void *private_data)
 {
 	struct rj_caller_connections *connections = private_data;
 	uint64_t now_us = rj_clock_now_us();
 	struct rj_list *at;
 	struct rj_list *next;
 
-	connections->timer = NULL; /* the event loop frees it */
+	connections->check_timer = NULL; /* the event loop frees it */
 	RJ_FOR_EACH (at, next, &connections->list) {
 		struct rj_caller_connection *connection =
 			RJ_CONTAINER(at, struct rj_caller_connection, link);
@@ -56,21 +58,21 @@
 			(void)shutdown(connection->fd, SHUT_RDWR);
 	}
 	if (connections->count)
-		arm(connections);
+		schedule_check(connections);
 }
 
-/* Look at all connections again after half of the limit. */
-static void arm(struct rj_caller_connections *connections)
+/* Check all connections again after half of the limit. */
+static void schedule_check(struct rj_caller_connections *connections)
 {
-	connections->timer = tevent_add_timer(
+	connections->check_timer = tevent_add_timer(
 		connections->loop, connections->mem,
 		rj_clock_timeval_in(connections->headers_limit_us / 2),
 		on_timer, connections);
-	assert(connections->timer);
+	assert(connections->check_timer);
 }
 
 /*
- * Take on the connection of socket `fd`, which stays the caller's.
+ * Add a connection with socket `fd`, which is not taken over.
  */
 struct rj_caller_connection *
 rj_caller_connection_open(struct rj_caller_connections *connections, int fd)
@@ -79,18 +81,18 @@
 		talloc_zero(connections->mem, struct rj_caller_connection);
 
 	assert(connection);
-	connection->all = connections;
+	connection->connections = connections;
 	connection->fd = fd;
 	connection->over_limit = ++connections->count > connections->max;
 	rj_list_append(&connections->list, &connection->link);
 	rj_caller_connection_idle(connection);
-	if (!connections->timer)
-		arm(connections);
+	if (!connections->check_timer)
+		schedule_check(connections);
 	return connection;
 }
 
 /*
- * The headers of a request have come: from here on other limits hold.
+ * The headers of a request are complete: the header limit no longer applies.
  */
 void rj_caller_connection_busy(struct rj_caller_connection *connection)
 {
@@ -98,7 +100,7 @@
 }
 
 /*
- * The request has ended: the next one's headers are awaited.
+ * The request has ended: the limit for the next headers starts.
  */
 void rj_caller_connection_idle(struct rj_caller_connection *connection)
 {
@@ -106,11 +108,11 @@
 }
 
 /*
- * The connection has ended; its memory is freed.
+ * Remove a connection that has ended and free it.
  */
 void rj_caller_connection_close(struct rj_caller_connection *connection)
 {
-	connection->all->count--;
+	connection->connections->count--;
 	rj_list_remove(&connection->link);
 	talloc_free(connection);
 }
--- a/src/libradishjunction/caller/http_callers.c
+++ b/src/libradishjunction/caller/http_callers.c
@@ -12,22 +12,22 @@
 #include "private/caller_request.h"
 #include "private/tcp_socket.h"
 
-/* So many connections above the limit still get a typed refusal. */
+/* Connections above the limit that are still answered with a refusal. */
 #define SPARE_CONNECTIONS 64
-/* Room for the headers that are allowed and a piece of the body. */
+/* Holds the largest permitted headers and a piece of the body. */
 #define CONNECTION_MEMORY_BYTES (24 * 1024)
-/* The headers of a request may begin when the connection is nearly idle for
- * too long, and take as long again. */
+/* Header limit in idle timeouts: headers may start just before the connection
+ * times out, and take one more idle timeout to arrive. */
 #define HEADERS_LIMIT_IDLES 2
 
-/* Take the request from those that wait for the core. */
-static void stop_waiting(struct rj_caller_request *request)
+/* The request no longer waits for the core. */
+static void remove_pending(struct rj_caller_request *request)
 {
-	g_hash_table_remove(request->state->asked, &request->id);
-	TALLOC_FREE(request->watch);
+	g_hash_table_remove(request->state->pending, &request->id);
+	TALLOC_FREE(request->disconnect_watch);
 }
 
-/* Let the daemon go on with a connection whose answer is set. */
+/* Resume a suspended connection whose answer is set. */
 static void resume(struct rj_caller_request *request)
 {
 	assert(request->suspended && request->answered);
@@ -36,8 +36,7 @@
 	rj_http_loop_kick(&request->state->loop);
 }
 
-/* The socket of a connection. */
-static int socket_of(struct MHD_Connection *connection)
+static int connection_socket(struct MHD_Connection *connection)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		connection, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -46,45 +45,46 @@
 }
 
 /*
- * The socket of a waiting caller can be read: it has left, or it has sent
- * its next request early, which is left in the socket.
+ * The socket of a waiting caller is readable: the caller has disconnected, or
+ * has pipelined its next request, which stays in the socket.
  */
 static void on_watch(struct tevent_context *loop, struct tevent_fd *event,
 		     uint16_t flags, void *private_data)
 {
 	struct rj_caller_request *request = private_data;
 	struct rj_http_callers_state *state = request->state;
-	struct rj_event gone = { .kind = RJ_EVENT_CALLER_DISCONNECTED };
+	struct rj_event disconnect = { .kind = RJ_EVENT_CALLER_DISCONNECTED };
 	char byte;
-	ssize_t got = recv(socket_of(request->connection), &byte, 1,
+	ssize_t got = recv(connection_socket(request->connection), &byte, 1,
 			   MSG_PEEK | MSG_DONTWAIT);
 
 	if (got < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
-	TALLOC_FREE(request->watch);
+	TALLOC_FREE(request->disconnect_watch);
 	if (got > 0)
 		return;
-	gone.u.request_id = request->id;
-	state->metrics.gone++;
-	stop_waiting(request);
+	disconnect.u.request_id = request->id;
+	state->metrics.disconnected++;
+	remove_pending(request);
 	request->status = MHD_HTTP_SERVICE_UNAVAILABLE;
 	request->content_type = "text/plain";
 	request->answered = true;
 	resume(request);
-	state->options.sink->deliver(state->options.sink, &gone);
+	state->options.sink->deliver(state->options.sink, &disconnect);
 }
 
-/* Set the connection aside until the core has answered. */
+/* Suspend the connection until the core has answered. */
 static void suspend(struct rj_caller_request *request)
 {
 	struct rj_http_callers_state *state = request->state;
 
 	request->suspended = true;
 	MHD_suspend_connection(request->connection);
-	request->watch = tevent_add_fd(state->options.loop, request,
-				       socket_of(request->connection),
-				       TEVENT_FD_READ, on_watch, request);
-	assert(request->watch);
+	request->disconnect_watch =
+		tevent_add_fd(state->options.loop, request,
+			      connection_socket(request->connection),
+			      TEVENT_FD_READ, on_watch, request);
+	assert(request->disconnect_watch);
 }
 
 /* Queue the response of an answered request. */
@@ -127,8 +127,9 @@
 	return result;
 }
 
-/* What on_connection keeps for a connection. */
-static struct rj_caller_connection *kept(struct MHD_Connection *connection)
+/* The connection state that on_connection stored. */
+static struct rj_caller_connection *
+connection_context(struct MHD_Connection *connection)
 {
 	return MHD_get_connection_info(connection,
 				       MHD_CONNECTION_INFO_SOCKET_CONTEXT)
@@ -136,8 +137,9 @@
 }
 
 /*
- * The daemon's call for a request: once with its headers, then with each
- * piece of its body, then at its end, and again after it was resumed.
+ * Request callback of libmicrohttpd: called once the headers are complete,
+ * for each piece of the body, after the last piece, and again after the
+ * connection was resumed.
  */
 static enum MHD_Result on_access(void *private_data,
 				 struct MHD_Connection *connection,
@@ -150,8 +152,9 @@
 
 	if (!request) {
 		request = rj_caller_request_begin(state, connection, method);
-		request->over_limit = kept(connection)->over_limit;
-		rj_caller_connection_busy(kept(connection));
+		request->over_limit =
+			connection_context(connection)->over_limit;
+		rj_caller_connection_busy(connection_context(connection));
 		*slot = request;
 		if (rj_caller_request_check_headers(request))
 			return respond(request);
@@ -160,8 +163,8 @@
 	if (*upload_length) {
 		rj_caller_request_append_body(request, upload, *upload_length);
 		*upload_length = 0;
-		/* A body sent byte by byte would never idle. */
-		if (rj_clock_now_us() - request->began_us >
+		/* A body sent byte by byte never triggers the idle timeout. */
+		if (rj_clock_now_us() - request->headers_received_us >
 		    state->options.idle_timeout_s * RJ_US_PER_S)
 			return MHD_NO;
 		return MHD_YES;
@@ -174,15 +177,15 @@
 	return MHD_YES;
 }
 
-/* The last byte was sent, or the connection ended before. */
+/* The answer was sent completely, or the connection ended before that. */
 static void on_completed(void *private_data, struct MHD_Connection *connection,
 			 void **slot, enum MHD_RequestTerminationCode code)
 {
 	TALLOC_FREE(*slot);
-	rj_caller_connection_idle(kept(connection));
+	rj_caller_connection_idle(connection_context(connection));
 }
 
-/* Keep the connections; one above the limit is marked for a refusal. */
+/* Track connections; one above the limit is marked, to be refused. */
 static void on_connection(void *private_data, struct MHD_Connection *connection,
 			  void **slot, enum MHD_ConnectionNotificationCode code)
 {
@@ -191,8 +194,8 @@
 	if (code == MHD_CONNECTION_NOTIFY_CLOSED)
 		rj_caller_connection_close(*slot);
 	else
-		*slot = rj_caller_connection_open(&state->connections,
-						  socket_of(connection));
+		*slot = rj_caller_connection_open(
+			&state->connections, connection_socket(connection));
 }
 
 /* See rj_callers_ops. */
@@ -201,43 +204,43 @@
 {
 	struct rj_http_callers *callers = (struct rj_http_callers *)base;
 	struct rj_caller_request *request =
-		g_hash_table_lookup(callers->state->asked, &request_id);
+		g_hash_table_lookup(callers->state->pending, &request_id);
 
 	if (!request)
 		return;
-	stop_waiting(request);
+	remove_pending(request);
 	rj_caller_request_answer(request, answer, NULL);
 	if (request->suspended)
 		resume(request);
 }
 
-/* Answer all that the core has taken and will not answer. */
-static void abandon_all(struct rj_http_callers_state *state)
+/* Answer all requests that wait for the core and will not be answered. */
+static void abandon_pending(struct rj_http_callers_state *state)
 {
 	struct rj_caller_request *request;
 	GHashTableIter iterator;
 
-	g_hash_table_iter_init(&iterator, state->asked);
+	g_hash_table_iter_init(&iterator, state->pending);
 	while (g_hash_table_iter_next(&iterator, NULL, (void **)&request)) {
 		g_hash_table_iter_remove(&iterator);
-		TALLOC_FREE(request->watch);
+		TALLOC_FREE(request->disconnect_watch);
 		rj_caller_request_abandon(request);
 		if (request->suspended)
 			resume(request);
 	}
 }
 
-/* Stop the daemon, which must not be while a connection is suspended. */
+/* Resume all suspended connections, as libmicrohttpd requires, and stop. */
 static void callers_finish(struct rj_callers *base)
 {
 	struct rj_http_callers *callers = (struct rj_http_callers *)base;
 	struct rj_http_callers_state *state = callers->state;
 
-	abandon_all(state);
+	abandon_pending(state);
 	MHD_run(state->daemon);
 	rj_http_loop_finish(&state->loop);
 	MHD_stop_daemon(state->daemon);
-	g_hash_table_destroy(state->asked);
+	g_hash_table_destroy(state->pending);
 	TALLOC_FREE(callers->state);
 }
 
@@ -247,7 +250,7 @@
 	.finish = callers_finish,
 };
 
-/* Messages of the library go where all others go. */
+/* Redirects the messages of libmicrohttpd to the log. */
 static void on_library_log(void *private_data, const char *format, va_list args)
 	__attribute__((format(printf, 2, 0)));
 
@@ -256,7 +259,7 @@
 	g_logv("libmicrohttpd", G_LOG_LEVEL_DEBUG, format, args);
 }
 
-/* Start the daemon on a socket that it owns from then on. */
+/* Start the HTTP daemon on `listener`; on success the daemon owns it. */
 static struct MHD_Daemon *start_daemon(struct rj_http_callers_state *state,
 				       int listener)
 {
@@ -297,7 +300,7 @@
 		&state->connections, state, options->loop,
 		options->connections_max,
 		HEADERS_LIMIT_IDLES * options->idle_timeout_s * RJ_US_PER_S);
-	listener = rj_tcp_listen(&options->address, &state->bound, err);
+	listener = rj_tcp_listen(&options->address, &state->bound_address, err);
 	if (listener < 0)
 		goto free_state;
 	state->daemon = start_daemon(state, listener);
@@ -307,7 +310,7 @@
 			     "the limit of open files");
 		goto close_listener;
 	}
-	state->asked = g_hash_table_new(g_int64_hash, g_int64_equal);
+	state->pending = g_hash_table_new(g_int64_hash, g_int64_equal);
 	if (!options->deferred)
 		rj_http_loop_init(&state->loop, state, options->loop,
 				  state->daemon);
@@ -323,12 +326,11 @@
 }
 
 /*
- * Serve from now on, where the options deferred it.
+ * Start serving, if the options deferred it.
  *
- * Guards against refusals by an instance that has just started: callers that
- * reach it before it has its configuration, from a balancer that does not ask
- * whether it is ready, wait in the listening socket for the moment that this
- * takes instead of being told "not run".
+ * A balancer that does not check readiness may send callers to an instance
+ * that has no configuration yet. Until this call they wait in the listen
+ * backlog instead of being refused with "not run".
  */
 void rj_http_callers_serve(struct rj_http_callers *callers)
 {
@@ -340,16 +342,16 @@
 }
 
 /*
- * Where callers are served, with the port that was given.
+ * The address on which callers are served, with the assigned port.
  */
 struct rj_address rj_http_callers_address(const struct rj_http_callers *callers)
 {
-	return callers->state->bound;
+	return callers->state->bound_address;
 }
 
 /*
- * Not ready from now on, and every answer closes its connection, so that
- * callers turn to other instances.
+ * Report not ready from now on and close each connection after its answer, so
+ * that callers move to other instances.
  */
 void rj_http_callers_drain(struct rj_http_callers *callers)
 {
@@ -357,12 +359,11 @@
 }
 
 /*
- * Take no more connections; those that stand are served on.
+ * Accept no more connections; established ones are still served.
  *
- * Guards against callers that connect while the process ends: a connection
- * that is refused can be tried elsewhere without a doubt, one that is reset
- * after the request was sent cannot. Those that the system had taken for the
- * daemon are served first.
+ * A caller whose connection is refused can safely retry at another instance;
+ * one whose connection is reset after it sent its request cannot. Connections
+ * already in the listen backlog are therefore accepted first.
  */
 void rj_http_callers_stop_listening(struct rj_http_callers *callers)
 {
@@ -376,20 +377,20 @@
 }
 
 /*
- * The core takes no more events: what it has not answered is answered
- * `unknown` now, and what still comes is refused here.
+ * Deliver no more events to the core: pending requests are answered `unknown`
+ * and later requests are refused.
  *
- * Guards against requests that come while the last answers are sent: the
- * core would pass over them, and their callers would wait in vain.
+ * Without this, the core would ignore requests that arrive while the last
+ * answers are sent, and their callers would never get an answer.
  */
 void rj_http_callers_stop_dispatch(struct rj_http_callers *callers)
 {
-	callers->state->closed = true;
-	abandon_all(callers->state);
+	callers->state->dispatch_stopped = true;
+	abandon_pending(callers->state);
 }
 
 /*
- * Requests whose answer has not been sent whole.
+ * The number of requests whose answer has not been sent completely.
  */
 uint32_t rj_http_callers_open_requests(const struct rj_http_callers *callers)
 {
@@ -397,7 +398,7 @@
 }
 
 /*
- * Connections that stand, also those without a request.
+ * The number of open connections, including those without a request.
  */
 uint32_t rj_http_callers_connections(const struct rj_http_callers *callers)
 {
--- a/src/libradishjunction/peer/peer_link.c
+++ b/src/libradishjunction/peer/peer_link.c
@@ -9,10 +9,10 @@
 
 #include "private/clock.h"
 
-/* Two round trips, also over a slow link between regions. */
+/* Covers two round trips on a slow link between regions. */
 #define HANDSHAKE_LIMIT_US (5 * RJ_US_PER_S)
 
-/* Seal and queue one frame. */
+/* Queue one frame with its MAC. */
 static void send_sealed(struct rj_peer_link *link, struct rj_bytes body)
 {
 	uint8_t mac[RJ_PEER_MAC_BYTES];
@@ -22,7 +22,7 @@
 	rj_tcp_link_send(&link->tcp, parts, 2);
 }
 
-/* The reason to close after a bad frame. */
+/* The close reason for the error of a rejected frame. */
 static enum rj_peer_close_reason close_reason(const struct rj_error *err)
 {
 	switch (err->kind) {
@@ -37,37 +37,41 @@
 	}
 }
 
-/* The first frame: learn who it is and prove the key. */
-static int take_hello(struct rj_peer_link *link, struct rj_bytes frame,
-		      struct rj_error *err)
+/* Handle the first frame, the remote hello, and reply with the key proof. */
+static int receive_hello(struct rj_peer_link *link, struct rj_bytes frame,
+			 struct rj_error *err)
 {
 	static const struct rj_bytes nothing = { NULL, 0 };
-	const struct rj_peer_hello *other = &link->session.other;
+	const struct rj_peer_hello *remote = &link->session.remote;
 
 	if (rj_peer_session_receive_hello(&link->session, frame, err))
 		return -1;
-	if (link->expected && strcmp(other->name, link->expected) != 0)
+	if (link->expected_name &&
+	    strcmp(remote->name, link->expected_name) != 0)
 		return rj_error_set(err, RJ_ERR_CONFLICT,
 				    "hello: %s answers at the address of %s; "
 				    "correct the peers of the settings",
-				    other->name, link->expected);
+				    remote->name, link->expected_name);
 	link->hello_received = true;
 	send_sealed(link, nothing);
 	return 0;
 }
 
-/* The first sealed frame proves the key: larger ones may follow. */
-static void take_proof(struct rj_peer_link *link)
+/*
+ * The first frame with a valid MAC proves the shared key: mark the link as
+ * authenticated and accept frames of the full size.
+ */
+static void receive_proof(struct rj_peer_link *link)
 {
-	TALLOC_FREE(link->deadline);
-	link->proven = true;
+	TALLOC_FREE(link->handshake_timer);
+	link->authenticated = true;
 	link->tcp.frame_max = RJ_FRAME_MAX_BYTES;
-	link->ops->proven(link);
+	link->ops->authenticated(link);
 }
 
-/* A later frame: check it and hand its message to the owner. */
-static int take_sealed(struct rj_peer_link *link, struct rj_bytes frame,
-		       struct rj_error *err)
+/* Verify a frame after the hello and deliver its message to the owner. */
+static int receive_sealed(struct rj_peer_link *link, struct rj_bytes frame,
+			  struct rj_error *err)
 {
 	struct rj_peer_message message;
 	struct rj_bytes body;
@@ -75,8 +79,8 @@
 
 	if (rj_peer_session_open(&link->session, frame, &body, err))
 		return -1;
-	if (!link->proven) {
-		take_proof(link);
+	if (!link->authenticated) {
+		receive_proof(link);
 		return 0;
 	}
 	mem = talloc_new(NULL);
@@ -90,8 +94,8 @@
 }
 
 /*
- * A frame has come. A bad one closes its link and nothing else: what one
- * peer sends wrongly must not cut this instance off from the others.
+ * Handle one received frame. An invalid frame closes only this link, so that
+ * a faulty peer does not affect the links to others.
  */
 static void on_frame(struct rj_tcp_link *tcp, struct rj_bytes frame)
 {
@@ -100,16 +104,16 @@
 	int failed;
 
 	if (!link->hello_received)
-		failed = take_hello(link, frame, &err);
+		failed = receive_hello(link, frame, &err);
 	else
-		failed = take_sealed(link, frame, &err);
+		failed = receive_sealed(link, frame, &err);
 	if (!failed)
 		return;
 	g_info("peer link closed: %s", err.message);
 	rj_tcp_link_close(tcp, close_reason(&err));
 }
 
-/* The connection stands: introduce this instance. */
+/* Send the local hello once the connection is established. */
 static void on_connected(struct rj_tcp_link *tcp)
 {
 	struct rj_peer_link *link = (struct rj_peer_link *)tcp;
@@ -119,7 +123,6 @@
 	rj_tcp_link_send(tcp, &hello, 1);
 }
 
-/* The connection has ended, whoever ended it. */
 static void on_closed(struct rj_tcp_link *tcp, enum rj_peer_close_reason reason)
 {
 	struct rj_peer_link *link = (struct rj_peer_link *)tcp;
@@ -133,25 +136,25 @@
 	.closed = on_closed,
 };
 
-/* The other side did not prove itself in time. */
+/* The remote side did not authenticate in time. */
 static void on_deadline(struct tevent_context *loop, struct tevent_timer *timer,
 			struct timeval now, void *private_data)
 {
 	struct rj_peer_link *link = private_data;
 
-	link->deadline = NULL;
+	link->handshake_timer = NULL;
 	rj_tcp_link_close(&link->tcp, RJ_PEER_CLOSE_TIMEOUT);
 }
 
 /*
- * Start the handshake over `fd`; `expected` is who the connection goes out
- * to, or NULL if it came in, and lives as long as the link. What the link
- * needs is a talloc child of `mem`.
+ * Start the handshake on `fd`. `expected_name` is the remote instance of an
+ * outgoing connection, NULL for an incoming one; it must outlive the link. The
+ * link allocates from `mem`.
  */
 void rj_peer_link_init(struct rj_peer_link *link, void *mem,
 		       const struct rj_peer_link_ops *ops,
 		       const struct rj_tcp_peers_options *options, int fd,
-		       const char *expected)
+		       const char *expected_name)
 {
 	struct rj_peer_hello hello = {
 		.version = RJ_PEER_VERSION,
@@ -163,30 +166,30 @@
 	rj_name_set(hello.domain, options->domain);
 	randombytes_buf(hello.nonce, sizeof(hello.nonce));
 	link->ops = ops;
-	link->expected = expected;
+	link->expected_name = expected_name;
 	link->hello_received = false;
-	link->proven = false;
+	link->authenticated = false;
 	rj_peer_session_init(&link->session, options->key, &hello);
 	rj_tcp_link_init(&link->tcp, mem, &tcp_ops, options->loop, fd,
-			 expected != NULL);
+			 expected_name != NULL);
 	link->tcp.frame_max = RJ_PEER_HELLO_MAX_BYTES;
-	link->deadline = tevent_add_timer(
+	link->handshake_timer = tevent_add_timer(
 		options->loop, mem, rj_clock_timeval_in(HANDSHAKE_LIMIT_US),
 		on_deadline, link);
-	assert(link->deadline);
-	if (!expected)
+	assert(link->handshake_timer);
+	if (!expected_name)
 		on_connected(&link->tcp);
 }
 
 /*
- * Queue a message on a proven link; one that has ended takes none.
+ * Queue a message on an authenticated link; dropped if the link has ended.
  */
 void rj_peer_link_send(struct rj_peer_link *link,
 		       const struct rj_peer_message *message)
 {
 	struct rj_bytes body;
 
-	assert(link->proven);
+	assert(link->authenticated);
 	if (link->tcp.ended)
 		return;
 	body = rj_peer_encode(NULL, message);
@@ -204,10 +207,11 @@
 }
 
 /*
- * Close the socket at once and free what the link holds.
+ * Close the socket immediately and free the link's resources; `closed` is not
+ * called any more.
  */
 void rj_peer_link_finish(struct rj_peer_link *link)
 {
-	TALLOC_FREE(link->deadline);
+	TALLOC_FREE(link->handshake_timer);
 	rj_tcp_link_finish(&link->tcp);
 }
--- a/src/libradishjunction/peer/peer_session.c
+++ b/src/libradishjunction/peer/peer_session.c
@@ -6,26 +6,26 @@
 #include <talloc.h>
 
 /*
- * Start a session that introduces itself with `own`, under the shared key
- * given as text of any length.
+ * Start a session whose hello is `local`. `key` is the shared key as text of
+ * any length.
  */
 void rj_peer_session_init(struct rj_peer_session *session, const char *key,
-			  const struct rj_peer_hello *own)
+			  const struct rj_peer_hello *local)
 {
 	struct rj_bytes bytes;
 
 	memset(session, 0, sizeof(*session));
-	session->own = *own;
+	session->local = *local;
 	crypto_generichash(session->shared_key, RJ_PEER_KEY_BYTES,
 			   (const uint8_t *)key, strlen(key), NULL, 0);
-	bytes = rj_peer_hello_encode(NULL, own);
+	bytes = rj_peer_hello_encode(NULL, local);
 	assert(bytes.length <= RJ_PEER_HELLO_MAX_BYTES);
 	memcpy(session->local_hello, bytes.data, bytes.length);
 	session->local_hello_length = bytes.length;
 	talloc_free((void *)bytes.data);
 }
 
-/* The key for the frames of the side called `name`. */
+/* Derive the key for the frames that instance `name` sends. */
 static void direction_key(uint8_t key[RJ_PEER_KEY_BYTES],
 			  const uint8_t link_key[RJ_PEER_KEY_BYTES],
 			  const char *name)
@@ -36,17 +36,18 @@
 
 /*
  * Derive the keys of both directions from the shared key and both hellos,
- * the one of the lower name first, so that both sides agree.
+ * that of the lower name first, so that both sides compute the same keys.
  *
- * The hellos hold both nonces, names and versions: frames of an earlier
- * link, of another pair or after a changed version do not verify.
+ * The hellos contain both nonces, names and versions: frames of an earlier
+ * link, of another pair or with a modified version fail verification.
  */
 static void derive_keys(struct rj_peer_session *session, struct rj_bytes hello)
 {
-	struct rj_bytes own = { session->local_hello,
-				session->local_hello_length };
-	bool lower = strcmp(session->own.name, session->other.name) < 0;
-	struct rj_bytes parts[2] = { lower ? own : hello, lower ? hello : own };
+	struct rj_bytes local = { session->local_hello,
+				  session->local_hello_length };
+	bool lower = strcmp(session->local.name, session->remote.name) < 0;
+	struct rj_bytes parts[2] = { lower ? local : hello,
+				     lower ? hello : local };
 	uint8_t link_key[RJ_PEER_KEY_BYTES];
 	crypto_generichash_state state;
 
@@ -61,16 +62,16 @@
 					  parts[i].length);
 	}
 	crypto_generichash_final(&state, link_key, RJ_PEER_KEY_BYTES);
-	direction_key(session->send_key, link_key, session->own.name);
-	direction_key(session->receive_key, link_key, session->other.name);
+	direction_key(session->send_key, link_key, session->local.name);
+	direction_key(session->receive_key, link_key, session->remote.name);
 }
 
 /*
- * Take the hello of the other side and agree on the lower version.
+ * Process the remote hello: agree on the lower version and derive the keys.
  *
- * A hello with one's own name is refused. Guards against a stranger that
- * sends each frame back: with one name both directions would have one key,
- * and the stranger would look like a peer that knows the secret.
+ * A hello with the local name is rejected, against reflection attacks: with
+ * equal names both directions would use the same key, and a remote side that
+ * echoes each frame would authenticate without the shared key.
  *
  * Returns 0, or -1 with `err` of kind RJ_ERR_MALFORMED, RJ_ERR_VERSION or
  * RJ_ERR_CONFLICT (the name).
@@ -78,35 +79,35 @@
 int rj_peer_session_receive_hello(struct rj_peer_session *session,
 				  struct rj_bytes hello, struct rj_error *err)
 {
-	const struct rj_peer_hello *own = &session->own;
-	struct rj_peer_hello *other = &session->other;
+	const struct rj_peer_hello *local = &session->local;
+	struct rj_peer_hello *remote = &session->remote;
 
 	if (hello.length > RJ_PEER_HELLO_MAX_BYTES)
 		return rj_error_set(err, RJ_ERR_MALFORMED,
-				    "hello: %u bytes; at most %u are taken",
+				    "hello: %u bytes; at most %u are accepted",
 				    hello.length, RJ_PEER_HELLO_MAX_BYTES);
-	if (rj_peer_hello_decode(hello, other, err))
+	if (rj_peer_hello_decode(hello, remote, err))
 		return -1;
-	if (strcmp(other->name, own->name) == 0)
+	if (strcmp(remote->name, local->name) == 0)
 		return rj_error_set(err, RJ_ERR_CONFLICT,
 				    "hello: the name %s is this instance's "
 				    "own; give each instance its own name",
-				    other->name);
-	session->version =
-		own->version < other->version ? own->version : other->version;
-	if (session->version < own->version_min ||
-	    session->version < other->version_min)
-		return rj_error_set(err, RJ_ERR_VERSION,
-				    "hello: %s speaks versions %u to %u, this "
-				    "instance %u to %u; replace the older one",
-				    other->name, other->version_min,
-				    other->version, own->version_min,
-				    own->version);
+				    remote->name);
+	session->version = local->version < remote->version ? local->version :
+							      remote->version;
+	if (session->version < local->version_min ||
+	    session->version < remote->version_min)
+		return rj_error_set(
+			err, RJ_ERR_VERSION,
+			"hello: %s supports versions %u to %u, this "
+			"instance %u to %u; replace the older one",
+			remote->name, remote->version_min, remote->version,
+			local->version_min, local->version);
 	derive_keys(session, hello);
 	return 0;
 }
 
-/* The MAC of `body` as frame number `number`. */
+/* Compute the MAC of `body` as frame `number` of its direction. */
 static void frame_mac(uint8_t mac[RJ_PEER_MAC_BYTES],
 		      const uint8_t key[RJ_PEER_KEY_BYTES], uint64_t number,
 		      struct rj_bytes body)
@@ -125,8 +126,8 @@
 }
 
 /*
- * Make the MAC of the next frame to send. Frames are sent in the order in
- * which they are sealed, the MAC before the body.
+ * Compute the MAC of the next frame to send. Frames must be sent in the order
+ * in which they are sealed, the MAC before the body.
  */
 void rj_peer_session_seal(struct rj_peer_session *session,
 			  uint8_t mac[RJ_PEER_MAC_BYTES], struct rj_bytes body)
@@ -135,11 +136,11 @@
 }
 
 /*
- * Check the next frame that was received; `*body` points into it.
+ * Verify the next received frame; `*body` points into it.
  *
- * Guards against a frame that is replayed, reordered or left out on the way:
- * a forwarded job would arrive twice, or an old capacity would win. The
- * number of the frame is part of its MAC, so any other order fails here.
+ * Detects frames that were replayed, reordered or dropped in transit, which
+ * would submit a forwarded job twice or restore an outdated capacity. The
+ * frame number is covered by the MAC, so any other order fails verification.
  *
  * Returns 0, or -1 with `err` of kind RJ_ERR_UNAUTHORIZED.
  */
@@ -161,5 +162,5 @@
 			    "frame %llu from %s: the MAC does not verify; "
 			    "give all instances the same peer_key",
 			    (unsigned long long)session->received,
-			    session->other.name);
+			    session->remote.name);
 }
--- a/src/libradishjunction/peer/tcp_link.c
+++ b/src/libradishjunction/peer/tcp_link.c
@@ -8,13 +8,13 @@
 #include <tevent.h>
 #include <unistd.h>
 
-#define LENGTH_BYTES 4
-/* Read so much at a time, so that one busy link does not starve others. */
-#define READ_BYTES (64 * 1024)
-/* An empty buffer above this is given back. */
+#define FRAME_LENGTH_BYTES 4
+/* Limit of one read, so that a busy link does not starve the others. */
+#define READ_MAX_BYTES (64 * 1024)
+/* An empty buffer larger than this is freed. */
 #define IDLE_BUFFER_BYTES (64 * 1024)
 
-/* Make room for `length` more bytes at the end of `buffer`. */
+/* Ensure space for `length` more bytes at the end of `buffer`. */
 static void buffer_reserve(struct rj_link_buffer *buffer, void *mem,
 			   uint32_t length)
 {
@@ -37,8 +37,8 @@
 	buffer->capacity = capacity;
 }
 
-/* Take `length` bytes from the front; an empty large buffer is freed. */
-static void buffer_take(struct rj_link_buffer *buffer, uint32_t length)
+/* Remove `length` bytes from the front; a large buffer is freed when empty. */
+static void buffer_consume(struct rj_link_buffer *buffer, uint32_t length)
 {
 	assert(buffer->end - buffer->start >= length);
 	buffer->start += length;
@@ -52,7 +52,7 @@
 	buffer->capacity = 0;
 }
 
-/* Report the end of the link from the event loop. */
+/* Report the end of the link to its owner, from the event loop. */
 static void on_closing(struct tevent_context *loop,
 		       struct tevent_immediate *closing, void *private_data)
 {
@@ -62,11 +62,11 @@
 }
 
 /*
- * End the link: nothing is read or sent any more, and `closed` is called
- * from the event loop. Only the first reason counts.
+ * End the link: nothing more is read or sent, and `closed` is called from the
+ * event loop. Only the first reason is kept.
  *
- * The call comes later because frames are handled within loops over the
- * link's own buffer, which the owner frees in `closed`.
+ * The call is deferred because frames are handled while iterating over the
+ * link's buffer, which the owner may free in `closed`.
  */
 void rj_tcp_link_close(struct rj_tcp_link *link,
 		       enum rj_peer_close_reason reason)
@@ -79,8 +79,8 @@
 	tevent_schedule_immediate(link->closing, link->loop, on_closing, link);
 }
 
-/* The length at the front of the read buffer. */
-static uint32_t next_length(const struct rj_tcp_link *link)
+/* The length prefix at the front of the read buffer, in bytes. */
+static uint32_t next_frame_length(const struct rj_tcp_link *link)
 {
 	const uint8_t *data = link->in.data + link->in.start;
 
@@ -88,44 +88,44 @@
 	       (uint32_t)data[2] << 8 | data[3];
 }
 
-/* Hand over each whole frame of the read buffer. */
-static void take_frames(struct rj_tcp_link *link)
+/* Deliver each complete frame of the read buffer to the owner. */
+static void receive_frames(struct rj_tcp_link *link)
 {
 	struct rj_link_buffer *in = &link->in;
 
-	while (!link->ended && in->end - in->start >= LENGTH_BYTES) {
-		uint32_t length = next_length(link);
+	while (!link->ended && in->end - in->start >= FRAME_LENGTH_BYTES) {
+		uint32_t length = next_frame_length(link);
 		struct rj_bytes frame;
 
 		if (length > link->frame_max) {
 			rj_tcp_link_close(link, RJ_PEER_CLOSE_OVERSIZED);
 			return;
 		}
-		if (in->end - in->start < LENGTH_BYTES + length)
+		if (in->end - in->start < FRAME_LENGTH_BYTES + length)
 			return;
-		frame.data = in->data + in->start + LENGTH_BYTES;
+		frame.data = in->data + in->start + FRAME_LENGTH_BYTES;
 		frame.length = length;
 		link->ops->frame(link, frame);
-		buffer_take(in, LENGTH_BYTES + length);
+		buffer_consume(in, FRAME_LENGTH_BYTES + length);
 	}
 }
 
-/* Whether a failed call on the socket only asks to come back later. */
+/* Whether a failed socket call should be retried later. */
 static bool is_transient(int error)
 {
 	return error == EAGAIN || error == EWOULDBLOCK || error == EINTR;
 }
 
-/* Read what has come, up to a bound, and handle its frames. */
+/* Read up to READ_MAX_BYTES and handle the complete frames. */
 static void on_readable(struct rj_tcp_link *link)
 {
 	ssize_t got;
 
-	buffer_reserve(&link->in, link->mem, READ_BYTES);
-	got = recv(link->fd, link->in.data + link->in.end, READ_BYTES, 0);
+	buffer_reserve(&link->in, link->mem, READ_MAX_BYTES);
+	got = recv(link->fd, link->in.data + link->in.end, READ_MAX_BYTES, 0);
 	if (got > 0) {
 		link->in.end += (uint32_t)got;
-		take_frames(link);
+		receive_frames(link);
 		return;
 	}
 	if (got == 0)
@@ -134,7 +134,7 @@
 		rj_tcp_link_close(link, RJ_PEER_CLOSE_IO);
 }
 
-/* Send what is queued, as far as the socket takes it. */
+/* Send queued bytes with one call. */
 static void on_writable(struct rj_tcp_link *link)
 {
 	struct rj_link_buffer *out = &link->out;
@@ -144,7 +144,7 @@
 		sent = send(link->fd, out->data + out->start,
 			    out->end - out->start, MSG_NOSIGNAL);
 		if (sent > 0)
-			buffer_take(out, (uint32_t)sent);
+			buffer_consume(out, (uint32_t)sent);
 		else if (sent < 0 && !is_transient(errno))
 			rj_tcp_link_close(link, RJ_PEER_CLOSE_IO);
 	}
@@ -152,7 +152,7 @@
 		TEVENT_FD_NOT_WRITEABLE(link->fd_event);
 }
 
-/* The outcome of a connect that was under way. */
+/* Handle the result of a non-blocking connect. */
 static void on_connect_done(struct rj_tcp_link *link)
 {
 	int error = 0;
@@ -167,7 +167,7 @@
 	link->ops->connected(link);
 }
 
-/* The socket can be read or written. */
+/* Handle readiness of the socket. */
 static void on_fd(struct tevent_context *loop, struct tevent_fd *fd_event,
 		  uint16_t flags, void *private_data)
 {
@@ -184,9 +184,9 @@
 }
 
 /*
- * Start a link over `fd`, which is non-blocking and belongs to the link from
- * now on. With `connecting`, `connected` is called when the connection
- * stands. Buffers are talloc children of `mem`, which outlives the link.
+ * Start a link on `fd`, a non-blocking socket that the link takes over. With
+ * `connecting`, `connected` is called once the connection is established.
+ * Buffers are talloc children of `mem`, which must outlive the link.
  */
 void rj_tcp_link_init(struct rj_tcp_link *link, void *mem,
 		      const struct rj_tcp_link_ops *ops,
@@ -209,14 +209,15 @@
 }
 
 /*
- * Queue one frame made of `count` parts. A link whose queue is full is
- * closed: the other side has stopped reading, and what waits grows old.
+ * Queue one frame, the concatenation of `count` parts. A link whose queue is
+ * full is closed: the remote side has stopped reading, and the queued frames
+ * would be outdated.
  */
 void rj_tcp_link_send(struct rj_tcp_link *link, const struct rj_bytes *parts,
 		      uint32_t count)
 {
 	struct rj_link_buffer *out = &link->out;
-	uint8_t prefix[LENGTH_BYTES];
+	uint8_t prefix[FRAME_LENGTH_BYTES];
 	uint32_t length = 0;
 
 	if (link->ended)
@@ -224,16 +225,17 @@
 	for (uint32_t i = 0; i < count; i++)
 		length += parts[i].length;
 	assert(length <= RJ_FRAME_MAX_BYTES);
-	if (out->end - out->start + LENGTH_BYTES + length >
+	if (out->end - out->start + FRAME_LENGTH_BYTES + length >
 	    RJ_LINK_QUEUE_MAX_BYTES) {
 		rj_tcp_link_close(link, RJ_PEER_CLOSE_QUEUE_FULL);
 		return;
 	}
-	for (uint32_t i = 0; i < LENGTH_BYTES; i++)
-		prefix[i] = (uint8_t)(length >> (8 * (LENGTH_BYTES - 1 - i)));
-	buffer_reserve(out, link->mem, LENGTH_BYTES + length);
-	memcpy(out->data + out->end, prefix, LENGTH_BYTES);
-	out->end += LENGTH_BYTES;
+	for (uint32_t i = 0; i < FRAME_LENGTH_BYTES; i++)
+		prefix[i] =
+			(uint8_t)(length >> (8 * (FRAME_LENGTH_BYTES - 1 - i)));
+	buffer_reserve(out, link->mem, FRAME_LENGTH_BYTES + length);
+	memcpy(out->data + out->end, prefix, FRAME_LENGTH_BYTES);
+	out->end += FRAME_LENGTH_BYTES;
 	for (uint32_t i = 0; i < count; i++) {
 		if (parts[i].length)
 			memcpy(out->data + out->end, parts[i].data,
@@ -244,8 +246,8 @@
 }
 
 /*
- * Send what is queued at once, as far as the socket takes it; for the last
- * frames before the link is finished.
+ * Send queued frames immediately, as far as the socket accepts them without
+ * blocking; for the last frames before the link is finished.
  */
 void rj_tcp_link_flush(struct rj_tcp_link *link)
 {
@@ -254,7 +256,7 @@
 }
 
 /*
- * Close the socket and free the buffers, also of a link that has not ended;
+ * Close the socket and free the buffers, even if the link has not ended;
  * `closed` is not called any more.
  */
 void rj_tcp_link_finish(struct rj_tcp_link *link)
--- a/src/libradishjunction/peer/tcp_peers.c
+++ b/src/libradishjunction/peer/tcp_peers.c
@@ -13,14 +13,14 @@
 #include "private/peer_link.h"
 #include "private/tcp_socket.h"
 
-/* Strangers hold at most so many connections at once. */
-#define UNPROVEN_MAX 64
-/* Reconnects back off from here to there, doubling. */
-#define RETRY_FIRST_US (100 * RJ_US_PER_MS)
-#define RETRY_MAX_US (5 * RJ_US_PER_S)
-/* The side with the higher name first leaves it to the other to connect. */
-#define HIGHER_NAME_WAIT_US (1 * RJ_US_PER_S)
-/* Without a free descriptor an accept fails and would be tried at once. */
+/* Limit of concurrent incoming connections that have not authenticated. */
+#define UNAUTHENTICATED_MAX 64
+/* Reconnect delays double from the minimum to the maximum. */
+#define RETRY_DELAY_MIN_US (100 * RJ_US_PER_MS)
+#define RETRY_DELAY_MAX_US (5 * RJ_US_PER_S)
+/* Lets the side with the lower name connect first. */
+#define HIGHER_NAME_DELAY_US (1 * RJ_US_PER_S)
+/* Pause after accept failed for lack of a free file descriptor. */
 #define ACCEPT_PAUSE_US (100 * RJ_US_PER_MS)
 
 const char *const rj_peer_close_reason_string[RJ_PEER_CLOSE_COUNT] = {
@@ -40,43 +40,43 @@
 
 struct peer_link;
 
-/* An instance that is wanted or linked. */
+/* A peer that is to be kept connected or has a connection. */
 struct peer {
 	struct rj_tcp_peers_state *state;
 	char name[RJ_NAME_BYTES];
 	struct rj_address address;
-	bool wanted; /* keep a link */
-	uint32_t failures; /* since a link last stood */
-	struct peer_link *link; /* proven */
-	struct peer_link *attempt; /* going out, not yet proven */
-	struct tevent_timer *retry;
+	bool keep_connected; /* requested by the core */
+	uint32_t failures; /* since the last established link */
+	struct peer_link *link; /* authenticated */
+	struct peer_link *attempt; /* outgoing, not yet authenticated */
+	struct tevent_timer *retry_timer;
 };
 
-/* A connection, proven or not. */
+/* A connection, authenticated or not. */
 struct peer_link {
 	struct rj_peer_link base; /* first member, always */
 	struct rj_tcp_peers_state *state;
 	struct rj_list node; /* in the state's links */
-	struct peer *attempt_of; /* of a connection that went out */
+	struct peer *outgoing_peer; /* NULL if incoming */
 };
 
 struct rj_tcp_peers_state {
 	struct rj_tcp_peers_options options;
-	struct rj_address bound;
+	struct rj_address bound_address;
 	int listener;
 	struct tevent_fd *listener_event;
 	struct tevent_timer *accept_pause;
 	GHashTable *peers; /* name -> struct peer */
 	struct rj_list links;
-	uint32_t unproven_incoming;
+	uint32_t unauthenticated_incoming;
 	uint64_t random;
 	uint64_t closed[RJ_PEER_CLOSE_COUNT];
 };
 
 static void schedule_retry(struct peer *peer);
 
-/* The entry of `name`, made if there is none. */
-static struct peer *peer_get(struct rj_tcp_peers_state *state, const char *name)
+static struct peer *peer_find_or_create(struct rj_tcp_peers_state *state,
+					const char *name)
 {
 	struct peer *peer = g_hash_table_lookup(state->peers, name);
 
@@ -90,16 +90,16 @@
 	return peer;
 }
 
-/* Forget a peer that nobody wants and that has no connection. */
+/* Free a peer without a connection that is not to be kept connected. */
 static void peer_release(struct peer *peer)
 {
-	if (peer->wanted || peer->link || peer->attempt)
+	if (peer->keep_connected || peer->link || peer->attempt)
 		return;
 	g_hash_table_remove(peer->state->peers, peer->name);
 	talloc_free(peer);
 }
 
-/* Tell the sink that a link stands, ended or brought a message. */
+/* Deliver an event of the link to peer `name`; `message` may be NULL. */
 static void deliver(struct rj_tcp_peers_state *state, enum rj_event_kind kind,
 		    const char *name, const struct rj_peer_message *message)
 {
@@ -110,29 +110,32 @@
 	state->options.sink->deliver(state->options.sink, &event);
 }
 
-/* Free a link and its socket. */
 static void link_free(struct peer_link *link)
 {
 	struct rj_tcp_peers_state *state = link->state;
 
-	if (!link->attempt_of && !link->base.proven)
-		state->unproven_incoming--;
+	if (!link->outgoing_peer && !link->base.authenticated)
+		state->unauthenticated_incoming--;
 	rj_list_remove(&link->node);
 	rj_peer_link_finish(&link->base);
 	talloc_free(link);
 }
 
-/* The connection has ended: tell, count and, if it is wanted, come back. */
+/*
+ * The connection has ended: count the reason, deliver RJ_EVENT_PEER_DOWN for
+ * an established link and schedule a reconnect if the peer is to be kept
+ * connected.
+ */
 static void on_closed(struct rj_peer_link *base,
 		      enum rj_peer_close_reason reason)
 {
 	struct peer_link *link = (struct peer_link *)base;
-	const char *name = base->session.other.name;
+	const char *name = base->session.remote.name;
 	struct rj_tcp_peers_state *state = link->state;
-	struct peer *peer = link->attempt_of;
+	struct peer *peer = link->outgoing_peer;
 
 	state->closed[reason]++;
-	if (base->proven)
+	if (base->authenticated)
 		peer = g_hash_table_lookup(state->peers, name);
 	if (peer && peer->attempt == link) {
 		peer->attempt = NULL;
@@ -149,60 +152,61 @@
 	link_free(link);
 	if (!peer)
 		return;
-	if (peer->wanted)
+	if (peer->keep_connected)
 		schedule_retry(peer);
 	peer_release(peer);
 }
 
-/* The instance that made the connection. */
+/* The name of the instance that opened the connection. */
 static const char *initiator(const struct rj_peer_link *link)
 {
-	return link->expected ? link->session.own.name :
-				link->session.other.name;
+	return link->expected_name ? link->session.local.name :
+				     link->session.remote.name;
 }
 
 /*
- * Which of two proven links to one peer stays.
+ * Whether the newer of two authenticated links to one peer replaces the older.
  *
- * Both sides connect at once, and if each kept its own both links would be
- * closed. The link that the lower name made stays, which both sides see
- * alike. Of two by one maker, or after a restart, the older one is dead.
+ * When both sides connect at once and each keeps its own link, both links are
+ * closed. Therefore the link opened by the lower name is kept, which both
+ * sides decide alike. If both links have the same initiator, or the peer has
+ * restarted, the older link is dead.
  */
-static bool newer_stays(const struct rj_peer_link *older,
-			const struct rj_peer_link *newer)
+static bool newer_link_stays(const struct rj_peer_link *older,
+			     const struct rj_peer_link *newer)
 {
-	const char *own = newer->session.own.name;
-	const char *other = newer->session.other.name;
-	const char *lower = strcmp(own, other) < 0 ? own : other;
+	const char *local = newer->session.local.name;
+	const char *remote = newer->session.remote.name;
+	const char *lower = strcmp(local, remote) < 0 ? local : remote;
 
-	if (older->session.other.incarnation !=
-	    newer->session.other.incarnation)
+	if (older->session.remote.incarnation !=
+	    newer->session.remote.incarnation)
 		return true;
 	if (strcmp(initiator(older), initiator(newer)) == 0)
 		return true;
 	return strcmp(initiator(newer), lower) == 0;
 }
 
-/* The other side has proven the key: the link may stand. */
-static void on_proven(struct rj_peer_link *base)
+/* Make an authenticated link the peer's link, unless the older one is kept. */
+static void on_authenticated(struct rj_peer_link *base)
 {
 	struct peer_link *link = (struct peer_link *)base;
 	struct rj_tcp_peers_state *state = link->state;
-	const char *name = base->session.other.name;
-	struct peer *peer = peer_get(state, name);
+	const char *name = base->session.remote.name;
+	struct peer *peer = peer_find_or_create(state, name);
 	struct peer_link *older = peer->link;
 
-	if (!link->attempt_of)
-		state->unproven_incoming--;
+	if (!link->outgoing_peer)
+		state->unauthenticated_incoming--;
 	if (peer->attempt == link)
 		peer->attempt = NULL;
-	if (older && !newer_stays(&older->base, base)) {
+	if (older && !newer_link_stays(&older->base, base)) {
 		rj_peer_link_close(base, RJ_PEER_CLOSE_REPLACED);
 		return;
 	}
 	peer->link = link;
 	peer->failures = 0;
-	TALLOC_FREE(peer->retry);
+	TALLOC_FREE(peer->retry_timer);
 	if (older) {
 		rj_peer_link_close(&older->base, RJ_PEER_CLOSE_REPLACED);
 		deliver(state, RJ_EVENT_PEER_DOWN, name, NULL);
@@ -210,23 +214,23 @@
 	deliver(state, RJ_EVENT_PEER_UP, name, NULL);
 }
 
-/* A message has come over a link that may stand. */
+/* Deliver a message of an authenticated link. */
 static void on_message(struct rj_peer_link *base,
 		       const struct rj_peer_message *message)
 {
 	struct peer_link *link = (struct peer_link *)base;
 
-	deliver(link->state, RJ_EVENT_PEER_MESSAGE, base->session.other.name,
+	deliver(link->state, RJ_EVENT_PEER_MESSAGE, base->session.remote.name,
 		message);
 }
 
 static const struct rj_peer_link_ops link_ops = {
-	.proven = on_proven,
+	.authenticated = on_authenticated,
 	.message = on_message,
 	.closed = on_closed,
 };
 
-/* Start the handshake over `fd`; `peer` is who it goes out to, or NULL. */
+/* Start the handshake on `fd`; `peer` is NULL for an incoming connection. */
 static struct peer_link *link_new(struct rj_tcp_peers_state *state, int fd,
 				  struct peer *peer)
 {
@@ -234,16 +238,16 @@
 
 	assert(link);
 	link->state = state;
-	link->attempt_of = peer;
+	link->outgoing_peer = peer;
 	rj_list_append(&state->links, &link->node);
 	if (!peer)
-		state->unproven_incoming++;
+		state->unauthenticated_incoming++;
 	rj_peer_link_init(&link->base, link, &link_ops, &state->options, fd,
 			  peer ? peer->name : NULL);
 	return link;
 }
 
-/* Try to connect, unless a link has come in meanwhile. */
+/* Try to connect, unless the peer has connected in the meantime. */
 static void on_retry(struct tevent_context *loop, struct tevent_timer *timer,
 		     struct timeval now, void *private_data)
 {
@@ -251,7 +255,7 @@
 	struct rj_error err;
 	int fd;
 
-	peer->retry = NULL;
+	peer->retry_timer = NULL;
 	if (peer->link || peer->attempt)
 		return;
 	fd = rj_tcp_connect(&peer->address, &err);
@@ -266,8 +270,9 @@
 }
 
 /*
- * Connect after a delay: none at first, then doubling up to a bound, with
- * half of it left to chance so that instances do not come back together.
+ * Connect after a delay: none at first, then exponential backoff up to
+ * RETRY_DELAY_MAX_US. Half of the delay is random, so that instances do not
+ * reconnect simultaneously.
  */
 static void schedule_retry(struct peer *peer)
 {
@@ -277,25 +282,25 @@
 	if (peer->link || peer->attempt)
 		return;
 	if (peer->failures) {
-		delay_us = RETRY_FIRST_US;
+		delay_us = RETRY_DELAY_MIN_US;
 		for (uint32_t i = 1;
-		     i < peer->failures && delay_us < RETRY_MAX_US; i++)
+		     i < peer->failures && delay_us < RETRY_DELAY_MAX_US; i++)
 			delay_us *= 2;
-		if (delay_us > RETRY_MAX_US)
-			delay_us = RETRY_MAX_US;
+		if (delay_us > RETRY_DELAY_MAX_US)
+			delay_us = RETRY_DELAY_MAX_US;
 		delay_us = delay_us / 2 +
 			   rj_random64(&state->random) % (delay_us / 2);
 	}
 	if (strcmp(state->options.name, peer->name) > 0)
-		delay_us += HIGHER_NAME_WAIT_US;
-	talloc_free(peer->retry);
-	peer->retry =
+		delay_us += HIGHER_NAME_DELAY_US;
+	talloc_free(peer->retry_timer);
+	peer->retry_timer =
 		tevent_add_timer(state->options.loop, peer,
 				 rj_clock_timeval_in(delay_us), on_retry, peer);
-	assert(peer->retry);
+	assert(peer->retry_timer);
 }
 
-/* See rj_peers_ops: keep a link to `name`, at the newest address given. */
+/* See rj_peers_ops: keep a link to `name`, at the latest given address. */
 static void peers_connect(struct rj_peers *base, const char *name,
 			  const struct rj_address *address)
 {
@@ -306,18 +311,18 @@
 
 	if (strcmp(name, state->options.name) == 0)
 		return;
-	peer = peer_get(state, name);
+	peer = peer_find_or_create(state, name);
 	moved = peer->address.port != address->port ||
 		strcmp(peer->address.ip, address->ip) != 0;
-	if (peer->wanted && !moved)
+	if (peer->keep_connected && !moved)
 		return;
-	peer->wanted = true;
+	peer->keep_connected = true;
 	peer->address = *address;
 	peer->failures = 0;
 	schedule_retry(peer);
 }
 
-/* See rj_peers_ops: end the link and do not come back. */
+/* See rj_peers_ops: end the link and do not reconnect. */
 static void peers_drop(struct rj_peers *base, const char *name)
 {
 	struct rj_tcp_peers *peers = (struct rj_tcp_peers *)base;
@@ -325,8 +330,8 @@
 
 	if (!peer)
 		return;
-	peer->wanted = false;
-	TALLOC_FREE(peer->retry);
+	peer->keep_connected = false;
+	TALLOC_FREE(peer->retry_timer);
 	if (peer->link)
 		rj_peer_link_close(&peer->link->base, RJ_PEER_CLOSE_DROPPED);
 	if (peer->attempt)
@@ -334,7 +339,7 @@
 	peer_release(peer);
 }
 
-/* See rj_peers_ops: queue a message on the link, if one stands. */
+/* See rj_peers_ops: queue a message; dropped if there is no link. */
 static void peers_send(struct rj_peers *base, const char *name,
 		       const struct rj_peer_message *message)
 {
@@ -345,15 +350,15 @@
 		rj_peer_link_send(&peer->link->base, message);
 }
 
-/* Send what is still queued, as far as the socket takes it, and close. */
+/* Flush the queue, as far as the socket accepts it, and free the link. */
 static void finish_link(struct peer_link *link)
 {
-	if (link->base.proven)
+	if (link->base.authenticated)
 		rj_tcp_link_flush(&link->base.tcp);
 	link_free(link);
 }
 
-/* Close every link and the listener, without events. */
+/* Close every link and the listener, without delivering events. */
 static void peers_finish(struct rj_peers *base)
 {
 	struct rj_tcp_peers *peers = (struct rj_tcp_peers *)base;
@@ -377,7 +382,7 @@
 	.finish = peers_finish,
 };
 
-/* Accept again after a pause. */
+/* Resume accepting connections. */
 static void on_accept_pause(struct tevent_context *loop,
 			    struct tevent_timer *timer, struct timeval now,
 			    void *private_data)
@@ -389,10 +394,10 @@
 }
 
 /*
- * Connections wait to be accepted.
+ * Accept a connection.
  *
- * Without a free descriptor accept fails and the listener stays readable:
- * the loop would spin on it and starve all links, so it pauses.
+ * Without a free file descriptor accept fails and the listener stays readable:
+ * the event loop would spin and starve all links, so accepting is paused.
  */
 static void on_listener(struct tevent_context *loop, struct tevent_fd *event,
 			uint16_t flags, void *private_data)
@@ -409,7 +414,7 @@
 	}
 	if (fd < 0)
 		return;
-	if (state->unproven_incoming >= UNPROVEN_MAX) {
+	if (state->unauthenticated_incoming >= UNAUTHENTICATED_MAX) {
 		state->closed[RJ_PEER_CLOSE_TOO_MANY]++;
 		close(fd);
 		return;
@@ -434,7 +439,8 @@
 	state->options = *options;
 	state->random = options->seed;
 	rj_list_init(&state->links);
-	state->listener = rj_tcp_listen(&options->address, &state->bound, err);
+	state->listener =
+		rj_tcp_listen(&options->address, &state->bound_address, err);
 	if (state->listener < 0) {
 		talloc_free(state);
 		return -1;
@@ -450,15 +456,15 @@
 }
 
 /*
- * Where this instance listens, with the port that it was given.
+ * The address on which this instance listens, with the assigned port.
  */
 struct rj_address rj_tcp_peers_address(const struct rj_tcp_peers *peers)
 {
-	return peers->state->bound;
+	return peers->state->bound_address;
 }
 
 /*
- * How many links ended for `reason` since the start.
+ * The number of links that ended for `reason` since init.
  */
 uint64_t rj_tcp_peers_close_count(const struct rj_tcp_peers *peers,
 				  enum rj_peer_close_reason reason)
--- a/src/libradishjunction/worker/http_workers.c
+++ b/src/libradishjunction/worker/http_workers.c
@@ -8,7 +8,7 @@
 #include "private/http_client.h"
 #include "private/worker_wire.h"
 
-/* A result of the largest size as base64, or a report of many tasks. */
+/* Holds a result of the largest size in base64, or a report of many tasks. */
 #define ANSWER_MAX_BYTES (4UL * 1024 * 1024)
 #define STATUS_OK 200
 #define STATUS_BAD_REQUEST 400
@@ -19,19 +19,19 @@
 	[RJ_WORKER_POOL_CONTROL] = "control",
 };
 
-static const uint32_t connections_max[RJ_WORKER_POOL_COUNT] = {
+static const uint32_t pool_connections_max[RJ_WORKER_POOL_COUNT] = {
 	[RJ_WORKER_POOL_RUN] = RJ_WORKER_RUN_CONNECTIONS,
 	[RJ_WORKER_POOL_CHECKPOINT] = RJ_WORKER_CHECKPOINT_CONNECTIONS,
 	[RJ_WORKER_POOL_CONTROL] = RJ_WORKER_CONTROL_CONNECTIONS,
 };
 
-/* What is remembered of a call until its answer; owned by the client. */
+/* State of a call until its answer; owned by the HTTP client. */
 struct pending {
 	struct rj_http_workers *workers;
 	struct rj_worker_call call; /* without its body */
 };
 
-/* Fill what the adapter itself says of the call. */
+/* Fill a reply that the adapter generates itself, without a worker's answer. */
 static void fill_reply(struct rj_worker_reply *reply,
 		       const struct rj_worker_call *call,
 		       enum rj_reply_status status, enum rj_reason reason)
@@ -46,16 +46,16 @@
 }
 
 /*
- * Turn what the client has into a reply.
+ * Convert the result of an HTTP request to a reply.
  *
- * Guards against saying "refused" of a call that took effect, after which
- * its job would be started a second time elsewhere: only a request that
- * never left, or that the worker could not read, is refused; all else
- * without a whole and matching answer is lost.
+ * A call that took effect must never be reported as refused, or its job would
+ * be started a second time elsewhere. Only a request that was never sent, or
+ * that the worker rejected as malformed, is refused; any other outcome without
+ * a complete and matching answer is lost.
  */
-static void decode(void *mem, const struct rj_worker_call *call,
-		   const struct rj_http_result *result,
-		   struct rj_worker_reply *reply)
+static void decode_reply(void *mem, const struct rj_worker_call *call,
+			 const struct rj_http_result *result,
+			 struct rj_worker_reply *reply)
 {
 	if (result->outcome == RJ_HTTP_ANSWERED &&
 	    result->status == STATUS_OK &&
@@ -72,7 +72,7 @@
 		fill_reply(reply, call, RJ_REPLY_LOST, RJ_REASON_NONE);
 }
 
-/* Turn the end of a call into its event, whose bytes live until then. */
+/* Deliver the reply to a call; its bytes are freed after delivery. */
 static void call_done(void *private_data, const struct rj_http_result *result)
 {
 	const struct pending *pending = private_data;
@@ -80,20 +80,20 @@
 	void *mem = talloc_new(NULL);
 
 	assert(mem);
-	decode(mem, &pending->call, result, &event.u.worker_reply);
+	decode_reply(mem, &pending->call, result, &event.u.worker_reply);
 	event.now_us = rj_clock_now_us();
 	pending->workers->sink->deliver(pending->workers->sink, &event);
 	talloc_free(mem);
 }
 
 /*
- * The pool whose connections the call may use.
+ * The pool whose connections a call may use.
  *
- * Guards against tasks that are stopped while their owner lives: with all
- * connections taken by calls that wait, no renewal gets through, and the
- * leases lapse. It holds because nothing that waits uses the control pool.
+ * Calls that block never use the control pool. Otherwise they could occupy all
+ * connections and delay lease renewals, and the worker would stop tasks of a
+ * live owner when their leases expire.
  */
-static enum rj_worker_pool pool_of(const struct rj_worker_call *call)
+static enum rj_worker_pool pool_for_call(const struct rj_worker_call *call)
 {
 	if (call->op == RJ_WORKER_RUN ||
 	    (call->op == RJ_WORKER_START && call->wait))
@@ -104,8 +104,8 @@
 }
 
 /*
- * Share what the caller may have of a worker's connections among the pools:
- * each keeps one at least, and what starts work comes last.
+ * Divide the connections allowed to one worker among the pools. Each pool gets
+ * at least one; the run pool gets what the others leave.
  */
 static void share_connections(struct rj_http_workers *workers, uint32_t most)
 {
@@ -128,7 +128,7 @@
 							share[i]);
 }
 
-/* See rj_workers_ops: every call is a POST whose path names the operation. */
+/* See rj_workers_ops: sends a POST whose path names the operation. */
 static void http_call(struct rj_workers *base,
 		      const struct rj_worker_call *call)
 {
@@ -155,10 +155,10 @@
 	send.url = rj_http_url(pending, &call->address, path);
 	send.body = rj_worker_wire_encode_call(pending, call);
 	send.length = strlen(send.body);
-	rj_http_client_send(workers->pools[pool_of(call)], &send);
+	rj_http_client_send(workers->pools[pool_for_call(call)], &send);
 }
 
-/* See rj_workers_ops: calls that are open end in no event. */
+/* See rj_workers_ops: open calls deliver no event. */
 static void http_finish(struct rj_workers *base)
 {
 	struct rj_http_workers *workers = (struct rj_http_workers *)base;
@@ -178,8 +178,9 @@
 };
 
 /*
- * Speak to workers as `instance_name`; events go to `sink` from the loop
- * `ev`, never from within a call. Returns 0, or -1 with `err`.
+ * Initialize an adapter that identifies itself to workers as `instance_name`.
+ * Events are delivered to `sink` from the loop `ev`, never from within a call.
+ * Returns 0, or -1 with `err`.
  */
 int rj_http_workers_init(struct rj_http_workers *workers, void *mem,
 			 struct tevent_context *ev, struct rj_sink *sink,
@@ -195,7 +196,7 @@
 		assert(pool);
 		workers->pools[i] = pool;
 		if (rj_http_client_init(pool, pool, ev, instance_name,
-					connections_max[i], err))
+					pool_connections_max[i], err))
 			goto fail;
 	}
 	return 0;
