--- a/src/libradishjunction/core/controllers/config_controller.c
+++ b/src/libradishjunction/core/controllers/config_controller.c
@@ -49,9 +49,9 @@
 	rj_core_log(core, RJ_LOG_CONFIG, RJ_REASON_NONE, NULL, from);
 	core->planner->ops->configure(core->planner, core->config, core->domain,
 				      core->now_us);
-	rj_racks_ownership(core); /* the groups of racks may differ */
+	rj_racks_update_ownership(core); /* the groups of racks may differ */
 	if (!same)
-		rj_upstreams_whole_reports(core);
+		rj_upstreams_request_full_reports(core);
 	core->jobs.plan_wanted = true;
 	RJ_FOR_EACH (at, next, &core->membership.members) {
 		const struct rj_member_view *member =
@@ -59,15 +59,15 @@
 
 		if (member->connected &&
 		    member->config_revision < core->config->revision)
-			rj_config_controller_tell(core, member->name);
+			rj_config_controller_send(core, member->name);
 	}
 }
 
 /*
  * Apply what a read of the `config` stream brought.
  */
-void rj_config_controller_records(struct rj_core_state *core,
-				  const struct rj_records *records)
+void rj_config_controller_apply_records(struct rj_core_state *core,
+					const struct rj_records *records)
 {
 	struct rj_error_list errors;
 
@@ -111,8 +111,8 @@
  * A peer offers the configuration that it has in force. An older one changes
  * nothing: revisions only rise.
  */
-void rj_config_controller_peer(struct rj_core_state *core,
-			       const struct rj_peer_config *offer)
+void rj_config_controller_receive(struct rj_core_state *core,
+				  const struct rj_peer_config *offer)
 {
 	if (!adopt(core, offer))
 		return;
@@ -137,7 +137,7 @@
  * Send the configuration in force to a peer, if there is one: the change
  * alone if that is enough, else the whole.
  */
-void rj_config_controller_tell(struct rj_core_state *core, const char *peer)
+void rj_config_controller_send(struct rj_core_state *core, const char *peer)
 {
 	struct rj_peer_message *message;
 	struct rj_peer_config *offer;
--- a/src/libradishjunction/core/controllers/drain_controller.c
+++ b/src/libradishjunction/core/controllers/drain_controller.c
@@ -20,7 +20,8 @@
 /* Answer all who wait for a job: they ask again at another instance. */
 static void send_waiters_on(struct rj_job *job, enum rj_answer_kind kind)
 {
-	rj_job_tell_waiters(job, kind, RJ_REASON_DRAINING, RJ_US_PER_S);
+	rj_job_answer_without_result(job, kind, RJ_REASON_DRAINING,
+				     RJ_US_PER_S);
 }
 
 /* The limit of the drain has passed: answer what is still open. */
@@ -80,7 +81,7 @@
 		rj_job_free(job); /* its next owner reads it in the log */
 		return;
 	}
-	rj_job_unplan(job, false);
+	rj_job_remove_from_plan(job, false);
 	job->hops = 0; /* who owns the racks has changed since */
 	rj_filters_resubmit(job);
 }
@@ -91,9 +92,9 @@
  * now. Called again when the view of the peers changes: while none is alive,
  * the jobs are served here.
  */
-void rj_drain_hand_over(struct rj_core_state *core)
+void rj_drain_hand_over_jobs(struct rj_core_state *core)
 {
-	bool all = rj_racks_hand_on(core);
+	bool all = rj_racks_cannot_place(core);
 	struct rj_list *at;
 	struct rj_list *next;
 
@@ -117,7 +118,7 @@
 			RJ_CONTAINER(at, struct rj_member_view, link);
 
 		if (!strcmp(member->domain, core->domain) &&
-		    rj_membership_takes_work(core, member))
+		    rj_membership_accepts_jobs(core, member))
 			return true;
 	}
 	return false;
@@ -133,8 +134,8 @@
  * nothing was wrong. The stop stays bounded, since nothing is let in after
  * DRAIN_FORWARDS_US, and what is let in has half of the limit to spare.
  */
-bool rj_drain_takes_more(const struct rj_core_state *core,
-			 const struct rj_job_class *class)
+bool rj_drain_admits(const struct rj_core_state *core,
+		     const struct rj_job_class *class)
 {
 	if (core->now_us > core->stopping_us + DRAIN_FORWARDS_US)
 		return false;
@@ -149,7 +150,7 @@
  * would be lost or run unheard. Nothing new is let in, what has not started
  * goes to a peer by name, and the exit waits for every answer.
  */
-void rj_drain_stop(struct rj_core_state *core)
+void rj_drain_start(struct rj_core_state *core)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -159,8 +160,8 @@
 	core->stopping = true;
 	core->stopping_us = core->now_us;
 	rj_core_log(core, RJ_LOG_DRAIN, RJ_REASON_DRAINING, NULL, NULL);
-	rj_membership_heartbeat_all(core);
-	rj_racks_ownership(core);
+	rj_membership_send_heartbeats(core);
+	rj_racks_update_ownership(core);
 	rj_timer_set(&core->timers, &core->drain,
 		     core->now_us + core->drain_limit_us);
 	rj_timer_set(&core->timers, &core->drain_watch,
@@ -171,7 +172,7 @@
 		if (job->accepted)
 			send_waiters_on(job, RJ_ANSWER_ACCEPTED);
 	}
-	rj_drain_hand_over(core);
+	rj_drain_hand_over_jobs(core);
 }
 
 /* Whether an outcome is still to be read back from the log. */
@@ -209,7 +210,7 @@
  * on a caller's last connection is served or handed on like any other, and
  * the process may end once it is answered.
  */
-void rj_drain_check(struct rj_core_state *core)
+void rj_drain_check_finished(struct rj_core_state *core)
 {
 	if (!core->stopping)
 		return;
--- a/src/libradishjunction/core/controllers/foreign_controller.c
+++ b/src/libradishjunction/core/controllers/foreign_controller.c
@@ -144,9 +144,9 @@
 		if (other->attempt.job_id == task->attempt.job_id &&
 		    other->attempt.owner == task->attempt.owner &&
 		    other->attempt.number == task->attempt.number)
-			rj_call_clear(core, other->upstream, RJ_WORKER_STOP,
-				      &other->attempt, other->member,
-				      other->token);
+			rj_call_clean_up(core, other->upstream, RJ_WORKER_STOP,
+					 &other->attempt, other->member,
+					 other->token);
 	}
 }
 
@@ -167,7 +167,7 @@
 
 	if (core->now_us >= task->stop_us && task->idempotent)
 		stop_gang(core, task);
-	rj_upstreams_poll_soon(core, task->upstream);
+	rj_upstreams_poll_now(core, task->upstream);
 	if (core->now_us < task->stop_us && next_us > task->stop_us)
 		next_us = task->stop_us;
 	task->look_us = MIN(2 * task->look_us, LOOK_MAX_US);
@@ -219,8 +219,9 @@
  * Take from the whole report of an owned worker which tasks of others may be
  * stopped for a guarantee.
  */
-void rj_foreign_report(struct rj_core_state *core, struct rj_upstream *upstream,
-		       const struct rj_worker_report *report)
+void rj_foreign_apply_report(struct rj_core_state *core,
+			     struct rj_upstream *upstream,
+			     const struct rj_worker_report *report)
 {
 	struct rj_foreign_task *task;
 	struct rj_list *at;
@@ -269,7 +270,8 @@
 static bool ask_driver(struct rj_core_state *core,
 		       const struct rj_foreign_task *task, uint64_t limit_us)
 {
-	const char *peer = rj_membership_name_of(core, task->holder);
+	const char *peer =
+		rj_membership_name_by_incarnation(core, task->holder);
 	struct rj_peer_cancel *cancel;
 
 	if (!peer)
@@ -299,7 +301,7 @@
 			  task->upstream->name);
 	log->job_id = task->attempt.job_id;
 	g_strlcpy(log->account, task->account, sizeof(log->account));
-	rj_upstreams_offer(core, task->upstream);
+	rj_upstreams_update_offer(core, task->upstream);
 	task->stop_us = core->now_us;
 	if (ask_driver(core, task, decision->limit_us))
 		task->stop_us += decision->limit_us;
--- a/src/libradishjunction/core/controllers/forward_controller.c
+++ b/src/libradishjunction/core/controllers/forward_controller.c
@@ -26,7 +26,7 @@
 	assert(!job->planned && !job->started && !job->claimed);
 	if (job->forward_id)
 		g_hash_table_remove(core->jobs.forwards, &job->forward_id);
-	rj_job_enter(job, RJ_JOB_FORWARDED);
+	rj_job_enter_state(job, RJ_JOB_FORWARDED);
 	job->forward_id = rj_core_next_id(core);
 	g_strlcpy(job->peer, peer, sizeof(job->peer));
 	g_hash_table_insert(core->jobs.forwards, &job->forward_id, job);
@@ -184,8 +184,8 @@
 			continue;
 		rj_core_log(core, RJ_LOG_RETRY, RJ_REASON_PEER_LOST, job, peer);
 		if (job->cancelled || job->waiters.next == &job->waiters) {
-			rj_job_tell_waiters(job, RJ_ANSWER_UNKNOWN,
-					    RJ_REASON_PEER_LOST, 0);
+			rj_job_answer_without_result(job, RJ_ANSWER_UNKNOWN,
+						     RJ_REASON_PEER_LOST, 0);
 			rj_job_free(job);
 			continue;
 		}
--- a/src/libradishjunction/core/controllers/log_controller.c
+++ b/src/libradishjunction/core/controllers/log_controller.c
@@ -178,7 +178,7 @@
  * Why the log is not usable: it cannot be reached, or older keys may be
  * missing in what was read of it.
  */
-enum rj_reason rj_log_reason(const struct rj_core_state *core)
+enum rj_reason rj_log_unavailable_reason(const struct rj_core_state *core)
 {
 	return core->platform_up ? RJ_REASON_LOG_GAP : RJ_REASON_PLATFORM_DOWN;
 }
@@ -254,7 +254,7 @@
 /*
  * Look whether older keys may still be missing here.
  */
-void rj_log_gap_check(struct rj_core_state *core)
+void rj_log_check_gap(struct rj_core_state *core)
 {
 	uint64_t life_us;
 
@@ -319,7 +319,7 @@
  */
 void rj_log_tick(struct rj_core_state *core)
 {
-	rj_log_gap_check(core);
+	rj_log_check_gap(core);
 	mark_quiet(core, &core->streams[RJ_STREAM_JOBS]);
 }
 
@@ -336,8 +336,8 @@
 /*
  * Apply what a read of a stream brought, and read on.
  */
-void rj_log_records(struct rj_core_state *core,
-		    const struct rj_records *records)
+void rj_log_receive_records(struct rj_core_state *core,
+			    const struct rj_records *records)
 {
 	struct rj_log_stream *stream = &core->streams[records->stream];
 
@@ -358,7 +358,7 @@
 	stream->oldest = records->oldest;
 	core->counters[RJ_COUNT_RECORDS_READ] += records->count;
 	if (records->stream == RJ_STREAM_CONFIG) {
-		rj_config_controller_records(core, records);
+		rj_config_controller_apply_records(core, records);
 		stream->next = core->config_log.next;
 		stream->caught_up = stream->next >= records->head;
 	} else {
@@ -366,10 +366,10 @@
 		stream->caught_up = records->next >= records->head;
 		stream->tried |= stream->caught_up;
 		for (uint32_t i = 0; i < records->count; i++)
-			rj_claims_record(core, &records->records[i]);
+			rj_claims_apply_record(core, &records->records[i]);
 		if (records->count)
 			note_newest(core, stream, records);
-		rj_log_gap_check(core);
+		rj_log_check_gap(core);
 		if (stream->caught_up) {
 			core->jobs.plan_wanted = true;
 			/* An answer from before the pause proves nothing. */
@@ -424,7 +424,8 @@
 	if (stream->stream == RJ_STREAM_JOBS &&
 	    appended->status != RJ_APPEND_OK)
 		for (uint32_t i = 0; i < count; i++)
-			rj_claims_appended(core, &records[i], appended->status);
+			rj_claims_append_failed(core, &records[i],
+						appended->status);
 	talloc_free(records);
 	append_now(core, stream);
 }
--- a/src/libradishjunction/core/controllers/membership_controller.c
+++ b/src/libradishjunction/core/controllers/membership_controller.c
@@ -63,7 +63,7 @@
  * that their sum stays flat. Up to four domains each one is sent. An instance
  * that dies shows at once by its link; only one that is cut off shows later.
  */
-uint32_t rj_membership_beats_between(uint32_t domains)
+uint32_t rj_membership_cross_domain_interval(uint32_t domains)
 {
 	return MAX((domains - 1) / LINKS_TO_OTHER_DOMAIN, 1);
 }
@@ -71,7 +71,7 @@
 /* The same for the domains of the configuration in force. */
 static uint32_t beats_to_other_domains(const struct rj_core_state *core)
 {
-	return rj_membership_beats_between(
+	return rj_membership_cross_domain_interval(
 		core->config ? core->config->domain_count : 1);
 }
 
@@ -95,8 +95,8 @@
  * Whether work may be handed to a peer: it is believed alive and does not
  * stop.
  */
-bool rj_membership_takes_work(const struct rj_core_state *core,
-			      const struct rj_member_view *member)
+bool rj_membership_accepts_jobs(const struct rj_core_state *core,
+				const struct rj_member_view *member)
 {
 	return !member->draining && rj_membership_alive(core, member);
 }
@@ -105,8 +105,8 @@
  * The peer with this incarnation, or NULL when none that is believed alive
  * has it.
  */
-const char *rj_membership_name_of(const struct rj_core_state *core,
-				  uint64_t incarnation)
+const char *rj_membership_name_by_incarnation(const struct rj_core_state *core,
+					      uint64_t incarnation)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -129,7 +129,7 @@
 				     uint64_t incarnation)
 {
 	return incarnation == core->incarnation ||
-	       rj_membership_name_of(core, incarnation);
+	       rj_membership_name_by_incarnation(core, incarnation);
 }
 
 /*
@@ -142,7 +142,7 @@
  * Each of them knows the others from the settings and the list and leaves
  * them their share, and the former owner what it has open.
  */
-uint32_t rj_membership_connections(const struct rj_core_state *core)
+uint32_t rj_membership_worker_connections(const struct rj_core_state *core)
 {
 	uint32_t left = RJ_WORKER_CONNECTIONS - RJ_WORKER_CONNECTIONS_OWNER;
 	uint32_t others = 0;
@@ -269,7 +269,7 @@
 /*
  * Tell every connected peer how this instance is.
  */
-void rj_membership_heartbeat_all(struct rj_core_state *core)
+void rj_membership_send_heartbeats(struct rj_core_state *core)
 {
 	heartbeat(core, true);
 }
@@ -277,8 +277,8 @@
 /* What this instance owns may have changed. */
 static void view_changed(struct rj_core_state *core)
 {
-	rj_racks_ownership(core);
-	rj_drain_hand_over(core);
+	rj_racks_update_ownership(core);
+	rj_drain_hand_over_jobs(core);
 }
 
 /* A digest of who is alive and not draining, to see a change of it. */
@@ -292,7 +292,7 @@
 		const struct rj_member_view *member =
 			RJ_CONTAINER(at, struct rj_member_view, link);
 
-		if (rj_membership_takes_work(core, member))
+		if (rj_membership_accepts_jobs(core, member))
 			digest += rj_hash64_string(member->name,
 						   1 + member->cut_off);
 	}
@@ -315,9 +315,9 @@
 			alone = !rj_log_usable(core);
 	}
 	if (!alone)
-		core->membership.alone_us = 0;
-	else if (!core->membership.alone_us)
-		core->membership.alone_us = core->now_us;
+		core->membership.log_isolated_us = 0;
+	else if (!core->membership.log_isolated_us)
+		core->membership.log_isolated_us = core->now_us;
 }
 
 /* The regular round: heartbeats out, and a look at who has gone silent. */
@@ -329,7 +329,7 @@
 	digest = view_digest(core);
 	heartbeat(core,
 		  core->membership.beats++ % beats_to_other_domains(core) == 0);
-	rj_upstreams_leaving_again(core);
+	rj_upstreams_resend_leaving(core);
 	if (digest != core->membership.view_digest) {
 		core->membership.view_digest = digest;
 		view_changed(core);
@@ -457,8 +457,8 @@
  * not in it yet, or no more, keeps its link as long as that stands, and one
  * that the settings name is tried for good.
  */
-void rj_membership_list(struct rj_core_state *core,
-			const struct rj_instance *list, uint32_t count)
+void rj_membership_apply_list(struct rj_core_state *core,
+			      const struct rj_instance *list, uint32_t count)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -479,7 +479,7 @@
  * A link stands: say at once who this is, which configuration is in force
  * and what is free.
  */
-void rj_membership_up(struct rj_core_state *core, const char *name)
+void rj_membership_link_up(struct rj_core_state *core, const char *name)
 {
 	struct rj_member_view *member = member_learn(core, name);
 	struct rj_peer_heartbeat own;
@@ -491,20 +491,20 @@
 	member->sent = 0;
 	member->received = 0;
 	member->lost = 0;
-	member->lost_there = 0;
+	member->lost_at_peer = 0;
 	fill_heartbeat(core, &own);
 	send_heartbeat(core, member, &own);
-	rj_config_controller_tell(core, name);
-	rj_racks_tell_peer(core, name);
+	rj_config_controller_send(core, name);
+	rj_racks_send_summaries(core, name);
 	if (!strcmp(member->domain, core->domain))
-		rj_upstreams_tell_leaving(core, name);
+		rj_upstreams_send_leaving(core, name);
 }
 
 /*
  * A link ended: whatever was forwarded over it may be lost, and what the
  * peer owned is owned by others now.
  */
-void rj_membership_down(struct rj_core_state *core, const char *name)
+void rj_membership_link_down(struct rj_core_state *core, const char *name)
 {
 	struct rj_member_view *member = rj_membership_find(core, name);
 
@@ -520,7 +520,7 @@
 /*
  * A message other than a heartbeat came from a peer.
  */
-void rj_membership_received(struct rj_core_state *core, const char *name)
+void rj_membership_count_received(struct rj_core_state *core, const char *name)
 {
 	struct rj_member_view *member = rj_membership_find(core, name);
 
@@ -543,19 +543,19 @@
 			    const struct rj_peer_heartbeat *heartbeat)
 {
 	bool here = heartbeat->sent > member->received + member->lost;
-	bool there = heartbeat->lost > member->lost_there;
+	bool there = heartbeat->lost > member->lost_at_peer;
 	struct rj_peer_heartbeat own;
 
 	if (!here && !there)
 		return;
-	member->lost_there = heartbeat->lost;
+	member->lost_at_peer = heartbeat->lost;
 	if (here) {
 		member->lost = heartbeat->sent - member->received;
 		fill_heartbeat(core, &own);
 		send_heartbeat(core, member, &own);
 	}
 	if (there)
-		rj_racks_tell_peer(core, member->name);
+		rj_racks_send_summaries(core, member->name);
 	rj_forward_peer_lost(core, member->name);
 }
 
@@ -563,8 +563,9 @@
  * A peer says how it is. One that is ahead in configuration sends it of its
  * own accord; one that is behind is told.
  */
-void rj_membership_heartbeat(struct rj_core_state *core, const char *name,
-			     const struct rj_peer_heartbeat *heartbeat)
+void rj_membership_receive_heartbeat(struct rj_core_state *core,
+				     const char *name,
+				     const struct rj_peer_heartbeat *heartbeat)
 {
 	struct rj_member_view *member = member_learn(core, name);
 	uint64_t digest;
@@ -585,9 +586,9 @@
 	member->log_from = heartbeat->log_from;
 	member->log_next = heartbeat->log_next;
 	member->config_changes = heartbeat->config_changes;
-	rj_log_gap_check(core);
+	rj_log_check_gap(core);
 	if (core->config && member->config_revision < core->config->revision)
-		rj_config_controller_tell(core, name);
+		rj_config_controller_send(core, name);
 	look_for_losses(core, member, heartbeat);
 	digest = view_digest(core);
 	if (digest == core->membership.view_digest)
@@ -600,8 +601,8 @@
  * A peer says what is free in a rack of its own. The newest version of one
  * owner counts; late and repeated ones are dropped.
  */
-void rj_membership_summary(struct rj_core_state *core, const char *name,
-			   const struct rj_peer_summary *summary)
+void rj_membership_receive_summary(struct rj_core_state *core, const char *name,
+				   const struct rj_peer_summary *summary)
 {
 	struct rj_member_view *member = member_learn(core, name);
 	struct rj_rack_summary *mine = NULL;
@@ -629,7 +630,7 @@
 	mine->version = summary->version;
 	mine->worker_count = summary->worker_count;
 	memcpy(mine->free, summary->free, sizeof(mine->free));
-	rj_racks_peer_summary(core, summary);
+	rj_racks_receive_summary(core, summary);
 }
 
 /*
@@ -637,7 +638,7 @@
  * were not listed yet when they said it, or were owned here: it is sent only
  * when it changes.
  */
-void rj_membership_summaries_again(struct rj_core_state *core)
+void rj_membership_reapply_summaries(struct rj_core_state *core)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -661,7 +662,7 @@
 			summary.rack = known->rack;
 			summary.worker_count = known->worker_count;
 			memcpy(summary.free, known->free, sizeof(summary.free));
-			rj_racks_peer_summary(core, &summary);
+			rj_racks_receive_summary(core, &summary);
 		}
 	}
 }
--- a/src/libradishjunction/core/controllers/placement_controller.c
+++ b/src/libradishjunction/core/controllers/placement_controller.c
@@ -17,7 +17,7 @@
 /*
  * What the planner needs to know of the job.
  */
-void rj_job_plan_view(const struct rj_job *job, struct rj_plan_job *plan)
+void rj_job_fill_plan(const struct rj_job *job, struct rj_plan_job *plan)
 {
 	memset(plan, 0, sizeof(*plan));
 	plan->job_id = job->spec.job_id;
@@ -50,8 +50,8 @@
 	uint64_t retry_after_us = 0;
 
 	assert(!job->planned);
-	rj_job_enter(job, RJ_JOB_QUEUED);
-	rj_job_plan_view(job, &plan);
+	rj_job_enter_state(job, RJ_JOB_QUEUED);
+	rj_job_fill_plan(job, &plan);
 	if (!core->planner->ops->submit(core->planner, &plan, core->now_us,
 					&reason, &retry_after_us)) {
 		job->planned = true;
@@ -71,7 +71,7 @@
 /*
  * The planner counts the job no more.
  */
-void rj_job_unplan(struct rj_job *job, bool succeeded)
+void rj_job_remove_from_plan(struct rj_job *job, bool succeeded)
 {
 	struct rj_core_state *core = job->core;
 	uint64_t ran_us = 0;
@@ -95,8 +95,8 @@
 	struct rj_core_state *core = job->core;
 
 	rj_core_log(core, RJ_LOG_RETRY, reason, job, NULL);
-	rj_job_drop_members(job);
-	rj_job_enter(job, RJ_JOB_QUEUED);
+	rj_job_free_members(job);
+	rj_job_enter_state(job, RJ_JOB_QUEUED);
 	job->attempt.owner = core->incarnation;
 	job->attempt.number = ++core->next_attempt;
 	job->claimed = false;
@@ -106,7 +106,7 @@
 	job->reclaimed = false;
 	if (!job->planned || job->failures || rj_route_prefers_peer(job)) {
 		/* Submitted anew, with the workers to avoid, or handed on. */
-		rj_job_unplan(job, false);
+		rj_job_remove_from_plan(job, false);
 		rj_timer_set(&core->timers, &job->state_timer,
 			     core->now_us + delay_us);
 		return;
@@ -121,7 +121,7 @@
 {
 	struct rj_core_state *core = job->core;
 
-	rj_job_set_members(job, decision->member_count);
+	rj_job_alloc_members(job, decision->member_count);
 	for (uint32_t i = 0; i < decision->member_count; i++) {
 		uint32_t worker = decision->members[i].worker;
 
@@ -137,7 +137,7 @@
 /* Ask for every lease of the job. */
 static void hold(struct rj_job *job)
 {
-	rj_job_enter(job, RJ_JOB_LEASING);
+	rj_job_enter_state(job, RJ_JOB_LEASING);
 	for (uint32_t i = 0; i < job->member_count; i++) {
 		rj_core_count(job->core, RJ_COUNT_LEASES);
 		rj_job_call(job, &job->members[i], RJ_WORKER_LEASE);
@@ -163,7 +163,7 @@
 		    job->members[0].worker);
 	if (job->member_count == 1 && job->idempotent && job->spec.wait &&
 	    !rj_job_needs_claim(job))
-		rj_job_run_on(job);
+		rj_job_lease_and_start(job);
 	else
 		hold(job);
 }
@@ -207,7 +207,8 @@
 {
 	for (uint32_t i = 0; i < job->member_count; i++)
 		if (job->members[i].upstream)
-			rj_upstreams_offer(job->core, job->members[i].upstream);
+			rj_upstreams_update_offer(job->core,
+						  job->members[i].upstream);
 }
 
 /*
@@ -236,7 +237,7 @@
 		rj_job_not_started(job, decision->reason,
 				   decision->retry_after_us);
 	else if (decision->reason == RJ_REASON_NEVER_FITS)
-		rj_job_give_up(job, decision->reason, 0);
+		rj_job_abandon(job, decision->reason, 0);
 	else
 		rj_job_requeue(job, ACCEPTED_BACKOFF_US, decision->reason);
 }
@@ -305,7 +306,7 @@
 		if (member->token || member->call_id)
 			rj_job_call(job, member, RJ_WORKER_RELEASE);
 	}
-	rj_job_drop_members(job);
+	rj_job_free_members(job);
 }
 
 /* Whether every member has its lease. */
@@ -345,7 +346,7 @@
 		member->call_id = reply->call_id; /* it may hold a lease */
 	rj_job_release_members(job);
 	if (upstream)
-		rj_upstreams_poll_soon(core, upstream);
+		rj_upstreams_poll_now(core, upstream);
 	rj_job_requeue(job, rj_core_jitter_us(core, HOLD_BACKOFF_US),
 		       RJ_REASON_LEASE_REFUSED);
 }
--- a/src/libradishjunction/core/controllers/recovery_controller.c
+++ b/src/libradishjunction/core/controllers/recovery_controller.c
@@ -64,9 +64,9 @@
 
 	job->started = false;
 	if (job->claimed)
-		rj_claims_void(job);
+		rj_claims_append_void(job);
 	if (job->cancelled) {
-		rj_job_give_up(job, RJ_REASON_CANCELLED, 0);
+		rj_job_abandon(job, RJ_REASON_CANCELLED, 0);
 		return;
 	}
 	if (job->body_missing)
@@ -76,9 +76,9 @@
 		return;
 	}
 	if (!job->accepted && !job->idempotent && !rj_log_usable(core)) {
-		rj_job_end_plain(job, RJ_ANSWER_UNKNOWN,
-				 RJ_REASON_PLATFORM_DOWN,
-				 rj_core_jitter_us(core, RJ_RETRY_AFTER_US));
+		rj_job_end_without_result(
+			job, RJ_ANSWER_UNKNOWN, RJ_REASON_PLATFORM_DOWN,
+			rj_core_jitter_us(core, RJ_RETRY_AFTER_US));
 		return;
 	}
 	rj_job_requeue(job, 0, RJ_REASON_LEASE_EXPIRED);
@@ -107,7 +107,7 @@
 	rj_core_count(core, RJ_COUNT_ADOPTIONS);
 	rj_core_log(core, RJ_LOG_ADOPT, RJ_REASON_OWNER, job,
 		    job->members[0].worker);
-	rj_job_enter(job, RJ_JOB_RUNNING);
+	rj_job_enter_state(job, RJ_JOB_RUNNING);
 	job->started = true;
 	if (!job->started_us)
 		job->started_us = core->now_us - job->members[0].ran_us;
@@ -130,7 +130,7 @@
 		where[i].worker = job->members[i].upstream->index;
 		where[i].tasks = job->members[i].tasks;
 	}
-	rj_job_plan_view(job, &plan);
+	rj_job_fill_plan(job, &plan);
 	core->planner->ops->adopt(core->planner, &plan, where,
 				  job->member_count, core->now_us);
 	job->planned = true;
@@ -166,9 +166,9 @@
 		return;
 	}
 	if (sum.done == all || (sum.failed && all == 1)) {
-		rj_job_enter(job, RJ_JOB_RUNNING);
+		rj_job_enter_state(job, RJ_JOB_RUNNING);
 		job->started = true;
-		rj_job_check(job);
+		rj_job_check_members(job);
 		return;
 	}
 	job->started = true;
@@ -196,7 +196,7 @@
 	bool first = job->state != RJ_JOB_SETTLING;
 
 	if (first) {
-		rj_job_enter(job, RJ_JOB_SETTLING);
+		rj_job_enter_state(job, RJ_JOB_SETTLING);
 		for (uint32_t i = 0; i < job->member_count; i++)
 			job->members[i].settled = false;
 	}
@@ -262,14 +262,14 @@
 		return;
 	if (reply->status == RJ_REPLY_REFUSED)
 		member->state = RJ_TASK_STOPPED;
-	rj_job_check(job);
+	rj_job_check_members(job);
 }
 
 /* Take the members of a claim from the log. */
 static void members_from_log(struct rj_job *job,
 			     const struct rj_job_entry *entry)
 {
-	rj_job_set_members(job, entry->member_count);
+	rj_job_alloc_members(job, entry->member_count);
 	for (uint32_t i = 0; i < entry->member_count; i++) {
 		const struct rj_claim_member *claimed = &entry->members[i];
 		struct rj_member *member = &job->members[i];
@@ -304,7 +304,8 @@
 static void take_back(struct rj_job *job, const struct rj_job_entry *entry)
 {
 	if (entry->accepted && !job->spec.wait)
-		rj_job_tell_waiters(job, RJ_ANSWER_ACCEPTED, RJ_REASON_NONE, 0);
+		rj_job_answer_without_result(job, RJ_ANSWER_ACCEPTED,
+					     RJ_REASON_NONE, 0);
 	g_hash_table_remove(job->core->jobs.forwards, &job->forward_id);
 	job->forward_id = 0;
 	rj_job_watch(job);
@@ -374,9 +375,9 @@
 	job->ran_before = job->ran_before || entry->attempt.number;
 	rj_core_log(core, RJ_LOG_ADOPT, RJ_REASON_OWNER, job, NULL);
 	if (entry->cancelled)
-		rj_job_give_up(job, RJ_REASON_CANCELLED, 0);
+		rj_job_abandon(job, RJ_REASON_CANCELLED, 0);
 	else if (entry->incomplete && !job->idempotent)
-		rj_job_give_up(job, RJ_REASON_LOG_GAP, 0);
+		rj_job_abandon(job, RJ_REASON_LOG_GAP, 0);
 	else
 		rj_job_submit(job);
 }
@@ -524,7 +525,7 @@
 				settle_entry(core, entry);
 		} else if (!entry->settled && entry->accepted && job &&
 			   job->state == RJ_JOB_RUNNING) {
-			rj_claims_running(job);
+			rj_claims_claim_running(job);
 		} else if (!entry->settled && entry->accepted && current &&
 			   owned_here(core, entry)) {
 			own_accepted(core, entry);
--- a/src/libradishjunction/core/controllers/report_controller.c
+++ b/src/libradishjunction/core/controllers/report_controller.c
@@ -14,8 +14,8 @@
  * A worker told how a member is. A gang's member that is held still is
  * running, too, and has made no progress.
  */
-void rj_job_note_progress(struct rj_job *job, enum rj_task_state state,
-			  uint64_t ran_us)
+void rj_job_record_progress(struct rj_job *job, enum rj_task_state state,
+			    uint64_t ran_us)
 {
 	if (state == RJ_TASK_DONE || state == RJ_TASK_FAILED || ran_us ||
 	    (state == RJ_TASK_RUNNING && job->member_count == 1))
@@ -26,7 +26,7 @@
 static void report_task(struct rj_job *job, struct rj_member *member,
 			const struct rj_task_report *task)
 {
-	rj_job_note_progress(job, task->state, task->ran_us);
+	rj_job_record_progress(job, task->state, task->ran_us);
 	member->ran_us = task->ran_us;
 	if (task->state == RJ_TASK_HELD)
 		return; /* an older picture than the start, or a lost start */
@@ -71,10 +71,10 @@
 {
 	if (task->holder != core->incarnation)
 		return;
-	rj_call_clear(core, upstream,
-		      task->state == RJ_TASK_RUNNING ? RJ_WORKER_STOP :
-						       RJ_WORKER_RELEASE,
-		      &task->attempt, task->member, task->token);
+	rj_call_clean_up(core, upstream,
+			 task->state == RJ_TASK_RUNNING ? RJ_WORKER_STOP :
+							  RJ_WORKER_RELEASE,
+			 &task->attempt, task->member, task->token);
 }
 
 /*
@@ -106,8 +106,10 @@
  * Take a worker's report, asked for at `asked_us`: how members of own jobs
  * are, and which of them are gone without a word.
  */
-void rj_jobs_report(struct rj_core_state *core, struct rj_upstream *upstream,
-		    const struct rj_worker_report *report, uint64_t asked_us)
+void rj_jobs_apply_report(struct rj_core_state *core,
+			  struct rj_upstream *upstream,
+			  const struct rj_worker_report *report,
+			  uint64_t asked_us)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -133,9 +135,9 @@
 			if (member->job->state != RJ_JOB_RUNNING)
 				continue;
 			if (vanished(member, asked_us))
-				rj_job_start_lost(member->job, member);
+				rj_job_start_unconfirmed(member->job, member);
 			else if (ended(member) || rj_job_all_done(member->job))
-				rj_job_check(member->job);
+				rj_job_check_members(member->job);
 			else
 				continue;
 			again = true;
@@ -148,7 +150,7 @@
  * A worker reports nothing new. Returns whether that is enough: a member that
  * was not in the last whole report can be judged only by another whole one.
  */
-bool rj_jobs_report_unchanged(const struct rj_upstream *upstream)
+bool rj_jobs_unchanged_suffices(const struct rj_upstream *upstream)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -184,7 +186,7 @@
 		break;
 	case RJ_JOB_STOPPING:
 		member->state = RJ_TASK_STOPPED;
-		rj_job_stopped_check(job);
+		rj_job_check_stopped(job);
 		break;
 	case RJ_JOB_ACCEPTING:
 	case RJ_JOB_QUEUED:
--- a/src/libradishjunction/core/controllers/run_controller.c
+++ b/src/libradishjunction/core/controllers/run_controller.c
@@ -32,13 +32,13 @@
  * Lease and start in one call, for a single task that may run again: the
  * answer is the result. Small jobs cost one call and never touch the log.
  */
-void rj_job_run_on(struct rj_job *job)
+void rj_job_lease_and_start(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
 	struct rj_worker_call *call;
 
 	assert(job->member_count == 1 && job->idempotent);
-	rj_job_enter(job, RJ_JOB_RUNNING);
+	rj_job_enter_state(job, RJ_JOB_RUNNING);
 	job->started = true;
 	job->started_us = core->now_us;
 	job->members[0].start_sent = true;
@@ -59,7 +59,7 @@
 	struct rj_core_state *core = job->core;
 	bool single = job->member_count == 1;
 
-	rj_job_enter(job, RJ_JOB_STARTING);
+	rj_job_enter_state(job, RJ_JOB_STARTING);
 	job->started = true;
 	job->started_us = core->now_us;
 	rj_core_count(core, RJ_COUNT_STARTS);
@@ -78,7 +78,7 @@
 		fill_start(job, call);
 	}
 	if (single && job->spec.wait)
-		rj_job_enter(job, RJ_JOB_RUNNING);
+		rj_job_enter_state(job, RJ_JOB_RUNNING);
 }
 
 /*
@@ -111,7 +111,7 @@
 
 	assert(job->idempotent || !job->started);
 	if (job->cancelled) {
-		rj_job_give_up(job, RJ_REASON_CANCELLED, 0);
+		rj_job_abandon(job, RJ_REASON_CANCELLED, 0);
 		return;
 	}
 	if (job->accepted) {
@@ -120,7 +120,7 @@
 		return;
 	}
 	if (core->jobs.retry_tokens < 1.0) {
-		rj_job_give_up(job, RJ_REASON_RETRY_BUDGET,
+		rj_job_abandon(job, RJ_REASON_RETRY_BUDGET,
 			       rj_core_jitter_us(core, RJ_RETRY_AFTER_US));
 		return;
 	}
@@ -140,7 +140,8 @@
 
 	for (uint32_t i = 0; i < job->member_count; i++)
 		if (job->members[i].upstream)
-			rj_upstreams_succeeded(core, job->members[i].upstream);
+			rj_upstreams_record_success(core,
+						    job->members[i].upstream);
 	core->jobs.retry_tokens += share;
 	if (core->jobs.retry_tokens > RETRY_TOKENS_MAX)
 		core->jobs.retry_tokens = RETRY_TOKENS_MAX;
@@ -155,7 +156,8 @@
 	if (member->upstream) {
 		if (job->failures < RJ_PLAN_AVOID_MAX)
 			job->failed_on[job->failures] = member->upstream->index;
-		rj_upstreams_failed(core, member->upstream, job->spec.job_id);
+		rj_upstreams_record_failure(core, member->upstream,
+					    job->spec.job_id);
 	}
 	job->failures++;
 }
@@ -196,7 +198,7 @@
 /*
  * Look at the members of a running job: all done, one failed, one stopped.
  */
-void rj_job_check(struct rj_job *job)
+void rj_job_check_members(struct rj_job *job)
 {
 	struct rj_member *member;
 
@@ -235,7 +237,7 @@
 /* All members have started: let a gang run. */
 static void let_run(struct rj_job *job)
 {
-	rj_job_enter(job, RJ_JOB_RUNNING);
+	rj_job_enter_state(job, RJ_JOB_RUNNING);
 	if (job->member_count == 1)
 		return;
 	for (uint32_t i = 0; i < job->member_count; i++)
@@ -248,14 +250,14 @@
 {
 	member->state = RJ_TASK_DEAD;
 	if (member->upstream)
-		rj_upstreams_poll_soon(job->core, member->upstream);
+		rj_upstreams_poll_now(job->core, member->upstream);
 	if (job->member_count > 1) {
 		rj_job_stop_after_failure(job, RJ_REASON_LEASE_EXPIRED);
 		return;
 	}
 	job->started = false;
 	if (job->claimed)
-		rj_claims_void(job);
+		rj_claims_append_void(job);
 	rj_job_retry(job, RJ_REASON_LEASE_EXPIRED);
 }
 
@@ -264,7 +266,7 @@
  * stopped there, unheard, and tried elsewhere; for all other work the worker
  * is asked until it tells.
  */
-void rj_job_start_lost(struct rj_job *job, struct rj_member *member)
+void rj_job_start_unconfirmed(struct rj_job *job, struct rj_member *member)
 {
 	if (!job->idempotent || job->claimed) {
 		rj_job_settle(job);
@@ -288,7 +290,7 @@
 	if (job->state != RJ_JOB_STARTING && job->state != RJ_JOB_RUNNING)
 		return;
 	if (reply->status == RJ_REPLY_LOST) {
-		rj_job_start_lost(job, member);
+		rj_job_start_unconfirmed(job, member);
 		return;
 	}
 	if (reply->status == RJ_REPLY_REFUSED) {
@@ -305,7 +307,7 @@
 	if (job->state == RJ_JOB_STARTING && all_running(job))
 		let_run(job);
 	if (reply->state != RJ_TASK_RUNNING)
-		rj_job_check(job);
+		rj_job_check_members(job);
 }
 
 /*
--- a/src/libradishjunction/core/controllers/stop_controller.c
+++ b/src/libradishjunction/core/controllers/stop_controller.c
@@ -33,10 +33,10 @@
 {
 	job->started = false;
 	if (job->claimed)
-		rj_claims_void(job);
+		rj_claims_append_void(job);
 	if (job->cancelled)
-		rj_job_give_up(job, job->final.reason, 0);
-	else if (!rj_job_leave_bodiless(job))
+		rj_job_abandon(job, job->final.reason, 0);
+	else if (!rj_job_drop_if_body_missing(job))
 		rj_job_retry(job, RJ_REASON_LEASE_EXPIRED);
 }
 
@@ -58,8 +58,8 @@
 		return;
 	}
 	if (job->claimed)
-		rj_claims_void(job);
-	if (rj_job_leave_bodiless(job))
+		rj_claims_append_void(job);
+	if (rj_job_drop_if_body_missing(job))
 		return;
 	if (job->reclaimed) {
 		rj_job_requeue(job, 0, RJ_REASON_RECLAIMED);
@@ -81,7 +81,7 @@
 	bool open = false;
 
 	if (first) {
-		rj_job_enter(job, RJ_JOB_STOPPING);
+		rj_job_enter_state(job, RJ_JOB_STOPPING);
 	}
 	for (uint32_t i = 0; i < job->member_count; i++) {
 		struct rj_member *member = &job->members[i];
@@ -92,8 +92,9 @@
 		if (!member_live(member))
 			continue;
 		if (member->tries++ >= STOP_TRIES &&
-		    core->now_us > job->state_entered_us +
-					   rj_upstreams_lease_life_us(core)) {
+		    core->now_us >
+			    job->state_entered_us +
+				    rj_upstreams_lease_duration_us(core)) {
 			member->state = RJ_TASK_STOPPED;
 			continue;
 		}
@@ -128,7 +129,7 @@
 /*
  * Go on when the last member of a job that is being stopped has stopped.
  */
-void rj_job_stopped_check(struct rj_job *job)
+void rj_job_check_stopped(struct rj_job *job)
 {
 	if (none_live(job))
 		stopped(job);
@@ -156,5 +157,5 @@
 		    reply->state == RJ_TASK_FAILED)
 			rj_member_keep_result(job, member, &reply->result);
 	}
-	rj_job_stopped_check(job);
+	rj_job_check_stopped(job);
 }
--- a/src/libradishjunction/core/ownership.c
+++ b/src/libradishjunction/core/ownership.c
@@ -39,8 +39,9 @@
  */
 bool rj_ownership_cut_off(const struct rj_core_state *core)
 {
-	return core->membership.alone_us &&
-	       core->now_us > core->membership.alone_us + LOG_LOST_MIN_US;
+	return core->membership.log_isolated_us &&
+	       core->now_us >
+		       core->membership.log_isolated_us + LOG_LOST_MIN_US;
 }
 
 /*
@@ -74,7 +75,7 @@
 			RJ_CONTAINER(at, struct rj_member_view, link);
 		bool same_domain = !strcmp(member->domain, domain);
 
-		if (!rj_membership_takes_work(core, member))
+		if (!rj_membership_accepts_jobs(core, member))
 			continue;
 		if (same_domain && !own_domain)
 			return false;
@@ -100,7 +101,7 @@
 			RJ_CONTAINER(at, struct rj_member_view, link);
 
 		if (strcmp(member->domain, core->domain) ||
-		    !rj_membership_takes_work(core, member) ||
+		    !rj_membership_accepts_jobs(core, member) ||
 		    peer_weight(member, key) <= highest)
 			continue;
 		highest = peer_weight(member, key);
