--- a/src/bench/control_site.c
+++ b/src/bench/control_site.c
@@ -315,8 +315,8 @@
  */
 static void peers_round(struct control *control)
 {
-	uint32_t every =
-		rj_membership_beats_between(control->load->site.domains);
+	uint32_t every = rj_membership_cross_domain_interval(
+		control->load->site.domains);
 	bool others = control->beats++ % every == 0;
 
 	for (uint32_t i = 0; i < control->instance_count; i++) {
--- a/src/libradishjunction/core/controllers/calls_controller.c
+++ b/src/libradishjunction/core/controllers/calls_controller.c
@@ -15,9 +15,9 @@
 /*
  * Make the members of the next attempt, without workers yet.
  */
-void rj_job_set_members(struct rj_job *job, uint32_t count)
+void rj_job_alloc_members(struct rj_job *job, uint32_t count)
 {
-	rj_job_drop_members(job);
+	rj_job_free_members(job);
 	job->members = talloc_zero_array(job, struct rj_member, count);
 	assert(job->members);
 	job->member_count = count;
@@ -44,7 +44,7 @@
 /*
  * Forget the members of an attempt that is over.
  */
-void rj_job_drop_members(struct rj_job *job)
+void rj_job_free_members(struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++) {
 		struct rj_upstream *upstream = job->members[i].upstream;
@@ -126,8 +126,8 @@
 	g_strlcpy(out->class_name, job->spec.class_name,
 		  sizeof(out->class_name));
 	out->each = member_needs(job, member);
-	out->life_us = rj_upstreams_lease_life_us(core);
-	out->connections_max = rj_membership_connections(core);
+	out->life_us = rj_upstreams_lease_duration_us(core);
+	out->connections_max = rj_membership_worker_connections(core);
 	return out;
 }
 
@@ -135,10 +135,10 @@
  * Clear away what an attempt that is over has left at a worker: RELEASE what
  * is held or has ended, STOP what runs. Nobody waits for the answer.
  */
-void rj_call_clear(struct rj_core_state *core,
-		   const struct rj_upstream *upstream, enum rj_worker_op op,
-		   const struct rj_attempt *attempt, uint32_t member,
-		   uint64_t token)
+void rj_call_clean_up(struct rj_core_state *core,
+		      const struct rj_upstream *upstream, enum rj_worker_op op,
+		      const struct rj_attempt *attempt, uint32_t member,
+		      uint64_t token)
 {
 	struct rj_action *action =
 		rj_actions_add(core->actions, RJ_ACTION_WORKER_CALL);
@@ -156,22 +156,24 @@
 }
 
 /* An answer to a call of an attempt that is over: leave nothing behind. */
-static void stale_reply(struct rj_core_state *core, const struct rj_call *call,
-			const struct rj_worker_reply *reply)
+static void discard_stale_reply(struct rj_core_state *core,
+				const struct rj_call *call,
+				const struct rj_worker_reply *reply)
 {
 	const struct rj_upstream *upstream =
 		rj_upstreams_find(core, reply->worker);
 
 	if (call->op == RJ_WORKER_LEASE && reply->status == RJ_REPLY_OK &&
 	    upstream)
-		rj_call_clear(core, upstream, RJ_WORKER_RELEASE,
-			      &reply->attempt, call->member, reply->token);
+		rj_call_clean_up(core, upstream, RJ_WORKER_RELEASE,
+				 &reply->attempt, call->member, reply->token);
 }
 
 /* Whether a reply names the attempt that was asked about. One that names
  * another was crossed on its way, and says nothing about this one. */
-static bool echoes(const struct rj_job *job, const struct rj_call *call,
-		   const struct rj_worker_reply *reply)
+static bool matches_attempt(const struct rj_job *job,
+			    const struct rj_call *call,
+			    const struct rj_worker_reply *reply)
 {
 	return reply->attempt.job_id == call->job_id &&
 	       reply->attempt.owner == job->attempt.owner &&
@@ -183,28 +185,28 @@
 		      const struct rj_worker_reply *reply)
 {
 	struct rj_job *job = rj_jobs_find(core, call->job_id);
-	struct rj_worker_reply crossed;
+	struct rj_worker_reply mismatched;
 	struct rj_member *member;
 
 	if (!job || job->attempt.owner != call->owner ||
 	    job->attempt.number != call->attempt ||
 	    call->member >= job->member_count) {
-		stale_reply(core, call, reply);
+		discard_stale_reply(core, call, reply);
 		return;
 	}
-	if (!echoes(job, call, reply)) {
-		crossed = *reply;
-		crossed.status = RJ_REPLY_LOST;
-		reply = &crossed;
+	if (!matches_attempt(job, call, reply)) {
+		mismatched = *reply;
+		mismatched.status = RJ_REPLY_LOST;
+		reply = &mismatched;
 	}
 	member = &job->members[call->member];
 	if (member->call_id == call->call_id)
 		member->call_id = 0;
 	if (reply->leaving && member->upstream)
-		rj_upstreams_leaving(core, member->upstream,
-				     reply->incarnation);
+		rj_upstreams_mark_leaving(core, member->upstream,
+					  reply->incarnation);
 	if (reply->status == RJ_REPLY_OK)
-		rj_job_note_progress(job, reply->state, reply->ran_us);
+		rj_job_record_progress(job, reply->state, reply->ran_us);
 	switch (call->op) {
 	case RJ_WORKER_LEASE:
 		rj_job_lease_reply(job, member, reply);
@@ -247,9 +249,9 @@
 		return;
 	g_hash_table_remove(core->jobs.calls, &reply->call_id);
 	if (call->op == RJ_WORKER_REPORT)
-		rj_upstreams_report(core,
-				    core->upstreams.by_index[call->upstream],
-				    reply, call->sent_us);
+		rj_upstreams_receive_report(
+			core, core->upstreams.by_index[call->upstream], reply,
+			call->sent_us);
 	else
 		job_reply(core, call, reply);
 	talloc_free(call);
--- a/src/libradishjunction/core/controllers/claims_controller.c
+++ b/src/libradishjunction/core/controllers/claims_controller.c
@@ -12,7 +12,7 @@
 #include "private/core_state.h"
 
 /* A lost append shows in the log within this time, or is given up. */
-#define APPEND_SETTLE_US (3 * RJ_US_PER_S)
+#define LOST_APPEND_WAIT_US (3 * RJ_US_PER_S)
 #define OUTCOME_RETRY_US (2 * RJ_US_PER_S)
 #define PLATFORM_RETRY_US (2 * RJ_US_PER_S)
 
@@ -51,7 +51,7 @@
 {
 	struct rj_record record;
 
-	rj_job_enter(job, RJ_JOB_ACCEPTING);
+	rj_job_enter_state(job, RJ_JOB_ACCEPTING);
 	fill_record(job, RJ_RECORD_ACCEPT, &record);
 	record.spec.body = job->spec.body;
 	rj_log_append(job->core, RJ_STREAM_JOBS, &record);
@@ -65,7 +65,7 @@
 	struct rj_record record;
 
 	fill_record(job, RJ_RECORD_CLAIM, &record);
-	record.lease_life_us = rj_upstreams_lease_life_us(core);
+	record.lease_life_us = rj_upstreams_lease_duration_us(core);
 	members = talloc_zero_array(core->actions->mem, struct rj_claim_member,
 				    job->member_count);
 	assert(members);
@@ -100,7 +100,7 @@
 				rj_core_jitter_us(core, PLATFORM_RETRY_US));
 		return;
 	}
-	rj_job_enter(job, RJ_JOB_CLAIMING);
+	rj_job_enter_state(job, RJ_JOB_CLAIMING);
 	append_claim(job);
 }
 
@@ -110,7 +110,7 @@
  * Guards against a peer that knows nothing of it: it would start the job
  * once more, or end a cancelled one as never run while it runs here.
  */
-void rj_claims_running(struct rj_job *job)
+void rj_claims_claim_running(struct rj_job *job)
 {
 	if (job->state == RJ_JOB_RUNNING && !job->claimed &&
 	    rj_log_usable(job->core))
@@ -118,27 +118,28 @@
 }
 
 /* Give up an attempt whose claim is not, or not surely, in the log. */
-static void claim_given_up(struct rj_job *job)
+static void abandon_claim(struct rj_job *job)
 {
 	rj_job_release_members(job);
 	if (job->accepted) {
 		rj_job_requeue(job, PLATFORM_RETRY_US, RJ_REASON_PLATFORM_DOWN);
 		return;
 	}
-	rj_job_end_plain(job, RJ_ANSWER_UNKNOWN, RJ_REASON_PLATFORM_DOWN,
-			 rj_core_jitter_us(job->core, PLATFORM_RETRY_US));
+	rj_job_end_without_result(
+		job, RJ_ANSWER_UNKNOWN, RJ_REASON_PLATFORM_DOWN,
+		rj_core_jitter_us(job->core, PLATFORM_RETRY_US));
 }
 
 /*
  * The time for a lost append to show in the log is over. A claim that shows
  * later finds no job here, and its attempt is fenced and voided.
  */
-void rj_claims_step_due(struct rj_job *job)
+void rj_claims_append_timeout(struct rj_job *job)
 {
 	if (job->state == RJ_JOB_CLAIMING)
-		claim_given_up(job);
+		abandon_claim(job);
 	else if (job->state == RJ_JOB_ACCEPTING)
-		rj_job_end_plain(
+		rj_job_end_without_result(
 			job, RJ_ANSWER_UNKNOWN, RJ_REASON_PLATFORM_DOWN,
 			rj_core_jitter_us(job->core, PLATFORM_RETRY_US));
 }
@@ -147,9 +148,9 @@
  * An append of `record` was refused, or its answer was lost. Lost records
  * may be in the log: reading tells, for a while.
  */
-void rj_claims_appended(struct rj_core_state *core,
-			const struct rj_record *record,
-			enum rj_append_status status)
+void rj_claims_append_failed(struct rj_core_state *core,
+			     const struct rj_record *record,
+			     enum rj_append_status status)
 {
 	struct rj_job *job = rj_jobs_find(core, record->attempt.job_id);
 
@@ -163,14 +164,14 @@
 		return;
 	if (status == RJ_APPEND_LOST) {
 		rj_timer_set(&core->timers, &job->step,
-			     core->now_us + APPEND_SETTLE_US);
+			     core->now_us + LOST_APPEND_WAIT_US);
 		return;
 	}
 	if (job->state == RJ_JOB_CLAIMING) {
-		claim_given_up(job);
+		abandon_claim(job);
 		return;
 	}
-	rj_job_enter(job, RJ_JOB_QUEUED);
+	rj_job_enter_state(job, RJ_JOB_QUEUED);
 	rj_job_not_started(job, RJ_REASON_PLATFORM_DOWN,
 			   rj_core_jitter_us(core, PLATFORM_RETRY_US));
 }
@@ -193,7 +194,7 @@
 		if (job->state != RJ_JOB_QUEUED && job->state != RJ_JOB_HOLDING)
 			continue;
 		rj_job_release_members(job);
-		rj_job_unplan(job, false);
+		rj_job_remove_from_plan(job, false);
 		job->hops = 0; /* whoever sent it here may have the log */
 		rj_filters_again(job);
 	}
@@ -202,8 +203,8 @@
 /*
  * The answer that a settled entry of the log gives.
  */
-void rj_claims_answer(const struct rj_job_entry *entry,
-		      struct rj_answer *answer)
+void rj_claims_fill_answer(const struct rj_job_entry *entry,
+			   struct rj_answer *answer)
 {
 	assert(entry->settled);
 	memset(answer, 0, sizeof(*answer));
@@ -218,9 +219,9 @@
  */
 void rj_job_watch(struct rj_job *job)
 {
-	rj_job_unplan(job, false);
-	rj_job_drop_members(job);
-	rj_job_enter(job, RJ_JOB_WATCHING);
+	rj_job_remove_from_plan(job, false);
+	rj_job_free_members(job);
+	rj_job_enter_state(job, RJ_JOB_WATCHING);
 	job->claimed = false;
 	job->started = false;
 }
@@ -228,7 +229,7 @@
 /*
  * Ask, through the log, whoever serves the job to cancel it.
  */
-void rj_claims_cancel(struct rj_job *job)
+void rj_claims_append_cancel(struct rj_job *job)
 {
 	struct rj_record record;
 
@@ -240,7 +241,7 @@
  * Close the job's own claim: nothing of this attempt started, or all of it
  * was stopped and may run again.
  */
-void rj_claims_void(struct rj_job *job)
+void rj_claims_append_void(struct rj_job *job)
 {
 	struct rj_record record;
 
@@ -252,8 +253,8 @@
 }
 
 /* Whether the entry's open claim is that of the job's present attempt. */
-static bool own_claim(const struct rj_job *job,
-		      const struct rj_job_entry *entry)
+static bool is_own_claim(const struct rj_job *job,
+			 const struct rj_job_entry *entry)
 {
 	return entry->claimed && entry->attempt.owner == job->attempt.owner &&
 	       entry->attempt.number == job->attempt.number;
@@ -274,7 +275,7 @@
 		rj_job_ledger_find(&job->core->ledger, job->spec.job_id);
 	struct rj_record record;
 
-	if (!entry || !entry->claimed || own_claim(job, entry))
+	if (!entry || !entry->claimed || is_own_claim(job, entry))
 		return;
 	if (entry->attempt.owner != job->core->incarnation &&
 	    !(job->idempotent && job->final.kind == RJ_ANSWER_DONE))
@@ -287,7 +288,7 @@
 /*
  * Append how the job ended, again and again until it was read back.
  */
-void rj_claims_outcome(struct rj_job *job)
+void rj_claims_append_outcome(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
 	struct rj_record record;
@@ -305,7 +306,7 @@
 }
 
 /* The job's own claim was read back as the winning one. */
-static void claim_won(struct rj_job *job)
+static void on_claim_won(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
 
@@ -318,12 +319,12 @@
 		return;
 	}
 	rj_job_release_members(job);
-	rj_claims_void(job);
-	rj_job_give_up(job, RJ_REASON_CANCELLED, 0);
+	rj_claims_append_void(job);
+	rj_job_abandon(job, RJ_REASON_CANCELLED, 0);
 }
 
 /* Another claim of the same key was first in the log. */
-static void claim_lost(struct rj_job *job)
+static void on_claim_lost(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
 
@@ -335,16 +336,17 @@
 }
 
 /* A job that was submitted here is in the log as accepted. */
-static void accept_read(struct rj_job *job)
+static void on_accept_read(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
 
 	rj_timer_clear(&core->timers, &job->step);
 	job->accepted = true;
-	rj_job_tell_waiters(job, RJ_ANSWER_ACCEPTED, RJ_REASON_NONE, 0);
+	rj_job_answer_without_result(job, RJ_ANSWER_ACCEPTED, RJ_REASON_NONE,
+				     0);
 	rj_timer_clear(&core->timers, &job->deadline);
 	if (job->cancelled)
-		rj_job_give_up(job, RJ_REASON_CANCELLED, 0);
+		rj_job_abandon(job, RJ_REASON_CANCELLED, 0);
 	else if (rj_ownership_owns(core, core->domain,
 				   rj_racks_job_key(core, core->domain,
 						    job->spec.job_id)))
@@ -354,11 +356,12 @@
 }
 
 /* The job was settled, here or elsewhere. */
-static void settled_read(struct rj_job *job, const struct rj_job_entry *entry)
+static void on_outcome_read(struct rj_job *job,
+			    const struct rj_job_entry *entry)
 {
 	struct rj_answer answer;
 
-	rj_claims_answer(entry, &answer);
+	rj_claims_fill_answer(entry, &answer);
 	switch (job->state) {
 	case RJ_JOB_ENDED:
 	case RJ_JOB_WATCHING:
@@ -392,20 +395,20 @@
  * before their time: their job would run twice. The attempt is given up then,
  * unless a peer who may know the older ones has carried its claim.
  */
-static void claim_read(struct rj_job *job, const struct rj_job_entry *entry,
-		       bool carried)
+static void on_claim_read(struct rj_job *job, const struct rj_job_entry *entry,
+			  bool carried)
 {
 	if (job->state == RJ_JOB_CLAIMING) {
-		if (own_claim(job, entry) && job->core->ledger.gap_us &&
+		if (is_own_claim(job, entry) && job->core->ledger.gap_us &&
 		    !carried)
-			claim_given_up(job);
-		else if (own_claim(job, entry))
-			claim_won(job);
+			abandon_claim(job);
+		else if (is_own_claim(job, entry))
+			on_claim_won(job);
 		else
-			claim_lost(job);
+			on_claim_lost(job);
 		return;
 	}
-	if (own_claim(job, entry)) {
+	if (is_own_claim(job, entry)) {
 		if (job->state == RJ_JOB_RUNNING)
 			job->claimed = true;
 		return;
@@ -414,7 +417,7 @@
 	    job->final.kind == RJ_ANSWER_NOT_RUN) {
 		/* Claimed by a peer before this outcome: ask it to cancel. */
 		rj_job_watch(job);
-		rj_claims_cancel(job);
+		rj_claims_append_cancel(job);
 		return;
 	}
 	if (job->state == RJ_JOB_QUEUED || job->state == RJ_JOB_HOLDING ||
@@ -425,7 +428,7 @@
 }
 
 /* The log says that the job is to be cancelled. */
-static void cancel_read(struct rj_job *job)
+static void on_cancel_read(struct rj_job *job)
 {
 	if (job->state == RJ_JOB_WATCHING || job->state == RJ_JOB_ENDED)
 		return;
@@ -437,7 +440,7 @@
  * alone, without its body, and is left to those who submit it again. It is
  * freed then.
  */
-bool rj_job_leave_bodiless(struct rj_job *job)
+bool rj_job_drop_if_bodiless(struct rj_job *job)
 {
 	if (!job->bodiless)
 		return false;
@@ -447,9 +450,9 @@
 }
 
 /* The attempt that was watched never ran: serve the job from here. */
-static void watched_is_void(struct rj_job *job)
+static void resume_watched(struct rj_job *job)
 {
-	if (!rj_job_leave_bodiless(job))
+	if (!rj_job_drop_if_bodiless(job))
 		rj_filters_again(job);
 }
 
@@ -457,8 +460,8 @@
  * Apply one record of the `jobs` stream, and let the job here that it is
  * about go on from it.
  */
-void rj_claims_record(struct rj_core_state *core,
-		      const struct rj_record *record)
+void rj_claims_apply_record(struct rj_core_state *core,
+			    const struct rj_record *record)
 {
 	struct rj_job_entry *entry;
 	struct rj_job *job;
@@ -470,25 +473,25 @@
 	if (!job)
 		return;
 	if (entry->settled) {
-		settled_read(job, entry);
+		on_outcome_read(job, entry);
 		return;
 	}
 	switch (record->kind) {
 	case RJ_RECORD_ACCEPT:
 		if (job->state == RJ_JOB_ACCEPTING)
-			accept_read(job);
+			on_accept_read(job);
 		break;
 	case RJ_RECORD_CLAIM:
 		if (entry->claimed)
-			claim_read(job, entry, record->carried);
+			on_claim_read(job, entry, record->carried);
 		break;
 	case RJ_RECORD_VOID:
 		/* What was watched never ran: serve it from here. */
 		if (!entry->claimed && job->state == RJ_JOB_WATCHING)
-			watched_is_void(job);
+			resume_watched(job);
 		break;
 	case RJ_RECORD_CANCEL:
-		cancel_read(job);
+		on_cancel_read(job);
 		break;
 	case RJ_RECORD_OUTCOME:
 	case RJ_RECORD_CONFIG:
--- a/src/libradishjunction/core/controllers/config_controller.c
+++ b/src/libradishjunction/core/controllers/config_controller.c
@@ -12,7 +12,8 @@
 
 /* Whether two configurations have the same classes for the same accounts, so
  * that a task means the same under both. */
-static bool same_tasks(const struct rj_config *a, const struct rj_config *b)
+static bool same_task_semantics(const struct rj_config *a,
+				const struct rj_config *b)
 {
 	if (a->class_count != b->class_count ||
 	    a->account_count != b->account_count)
@@ -35,23 +36,23 @@
 
 /* A newer configuration came into force: every part that uses it is told,
  * and so are the peers, who may not be able to read the log. */
-static void in_force(struct rj_core_state *core, const char *from)
+static void activate(struct rj_core_state *core, const char *source)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 	bool same = core->config &&
-		    same_tasks(core->config, core->config_log.config);
+		    same_task_semantics(core->config, core->config_log.config);
 
 	if (core->config)
 		rj_config_unref(core->config);
 	core->config = rj_config_ref(core->config_log.config);
 	rj_core_count(core, RJ_COUNT_CONFIGS_ACCEPTED);
-	rj_core_log(core, RJ_LOG_CONFIG, RJ_REASON_NONE, NULL, from);
+	rj_core_log(core, RJ_LOG_CONFIG, RJ_REASON_NONE, NULL, source);
 	core->planner->ops->configure(core->planner, core->config, core->domain,
 				      core->now_us);
-	rj_racks_ownership(core); /* the groups of racks may differ */
+	rj_racks_update_ownership(core); /* the groups of racks may differ */
 	if (!same)
-		rj_upstreams_whole_reports(core);
+		rj_upstreams_request_full_reports(core);
 	core->jobs.plan_wanted = true;
 	RJ_FOR_EACH (at, next, &core->membership.members) {
 		const struct rj_member_view *member =
@@ -59,15 +60,15 @@
 
 		if (member->connected &&
 		    member->config_revision < core->config->revision)
-			rj_config_controller_tell(core, member->name);
+			rj_config_controller_send(core, member->name);
 	}
 }
 
 /*
  * Apply what a read of the `config` stream brought.
  */
-void rj_config_controller_records(struct rj_core_state *core,
-				  const struct rj_records *records)
+void rj_config_controller_apply_records(struct rj_core_state *core,
+					const struct rj_records *records)
 {
 	struct rj_error_list errors;
 
@@ -81,7 +82,7 @@
 					      &records->records[i],
 					      core->now_us, &errors);
 		if (verdict == RJ_CONFIG_ACCEPTED)
-			in_force(core, "log");
+			activate(core, "log");
 		else if (verdict == RJ_CONFIG_STALE ||
 			 verdict == RJ_CONFIG_BAD_TEXT ||
 			 verdict == RJ_CONFIG_BAD_CHANGE)
@@ -111,13 +112,13 @@
  * A peer offers the configuration that it has in force. An older one changes
  * nothing: revisions only rise.
  */
-void rj_config_controller_peer(struct rj_core_state *core,
-			       const struct rj_peer_config *offer)
+void rj_config_controller_receive(struct rj_core_state *core,
+				  const struct rj_peer_config *offer)
 {
 	if (!adopt(core, offer))
 		return;
 	core->streams[RJ_STREAM_CONFIG].next = core->config_log.next;
-	in_force(core, "peer");
+	activate(core, "peer");
 }
 
 /*
@@ -125,11 +126,11 @@
  * in force: it said that it takes changes, and has the revision before. The
  * view of it may be old; a change that does not fit it changes nothing there.
  */
-static bool change_is_enough(const struct rj_core_state *core,
-			     const struct rj_member_view *member)
+static bool change_suffices(const struct rj_core_state *core,
+			    const struct rj_member_view *member)
 {
-	return core->config_log.change.patch && member && member->heard &&
-	       member->config_changes &&
+	return core->config_log.change.patch && member &&
+	       member->heartbeat_seen && member->config_changes &&
 	       member->config_revision + 1 == core->config->revision;
 }
 
@@ -137,7 +138,7 @@
  * Send the configuration in force to a peer, if there is one: the change
  * alone if that is enough, else the whole.
  */
-void rj_config_controller_tell(struct rj_core_state *core, const char *peer)
+void rj_config_controller_send(struct rj_core_state *core, const char *peer)
 {
 	struct rj_peer_message *message;
 	struct rj_peer_config *offer;
@@ -150,7 +151,7 @@
 	offer->offset = core->config_log.as_of;
 	memcpy(offer->id, core->config->id, sizeof(offer->id));
 	offer->text = "";
-	if (change_is_enough(core, rj_membership_find(core, peer))) {
+	if (change_suffices(core, rj_membership_find(core, peer))) {
 		offer->change = core->config_log.change;
 		offer->change.patch =
 			talloc_strdup(message, offer->change.patch);
--- a/src/libradishjunction/core/controllers/drain_controller.c
+++ b/src/libradishjunction/core/controllers/drain_controller.c
@@ -10,17 +10,18 @@
 /* Work that takes longer is answered `unknown` with when to ask again. */
 #define DRAIN_LIMIT_US (30 * RJ_US_PER_S)
 /* After the answers, so long is left for outcomes to reach the log. */
-#define DRAIN_LOG_US (5 * RJ_US_PER_S)
+#define DRAIN_OUTCOMES_US (5 * RJ_US_PER_S)
 /* The balancer learns within this that the instance is not ready; what it
  * still sends until then is handed to peers. */
-#define DRAIN_FORWARDS_US (10 * RJ_US_PER_S)
+#define DRAIN_ADMIT_US (10 * RJ_US_PER_S)
 /* Who waits for another instance's job can wait at any instance. */
 #define DRAIN_WATCH_US (3 * RJ_US_PER_S)
 
 /* Answer all who wait for a job: they ask again at another instance. */
-static void send_waiters_on(struct rj_job *job, enum rj_answer_kind kind)
+static void redirect_waiters(struct rj_job *job, enum rj_answer_kind kind)
 {
-	rj_job_tell_waiters(job, kind, RJ_REASON_DRAINING, RJ_US_PER_S);
+	rj_job_answer_without_result(job, kind, RJ_REASON_DRAINING,
+				     RJ_US_PER_S);
 }
 
 /* The limit of the drain has passed: answer what is still open. */
@@ -32,8 +33,8 @@
 	(void)timer;
 	core->drain_over = true;
 	RJ_FOR_EACH (at, next, &core->jobs.list)
-		send_waiters_on(RJ_CONTAINER(at, struct rj_job, link),
-				RJ_ANSWER_UNKNOWN);
+		redirect_waiters(RJ_CONTAINER(at, struct rj_job, link),
+				 RJ_ANSWER_UNKNOWN);
 }
 
 /*
@@ -52,7 +53,7 @@
 
 		if (job->state != RJ_JOB_WATCHING)
 			continue;
-		send_waiters_on(job, RJ_ANSWER_UNKNOWN);
+		redirect_waiters(job, RJ_ANSWER_UNKNOWN);
 		rj_job_free(job);
 	}
 	rj_timer_set(&core->timers, timer, core->now_us + RJ_US_PER_S);
@@ -76,11 +77,11 @@
 {
 	if (job->accepted) {
 		/* Look-ups may have come since the stop began. */
-		send_waiters_on(job, RJ_ANSWER_ACCEPTED);
+		redirect_waiters(job, RJ_ANSWER_ACCEPTED);
 		rj_job_free(job); /* its next owner reads it in the log */
 		return;
 	}
-	rj_job_unplan(job, false);
+	rj_job_remove_from_plan(job, false);
 	job->hops = 0; /* who owns the racks has changed since */
 	rj_filters_again(job);
 }
@@ -91,9 +92,9 @@
  * now. Called again when the view of the peers changes: while none is alive,
  * the jobs are served here.
  */
-void rj_drain_hand_over(struct rj_core_state *core)
+void rj_drain_hand_over_jobs(struct rj_core_state *core)
 {
-	bool all = rj_racks_hand_on(core);
+	bool all = rj_racks_cannot_place(core);
 	struct rj_list *at;
 	struct rj_list *next;
 
@@ -107,7 +108,7 @@
 }
 
 /* Whether a peer of the failure domain can take work. */
-static bool peer_takes_work(const struct rj_core_state *core)
+static bool peer_accepts_jobs(const struct rj_core_state *core)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -117,7 +118,7 @@
 			RJ_CONTAINER(at, struct rj_member_view, link);
 
 		if (!strcmp(member->domain, core->domain) &&
-		    rj_membership_takes_work(core, member))
+		    rj_membership_accepts_jobs(core, member))
 			return true;
 	}
 	return false;
@@ -131,14 +132,14 @@
  * Guards against refusals by an instance that is replaced right after its
  * start and knows no peer yet: its caller would be told "not run" though
  * nothing was wrong. The stop stays bounded, since nothing is let in after
- * DRAIN_FORWARDS_US, and what is let in has half of the limit to spare.
+ * DRAIN_ADMIT_US, and what is let in has half of the limit to spare.
  */
-bool rj_drain_takes_more(const struct rj_core_state *core,
-			 const struct rj_job_class *class)
+bool rj_drain_admits(const struct rj_core_state *core,
+		     const struct rj_job_class *class)
 {
-	if (core->now_us > core->stopping_us + DRAIN_FORWARDS_US)
+	if (core->now_us > core->stopping_us + DRAIN_ADMIT_US)
 		return false;
-	return peer_takes_work(core) ||
+	return peer_accepts_jobs(core) ||
 	       2 * class->expected_us < core->drain_limit_us;
 }
 
@@ -149,7 +150,7 @@
  * would be lost or run unheard. Nothing new is let in, what has not started
  * goes to a peer by name, and the exit waits for every answer.
  */
-void rj_drain_stop(struct rj_core_state *core)
+void rj_drain_start(struct rj_core_state *core)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -159,8 +160,8 @@
 	core->stopping = true;
 	core->stopping_us = core->now_us;
 	rj_core_log(core, RJ_LOG_DRAIN, RJ_REASON_DRAINING, NULL, NULL);
-	rj_membership_heartbeat_all(core);
-	rj_racks_ownership(core);
+	rj_membership_send_heartbeats(core);
+	rj_racks_update_ownership(core);
 	rj_timer_set(&core->timers, &core->drain,
 		     core->now_us + core->drain_limit_us);
 	rj_timer_set(&core->timers, &core->drain_watch,
@@ -169,13 +170,13 @@
 		struct rj_job *job = RJ_CONTAINER(at, struct rj_job, link);
 
 		if (job->accepted)
-			send_waiters_on(job, RJ_ANSWER_ACCEPTED);
+			redirect_waiters(job, RJ_ANSWER_ACCEPTED);
 	}
-	rj_drain_hand_over(core);
+	rj_drain_hand_over_jobs(core);
 }
 
 /* Whether an outcome is still to be read back from the log. */
-static bool outcomes_open(const struct rj_core_state *core)
+static bool outcomes_pending(const struct rj_core_state *core)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -192,7 +193,7 @@
 
 /* A request came after all had been answered: the drain's limit holds again,
  * and not the shorter one for outcomes alone. */
-static void reopened(struct rj_core_state *core)
+static void restore_drain_limit(struct rj_core_state *core)
 {
 	if (!core->drain_answered_us)
 		return;
@@ -209,21 +210,21 @@
  * on a caller's last connection is served or handed on like any other, and
  * the process may end once it is answered.
  */
-void rj_drain_check(struct rj_core_state *core)
+void rj_drain_check_finished(struct rj_core_state *core)
 {
 	if (!core->stopping)
 		return;
 	if (core->jobs.open) {
-		reopened(core);
+		restore_drain_limit(core);
 		return;
 	}
 	if (!core->drain_answered_us) {
 		core->drain_answered_us = core->now_us;
 		rj_timer_set(&core->timers, &core->drain,
-			     core->now_us + DRAIN_LOG_US);
+			     core->now_us + DRAIN_OUTCOMES_US);
 	}
-	if (outcomes_open(core) && !core->drain_over &&
-	    core->now_us < core->drain_answered_us + DRAIN_LOG_US)
+	if (outcomes_pending(core) && !core->drain_over &&
+	    core->now_us < core->drain_answered_us + DRAIN_OUTCOMES_US)
 		return;
 	rj_actions_add(core->actions, RJ_ACTION_EXIT);
 }
--- a/src/libradishjunction/core/controllers/foreign_controller.c
+++ b/src/libradishjunction/core/controllers/foreign_controller.c
@@ -16,8 +16,8 @@
 
 /* The first look at whether a task has stopped; each later one waits twice
  * as long as the one before. */
-#define LOOK_FIRST_US (50 * RJ_US_PER_MS)
-#define LOOK_MAX_US (2 * RJ_US_PER_S)
+#define STOP_POLL_FIRST_US (50 * RJ_US_PER_MS)
+#define STOP_POLL_MAX_US (2 * RJ_US_PER_S)
 
 struct rj_foreign_task {
 	struct rj_list link; /* in its worker's */
@@ -32,8 +32,8 @@
 	bool idempotent;
 	bool reported; /* in the report that is being read */
 	uint64_t stop_us; /* stopped at the worker from then on */
-	uint64_t look_us; /* until the next look */
-	struct rj_timer look;
+	uint64_t stop_poll_us; /* until the next look */
+	struct rj_timer stop_poll;
 };
 
 /*
@@ -63,11 +63,11 @@
 }
 
 /* The planned task that a line of a report is of, or NULL. */
-static struct rj_foreign_task *find(const struct rj_core_state *core,
-				    const struct rj_upstream *upstream,
-				    const struct rj_task_report *line)
+static struct rj_foreign_task *
+find_task(const struct rj_core_state *core, const struct rj_upstream *upstream,
+	  const struct rj_task_report *task_report)
 {
-	uint64_t plan_id = plan_id_of(line);
+	uint64_t plan_id = plan_id_of(task_report);
 	struct rj_foreign_task *task =
 		g_hash_table_lookup(core->foreign, &plan_id);
 
@@ -79,9 +79,9 @@
  */
 bool rj_foreign_is_planned(const struct rj_core_state *core,
 			   const struct rj_upstream *upstream,
-			   const struct rj_task_report *line)
+			   const struct rj_task_report *task_report)
 {
-	return find(core, upstream, line) != NULL;
+	return find_task(core, upstream, task_report) != NULL;
 }
 
 /* Whether a job here has this attempt: it is no one else's, or is about to be
@@ -102,27 +102,30 @@
  * keeps its checkpoint: here it counts as capacity that is not there.
  */
 static bool may_stop(const struct rj_core_state *core,
-		     const struct rj_task_report *line)
+		     const struct rj_task_report *task_report)
 {
 	const struct rj_job_class *class =
-		core->config ? rj_config_class(core->config, line->class_name) :
-			       NULL;
+		core->config ?
+			rj_config_class(core->config, task_report->class_name) :
+			NULL;
 
-	if (!class || line->state != RJ_TASK_RUNNING ||
-	    line->holder == core->incarnation || is_own(core, &line->attempt))
+	if (!class || task_report->state != RJ_TASK_RUNNING ||
+	    task_report->holder == core->incarnation ||
+	    is_own(core, &task_report->attempt))
 		return false;
 	return class->idempotent ||
 	       (class->checkpoint &&
-		rj_membership_incarnation_alive(core, line->holder));
+		rj_membership_incarnation_alive(core, task_report->holder));
 }
 
 /* Stop counting a task. */
-static void forget(struct rj_core_state *core, struct rj_foreign_task *task)
+static void remove_task(struct rj_core_state *core,
+			struct rj_foreign_task *task)
 {
 	core->planner->ops->ended(core->planner, task->plan_id, false, 0,
 				  core->now_us);
 	core->jobs.plan_wanted = true;
-	rj_timer_clear(&core->timers, &task->look);
+	rj_timer_clear(&core->timers, &task->stop_poll);
 	g_hash_table_remove(core->foreign, &task->plan_id);
 	rj_list_remove(&task->link);
 	talloc_free(task);
@@ -144,9 +147,9 @@
 		if (other->attempt.job_id == task->attempt.job_id &&
 		    other->attempt.owner == task->attempt.owner &&
 		    other->attempt.number == task->attempt.number)
-			rj_call_clear(core, other->upstream, RJ_WORKER_STOP,
-				      &other->attempt, other->member,
-				      other->token);
+			rj_call_clean_up(core, other->upstream, RJ_WORKER_STOP,
+					 &other->attempt, other->member,
+					 other->token);
 	}
 }
 
@@ -159,28 +162,28 @@
  * idempotent work is stopped unheard; its driver reads in the next report
  * that it was stopped, and lets it wait again.
  */
-static void look_due(struct rj_core_state *core, struct rj_timer *timer)
+static void stop_poll_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	struct rj_foreign_task *task =
-		RJ_CONTAINER(timer, struct rj_foreign_task, look);
-	uint64_t next_us = core->now_us + task->look_us;
+		RJ_CONTAINER(timer, struct rj_foreign_task, stop_poll);
+	uint64_t next_us = core->now_us + task->stop_poll_us;
 
 	if (core->now_us >= task->stop_us && task->idempotent)
 		stop_gang(core, task);
-	rj_upstreams_poll_soon(core, task->upstream);
+	rj_upstreams_poll_now(core, task->upstream);
 	if (core->now_us < task->stop_us && next_us > task->stop_us)
 		next_us = task->stop_us;
-	task->look_us = MIN(2 * task->look_us, LOOK_MAX_US);
+	task->stop_poll_us = MIN(2 * task->stop_poll_us, STOP_POLL_MAX_US);
 	rj_timer_set(&core->timers, timer, next_us);
 }
 
 /* Count a task as running work of its account. */
-static struct rj_foreign_task *plan(struct rj_core_state *core,
-				    struct rj_upstream *upstream,
-				    const struct rj_task_report *line)
+static struct rj_foreign_task *
+plan_task(struct rj_core_state *core, struct rj_upstream *upstream,
+	  const struct rj_task_report *task_report)
 {
 	const struct rj_job_class *class =
-		rj_config_class(core->config, line->class_name);
+		rj_config_class(core->config, task_report->class_name);
 	struct rj_plan_member where = { .worker = upstream->index, .tasks = 1 };
 	struct rj_foreign_task *task =
 		talloc_zero(core, struct rj_foreign_task);
@@ -188,30 +191,31 @@
 
 	assert(task);
 	task->upstream = upstream;
-	task->plan_id = plan_id_of(line);
-	task->attempt = line->attempt;
-	task->member = line->member;
-	task->token = line->token;
-	task->each = line->each;
+	task->plan_id = plan_id_of(task_report);
+	task->attempt = task_report->attempt;
+	task->member = task_report->member;
+	task->token = task_report->token;
+	task->each = task_report->each;
 	task->idempotent = class->idempotent;
-	g_strlcpy(task->account, line->account, sizeof(task->account));
-	rj_timer_init(&task->look, look_due);
+	g_strlcpy(task->account, task_report->account, sizeof(task->account));
+	rj_timer_init(&task->stop_poll, stop_poll_due);
 	rj_list_append(&upstream->foreign_tasks, &task->link);
 	g_hash_table_insert(core->foreign, &task->plan_id, task);
 	memset(&job, 0, sizeof(job));
 	job.job_id = task->plan_id;
-	g_strlcpy(job.account, line->account, sizeof(job.account));
-	g_strlcpy(job.class_name, line->class_name, sizeof(job.class_name));
+	g_strlcpy(job.account, task_report->account, sizeof(job.account));
+	g_strlcpy(job.class_name, task_report->class_name,
+		  sizeof(job.class_name));
 	job.shape.tasks = 1;
-	job.shape.each = line->each;
+	job.shape.each = task_report->each;
 	job.priority = class->priority;
 	job.stoppable = true;
 	job.checkpoint = class->checkpoint;
 	job.queued_us = core->now_us;
 	job.deadline_us = RJ_NEVER_US;
-	core->planner->ops->adopt(core->planner, &job, &where, 1,
-				  core->now_us -
-					  MIN(core->now_us, line->ran_us));
+	core->planner->ops->adopt(
+		core->planner, &job, &where, 1,
+		core->now_us - MIN(core->now_us, task_report->ran_us));
 	return task;
 }
 
@@ -219,28 +223,29 @@
  * Take from the whole report of an owned worker which tasks of others may be
  * stopped for a guarantee.
  */
-void rj_foreign_report(struct rj_core_state *core, struct rj_upstream *upstream,
-		       const struct rj_worker_report *report)
+void rj_foreign_apply_report(struct rj_core_state *core,
+			     struct rj_upstream *upstream,
+			     const struct rj_worker_report *report)
 {
 	struct rj_foreign_task *task;
 	struct rj_list *at;
 	struct rj_list *next;
 
 	for (uint32_t i = 0; upstream->owned && i < report->task_count; i++) {
-		const struct rj_task_report *line = &report->tasks[i];
+		const struct rj_task_report *task_report = &report->tasks[i];
 
-		if (!may_stop(core, line))
+		if (!may_stop(core, task_report))
 			continue;
-		task = find(core, upstream, line);
+		task = find_task(core, upstream, task_report);
 		if (!task)
-			task = plan(core, upstream, line);
+			task = plan_task(core, upstream, task_report);
 		task->reported = true;
-		task->holder = line->holder;
+		task->holder = task_report->holder;
 	}
 	RJ_FOR_EACH (at, next, &upstream->foreign_tasks) {
 		task = RJ_CONTAINER(at, struct rj_foreign_task, link);
 		if (!task->reported)
-			forget(core, task);
+			remove_task(core, task);
 		else
 			task->reported = false;
 	}
@@ -260,16 +265,17 @@
 			RJ_CONTAINER(at, struct rj_foreign_task, link);
 
 		rj_resources_add(&upstream->foreign, &task->each, 1);
-		forget(core, task);
+		remove_task(core, task);
 	}
 }
 
 /* Ask the instance that drives the task to stop its whole job. Returns
  * whether it is believed alive. */
-static bool ask_driver(struct rj_core_state *core,
-		       const struct rj_foreign_task *task, uint64_t limit_us)
+static bool request_stop(struct rj_core_state *core,
+			 const struct rj_foreign_task *task, uint64_t limit_us)
 {
-	const char *peer = rj_membership_name_of(core, task->holder);
+	const char *peer =
+		rj_membership_name_by_incarnation(core, task->holder);
 	struct rj_peer_cancel *cancel;
 
 	if (!peer)
@@ -299,13 +305,13 @@
 			  task->upstream->name);
 	log->job_id = task->attempt.job_id;
 	g_strlcpy(log->account, task->account, sizeof(log->account));
-	rj_upstreams_offer(core, task->upstream);
+	rj_upstreams_update_offer(core, task->upstream);
 	task->stop_us = core->now_us;
-	if (ask_driver(core, task, decision->limit_us))
+	if (request_stop(core, task, decision->limit_us))
 		task->stop_us += decision->limit_us;
-	task->look_us = LOOK_FIRST_US;
-	rj_timer_set(&core->timers, &task->look,
+	task->stop_poll_us = STOP_POLL_FIRST_US;
+	rj_timer_set(&core->timers, &task->stop_poll,
 		     task->stop_us > core->now_us ?
-			     core->now_us + LOOK_FIRST_US :
+			     core->now_us + STOP_POLL_FIRST_US :
 			     core->now_us);
 }
--- a/src/libradishjunction/core/controllers/forward_controller.c
+++ b/src/libradishjunction/core/controllers/forward_controller.c
@@ -26,7 +26,7 @@
 	assert(!job->planned && !job->started && !job->claimed);
 	if (job->forward_id)
 		g_hash_table_remove(core->jobs.forwards, &job->forward_id);
-	rj_job_enter(job, RJ_JOB_FORWARDED);
+	rj_job_enter_state(job, RJ_JOB_FORWARDED);
 	job->forward_id = rj_core_next_id(core);
 	g_strlcpy(job->peer, peer, sizeof(job->peer));
 	g_hash_table_insert(core->jobs.forwards, &job->forward_id, job);
@@ -63,8 +63,8 @@
 /* The peer stops, or has lost the log, and this instance does not and has
  * not: serve the job from here. A claim that the peer may have appended
  * decides as any other. */
-static bool serve_again(const struct rj_job *job,
-			const struct rj_answer *answer)
+static bool can_serve_here(const struct rj_job *job,
+			   const struct rj_answer *answer)
 {
 	const struct rj_core_state *core = job->core;
 
@@ -91,27 +91,27 @@
 {
 	struct rj_job *job =
 		g_hash_table_lookup(core->jobs.forwards, &answer->forward_id);
-	struct rj_answer passed_on;
+	struct rj_answer relayed;
 
 	if (!job || job->state != RJ_JOB_FORWARDED || strcmp(job->peer, peer) ||
 	    answer->answer.job_id != job->spec.job_id)
 		return;
-	if (serve_again(job, &answer->answer)) {
+	if (can_serve_here(job, &answer->answer)) {
 		job->hops++; /* not handed back and forth */
 		rj_filters_again(job);
 		return;
 	}
-	passed_on = answer->answer;
+	relayed = answer->answer;
 	/* True of the peer, but the job ran here before it was handed on, or
 	   may have run at an earlier peer that was lost with it. */
-	if (passed_on.kind == RJ_ANSWER_NOT_RUN && job->ran)
-		passed_on.kind = RJ_ANSWER_FAILED;
-	else if (passed_on.kind == RJ_ANSWER_NOT_RUN &&
+	if (relayed.kind == RJ_ANSWER_NOT_RUN && job->ran)
+		relayed.kind = RJ_ANSWER_FAILED;
+	else if (relayed.kind == RJ_ANSWER_NOT_RUN &&
 		 (job->ran_before || job->ran_elsewhere))
-		passed_on.kind = RJ_ANSWER_UNKNOWN;
-	job->final.kind = passed_on.kind;
-	rj_core_log(core, RJ_LOG_END, passed_on.reason, job, peer);
-	rj_job_answer_waiters(job, &passed_on);
+		relayed.kind = RJ_ANSWER_UNKNOWN;
+	job->final.kind = relayed.kind;
+	rj_core_log(core, RJ_LOG_END, relayed.reason, job, peer);
+	rj_job_answer_waiters(job, &relayed);
 	rj_job_free(job);
 }
 
@@ -130,8 +130,8 @@
 }
 
 /* The waiter of a job that stands for a peer's forward, or NULL. */
-static struct rj_waiter *waiter_of(struct rj_job *job, const char *peer,
-				   uint64_t forward_id)
+static struct rj_waiter *find_waiter(struct rj_job *job, const char *peer,
+				     uint64_t forward_id)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -159,7 +159,7 @@
 
 	if (cancel->reclaim_owner)
 		rj_job_reclaim_for_peer(core, cancel);
-	if (!job || !waiter_of(job, peer, cancel->forward_id))
+	if (!job || !find_waiter(job, peer, cancel->forward_id))
 		return;
 	if (job->waiters.next->next != &job->waiters)
 		return;
@@ -184,8 +184,8 @@
 			continue;
 		rj_core_log(core, RJ_LOG_RETRY, RJ_REASON_PEER_LOST, job, peer);
 		if (job->cancelled || job->waiters.next == &job->waiters) {
-			rj_job_tell_waiters(job, RJ_ANSWER_UNKNOWN,
-					    RJ_REASON_PEER_LOST, 0);
+			rj_job_answer_without_result(job, RJ_ANSWER_UNKNOWN,
+						     RJ_REASON_PEER_LOST, 0);
 			rj_job_free(job);
 			continue;
 		}
--- a/src/libradishjunction/core/controllers/jobs_controller.c
+++ b/src/libradishjunction/core/controllers/jobs_controller.c
@@ -9,8 +9,8 @@
 
 #include "private/core_state.h"
 
-#define TICK_US (1 * RJ_US_PER_S)
-#define RETRY_TOKENS_FIRST 10.0
+#define TICK_INTERVAL_US (1 * RJ_US_PER_S)
+#define RETRY_TOKENS_INITIAL 10.0
 
 const char *const rj_job_state_string[RJ_JOB_STATE_COUNT] = {
 	[RJ_JOB_ACCEPTING] = "accepting", [RJ_JOB_QUEUED] = "queued",
@@ -26,7 +26,7 @@
 {
 	rj_log_tick(core);
 	rj_claims_tick(core);
-	rj_timer_set(&core->timers, timer, core->now_us + TICK_US);
+	rj_timer_set(&core->timers, timer, core->now_us + TICK_INTERVAL_US);
 }
 
 /* The planner wants a pass without an event. */
@@ -51,11 +51,11 @@
 	for (int i = 0; i < 2; i++)
 		jobs->open_by_name[i] = g_hash_table_new_full(
 			g_str_hash, g_str_equal, g_free, NULL);
-	jobs->retry_tokens = RETRY_TOKENS_FIRST;
+	jobs->retry_tokens = RETRY_TOKENS_INITIAL;
 	rj_decisions_init(&jobs->decisions, core);
 	rj_timer_init(&jobs->plan, plan_due);
 	rj_timer_init(&jobs->tick, tick_due);
-	rj_timer_set(&core->timers, &jobs->tick, TICK_US);
+	rj_timer_set(&core->timers, &jobs->tick, TICK_INTERVAL_US);
 }
 
 /*
@@ -87,8 +87,8 @@
 static void step_due(struct rj_core_state *core, struct rj_timer *timer);
 
 /* Count a job under its account and under its class. */
-static void count_open(struct rj_core_state *core, const struct rj_job *job,
-		       int change)
+static void update_open_counts(struct rj_core_state *core,
+			       const struct rj_job *job, int change)
 {
 	const char *names[] = { job->spec.account, job->spec.class_name };
 
@@ -105,8 +105,8 @@
 /*
  * How many jobs of an account, or of a class, this instance has open.
  */
-uint32_t rj_jobs_open(const struct rj_core_state *core, bool of_class,
-		      const char *name)
+uint32_t rj_jobs_open_count(const struct rj_core_state *core, bool of_class,
+			    const char *name)
 {
 	return GPOINTER_TO_UINT(
 		g_hash_table_lookup(core->jobs.open_by_name[of_class], name));
@@ -140,7 +140,7 @@
 	rj_timer_init(&job->deadline, deadline_due);
 	rj_timer_init(&job->step, step_due);
 	rj_list_append(&core->jobs.list, &job->link);
-	count_open(core, job, 1);
+	update_open_counts(core, job, 1);
 	g_hash_table_insert(core->jobs.by_id, &job->spec.job_id, job);
 	core->jobs.count++;
 	return job;
@@ -150,7 +150,7 @@
  * Enter a state. The timer of the state before is cleared: it must not fire
  * into this one.
  */
-void rj_job_enter(struct rj_job *job, enum rj_job_state state)
+void rj_job_enter_state(struct rj_job *job, enum rj_job_state state)
 {
 	rj_timer_clear(&job->core->timers, &job->step);
 	job->state = state;
@@ -165,14 +165,14 @@
 	struct rj_core_state *core = job->core;
 
 	assert(job->waiters.next == &job->waiters);
-	rj_job_unplan(job, false);
-	rj_job_drop_members(job);
+	rj_job_remove_from_plan(job, false);
+	rj_job_free_members(job);
 	rj_timer_clear(&core->timers, &job->deadline);
 	rj_timer_clear(&core->timers, &job->step);
 	if (job->forward_id)
 		g_hash_table_remove(core->jobs.forwards, &job->forward_id);
 	g_hash_table_remove(core->jobs.by_id, &job->spec.job_id);
-	count_open(core, job, -1);
+	update_open_counts(core, job, -1);
 	rj_list_remove(&job->link);
 	core->jobs.count--;
 	talloc_free(job);
@@ -182,8 +182,8 @@
  * Let a caller (`request_id`) or a peer (`peer`, `forward_id`) wait for the
  * job's answer.
  */
-void rj_job_wait(struct rj_job *job, uint64_t request_id, const char *peer,
-		 uint64_t forward_id)
+void rj_job_add_waiter(struct rj_job *job, uint64_t request_id,
+		       const char *peer, uint64_t forward_id)
 {
 	struct rj_waiter *waiter = talloc_zero(job, struct rj_waiter);
 
@@ -252,7 +252,7 @@
  * Whether the job has ended and its answer may be told already. That an
  * accepted job did not run is told only when the log has said so.
  */
-bool rj_job_may_tell(const struct rj_job *job)
+bool rj_job_answer_is_final(const struct rj_job *job)
 {
 	return job->state == RJ_JOB_ENDED &&
 	       !(job->accepted && job->final.kind == RJ_ANSWER_NOT_RUN);
@@ -261,8 +261,9 @@
 /*
  * Answer all who wait for the job, without a result.
  */
-void rj_job_tell_waiters(struct rj_job *job, enum rj_answer_kind kind,
-			 enum rj_reason reason, uint64_t retry_after_us)
+void rj_job_answer_without_result(struct rj_job *job, enum rj_answer_kind kind,
+				  enum rj_reason reason,
+				  uint64_t retry_after_us)
 {
 	struct rj_answer answer;
 
@@ -292,25 +293,25 @@
 	rj_bytes_copy(job, &job->final.result, &answer->result);
 	rj_core_log(core, RJ_LOG_END, answer->reason, job,
 		    job->member_count ? job->members[0].worker : NULL);
-	rj_job_unplan(job, answer->kind == RJ_ANSWER_DONE);
+	rj_job_remove_from_plan(job, answer->kind == RJ_ANSWER_DONE);
 	rj_timer_clear(&core->timers, &job->deadline);
 	rj_timer_clear(&core->timers, &job->step);
 	core->jobs.plan_wanted = true;
-	rj_job_enter(job, RJ_JOB_ENDED);
-	if (rj_job_may_tell(job))
+	rj_job_enter_state(job, RJ_JOB_ENDED);
+	if (rj_job_answer_is_final(job))
 		rj_job_answer_waiters(job, &job->final);
 	if (!job->accepted && !job->claimed) {
 		rj_job_free(job);
 		return;
 	}
-	rj_claims_outcome(job);
+	rj_claims_append_outcome(job);
 }
 
 /*
  * End the job with an answer that has no result.
  */
-void rj_job_end_plain(struct rj_job *job, enum rj_answer_kind kind,
-		      enum rj_reason reason, uint64_t retry_after_us)
+void rj_job_end_without_result(struct rj_job *job, enum rj_answer_kind kind,
+			       enum rj_reason reason, uint64_t retry_after_us)
 {
 	struct rj_answer answer;
 
@@ -333,10 +334,10 @@
 {
 	assert(!job->started);
 	if (job->spec.key[0])
-		rj_job_end_plain(job, RJ_ANSWER_UNKNOWN, reason,
-				 retry_after_us);
+		rj_job_end_without_result(job, RJ_ANSWER_UNKNOWN, reason,
+					  retry_after_us);
 	else
-		rj_job_give_up(job, reason, retry_after_us);
+		rj_job_abandon(job, reason, retry_after_us);
 }
 
 /*
@@ -367,7 +368,7 @@
  * peer may have voided it since and served the key. It shows as a charge
  * that is done and "not run".
  */
-static bool key_may_run(const struct rj_job *job)
+static bool key_may_run_elsewhere(const struct rj_job *job)
 {
 	return job->spec.key[0] && !job->accepted;
 }
@@ -377,7 +378,7 @@
  * only if a worker said that it ran, and `not_run` only if no attempt was
  * started, here, at a peer that was lost or under the same key.
  */
-void rj_job_give_up(struct rj_job *job, enum rj_reason reason,
+void rj_job_abandon(struct rj_job *job, enum rj_reason reason,
 		    uint64_t retry_after_us)
 {
 	enum rj_answer_kind kind = RJ_ANSWER_NOT_RUN;
@@ -385,9 +386,9 @@
 	if (job->ran)
 		kind = RJ_ANSWER_FAILED;
 	else if (job->started || job->ran_before || job->ran_elsewhere ||
-		 key_may_run(job) || claimed_elsewhere(job))
+		 key_may_run_elsewhere(job) || claimed_elsewhere(job))
 		kind = RJ_ANSWER_UNKNOWN;
-	rj_job_end_plain(job, kind, reason, retry_after_us);
+	rj_job_end_without_result(job, kind, reason, retry_after_us);
 }
 
 /*
@@ -407,8 +408,9 @@
  */
 void rj_job_answer_in_progress(struct rj_job *job, enum rj_reason reason)
 {
-	rj_job_tell_waiters(job, RJ_ANSWER_UNKNOWN, reason,
-			    rj_core_jitter_us(job->core, RJ_COME_BACK_US));
+	rj_job_answer_without_result(
+		job, RJ_ANSWER_UNKNOWN, reason,
+		rj_core_jitter_us(job->core, RJ_COME_BACK_US));
 }
 
 static void deadline_due(struct rj_core_state *core, struct rj_timer *timer)
@@ -468,7 +470,7 @@
 		break;
 	case RJ_JOB_ACCEPTING:
 	case RJ_JOB_CLAIMING:
-		rj_claims_step_due(job);
+		rj_claims_append_timeout(job);
 		break;
 	case RJ_JOB_SETTLING:
 		rj_job_settle(job);
@@ -477,7 +479,7 @@
 		rj_job_stop(job, false, 0);
 		break;
 	case RJ_JOB_ENDED:
-		rj_claims_outcome(job);
+		rj_claims_append_outcome(job);
 		break;
 	case RJ_JOB_HOLDING:
 	case RJ_JOB_STARTING:
@@ -501,7 +503,7 @@
 	case RJ_JOB_HOLDING:
 		rj_job_release_members(job);
 		if (job->accepted)
-			rj_job_give_up(job, reason, 0);
+			rj_job_abandon(job, reason, 0);
 		else
 			rj_job_not_started(job, reason, 0);
 		break;
@@ -525,7 +527,7 @@
 		rj_forward_cancel(job);
 		break;
 	case RJ_JOB_WATCHING:
-		rj_claims_cancel(job);
+		rj_claims_append_cancel(job);
 		break;
 	case RJ_JOB_ACCEPTING:
 	case RJ_JOB_CLAIMING:
@@ -542,7 +544,8 @@
  * A caller's connection has closed: nobody is answered. Work that only this
  * caller wanted, and that nobody can ask for again, is cancelled.
  */
-void rj_jobs_caller_gone(struct rj_core_state *core, uint64_t request_id)
+void rj_jobs_caller_disconnected(struct rj_core_state *core,
+				 uint64_t request_id)
 {
 	struct rj_waiter *waiter =
 		g_hash_table_lookup(core->jobs.waiters, &request_id);
--- a/src/libradishjunction/core/controllers/log_controller.c
+++ b/src/libradishjunction/core/controllers/log_controller.c
@@ -21,11 +21,11 @@
 /* Without an answer for this long, nothing new may depend on the log. */
 #define READ_STALE_US (5 * RJ_US_PER_S)
 /* 24 instances of one user stay under 500 appends a second at 50 ms. */
-#define APPEND_GAP_US (50 * RJ_US_PER_MS)
+#define APPEND_INTERVAL_US (50 * RJ_US_PER_MS)
 #define APPEND_RECORDS_MAX 64
 
 /* Ask for what follows the last record that was read. */
-static void read_on(struct rj_core_state *core, struct rj_log_stream *stream)
+static void read_next(struct rj_core_state *core, struct rj_log_stream *stream)
 {
 	struct rj_action *action;
 
@@ -44,13 +44,14 @@
 }
 
 /* The back-off after a failed read is over. */
-static void read_retry(struct rj_core_state *core, struct rj_timer *timer)
+static void retry_due(struct rj_core_state *core, struct rj_timer *timer)
 {
-	read_on(core, RJ_CONTAINER(timer, struct rj_log_stream, retry));
+	read_next(core, RJ_CONTAINER(timer, struct rj_log_stream, retry));
 }
 
 /* Send all that waits in one append, unless one is out already. */
-static void append_now(struct rj_core_state *core, struct rj_log_stream *stream)
+static void start_append(struct rj_core_state *core,
+			 struct rj_log_stream *stream)
 {
 	struct rj_action *action;
 	uint32_t count = stream->waiting_count;
@@ -75,7 +76,7 @@
 	memmove(stream->waiting, stream->waiting + count,
 		stream->waiting_count * sizeof(stream->waiting[0]));
 	stream->append_id = rj_core_next_id(core);
-	stream->append_after_us = core->now_us + APPEND_GAP_US;
+	stream->append_after_us = core->now_us + APPEND_INTERVAL_US;
 	rj_core_count(core, RJ_COUNT_APPENDS);
 	action = rj_actions_add(core->actions, RJ_ACTION_APPEND);
 	action->u.append.append_id = stream->append_id;
@@ -87,8 +88,8 @@
 /* This instance's share allows the next append. */
 static void append_due(struct rj_core_state *core, struct rj_timer *timer)
 {
-	append_now(core,
-		   RJ_CONTAINER(timer, struct rj_log_stream, append_timer));
+	start_append(core,
+		     RJ_CONTAINER(timer, struct rj_log_stream, append_timer));
 }
 
 /*
@@ -101,7 +102,7 @@
 
 		stream->stream = (enum rj_stream)i;
 		stream->backoff_us = READ_BACKOFF_FIRST_US;
-		rj_timer_init(&stream->retry, read_retry);
+		rj_timer_init(&stream->retry, retry_due);
 		rj_timer_init(&stream->append_timer, append_due);
 	}
 }
@@ -112,7 +113,7 @@
 void rj_log_start(struct rj_core_state *core)
 {
 	for (int i = 0; i < RJ_STREAM_COUNT; i++)
-		read_on(core, &core->streams[i]);
+		read_next(core, &core->streams[i]);
 }
 
 /*
@@ -141,7 +142,7 @@
 			       stream->waiting_count + 1);
 	assert(stream->waiting);
 	stream->waiting[stream->waiting_count++] = copy;
-	append_now(core, stream);
+	start_append(core, stream);
 }
 
 /*
@@ -178,13 +179,13 @@
  * Why the log is not usable: it cannot be reached, or older keys may be
  * missing in what was read of it.
  */
-enum rj_reason rj_log_reason(const struct rj_core_state *core)
+enum rj_reason rj_log_unavailable_reason(const struct rj_core_state *core)
 {
 	return core->platform_up ? RJ_REASON_LOG_GAP : RJ_REASON_PLATFORM_DOWN;
 }
 
 /* The platform has stopped answering, or its answers are not to be had. */
-static void platform_lost(struct rj_core_state *core)
+static void mark_platform_down(struct rj_core_state *core)
 {
 	if (!core->platform_up)
 		return;
@@ -196,8 +197,8 @@
  * What a whole log says can be known only from a record that is nearly as old
  * as the log keeps any; all that still matters was carried since then.
  */
-static bool reaches_back(const struct rj_core_state *core,
-			 const struct rj_records *records)
+static bool covers_retention(const struct rj_core_state *core,
+			     const struct rj_records *records)
 {
 	return !records->oldest ||
 	       (records->count &&
@@ -216,15 +217,17 @@
  * before has ended its life, `rj_log_usable` says no. What was known before
  * is kept then: nobody else may know it, and what a peer carries counts more.
  */
-static void read_first(struct rj_core_state *core, struct rj_log_stream *stream,
-		       const struct rj_records *records)
+static void restart_at_oldest(struct rj_core_state *core,
+			      struct rj_log_stream *stream,
+			      const struct rj_records *records)
 {
 	stream->caught_up = false;
 	if (stream->stream != RJ_STREAM_JOBS)
 		return;
 	stream->newest_us = core->now_us;
 	core->gap_from = records->oldest;
-	core->ledger.gap_us = reaches_back(core, records) ? 0 : core->now_us;
+	core->ledger.gap_us =
+		covers_retention(core, records) ? 0 : core->now_us;
 	if (!core->ledger.gap_us)
 		rj_job_ledger_reset(&core->ledger);
 	else
@@ -233,7 +236,7 @@
 }
 
 /* Whether a peer without a gap says that all it knows was read here. */
-static bool peer_vouches(const struct rj_core_state *core)
+static bool peer_confirms_complete(const struct rj_core_state *core)
 {
 	const struct rj_log_stream *stream = &core->streams[RJ_STREAM_JOBS];
 	struct rj_list *at;
@@ -254,14 +257,14 @@
 /*
  * Look whether older keys may still be missing here.
  */
-void rj_log_gap_check(struct rj_core_state *core)
+void rj_log_check_gap(struct rj_core_state *core)
 {
 	uint64_t life_us;
 
 	if (!core->ledger.gap_us || !core->config)
 		return;
 	life_us = core->config->limits.key_life_s * RJ_US_PER_S;
-	if (!peer_vouches(core)) {
+	if (!peer_confirms_complete(core)) {
 		if (core->now_us <= core->ledger.gap_us + life_us)
 			return;
 		rj_job_ledger_doubt(&core->ledger);
@@ -299,7 +302,8 @@
  * so that who starts on it can tell a quiet log from one that was trimmed
  * before its time.
  */
-static void mark_quiet(struct rj_core_state *core, struct rj_log_stream *stream)
+static void append_keepalive(struct rj_core_state *core,
+			     struct rj_log_stream *stream)
 {
 	uint64_t quiet_us = core->retention_us / 8;
 	struct rj_record record;
@@ -319,14 +323,14 @@
  */
 void rj_log_tick(struct rj_core_state *core)
 {
-	rj_log_gap_check(core);
-	mark_quiet(core, &core->streams[RJ_STREAM_JOBS]);
+	rj_log_check_gap(core);
+	append_keepalive(core, &core->streams[RJ_STREAM_JOBS]);
 }
 
 /* Note when the newest record that was read was appended. */
-static void note_newest(const struct rj_core_state *core,
-			struct rj_log_stream *stream,
-			const struct rj_records *records)
+static void update_newest_time(const struct rj_core_state *core,
+			       struct rj_log_stream *stream,
+			       const struct rj_records *records)
 {
 	uint64_t age_us = records->records[records->count - 1].age_us;
 
@@ -336,8 +340,8 @@
 /*
  * Apply what a read of a stream brought, and read on.
  */
-void rj_log_records(struct rj_core_state *core,
-		    const struct rj_records *records)
+void rj_log_receive_records(struct rj_core_state *core,
+			    const struct rj_records *records)
 {
 	struct rj_log_stream *stream = &core->streams[records->stream];
 
@@ -346,19 +350,19 @@
 	stream->reading = false;
 	/* The place to read from has moved since: ask again from there. */
 	if (records->from != stream->next) {
-		read_on(core, stream);
+		read_next(core, stream);
 		return;
 	}
 	stream->backoff_us = READ_BACKOFF_FIRST_US;
 	stream->fresh_us = stream->asked_us;
 	core->platform_up = true;
 	if (!stream->read_before || records->oldest > stream->next)
-		read_first(core, stream, records);
+		restart_at_oldest(core, stream, records);
 	stream->read_before = true;
 	stream->oldest = records->oldest;
 	core->counters[RJ_COUNT_RECORDS_READ] += records->count;
 	if (records->stream == RJ_STREAM_CONFIG) {
-		rj_config_controller_records(core, records);
+		rj_config_controller_apply_records(core, records);
 		stream->next = core->config_log.next;
 		stream->caught_up = stream->next >= records->head;
 	} else {
@@ -366,10 +370,10 @@
 		stream->caught_up = records->next >= records->head;
 		stream->tried |= stream->caught_up;
 		for (uint32_t i = 0; i < records->count; i++)
-			rj_claims_record(core, &records->records[i]);
+			rj_claims_apply_record(core, &records->records[i]);
 		if (records->count)
-			note_newest(core, stream, records);
-		rj_log_gap_check(core);
+			update_newest_time(core, stream, records);
+		rj_log_check_gap(core);
 		if (stream->caught_up) {
 			core->jobs.plan_wanted = true;
 			/* An answer from before the pause proves nothing. */
@@ -377,7 +381,7 @@
 				core->woke_us = 0;
 		}
 	}
-	read_on(core, stream);
+	read_next(core, stream);
 }
 
 /*
@@ -391,7 +395,7 @@
 		return;
 	stream->reading = false;
 	stream->tried = true;
-	platform_lost(core);
+	mark_platform_down(core);
 	rj_timer_set(&core->timers, &stream->retry,
 		     core->now_us +
 			     rj_core_jitter_us(core, stream->backoff_us));
@@ -424,7 +428,8 @@
 	if (stream->stream == RJ_STREAM_JOBS &&
 	    appended->status != RJ_APPEND_OK)
 		for (uint32_t i = 0; i < count; i++)
-			rj_claims_appended(core, &records[i], appended->status);
+			rj_claims_append_failed(core, &records[i],
+						appended->status);
 	talloc_free(records);
-	append_now(core, stream);
+	start_append(core, stream);
 }
--- a/src/libradishjunction/core/controllers/membership_controller.c
+++ b/src/libradishjunction/core/controllers/membership_controller.c
@@ -11,19 +11,20 @@
 
 #include "private/core_state.h"
 
-#define HEARTBEAT_US (1 * RJ_US_PER_S)
+#define HEARTBEAT_INTERVAL_US (1 * RJ_US_PER_S)
 /* So many may be lost on a bad link before a peer counts as dead. */
-#define BEATS_LOST_MAX 3
-#define ALIVE_US (BEATS_LOST_MAX * HEARTBEAT_US + 500 * RJ_US_PER_MS)
+#define HEARTBEATS_LOST_MAX 3
+#define ALIVE_TIMEOUT_US \
+	(HEARTBEATS_LOST_MAX * HEARTBEAT_INTERVAL_US + 500 * RJ_US_PER_MS)
 /* Links to each other failure domain: one may fail, and traffic stays flat. */
-#define LINKS_TO_OTHER_DOMAIN 2
-#define LIST_US (2 * RJ_US_PER_S)
+#define LINKS_PER_OTHER_DOMAIN 2
+#define LIST_INTERVAL_US (2 * RJ_US_PER_S)
 /* Until the first list has come, nothing can be served. */
-#define LIST_FIRST_US (300 * RJ_US_PER_MS)
+#define LIST_STARTUP_INTERVAL_US (300 * RJ_US_PER_MS)
 
 /* Add a peer to the view, or find it. */
-static struct rj_member_view *member_learn(struct rj_core_state *core,
-					   const char *name)
+static struct rj_member_view *find_or_add_member(struct rj_core_state *core,
+						 const char *name)
 {
 	struct rj_member_view *member = rj_membership_find(core, name);
 
@@ -63,15 +64,15 @@
  * that their sum stays flat. Up to four domains each one is sent. An instance
  * that dies shows at once by its link; only one that is cut off shows later.
  */
-uint32_t rj_membership_beats_between(uint32_t domains)
+uint32_t rj_membership_cross_domain_interval(uint32_t domains)
 {
-	return MAX((domains - 1) / LINKS_TO_OTHER_DOMAIN, 1);
+	return MAX((domains - 1) / LINKS_PER_OTHER_DOMAIN, 1);
 }
 
 /* The same for the domains of the configuration in force. */
-static uint32_t beats_to_other_domains(const struct rj_core_state *core)
+static uint32_t cross_domain_interval(const struct rj_core_state *core)
 {
-	return rj_membership_beats_between(
+	return rj_membership_cross_domain_interval(
 		core->config ? core->config->domain_count : 1);
 }
 
@@ -82,21 +83,21 @@
 bool rj_membership_alive(const struct rj_core_state *core,
 			 const struct rj_member_view *member)
 {
-	uint64_t alive_us = ALIVE_US;
+	uint64_t timeout_us = ALIVE_TIMEOUT_US;
 
 	if (strcmp(member->domain, core->domain) != 0)
-		alive_us += BEATS_LOST_MAX * HEARTBEAT_US *
-			    (beats_to_other_domains(core) - 1);
-	return member->connected && member->heard &&
-	       core->now_us < member->heard_us + alive_us;
+		timeout_us += HEARTBEATS_LOST_MAX * HEARTBEAT_INTERVAL_US *
+			      (cross_domain_interval(core) - 1);
+	return member->connected && member->heartbeat_seen &&
+	       core->now_us < member->last_heartbeat_us + timeout_us;
 }
 
 /*
  * Whether work may be handed to a peer: it is believed alive and does not
  * stop.
  */
-bool rj_membership_takes_work(const struct rj_core_state *core,
-			      const struct rj_member_view *member)
+bool rj_membership_accepts_jobs(const struct rj_core_state *core,
+				const struct rj_member_view *member)
 {
 	return !member->draining && rj_membership_alive(core, member);
 }
@@ -105,8 +106,8 @@
  * The peer with this incarnation, or NULL when none that is believed alive
  * has it.
  */
-const char *rj_membership_name_of(const struct rj_core_state *core,
-				  uint64_t incarnation)
+const char *rj_membership_name_by_incarnation(const struct rj_core_state *core,
+					      uint64_t incarnation)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -129,7 +130,7 @@
 				     uint64_t incarnation)
 {
 	return incarnation == core->incarnation ||
-	       rj_membership_name_of(core, incarnation);
+	       rj_membership_name_by_incarnation(core, incarnation);
 }
 
 /*
@@ -142,7 +143,7 @@
  * Each of them knows the others from the settings and the list and leaves
  * them their share, and the former owner what it has open.
  */
-uint32_t rj_membership_connections(const struct rj_core_state *core)
+uint32_t rj_membership_worker_connections(const struct rj_core_state *core)
 {
 	uint32_t left = RJ_WORKER_CONNECTIONS - RJ_WORKER_CONNECTIONS_OWNER;
 	uint32_t others = 0;
@@ -249,7 +250,7 @@
 
 /* Tell the connected peers how this instance is: those of its own failure
  * domain, and all others too where `others` says so. */
-static void heartbeat(struct rj_core_state *core, bool others)
+static void send_heartbeats(struct rj_core_state *core, bool others)
 {
 	struct rj_peer_heartbeat message;
 	struct rj_list *at;
@@ -269,16 +270,16 @@
 /*
  * Tell every connected peer how this instance is.
  */
-void rj_membership_heartbeat_all(struct rj_core_state *core)
+void rj_membership_send_heartbeats(struct rj_core_state *core)
 {
-	heartbeat(core, true);
+	send_heartbeats(core, true);
 }
 
 /* What this instance owns may have changed. */
-static void view_changed(struct rj_core_state *core)
+static void on_view_changed(struct rj_core_state *core)
 {
-	rj_racks_ownership(core);
-	rj_drain_hand_over(core);
+	rj_racks_update_ownership(core);
+	rj_drain_hand_over_jobs(core);
 }
 
 /* A digest of who is alive and not draining, to see a change of it. */
@@ -292,7 +293,7 @@
 		const struct rj_member_view *member =
 			RJ_CONTAINER(at, struct rj_member_view, link);
 
-		if (rj_membership_takes_work(core, member))
+		if (rj_membership_accepts_jobs(core, member))
 			digest += rj_hash64_string(member->name,
 						   1 + member->cut_off);
 	}
@@ -300,7 +301,7 @@
 }
 
 /* Note since when only peers of the failure domain have the log. */
-static void note_alone(struct rj_core_state *core)
+static void update_log_isolation(struct rj_core_state *core)
 {
 	bool alone = false;
 	struct rj_list *at;
@@ -315,9 +316,9 @@
 			alone = !rj_log_usable(core);
 	}
 	if (!alone)
-		core->membership.alone_us = 0;
-	else if (!core->membership.alone_us)
-		core->membership.alone_us = core->now_us;
+		core->membership.log_isolated_us = 0;
+	else if (!core->membership.log_isolated_us)
+		core->membership.log_isolated_us = core->now_us;
 }
 
 /* The regular round: heartbeats out, and a look at who has gone silent. */
@@ -325,17 +326,19 @@
 {
 	uint64_t digest;
 
-	note_alone(core);
+	update_log_isolation(core);
 	digest = view_digest(core);
-	heartbeat(core,
-		  core->membership.beats++ % beats_to_other_domains(core) == 0);
-	rj_upstreams_leaving_again(core);
+	send_heartbeats(core, core->membership.heartbeats_sent++ %
+					      cross_domain_interval(core) ==
+				      0);
+	rj_upstreams_resend_leaving(core);
 	if (digest != core->membership.view_digest) {
 		core->membership.view_digest = digest;
-		view_changed(core);
+		on_view_changed(core);
 	}
 	rj_config_controller_tick(core);
-	rj_timer_set(&core->timers, timer, core->now_us + HEARTBEAT_US);
+	rj_timer_set(&core->timers, timer,
+		     core->now_us + HEARTBEAT_INTERVAL_US);
 }
 
 /* Time to read the platform's list again. */
@@ -344,14 +347,15 @@
 	rj_actions_add(core->actions, RJ_ACTION_LIST);
 	rj_timer_set(&core->timers, timer,
 		     core->now_us +
-			     rj_core_jitter_us(core, core->upstreams.count ?
-							     LIST_US :
-							     LIST_FIRST_US));
+			     rj_core_jitter_us(
+				     core, core->upstreams.count ?
+						   LIST_INTERVAL_US :
+						   LIST_STARTUP_INTERVAL_US));
 }
 
 /* How many peers of the same domain as `member` rank before it here. */
-static uint32_t rank(const struct rj_core_state *core,
-		     const struct rj_member_view *member)
+static uint32_t link_rank(const struct rj_core_state *core,
+			  const struct rj_member_view *member)
 {
 	uint64_t seed = rj_hash64_string(core->name, 0);
 	uint64_t own = rj_ownership_weight(member->name, seed, false);
@@ -375,7 +379,7 @@
  * Keep links to all of the own failure domain and to a few instances of each
  * other one; drop the rest.
  */
-static void choose_links(struct rj_core_state *core)
+static void update_links(struct rj_core_state *core)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -384,14 +388,14 @@
 		struct rj_member_view *member =
 			RJ_CONTAINER(at, struct rj_member_view, link);
 		bool same = !strcmp(member->domain, core->domain);
-		bool want =
-			member->listed &&
-			(same || rank(core, member) < LINKS_TO_OTHER_DOMAIN);
+		bool want = member->listed &&
+			    (same ||
+			     link_rank(core, member) < LINKS_PER_OTHER_DOMAIN);
 		struct rj_action *action;
 
-		if (want == member->wanted)
+		if (want == member->link_wanted)
 			continue;
-		member->wanted = want;
+		member->link_wanted = want;
 		action = rj_actions_add(core->actions,
 					want ? RJ_ACTION_PEER_CONNECT :
 					       RJ_ACTION_PEER_DROP);
@@ -402,17 +406,19 @@
 }
 
 /* Take a line of the settings or of the platform's list into the view. */
-static void learn_instance(struct rj_core_state *core,
+static void apply_instance(struct rj_core_state *core,
 			   const struct rj_instance *instance)
 {
-	struct rj_member_view *member = member_learn(core, instance->name);
+	struct rj_member_view *member =
+		find_or_add_member(core, instance->name);
 
 	if (!member)
 		return;
-	if (member->wanted &&
+	if (member->link_wanted &&
 	    (strcmp(member->address.ip, instance->address.ip) ||
 	     member->address.port != instance->address.port))
-		member->wanted = false; /* connect again, to the new address */
+		member->link_wanted =
+			false; /* connect again, to the new address */
 	g_strlcpy(member->domain, instance->domain, sizeof(member->domain));
 	member->address = instance->address;
 	member->listed = true;
@@ -432,7 +438,7 @@
 	rj_timer_init(&core->membership.heartbeat, heartbeat_due);
 	rj_timer_init(&core->membership.list, list_due);
 	for (uint32_t i = 0; i < options->peer_count; i++) {
-		learn_instance(core, &options->peers[i]);
+		apply_instance(core, &options->peers[i]);
 		member = rj_membership_find(core, options->peers[i].name);
 		if (member)
 			member->in_settings = true;
@@ -444,12 +450,14 @@
  */
 void rj_membership_start(struct rj_core_state *core)
 {
-	choose_links(core);
+	update_links(core);
 	rj_actions_add(core->actions, RJ_ACTION_LIST);
 	rj_timer_set(&core->timers, &core->membership.list,
-		     core->now_us + rj_core_jitter_us(core, LIST_FIRST_US));
+		     core->now_us +
+			     rj_core_jitter_us(core, LIST_STARTUP_INTERVAL_US));
 	rj_timer_set(&core->timers, &core->membership.heartbeat,
-		     core->now_us + rj_core_jitter_us(core, HEARTBEAT_US));
+		     core->now_us +
+			     rj_core_jitter_us(core, HEARTBEAT_INTERVAL_US));
 }
 
 /*
@@ -457,8 +465,8 @@
  * not in it yet, or no more, keeps its link as long as that stands, and one
  * that the settings name is tried for good.
  */
-void rj_membership_list(struct rj_core_state *core,
-			const struct rj_instance *list, uint32_t count)
+void rj_membership_apply_list(struct rj_core_state *core,
+			      const struct rj_instance *list, uint32_t count)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -471,56 +479,56 @@
 	}
 	for (uint32_t i = 0; i < count; i++)
 		if (list[i].role == RJ_ROLE_ENTRY)
-			learn_instance(core, &list[i]);
-	choose_links(core);
+			apply_instance(core, &list[i]);
+	update_links(core);
 }
 
 /*
  * A link stands: say at once who this is, which configuration is in force
  * and what is free.
  */
-void rj_membership_up(struct rj_core_state *core, const char *name)
+void rj_membership_link_up(struct rj_core_state *core, const char *name)
 {
-	struct rj_member_view *member = member_learn(core, name);
+	struct rj_member_view *member = find_or_add_member(core, name);
 	struct rj_peer_heartbeat own;
 
 	if (!member)
 		return;
 	member->connected = true;
-	member->heard = false;
+	member->heartbeat_seen = false;
 	member->sent = 0;
 	member->received = 0;
 	member->lost = 0;
-	member->lost_there = 0;
+	member->lost_at_peer = 0;
 	fill_heartbeat(core, &own);
 	send_heartbeat(core, member, &own);
-	rj_config_controller_tell(core, name);
-	rj_racks_tell_peer(core, name);
+	rj_config_controller_send(core, name);
+	rj_racks_send_summaries(core, name);
 	if (!strcmp(member->domain, core->domain))
-		rj_upstreams_tell_leaving(core, name);
+		rj_upstreams_send_leaving(core, name);
 }
 
 /*
  * A link ended: whatever was forwarded over it may be lost, and what the
  * peer owned is owned by others now.
  */
-void rj_membership_down(struct rj_core_state *core, const char *name)
+void rj_membership_link_down(struct rj_core_state *core, const char *name)
 {
 	struct rj_member_view *member = rj_membership_find(core, name);
 
 	if (!member)
 		return;
 	member->connected = false;
-	member->heard = false;
+	member->heartbeat_seen = false;
 	core->membership.view_digest = view_digest(core);
 	rj_forward_peer_lost(core, name);
-	view_changed(core);
+	on_view_changed(core);
 }
 
 /*
  * A message other than a heartbeat came from a peer.
  */
-void rj_membership_received(struct rj_core_state *core, const char *name)
+void rj_membership_count_received(struct rj_core_state *core, const char *name)
 {
 	struct rj_member_view *member = rj_membership_find(core, name);
 
@@ -538,24 +546,24 @@
  * for a guaranteed shape, too. What was forwarded is served anew, as when the
  * link ends: by its key or its id it meets what may run there already.
  */
-static void look_for_losses(struct rj_core_state *core,
-			    struct rj_member_view *member,
-			    const struct rj_peer_heartbeat *heartbeat)
+static void detect_message_loss(struct rj_core_state *core,
+				struct rj_member_view *member,
+				const struct rj_peer_heartbeat *heartbeat)
 {
-	bool here = heartbeat->sent > member->received + member->lost;
-	bool there = heartbeat->lost > member->lost_there;
+	bool lost_here = heartbeat->sent > member->received + member->lost;
+	bool lost_there = heartbeat->lost > member->lost_at_peer;
 	struct rj_peer_heartbeat own;
 
-	if (!here && !there)
+	if (!lost_here && !lost_there)
 		return;
-	member->lost_there = heartbeat->lost;
-	if (here) {
+	member->lost_at_peer = heartbeat->lost;
+	if (lost_here) {
 		member->lost = heartbeat->sent - member->received;
 		fill_heartbeat(core, &own);
 		send_heartbeat(core, member, &own);
 	}
-	if (there)
-		rj_racks_tell_peer(core, member->name);
+	if (lost_there)
+		rj_racks_send_summaries(core, member->name);
 	rj_forward_peer_lost(core, member->name);
 }
 
@@ -563,17 +571,18 @@
  * A peer says how it is. One that is ahead in configuration sends it of its
  * own accord; one that is behind is told.
  */
-void rj_membership_heartbeat(struct rj_core_state *core, const char *name,
-			     const struct rj_peer_heartbeat *heartbeat)
+void rj_membership_receive_heartbeat(struct rj_core_state *core,
+				     const char *name,
+				     const struct rj_peer_heartbeat *heartbeat)
 {
-	struct rj_member_view *member = member_learn(core, name);
+	struct rj_member_view *member = find_or_add_member(core, name);
 	uint64_t digest;
 
 	if (!member)
 		return;
 	member->connected = true;
-	member->heard = true;
-	member->heard_us = core->now_us;
+	member->heartbeat_seen = true;
+	member->last_heartbeat_us = core->now_us;
 	g_strlcpy(member->domain, heartbeat->domain, sizeof(member->domain));
 	member->incarnation = heartbeat->incarnation;
 	member->draining = heartbeat->draining;
@@ -585,25 +594,25 @@
 	member->log_from = heartbeat->log_from;
 	member->log_next = heartbeat->log_next;
 	member->config_changes = heartbeat->config_changes;
-	rj_log_gap_check(core);
+	rj_log_check_gap(core);
 	if (core->config && member->config_revision < core->config->revision)
-		rj_config_controller_tell(core, name);
-	look_for_losses(core, member, heartbeat);
+		rj_config_controller_send(core, name);
+	detect_message_loss(core, member, heartbeat);
 	digest = view_digest(core);
 	if (digest == core->membership.view_digest)
 		return;
 	core->membership.view_digest = digest;
-	view_changed(core);
+	on_view_changed(core);
 }
 
 /*
  * A peer says what is free in a rack of its own. The newest version of one
  * owner counts; late and repeated ones are dropped.
  */
-void rj_membership_summary(struct rj_core_state *core, const char *name,
-			   const struct rj_peer_summary *summary)
+void rj_membership_receive_summary(struct rj_core_state *core, const char *name,
+				   const struct rj_peer_summary *summary)
 {
-	struct rj_member_view *member = member_learn(core, name);
+	struct rj_member_view *member = find_or_add_member(core, name);
 	struct rj_rack_summary *mine = NULL;
 	struct rj_list *at;
 	struct rj_list *next;
@@ -629,7 +638,7 @@
 	mine->version = summary->version;
 	mine->worker_count = summary->worker_count;
 	memcpy(mine->free, summary->free, sizeof(mine->free));
-	rj_racks_peer_summary(core, summary);
+	rj_racks_receive_summary(core, summary);
 }
 
 /*
@@ -637,7 +646,7 @@
  * were not listed yet when they said it, or were owned here: it is sent only
  * when it changes.
  */
-void rj_membership_summaries_again(struct rj_core_state *core)
+void rj_membership_reapply_summaries(struct rj_core_state *core)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -661,7 +670,7 @@
 			summary.rack = known->rack;
 			summary.worker_count = known->worker_count;
 			memcpy(summary.free, known->free, sizeof(summary.free));
-			rj_racks_peer_summary(core, &summary);
+			rj_racks_receive_summary(core, &summary);
 		}
 	}
 }
--- a/src/libradishjunction/core/controllers/placement_controller.c
+++ b/src/libradishjunction/core/controllers/placement_controller.c
@@ -11,13 +11,13 @@
 
 #include "private/core_state.h"
 
-#define HOLD_BACKOFF_US (50 * RJ_US_PER_MS)
+#define LEASE_BACKOFF_US (50 * RJ_US_PER_MS)
 #define ACCEPTED_BACKOFF_US (1 * RJ_US_PER_S)
 
 /*
  * What the planner needs to know of the job.
  */
-void rj_job_plan_view(const struct rj_job *job, struct rj_plan_job *plan)
+void rj_job_fill_plan(const struct rj_job *job, struct rj_plan_job *plan)
 {
 	memset(plan, 0, sizeof(*plan));
 	plan->job_id = job->spec.job_id;
@@ -50,8 +50,8 @@
 	uint64_t retry_after_us = 0;
 
 	assert(!job->planned);
-	rj_job_enter(job, RJ_JOB_QUEUED);
-	rj_job_plan_view(job, &plan);
+	rj_job_enter_state(job, RJ_JOB_QUEUED);
+	rj_job_fill_plan(job, &plan);
 	if (!core->planner->ops->submit(core->planner, &plan, core->now_us,
 					&reason, &retry_after_us)) {
 		job->planned = true;
@@ -71,7 +71,7 @@
 /*
  * The planner counts the job no more.
  */
-void rj_job_unplan(struct rj_job *job, bool succeeded)
+void rj_job_remove_from_plan(struct rj_job *job, bool succeeded)
 {
 	struct rj_core_state *core = job->core;
 	uint64_t ran_us = 0;
@@ -95,8 +95,8 @@
 	struct rj_core_state *core = job->core;
 
 	rj_core_log(core, RJ_LOG_RETRY, reason, job, NULL);
-	rj_job_drop_members(job);
-	rj_job_enter(job, RJ_JOB_QUEUED);
+	rj_job_free_members(job);
+	rj_job_enter_state(job, RJ_JOB_QUEUED);
 	job->attempt.owner = core->incarnation;
 	job->attempt.number = ++core->next_attempt;
 	job->claimed = false;
@@ -106,7 +106,7 @@
 	job->reclaimed = false;
 	if (!job->planned || job->failures || rj_route_leads_away(job)) {
 		/* Submitted anew, with the workers to avoid, or handed on. */
-		rj_job_unplan(job, false);
+		rj_job_remove_from_plan(job, false);
 		rj_timer_set(&core->timers, &job->step,
 			     core->now_us + delay_us);
 		return;
@@ -117,11 +117,12 @@
 }
 
 /* The workers that a decision names become the job's members. */
-static bool take_members(struct rj_job *job, const struct rj_decision *decision)
+static bool assign_members(struct rj_job *job,
+			   const struct rj_decision *decision)
 {
 	struct rj_core_state *core = job->core;
 
-	rj_job_set_members(job, decision->member_count);
+	rj_job_alloc_members(job, decision->member_count);
 	for (uint32_t i = 0; i < decision->member_count; i++) {
 		uint32_t worker = decision->members[i].worker;
 
@@ -135,9 +136,9 @@
 }
 
 /* Ask for every lease of the job. */
-static void hold(struct rj_job *job)
+static void request_leases(struct rj_job *job)
 {
-	rj_job_enter(job, RJ_JOB_HOLDING);
+	rj_job_enter_state(job, RJ_JOB_HOLDING);
 	for (uint32_t i = 0; i < job->member_count; i++) {
 		rj_core_count(job->core, RJ_COUNT_LEASES);
 		rj_job_call(job, &job->members[i], RJ_WORKER_LEASE);
@@ -145,8 +146,7 @@
 }
 
 /* The planner says where the job goes. */
-static void start_decided(struct rj_job *job,
-			  const struct rj_decision *decision)
+static void handle_start(struct rj_job *job, const struct rj_decision *decision)
 {
 	assert(job->state == RJ_JOB_QUEUED);
 	if (job->accepted && !rj_log_usable(job->core)) {
@@ -155,17 +155,17 @@
 			       RJ_REASON_PLATFORM_DOWN);
 		return;
 	}
-	if (!take_members(job, decision)) {
-		rj_job_requeue(job, HOLD_BACKOFF_US, RJ_REASON_WORKER_LOST);
+	if (!assign_members(job, decision)) {
+		rj_job_requeue(job, LEASE_BACKOFF_US, RJ_REASON_WORKER_LOST);
 		return;
 	}
 	rj_core_log(job->core, RJ_LOG_PLACE, decision->reason, job,
 		    job->members[0].worker);
 	if (job->member_count == 1 && job->idempotent && job->spec.wait &&
 	    !rj_job_needs_claim(job))
-		rj_job_run_on(job);
+		rj_job_lease_and_start(job);
 	else
-		hold(job);
+		request_leases(job);
 }
 
 /* Have the job give its capacity back, within `limit_us`. */
@@ -183,7 +183,7 @@
 		/* Nothing has started, and no token is left to start with. A
 		   claim that shows in the log later is fenced and voided. */
 		rj_job_release_members(job);
-		rj_job_requeue(job, HOLD_BACKOFF_US, RJ_REASON_RECLAIMED);
+		rj_job_requeue(job, LEASE_BACKOFF_US, RJ_REASON_RECLAIMED);
 		break;
 	case RJ_JOB_STARTING:
 	case RJ_JOB_RUNNING:
@@ -203,11 +203,12 @@
 }
 
 /* Tell the peers that the job's room is kept for someone here. */
-static void offer_less(const struct rj_job *job)
+static void update_offers(const struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++)
 		if (job->members[i].upstream)
-			rj_upstreams_offer(job->core, job->members[i].upstream);
+			rj_upstreams_update_offer(job->core,
+						  job->members[i].upstream);
 }
 
 /*
@@ -227,7 +228,7 @@
 }
 
 /* A waiting job that the planner gives up. */
-static void refuse_decided(struct rj_job *job,
+static void handle_refusal(struct rj_job *job,
 			   const struct rj_decision *decision)
 {
 	job->planned = false;
@@ -236,14 +237,14 @@
 		rj_job_not_started(job, decision->reason,
 				   decision->retry_after_us);
 	else if (decision->reason == RJ_REASON_NEVER_FITS)
-		rj_job_give_up(job, decision->reason, 0);
+		rj_job_abandon(job, decision->reason, 0);
 	else
 		rj_job_requeue(job, ACCEPTED_BACKOFF_US, decision->reason);
 }
 
 /* Carry out one decision of the planner. */
-static void decided(struct rj_core_state *core,
-		    const struct rj_decision *decision)
+static void handle_decision(struct rj_core_state *core,
+			    const struct rj_decision *decision)
 {
 	struct rj_job *job = rj_jobs_find(core, decision->job_id);
 
@@ -253,14 +254,14 @@
 		return;
 	switch (decision->kind) {
 	case RJ_DECISION_START:
-		start_decided(job, decision);
+		handle_start(job, decision);
 		break;
 	case RJ_DECISION_RECLAIM:
-		offer_less(job);
+		update_offers(job);
 		reclaim(job, decision->reason, decision->limit_us);
 		break;
 	case RJ_DECISION_REFUSE:
-		refuse_decided(job, decision);
+		handle_refusal(job, decision);
 		break;
 	case RJ_DECISION_KIND_COUNT:
 		break;
@@ -277,12 +278,12 @@
 
 	/* A decision may free capacity or refuse, which wants another pass;
 	   two rounds are enough for that, the rest comes with the timer. */
-	for (int round = 0; round < 2 && core->jobs.plan_wanted; round++) {
+	for (int pass = 0; pass < 2 && core->jobs.plan_wanted; pass++) {
 		core->jobs.plan_wanted = false;
 		core->planner->ops->pass(core->planner, core->now_us,
 					 decisions);
 		for (uint32_t i = 0; i < decisions->count; i++)
-			decided(core, &decisions->list[i]);
+			handle_decision(core, &decisions->list[i]);
 		rj_decisions_clear(decisions);
 	}
 	wake_us = core->planner->ops->wake_us(core->planner);
@@ -305,11 +306,11 @@
 		if (member->token || member->call_id)
 			rj_job_call(job, member, RJ_WORKER_RELEASE);
 	}
-	rj_job_drop_members(job);
+	rj_job_free_members(job);
 }
 
 /* Whether every member has its lease. */
-static bool all_held(const struct rj_job *job)
+static bool all_leased(const struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++)
 		if (!job->members[i].token)
@@ -332,7 +333,7 @@
 		member->token = reply->token;
 		member->incarnation = reply->incarnation;
 		member->state = RJ_TASK_HELD;
-		if (!all_held(job))
+		if (!all_leased(job))
 			return;
 		if (rj_job_needs_claim(job))
 			rj_job_claim(job);
@@ -345,7 +346,7 @@
 		member->call_id = reply->call_id; /* it may hold a lease */
 	rj_job_release_members(job);
 	if (upstream)
-		rj_upstreams_poll_soon(core, upstream);
-	rj_job_requeue(job, rj_core_jitter_us(core, HOLD_BACKOFF_US),
+		rj_upstreams_poll_now(core, upstream);
+	rj_job_requeue(job, rj_core_jitter_us(core, LEASE_BACKOFF_US),
 		       RJ_REASON_LEASE_REFUSED);
 }
--- a/src/libradishjunction/core/controllers/racks_controller.c
+++ b/src/libradishjunction/core/controllers/racks_controller.c
@@ -42,7 +42,7 @@
 }
 
 /* A rack of the own failure domain by its number, or NULL. */
-static struct rj_rack *rack_find(const struct rj_core_state *core,
+static struct rj_rack *find_rack(const struct rj_core_state *core,
 				 uint32_t number)
 {
 	struct rj_list *at;
@@ -58,9 +58,10 @@
 }
 
 /* A rack by its number, made if it was not known. */
-static struct rj_rack *rack_learn(struct rj_core_state *core, uint32_t number)
+static struct rj_rack *find_or_add_rack(struct rj_core_state *core,
+					uint32_t number)
 {
-	struct rj_rack *rack = rack_find(core, number);
+	struct rj_rack *rack = find_rack(core, number);
 
 	if (rack)
 		return rack;
@@ -87,14 +88,15 @@
  * by its name: a summary names no workers, so that all instances have to
  * count them in the same order.
  */
-void rj_racks_place(struct rj_core_state *core, struct rj_upstream *upstream)
+void rj_racks_add_worker(struct rj_core_state *core,
+			 struct rj_upstream *upstream)
 {
 	struct rj_rack *rack;
 	uint32_t at;
 
 	if (strcmp(upstream->domain, core->domain))
 		return;
-	rack = rack_learn(core, upstream->rack);
+	rack = find_or_add_rack(core, upstream->rack);
 	if (upstream->rack_view == rack)
 		return;
 	if (upstream->rack_view)
@@ -117,7 +119,7 @@
 bool rj_racks_owned_by(const struct rj_core_state *core, uint32_t number,
 		       const char *name)
 {
-	const struct rj_rack *rack = rack_find(core, number);
+	const struct rj_rack *rack = find_rack(core, number);
 
 	return rack && rack->owner && !strcmp(rack->owner, name);
 }
@@ -127,9 +129,9 @@
  * of the workers or of the guaranteed shapes has changed. What the new owner
  * of a rack said of it before it was known here as the owner counts now.
  */
-void rj_racks_ownership(struct rj_core_state *core)
+void rj_racks_update_ownership(struct rj_core_state *core)
 {
-	bool given_up = false;
+	bool lost_rack = false;
 	struct rj_list *at;
 	struct rj_list *next;
 
@@ -141,18 +143,19 @@
 		rack->owner = rj_ownership_owner(core, key);
 		rack->owned = !rack->owner;
 		for (uint32_t i = 0; i < rack->count; i++)
-			rj_upstreams_own(core, rack->workers[i], rack->owned);
-		given_up |= before && !rack->owned;
+			rj_upstreams_set_owned(core, rack->workers[i],
+					       rack->owned);
+		lost_rack |= before && !rack->owned;
 	}
-	if (given_up)
-		rj_membership_summaries_again(core);
+	if (lost_rack)
+		rj_membership_reapply_summaries(core);
 }
 
 /*
  * Whether what waits here would wait in vain, and is to be handed on: this
  * instance stops, or owns no rack.
  */
-bool rj_racks_hand_on(const struct rj_core_state *core)
+bool rj_racks_cannot_place(const struct rj_core_state *core)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -186,7 +189,8 @@
  * Whether all of `shape` fits into the rack now, by what was last reported
  * or told of it.
  */
-bool rj_rack_has_room(const struct rj_rack *rack, const struct rj_shape *shape)
+bool rj_rack_shape_fits(const struct rj_rack *rack,
+			const struct rj_shape *shape)
 {
 	uint32_t tasks = 0;
 
@@ -215,7 +219,8 @@
 /*
  * Tell the peers of the failure domain what is free in a rack.
  */
-void rj_racks_tell(struct rj_core_state *core, const struct rj_rack *rack)
+void rj_racks_send_summary(struct rj_core_state *core,
+			   const struct rj_rack *rack)
 {
 	struct rj_peer_message message;
 
@@ -229,7 +234,7 @@
  * Tell one peer, whose link has just come to stand, what is free in every
  * own rack.
  */
-void rj_racks_tell_peer(struct rj_core_state *core, const char *peer)
+void rj_racks_send_summaries(struct rj_core_state *core, const char *peer)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -251,15 +256,15 @@
  * gangs that no own rack can hold are planned from it. The lease decides
  * whether it was true.
  */
-void rj_racks_peer_summary(struct rj_core_state *core,
-			   const struct rj_peer_summary *summary)
+void rj_racks_receive_summary(struct rj_core_state *core,
+			      const struct rj_peer_summary *summary)
 {
 	struct rj_rack *rack;
 
 	if (strcmp(summary->domain, core->domain))
 		return;
-	rack = rack_learn(core, summary->rack);
+	rack = find_or_add_rack(core, summary->rack);
 	for (uint32_t i = 0; i < rack->count && i < summary->worker_count; i++)
-		rj_upstreams_told_free(core, rack->workers[i],
-				       &summary->free[i]);
+		rj_upstreams_receive_offer(core, rack->workers[i],
+					   &summary->free[i]);
 }
--- a/src/libradishjunction/core/controllers/recovery_controller.c
+++ b/src/libradishjunction/core/controllers/recovery_controller.c
@@ -19,54 +19,54 @@
 #define FENCE_LIMIT_US (30 * RJ_US_PER_S)
 
 /* What the workers said of the members, counted. */
-struct settlement {
-	uint32_t asked; /* no answer yet */
-	uint32_t dead; /* never started */
+struct fence_results {
+	uint32_t unanswered; /* no answer yet */
+	uint32_t not_started; /* never started */
 	uint32_t running;
 	uint32_t done;
 	uint32_t failed;
 	uint32_t stopped;
-	uint32_t lost; /* nobody can say */
+	uint32_t unknown; /* nobody can say */
 };
 
 /* Count the members by what is known of them. */
-static struct settlement count_members(const struct rj_job *job)
+static struct fence_results count_members(const struct rj_job *job)
 {
-	struct settlement sum;
+	struct fence_results results;
 
-	memset(&sum, 0, sizeof(sum));
+	memset(&results, 0, sizeof(results));
 	for (uint32_t i = 0; i < job->member_count; i++) {
 		const struct rj_member *member = &job->members[i];
 
 		if (!member->settled)
-			sum.asked++;
+			results.unanswered++;
 		else if (member->state == RJ_TASK_DEAD)
-			sum.dead++;
+			results.not_started++;
 		else if (member->state == RJ_TASK_RUNNING)
-			sum.running++;
+			results.running++;
 		else if (member->state == RJ_TASK_DONE)
-			sum.done++;
+			results.done++;
 		else if (member->state == RJ_TASK_FAILED)
-			sum.failed++;
+			results.failed++;
 		else if (member->state == RJ_TASK_STOPPED)
-			sum.stopped++;
+			results.stopped++;
 		else
-			sum.lost++;
+			results.unknown++;
 	}
-	return sum;
+	return results;
 }
 
 /* Nothing of the attempt ever started: close its claim, and serve the job
  * anew if someone wants it. */
-static void never_started(struct rj_job *job)
+static void settle_never_started(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
 
 	job->started = false;
 	if (job->claimed)
-		rj_claims_void(job);
+		rj_claims_append_void(job);
 	if (job->cancelled) {
-		rj_job_give_up(job, RJ_REASON_CANCELLED, 0);
+		rj_job_abandon(job, RJ_REASON_CANCELLED, 0);
 		return;
 	}
 	if (job->bodiless)
@@ -76,9 +76,9 @@
 		return;
 	}
 	if (!job->accepted && !job->idempotent && !rj_log_usable(core)) {
-		rj_job_end_plain(job, RJ_ANSWER_UNKNOWN,
-				 RJ_REASON_PLATFORM_DOWN,
-				 rj_core_jitter_us(core, RJ_COME_BACK_US));
+		rj_job_end_without_result(
+			job, RJ_ANSWER_UNKNOWN, RJ_REASON_PLATFORM_DOWN,
+			rj_core_jitter_us(core, RJ_COME_BACK_US));
 		return;
 	}
 	rj_job_requeue(job, 0, RJ_REASON_LEASE_LAPSED);
@@ -107,7 +107,7 @@
 	rj_core_count(core, RJ_COUNT_ADOPTIONS);
 	rj_core_log(core, RJ_LOG_ADOPT, RJ_REASON_OWNER, job,
 		    job->members[0].worker);
-	rj_job_enter(job, RJ_JOB_RUNNING);
+	rj_job_enter_state(job, RJ_JOB_RUNNING);
 	job->started = true;
 	if (!job->started_us)
 		job->started_us = core->now_us - job->members[0].ran_us;
@@ -130,14 +130,14 @@
 		where[i].worker = job->members[i].upstream->index;
 		where[i].tasks = job->members[i].tasks;
 	}
-	rj_job_plan_view(job, &plan);
+	rj_job_fill_plan(job, &plan);
 	core->planner->ops->adopt(core->planner, &plan, where,
 				  job->member_count, core->now_us);
 	job->planned = true;
 }
 
 /* The workers cannot vouch for the attempt, or it ended before its end. */
-static void ended_early(struct rj_job *job, bool lost)
+static void settle_partial(struct rj_job *job, bool unknown)
 {
 	if (job->idempotent) {
 		job->ending = false;
@@ -146,37 +146,37 @@
 		return;
 	}
 	job->ending = true;
-	job->final.kind = lost ? RJ_ANSWER_UNKNOWN : RJ_ANSWER_FAILED;
+	job->final.kind = unknown ? RJ_ANSWER_UNKNOWN : RJ_ANSWER_FAILED;
 	job->final.reason = RJ_REASON_WORKER_LOST;
 	rj_job_stop(job, false, 0);
 }
 
 /* Every member was asked: decide. */
-static void decide(struct rj_job *job)
+static void settle_decide(struct rj_job *job)
 {
-	struct settlement sum = count_members(job);
+	struct fence_results results = count_members(job);
 	uint32_t all = job->member_count;
 
-	if (sum.dead == all) {
-		never_started(job);
+	if (results.not_started == all) {
+		settle_never_started(job);
 		return;
 	}
-	if (sum.running + sum.done == all && sum.running) {
+	if (results.running + results.done == all && results.running) {
 		adopt(job);
 		return;
 	}
-	if (sum.done == all || (sum.failed && all == 1)) {
-		rj_job_enter(job, RJ_JOB_RUNNING);
+	if (results.done == all || (results.failed && all == 1)) {
+		rj_job_enter_state(job, RJ_JOB_RUNNING);
 		job->started = true;
-		rj_job_check(job);
+		rj_job_check_members(job);
 		return;
 	}
 	job->started = true;
-	ended_early(job, sum.lost > 0);
+	settle_partial(job, results.unknown > 0);
 }
 
 /* A worker of a claim may be listed only after the claim was read. */
-static void find_worker(struct rj_job *job, struct rj_member *member)
+static void attach_worker(struct rj_job *job, struct rj_member *member)
 {
 	struct rj_upstream *upstream =
 		rj_upstreams_find(job->core, member->worker);
@@ -196,7 +196,7 @@
 	bool first = job->state != RJ_JOB_SETTLING;
 
 	if (first) {
-		rj_job_enter(job, RJ_JOB_SETTLING);
+		rj_job_enter_state(job, RJ_JOB_SETTLING);
 		for (uint32_t i = 0; i < job->member_count; i++)
 			job->members[i].settled = false;
 	}
@@ -212,12 +212,12 @@
 			continue;
 		}
 		if (!member->upstream)
-			find_worker(job, member);
+			attach_worker(job, member);
 		if (member->upstream)
 			rj_job_call(job, member, RJ_WORKER_FENCE);
 	}
-	if (!count_members(job).asked) {
-		decide(job);
+	if (!count_members(job).unanswered) {
+		settle_decide(job);
 		return;
 	}
 	rj_timer_set(&core->timers, &job->step,
@@ -245,9 +245,9 @@
 		member->start_sent = false;
 	if (member->state == RJ_TASK_DONE || member->state == RJ_TASK_FAILED)
 		rj_member_keep_result(job, member, &reply->result);
-	if (!count_members(job).asked) {
+	if (!count_members(job).unanswered) {
 		rj_timer_clear(&job->core->timers, &job->step);
-		decide(job);
+		settle_decide(job);
 	}
 }
 
@@ -262,14 +262,14 @@
 		return;
 	if (reply->status == RJ_REPLY_REFUSED)
 		member->state = RJ_TASK_STOPPED;
-	rj_job_check(job);
+	rj_job_check_members(job);
 }
 
 /* Take the members of a claim from the log. */
 static void members_from_log(struct rj_job *job,
 			     const struct rj_job_entry *entry)
 {
-	rj_job_set_members(job, entry->member_count);
+	rj_job_alloc_members(job, entry->member_count);
 	for (uint32_t i = 0; i < entry->member_count; i++) {
 		const struct rj_claim_member *claimed = &entry->members[i];
 		struct rj_member *member = &job->members[i];
@@ -280,12 +280,12 @@
 		member->token = claimed->token;
 		member->tasks = claimed->tasks;
 		member->start_sent = true;
-		find_worker(job, member);
+		attach_worker(job, member);
 	}
 }
 
 /* The log knows the job whole. */
-static void take_accepted(struct rj_job *job, const struct rj_job_entry *entry)
+static void mark_accepted(struct rj_job *job, const struct rj_job_entry *entry)
 {
 	job->accepted = true;
 	if (!job->spec.body.length)
@@ -301,10 +301,12 @@
  * peer for this instance alone, and nobody would serve it. It shows as an
  * accepted job without an end. An answer that comes late is dropped.
  */
-static void take_back(struct rj_job *job, const struct rj_job_entry *entry)
+static void take_back_forwarded(struct rj_job *job,
+				const struct rj_job_entry *entry)
 {
 	if (entry->accepted && !job->spec.wait)
-		rj_job_tell_waiters(job, RJ_ANSWER_ACCEPTED, RJ_REASON_NONE, 0);
+		rj_job_answer_without_result(job, RJ_ANSWER_ACCEPTED,
+					     RJ_REASON_NONE, 0);
 	g_hash_table_remove(job->core->jobs.forwards, &job->forward_id);
 	job->forward_id = 0;
 	rj_job_watch(job);
@@ -314,7 +316,7 @@
  * Settle the open claim of an attempt that nobody alive drives. Whoever
  * watches the job here goes on from what the workers say.
  */
-static void settle_entry(struct rj_core_state *core,
+static void settle_claim(struct rj_core_state *core,
 			 const struct rj_job_entry *entry)
 {
 	struct rj_job *job = rj_jobs_find(core, entry->job_id);
@@ -328,11 +330,11 @@
 		job->bodiless = true;
 	}
 	if (job->state == RJ_JOB_FORWARDED)
-		take_back(job, entry);
+		take_back_forwarded(job, entry);
 	/* Who only watched the job may not know that it was accepted: its end
 	   would be kept out of the log. */
 	if (entry->accepted)
-		take_accepted(job, entry);
+		mark_accepted(job, entry);
 	job->cancelled = job->cancelled || entry->cancelled;
 	/* That the open attempt never ran says nothing of earlier ones. */
 	job->ran_before = job->ran_before || entry->claimed_before;
@@ -343,8 +345,8 @@
 }
 
 /* Whether a job here drives the entry's open claim. */
-static bool driven_here(const struct rj_job *job,
-			const struct rj_job_entry *entry)
+static bool is_served_here(const struct rj_job *job,
+			   const struct rj_job_entry *entry)
 {
 	if (!job || job->state == RJ_JOB_WATCHING ||
 	    job->state == RJ_JOB_FORWARDED)
@@ -354,29 +356,29 @@
 }
 
 /* Serve an accepted job that has no owner yet, or whose owner is gone. */
-static void own_accepted(struct rj_core_state *core,
-			 const struct rj_job_entry *entry)
+static void serve_accepted(struct rj_core_state *core,
+			   const struct rj_job_entry *entry)
 {
 	struct rj_job *job = rj_jobs_find(core, entry->job_id);
 
-	if (driven_here(job, entry))
+	if (is_served_here(job, entry))
 		return;
 	if (job && job->state == RJ_JOB_FORWARDED)
-		take_back(job, entry);
+		take_back_forwarded(job, entry);
 	if (!job)
 		job = rj_job_new(
 			core, &entry->spec,
 			core->config ? rj_config_class(core->config,
 						       entry->spec.class_name) :
 				       NULL);
-	take_accepted(job, entry);
+	mark_accepted(job, entry);
 	/* An attempt whose claim was closed may have run before it stopped. */
 	job->ran_before = job->ran_before || entry->attempt.number;
 	rj_core_log(core, RJ_LOG_ADOPT, RJ_REASON_OWNER, job, NULL);
 	if (entry->cancelled)
-		rj_job_give_up(job, RJ_REASON_CANCELLED, 0);
+		rj_job_abandon(job, RJ_REASON_CANCELLED, 0);
 	else if (entry->doubtful && !job->idempotent)
-		rj_job_give_up(job, RJ_REASON_LOG_GAP, 0);
+		rj_job_abandon(job, RJ_REASON_LOG_GAP, 0);
 	else
 		rj_job_submit(job);
 }
@@ -391,7 +393,8 @@
 }
 
 /* Append what the log says of a job again, well before it is trimmed. */
-static void carry(struct rj_core_state *core, struct rj_job_entry *entry)
+static void carry_forward(struct rj_core_state *core,
+			  struct rj_job_entry *entry)
 {
 	struct rj_record record;
 
@@ -438,7 +441,8 @@
  * made twice, or as an accepted job that nobody knows any more. The owner
  * itself may not have read what was dropped.
  */
-static bool dropped_due(struct rj_core_state *core, struct rj_job_entry *entry)
+static bool trimmed_early(struct rj_core_state *core,
+			  struct rj_job_entry *entry)
 {
 	if (entry->whole_from >= core->streams[RJ_STREAM_JOBS].oldest) {
 		entry->dropped_us = 0;
@@ -476,21 +480,22 @@
  * claim; or forget it when its key's life is over. A key is refused a little
  * before the log may forget it.
  */
-static void keep_entry(struct rj_core_state *core, struct rj_job_entry *entry)
+static void maintain_entry(struct rj_core_state *core,
+			   struct rj_job_entry *entry)
 {
-	uint64_t life_us =
+	uint64_t key_lifetime_us =
 		core->config ? core->config->limits.key_life_s * RJ_US_PER_S :
 			       core->retention_us;
 	uint64_t half_us = core->retention_us / 2;
 
 	if ((entry->settled || !rj_job_entry_matters(entry)) &&
-	    core->now_us > entry->first_us + life_us &&
+	    core->now_us > entry->first_us + key_lifetime_us &&
 	    core->now_us > entry->recorded_us + half_us) {
 		rj_job_ledger_forget(&core->ledger, entry);
 		return;
 	}
-	if (dropped_due(core, entry) || carry_due(core, entry))
-		carry(core, entry);
+	if (trimmed_early(core, entry) || carry_due(core, entry))
+		carry_forward(core, entry);
 }
 
 /*
@@ -514,20 +519,20 @@
 		struct rj_job *job = rj_jobs_find(core, entry->job_id);
 
 		if (!entry->settled && entry->claimed) {
-			bool mine = entry->attempt.owner == core->incarnation ||
-				    (!rj_membership_incarnation_alive(
-					     core, entry->attempt.owner) &&
-				     owned_here(core, entry));
+			bool own = entry->attempt.owner == core->incarnation ||
+				   (!rj_membership_incarnation_alive(
+					    core, entry->attempt.owner) &&
+				    owned_here(core, entry));
 
-			if (mine && !driven_here(job, entry))
-				settle_entry(core, entry);
+			if (own && !is_served_here(job, entry))
+				settle_claim(core, entry);
 		} else if (!entry->settled && entry->accepted && job &&
 			   job->state == RJ_JOB_RUNNING) {
-			rj_claims_running(job);
+			rj_claims_claim_running(job);
 		} else if (!entry->settled && entry->accepted && current &&
 			   owned_here(core, entry)) {
-			own_accepted(core, entry);
+			serve_accepted(core, entry);
 		}
-		keep_entry(core, entry);
+		maintain_entry(core, entry);
 	}
 }
--- a/src/libradishjunction/core/controllers/report_controller.c
+++ b/src/libradishjunction/core/controllers/report_controller.c
@@ -14,8 +14,8 @@
  * A worker told how a member is. A gang's member that is held still is
  * running, too, and has made no progress.
  */
-void rj_job_note_progress(struct rj_job *job, enum rj_task_state state,
-			  uint64_t ran_us)
+void rj_job_record_progress(struct rj_job *job, enum rj_task_state state,
+			    uint64_t ran_us)
 {
 	if (state == RJ_TASK_DONE || state == RJ_TASK_FAILED || ran_us ||
 	    (state == RJ_TASK_RUNNING && job->member_count == 1))
@@ -26,7 +26,7 @@
 static void report_task(struct rj_job *job, struct rj_member *member,
 			const struct rj_task_report *task)
 {
-	rj_job_note_progress(job, task->state, task->ran_us);
+	rj_job_record_progress(job, task->state, task->ran_us);
 	member->ran_us = task->ran_us;
 	if (task->state == RJ_TASK_HELD)
 		return; /* an older picture than the start, or a lost start */
@@ -65,16 +65,16 @@
  * stay taken for as long as the instance lives. It shows as workers full of
  * foreign tasks that nobody runs.
  */
-static void clear_left_over(struct rj_core_state *core,
+static void clean_up_orphan(struct rj_core_state *core,
 			    const struct rj_upstream *upstream,
 			    const struct rj_task_report *task)
 {
 	if (task->holder != core->incarnation)
 		return;
-	rj_call_clear(core, upstream,
-		      task->state == RJ_TASK_RUNNING ? RJ_WORKER_STOP :
-						       RJ_WORKER_RELEASE,
-		      &task->attempt, task->member, task->token);
+	rj_call_clean_up(core, upstream,
+			 task->state == RJ_TASK_RUNNING ? RJ_WORKER_STOP :
+							  RJ_WORKER_RELEASE,
+			 &task->attempt, task->member, task->token);
 }
 
 /*
@@ -85,7 +85,7 @@
  * the task's end: the job would hang until its deadline. The margin is the
  * time in which any call arrives or is given up.
  */
-static bool vanished(const struct rj_member *member, uint64_t asked_us)
+static bool start_was_lost(const struct rj_member *member, uint64_t asked_us)
 {
 	return !member->reported && member->start_sent &&
 	       asked_us > member->start_us + RJ_CALL_TIMEOUT_US &&
@@ -95,7 +95,7 @@
 }
 
 /* Whether a member has ended, by what is known of it. */
-static bool ended(const struct rj_member *member)
+static bool has_ended(const struct rj_member *member)
 {
 	return member->state == RJ_TASK_FAILED ||
 	       member->state == RJ_TASK_STOPPED ||
@@ -106,8 +106,10 @@
  * Take a worker's report, asked for at `asked_us`: how members of own jobs
  * are, and which of them are gone without a word.
  */
-void rj_jobs_report(struct rj_core_state *core, struct rj_upstream *upstream,
-		    const struct rj_worker_report *report, uint64_t asked_us)
+void rj_jobs_apply_report(struct rj_core_state *core,
+			  struct rj_upstream *upstream,
+			  const struct rj_worker_report *report,
+			  uint64_t asked_us)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -119,7 +121,7 @@
 			member_of(core, upstream, &report->tasks[i]);
 
 		if (!member)
-			clear_left_over(core, upstream, &report->tasks[i]);
+			clean_up_orphan(core, upstream, &report->tasks[i]);
 		else if (member->job->state == RJ_JOB_RUNNING)
 			report_task(member->job, member, &report->tasks[i]);
 	}
@@ -132,10 +134,11 @@
 
 			if (member->job->state != RJ_JOB_RUNNING)
 				continue;
-			if (vanished(member, asked_us))
-				rj_job_start_lost(member->job, member);
-			else if (ended(member) || rj_job_all_done(member->job))
-				rj_job_check(member->job);
+			if (start_was_lost(member, asked_us))
+				rj_job_start_unconfirmed(member->job, member);
+			else if (has_ended(member) ||
+				 rj_job_all_done(member->job))
+				rj_job_check_members(member->job);
 			else
 				continue;
 			again = true;
@@ -148,7 +151,7 @@
  * A worker reports nothing new. Returns whether that is enough: a member that
  * was not in the last whole report can be judged only by another whole one.
  */
-bool rj_jobs_report_unchanged(const struct rj_upstream *upstream)
+bool rj_jobs_unchanged_suffices(const struct rj_upstream *upstream)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -164,7 +167,7 @@
 }
 
 /* Go on without a member whose worker is lost. */
-static void member_lost(struct rj_member *member)
+static void handle_member_lost(struct rj_member *member)
 {
 	struct rj_job *job = member->job;
 
@@ -184,7 +187,7 @@
 		break;
 	case RJ_JOB_STOPPING:
 		member->state = RJ_TASK_STOPPED;
-		rj_job_stopped_check(job);
+		rj_job_check_stopped(job);
 		break;
 	case RJ_JOB_ACCEPTING:
 	case RJ_JOB_QUEUED:
@@ -199,7 +202,8 @@
 }
 
 /* A member of a job that has to go on without its worker, or NULL. */
-static struct rj_member *next_lost(const struct rj_upstream *upstream)
+static struct rj_member *
+next_affected_member(const struct rj_upstream *upstream)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -230,6 +234,6 @@
 	struct rj_member *member;
 
 	(void)core;
-	while ((member = next_lost(upstream)))
-		member_lost(member);
+	while ((member = next_affected_member(upstream)))
+		handle_member_lost(member);
 }
--- a/src/libradishjunction/core/controllers/run_controller.c
+++ b/src/libradishjunction/core/controllers/run_controller.c
@@ -12,7 +12,7 @@
 
 /* A call that answers at the end of the task; reports notice a dead worker
  * long before. */
-#define WAIT_TIMEOUT_US (3600 * RJ_US_PER_S)
+#define TASK_END_TIMEOUT_US (3600 * RJ_US_PER_S)
 /* After so many lost answers the next reports show whether it runs. */
 #define THROTTLE_TRIES 4
 /* So many different workers failing one job point to the job. */
@@ -32,19 +32,19 @@
  * Lease and start in one call, for a single task that may run again: the
  * answer is the result. Small jobs cost one call and never touch the log.
  */
-void rj_job_run_on(struct rj_job *job)
+void rj_job_lease_and_start(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
 	struct rj_worker_call *call;
 
 	assert(job->member_count == 1 && job->idempotent);
-	rj_job_enter(job, RJ_JOB_RUNNING);
+	rj_job_enter_state(job, RJ_JOB_RUNNING);
 	job->started = true;
 	job->started_us = core->now_us;
 	job->members[0].start_sent = true;
 	job->members[0].start_us = core->now_us;
 	call = rj_job_call(job, &job->members[0], RJ_WORKER_RUN);
-	call->timeout_us = WAIT_TIMEOUT_US;
+	call->timeout_us = TASK_END_TIMEOUT_US;
 	call->throttle_percent = 100;
 	fill_start(job, call);
 	rj_core_count(core, RJ_COUNT_STARTS);
@@ -59,7 +59,7 @@
 	struct rj_core_state *core = job->core;
 	bool single = job->member_count == 1;
 
-	rj_job_enter(job, RJ_JOB_STARTING);
+	rj_job_enter_state(job, RJ_JOB_STARTING);
 	job->started = true;
 	job->started_us = core->now_us;
 	rj_core_count(core, RJ_COUNT_STARTS);
@@ -74,11 +74,11 @@
 		call->throttle_percent = single ? 100 : 0;
 		call->wait = single && job->spec.wait;
 		if (call->wait)
-			call->timeout_us = WAIT_TIMEOUT_US;
+			call->timeout_us = TASK_END_TIMEOUT_US;
 		fill_start(job, call);
 	}
 	if (single && job->spec.wait)
-		rj_job_enter(job, RJ_JOB_RUNNING);
+		rj_job_enter_state(job, RJ_JOB_RUNNING);
 }
 
 /*
@@ -111,7 +111,7 @@
 
 	assert(job->idempotent || !job->started);
 	if (job->cancelled) {
-		rj_job_give_up(job, RJ_REASON_CANCELLED, 0);
+		rj_job_abandon(job, RJ_REASON_CANCELLED, 0);
 		return;
 	}
 	if (job->accepted) {
@@ -120,7 +120,7 @@
 		return;
 	}
 	if (core->jobs.retry_tokens < 1.0) {
-		rj_job_give_up(job, RJ_REASON_RETRY_BUDGET,
+		rj_job_abandon(job, RJ_REASON_RETRY_BUDGET,
 			       rj_core_jitter_us(core, RJ_COME_BACK_US));
 		return;
 	}
@@ -140,7 +140,8 @@
 
 	for (uint32_t i = 0; i < job->member_count; i++)
 		if (job->members[i].upstream)
-			rj_upstreams_succeeded(core, job->members[i].upstream);
+			rj_upstreams_record_success(core,
+						    job->members[i].upstream);
 	core->jobs.retry_tokens += share;
 	if (core->jobs.retry_tokens > RETRY_TOKENS_MAX)
 		core->jobs.retry_tokens = RETRY_TOKENS_MAX;
@@ -155,13 +156,15 @@
 	if (member->upstream) {
 		if (job->failures < RJ_PLAN_AVOID_MAX)
 			job->failed_on[job->failures] = member->upstream->index;
-		rj_upstreams_failed(core, member->upstream, job->spec.job_id);
+		rj_upstreams_record_failure(core, member->upstream,
+					    job->spec.job_id);
 	}
 	job->failures++;
 }
 
 /* Whether a member is in a state. */
-static struct rj_member *member_in(struct rj_job *job, enum rj_task_state state)
+static struct rj_member *find_member_in(struct rj_job *job,
+					enum rj_task_state state)
 {
 	for (uint32_t i = 0; i < job->member_count; i++)
 		if (job->members[i].state == state)
@@ -185,9 +188,9 @@
  */
 void rj_job_stop_after_failure(struct rj_job *job, enum rj_reason reason)
 {
-	bool again = job->idempotent && job->failures < FAILURES_MAX;
+	bool retry = job->idempotent && job->failures < FAILURES_MAX;
 
-	job->ending = !again;
+	job->ending = !retry;
 	job->final.kind = RJ_ANSWER_FAILED;
 	job->final.reason = reason;
 	rj_job_stop(job, false, 0);
@@ -196,7 +199,7 @@
 /*
  * Look at the members of a running job: all done, one failed, one stopped.
  */
-void rj_job_check(struct rj_job *job)
+void rj_job_check_members(struct rj_job *job)
 {
 	struct rj_member *member;
 
@@ -206,7 +209,7 @@
 		rj_job_succeeded(job);
 		return;
 	}
-	member = member_in(job, RJ_TASK_FAILED);
+	member = find_member_in(job, RJ_TASK_FAILED);
 	if (member) {
 		member_failed(job, member);
 		if (job->member_count == 1 &&
@@ -217,8 +220,9 @@
 			rj_job_stop_after_failure(job, RJ_REASON_TASK_FAILED);
 		return;
 	}
-	if (member_in(job, RJ_TASK_STOPPED) || member_in(job, RJ_TASK_DEAD) ||
-	    member_in(job, RJ_TASK_NONE))
+	if (find_member_in(job, RJ_TASK_STOPPED) ||
+	    find_member_in(job, RJ_TASK_DEAD) ||
+	    find_member_in(job, RJ_TASK_NONE))
 		rj_job_stop_after_failure(job, RJ_REASON_WORKER_LOST);
 }
 
@@ -233,9 +237,9 @@
 }
 
 /* All members have started: let a gang run. */
-static void let_run(struct rj_job *job)
+static void release_gang(struct rj_job *job)
 {
-	rj_job_enter(job, RJ_JOB_RUNNING);
+	rj_job_enter_state(job, RJ_JOB_RUNNING);
 	if (job->member_count == 1)
 		return;
 	for (uint32_t i = 0; i < job->member_count; i++)
@@ -248,14 +252,14 @@
 {
 	member->state = RJ_TASK_DEAD;
 	if (member->upstream)
-		rj_upstreams_poll_soon(job->core, member->upstream);
+		rj_upstreams_poll_now(job->core, member->upstream);
 	if (job->member_count > 1) {
 		rj_job_stop_after_failure(job, RJ_REASON_LEASE_LAPSED);
 		return;
 	}
 	job->started = false;
 	if (job->claimed)
-		rj_claims_void(job);
+		rj_claims_append_void(job);
 	rj_job_retry(job, RJ_REASON_LEASE_LAPSED);
 }
 
@@ -264,7 +268,7 @@
  * stopped there, unheard, and tried elsewhere; for all other work the worker
  * is asked until it tells.
  */
-void rj_job_start_lost(struct rj_job *job, struct rj_member *member)
+void rj_job_start_unconfirmed(struct rj_job *job, struct rj_member *member)
 {
 	if (!job->idempotent || job->claimed) {
 		rj_job_settle(job);
@@ -288,7 +292,7 @@
 	if (job->state != RJ_JOB_STARTING && job->state != RJ_JOB_RUNNING)
 		return;
 	if (reply->status == RJ_REPLY_LOST) {
-		rj_job_start_lost(job, member);
+		rj_job_start_unconfirmed(job, member);
 		return;
 	}
 	if (reply->status == RJ_REPLY_REFUSED) {
@@ -303,9 +307,9 @@
 	if (reply->state == RJ_TASK_DONE || reply->state == RJ_TASK_FAILED)
 		rj_member_keep_result(job, member, &reply->result);
 	if (job->state == RJ_JOB_STARTING && all_running(job))
-		let_run(job);
+		release_gang(job);
 	if (reply->state != RJ_TASK_RUNNING)
-		rj_job_check(job);
+		rj_job_check_members(job);
 }
 
 /*
--- a/src/libradishjunction/core/controllers/stop_controller.c
+++ b/src/libradishjunction/core/controllers/stop_controller.c
@@ -12,7 +12,7 @@
 #define STOP_TRIES 4
 
 /* Whether a member may still run or hold its lease. */
-static bool member_live(const struct rj_member *member)
+static bool may_still_run(const struct rj_member *member)
 {
 	return member->state == RJ_TASK_HELD ||
 	       member->state == RJ_TASK_RUNNING ||
@@ -20,7 +20,7 @@
 }
 
 /* Whether no member ever started: each worker says that its token died. */
-static bool all_dead(const struct rj_job *job)
+static bool all_not_started(const struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++)
 		if (job->members[i].state != RJ_TASK_DEAD)
@@ -29,26 +29,26 @@
 }
 
 /* The starts never arrived, and never will: the job did not run. */
-static void stopped_unstarted(struct rj_job *job)
+static void none_started(struct rj_job *job)
 {
 	job->started = false;
 	if (job->claimed)
-		rj_claims_void(job);
+		rj_claims_append_void(job);
 	if (job->cancelled)
-		rj_job_give_up(job, job->final.reason, 0);
-	else if (!rj_job_leave_bodiless(job))
+		rj_job_abandon(job, job->final.reason, 0);
+	else if (!rj_job_drop_if_bodiless(job))
 		rj_job_retry(job, RJ_REASON_LEASE_LAPSED);
 }
 
 /* Every member has stopped: end the job or let it wait again. */
-static void stopped(struct rj_job *job)
+static void all_stopped(struct rj_job *job)
 {
 	if (rj_job_all_done(job)) {
 		rj_job_succeeded(job);
 		return;
 	}
-	if (all_dead(job)) {
-		stopped_unstarted(job);
+	if (all_not_started(job)) {
+		none_started(job);
 		return;
 	}
 	if (job->ending) {
@@ -58,8 +58,8 @@
 		return;
 	}
 	if (job->claimed)
-		rj_claims_void(job);
-	if (rj_job_leave_bodiless(job))
+		rj_claims_append_void(job);
+	if (rj_job_drop_if_bodiless(job))
 		return;
 	if (job->reclaimed) {
 		rj_job_requeue(job, 0, RJ_REASON_RECLAIMED);
@@ -78,10 +78,10 @@
 {
 	struct rj_core_state *core = job->core;
 	bool first = job->state != RJ_JOB_STOPPING;
-	bool open = false;
+	bool pending = false;
 
 	if (first) {
-		rj_job_enter(job, RJ_JOB_STOPPING);
+		rj_job_enter_state(job, RJ_JOB_STOPPING);
 	}
 	for (uint32_t i = 0; i < job->member_count; i++) {
 		struct rj_member *member = &job->members[i];
@@ -89,15 +89,16 @@
 
 		if (first)
 			member->tries = 0;
-		if (!member_live(member))
+		if (!may_still_run(member))
 			continue;
 		if (member->tries++ >= STOP_TRIES &&
-		    core->now_us > job->step_started_us +
-					   rj_upstreams_lease_life_us(core)) {
+		    core->now_us >
+			    job->step_started_us +
+				    rj_upstreams_lease_duration_us(core)) {
 			member->state = RJ_TASK_STOPPED;
 			continue;
 		}
-		open = true;
+		pending = true;
 		call = rj_job_call(job, member,
 				   checkpoint ? RJ_WORKER_CHECKPOINT :
 						RJ_WORKER_STOP);
@@ -105,8 +106,8 @@
 		if (checkpoint)
 			call->timeout_us = limit_us + RJ_CALL_TIMEOUT_US;
 	}
-	if (!open) {
-		stopped(job);
+	if (!pending) {
+		all_stopped(job);
 		return;
 	}
 	/* A checkpoint that is not done within its limit is cut by a stop. */
@@ -117,10 +118,10 @@
 }
 
 /* Whether no member may still run. */
-static bool none_live(const struct rj_job *job)
+static bool none_running(const struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++)
-		if (member_live(&job->members[i]))
+		if (may_still_run(&job->members[i]))
 			return false;
 	return true;
 }
@@ -128,10 +129,10 @@
 /*
  * Go on when the last member of a job that is being stopped has stopped.
  */
-void rj_job_stopped_check(struct rj_job *job)
+void rj_job_check_stopped(struct rj_job *job)
 {
-	if (none_live(job))
-		stopped(job);
+	if (none_running(job))
+		all_stopped(job);
 }
 
 /*
@@ -156,5 +157,5 @@
 		    reply->state == RJ_TASK_FAILED)
 			rj_member_keep_result(job, member, &reply->result);
 	}
-	rj_job_stopped_check(job);
+	rj_job_check_stopped(job);
 }
--- a/src/libradishjunction/core/controllers/upstreams_controller.c
+++ b/src/libradishjunction/core/controllers/upstreams_controller.c
@@ -10,22 +10,22 @@
 #include "private/core_state.h"
 
 /* The life of a lease until a configuration says it. */
-#define LEASE_LIFE_US (5 * RJ_US_PER_S)
+#define DEFAULT_LEASE_DURATION_US (5 * RJ_US_PER_S)
 /* A report without news costs some 600 bytes; this bounds them to 3 KB a
  * second however many workers one instance owns, if leases live that long. */
-#define POLL_MIN_US (500 * RJ_US_PER_MS)
-#define POLL_PER_WORKER_US (250 * RJ_US_PER_MS)
+#define POLL_INTERVAL_MIN_US (500 * RJ_US_PER_MS)
+#define POLL_INTERVAL_PER_WORKER_US (250 * RJ_US_PER_MS)
 /* A whole report in between shows what a lost call has left behind. */
-#define SHORT_REPORTS_MAX 16
+#define UNCHANGED_REPORTS_MAX 16
 #define POLL_TIMEOUT_US (2 * RJ_US_PER_S)
 /* One lost report may be the link; two are the worker. */
-#define POLLS_LOST_SILENT 2
+#define POLLS_LOST_MAX 2
 /* So many different jobs failing in a row point to the worker. */
-#define FAILED_JOBS_SET_ASIDE 3
+#define QUARANTINE_FAILURES 3
 /* Leaving is said with so many heartbeats; it must be known within 5 s. */
 #define LEAVING_REPEAT_US (4 * RJ_US_PER_S)
-#define SET_ASIDE_FIRST_US (10 * RJ_US_PER_S)
-#define SET_ASIDE_MAX_US (300 * RJ_US_PER_S)
+#define QUARANTINE_FIRST_US (10 * RJ_US_PER_S)
+#define QUARANTINE_MAX_US (300 * RJ_US_PER_S)
 
 static void poll_due(struct rj_core_state *core, struct rj_timer *timer);
 static void probe_due(struct rj_core_state *core, struct rj_timer *timer);
@@ -61,8 +61,8 @@
 }
 
 /* Tell the planner how a worker is. */
-static void tell_planner(struct rj_core_state *core,
-			 const struct rj_upstream *upstream)
+static void update_planner(struct rj_core_state *core,
+			   const struct rj_upstream *upstream)
 {
 	struct rj_plan_worker worker;
 
@@ -94,7 +94,7 @@
 	upstream->core = core;
 	upstream->index = upstreams->count++;
 	g_strlcpy(upstream->name, instance->name, sizeof(upstream->name));
-	upstream->set_aside_us = SET_ASIDE_FIRST_US;
+	upstream->quarantine_us = QUARANTINE_FIRST_US;
 	rj_list_init(&upstream->members);
 	rj_list_init(&upstream->foreign_tasks);
 	rj_timer_init(&upstream->poll, poll_due);
@@ -128,10 +128,10 @@
 
 /* The life of a lease, as configured: how soon a gang's rest stops when its
  * owner is gone. */
-static uint64_t lease_life_us(const struct rj_core_state *core)
+static uint64_t lease_duration_us(const struct rj_core_state *core)
 {
 	if (!core->config)
-		return LEASE_LIFE_US;
+		return DEFAULT_LEASE_DURATION_US;
 	return core->config->limits.lease_life_ms * RJ_US_PER_MS;
 }
 
@@ -140,25 +140,25 @@
  * with the workers polled, so that their number costs no traffic. */
 static uint64_t poll_period_us(const struct rj_core_state *core)
 {
-	uint64_t most_us = (lease_life_us(core) - POLL_TIMEOUT_US) / 3;
-	uint64_t period_us = polled_count(core) * POLL_PER_WORKER_US;
+	uint64_t most_us = (lease_duration_us(core) - POLL_TIMEOUT_US) / 3;
+	uint64_t period_us = polled_count(core) * POLL_INTERVAL_PER_WORKER_US;
 
-	assert(lease_life_us(core) > POLL_TIMEOUT_US);
-	if (period_us < POLL_MIN_US)
-		period_us = POLL_MIN_US;
+	assert(lease_duration_us(core) > POLL_TIMEOUT_US);
+	if (period_us < POLL_INTERVAL_MIN_US)
+		period_us = POLL_INTERVAL_MIN_US;
 	return period_us < most_us ? period_us : most_us;
 }
 
 /*
  * How long a lease lives that is taken or renewed now.
  */
-uint64_t rj_upstreams_lease_life_us(const struct rj_core_state *core)
+uint64_t rj_upstreams_lease_duration_us(const struct rj_core_state *core)
 {
-	return lease_life_us(core);
+	return lease_duration_us(core);
 }
 
 /* Ask a worker for its report, which renews this instance's leases there. */
-static void poll_now(struct rj_core_state *core, struct rj_upstream *upstream)
+static void send_poll(struct rj_core_state *core, struct rj_upstream *upstream)
 {
 	struct rj_action *action;
 	struct rj_call *call;
@@ -180,10 +180,11 @@
 	g_strlcpy(action->u.worker_call.worker, upstream->name,
 		  sizeof(action->u.worker_call.worker));
 	action->u.worker_call.timeout_us = POLL_TIMEOUT_US;
-	action->u.worker_call.connections_max = rj_membership_connections(core);
+	action->u.worker_call.connections_max =
+		rj_membership_worker_connections(core);
 	action->u.worker_call.holder = core->incarnation;
-	action->u.worker_call.life_us = lease_life_us(core);
-	if (upstream->short_reports < SHORT_REPORTS_MAX)
+	action->u.worker_call.life_us = lease_duration_us(core);
+	if (upstream->unchanged_reports < UNCHANGED_REPORTS_MAX)
 		action->u.worker_call.known_version = upstream->report_version;
 }
 
@@ -194,18 +195,18 @@
 		RJ_CONTAINER(timer, struct rj_upstream, poll);
 
 	if (poll_wanted(upstream))
-		poll_now(core, upstream);
+		send_poll(core, upstream);
 }
 
 /*
  * Ask for a worker's report now: what is known of it was just proved wrong,
  * or it has work of this instance for the first time.
  */
-void rj_upstreams_poll_soon(struct rj_core_state *core,
-			    struct rj_upstream *upstream)
+void rj_upstreams_poll_now(struct rj_core_state *core,
+			   struct rj_upstream *upstream)
 {
 	upstream->report_version = 0;
-	poll_now(core, upstream);
+	send_poll(core, upstream);
 }
 
 /* Say of a worker that it leaves. */
@@ -213,12 +214,12 @@
 			 struct rj_peer_leaving *leaving)
 {
 	g_strlcpy(leaving->worker, upstream->name, sizeof(leaving->worker));
-	leaving->incarnation = upstream->left_incarnation;
+	leaving->incarnation = upstream->leaving_incarnation;
 }
 
 /* Tell the peers of the failure domain that a worker leaves. */
-static void tell_leaving(struct rj_core_state *core,
-			 const struct rj_upstream *upstream)
+static void broadcast_leaving(struct rj_core_state *core,
+			      const struct rj_upstream *upstream)
 {
 	struct rj_peer_message message;
 
@@ -234,7 +235,7 @@
  * Guards against a peer that cannot read the list and whose link was down
  * when it was told: it would go on sending work to a worker that goes.
  */
-void rj_upstreams_tell_leaving(struct rj_core_state *core, const char *peer)
+void rj_upstreams_send_leaving(struct rj_core_state *core, const char *peer)
 {
 	for (uint32_t i = 0; i < core->upstreams.count; i++) {
 		const struct rj_upstream *upstream =
@@ -252,15 +253,16 @@
  * Repeat for a few seconds what was learnt of leaving workers: a message may
  * be lost with a break of its link that is too short to be noticed.
  */
-void rj_upstreams_leaving_again(struct rj_core_state *core)
+void rj_upstreams_resend_leaving(struct rj_core_state *core)
 {
 	for (uint32_t i = 0; i < core->upstreams.count; i++) {
 		const struct rj_upstream *upstream =
 			core->upstreams.by_index[i];
 
 		if (upstream->leaving &&
-		    core->now_us < upstream->left_us + LEAVING_REPEAT_US)
-			tell_leaving(core, upstream);
+		    core->now_us <
+			    upstream->leaving_since_us + LEAVING_REPEAT_US)
+			broadcast_leaving(core, upstream);
 	}
 }
 
@@ -272,38 +274,39 @@
  * work to a worker that is about to go: it names the incarnation that is
  * known to be leaving, so it changes nothing.
  */
-void rj_upstreams_leaving(struct rj_core_state *core,
-			  struct rj_upstream *upstream, uint64_t incarnation)
+void rj_upstreams_mark_leaving(struct rj_core_state *core,
+			       struct rj_upstream *upstream,
+			       uint64_t incarnation)
 {
 	if (incarnation < upstream->incarnation ||
-	    (upstream->leaving && upstream->left_incarnation >= incarnation))
+	    (upstream->leaving && upstream->leaving_incarnation >= incarnation))
 		return;
 	upstream->incarnation = incarnation;
-	upstream->left_incarnation = incarnation;
+	upstream->leaving_incarnation = incarnation;
 	upstream->leaving = true;
-	upstream->left_us = core->now_us;
+	upstream->leaving_since_us = core->now_us;
 	rj_core_log(core, RJ_LOG_LEAVING, RJ_REASON_DRAINING, NULL,
 		    upstream->name);
-	tell_planner(core, upstream);
-	tell_leaving(core, upstream);
+	update_planner(core, upstream);
+	broadcast_leaving(core, upstream);
 }
 
 /*
  * A peer knows of a worker that is leaving.
  */
-void rj_upstreams_peer_leaving(struct rj_core_state *core,
-			       const struct rj_peer_leaving *leaving)
+void rj_upstreams_receive_leaving(struct rj_core_state *core,
+				  const struct rj_peer_leaving *leaving)
 {
 	struct rj_upstream *upstream = rj_upstreams_find(core, leaving->worker);
 
 	if (upstream)
-		rj_upstreams_leaving(core, upstream, leaving->incarnation);
+		rj_upstreams_mark_leaving(core, upstream, leaving->incarnation);
 }
 
 /* A newer incarnation of a worker forgets what its older one was. */
-static void renew_incarnation(struct rj_core_state *core,
-			      struct rj_upstream *upstream,
-			      uint64_t incarnation)
+static void reset_for_incarnation(struct rj_core_state *core,
+				  struct rj_upstream *upstream,
+				  uint64_t incarnation)
 {
 	if (incarnation <= upstream->incarnation)
 		return;
@@ -319,8 +322,8 @@
 }
 
 /* Take one worker's line of the list. */
-static void list_worker(struct rj_core_state *core,
-			const struct rj_instance *line)
+static void apply_list_worker(struct rj_core_state *core,
+			      const struct rj_instance *line)
 {
 	struct rj_upstream *upstream = rj_upstreams_find(core, line->name);
 
@@ -328,37 +331,37 @@
 		upstream = upstream_new(core, line);
 	if (line->incarnation < upstream->incarnation)
 		return;
-	renew_incarnation(core, upstream, line->incarnation);
+	reset_for_incarnation(core, upstream, line->incarnation);
 	g_strlcpy(upstream->domain, line->domain, sizeof(upstream->domain));
 	upstream->rack = line->rack;
-	rj_racks_place(core, upstream);
+	rj_racks_add_worker(core, upstream);
 	upstream->address = line->address;
 	if (line->leaving)
-		rj_upstreams_leaving(core, upstream, line->incarnation);
+		rj_upstreams_mark_leaving(core, upstream, line->incarnation);
 }
 
 /*
  * Take the platform's list of workers. A worker that is not listed stays
  * known: the list lags, and its own answers say more.
  */
-void rj_upstreams_list(struct rj_core_state *core,
-		       const struct rj_instance *list, uint32_t count)
+void rj_upstreams_apply_list(struct rj_core_state *core,
+			     const struct rj_instance *list, uint32_t count)
 {
 	uint32_t known = core->upstreams.count;
 
 	for (uint32_t i = 0; i < count; i++)
 		if (list[i].role == RJ_ROLE_WORKER)
-			list_worker(core, &list[i]);
-	rj_racks_ownership(core);
+			apply_list_worker(core, &list[i]);
+	rj_racks_update_ownership(core);
 	if (core->upstreams.count != known)
-		rj_membership_summaries_again(core);
+		rj_membership_reapply_summaries(core);
 }
 
 /*
  * This instance owns the worker's rack from now on, or owns it no more.
  */
-void rj_upstreams_own(struct rj_core_state *core, struct rj_upstream *upstream,
-		      bool owned)
+void rj_upstreams_set_owned(struct rj_core_state *core,
+			    struct rj_upstream *upstream, bool owned)
 {
 	if (owned == upstream->owned)
 		return;
@@ -366,27 +369,27 @@
 	/* Only a whole report shows what others run there. */
 	upstream->report_version = 0;
 	if (owned)
-		poll_now(core, upstream);
+		send_poll(core, upstream);
 	else
 		rj_foreign_disown(core, upstream);
 	/* Its new owner will say what is free. */
 	memset(&upstream->offered, 0, sizeof(upstream->offered));
-	tell_planner(core, upstream);
+	update_planner(core, upstream);
 }
 
 /*
  * The owner of the worker's rack says what is free on it. What this instance
  * asked the worker itself says more.
  */
-void rj_upstreams_told_free(struct rj_core_state *core,
-			    struct rj_upstream *upstream,
-			    const struct rj_resources *left)
+void rj_upstreams_receive_offer(struct rj_core_state *core,
+				struct rj_upstream *upstream,
+				const struct rj_resources *left)
 {
 	if (upstream->owned)
 		return;
 	upstream->offered = *left;
 	if (upstream->own_members) {
-		tell_planner(core, upstream);
+		update_planner(core, upstream);
 		return;
 	}
 	upstream->report_version = 0;
@@ -396,7 +399,7 @@
 	upstream->capacity = *left;
 	memset(&upstream->foreign, 0, sizeof(upstream->foreign));
 	upstream->known = true;
-	tell_planner(core, upstream);
+	update_planner(core, upstream);
 }
 
 /* What tasks that the planner does not know take on a worker. */
@@ -448,13 +451,13 @@
 static void poll_lost(struct rj_core_state *core, struct rj_upstream *upstream)
 {
 	upstream->polls_lost++;
-	if (upstream->polls_lost == POLLS_LOST_SILENT) {
-		upstream->health = RJ_UPSTREAM_SILENT;
-		tell_planner(core, upstream);
+	if (upstream->polls_lost == POLLS_LOST_MAX) {
+		upstream->health = RJ_UPSTREAM_UNREACHABLE;
+		update_planner(core, upstream);
 	}
 	/* Its own clock has ended every lease that was not renewed. */
 	if (upstream->own_members && upstream->answered_us &&
-	    core->now_us > upstream->answered_us + lease_life_us(core))
+	    core->now_us > upstream->answered_us + lease_duration_us(core))
 		rj_jobs_worker_lost(core, upstream);
 }
 
@@ -467,7 +470,7 @@
  * do not show it again. It shows as a guaranteed shape that is reclaimed
  * seconds late after a restart.
  */
-void rj_upstreams_whole_reports(struct rj_core_state *core)
+void rj_upstreams_request_full_reports(struct rj_core_state *core)
 {
 	for (uint32_t i = 0; i < core->upstreams.count; i++)
 		core->upstreams.by_index[i]->report_version = 0;
@@ -477,8 +480,8 @@
  * Offer the peers of the failure domain what is free on an owned worker and
  * is not kept for a job that waits here, if that has changed.
  */
-void rj_upstreams_offer(struct rj_core_state *core,
-			struct rj_upstream *upstream)
+void rj_upstreams_update_offer(struct rj_core_state *core,
+			       struct rj_upstream *upstream)
 {
 	const struct rj_planner_ops *ops = core->planner->ops;
 	struct rj_resources offered = upstream->free_now;
@@ -493,16 +496,17 @@
 	if (!memcmp(&offered, &upstream->offered, sizeof(offered)))
 		return;
 	upstream->offered = offered;
-	rj_racks_tell(core, upstream->rack_view);
+	rj_racks_send_summary(core, upstream->rack_view);
 }
 
 /*
  * Take the answer to a request for a report that was sent at `asked_us`, or
  * its loss.
  */
-void rj_upstreams_report(struct rj_core_state *core,
-			 struct rj_upstream *upstream,
-			 const struct rj_worker_reply *reply, uint64_t asked_us)
+void rj_upstreams_receive_report(struct rj_core_state *core,
+				 struct rj_upstream *upstream,
+				 const struct rj_worker_reply *reply,
+				 uint64_t asked_us)
 {
 	const struct rj_worker_report *report = &reply->report;
 
@@ -514,31 +518,31 @@
 		poll_lost(core, upstream);
 		return;
 	}
-	renew_incarnation(core, upstream, report->incarnation);
+	reset_for_incarnation(core, upstream, report->incarnation);
 	upstream->answered_us = core->now_us;
 	upstream->polls_lost = 0;
 	upstream->known = true;
 	upstream->capacity = report->capacity;
-	if (upstream->health == RJ_UPSTREAM_SILENT)
+	if (upstream->health == RJ_UPSTREAM_UNREACHABLE)
 		upstream->health = RJ_UPSTREAM_HEALTHY;
 	if (report->leaving)
-		rj_upstreams_leaving(core, upstream, report->incarnation);
+		rj_upstreams_mark_leaving(core, upstream, report->incarnation);
 	if (report->unchanged) {
-		upstream->short_reports++;
-		if (!rj_jobs_report_unchanged(upstream))
+		upstream->unchanged_reports++;
+		if (!rj_jobs_unchanged_suffices(upstream))
 			upstream->report_version = 0;
-		tell_planner(core, upstream);
-		rj_upstreams_offer(core, upstream);
+		update_planner(core, upstream);
+		rj_upstreams_update_offer(core, upstream);
 		return;
 	}
 	upstream->report_version = report->version;
-	upstream->short_reports = 0;
-	rj_jobs_report(core, upstream, report, asked_us);
-	rj_foreign_report(core, upstream, report);
+	upstream->unchanged_reports = 0;
+	rj_jobs_apply_report(core, upstream, report, asked_us);
+	rj_foreign_apply_report(core, upstream, report);
 	count_foreign(core, upstream, report);
-	tell_planner(core, upstream);
+	update_planner(core, upstream);
 	upstream->free_now = free_now(report);
-	rj_upstreams_offer(core, upstream);
+	rj_upstreams_update_offer(core, upstream);
 }
 
 /* Take a worker back that was set aside: the next job there is the probe. */
@@ -547,12 +551,12 @@
 	struct rj_upstream *upstream =
 		RJ_CONTAINER(timer, struct rj_upstream, probe);
 
-	if (upstream->health != RJ_UPSTREAM_SET_ASIDE)
+	if (upstream->health != RJ_UPSTREAM_QUARANTINED)
 		return;
 	upstream->health = RJ_UPSTREAM_HEALTHY;
 	/* One more failure sets it aside again, for twice as long. */
-	upstream->failed_count = FAILED_JOBS_SET_ASIDE - 1;
-	tell_planner(core, upstream);
+	upstream->failed_count = QUARANTINE_FAILURES - 1;
+	update_planner(core, upstream);
 }
 
 /*
@@ -560,8 +564,8 @@
  * to the worker, which is set aside and probed later; one job failing again
  * and again points to the job.
  */
-void rj_upstreams_failed(struct rj_core_state *core,
-			 struct rj_upstream *upstream, uint64_t job_id)
+void rj_upstreams_record_failure(struct rj_core_state *core,
+				 struct rj_upstream *upstream, uint64_t job_id)
 {
 	uint32_t known = upstream->failed_count < RJ_FAILED_JOBS ?
 				 upstream->failed_count :
@@ -572,27 +576,27 @@
 			return;
 	upstream->failed_jobs[upstream->failed_count % RJ_FAILED_JOBS] = job_id;
 	upstream->failed_count++;
-	if (upstream->failed_count < FAILED_JOBS_SET_ASIDE ||
-	    upstream->health == RJ_UPSTREAM_SET_ASIDE)
+	if (upstream->failed_count < QUARANTINE_FAILURES ||
+	    upstream->health == RJ_UPSTREAM_QUARANTINED)
 		return;
-	upstream->health = RJ_UPSTREAM_SET_ASIDE;
+	upstream->health = RJ_UPSTREAM_QUARANTINED;
 	rj_core_log(core, RJ_LOG_LEAVING, RJ_REASON_QUARANTINED, NULL,
 		    upstream->name);
 	rj_timer_set(&core->timers, &upstream->probe,
-		     core->now_us + upstream->set_aside_us);
-	upstream->set_aside_us *= 2;
-	if (upstream->set_aside_us > SET_ASIDE_MAX_US)
-		upstream->set_aside_us = SET_ASIDE_MAX_US;
-	tell_planner(core, upstream);
+		     core->now_us + upstream->quarantine_us);
+	upstream->quarantine_us *= 2;
+	if (upstream->quarantine_us > QUARANTINE_MAX_US)
+		upstream->quarantine_us = QUARANTINE_MAX_US;
+	update_planner(core, upstream);
 }
 
 /*
  * A job ended well on this worker.
  */
-void rj_upstreams_succeeded(struct rj_core_state *core,
-			    struct rj_upstream *upstream)
+void rj_upstreams_record_success(struct rj_core_state *core,
+				 struct rj_upstream *upstream)
 {
 	(void)core;
 	upstream->failed_count = 0;
-	upstream->set_aside_us = SET_ASIDE_FIRST_US;
+	upstream->quarantine_us = QUARANTINE_FIRST_US;
 }
--- a/src/libradishjunction/core/core.c
+++ b/src/libradishjunction/core/core.c
@@ -169,19 +169,20 @@
 {
 	rj_core_count(core, RJ_COUNT_PEER_MESSAGES);
 	if (message->kind != RJ_PEER_HEARTBEAT)
-		rj_membership_received(core, peer);
+		rj_membership_count_received(core, peer);
 	switch (message->kind) {
 	case RJ_PEER_HEARTBEAT:
-		rj_membership_heartbeat(core, peer, &message->u.heartbeat);
+		rj_membership_receive_heartbeat(core, peer,
+						&message->u.heartbeat);
 		break;
 	case RJ_PEER_SUMMARY:
-		rj_membership_summary(core, peer, &message->u.summary);
+		rj_membership_receive_summary(core, peer, &message->u.summary);
 		break;
 	case RJ_PEER_CONFIG:
-		rj_config_controller_peer(core, &message->u.config);
+		rj_config_controller_receive(core, &message->u.config);
 		break;
 	case RJ_PEER_LEAVING:
-		rj_upstreams_peer_leaving(core, &message->u.leaving);
+		rj_upstreams_receive_leaving(core, &message->u.leaving);
 		break;
 	case RJ_PEER_FORWARD:
 		rj_forward_received(core, peer, &message->u.forward);
@@ -215,10 +216,10 @@
 		rj_filters_request(core, &event->u.request);
 		break;
 	case RJ_EVENT_CALLER_GONE:
-		rj_jobs_caller_gone(core, event->u.request_id);
+		rj_jobs_caller_disconnected(core, event->u.request_id);
 		break;
 	case RJ_EVENT_RECORDS:
-		rj_log_records(core, &event->u.records);
+		rj_log_receive_records(core, &event->u.records);
 		break;
 	case RJ_EVENT_READ_FAILED:
 		rj_log_read_failed(core, event->u.stream);
@@ -227,26 +228,26 @@
 		rj_log_appended(core, &event->u.appended);
 		break;
 	case RJ_EVENT_INSTANCES:
-		rj_membership_list(core, event->u.instances.list,
-				   event->u.instances.count);
-		rj_upstreams_list(core, event->u.instances.list,
-				  event->u.instances.count);
+		rj_membership_apply_list(core, event->u.instances.list,
+					 event->u.instances.count);
+		rj_upstreams_apply_list(core, event->u.instances.list,
+					event->u.instances.count);
 		break;
 	case RJ_EVENT_WORKER_REPLY:
 		rj_jobs_worker_reply(core, &event->u.worker_reply);
 		break;
 	case RJ_EVENT_PEER_UP:
-		rj_membership_up(core, event->u.peer.name);
+		rj_membership_link_up(core, event->u.peer.name);
 		break;
 	case RJ_EVENT_PEER_DOWN:
-		rj_membership_down(core, event->u.peer.name);
+		rj_membership_link_down(core, event->u.peer.name);
 		break;
 	case RJ_EVENT_PEER_MESSAGE:
 		process_peer_message(core, event->u.peer.name,
 				     event->u.peer.message);
 		break;
 	case RJ_EVENT_STOP:
-		rj_drain_stop(core);
+		rj_drain_start(core);
 		break;
 	case RJ_EVENT_TIMER:
 	case RJ_EVENT_KIND_COUNT:
@@ -278,7 +279,7 @@
 	process_event(state, event);
 	process_timers(state);
 	rj_jobs_plan(state);
-	rj_drain_check(state);
+	rj_drain_check_finished(state);
 	state->wake_us = rj_timers_next_us(&state->timers);
 	state->actions = NULL;
 }
--- a/src/libradishjunction/core/filters/chain.c
+++ b/src/libradishjunction/core/filters/chain.c
@@ -132,8 +132,8 @@
 	job = rj_job_new(core, &submission->spec, submission->class);
 	job->hops = submission->hops;
 	job->other_domain = submission->other_domain;
-	rj_job_wait(job, submission->request_id, submission->peer,
-		    submission->forward_id);
+	rj_job_add_waiter(job, submission->request_id, submission->peer,
+			  submission->forward_id);
 	rj_job_set_deadline(job, submission->spec.deadline_in_us);
 	rj_core_log(core, RJ_LOG_ADMIT, RJ_REASON_NONE, job, submission->peer);
 	submission->job = job;
@@ -195,7 +195,7 @@
 		g_hash_table_remove(core->jobs.forwards, &job->forward_id);
 		job->forward_id = 0;
 	}
-	rj_job_enter(job, RJ_JOB_QUEUED);
+	rj_job_enter_state(job, RJ_JOB_QUEUED);
 	job->attempt.owner = core->incarnation;
 	job->attempt.number = ++core->next_attempt;
 	memset(&submission, 0, sizeof(submission));
--- a/src/libradishjunction/core/filters/find.c
+++ b/src/libradishjunction/core/filters/find.c
@@ -27,7 +27,7 @@
 	struct rj_job *job;
 
 	if (entry->settled) {
-		rj_claims_answer(entry, &answer);
+		rj_claims_fill_answer(entry, &answer);
 		rj_core_answer(core, submission->request_id, &answer);
 		return RJ_FILTER_TAKEN;
 	}
@@ -43,9 +43,9 @@
 					RJ_REASON_IN_PROGRESS, RJ_US_PER_S,
 					NULL);
 	job = watch_entry(core, entry);
-	rj_job_wait(job, submission->request_id, NULL, 0);
+	rj_job_add_waiter(job, submission->request_id, NULL, 0);
 	if (submission->op == RJ_REQUEST_CANCEL)
-		rj_claims_cancel(job);
+		rj_claims_append_cancel(job);
 	return RJ_FILTER_TAKEN;
 }
 
@@ -54,7 +54,7 @@
 					 struct rj_submission *submission,
 					 struct rj_job *job)
 {
-	if (rj_job_may_tell(job)) {
+	if (rj_job_answer_is_final(job)) {
 		rj_core_answer(core, submission->request_id, &job->final);
 		return RJ_FILTER_TAKEN;
 	}
@@ -63,7 +63,7 @@
 			core, submission,
 			job->accepted ? RJ_ANSWER_ACCEPTED : RJ_ANSWER_UNKNOWN,
 			RJ_REASON_IN_PROGRESS, RJ_US_PER_S, NULL);
-	rj_job_wait(job, submission->request_id, NULL, 0);
+	rj_job_add_waiter(job, submission->request_id, NULL, 0);
 	if (submission->op == RJ_REQUEST_CANCEL)
 		rj_job_cancel(job, RJ_REASON_CANCELLED);
 	return RJ_FILTER_TAKEN;
@@ -89,7 +89,7 @@
 	if (!rj_log_usable(core))
 		return rj_filter_refuse(
 			core, submission, RJ_ANSWER_UNKNOWN,
-			rj_log_reason(core),
+			rj_log_unavailable_reason(core),
 			rj_core_jitter_us(core, RJ_COME_BACK_US),
 			"the log cannot be read now, so the job may exist");
 	return rj_filter_refuse(core, submission, RJ_ANSWER_UNKNOWN,
--- a/src/libradishjunction/core/filters/limit.c
+++ b/src/libradishjunction/core/filters/limit.c
@@ -17,20 +17,20 @@
 
 	if (submission->job)
 		return RJ_FILTER_NEXT; /* it was let in before */
-	if (core->stopping && !rj_drain_takes_more(core, submission->class))
+	if (core->stopping && !rj_drain_admits(core, submission->class))
 		return rj_filter_refuse(
 			core, submission, RJ_ANSWER_NOT_RUN, RJ_REASON_DRAINING,
 			DRAINING_RETRY_US,
 			"this instance is stopping: ask another one");
 	if (submission->account &&
-	    rj_jobs_open(core, false, submission->account->name) >=
+	    rj_jobs_open_count(core, false, submission->account->name) >=
 		    submission->account->open_max)
 		return rj_filter_refuse(
 			core, submission, RJ_ANSWER_NOT_RUN,
 			RJ_REASON_ACCOUNT_LIMIT, retry_us,
 			"the account has as many open jobs here as its "
 			"open_max: wait for some, or raise it");
-	if (rj_jobs_open(core, true, submission->class->name) >=
+	if (rj_jobs_open_count(core, true, submission->class->name) >=
 	    submission->class->open_max)
 		return rj_filter_refuse(
 			core, submission, RJ_ANSWER_NOT_RUN,
--- a/src/libradishjunction/core/filters/log.c
+++ b/src/libradishjunction/core/filters/log.c
@@ -41,7 +41,7 @@
 
 		if (!strcmp(member->domain, core->domain) == other_domain ||
 		    !member->log_usable ||
-		    !rj_membership_takes_work(core, member))
+		    !rj_membership_accepts_jobs(core, member))
 			continue;
 		if (!best || member->queued < best->queued)
 			best = member;
@@ -78,11 +78,11 @@
 static enum rj_filter_verdict refuse(struct rj_core_state *core,
 				     struct rj_submission *submission)
 {
-	enum rj_reason reason = rj_log_reason(core);
+	enum rj_reason reason = rj_log_unavailable_reason(core);
 	uint64_t retry_after_us = rj_core_jitter_us(core, RJ_COME_BACK_US);
 
 	if (submission->job) {
-		rj_job_give_up(submission->job, reason, retry_after_us);
+		rj_job_abandon(submission->job, reason, retry_after_us);
 		return RJ_FILTER_TAKEN;
 	}
 	if (!submission->class->idempotent)
--- a/src/libradishjunction/core/filters/repeat.c
+++ b/src/libradishjunction/core/filters/repeat.c
@@ -66,9 +66,9 @@
 		rj_bytes_copy(job, &job->spec.body, &submission->spec.body);
 		job->bodiless = false;
 	}
-	if (rj_job_may_tell(job)) {
-		rj_job_wait(job, submission->request_id, submission->peer,
-			    submission->forward_id);
+	if (rj_job_answer_is_final(job)) {
+		rj_job_add_waiter(job, submission->request_id, submission->peer,
+				  submission->forward_id);
 		rj_job_answer_waiters(job, &job->final);
 		return RJ_FILTER_TAKEN;
 	}
@@ -79,8 +79,8 @@
 		return acceptance_under_way(core, submission);
 	if (job->accepted && !submission->spec.wait)
 		return accepted_already(core, submission);
-	rj_job_wait(job, submission->request_id, submission->peer,
-		    submission->forward_id);
+	rj_job_add_waiter(job, submission->request_id, submission->peer,
+			  submission->forward_id);
 	return RJ_FILTER_TAKEN;
 }
 
@@ -100,14 +100,15 @@
 		return RJ_FILTER_NEXT; /* every attempt of it was void */
 	job = rj_filter_job(core, submission);
 	if (entry->settled) {
-		rj_claims_answer(entry, &answer);
+		rj_claims_fill_answer(entry, &answer);
 		rj_job_answer_waiters(job, &answer);
 		rj_job_free(job);
 		return RJ_FILTER_TAKEN;
 	}
 	rj_job_watch(job);
 	if (entry->accepted && !submission->spec.wait) {
-		rj_job_tell_waiters(job, RJ_ANSWER_ACCEPTED, RJ_REASON_NONE, 0);
+		rj_job_answer_without_result(job, RJ_ANSWER_ACCEPTED,
+					     RJ_REASON_NONE, 0);
 		rj_job_free(job);
 	}
 	return RJ_FILTER_TAKEN;
--- a/src/libradishjunction/core/filters/route.c
+++ b/src/libradishjunction/core/filters/route.c
@@ -69,14 +69,14 @@
 		const struct rj_member_view *member;
 
 		if ((!rack->owned && !rack->owner) ||
-		    !rj_rack_has_room(rack, shape))
+		    !rj_rack_shape_fits(rack, shape))
 			continue;
 		if (rack->owned) {
 			*here = true;
 			return NULL;
 		}
 		member = rj_membership_find(core, rack->owner);
-		if (member && rj_membership_takes_work(core, member) &&
+		if (member && rj_membership_accepts_jobs(core, member) &&
 		    (!best || member->queued < best->queued))
 			best = member;
 	}
@@ -103,7 +103,7 @@
 			RJ_CONTAINER(at, struct rj_member_view, link);
 
 		if (!strcmp(member->domain, core->domain) &&
-		    rj_membership_takes_work(core, member) &&
+		    rj_membership_accepts_jobs(core, member) &&
 		    !is_sender(submission, member->name) &&
 		    (!best || member->queued < best->queued))
 			best = member;
@@ -130,7 +130,7 @@
 	owner = guarantee_owner(core, submission);
 	if (owner && !is_sender(submission, owner))
 		return owner;
-	if (!rj_racks_hand_on(core))
+	if (!rj_racks_cannot_place(core))
 		return NULL;
 	best = shortest_queue(core, submission);
 	return best ? best->name : NULL;
@@ -151,7 +151,7 @@
 	for (uint32_t i = 0; i < account->guarantee_count; i++)
 		if (!strcmp(account->guarantees[i].domain, core->domain))
 			count += account->guarantees[i].count;
-	return rj_jobs_open(core, false, account->name) <= count;
+	return rj_jobs_open_count(core, false, account->name) <= count;
 }
 
 /* An instance of another domain that is much quicker, or NULL. A guarantee
@@ -175,7 +175,7 @@
 			RJ_CONTAINER(at, struct rj_member_view, link);
 
 		if (!strcmp(member->domain, core->domain) ||
-		    !rj_membership_takes_work(core, member))
+		    !rj_membership_accepts_jobs(core, member))
 			continue;
 		if (!best || member->wait_us < best->wait_us)
 			best = member;
@@ -198,7 +198,7 @@
 	if (!submission->spec.wait)
 		return RJ_FILTER_NEXT; /* the log gives it an owner */
 	if (!submission->hops ||
-	    (submission->hops < HOPS_MAX && rj_racks_hand_on(core)))
+	    (submission->hops < HOPS_MAX && rj_racks_cannot_place(core)))
 		peer = choose_peer(core, submission);
 	if (!peer && !submission->other_domain && !submission->hops) {
 		peer = choose_domain(core, submission);
--- a/src/libradishjunction/core/ownership.c
+++ b/src/libradishjunction/core/ownership.c
@@ -38,8 +38,8 @@
  */
 bool rj_ownership_cut_off(const struct rj_core_state *core)
 {
-	return core->membership.alone_us &&
-	       core->now_us > core->membership.alone_us + CUT_OFF_US;
+	return core->membership.log_isolated_us &&
+	       core->now_us > core->membership.log_isolated_us + CUT_OFF_US;
 }
 
 /* The weight of this instance; one that stops owns what nobody else could. */
@@ -72,7 +72,7 @@
 			RJ_CONTAINER(at, struct rj_member_view, link);
 		bool there = !strcmp(member->domain, domain);
 
-		if (!rj_membership_takes_work(core, member))
+		if (!rj_membership_accepts_jobs(core, member))
 			continue;
 		if (there && !home)
 			return false;
@@ -98,7 +98,7 @@
 			RJ_CONTAINER(at, struct rj_member_view, link);
 
 		if (strcmp(member->domain, core->domain) ||
-		    !rj_membership_takes_work(core, member) ||
+		    !rj_membership_accepts_jobs(core, member) ||
 		    peer_weight(member, key) <= highest)
 			continue;
 		highest = peer_weight(member, key);
--- a/src/libradishjunction/core/status.c
+++ b/src/libradishjunction/core/status.c
@@ -11,8 +11,8 @@
 
 static const char *const health_string[RJ_UPSTREAM_HEALTH_COUNT] = {
 	[RJ_UPSTREAM_HEALTHY] = "healthy",
-	[RJ_UPSTREAM_SILENT] = "silent",
-	[RJ_UPSTREAM_SET_ASIDE] = "set_aside",
+	[RJ_UPSTREAM_UNREACHABLE] = "silent",
+	[RJ_UPSTREAM_QUARANTINED] = "set_aside",
 };
 
 /* The peers, and whether they are believed alive. */
--- a/src/libradishjunction/include/private/core_state.h
+++ b/src/libradishjunction/include/private/core_state.h
@@ -107,33 +107,33 @@
 void rj_log_append(struct rj_core_state *core, enum rj_stream stream,
 		   const struct rj_record *record);
 bool rj_log_idle(const struct rj_core_state *core);
-void rj_log_records(struct rj_core_state *core,
-		    const struct rj_records *records);
+void rj_log_receive_records(struct rj_core_state *core,
+			    const struct rj_records *records);
 void rj_log_read_failed(struct rj_core_state *core, enum rj_stream stream);
 void rj_log_appended(struct rj_core_state *core,
 		     const struct rj_appended *appended);
 bool rj_log_usable(const struct rj_core_state *core);
-enum rj_reason rj_log_reason(const struct rj_core_state *core);
-void rj_log_gap_check(struct rj_core_state *core);
+enum rj_reason rj_log_unavailable_reason(const struct rj_core_state *core);
+void rj_log_check_gap(struct rj_core_state *core);
 void rj_log_tick(struct rj_core_state *core);
 void rj_log_fill_heartbeat(const struct rj_core_state *core,
 			   struct rj_peer_heartbeat *heartbeat);
 
 /* controllers/config_controller.c */
-void rj_config_controller_records(struct rj_core_state *core,
-				  const struct rj_records *records);
-void rj_config_controller_peer(struct rj_core_state *core,
-			       const struct rj_peer_config *offer);
-void rj_config_controller_tell(struct rj_core_state *core, const char *peer);
+void rj_config_controller_apply_records(struct rj_core_state *core,
+					const struct rj_records *records);
+void rj_config_controller_receive(struct rj_core_state *core,
+				  const struct rj_peer_config *offer);
+void rj_config_controller_send(struct rj_core_state *core, const char *peer);
 void rj_config_controller_tick(struct rj_core_state *core);
 
 /* controllers/drain_controller.c */
 void rj_drain_init(struct rj_core_state *core);
-void rj_drain_stop(struct rj_core_state *core);
-bool rj_drain_takes_more(const struct rj_core_state *core,
-			 const struct rj_job_class *class);
-void rj_drain_hand_over(struct rj_core_state *core);
+void rj_drain_start(struct rj_core_state *core);
+bool rj_drain_admits(const struct rj_core_state *core,
+		     const struct rj_job_class *class);
+void rj_drain_hand_over_jobs(struct rj_core_state *core);
 void rj_job_hand_over(struct rj_job *job);
-void rj_drain_check(struct rj_core_state *core);
+void rj_drain_check_finished(struct rj_core_state *core);
 
 #endif
--- a/src/libradishjunction/include/private/jobs.h
+++ b/src/libradishjunction/include/private/jobs.h
@@ -135,33 +135,35 @@
 struct rj_job *rj_job_new(struct rj_core_state *core,
 			  const struct rj_job_spec *spec,
 			  const struct rj_job_class *class);
-void rj_job_enter(struct rj_job *job, enum rj_job_state state);
+void rj_job_enter_state(struct rj_job *job, enum rj_job_state state);
 void rj_job_free(struct rj_job *job);
-uint32_t rj_jobs_open(const struct rj_core_state *core, bool of_class,
-		      const char *name);
+uint32_t rj_jobs_open_count(const struct rj_core_state *core, bool of_class,
+			    const char *name);
 struct rj_job *rj_jobs_find(const struct rj_core_state *core, uint64_t job_id);
-void rj_job_wait(struct rj_job *job, uint64_t request_id, const char *peer,
-		 uint64_t forward_id);
+void rj_job_add_waiter(struct rj_job *job, uint64_t request_id,
+		       const char *peer, uint64_t forward_id);
 void rj_job_answer_waiters(struct rj_job *job, const struct rj_answer *answer);
-void rj_job_tell_waiters(struct rj_job *job, enum rj_answer_kind kind,
-			 enum rj_reason reason, uint64_t retry_after_us);
+void rj_job_answer_without_result(struct rj_job *job, enum rj_answer_kind kind,
+				  enum rj_reason reason,
+				  uint64_t retry_after_us);
 void rj_job_answer_in_progress(struct rj_job *job, enum rj_reason reason);
-bool rj_job_may_tell(const struct rj_job *job);
+bool rj_job_answer_is_final(const struct rj_job *job);
 void rj_job_end(struct rj_job *job, const struct rj_answer *answer);
-void rj_job_end_plain(struct rj_job *job, enum rj_answer_kind kind,
-		      enum rj_reason reason, uint64_t retry_after_us);
+void rj_job_end_without_result(struct rj_job *job, enum rj_answer_kind kind,
+			       enum rj_reason reason, uint64_t retry_after_us);
 void rj_job_not_started(struct rj_job *job, enum rj_reason reason,
 			uint64_t retry_after_us);
-void rj_job_give_up(struct rj_job *job, enum rj_reason reason,
+void rj_job_abandon(struct rj_job *job, enum rj_reason reason,
 		    uint64_t retry_after_us);
 void rj_job_cancel(struct rj_job *job, enum rj_reason reason);
 void rj_job_set_deadline(struct rj_job *job, uint64_t in_us);
-void rj_jobs_caller_gone(struct rj_core_state *core, uint64_t request_id);
+void rj_jobs_caller_disconnected(struct rj_core_state *core,
+				 uint64_t request_id);
 void rj_core_answer(struct rj_core_state *core, uint64_t request_id,
 		    const struct rj_answer *answer);
 
 /* controllers/placement_controller.c: QUEUED and HOLDING */
-void rj_job_plan_view(const struct rj_job *job, struct rj_plan_job *plan);
+void rj_job_fill_plan(const struct rj_job *job, struct rj_plan_job *plan);
 void rj_job_submit(struct rj_job *job);
 void rj_job_requeue(struct rj_job *job, uint64_t delay_us,
 		    enum rj_reason reason);
@@ -169,7 +171,7 @@
 void rj_job_reclaim_for_peer(struct rj_core_state *core,
 			     const struct rj_peer_cancel *cancel);
 void rj_job_release_members(struct rj_job *job);
-void rj_job_unplan(struct rj_job *job, bool succeeded);
+void rj_job_remove_from_plan(struct rj_job *job, bool succeeded);
 void rj_job_lease_reply(struct rj_job *job, struct rj_member *member,
 			const struct rj_worker_reply *reply);
 
@@ -178,7 +180,7 @@
 void rj_job_accept(struct rj_job *job);
 void rj_job_claim(struct rj_job *job);
 void rj_job_watch(struct rj_job *job);
-bool rj_job_leave_bodiless(struct rj_job *job);
+bool rj_job_drop_if_bodiless(struct rj_job *job);
 
 /* controllers/recovery_controller.c: SETTLING */
 void rj_job_settle(struct rj_job *job);
@@ -188,34 +190,34 @@
 			const struct rj_worker_reply *reply);
 void rj_claims_tick(struct rj_core_state *core);
 
-void rj_claims_record(struct rj_core_state *core,
-		      const struct rj_record *record);
-void rj_claims_appended(struct rj_core_state *core,
-			const struct rj_record *record,
-			enum rj_append_status status);
-void rj_claims_void(struct rj_job *job);
-void rj_claims_running(struct rj_job *job);
-void rj_claims_outcome(struct rj_job *job);
-void rj_claims_answer(const struct rj_job_entry *entry,
-		      struct rj_answer *answer);
+void rj_claims_apply_record(struct rj_core_state *core,
+			    const struct rj_record *record);
+void rj_claims_append_failed(struct rj_core_state *core,
+			     const struct rj_record *record,
+			     enum rj_append_status status);
+void rj_claims_append_void(struct rj_job *job);
+void rj_claims_claim_running(struct rj_job *job);
+void rj_claims_append_outcome(struct rj_job *job);
+void rj_claims_fill_answer(const struct rj_job_entry *entry,
+			   struct rj_answer *answer);
 void rj_claims_platform_down(struct rj_core_state *core);
-void rj_claims_step_due(struct rj_job *job);
-void rj_claims_cancel(struct rj_job *job);
+void rj_claims_append_timeout(struct rj_job *job);
+void rj_claims_append_cancel(struct rj_job *job);
 
 /* controllers/calls_controller.c */
 /* A call that does not wait for a task's end is answered within this. */
 #define RJ_CALL_TIMEOUT_US (2 * RJ_US_PER_S)
 
-void rj_job_set_members(struct rj_job *job, uint32_t count);
-void rj_job_drop_members(struct rj_job *job);
+void rj_job_alloc_members(struct rj_job *job, uint32_t count);
+void rj_job_free_members(struct rj_job *job);
 void rj_member_attach(struct rj_job *job, struct rj_member *member,
 		      struct rj_upstream *upstream);
 void rj_member_keep_result(struct rj_job *job, struct rj_member *member,
 			   const struct rj_bytes *result);
-void rj_call_clear(struct rj_core_state *core,
-		   const struct rj_upstream *upstream, enum rj_worker_op op,
-		   const struct rj_attempt *attempt, uint32_t member,
-		   uint64_t token);
+void rj_call_clean_up(struct rj_core_state *core,
+		      const struct rj_upstream *upstream, enum rj_worker_op op,
+		      const struct rj_attempt *attempt, uint32_t member,
+		      uint64_t token);
 struct rj_worker_call *rj_job_call(struct rj_job *job, struct rj_member *member,
 				   enum rj_worker_op op);
 void rj_jobs_worker_reply(struct rj_core_state *core,
@@ -223,13 +225,13 @@
 
 /* controllers/run_controller.c: STARTING, RUNNING */
 void rj_job_start(struct rj_job *job);
-void rj_job_run_on(struct rj_job *job);
+void rj_job_lease_and_start(struct rj_job *job);
 void rj_job_start_reply(struct rj_job *job, struct rj_member *member,
 			const struct rj_worker_reply *reply);
-void rj_job_start_lost(struct rj_job *job, struct rj_member *member);
+void rj_job_start_unconfirmed(struct rj_job *job, struct rj_member *member);
 void rj_job_throttle_reply(struct rj_job *job, struct rj_member *member,
 			   const struct rj_worker_reply *reply);
-void rj_job_check(struct rj_job *job);
+void rj_job_check_members(struct rj_job *job);
 bool rj_job_all_done(const struct rj_job *job);
 void rj_job_succeeded(struct rj_job *job);
 void rj_job_end_with_result(struct rj_job *job, enum rj_answer_kind kind,
@@ -241,14 +243,16 @@
 void rj_job_stop(struct rj_job *job, bool checkpoint, uint64_t limit_us);
 void rj_job_stop_reply(struct rj_job *job, struct rj_member *member,
 		       const struct rj_worker_reply *reply);
-void rj_job_stopped_check(struct rj_job *job);
+void rj_job_check_stopped(struct rj_job *job);
 
 /* controllers/report_controller.c */
-void rj_job_note_progress(struct rj_job *job, enum rj_task_state state,
-			  uint64_t ran_us);
-void rj_jobs_report(struct rj_core_state *core, struct rj_upstream *upstream,
-		    const struct rj_worker_report *report, uint64_t asked_us);
-bool rj_jobs_report_unchanged(const struct rj_upstream *upstream);
+void rj_job_record_progress(struct rj_job *job, enum rj_task_state state,
+			    uint64_t ran_us);
+void rj_jobs_apply_report(struct rj_core_state *core,
+			  struct rj_upstream *upstream,
+			  const struct rj_worker_report *report,
+			  uint64_t asked_us);
+bool rj_jobs_unchanged_suffices(const struct rj_upstream *upstream);
 void rj_jobs_worker_lost(struct rj_core_state *core,
 			 struct rj_upstream *upstream);
 
--- a/src/libradishjunction/include/private/membership.h
+++ b/src/libradishjunction/include/private/membership.h
@@ -28,16 +28,16 @@
 	char name[RJ_NAME_BYTES];
 	char domain[RJ_NAME_BYTES];
 	struct rj_address address;
-	bool wanted; /* a link to it is kept */
+	bool link_wanted; /* a link to it is kept */
 	bool connected;
-	bool heard; /* a heartbeat came since the link stood */
+	bool heartbeat_seen; /* a heartbeat came since the link stood */
 	bool draining;
 	bool log_usable;
 	bool cut_off; /* it alone has lost the log */
 	bool listed; /* by the platform or the settings */
 	bool in_settings; /* tried for good */
 	uint64_t incarnation;
-	uint64_t heard_us;
+	uint64_t last_heartbeat_us;
 	uint64_t config_revision;
 	uint32_t queued;
 	uint64_t wait_us;
@@ -49,46 +49,48 @@
 	uint64_t sent;
 	uint64_t received;
 	uint64_t lost; /* of the peer's */
-	uint64_t lost_there; /* of ours, as the peer says */
+	uint64_t lost_at_peer; /* of ours, as the peer says */
 };
 
 struct rj_membership {
 	struct rj_list members; /* of all failure domains, without this one */
 	uint32_t count;
 	struct rj_timer heartbeat;
-	uint64_t beats; /* heartbeats so far */
+	uint64_t heartbeats_sent; /* heartbeats so far */
 	struct rj_timer list;
 	uint64_t view_digest;
-	uint64_t alone_us; /* since when only peers have the log; 0: not so */
+	uint64_t
+		log_isolated_us; /* since when only peers have the log; 0: not so */
 };
 
 /* controllers/membership_controller.c */
 void rj_membership_init(struct rj_core_state *core,
 			const struct rj_core_options *options);
 void rj_membership_start(struct rj_core_state *core);
-void rj_membership_list(struct rj_core_state *core,
-			const struct rj_instance *list, uint32_t count);
-void rj_membership_received(struct rj_core_state *core, const char *name);
-void rj_membership_up(struct rj_core_state *core, const char *name);
-void rj_membership_down(struct rj_core_state *core, const char *name);
-void rj_membership_heartbeat(struct rj_core_state *core, const char *name,
-			     const struct rj_peer_heartbeat *heartbeat);
-void rj_membership_summary(struct rj_core_state *core, const char *name,
-			   const struct rj_peer_summary *summary);
-void rj_membership_summaries_again(struct rj_core_state *core);
-uint32_t rj_membership_beats_between(uint32_t domains);
-void rj_membership_heartbeat_all(struct rj_core_state *core);
+void rj_membership_apply_list(struct rj_core_state *core,
+			      const struct rj_instance *list, uint32_t count);
+void rj_membership_count_received(struct rj_core_state *core, const char *name);
+void rj_membership_link_up(struct rj_core_state *core, const char *name);
+void rj_membership_link_down(struct rj_core_state *core, const char *name);
+void rj_membership_receive_heartbeat(struct rj_core_state *core,
+				     const char *name,
+				     const struct rj_peer_heartbeat *heartbeat);
+void rj_membership_receive_summary(struct rj_core_state *core, const char *name,
+				   const struct rj_peer_summary *summary);
+void rj_membership_reapply_summaries(struct rj_core_state *core);
+uint32_t rj_membership_cross_domain_interval(uint32_t domains);
+void rj_membership_send_heartbeats(struct rj_core_state *core);
 struct rj_member_view *rj_membership_find(struct rj_core_state *core,
 					  const char *name);
 bool rj_membership_alive(const struct rj_core_state *core,
 			 const struct rj_member_view *member);
-bool rj_membership_takes_work(const struct rj_core_state *core,
-			      const struct rj_member_view *member);
+bool rj_membership_accepts_jobs(const struct rj_core_state *core,
+				const struct rj_member_view *member);
 bool rj_membership_incarnation_alive(const struct rj_core_state *core,
 				     uint64_t incarnation);
-uint32_t rj_membership_connections(const struct rj_core_state *core);
-const char *rj_membership_name_of(const struct rj_core_state *core,
-				  uint64_t incarnation);
+uint32_t rj_membership_worker_connections(const struct rj_core_state *core);
+const char *rj_membership_name_by_incarnation(const struct rj_core_state *core,
+					      uint64_t incarnation);
 struct rj_peer_message *rj_membership_send(struct rj_core_state *core,
 					   const char *peer,
 					   enum rj_peer_message_kind kind);
--- a/src/libradishjunction/include/private/upstreams.h
+++ b/src/libradishjunction/include/private/upstreams.h
@@ -18,8 +18,8 @@
 
 enum rj_upstream_health {
 	RJ_UPSTREAM_HEALTHY,
-	RJ_UPSTREAM_SILENT, /* does not answer */
-	RJ_UPSTREAM_SET_ASIDE, /* fails what it starts; probed later */
+	RJ_UPSTREAM_UNREACHABLE, /* does not answer */
+	RJ_UPSTREAM_QUARANTINED, /* fails what it starts; probed later */
 	RJ_UPSTREAM_HEALTH_COUNT
 };
 
@@ -46,15 +46,15 @@
 	struct rj_rack *rack_view; /* of the own failure domain */
 	struct rj_address address;
 	uint64_t incarnation;
-	uint64_t left_incarnation; /* the one that is or was leaving */
-	uint64_t left_us; /* when that was learnt */
+	uint64_t leaving_incarnation; /* the one that is or was leaving */
+	uint64_t leaving_since_us; /* when that was learnt */
 	bool leaving;
 	bool owned;
 	bool known; /* has answered a report */
 	bool polling;
 	uint32_t polls_lost;
 	uint64_t report_version; /* of the last whole report; 0: none */
-	uint32_t short_reports; /* since then, with nothing changed */
+	uint32_t unchanged_reports; /* since then, with nothing changed */
 	uint64_t answered_us;
 	enum rj_upstream_health health;
 	struct rj_resources capacity;
@@ -67,7 +67,7 @@
 	uint32_t own_members; /* how many */
 	uint64_t failed_jobs[RJ_FAILED_JOBS];
 	uint32_t failed_count;
-	uint64_t set_aside_us; /* how long it is set aside next time */
+	uint64_t quarantine_us; /* how long it is set aside next time */
 	struct rj_timer poll;
 	struct rj_timer probe;
 	struct rj_core_state *core;
@@ -84,37 +84,38 @@
 
 /* controllers/upstreams_controller.c */
 void rj_upstreams_init(struct rj_core_state *core);
-void rj_upstreams_list(struct rj_core_state *core,
-		       const struct rj_instance *list, uint32_t count);
-void rj_upstreams_report(struct rj_core_state *core,
-			 struct rj_upstream *upstream,
-			 const struct rj_worker_reply *reply,
-			 uint64_t asked_us);
-void rj_upstreams_leaving(struct rj_core_state *core,
-			  struct rj_upstream *upstream, uint64_t incarnation);
-void rj_upstreams_tell_leaving(struct rj_core_state *core, const char *peer);
-void rj_upstreams_leaving_again(struct rj_core_state *core);
-void rj_upstreams_peer_leaving(struct rj_core_state *core,
-			       const struct rj_peer_leaving *leaving);
-void rj_upstreams_failed(struct rj_core_state *core,
-			 struct rj_upstream *upstream, uint64_t job_id);
-void rj_upstreams_succeeded(struct rj_core_state *core,
-			    struct rj_upstream *upstream);
-uint64_t rj_upstreams_lease_life_us(const struct rj_core_state *core);
-void rj_upstreams_poll_soon(struct rj_core_state *core,
-			    struct rj_upstream *upstream);
+void rj_upstreams_apply_list(struct rj_core_state *core,
+			     const struct rj_instance *list, uint32_t count);
+void rj_upstreams_receive_report(struct rj_core_state *core,
+				 struct rj_upstream *upstream,
+				 const struct rj_worker_reply *reply,
+				 uint64_t asked_us);
+void rj_upstreams_mark_leaving(struct rj_core_state *core,
+			       struct rj_upstream *upstream,
+			       uint64_t incarnation);
+void rj_upstreams_send_leaving(struct rj_core_state *core, const char *peer);
+void rj_upstreams_resend_leaving(struct rj_core_state *core);
+void rj_upstreams_receive_leaving(struct rj_core_state *core,
+				  const struct rj_peer_leaving *leaving);
+void rj_upstreams_record_failure(struct rj_core_state *core,
+				 struct rj_upstream *upstream, uint64_t job_id);
+void rj_upstreams_record_success(struct rj_core_state *core,
+				 struct rj_upstream *upstream);
+uint64_t rj_upstreams_lease_duration_us(const struct rj_core_state *core);
+void rj_upstreams_poll_now(struct rj_core_state *core,
+			   struct rj_upstream *upstream);
 struct rj_upstream *rj_upstreams_find(const struct rj_core_state *core,
 				      const char *name);
 
 bool rj_upstreams_usable(const struct rj_upstream *upstream);
-void rj_upstreams_own(struct rj_core_state *core, struct rj_upstream *upstream,
-		      bool owned);
-void rj_upstreams_whole_reports(struct rj_core_state *core);
-void rj_upstreams_offer(struct rj_core_state *core,
-			struct rj_upstream *upstream);
-void rj_upstreams_told_free(struct rj_core_state *core,
-			    struct rj_upstream *upstream,
-			    const struct rj_resources *left);
+void rj_upstreams_set_owned(struct rj_core_state *core,
+			    struct rj_upstream *upstream, bool owned);
+void rj_upstreams_request_full_reports(struct rj_core_state *core);
+void rj_upstreams_update_offer(struct rj_core_state *core,
+			       struct rj_upstream *upstream);
+void rj_upstreams_receive_offer(struct rj_core_state *core,
+				struct rj_upstream *upstream,
+				const struct rj_resources *left);
 
 /* controllers/foreign_controller.c */
 void rj_foreign_init(struct rj_core_state *core);
@@ -122,8 +123,9 @@
 bool rj_foreign_is_planned(const struct rj_core_state *core,
 			   const struct rj_upstream *upstream,
 			   const struct rj_task_report *line);
-void rj_foreign_report(struct rj_core_state *core, struct rj_upstream *upstream,
-		       const struct rj_worker_report *report);
+void rj_foreign_apply_report(struct rj_core_state *core,
+			     struct rj_upstream *upstream,
+			     const struct rj_worker_report *report);
 void rj_foreign_disown(struct rj_core_state *core,
 		       struct rj_upstream *upstream);
 void rj_foreign_reclaim(struct rj_core_state *core,
@@ -133,15 +135,18 @@
 uint64_t rj_racks_key(const struct rj_core_state *core, uint32_t rack);
 uint64_t rj_racks_job_key(const struct rj_core_state *core, const char *domain,
 			  uint64_t job_id);
-void rj_racks_place(struct rj_core_state *core, struct rj_upstream *upstream);
+void rj_racks_add_worker(struct rj_core_state *core,
+			 struct rj_upstream *upstream);
 bool rj_racks_owned_by(const struct rj_core_state *core, uint32_t number,
 		       const char *name);
-void rj_racks_ownership(struct rj_core_state *core);
-bool rj_racks_hand_on(const struct rj_core_state *core);
-bool rj_rack_has_room(const struct rj_rack *rack, const struct rj_shape *shape);
-void rj_racks_tell(struct rj_core_state *core, const struct rj_rack *rack);
-void rj_racks_tell_peer(struct rj_core_state *core, const char *peer);
-void rj_racks_peer_summary(struct rj_core_state *core,
-			   const struct rj_peer_summary *summary);
+void rj_racks_update_ownership(struct rj_core_state *core);
+bool rj_racks_cannot_place(const struct rj_core_state *core);
+bool rj_rack_shape_fits(const struct rj_rack *rack,
+			const struct rj_shape *shape);
+void rj_racks_send_summary(struct rj_core_state *core,
+			   const struct rj_rack *rack);
+void rj_racks_send_summaries(struct rj_core_state *core, const char *peer);
+void rj_racks_receive_summary(struct rj_core_state *core,
+			      const struct rj_peer_summary *summary);
 
 #endif
--- a/src/test_libradishjunction/test_membership.c
+++ b/src/test_libradishjunction/test_membership.c
@@ -13,8 +13,8 @@
 	struct rj_config config = { .domain_count = DOMAINS };
 	struct rj_core_state core = { .config = &config };
 	struct rj_member_view member = { .connected = true,
-					 .heard = true,
-					 .heard_us = HEARD_US };
+					 .heartbeat_seen = true,
+					 .last_heartbeat_us = HEARD_US };
 
 	rj_name_set(core.domain, "a");
 	rj_name_set(member.domain, domain);
@@ -30,7 +30,7 @@
  */
 static void test_seldom_heard_is_not_dead(void)
 {
-	uint32_t every = rj_membership_beats_between(DOMAINS);
+	uint32_t every = rj_membership_cross_domain_interval(DOMAINS);
 
 	g_assert_true(alive_after("a", 3 * RJ_US_PER_S));
 	g_assert_false(alive_after("a", 4 * RJ_US_PER_S));
@@ -43,10 +43,12 @@
 static void test_heartbeats_between_domains_stay_flat(void)
 {
 	for (uint32_t domains = 1; domains <= 4; domains++)
-		g_assert_cmpuint(rj_membership_beats_between(domains), ==, 1);
+		g_assert_cmpuint(rj_membership_cross_domain_interval(domains),
+				 ==, 1);
 	for (uint32_t domains = 5; domains <= 64; domains++)
-		g_assert_cmpuint(domains - 1, <=,
-				 3 * rj_membership_beats_between(domains));
+		g_assert_cmpuint(
+			domains - 1, <=,
+			3 * rj_membership_cross_domain_interval(domains));
 }
 
 int main(int argc, char **argv)
