--- a/src/libradishjunction/core/controllers/calls_controller.c
+++ b/src/libradishjunction/core/controllers/calls_controller.c
@@ -1,5 +1,5 @@
 /*
- * Members of jobs, the calls to their workers, and the replies to those.
+ * Members of jobs, the calls to their workers, and the replies to those calls.
  */
 #include <assert.h>
 #include <string.h>
@@ -7,13 +7,14 @@
 
 #include "private/core_state.h"
 
-/* A worker grants or refuses a lease at once, and nothing has started that a
- * lost answer could leave behind: another place is sought early, since a
- * guaranteed shape may have been freed for it. */
+/* A worker grants or refuses a lease at once, and an unanswered lease request
+ * has started nothing. The timeout is therefore short, so that a guaranteed
+ * shape whose capacity was just freed is soon placed elsewhere. */
 #define LEASE_TIMEOUT_US (500 * RJ_US_PER_MS)
 
 /*
- * Make the members of the next attempt, without workers yet.
+ * Allocates `count` members for the next attempt, without workers, and frees
+ * those of the previous attempt.
  */
 void rj_job_alloc_members(struct rj_job *job, uint32_t count)
 {
@@ -24,7 +25,8 @@
 }
 
 /*
- * Put a member on its worker, which is polled from now on.
+ * Assigns a worker to a member. The worker is polled from now on, also if this
+ * instance does not own it.
  */
 void rj_member_attach(struct rj_job *job, struct rj_member *member,
 		      struct rj_upstream *upstream)
@@ -42,7 +44,7 @@
 }
 
 /*
- * Forget the members of an attempt that is over.
+ * Frees the members of a finished attempt with their results.
  */
 void rj_job_free_members(struct rj_job *job)
 {
@@ -61,7 +63,7 @@
 }
 
 /*
- * Keep the result of a member until the job ends.
+ * Keeps a copy of a member's result until the members of the attempt are freed.
  */
 void rj_member_keep_result(struct rj_job *job, struct rj_member *member,
 			   const struct rj_bytes *result)
@@ -74,7 +76,7 @@
 	assert(member->result);
 }
 
-/* What a member needs of its worker in all. */
+/* Total resources that a member needs on its worker. */
 static struct rj_resources member_needs(const struct rj_job *job,
 					const struct rj_member *member)
 {
@@ -86,15 +88,16 @@
 }
 
 /*
- * Call a member's worker; the reply comes back to this member as long as the
- * attempt lasts. Returns the call, for what `op` needs besides.
+ * Calls a member's worker. The reply is delivered to this member while the
+ * attempt lasts. Returns the call, so that the caller can set the fields
+ * specific to `op`; it is valid until the next action is added.
  */
 struct rj_worker_call *rj_job_call(struct rj_job *job, struct rj_member *member,
 				   enum rj_worker_op op)
 {
 	struct rj_core_state *core = job->core;
 	struct rj_action *action;
-	struct rj_worker_call *out;
+	struct rj_worker_call *worker_call;
 	struct rj_call *call;
 
 	call = talloc_zero(core, struct rj_call);
@@ -109,31 +112,33 @@
 	g_hash_table_insert(core->jobs.calls, &call->call_id, call);
 	member->call_id = call->call_id;
 	action = rj_actions_add(core->actions, RJ_ACTION_WORKER_CALL);
-	out = &action->u.worker_call;
-	out->call_id = call->call_id;
-	out->op = op;
-	g_strlcpy(out->worker, member->worker, sizeof(out->worker));
+	worker_call = &action->u.worker_call;
+	worker_call->call_id = call->call_id;
+	worker_call->op = op;
+	g_strlcpy(worker_call->worker, member->worker,
+		  sizeof(worker_call->worker));
 	if (member->upstream)
-		out->address = member->upstream->address;
-	out->timeout_us =
+		worker_call->address = member->upstream->address;
+	worker_call->timeout_us =
 		op == RJ_WORKER_LEASE ? LEASE_TIMEOUT_US : RJ_CALL_TIMEOUT_US;
-	out->holder = core->incarnation;
-	out->attempt = job->attempt;
-	out->member = call->member;
-	out->gang = job->member_count;
-	out->token = member->token;
-	g_strlcpy(out->account, job->spec.account, sizeof(out->account));
-	g_strlcpy(out->class_name, job->spec.class_name,
-		  sizeof(out->class_name));
-	out->each = member_needs(job, member);
-	out->life_us = rj_upstreams_lease_duration_us(core);
-	out->connections_max = rj_membership_worker_connections(core);
-	return out;
+	worker_call->holder = core->incarnation;
+	worker_call->attempt = job->attempt;
+	worker_call->member = call->member;
+	worker_call->gang = job->member_count;
+	worker_call->token = member->token;
+	g_strlcpy(worker_call->account, job->spec.account,
+		  sizeof(worker_call->account));
+	g_strlcpy(worker_call->class_name, job->spec.class_name,
+		  sizeof(worker_call->class_name));
+	worker_call->each = member_needs(job, member);
+	worker_call->life_us = rj_upstreams_lease_duration_us(core);
+	worker_call->connections_max = rj_membership_worker_connections(core);
+	return worker_call;
 }
 
 /*
- * Clear away what an attempt that is over has left at a worker: RELEASE what
- * is held or has ended, STOP what runs. Nobody waits for the answer.
+ * Cleans up on a worker after an attempt that is over: RELEASE for a lease or a
+ * finished task, STOP for a running task. The reply is ignored.
  */
 void rj_call_clean_up(struct rj_core_state *core,
 		      const struct rj_upstream *upstream, enum rj_worker_op op,
@@ -142,21 +147,23 @@
 {
 	struct rj_action *action =
 		rj_actions_add(core->actions, RJ_ACTION_WORKER_CALL);
-	struct rj_worker_call *out = &action->u.worker_call;
+	struct rj_worker_call *worker_call = &action->u.worker_call;
 
-	out->call_id = rj_core_next_id(core);
-	out->op = op;
-	g_strlcpy(out->worker, upstream->name, sizeof(out->worker));
-	out->address = upstream->address;
-	out->timeout_us = RJ_CALL_TIMEOUT_US;
-	out->holder = core->incarnation;
-	out->attempt = *attempt;
-	out->member = member;
-	out->token = token;
+	worker_call->call_id = rj_core_next_id(core);
+	worker_call->op = op;
+	g_strlcpy(worker_call->worker, upstream->name,
+		  sizeof(worker_call->worker));
+	worker_call->address = upstream->address;
+	worker_call->timeout_us = RJ_CALL_TIMEOUT_US;
+	worker_call->holder = core->incarnation;
+	worker_call->attempt = *attempt;
+	worker_call->member = member;
+	worker_call->token = token;
 }
 
-/* An answer to a call of an attempt that is over: leave nothing behind. */
-static void discard_stale_reply(struct rj_core_state *core,
+/* Handles a reply to a call of an attempt that is over: a lease that was
+ * granted meanwhile is released. */
+static void release_stale_lease(struct rj_core_state *core,
 				const struct rj_call *call,
 				const struct rj_worker_reply *reply)
 {
@@ -169,8 +176,8 @@
 				 &reply->attempt, call->member, reply->token);
 }
 
-/* Whether a reply names the attempt that was asked about. One that names
- * another was crossed on its way, and says nothing about this one. */
+/* Whether a reply names the attempt of the call. One that names another attempt
+ * was misdelivered and tells nothing about this one. */
 static bool matches_attempt(const struct rj_job *job,
 			    const struct rj_call *call,
 			    const struct rj_worker_reply *reply)
@@ -180,9 +187,10 @@
 	       reply->attempt.number == call->attempt;
 }
 
-/* Hand a reply to the job and member whose call it answers. */
-static void job_reply(struct rj_core_state *core, const struct rj_call *call,
-		      const struct rj_worker_reply *reply)
+/* Delivers a reply to the job and member of its call. */
+static void dispatch_reply(struct rj_core_state *core,
+			   const struct rj_call *call,
+			   const struct rj_worker_reply *reply)
 {
 	struct rj_job *job = rj_jobs_find(core, call->job_id);
 	struct rj_worker_reply mismatched;
@@ -191,7 +199,7 @@
 	if (!job || job->attempt.owner != call->owner ||
 	    job->attempt.number != call->attempt ||
 	    call->member >= job->member_count) {
-		discard_stale_reply(core, call, reply);
+		release_stale_lease(core, call, reply);
 		return;
 	}
 	if (!matches_attempt(job, call, reply)) {
@@ -236,8 +244,8 @@
 }
 
 /*
- * What became of a call to a worker. A reply without a call is a repeat of
- * one that was answered, and is dropped.
+ * Handles a worker's reply, or the loss of a call. A reply to an unknown call
+ * is a duplicate and is dropped.
  */
 void rj_jobs_worker_reply(struct rj_core_state *core,
 			  const struct rj_worker_reply *reply)
@@ -253,6 +261,6 @@
 			core, core->upstreams.by_index[call->upstream], reply,
 			call->sent_us);
 	else
-		job_reply(core, call, reply);
+		dispatch_reply(core, call, reply);
 	talloc_free(call);
 }
--- a/src/libradishjunction/core/controllers/claims_controller.c
+++ b/src/libradishjunction/core/controllers/claims_controller.c
@@ -1,9 +1,9 @@
 /*
- * ACCEPTING, CLAIMING and WATCHING: what depends on the log.
+ * ACCEPTING, CLAIMING and WATCHING: the states that depend on the log.
  *
- * A claim is appended while the leases are held and nothing runs; only when
- * it was read back as the winning one does its author start. Whoever loses
- * watches the winner.
+ * A claim is appended while the leases are held and before anything starts. An
+ * instance starts the job only after reading its claim back as the first one in
+ * the log; an instance whose claim lost watches the winner.
  */
 #include <assert.h>
 #include <string.h>
@@ -11,12 +11,13 @@
 
 #include "private/core_state.h"
 
-/* A lost append shows in the log within this time, or is given up. */
+/* Time for an append with a lost answer to appear in the log, after which it is
+ * no longer awaited. */
 #define LOST_APPEND_WAIT_US (3 * RJ_US_PER_S)
 #define OUTCOME_RETRY_US (2 * RJ_US_PER_S)
 #define PLATFORM_RETRY_US (2 * RJ_US_PER_S)
 
-/* Start a record about the job's present attempt. */
+/* Initialises a record about the job's current attempt, without the body. */
 static void fill_record(const struct rj_job *job, enum rj_record_kind kind,
 			struct rj_record *record)
 {
@@ -29,14 +30,15 @@
 }
 
 /*
- * Whether the job may start only under a claim in the log: work that must
- * not run twice, and every accepted job.
+ * Whether the job may start only under a claim in the log: non-idempotent jobs
+ * and all accepted jobs.
  *
- * Guards against two owners of an accepted job that do not see each other:
- * one would run it while the other, which reads a cancellation first, says
- * that it did not run. With a claim the log's order decides. In an outage
- * accepted jobs that have not started wait; what runs goes on, and so does
- * idempotent work whose caller waits.
+ * Accepted jobs need a claim because two owners that cannot reach each other
+ * may serve the same job: one would run it while the other, having read a
+ * cancellation first, reports that it did not run. With a claim the order of
+ * the log decides. During a log outage accepted jobs that have not started
+ * wait; running jobs continue, and idempotent jobs with a waiting caller still
+ * start.
  */
 bool rj_job_needs_claim(const struct rj_job *job)
 {
@@ -44,8 +46,8 @@
 }
 
 /*
- * Append the record that makes the job accepted; its caller is told only
- * when it was read back.
+ * Appends the accept record. The caller gets its answer only when the record
+ * was read back.
  */
 void rj_job_accept(struct rj_job *job)
 {
@@ -57,7 +59,7 @@
 	rj_log_append(job->core, RJ_STREAM_JOBS, &record);
 }
 
-/* Append a claim of the job's present attempt, with its leases. */
+/* Appends a claim of the current attempt with its leases. */
 static void append_claim(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
@@ -82,7 +84,9 @@
 }
 
 /*
- * Append the job's claim with the leases that it holds.
+ * Claims the job with the leases that it holds. If the log is unavailable, the
+ * leases are released and the job is requeued if accepted, else answered with a
+ * retry time.
  */
 void rj_job_claim(struct rj_job *job)
 {
@@ -105,10 +109,11 @@
 }
 
 /*
- * Claim what was started without a claim, now that the log can be had again.
+ * Claims a running job that was started without a claim, once the log is
+ * available again.
  *
- * Guards against a peer that knows nothing of it: it would start the job
- * once more, or end a cancelled one as never run while it runs here.
+ * Without the claim a peer that does not know of the job could start it a
+ * second time, or report a cancelled job as never run while it runs here.
  */
 void rj_claims_claim_running(struct rj_job *job)
 {
@@ -117,7 +122,7 @@
 		append_claim(job);
 }
 
-/* Give up an attempt whose claim is not, or not surely, in the log. */
+/* Abandons an attempt whose claim is not, or not certainly, in the log. */
 static void abandon_claim(struct rj_job *job)
 {
 	rj_job_release_members(job);
@@ -131,8 +136,8 @@
 }
 
 /*
- * The time for a lost append to show in the log is over. A claim that shows
- * later finds no job here, and its attempt is fenced and voided.
+ * Handles the timeout of an append with a lost answer. A claim that appears in
+ * the log later finds no job here; its attempt is fenced and voided.
  */
 void rj_claims_append_timeout(struct rj_job *job)
 {
@@ -145,8 +150,9 @@
 }
 
 /*
- * An append of `record` was refused, or its answer was lost. Lost records
- * may be in the log: reading tells, for a while.
+ * Handles an append of `record` that was refused or whose answer was lost.
+ * After a lost answer the record may still be in the log; it is awaited for
+ * LOST_APPEND_WAIT_US.
  */
 void rj_claims_append_failed(struct rj_core_state *core,
 			     const struct rj_record *record,
@@ -177,9 +183,9 @@
 }
 
 /*
- * The platform has stopped answering. Work that waits for a claim is handed
- * to a peer that has the log, or answered at once with when to come back, and
- * not held until its deadline; accepted jobs wait.
+ * Handles the loss of the platform. Jobs that need a claim are forwarded to a
+ * peer that has the log, or answered at once with a retry time, and do not wait
+ * until their deadline. Accepted jobs wait.
  */
 void rj_claims_platform_down(struct rj_core_state *core)
 {
@@ -195,13 +201,13 @@
 			continue;
 		rj_job_release_members(job);
 		rj_job_remove_from_plan(job, false);
-		job->hops = 0; /* whoever sent it here may have the log */
+		job->hops = 0; /* the forwarding peer may have the log */
 		rj_filters_again(job);
 	}
 }
 
 /*
- * The answer that a settled entry of the log gives.
+ * Fills the answer recorded in a settled log entry; the result is not copied.
  */
 void rj_claims_fill_answer(const struct rj_job_entry *entry,
 			   struct rj_answer *answer)
@@ -215,7 +221,8 @@
 }
 
 /*
- * Another instance serves the job, or served it: wait for what the log says.
+ * Waits for the log to tell the outcome of a job that another instance serves
+ * or has served.
  */
 void rj_job_watch(struct rj_job *job)
 {
@@ -227,7 +234,7 @@
 }
 
 /*
- * Ask, through the log, whoever serves the job to cancel it.
+ * Asks the instance that serves the job, through the log, to cancel it.
  */
 void rj_claims_append_cancel(struct rj_job *job)
 {
@@ -238,8 +245,8 @@
 }
 
 /*
- * Close the job's own claim: nothing of this attempt started, or all of it
- * was stopped and may run again.
+ * Closes the job's own claim: nothing of this attempt started, or all of it was
+ * stopped and may run again.
  */
 void rj_claims_append_void(struct rj_job *job)
 {
@@ -252,7 +259,7 @@
 	job->claimed = false;
 }
 
-/* Whether the entry's open claim is that of the job's present attempt. */
+/* Whether the entry's open claim belongs to the job's current attempt. */
 static bool is_own_claim(const struct rj_job *job,
 			 const struct rj_job_entry *entry)
 {
@@ -261,13 +268,12 @@
 }
 
 /*
- * Close an older claim of the job that would keep its outcome out of the log.
+ * Closes an older claim of the job.
  *
- * Guards against a void that was lost on its way to the log: every reader
- * ignores the job's outcome while the older claim is open. It shows as an
- * accepted job that never ends. A claim of this instance is over, or the job
- * would not have ended; one of a peer is closed only for a job that is done
- * and may run twice.
+ * A void record may be lost on its way to the log. Readers ignore the job's
+ * outcome while the older claim is open, so an accepted job would never end. A
+ * claim of this instance is certainly over, since the job has ended here; a
+ * peer's claim is closed only if the job is done and idempotent.
  */
 static void close_older_claim(const struct rj_job *job)
 {
@@ -286,7 +292,7 @@
 }
 
 /*
- * Append how the job ended, again and again until it was read back.
+ * Appends the job's outcome, and repeats it until it was read back.
  */
 void rj_claims_append_outcome(struct rj_job *job)
 {
@@ -323,7 +329,7 @@
 	rj_job_abandon(job, RJ_REASON_CANCELLED, 0);
 }
 
-/* Another claim of the same key was first in the log. */
+/* Another claim of the same key precedes the job's own in the log. */
 static void on_claim_lost(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
@@ -335,7 +341,7 @@
 	rj_job_watch(job);
 }
 
-/* A job that was submitted here is in the log as accepted. */
+/* The accept record of a job submitted here was read back. */
 static void on_accept_read(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
@@ -355,7 +361,7 @@
 		rj_job_free(job); /* its owner reads the same record */
 }
 
-/* The job was settled, here or elsewhere. */
+/* The job was settled, here or by another instance. */
 static void on_outcome_read(struct rj_job *job,
 			    const struct rj_job_entry *entry)
 {
@@ -380,8 +386,8 @@
 	case RJ_JOB_RUNNING:
 	case RJ_JOB_STOPPING:
 	case RJ_JOB_SETTLING:
-		/* A peer gave this attempt up as unknown while it runs: its
-		   true outcome is still to be appended. */
+		/* A peer settled this attempt as unknown while it runs here:
+		 * its actual outcome is still to be appended. */
 	case RJ_JOB_FORWARDED:
 	case RJ_JOB_STATE_COUNT:
 		break;
@@ -389,11 +395,11 @@
 }
 
 /*
- * A claim of the job is open in the log.
+ * Handles an open claim of the job in the log.
  *
- * Guards against a claim that was first only because older ones were dropped
- * before their time: their job would run twice. The attempt is given up then,
- * unless a peer who may know the older ones has carried its claim.
+ * A claim may come first only because older ones were trimmed early; the job
+ * would then run twice. While the log has a gap the attempt is abandoned,
+ * unless the claim was carried by a peer, which may know the older ones.
  */
 static void on_claim_read(struct rj_job *job, const struct rj_job_entry *entry,
 			  bool carried)
@@ -415,7 +421,8 @@
 	}
 	if (job->state == RJ_JOB_ENDED &&
 	    job->final.kind == RJ_ANSWER_NOT_RUN) {
-		/* Claimed by a peer before this outcome: ask it to cancel. */
+		/* A peer's claim precedes this outcome: ask the peer to
+		 * cancel. */
 		rj_job_watch(job);
 		rj_claims_append_cancel(job);
 		return;
@@ -427,7 +434,7 @@
 	}
 }
 
-/* The log says that the job is to be cancelled. */
+/* A cancel record of the job was read. */
 static void on_cancel_read(struct rj_job *job)
 {
 	if (job->state == RJ_JOB_WATCHING || job->state == RJ_JOB_ENDED)
@@ -436,9 +443,9 @@
 }
 
 /*
- * Whether the job cannot be started from here: it is known from its claim
- * alone, without its body, and is left to those who submit it again. It is
- * freed then.
+ * Frees a job that is known only from its claim, without the request body: it
+ * cannot be started here until it is submitted again. The waiters are told that
+ * it may be in progress. Returns whether the job was freed.
  */
 bool rj_job_drop_if_bodiless(struct rj_job *job)
 {
@@ -449,7 +456,7 @@
 	return true;
 }
 
-/* The attempt that was watched never ran: serve the job from here. */
+/* The watched attempt never ran: serves the job from here. */
 static void resume_watched(struct rj_job *job)
 {
 	if (!rj_job_drop_if_bodiless(job))
@@ -457,8 +464,8 @@
 }
 
 /*
- * Apply one record of the `jobs` stream, and let the job here that it is
- * about go on from it.
+ * Applies one record of the `jobs` stream to the ledger and to the job it
+ * names.
  */
 void rj_claims_apply_record(struct rj_core_state *core,
 			    const struct rj_record *record)
@@ -486,7 +493,6 @@
 			on_claim_read(job, entry, record->carried);
 		break;
 	case RJ_RECORD_VOID:
-		/* What was watched never ran: serve it from here. */
 		if (!entry->claimed && job->state == RJ_JOB_WATCHING)
 			resume_watched(job);
 		break;
--- a/src/libradishjunction/core/controllers/config_controller.c
+++ b/src/libradishjunction/core/controllers/config_controller.c
@@ -1,17 +1,17 @@
 /*
- * Which configuration is in force here: from the log, or from a peer when
- * the log cannot be read; and carried forward before the log drops it.
+ * Selects the configuration in force, from the log or, when the log cannot be
+ * read, from a peer, and re-appends it before the log trims it.
  */
 #include <string.h>
 #include <talloc.h>
 
 #include "private/core_state.h"
 
-/* An append that was lost shows within this time, or is made again. */
+/* A re-append that has not appeared in the log after this time is repeated. */
 #define CARRY_RETRY_US (10 * RJ_US_PER_S)
 
-/* Whether two configurations have the same classes for the same accounts, so
- * that a task means the same under both. */
+/* Whether both configurations have the same accounts and classes, so that a
+ * task has the same priority and may be stopped alike under both. */
 static bool same_task_semantics(const struct rj_config *a,
 				const struct rj_config *b)
 {
@@ -34,8 +34,9 @@
 	return true;
 }
 
-/* A newer configuration came into force: every part that uses it is told,
- * and so are the peers, who may not be able to read the log. */
+/* Puts a newer configuration in force: updates the planner, the racks and the
+ * workers' reports, and sends it to the peers, which may be unable to read the
+ * log. */
 static void activate(struct rj_core_state *core, const char *source)
 {
 	struct rj_list *at;
@@ -50,7 +51,7 @@
 	rj_core_log(core, RJ_LOG_CONFIG, RJ_REASON_NONE, NULL, source);
 	core->planner->ops->configure(core->planner, core->config, core->domain,
 				      core->now_us);
-	rj_racks_update_ownership(core); /* the groups of racks may differ */
+	rj_racks_update_ownership(core); /* rack groups may have changed */
 	if (!same)
 		rj_upstreams_request_full_reports(core);
 	core->jobs.plan_wanted = true;
@@ -65,7 +66,7 @@
 }
 
 /*
- * Apply what a read of the `config` stream brought.
+ * Applies the result of a read of the `config` stream.
  */
 void rj_config_controller_apply_records(struct rj_core_state *core,
 					const struct rj_records *records)
@@ -91,7 +92,8 @@
 }
 
 /*
- * Take over what a peer has in force; whether it is newer than what is here.
+ * Adopts the configuration offered by a peer. Returns whether it is newer than
+ * the current one.
  */
 static bool adopt(struct rj_core_state *core,
 		  const struct rj_peer_config *offer)
@@ -109,8 +111,8 @@
 }
 
 /*
- * A peer offers the configuration that it has in force. An older one changes
- * nothing: revisions only rise.
+ * Handles a peer's offer of its configuration in force. Older revisions have no
+ * effect.
  */
 void rj_config_controller_receive(struct rj_core_state *core,
 				  const struct rj_peer_config *offer)
@@ -122,9 +124,9 @@
 }
 
 /*
- * Whether a peer needs no more than the change that made the configuration
- * in force: it said that it takes changes, and has the revision before. The
- * view of it may be old; a change that does not fit it changes nothing there.
+ * Whether the last change alone brings a peer up to date: it accepts changes
+ * and has the previous revision. The peer's revision may be outdated here; a
+ * change that does not fit has no effect there.
  */
 static bool change_suffices(const struct rj_core_state *core,
 			    const struct rj_member_view *member)
@@ -135,8 +137,8 @@
 }
 
 /*
- * Send the configuration in force to a peer, if there is one: the change
- * alone if that is enough, else the whole.
+ * Sends the configuration in force to a peer, if there is one: the last change
+ * if that suffices, else the full text.
  */
 void rj_config_controller_send(struct rj_core_state *core, const char *peer)
 {
@@ -161,8 +163,9 @@
 }
 
 /*
- * Append the configuration in force again when it is due. The owner by hash
- * does it first; a second one is harmless, since it changes nothing.
+ * Re-appends the configuration in force when due. Only its owner by hash
+ * appends; during a disagreement a second append is harmless, since it changes
+ * nothing.
  */
 void rj_config_controller_tick(struct rj_core_state *core)
 {
--- a/src/libradishjunction/core/controllers/drain_controller.c
+++ b/src/libradishjunction/core/controllers/drain_controller.c
@@ -1,30 +1,32 @@
 /*
- * A planned stop: no new work, waiting jobs handed to peers, every open
- * request answered, outcomes in the log, then the exit.
+ * Graceful shutdown: no new jobs, waiting jobs handed over to peers, every open
+ * request answered, outcomes written to the log, then exit.
  */
 #include <string.h>
 #include <talloc.h>
 
 #include "private/core_state.h"
 
-/* Work that takes longer is answered `unknown` with when to ask again. */
+/* Requests still open after this time are answered `unknown` with a retry
+ * time. */
 #define DRAIN_LIMIT_US (30 * RJ_US_PER_S)
-/* After the answers, so long is left for outcomes to reach the log. */
+/* Time for outcomes to reach the log after the last answer. */
 #define DRAIN_OUTCOMES_US (5 * RJ_US_PER_S)
-/* The balancer learns within this that the instance is not ready; what it
- * still sends until then is handed to peers. */
+/* The load balancer notices within this time that the instance is not ready;
+ * requests that arrive until then are forwarded to peers. */
 #define DRAIN_ADMIT_US (10 * RJ_US_PER_S)
-/* Who waits for another instance's job can wait at any instance. */
+/* A job of another instance can be waited for at any instance, so these callers
+ * are redirected early. */
 #define DRAIN_WATCH_US (3 * RJ_US_PER_S)
 
-/* Answer all who wait for a job: they ask again at another instance. */
+/* Answers all waiters of a job; they ask again at another instance. */
 static void redirect_waiters(struct rj_job *job, enum rj_answer_kind kind)
 {
 	rj_job_answer_without_result(job, kind, RJ_REASON_DRAINING,
 				     RJ_US_PER_S);
 }
 
-/* The limit of the drain has passed: answer what is still open. */
+/* The drain limit has passed: answers all open requests. */
 static void limit_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	struct rj_list *at;
@@ -38,10 +40,10 @@
 }
 
 /*
- * Those who wait here for a job of another instance have waited a while.
+ * Redirects callers that wait here for a job of another instance.
  *
- * Guards against a stop that lasts as long as another instance's job: the
- * platform would end the process, and cut off those who wait.
+ * The drain would otherwise last as long as that job; the platform would end
+ * the process and cut off the callers.
  */
 static void watch_due(struct rj_core_state *core, struct rj_timer *timer)
 {
@@ -60,7 +62,8 @@
 }
 
 /*
- * No stop was asked for yet.
+ * Initialises the drain timers. A limit that was not set becomes
+ * DRAIN_LIMIT_US.
  */
 void rj_drain_init(struct rj_core_state *core)
 {
@@ -71,25 +74,26 @@
 }
 
 /*
- * Hand a waiting job to a peer, or answer it with when to come back.
+ * Hands a waiting job over to a peer, or answers it with a retry time. An
+ * accepted job is freed.
  */
 void rj_job_hand_over(struct rj_job *job)
 {
 	if (job->accepted) {
-		/* Look-ups may have come since the stop began. */
+		/* Status requests may have arrived since the drain began. */
 		redirect_waiters(job, RJ_ANSWER_ACCEPTED);
 		rj_job_free(job); /* its next owner reads it in the log */
 		return;
 	}
 	rj_job_remove_from_plan(job, false);
-	job->hops = 0; /* who owns the racks has changed since */
+	job->hops = 0; /* rack ownership has changed since */
 	rj_filters_again(job);
 }
 
 /*
- * Hand waiting jobs to peers: all of them if this instance stops or owns no
- * rack any more, else those that wait for a guaranteed shape that a peer owns
- * now. Called again when the view of the peers changes: while none is alive,
+ * Hands waiting jobs over to peers: all of them if this instance is stopping or
+ * owns no rack, else those that wait for a guaranteed shape that a peer owns
+ * now. Called again when the view of the peers changes; while no peer is alive
  * the jobs are served here.
  */
 void rj_drain_hand_over_jobs(struct rj_core_state *core)
@@ -107,7 +111,7 @@
 	}
 }
 
-/* Whether a peer of the failure domain can take work. */
+/* Whether a peer of this failure domain accepts jobs. */
 static bool peer_accepts_jobs(const struct rj_core_state *core)
 {
 	struct rj_list *at;
@@ -125,14 +129,14 @@
 }
 
 /*
- * Whether a request of `class` that arrives during a stop is still let in:
- * for a while, if a peer can take it or it is expected to end here well
- * before the drain's limit.
+ * Whether a request of `class` is still admitted during a drain: within
+ * DRAIN_ADMIT_US, if a peer can take it or its expected run time is less than
+ * half of the drain limit.
  *
- * Guards against refusals by an instance that is replaced right after its
- * start and knows no peer yet: its caller would be told "not run" though
- * nothing was wrong. The stop stays bounded, since nothing is let in after
- * DRAIN_ADMIT_US, and what is let in has half of the limit to spare.
+ * An instance that is replaced right after its start may know no peer yet;
+ * refusing would answer "not run" though the service is healthy. The drain
+ * stays bounded by DRAIN_ADMIT_US and by the half of the limit left to an
+ * admitted request.
  */
 bool rj_drain_admits(const struct rj_core_state *core,
 		     const struct rj_job_class *class)
@@ -144,11 +148,11 @@
 }
 
 /*
- * The process was asked to stop. A second request changes nothing.
+ * Starts the drain; repeated calls have no effect.
  *
- * Guards against callers that are cut off by a planned stop: their jobs
- * would be lost or run unheard. Nothing new is let in, what has not started
- * goes to a peer by name, and the exit waits for every answer.
+ * New jobs are refused, jobs that have not started are handed over to a named
+ * peer, and the exit waits for every answer, so that a planned stop neither
+ * cuts off callers nor loses their jobs.
  */
 void rj_drain_start(struct rj_core_state *core)
 {
@@ -191,8 +195,8 @@
 	return !rj_log_idle(core);
 }
 
-/* A request came after all had been answered: the drain's limit holds again,
- * and not the shorter one for outcomes alone. */
+/* Restores the drain limit when a request arrives after all others were
+ * answered; until then the shorter limit for outcomes applied. */
 static void restore_drain_limit(struct rj_core_state *core)
 {
 	if (!core->drain_answered_us)
@@ -203,12 +207,13 @@
 }
 
 /*
- * Exit when nothing is open any more. Jobs that run for nobody here, because
- * they were accepted, stay on their workers for their next owner.
+ * Requests the exit when no request is open and the outcomes are in the log.
+ * Accepted jobs without a waiter here keep running on their workers for their
+ * next owner.
  *
- * Said after every event for as long as it holds: a request that still comes
- * on a caller's last connection is served or handed on like any other, and
- * the process may end once it is answered.
+ * The exit action is repeated after every event while this holds: a request
+ * that still arrives on an open connection is served or forwarded, and the
+ * process may end once it is answered.
  */
 void rj_drain_check_finished(struct rj_core_state *core)
 {
--- a/src/libradishjunction/core/controllers/foreign_controller.c
+++ b/src/libradishjunction/core/controllers/foreign_controller.c
@@ -1,12 +1,12 @@
 /*
  * Tasks of other instances' jobs on the workers that this instance plans.
  *
- * An instance that owned a rack for a while has placed work there, and goes
- * on driving it when the rack has gone back to its owner. The owner plans
- * such tasks as running work of their accounts, so that they count against
- * guarantees, and stops them where a guaranteed shape is in their place: it
- * asks the instance that drives them, and stops them at the worker itself
- * when that instance is out of reach or lets the limit pass.
+ * An instance that owned a rack for some time has started tasks there and keeps
+ * their leases after the rack returns to its owner. The owner plans such tasks
+ * as running tasks of their accounts, so that they count against guarantees,
+ * and stops them where a guaranteed shape needs their capacity: it asks the
+ * lease holder, and stops them at the worker if the holder is unreachable or
+ * exceeds the time limit.
  */
 #include <assert.h>
 #include <string.h>
@@ -14,30 +14,30 @@
 
 #include "private/core_state.h"
 
-/* The first look at whether a task has stopped; each later one waits twice
- * as long as the one before. */
+/* Delay before the first check whether a task has stopped; it doubles with each
+ * check up to the maximum. */
 #define STOP_POLL_FIRST_US (50 * RJ_US_PER_MS)
 #define STOP_POLL_MAX_US (2 * RJ_US_PER_S)
 
 struct rj_foreign_task {
-	struct rj_list link; /* in its worker's */
+	struct rj_list link; /* in the worker's foreign_tasks */
 	struct rj_upstream *upstream;
-	uint64_t plan_id; /* by which the planner knows it */
+	uint64_t plan_id; /* id used with the planner */
 	struct rj_attempt attempt;
-	uint64_t holder; /* the incarnation that drives it */
+	uint64_t holder; /* incarnation that holds the lease */
 	uint32_t member;
 	uint64_t token;
 	struct rj_resources each;
 	char account[RJ_NAME_BYTES];
 	bool idempotent;
-	bool reported; /* in the report that is being read */
-	uint64_t stop_us; /* stopped at the worker from then on */
-	uint64_t stop_poll_us; /* until the next look */
+	bool reported; /* in the report being processed */
+	uint64_t stop_us; /* from then on stopped at the worker */
+	uint64_t stop_poll_us; /* delay until the next check */
 	struct rj_timer stop_poll;
 };
 
 /*
- * Start with no such task.
+ * Initialises an empty table.
  */
 void rj_foreign_init(struct rj_core_state *core)
 {
@@ -45,15 +45,15 @@
 }
 
 /*
- * Free the table; the tasks are talloc children of the core.
+ * Frees the table; the tasks are talloc children of the core.
  */
 void rj_foreign_finish(struct rj_core_state *core)
 {
 	g_hash_table_destroy(core->foreign);
 }
 
-/* The id of a task towards the planner. One job may have an attempt here and
- * another elsewhere, so the job's own id would stand for two. */
+/* The id of a task with the planner. The job id would be ambiguous: one job may
+ * have an attempt here and another elsewhere. */
 static uint64_t plan_id_of(const struct rj_task_report *task)
 {
 	const uint64_t parts[] = { task->attempt.job_id, task->attempt.owner,
@@ -62,7 +62,7 @@
 	return rj_hash64(parts, sizeof(parts), 0);
 }
 
-/* The planned task that a line of a report is of, or NULL. */
+/* The planned task that a report names, or NULL. */
 static struct rj_foreign_task *
 find_task(const struct rj_core_state *core, const struct rj_upstream *upstream,
 	  const struct rj_task_report *task_report)
@@ -75,7 +75,7 @@
 }
 
 /*
- * Whether the planner counts a reported task as running work of its account.
+ * Whether the planner counts a reported task as a running task of its account.
  */
 bool rj_foreign_is_planned(const struct rj_core_state *core,
 			   const struct rj_upstream *upstream,
@@ -84,8 +84,8 @@
 	return find_task(core, upstream, task_report) != NULL;
 }
 
-/* Whether a job here has this attempt: it is no one else's, or is about to be
- * adopted. */
+/* Whether a job here has this attempt: it belongs to this instance, or is about
+ * to be adopted. */
 static bool is_own(const struct rj_core_state *core,
 		   const struct rj_attempt *attempt)
 {
@@ -97,9 +97,9 @@
 }
 
 /*
- * Whether a reported task may be stopped for others. Work that is not
- * idempotent is stopped by nobody but the instance that drives it, which
- * keeps its checkpoint: here it counts as capacity that is not there.
+ * Whether a reported task may be stopped for others. A non-idempotent task is
+ * stopped only by its lease holder, which saves its checkpoint; here it counts
+ * as capacity in use.
  */
 static bool may_stop(const struct rj_core_state *core,
 		     const struct rj_task_report *task_report)
@@ -118,7 +118,7 @@
 		rj_membership_incarnation_alive(core, task_report->holder));
 }
 
-/* Stop counting a task. */
+/* Removes a task from the plan. */
 static void remove_task(struct rj_core_state *core,
 			struct rj_foreign_task *task)
 {
@@ -131,9 +131,8 @@
 	talloc_free(task);
 }
 
-/* Have every member of the task's gang that is planned here stopped. The
- * instance that drives the gang sees it and stops the rest; if it is dead,
- * the leases of the rest lapse. */
+/* Stops every member of the task's gang that is planned here. The lease holder
+ * sees this and stops the others; if it is dead, their leases expire. */
 static void stop_gang(struct rj_core_state *core,
 		      const struct rj_foreign_task *task)
 {
@@ -154,13 +153,13 @@
 }
 
 /*
- * Look whether a task that was to stop has stopped.
+ * Checks whether a task that has to stop has stopped.
  *
- * Guards against a driver that does not answer: it may be cut off from here
- * and not from the workers, and would renew the lease for ever. It shows as a
- * guaranteed shape that waits for the end of another account's job. Only
- * idempotent work is stopped unheard; its driver reads in the next report
- * that it was stopped, and lets it wait again.
+ * The lease holder may be unreachable from here but not from the workers and
+ * would renew the lease indefinitely, so that a guaranteed shape waits for the
+ * end of another account's job. Past the limit an idempotent task is stopped
+ * without the holder's consent; the holder learns of it from the next report
+ * and requeues the job.
  */
 static void stop_poll_due(struct rj_core_state *core, struct rj_timer *timer)
 {
@@ -177,7 +176,7 @@
 	rj_timer_set(&core->timers, timer, next_us);
 }
 
-/* Count a task as running work of its account. */
+/* Adds a task to the plan as a running task of its account. */
 static struct rj_foreign_task *
 plan_task(struct rj_core_state *core, struct rj_upstream *upstream,
 	  const struct rj_task_report *task_report)
@@ -220,8 +219,8 @@
 }
 
 /*
- * Take from the whole report of an owned worker which tasks of others may be
- * stopped for a guarantee.
+ * Takes from a full report of an owned worker which tasks of other instances
+ * may be stopped for a guarantee.
  */
 void rj_foreign_apply_report(struct rj_core_state *core,
 			     struct rj_upstream *upstream,
@@ -252,8 +251,8 @@
 }
 
 /*
- * This instance plans the worker no more: what others run there is taken as
- * capacity that is not there until the next report.
+ * Handles the loss of ownership of the worker: tasks of other instances there
+ * count as capacity in use until the next report.
  */
 void rj_foreign_disown(struct rj_core_state *core, struct rj_upstream *upstream)
 {
@@ -269,8 +268,8 @@
 	}
 }
 
-/* Ask the instance that drives the task to stop its whole job. Returns
- * whether it is believed alive. */
+/* Asks the lease holder to stop the task's whole job. Returns whether the
+ * holder is believed alive. */
 static bool request_stop(struct rj_core_state *core,
 			 const struct rj_foreign_task *task, uint64_t limit_us)
 {
@@ -289,7 +288,7 @@
 }
 
 /*
- * The planner wants the room of a task that another instance drives.
+ * Reclaims the capacity of a task whose lease another instance holds.
  */
 void rj_foreign_reclaim(struct rj_core_state *core,
 			const struct rj_decision *decision)
--- a/src/libradishjunction/core/controllers/forward_controller.c
+++ b/src/libradishjunction/core/controllers/forward_controller.c
@@ -2,8 +2,8 @@
  * FORWARDED: jobs that a peer serves for a caller here, and jobs that are
  * served here for a peer.
  *
- * A job is forwarded once within its failure domain and once to another one,
- * so that two instances never hand it back and forth.
+ * A job is forwarded at most once within its failure domain and once to another
+ * one, so that two instances never pass it back and forth.
  */
 #include <assert.h>
 #include <string.h>
@@ -12,7 +12,8 @@
 #include "private/core_state.h"
 
 /*
- * Hand the job to a peer. Returns false when the peer has no link.
+ * Forwards the job to a peer. Returns false if the peer is not believed alive;
+ * the job is then unchanged.
  */
 bool rj_job_forward(struct rj_job *job, const char *peer, bool other_domain)
 {
@@ -52,7 +53,7 @@
 }
 
 /*
- * A peer forwards a job to be served here.
+ * Handles a job forwarded by a peer.
  */
 void rj_forward_received(struct rj_core_state *core, const char *peer,
 			 const struct rj_peer_forward *forward)
@@ -60,9 +61,9 @@
 	rj_filters_forward(core, peer, forward);
 }
 
-/* The peer stops, or has lost the log, and this instance does not and has
- * not: serve the job from here. A claim that the peer may have appended
- * decides as any other. */
+/* Whether the job can be served here after a peer's answer: the peer is
+ * draining or has lost the log, and this instance is not and has not. If the
+ * peer appended a claim, the order of the log decides as usual. */
 static bool can_serve_here(const struct rj_job *job,
 			   const struct rj_answer *answer)
 {
@@ -75,16 +76,15 @@
 	if (answer->kind != RJ_ANSWER_UNKNOWN)
 		return false;
 	if (answer->reason == RJ_REASON_IN_PROGRESS)
-		return true; /* it went round: see the filter of repeats */
+		return true; /* it came back to the peer: see the duplicate filter */
 	return rj_log_usable(core) &&
 	       (answer->reason == RJ_REASON_PLATFORM_DOWN ||
 		answer->reason == RJ_REASON_LOG_GAP);
 }
 
 /*
- * A peer answers for a job that was forwarded to it. An answer for another
- * job, or from another peer, or after the job has gone on elsewhere, is
- * dropped.
+ * Handles a peer's answer to a forwarded job. An answer that names another job,
+ * comes from another peer, or arrives after the job was taken back is dropped.
  */
 void rj_forward_answered(struct rj_core_state *core, const char *peer,
 			 const struct rj_peer_forward_answer *answer)
@@ -97,13 +97,13 @@
 	    answer->answer.job_id != job->spec.job_id)
 		return;
 	if (can_serve_here(job, &answer->answer)) {
-		job->hops++; /* not handed back and forth */
+		job->hops++; /* prevents forwarding it back */
 		rj_filters_again(job);
 		return;
 	}
 	relayed = answer->answer;
-	/* True of the peer, but the job ran here before it was handed on, or
-	   may have run at an earlier peer that was lost with it. */
+	/* Correct for the peer, but the job ran here before it was forwarded,
+	 * or may have run at an earlier peer that was lost. */
 	if (relayed.kind == RJ_ANSWER_NOT_RUN && job->ran)
 		relayed.kind = RJ_ANSWER_FAILED;
 	else if (relayed.kind == RJ_ANSWER_NOT_RUN &&
@@ -116,8 +116,7 @@
 }
 
 /*
- * The caller here wants the forwarded job cancelled, or is gone; the peer
- * answers for what became of it.
+ * Cancels a forwarded job at the peer, which reports what became of it.
  */
 void rj_forward_cancel(struct rj_job *job)
 {
@@ -129,7 +128,7 @@
 	job->cancelled = true;
 }
 
-/* The waiter of a job that stands for a peer's forward, or NULL. */
+/* The waiter that represents a peer's forward, or NULL. */
 static struct rj_waiter *find_waiter(struct rj_job *job, const char *peer,
 				     uint64_t forward_id)
 {
@@ -148,9 +147,9 @@
 }
 
 /*
- * A peer wants a job cancelled that it had forwarded here, or stopped since
- * it runs in the place of a guarantee. Others may wait for a cancelled job by
- * its key: then it goes on for them.
+ * Handles a peer's request to cancel a job that it forwarded here, or to stop
+ * one that runs on capacity reclaimed for a guarantee. If others wait for a
+ * cancelled job by its key, it continues for them.
  */
 void rj_forward_cancelled(struct rj_core_state *core, const char *peer,
 			  const struct rj_peer_cancel *cancel)
@@ -167,10 +166,10 @@
 }
 
 /*
- * The link to a peer ended. What was forwarded to it may run or may have
- * run: work that may run again is served anew, and keyed work too, since its
- * claim decides which attempt may start. What the peer waits for here goes
- * on; its answers find no link and are dropped.
+ * Handles the loss of the link to a peer. Jobs forwarded to it may run or have
+ * run there: they are served again, keyed jobs too, since a claim decides which
+ * attempt may start. Jobs that the peer waits for here continue; their answers
+ * are dropped while there is no link.
  */
 void rj_forward_peer_lost(struct rj_core_state *core, const char *peer)
 {
--- a/src/libradishjunction/core/controllers/jobs_controller.c
+++ b/src/libradishjunction/core/controllers/jobs_controller.c
@@ -1,7 +1,7 @@
 /*
- * The table of jobs that this instance serves, who waits for them, and how
- * they end. What happens in each state is in the controllers of placement,
- * claims, runs and forwarding.
+ * The table of jobs that this instance serves, their waiters, and how they end.
+ * What happens in each state is in the controllers for placement, claims, runs
+ * and forwarding.
  */
 #include <assert.h>
 #include <string.h>
@@ -21,7 +21,7 @@
 	[RJ_JOB_ENDED] = "ended",
 };
 
-/* The regular round over what the log and dead instances left open. */
+/* Periodic check of what the log and dead instances left open. */
 static void tick_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	rj_log_tick(core);
@@ -29,7 +29,7 @@
 	rj_timer_set(&core->timers, timer, core->now_us + TICK_INTERVAL_US);
 }
 
-/* The planner wants a pass without an event. */
+/* The planner requested a pass at this time. */
 static void plan_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	(void)timer;
@@ -37,7 +37,7 @@
 }
 
 /*
- * Start with no job.
+ * Initialises an empty job table and starts the periodic check.
  */
 void rj_jobs_init(struct rj_core_state *core)
 {
@@ -59,7 +59,7 @@
 }
 
 /*
- * Free the tables; jobs and calls are talloc children of the core.
+ * Frees the tables; jobs and calls are talloc children of the core.
  */
 void rj_jobs_finish(struct rj_core_state *core)
 {
@@ -73,20 +73,20 @@
 }
 
 /*
- * A job of this instance by its id, or NULL.
+ * Returns the job with this id, or NULL.
  */
 struct rj_job *rj_jobs_find(const struct rj_core_state *core, uint64_t job_id)
 {
 	return g_hash_table_lookup(core->jobs.by_id, &job_id);
 }
 
-/* The caller's deadline has passed. */
+/* The deadline set by the caller has passed. */
 static void deadline_due(struct rj_core_state *core, struct rj_timer *timer);
 
-/* The retry or the limit of the present state is due. */
+/* The retry delay or the time limit of the current state has passed. */
 static void step_due(struct rj_core_state *core, struct rj_timer *timer);
 
-/* Count a job under its account and under its class. */
+/* Adds `change` to the number of open jobs of the job's account and class. */
 static void update_open_counts(struct rj_core_state *core,
 			       const struct rj_job *job, int change)
 {
@@ -103,7 +103,7 @@
 }
 
 /*
- * How many jobs of an account, or of a class, this instance has open.
+ * Returns the number of open jobs of a class if `of_class`, else of an account.
  */
 uint32_t rj_jobs_open_count(const struct rj_core_state *core, bool of_class,
 			    const char *name)
@@ -113,8 +113,9 @@
 }
 
 /*
- * Add a job to the table. `class` may be NULL for one whose class was
- * removed from the configuration: it is then treated with the most care.
+ * Adds a job to the table, in state QUEUED. `class` is NULL if the class was
+ * removed from the configuration; the job then counts as non-idempotent and
+ * without checkpoints.
  */
 struct rj_job *rj_job_new(struct rj_core_state *core,
 			  const struct rj_job_spec *spec,
@@ -147,8 +148,8 @@
 }
 
 /*
- * Enter a state. The timer of the state before is cleared: it must not fire
- * into this one.
+ * Enters a state. Clears the timer of the previous state, which must not fire
+ * in the new one.
  */
 void rj_job_enter_state(struct rj_job *job, enum rj_job_state state)
 {
@@ -158,7 +159,7 @@
 }
 
 /*
- * Drop a job that nobody waits for any more.
+ * Frees a job that has no waiters.
  */
 void rj_job_free(struct rj_job *job)
 {
@@ -179,8 +180,8 @@
 }
 
 /*
- * Let a caller (`request_id`) or a peer (`peer`, `forward_id`) wait for the
- * job's answer.
+ * Adds a waiter for the job's answer: a caller (`request_id`) or a peer (`peer`
+ * and `forward_id`).
  */
 void rj_job_add_waiter(struct rj_job *job, uint64_t request_id,
 		       const char *peer, uint64_t forward_id)
@@ -201,7 +202,6 @@
 	job->core->jobs.open++;
 }
 
-/* Take a waiter off its job. */
 static void waiter_free(struct rj_waiter *waiter)
 {
 	struct rj_core_state *core = waiter->job->core;
@@ -213,7 +213,7 @@
 	talloc_free(waiter);
 }
 
-/* Answer a peer that had forwarded the job here. */
+/* Answers a peer that forwarded the job here. */
 static void answer_peer(struct rj_core_state *core,
 			const struct rj_waiter *waiter,
 			const struct rj_answer *answer)
@@ -229,7 +229,7 @@
 }
 
 /*
- * Answer all who wait for the job; nobody waits afterwards.
+ * Answers and removes all waiters.
  */
 void rj_job_answer_waiters(struct rj_job *job, const struct rj_answer *answer)
 {
@@ -249,8 +249,8 @@
 }
 
 /*
- * Whether the job has ended and its answer may be told already. That an
- * accepted job did not run is told only when the log has said so.
+ * Whether the job has ended and its answer may be sent. That an accepted job
+ * did not run may be reported only once its outcome was read back from the log.
  */
 bool rj_job_answer_is_final(const struct rj_job *job)
 {
@@ -259,7 +259,7 @@
 }
 
 /*
- * Answer all who wait for the job, without a result.
+ * Answers and removes all waiters, without a result.
  */
 void rj_job_answer_without_result(struct rj_job *job, enum rj_answer_kind kind,
 				  enum rj_reason reason,
@@ -276,13 +276,13 @@
 }
 
 /*
- * End the job: its capacity is free, all who wait are answered, and an
- * outcome goes to the log where the log knows of the job. It then stays in
- * the table until that record was read.
+ * Ends the job: frees its capacity, answers the waiters, and appends an outcome
+ * if the log has a record of the job. The job then stays in the table until the
+ * outcome was read back.
  *
- * That an accepted job did not run is said only when its outcome was read
- * back: a peer that took this instance for dead may have claimed the job, and
- * the log's order decides whether that claim or this outcome came first.
+ * That an accepted job did not run is reported only after reading the outcome
+ * back: a peer that believed this instance dead may have claimed the job, and
+ * the order of the log decides whether the claim or the outcome came first.
  */
 void rj_job_end(struct rj_job *job, const struct rj_answer *answer)
 {
@@ -308,7 +308,7 @@
 }
 
 /*
- * End the job with an answer that has no result.
+ * Ends the job with an answer that has no result.
  */
 void rj_job_end_without_result(struct rj_job *job, enum rj_answer_kind kind,
 			       enum rj_reason reason, uint64_t retry_after_us)
@@ -323,11 +323,10 @@
 }
 
 /*
- * End a job of which this instance has started nothing and will start
- * nothing. Without a key that is `not_run`. With a key it is `unknown`: what
- * was read of the log is older than this moment, and another request with
- * the same key may have been started elsewhere since. Asking again with the
- * same key is safe.
+ * Ends a job of which this instance has started nothing and will start nothing.
+ * Without a key the answer is `not_run`. With a key it is `unknown`: the log
+ * may contain newer records, and another request with the same key may have
+ * been started elsewhere. Retrying with the same key is safe.
  */
 void rj_job_not_started(struct rj_job *job, enum rj_reason reason,
 			uint64_t retry_after_us)
@@ -341,11 +340,12 @@
 }
 
 /*
- * Whether another instance ever had a claim of the job open.
+ * Whether another instance ever had an open claim of the job.
  *
- * Guards against a void that says less than it seems: work that may run again
- * is voided also after a start whose answer was lost. It shows as "not run" of
- * a job that ran at a peer in an attempt that the peer gave up.
+ * A void record does not prove that nothing ran: an idempotent job is voided
+ * also after a start whose answer was lost. Without this check a job that ran
+ * at a peer, in an attempt that the peer abandoned, would be reported as
+ * `not_run`.
  */
 static bool claimed_elsewhere(const struct rj_job *job)
 {
@@ -360,13 +360,12 @@
 
 /*
  * Whether another request with the job's key may be served elsewhere by now,
- * whatever became of this one. What an accepted job came to is told only
- * when it was read back from the log; what was read of any other is older
- * than this moment.
+ * whatever became of this one. An accepted job is answered only from the log;
+ * for any other job the log may contain newer records.
  *
- * Guards against an instance that reads its own claim back after a pause: a
- * peer may have voided it since and served the key. It shows as a charge
- * that is done and "not run".
+ * An instance that reads its own claim back after a pause may be too late: a
+ * peer may have voided the claim and served the key. A job that ran would be
+ * reported as `not_run`.
  */
 static bool key_may_run_elsewhere(const struct rj_job *job)
 {
@@ -374,9 +373,9 @@
 }
 
 /*
- * End a job whose present attempt has stopped, or never started: `failed`
- * only if a worker said that it ran, and `not_run` only if no attempt was
- * started, here, at a peer that was lost or under the same key.
+ * Ends a job whose current attempt has stopped or never started. The answer is
+ * `failed` only if a worker reported that it ran, and `not_run` only if no
+ * attempt was started here, at a lost peer or under the same key.
  */
 void rj_job_abandon(struct rj_job *job, enum rj_reason reason,
 		    uint64_t retry_after_us)
@@ -392,7 +391,8 @@
 }
 
 /*
- * Answer the waiters when `in_us` have passed, with what is true then.
+ * Sets the time after which the waiters are answered with the state reached by
+ * then, in microseconds from now. 0 sets no deadline.
  */
 void rj_job_set_deadline(struct rj_job *job, uint64_t in_us)
 {
@@ -403,8 +403,8 @@
 }
 
 /*
- * Tell the waiters that the job may have run or may still run, and when to
- * ask again.
+ * Answers the waiters that the job may have run or may still run, with a retry
+ * time.
  */
 void rj_job_answer_in_progress(struct rj_job *job, enum rj_reason reason)
 {
@@ -432,7 +432,7 @@
 	case RJ_JOB_STARTING:
 	case RJ_JOB_RUNNING:
 		rj_job_answer_in_progress(job, RJ_REASON_DEADLINE_PASSED);
-		/* Nobody waits for it and nobody can ask for it again. */
+		/* It has no waiter left and cannot be asked for again. */
 		if (!job->accepted && !job->claimed)
 			rj_job_cancel(job, RJ_REASON_DEADLINE_PASSED);
 		break;
@@ -443,7 +443,7 @@
 		break;
 	case RJ_JOB_CLAIMING:
 	case RJ_JOB_SETTLING:
-		/* What has not started need not start any more. */
+		/* What has not started need not be started. */
 		job->cancelled = !job->accepted;
 		rj_job_answer_in_progress(job, RJ_REASON_DEADLINE_PASSED);
 		break;
@@ -492,9 +492,8 @@
 }
 
 /*
- * End the job's work for a caller's cancellation, or because nobody waits
- * for it. What has started is stopped first; the answer then says whether it
- * ran.
+ * Cancels the job, for a caller or because it has no waiter left. A started job
+ * is stopped first; its answer then tells whether it ran.
  */
 void rj_job_cancel(struct rj_job *job, enum rj_reason reason)
 {
@@ -541,8 +540,9 @@
 }
 
 /*
- * A caller's connection has closed: nobody is answered. Work that only this
- * caller wanted, and that nobody can ask for again, is cancelled.
+ * Handles a closed caller connection: its waiter is removed without an answer.
+ * A job that only this caller waited for and that cannot be asked for again is
+ * cancelled.
  */
 void rj_jobs_caller_disconnected(struct rj_core_state *core,
 				 uint64_t request_id)
--- a/src/libradishjunction/core/controllers/log_controller.c
+++ b/src/libradishjunction/core/controllers/log_controller.c
@@ -1,9 +1,9 @@
 /*
- * Reading the log's streams and appending to them.
+ * Reads the log's streams and appends to them.
  *
- * Appends of one stream go one at a time and carry all that waits (group
- * commit), at this instance's share of the log's rate. What became of an
- * append is told to the claims controller; what was read, to the claims or
+ * Each stream has at most one append in flight, which carries all waiting
+ * records (group commit), at this instance's share of the log's rate limit.
+ * Failed appends are passed to the claims controller, records to the claims or
  * the configuration controller.
  */
 #include <assert.h>
@@ -12,19 +12,23 @@
 
 #include "private/core_state.h"
 
-/* A cut that answers nothing shows after this long and the adapter's slack. */
+/* Duration of a long poll. A partition that drops answers is detected after
+ * this time plus the adapter's margin. */
 #define READ_WAIT_US (2 * RJ_US_PER_S)
-/* A publication ends the wait at once; nothing else hangs on this stream. */
+/* A new configuration ends the long poll at once, and nothing else depends on
+ * this stream. */
 #define CONFIG_READ_WAIT_US (10 * RJ_US_PER_S)
 #define READ_BACKOFF_FIRST_US (100 * RJ_US_PER_MS)
 #define READ_BACKOFF_MAX_US (1 * RJ_US_PER_S)
-/* Without an answer for this long, nothing new may depend on the log. */
+/* Without an answer for this long, nothing new that depends on the log
+ * starts. */
 #define READ_STALE_US (5 * RJ_US_PER_S)
-/* 24 instances of one user stay under 500 appends a second at 50 ms. */
+/* At 50 ms, 24 instances of one platform user stay below 500 appends per
+ * second. */
 #define APPEND_INTERVAL_US (50 * RJ_US_PER_MS)
 #define APPEND_RECORDS_MAX 64
 
-/* Ask for what follows the last record that was read. */
+/* Requests the records after the last one read. */
 static void read_next(struct rj_core_state *core, struct rj_log_stream *stream)
 {
 	struct rj_action *action;
@@ -43,13 +47,14 @@
 					 READ_WAIT_US;
 }
 
-/* The back-off after a failed read is over. */
+/* The back-off after a failed read has passed. */
 static void retry_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	read_next(core, RJ_CONTAINER(timer, struct rj_log_stream, retry));
 }
 
-/* Send all that waits in one append, unless one is out already. */
+/* Sends up to APPEND_RECORDS_MAX waiting records in one append, unless one is
+ * in flight or the rate limit does not allow it yet. */
 static void start_append(struct rj_core_state *core,
 			 struct rj_log_stream *stream)
 {
@@ -85,7 +90,7 @@
 	action->u.append.count = count;
 }
 
-/* This instance's share allows the next append. */
+/* The rate limit allows the next append. */
 static void append_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	start_append(core,
@@ -93,7 +98,7 @@
 }
 
 /*
- * Make the streams, not read yet.
+ * Initialises the streams; nothing is read yet.
  */
 void rj_log_init(struct rj_core_state *core)
 {
@@ -108,7 +113,7 @@
 }
 
 /*
- * Start reading every stream from its oldest record.
+ * Starts reading every stream at its oldest record.
  */
 void rj_log_start(struct rj_core_state *core)
 {
@@ -117,13 +122,13 @@
 }
 
 /*
- * Queue one record for the next append of `stream`; it is copied with all
- * that it points to.
+ * Queues one record for the next append to `stream`. The record is copied with
+ * all that it points to.
  */
-void rj_log_append(struct rj_core_state *core, enum rj_stream which,
+void rj_log_append(struct rj_core_state *core, enum rj_stream stream_id,
 		   const struct rj_record *record)
 {
-	struct rj_log_stream *stream = &core->streams[which];
+	struct rj_log_stream *stream = &core->streams[stream_id];
 	struct rj_record *copy;
 
 	copy = talloc_memdup(core, record, sizeof(*record));
@@ -146,7 +151,7 @@
 }
 
 /*
- * Whether nothing waits to be appended and no append is out.
+ * Whether no record waits to be appended and no append is in flight.
  */
 bool rj_log_idle(const struct rj_core_state *core)
 {
@@ -158,13 +163,13 @@
 }
 
 /*
- * Whether work may be started that depends on the log: every key still in
- * the log is known here, and a read that was sent a short while ago was answered.
+ * Whether work that depends on the log may start: every key still in the log is
+ * known here, and a recently sent read was answered.
  *
- * Guards against an instance that starts empty, or was paused: it would take
- * an old key for a new one and run its job twice. An answer proves nothing
- * beyond the time at which its read was sent, since it may have lain here
- * while this process was paused.
+ * An instance that starts without state, or was paused, would take an old key
+ * for a new one and run its job twice. An answer is only as fresh as the time
+ * at which its read was sent, since it may have been buffered while this
+ * process was paused.
  */
 bool rj_log_usable(const struct rj_core_state *core)
 {
@@ -176,15 +181,15 @@
 }
 
 /*
- * Why the log is not usable: it cannot be reached, or older keys may be
- * missing in what was read of it.
+ * Why the log is not usable: it is unreachable, or older keys may be missing
+ * from what was read.
  */
 enum rj_reason rj_log_unavailable_reason(const struct rj_core_state *core)
 {
 	return core->platform_up ? RJ_REASON_LOG_GAP : RJ_REASON_PLATFORM_DOWN;
 }
 
-/* The platform has stopped answering, or its answers are not to be had. */
+/* The platform has stopped answering reads. */
 static void mark_platform_down(struct rj_core_state *core)
 {
 	if (!core->platform_up)
@@ -194,8 +199,9 @@
 }
 
 /*
- * What a whole log says can be known only from a record that is nearly as old
- * as the log keeps any; all that still matters was carried since then.
+ * Whether the log still holds the records of its whole retention: the oldest
+ * record is nearly as old as the retention. Everything still needed was
+ * re-appended since then.
  */
 static bool covers_retention(const struct rj_core_state *core,
 			     const struct rj_records *records)
@@ -206,16 +212,17 @@
 }
 
 /*
- * This reader goes on at the oldest record that the log keeps, because it is
- * new, or records were dropped that it had not seen. A log that reaches back
- * says all, so what was known before is forgotten.
+ * Continues at the oldest record in the log, because this reader is new or
+ * records that it had not read were trimmed. If the log covers its retention,
+ * it is complete, and the previous state is discarded.
  *
- * Guards against a log that was trimmed before its time, whose claims nobody
- * has carried yet: a key that runs or ran would seem new, and its job would
- * run twice. Such a log shows by the age of its oldest record. Until a peer
- * that has no gap says that what it knows can be read here, or every key from
- * before has ended its life, `rj_log_usable` says no. What was known before
- * is kept then: nobody else may know it, and what a peer carries counts more.
+ * A log that was trimmed early lacks claims that no instance has re-appended
+ * yet: a key that runs or ran would appear new and its job would run twice. The
+ * age of the oldest record shows this. `rj_log_usable` then returns false until
+ * a peer without a gap confirms that all it knows was read here, or until the
+ * lifetime of every earlier key has passed. The previous state is kept in that
+ * case, since no other instance may have it, and records carried by peers take
+ * precedence.
  */
 static void restart_at_oldest(struct rj_core_state *core,
 			      struct rj_log_stream *stream,
@@ -235,7 +242,7 @@
 			    "jobs");
 }
 
-/* Whether a peer without a gap says that all it knows was read here. */
+/* Whether a peer without a gap reports that all it knows was read here. */
 static bool peer_confirms_complete(const struct rj_core_state *core)
 {
 	const struct rj_log_stream *stream = &core->streams[RJ_STREAM_JOBS];
@@ -255,17 +262,17 @@
 }
 
 /*
- * Look whether older keys may still be missing here.
+ * Ends the gap when older keys can no longer be missing.
  */
 void rj_log_check_gap(struct rj_core_state *core)
 {
-	uint64_t life_us;
+	uint64_t key_lifetime_us;
 
 	if (!core->ledger.gap_us || !core->config)
 		return;
-	life_us = core->config->limits.key_life_s * RJ_US_PER_S;
+	key_lifetime_us = core->config->limits.key_life_s * RJ_US_PER_S;
 	if (!peer_confirms_complete(core)) {
-		if (core->now_us <= core->ledger.gap_us + life_us)
+		if (core->now_us <= core->ledger.gap_us + key_lifetime_us)
 			return;
 		rj_job_ledger_doubt(&core->ledger);
 	}
@@ -274,7 +281,8 @@
 }
 
 /*
- * Say from where on the jobs' records can be read to know what is known here.
+ * Fills the range of `jobs` records that has to be read to know what this
+ * instance knows.
  */
 void rj_log_fill_heartbeat(const struct rj_core_state *core,
 			   struct rj_peer_heartbeat *heartbeat)
@@ -288,7 +296,7 @@
 		const struct rj_job_entry *entry =
 			RJ_CONTAINER(at, struct rj_job_entry, link);
 
-		/* Who doubts a job vouches for nothing. */
+		/* Confirms nothing while the state of a job is uncertain. */
 		if (entry->doubtful && !entry->settled)
 			heartbeat->log_from = 0;
 		if (rj_job_entry_matters(entry) &&
@@ -298,9 +306,8 @@
 }
 
 /*
- * Append a record that says nothing when the log has been quiet for a while,
- * so that who starts on it can tell a quiet log from one that was trimmed
- * before its time.
+ * Appends an empty record to a log without recent records, so that a new reader
+ * can tell an idle log from one that was trimmed early.
  */
 static void append_keepalive(struct rj_core_state *core,
 			     struct rj_log_stream *stream)
@@ -319,7 +326,7 @@
 }
 
 /*
- * The regular round.
+ * Runs the periodic checks of the log.
  */
 void rj_log_tick(struct rj_core_state *core)
 {
@@ -327,7 +334,7 @@
 	append_keepalive(core, &core->streams[RJ_STREAM_JOBS]);
 }
 
-/* Note when the newest record that was read was appended. */
+/* Records when the newest record read was appended. */
 static void update_newest_time(const struct rj_core_state *core,
 			       struct rj_log_stream *stream,
 			       const struct rj_records *records)
@@ -338,7 +345,7 @@
 }
 
 /*
- * Apply what a read of a stream brought, and read on.
+ * Applies the result of a read of a stream and continues reading.
  */
 void rj_log_receive_records(struct rj_core_state *core,
 			    const struct rj_records *records)
@@ -348,7 +355,7 @@
 	if (!stream->reading)
 		return;
 	stream->reading = false;
-	/* The place to read from has moved since: ask again from there. */
+	/* The read position has changed since: ask again from there. */
 	if (records->from != stream->next) {
 		read_next(core, stream);
 		return;
@@ -376,7 +383,8 @@
 		rj_log_check_gap(core);
 		if (stream->caught_up) {
 			core->jobs.plan_wanted = true;
-			/* An answer from before the pause proves nothing. */
+			/* An answer to a read sent before the pause proves
+			 * nothing. */
 			if (stream->fresh_us >= core->woke_us)
 				core->woke_us = 0;
 		}
@@ -385,11 +393,11 @@
 }
 
 /*
- * A read was not answered: try again after a back-off with jitter.
+ * Handles a failed read: retries after an exponential back-off with jitter.
  */
-void rj_log_read_failed(struct rj_core_state *core, enum rj_stream which)
+void rj_log_read_failed(struct rj_core_state *core, enum rj_stream stream_id)
 {
-	struct rj_log_stream *stream = &core->streams[which];
+	struct rj_log_stream *stream = &core->streams[stream_id];
 
 	if (!stream->reading)
 		return;
@@ -405,8 +413,8 @@
 }
 
 /*
- * What became of an append. A lost answer is not a refusal: the records may
- * be in the log, and reading will tell.
+ * Handles the result of an append. After a lost answer the records may still be
+ * in the log; reading it tells.
  */
 void rj_log_appended(struct rj_core_state *core,
 		     const struct rj_appended *appended)
--- a/src/libradishjunction/core/controllers/membership_controller.c
+++ b/src/libradishjunction/core/controllers/membership_controller.c
@@ -1,9 +1,9 @@
 /*
- * The other instances: who is believed alive, and who owns what.
+ * The other instances: which are believed alive, and who owns what.
  *
- * The view is built from the settings, the platform's lagging list and the
- * peers' heartbeats, and may be wrong: ownership decides who acts first,
- * while leases and the log's order decide who may.
+ * The view is built from the settings, the platform's list, which lags, and the
+ * peers' heartbeats. It may be wrong: ownership decides who acts first, while
+ * leases and the order of the log decide who may.
  */
 #include <assert.h>
 #include <string.h>
@@ -12,17 +12,19 @@
 #include "private/core_state.h"
 
 #define HEARTBEAT_INTERVAL_US (1 * RJ_US_PER_S)
-/* So many may be lost on a bad link before a peer counts as dead. */
+/* Heartbeats that may be lost on a poor link before a peer counts as dead. */
 #define HEARTBEATS_LOST_MAX 3
 #define ALIVE_TIMEOUT_US \
 	(HEARTBEATS_LOST_MAX * HEARTBEAT_INTERVAL_US + 500 * RJ_US_PER_MS)
-/* Links to each other failure domain: one may fail, and traffic stays flat. */
+/* Links to each other failure domain: one may fail, and the traffic stays
+ * constant. */
 #define LINKS_PER_OTHER_DOMAIN 2
 #define LIST_INTERVAL_US (2 * RJ_US_PER_S)
-/* Until the first list has come, nothing can be served. */
+/* Nothing can be served until the first list has arrived. */
 #define LIST_STARTUP_INTERVAL_US (300 * RJ_US_PER_MS)
 
-/* Add a peer to the view, or find it. */
+/* Returns the peer with this name, added if it is new, or NULL for this
+ * instance's own name. */
 static struct rj_member_view *find_or_add_member(struct rj_core_state *core,
 						 const char *name)
 {
@@ -40,7 +42,7 @@
 }
 
 /*
- * A peer by its name, or NULL.
+ * Returns the peer with this name, or NULL.
  */
 struct rj_member_view *rj_membership_find(struct rj_core_state *core,
 					  const char *name)
@@ -59,17 +61,18 @@
 }
 
 /*
- * Of how many heartbeats one goes to other failure domains, where there are
- * `domains` of them in all: the more there are, the fewer each one hears, so
- * that their sum stays flat. Up to four domains each one is sent. An instance
- * that dies shows at once by its link; only one that is cut off shows later.
+ * Returns n such that every n-th heartbeat goes to other failure domains, of
+ * `domains` in all. More domains each receive fewer heartbeats, so that the
+ * total stays constant; with up to four domains each gets every heartbeat. A
+ * dead instance is noticed at once by its closed link; only a partitioned one
+ * is noticed later.
  */
 uint32_t rj_membership_cross_domain_interval(uint32_t domains)
 {
 	return MAX((domains - 1) / LINKS_PER_OTHER_DOMAIN, 1);
 }
 
-/* The same for the domains of the configuration in force. */
+/* The same for the configuration in force. */
 static uint32_t cross_domain_interval(const struct rj_core_state *core)
 {
 	return rj_membership_cross_domain_interval(
@@ -77,8 +80,8 @@
 }
 
 /*
- * Whether a peer is believed alive: its link stands and it was heard from a
- * short while ago.
+ * Whether a peer is believed alive: its link is up and a heartbeat arrived
+ * recently.
  */
 bool rj_membership_alive(const struct rj_core_state *core,
 			 const struct rj_member_view *member)
@@ -93,8 +96,8 @@
 }
 
 /*
- * Whether work may be handed to a peer: it is believed alive and does not
- * stop.
+ * Whether jobs may be handed to a peer: it is believed alive and is not
+ * draining.
  */
 bool rj_membership_accepts_jobs(const struct rj_core_state *core,
 				const struct rj_member_view *member)
@@ -103,8 +106,7 @@
 }
 
 /*
- * The peer with this incarnation, or NULL when none that is believed alive
- * has it.
+ * Returns the name of the live peer with this incarnation, or NULL.
  */
 const char *rj_membership_name_by_incarnation(const struct rj_core_state *core,
 					      uint64_t incarnation)
@@ -124,7 +126,8 @@
 }
 
 /*
- * Whether the instance with this incarnation is believed alive; this one is.
+ * Whether the instance with this incarnation is believed alive; true for this
+ * instance.
  */
 bool rj_membership_incarnation_alive(const struct rj_core_state *core,
 				     uint64_t incarnation)
@@ -134,14 +137,15 @@
 }
 
 /*
- * How many connections to a worker of the own failure domain this instance
- * may have now: those of an owner, as long as it hears all the others.
+ * Returns how many connections to a worker of its failure domain this instance
+ * may open now: the share of an owner while it receives heartbeats from all
+ * peers of the domain.
  *
- * Guards against instances that do not hear each other, each of which takes
- * itself for the owner of every rack: eight of them would ask a worker for
- * 112 connections of its 64, and whom it refuses could not renew its leases.
- * Each of them knows the others from the settings and the list and leaves
- * them their share, and the former owner what it has open.
+ * Instances that cannot reach each other each believe that they own every rack:
+ * eight of them would request 112 connections from a worker that allows 64, and
+ * those it refuses could not renew their leases. Each of them knows the others
+ * from the settings and the list, and leaves them their share, and the former
+ * owner the connections it has open.
  */
 uint32_t rj_membership_worker_connections(const struct rj_core_state *core)
 {
@@ -172,7 +176,8 @@
 }
 
 /*
- * Start a message to a peer; the caller fills it. It is lost without a link.
+ * Adds a message to a peer and returns it for the caller to fill. The message
+ * is dropped if there is no link.
  */
 struct rj_peer_message *rj_membership_send(struct rj_core_state *core,
 					   const char *peer,
@@ -194,8 +199,8 @@
 }
 
 /*
- * Send a copy of `message`, which points to nothing, to every connected peer
- * of this failure domain.
+ * Sends a copy of `message`, which must contain no pointers, to every connected
+ * peer of this failure domain.
  */
 void rj_membership_send_domain(struct rj_core_state *core,
 			       const struct rj_peer_message *message)
@@ -213,7 +218,7 @@
 	}
 }
 
-/* Fill a heartbeat of this instance, but for what differs by link. */
+/* Fills the fields of a heartbeat that are the same for all peers. */
 static void fill_heartbeat(struct rj_core_state *core,
 			   struct rj_peer_heartbeat *heartbeat)
 {
@@ -234,7 +239,7 @@
 	rj_log_fill_heartbeat(core, heartbeat);
 }
 
-/* Tell one peer how this instance is, and what was lost on the link. */
+/* Sends a heartbeat to one peer, with the message counts of its link. */
 static void send_heartbeat(struct rj_core_state *core,
 			   const struct rj_member_view *member,
 			   const struct rj_peer_heartbeat *heartbeat)
@@ -248,8 +253,8 @@
 	out->lost = member->lost;
 }
 
-/* Tell the connected peers how this instance is: those of its own failure
- * domain, and all others too where `others` says so. */
+/* Sends a heartbeat to the connected peers of this failure domain and, if
+ * `others`, of all other domains. */
 static void send_heartbeats(struct rj_core_state *core, bool others)
 {
 	struct rj_peer_heartbeat message;
@@ -268,21 +273,21 @@
 }
 
 /*
- * Tell every connected peer how this instance is.
+ * Sends a heartbeat to every connected peer.
  */
 void rj_membership_send_heartbeats(struct rj_core_state *core)
 {
 	send_heartbeats(core, true);
 }
 
-/* What this instance owns may have changed. */
+/* The racks owned by this instance may have changed. */
 static void on_view_changed(struct rj_core_state *core)
 {
 	rj_racks_update_ownership(core);
 	rj_drain_hand_over_jobs(core);
 }
 
-/* A digest of who is alive and not draining, to see a change of it. */
+/* A digest of who is alive and not draining, to detect changes. */
 static uint64_t view_digest(const struct rj_core_state *core)
 {
 	uint64_t digest = core->stopping + 2 * rj_ownership_cut_off(core);
@@ -300,10 +305,10 @@
 	return digest;
 }
 
-/* Note since when only peers of the failure domain have the log. */
+/* Records since when only peers of this failure domain can use the log. */
 static void update_log_isolation(struct rj_core_state *core)
 {
-	bool alone = false;
+	bool isolated = false;
 	struct rj_list *at;
 	struct rj_list *next;
 
@@ -313,15 +318,16 @@
 
 		if (member->log_usable && rj_membership_alive(core, member) &&
 		    !strcmp(member->domain, core->domain))
-			alone = !rj_log_usable(core);
+			isolated = !rj_log_usable(core);
 	}
-	if (!alone)
+	if (!isolated)
 		core->membership.log_isolated_us = 0;
 	else if (!core->membership.log_isolated_us)
 		core->membership.log_isolated_us = core->now_us;
 }
 
-/* The regular round: heartbeats out, and a look at who has gone silent. */
+/* Periodic round: sends heartbeats and checks which peers have become
+ * unreachable. */
 static void heartbeat_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	uint64_t digest;
@@ -341,7 +347,7 @@
 		     core->now_us + HEARTBEAT_INTERVAL_US);
 }
 
-/* Time to read the platform's list again. */
+/* Reads the platform's list again. */
 static void list_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	rj_actions_add(core->actions, RJ_ACTION_LIST);
@@ -353,7 +359,8 @@
 						   LIST_STARTUP_INTERVAL_US));
 }
 
-/* How many peers of the same domain as `member` rank before it here. */
+/* How many peers of `member`'s failure domain precede it in the link order of
+ * this instance. */
 static uint32_t link_rank(const struct rj_core_state *core,
 			  const struct rj_member_view *member)
 {
@@ -376,8 +383,8 @@
 }
 
 /*
- * Keep links to all of the own failure domain and to a few instances of each
- * other one; drop the rest.
+ * Maintains links to all peers of this failure domain and to a few in each
+ * other one; drops the others.
  */
 static void update_links(struct rj_core_state *core)
 {
@@ -405,7 +412,8 @@
 	}
 }
 
-/* Take a line of the settings or of the platform's list into the view. */
+/* Adds an instance from the settings or from the platform's list to the view,
+ * or updates it. */
 static void apply_instance(struct rj_core_state *core,
 			   const struct rj_instance *instance)
 {
@@ -418,7 +426,7 @@
 	    (strcmp(member->address.ip, instance->address.ip) ||
 	     member->address.port != instance->address.port))
 		member->link_wanted =
-			false; /* connect again, to the new address */
+			false; /* connect again to the new address */
 	g_strlcpy(member->domain, instance->domain, sizeof(member->domain));
 	member->address = instance->address;
 	member->listed = true;
@@ -427,7 +435,7 @@
 }
 
 /*
- * Make the view from the peers of the settings.
+ * Initialises the view with the peers in the settings.
  */
 void rj_membership_init(struct rj_core_state *core,
 			const struct rj_core_options *options)
@@ -446,7 +454,7 @@
 }
 
 /*
- * Connect to the first peers, and start the rounds.
+ * Connects to the first peers and starts the periodic work.
  */
 void rj_membership_start(struct rj_core_state *core)
 {
@@ -461,9 +469,9 @@
 }
 
 /*
- * Take the platform's list of entry instances. It lags: an instance that is
- * not in it yet, or no more, keeps its link as long as that stands, and one
- * that the settings name is tried for good.
+ * Applies the platform's list of entry instances. The list lags: an instance
+ * that is not yet, or no longer, listed keeps its link while that is up, and a
+ * peer in the settings is reconnected to without limit.
  */
 void rj_membership_apply_list(struct rj_core_state *core,
 			      const struct rj_instance *list, uint32_t count)
@@ -484,8 +492,8 @@
 }
 
 /*
- * A link stands: say at once who this is, which configuration is in force
- * and what is free.
+ * Handles a new link: sends a heartbeat, the configuration in force and the
+ * free capacity at once.
  */
 void rj_membership_link_up(struct rj_core_state *core, const char *name)
 {
@@ -509,8 +517,8 @@
 }
 
 /*
- * A link ended: whatever was forwarded over it may be lost, and what the
- * peer owned is owned by others now.
+ * Handles a closed link: jobs forwarded over it may be lost, and other
+ * instances now own what the peer owned.
  */
 void rj_membership_link_down(struct rj_core_state *core, const char *name)
 {
@@ -526,7 +534,7 @@
 }
 
 /*
- * A message other than a heartbeat came from a peer.
+ * Counts a message other than a heartbeat from a peer.
  */
 void rj_membership_count_received(struct rj_core_state *core, const char *name)
 {
@@ -537,14 +545,14 @@
 }
 
 /*
- * See by a peer's heartbeat whether the link has lost messages, either way.
- * A link delivers in order, so what was sent before the heartbeat and has not
- * come will not come.
+ * Detects by a peer's heartbeat whether the link has lost messages in either
+ * direction. A link delivers in order, so a message sent before the heartbeat
+ * that has not arrived never will.
  *
- * Guards against a forwarded job, or the answer to one, that is lost on a
- * link that goes on to stand: its caller would wait until it loses patience,
- * for a guaranteed shape, too. What was forwarded is served anew, as when the
- * link ends: by its key or its id it meets what may run there already.
+ * Without this a forwarded job or its answer that is lost on a link that stays
+ * up would leave the caller waiting until its timeout, even for a guaranteed
+ * shape. Forwarded jobs are served again, as after a closed link; the key or
+ * the id finds an attempt that already runs.
  */
 static void detect_message_loss(struct rj_core_state *core,
 				struct rj_member_view *member,
@@ -568,8 +576,8 @@
 }
 
 /*
- * A peer says how it is. One that is ahead in configuration sends it of its
- * own accord; one that is behind is told.
+ * Handles a peer's heartbeat. A peer with an older configuration is sent the
+ * one in force; a peer with a newer one sends it unasked.
  */
 void rj_membership_receive_heartbeat(struct rj_core_state *core,
 				     const char *name,
@@ -606,8 +614,9 @@
 }
 
 /*
- * A peer says what is free in a rack of its own. The newest version of one
- * owner counts; late and repeated ones are dropped.
+ * Handles a peer's summary of the free capacity in a rack that it owns. Only a
+ * newer version from the same owner counts; late and duplicate ones are
+ * dropped.
  */
 void rj_membership_receive_summary(struct rj_core_state *core, const char *name,
 				   const struct rj_peer_summary *summary)
@@ -642,9 +651,9 @@
 }
 
 /*
- * Take again what peers said of the racks that they own, for workers that
- * were not listed yet when they said it, or were owned here: it is sent only
- * when it changes.
+ * Applies the peers' last summaries of their racks again, for workers that were
+ * not listed yet or were owned here when the summary arrived: a summary is sent
+ * only when it changes.
  */
 void rj_membership_reapply_summaries(struct rj_core_state *core)
 {
--- a/src/libradishjunction/core/controllers/placement_controller.c
+++ b/src/libradishjunction/core/controllers/placement_controller.c
@@ -1,9 +1,10 @@
 /*
- * QUEUED and HOLDING: the planner's decisions, and the leases they need.
+ * QUEUED and HOLDING: carries out the planner's decisions and obtains the
+ * leases they need.
  *
- * All leases of a gang are asked for at once, and one refusal gives back the
- * rest. Nobody waits while holding a lease, so two gangs that want the same
- * workers cannot block each other; the back-off with jitter lets one pass.
+ * All leases of a gang are requested at once, and one refusal releases the
+ * others. No job waits while holding a lease, so two gangs that need the same
+ * workers cannot deadlock; the back-off with jitter lets one of them succeed.
  */
 #include <assert.h>
 #include <string.h>
@@ -15,7 +16,7 @@
 #define ACCEPTED_BACKOFF_US (1 * RJ_US_PER_S)
 
 /*
- * What the planner needs to know of the job.
+ * Fills the planner's description of the job.
  */
 void rj_job_fill_plan(const struct rj_job *job, struct rj_plan_job *plan)
 {
@@ -38,9 +39,9 @@
 }
 
 /*
- * Give the job to the planner. What the planner refuses is answered at once
- * with when to come back; an accepted job cannot be refused any more and
- * comes back by itself.
+ * Submits the job to the planner. A refused job is answered at once with a
+ * retry time; an accepted job cannot be refused and is submitted again after a
+ * back-off.
  */
 void rj_job_submit(struct rj_job *job)
 {
@@ -69,7 +70,7 @@
 }
 
 /*
- * The planner counts the job no more.
+ * Removes the job from the plan.
  */
 void rj_job_remove_from_plan(struct rj_job *job, bool succeeded)
 {
@@ -87,7 +88,7 @@
 }
 
 /*
- * Back to waiting, as a new attempt, not before `delay_us` have passed.
+ * Queues the job again as a new attempt, after at least `delay_us`.
  */
 void rj_job_requeue(struct rj_job *job, uint64_t delay_us,
 		    enum rj_reason reason)
@@ -105,7 +106,8 @@
 	job->started_us = 0;
 	job->reclaimed = false;
 	if (!job->planned || job->failures || rj_route_leads_away(job)) {
-		/* Submitted anew, with the workers to avoid, or handed on. */
+		/* It is submitted again, with the workers to avoid, or handed
+		 * over. */
 		rj_job_remove_from_plan(job, false);
 		rj_timer_set(&core->timers, &job->step,
 			     core->now_us + delay_us);
@@ -116,7 +118,8 @@
 	core->jobs.plan_wanted = true;
 }
 
-/* The workers that a decision names become the job's members. */
+/* Assigns the workers named by a decision to the job's members. Returns false
+ * if the decision has no members or names an unknown worker. */
 static bool assign_members(struct rj_job *job,
 			   const struct rj_decision *decision)
 {
@@ -135,7 +138,7 @@
 	return decision->member_count > 0;
 }
 
-/* Ask for every lease of the job. */
+/* Requests the leases of all members. */
 static void request_leases(struct rj_job *job)
 {
 	rj_job_enter_state(job, RJ_JOB_HOLDING);
@@ -145,12 +148,12 @@
 	}
 }
 
-/* The planner says where the job goes. */
+/* Starts a job where the planner placed it. */
 static void handle_start(struct rj_job *job, const struct rj_decision *decision)
 {
 	assert(job->state == RJ_JOB_QUEUED);
 	if (job->accepted && !rj_log_usable(job->core)) {
-		/* No lease is held in vain while nothing can be claimed. */
+		/* Holds no lease while nothing can be claimed. */
 		rj_job_requeue(job, ACCEPTED_BACKOFF_US,
 			       RJ_REASON_PLATFORM_DOWN);
 		return;
@@ -168,7 +171,7 @@
 		request_leases(job);
 }
 
-/* Have the job give its capacity back, within `limit_us`. */
+/* Makes the job give its capacity back within `limit_us`. */
 static void reclaim(struct rj_job *job, enum rj_reason reason,
 		    uint64_t limit_us)
 {
@@ -180,8 +183,8 @@
 	switch (job->state) {
 	case RJ_JOB_HOLDING:
 	case RJ_JOB_CLAIMING:
-		/* Nothing has started, and no token is left to start with. A
-		   claim that shows in the log later is fenced and voided. */
+		/* Nothing has started, and without tokens nothing can. A claim
+		 * that appears in the log later is fenced and voided. */
 		rj_job_release_members(job);
 		rj_job_requeue(job, LEASE_BACKOFF_US, RJ_REASON_RECLAIMED);
 		break;
@@ -202,7 +205,8 @@
 	}
 }
 
-/* Tell the peers that the job's room is kept for someone here. */
+/* Updates the offers to the peers: the job's capacity is reserved for a job
+ * here. */
 static void update_offers(const struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++)
@@ -212,8 +216,9 @@
 }
 
 /*
- * The owner of a rack wants the room of a job that is driven from here. An
- * attempt that is over, and work that cannot be stopped, stay as they are.
+ * Handles a rack owner's request to reclaim the capacity of a job that this
+ * instance runs. An attempt that is over, or a job that can be neither repeated
+ * nor checkpointed, is left alone.
  */
 void rj_job_reclaim_for_peer(struct rj_core_state *core,
 			     const struct rj_peer_cancel *cancel)
@@ -227,7 +232,7 @@
 	reclaim(job, RJ_REASON_OWNER, cancel->limit_us);
 }
 
-/* A waiting job that the planner gives up. */
+/* Handles a waiting job that the planner refuses. */
 static void handle_refusal(struct rj_job *job,
 			   const struct rj_decision *decision)
 {
@@ -242,7 +247,7 @@
 		rj_job_requeue(job, ACCEPTED_BACKOFF_US, decision->reason);
 }
 
-/* Carry out one decision of the planner. */
+/* Carries out one decision of the planner. */
 static void handle_decision(struct rj_core_state *core,
 			    const struct rj_decision *decision)
 {
@@ -269,15 +274,16 @@
 }
 
 /*
- * Let the planner decide, if anything has changed, and arm its timer.
+ * Runs the planner if anything has changed, carries out its decisions and sets
+ * its timer.
  */
 void rj_jobs_plan(struct rj_core_state *core)
 {
 	struct rj_decisions *decisions = &core->jobs.decisions;
 	uint64_t wake_us;
 
-	/* A decision may free capacity or refuse, which wants another pass;
-	   two rounds are enough for that, the rest comes with the timer. */
+	/* A decision that frees capacity or refuses a job needs another pass.
+	 * Two passes suffice for this; the timer handles the rest. */
 	for (int pass = 0; pass < 2 && core->jobs.plan_wanted; pass++) {
 		core->jobs.plan_wanted = false;
 		core->planner->ops->pass(core->planner, core->now_us,
@@ -287,15 +293,15 @@
 		rj_decisions_clear(decisions);
 	}
 	wake_us = core->planner->ops->wake_us(core->planner);
-	/* A pass that changed nothing is not repeated in the same instant. */
+	/* A pass that changed nothing is not repeated at the same time. */
 	if (core->jobs.plan_wanted || wake_us <= core->now_us)
 		wake_us = core->now_us + RJ_US_PER_MS;
 	rj_timer_set(&core->timers, &core->jobs.plan, wake_us);
 }
 
 /*
- * Give back every lease that is held or may be held. Nothing was started, so
- * a lost call costs only the life of its lease.
+ * Releases every lease that is held or may be held. Nothing was started, so a
+ * lost call only keeps its lease until that expires.
  */
 void rj_job_release_members(struct rj_job *job)
 {
@@ -309,7 +315,6 @@
 	rj_job_free_members(job);
 }
 
-/* Whether every member has its lease. */
 static bool all_leased(const struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++)
@@ -319,7 +324,7 @@
 }
 
 /*
- * A worker answered a request for a lease. One refusal gives back all.
+ * Handles the answer to a lease request. One refusal releases all leases.
  */
 void rj_job_lease_reply(struct rj_job *job, struct rj_member *member,
 			const struct rj_worker_reply *reply)
@@ -343,7 +348,8 @@
 	}
 	rj_core_count(core, RJ_COUNT_LEASES_REFUSED);
 	if (reply->status == RJ_REPLY_LOST)
-		member->call_id = reply->call_id; /* it may hold a lease */
+		member->call_id =
+			reply->call_id; /* it may have granted a lease */
 	rj_job_release_members(job);
 	if (upstream)
 		rj_upstreams_poll_now(core, upstream);
--- a/src/libradishjunction/core/controllers/racks_controller.c
+++ b/src/libradishjunction/core/controllers/racks_controller.c
@@ -1,6 +1,6 @@
 /*
- * The racks of the own failure domain: who owns each, what is free in it, and
- * what the peers are told of it.
+ * The racks of this instance's failure domain: who owns each, its free
+ * capacity, and the summaries sent to the peers.
  */
 #include <assert.h>
 #include <string.h>
@@ -9,8 +9,8 @@
 #include "private/core_state.h"
 
 /*
- * The key by which a rack of the own failure domain is owned: that of its
- * group, so that no guaranteed shape has two owners.
+ * Returns the key that decides who owns a rack of this failure domain: that of
+ * its group, so that no guaranteed shape has two owners.
  */
 uint64_t rj_racks_key(const struct rj_core_state *core, uint32_t rack)
 {
@@ -22,12 +22,12 @@
 }
 
 /*
- * The key by which a job of the log is owned: in the own failure domain that
- * of a rack, so that who plans the job also plans a rack for it.
+ * Returns the key that decides who owns a job in the log: in this failure
+ * domain the key of a rack, so that the job's owner also plans a rack.
  *
- * Guards against an owner without racks: it would place accepted jobs on its
- * peers' racks, where they are foreign to the one who has to reclaim a
- * guaranteed shape there, which would come late.
+ * An owner without racks would place accepted jobs on its peers' racks. There
+ * they are foreign to the rack's owner, and a guaranteed shape that has to
+ * reclaim their capacity would be late.
  */
 uint64_t rj_racks_job_key(const struct rj_core_state *core, const char *domain,
 			  uint64_t job_id)
@@ -41,7 +41,6 @@
 	return rj_racks_key(core, (uint32_t)(job_id % own->racks));
 }
 
-/* A rack of the own failure domain by its number, or NULL. */
 static struct rj_rack *find_rack(const struct rj_core_state *core,
 				 uint32_t number)
 {
@@ -57,7 +56,6 @@
 	return NULL;
 }
 
-/* A rack by its number, made if it was not known. */
 static struct rj_rack *find_or_add_rack(struct rj_core_state *core,
 					uint32_t number)
 {
@@ -72,7 +70,6 @@
 	return rack;
 }
 
-/* Take a worker out of the rack that it stood in. */
 static void rack_remove(struct rj_rack *rack, const struct rj_upstream *worker)
 {
 	uint32_t left = 0;
@@ -84,9 +81,8 @@
 }
 
 /*
- * Put a worker of the own failure domain into its rack, where its place goes
- * by its name: a summary names no workers, so that all instances have to
- * count them in the same order.
+ * Adds a worker of this failure domain to its rack, sorted by name: a summary
+ * does not name workers, so all instances must order them alike.
  */
 void rj_racks_add_worker(struct rj_core_state *core,
 			 struct rj_upstream *upstream)
@@ -114,7 +110,7 @@
 }
 
 /*
- * Whether the peer of that name owns the rack of the own failure domain.
+ * Whether the peer with this name owns the rack.
  */
 bool rj_racks_owned_by(const struct rj_core_state *core, uint32_t number,
 		       const char *name)
@@ -125,9 +121,9 @@
 }
 
 /*
- * Work out again who owns each rack. Called when the view of the instances,
- * of the workers or of the guaranteed shapes has changed. What the new owner
- * of a rack said of it before it was known here as the owner counts now.
+ * Computes again who owns each rack. Called when the view of the instances, of
+ * the workers or of the guaranteed shapes has changed. If a rack was lost,
+ * summaries that its new owner sent earlier are applied.
  */
 void rj_racks_update_ownership(struct rj_core_state *core)
 {
@@ -152,8 +148,8 @@
 }
 
 /*
- * Whether what waits here would wait in vain, and is to be handed on: this
- * instance stops, or owns no rack.
+ * Whether a job queued here cannot be placed and has to be handed over: this
+ * instance is stopping or owns no rack.
  */
 bool rj_racks_cannot_place(const struct rj_core_state *core)
 {
@@ -168,7 +164,7 @@
 	return true;
 }
 
-/* How many more tasks of `shape`, up to `most`, fit on a worker now. */
+/* How many tasks of `shape`, at most `most`, fit on a worker now. */
 static uint32_t tasks_that_fit(const struct rj_shape *shape,
 			       const struct rj_upstream *upstream,
 			       uint32_t most)
@@ -186,8 +182,8 @@
 }
 
 /*
- * Whether all of `shape` fits into the rack now, by what was last reported
- * or told of it.
+ * Whether all of `shape` fits into the rack now, by the last report or offer of
+ * each worker.
  */
 bool rj_rack_shape_fits(const struct rj_rack *rack,
 			const struct rj_shape *shape)
@@ -200,7 +196,6 @@
 	return tasks == shape->tasks;
 }
 
-/* Fill the summary of a rack. */
 static void fill_summary(struct rj_core_state *core, const struct rj_rack *rack,
 			 struct rj_peer_summary *summary)
 {
@@ -217,7 +212,7 @@
 }
 
 /*
- * Tell the peers of the failure domain what is free in a rack.
+ * Sends the free capacity of a rack to the peers of this failure domain.
  */
 void rj_racks_send_summary(struct rj_core_state *core,
 			   const struct rj_rack *rack)
@@ -231,8 +226,8 @@
 }
 
 /*
- * Tell one peer, whose link has just come to stand, what is free in every
- * own rack.
+ * Sends the free capacity of every owned rack to one peer, whose link has just
+ * come up.
  */
 void rj_racks_send_summaries(struct rj_core_state *core, const char *peer)
 {
@@ -252,9 +247,9 @@
 }
 
 /*
- * A peer says what is free in a rack that it owns: jobs are routed by it, and
- * gangs that no own rack can hold are planned from it. The lease decides
- * whether it was true.
+ * Handles a peer's summary of a rack that it owns. Jobs are routed by it, and
+ * gangs that fit no owned rack are planned with it. It may be outdated; the
+ * lease request decides.
  */
 void rj_racks_receive_summary(struct rj_core_state *core,
 			      const struct rj_peer_summary *summary)
--- a/src/libradishjunction/core/controllers/recovery_controller.c
+++ b/src/libradishjunction/core/controllers/recovery_controller.c
@@ -1,10 +1,10 @@
 /*
- * SETTLING: what became of an attempt whose owner died, or whose start was
- * not answered; and carrying records forward before the log drops them.
+ * SETTLING: determines what became of an attempt whose owner died or whose
+ * start was not answered. Also re-appends records before the log trims them.
  *
- * The workers are asked with a fence, after which an attempt that had not
- * started never will. What runs is adopted, what ended is taken as it ended,
- * and what no worker can vouch for is `unknown`.
+ * The workers are asked with a fence, after which an attempt that has not
+ * started never will. Running tasks are adopted, finished ones keep their
+ * result, and what no worker can confirm is `unknown`.
  */
 #include <assert.h>
 #include <string.h>
@@ -12,24 +12,25 @@
 
 #include "private/core_state.h"
 
-/* A carried record that was lost shows within this time. */
+/* A re-appended record that has not appeared in the log after this time counts
+ * as lost. */
 #define CARRY_RETRY_US (3 * RJ_US_PER_S)
 #define FENCE_BACKOFF_US (300 * RJ_US_PER_MS)
-/* A worker that does not answer for so long is gone, and the token with it. */
-#define FENCE_LIMIT_US (30 * RJ_US_PER_S)
+/* A worker that does not answer for this long is assumed dead, and its tokens
+ * invalid. */
+#define FENCE_TIMEOUT_US (30 * RJ_US_PER_S)
 
-/* What the workers said of the members, counted. */
+/* Number of members by the result of their fence. */
 struct fence_results {
-	uint32_t unanswered; /* no answer yet */
-	uint32_t not_started; /* never started */
+	uint32_t unanswered;
+	uint32_t not_started;
 	uint32_t running;
 	uint32_t done;
 	uint32_t failed;
 	uint32_t stopped;
-	uint32_t unknown; /* nobody can say */
+	uint32_t unknown; /* no worker can confirm its state */
 };
 
-/* Count the members by what is known of them. */
 static struct fence_results count_members(const struct rj_job *job)
 {
 	struct fence_results results;
@@ -56,8 +57,8 @@
 	return results;
 }
 
-/* Nothing of the attempt ever started: close its claim, and serve the job
- * anew if someone wants it. */
+/* Nothing of the attempt started: closes its claim and, if there is still a
+ * waiter or the job is accepted, serves the job again. */
 static void settle_never_started(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
@@ -84,7 +85,7 @@
 	rj_job_requeue(job, 0, RJ_REASON_LEASE_LAPSED);
 }
 
-/* Whether the planner here knows the workers of every member. */
+/* Whether the planner knows the workers of every member. */
 static bool all_in_own_domain(const struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++) {
@@ -96,8 +97,8 @@
 	return true;
 }
 
-/* What runs is this instance's from now on: renew every lease, and let a
- * gang run whose owner died before it could. */
+/* Adopts a running attempt: renews every lease and releases a gang whose owner
+ * died before doing so. */
 static void adopt(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
@@ -136,7 +137,7 @@
 	job->planned = true;
 }
 
-/* The workers cannot vouch for the attempt, or it ended before its end. */
+/* Handles an attempt that the workers cannot confirm or that ended early. */
 static void settle_partial(struct rj_job *job, bool unknown)
 {
 	if (job->idempotent) {
@@ -151,7 +152,7 @@
 	rj_job_stop(job, false, 0);
 }
 
-/* Every member was asked: decide. */
+/* Decides once every member has answered or timed out. */
 static void settle_decide(struct rj_job *job)
 {
 	struct fence_results results = count_members(job);
@@ -175,7 +176,7 @@
 	settle_partial(job, results.unknown > 0);
 }
 
-/* A worker of a claim may be listed only after the claim was read. */
+/* A worker named in a claim may be listed only after the claim was read. */
 static void attach_worker(struct rj_job *job, struct rj_member *member)
 {
 	struct rj_upstream *upstream =
@@ -186,9 +187,9 @@
 }
 
 /*
- * Ask the worker of every member that has not answered yet what became of
- * the attempt. Called again by the timer until all have answered or the
- * limit has passed; members that never answer are lost.
+ * Fences the attempt on the worker of every member that has not answered yet.
+ * The timer repeats this until all have answered or FENCE_TIMEOUT_US has
+ * passed; the state of a member without an answer is then unknown.
  */
 void rj_job_settle(struct rj_job *job)
 {
@@ -205,7 +206,7 @@
 
 		if (member->settled)
 			continue;
-		if (core->now_us > job->step_started_us + FENCE_LIMIT_US) {
+		if (core->now_us > job->step_started_us + FENCE_TIMEOUT_US) {
 			member->settled = true;
 			member->state = RJ_TASK_NONE;
 			member->start_sent = false;
@@ -225,9 +226,9 @@
 }
 
 /*
- * A worker said what became of a member. One with another incarnation than
- * granted the lease has forgotten it: it cannot vouch that the member never
- * started.
+ * Handles a worker's answer to a fence. A worker whose incarnation differs from
+ * the one that granted the lease has lost it, and cannot confirm that the
+ * member never started.
  */
 void rj_job_fence_reply(struct rj_job *job, struct rj_member *member,
 			const struct rj_worker_reply *reply)
@@ -252,8 +253,8 @@
 }
 
 /*
- * A worker answered the renewal of an adopted member. A refusal means that
- * the lease lapsed in between, and with it the task.
+ * Handles the answer to the renewal of an adopted member's lease. A refusal
+ * means that the lease has expired and the task has ended.
  */
 void rj_job_renew_reply(struct rj_job *job, struct rj_member *member,
 			const struct rj_worker_reply *reply)
@@ -265,7 +266,7 @@
 	rj_job_check_members(job);
 }
 
-/* Take the members of a claim from the log. */
+/* Creates the members listed in a claim. */
 static void members_from_log(struct rj_job *job,
 			     const struct rj_job_entry *entry)
 {
@@ -284,7 +285,7 @@
 	}
 }
 
-/* The log knows the job whole. */
+/* The log has the whole job, including its body. */
 static void mark_accepted(struct rj_job *job, const struct rj_job_entry *entry)
 {
 	job->accepted = true;
@@ -294,12 +295,12 @@
 }
 
 /*
- * Take back a job that was handed to a peer, since the log says that it is
- * this instance's.
+ * Takes back a job that was forwarded to a peer, because the log shows that
+ * this instance owns it.
  *
- * Guards against a forward whose answer was lost: the job would stay with the
- * peer for this instance alone, and nobody would serve it. It shows as an
- * accepted job without an end. An answer that comes late is dropped.
+ * If the peer's answer was lost, the job would otherwise remain forwarded here
+ * while no instance serves it, and an accepted job would never end. A late
+ * answer is dropped.
  */
 static void take_back_forwarded(struct rj_job *job,
 				const struct rj_job_entry *entry)
@@ -313,8 +314,8 @@
 }
 
 /*
- * Settle the open claim of an attempt that nobody alive drives. Whoever
- * watches the job here goes on from what the workers say.
+ * Settles the open claim of an attempt that no live instance runs. A job that
+ * watches it here continues with the workers' answers.
  */
 static void settle_claim(struct rj_core_state *core,
 			 const struct rj_job_entry *entry)
@@ -331,12 +332,12 @@
 	}
 	if (job->state == RJ_JOB_FORWARDED)
 		take_back_forwarded(job, entry);
-	/* Who only watched the job may not know that it was accepted: its end
-	   would be kept out of the log. */
+	/* A watching job may not know that it was accepted; its outcome would
+	 * not be written to the log. */
 	if (entry->accepted)
 		mark_accepted(job, entry);
 	job->cancelled = job->cancelled || entry->cancelled;
-	/* That the open attempt never ran says nothing of earlier ones. */
+	/* That the open attempt never ran does not tell about earlier ones. */
 	job->ran_before = job->ran_before || entry->claimed_before;
 	job->attempt = entry->attempt;
 	job->claimed = true;
@@ -344,7 +345,7 @@
 	rj_job_settle(job);
 }
 
-/* Whether a job here drives the entry's open claim. */
+/* Whether a job here serves the entry. */
 static bool is_served_here(const struct rj_job *job,
 			   const struct rj_job_entry *entry)
 {
@@ -355,7 +356,7 @@
 	return true;
 }
 
-/* Serve an accepted job that has no owner yet, or whose owner is gone. */
+/* Serves an accepted job that has no live owner. */
 static void serve_accepted(struct rj_core_state *core,
 			   const struct rj_job_entry *entry)
 {
@@ -383,7 +384,7 @@
 		rj_job_submit(job);
 }
 
-/* Whether this instance serves what the log says of a job. */
+/* Whether this instance owns the job of the entry. */
 static bool owned_here(const struct rj_core_state *core,
 		       const struct rj_job_entry *entry)
 {
@@ -392,7 +393,7 @@
 		rj_racks_job_key(core, entry->domain, entry->job_id));
 }
 
-/* Append what the log says of a job again, well before it is trimmed. */
+/* Re-appends the records of an entry, well before they are trimmed. */
 static void carry_forward(struct rj_core_state *core,
 			  struct rj_job_entry *entry)
 {
@@ -432,17 +433,14 @@
 }
 
 /*
- * Whether the records that say all of a job are gone before their time, and
- * it is for this instance to append them again: for its owner at once, for
- * all others when the owner has not.
+ * Whether the records of an entry were trimmed early and this instance has to
+ * re-append them: at once as owner, else after a delay if the owner has not.
  *
- * Guards against a log that is trimmed too early: an instance that starts
- * then knows nothing of a key that runs or ran. It shows as a charge that is
- * made twice, or as an accepted job that nobody knows any more. The owner
- * itself may not have read what was dropped.
+ * An instance that starts on a log trimmed early does not know a key that runs
+ * or ran: a non-idempotent job would run twice, or an accepted job would be
+ * lost. The owner itself may not have read the trimmed records.
  */
-static bool trimmed_early(struct rj_core_state *core,
-			  struct rj_job_entry *entry)
+static bool restore_due(struct rj_core_state *core, struct rj_job_entry *entry)
 {
 	if (entry->whole_from >= core->streams[RJ_STREAM_JOBS].oldest) {
 		entry->dropped_us = 0;
@@ -454,15 +452,16 @@
 			(owned_here(core, entry) ?
 				 0 :
 				 rj_core_jitter_us(core, CARRY_RETRY_US));
-	/* That an attempt is over is said once, to who missed it. */
+	/* The end of an attempt is re-appended once, for readers that missed
+	 * it. */
 	if (!rj_job_entry_matters(entry) && entry->carry_us)
 		return false;
 	return core->now_us >= entry->dropped_us &&
 	       core->now_us >= entry->carry_us + CARRY_RETRY_US;
 }
 
-/* Whether half of the retention has passed since the oldest record that a job
- * which matters is known from, and this instance owns it. */
+/* Whether half of the retention has passed since the oldest record of an entry
+ * that still matters, and this instance owns it. */
 static bool carry_due(const struct rj_core_state *core,
 		      const struct rj_job_entry *entry)
 {
@@ -475,10 +474,10 @@
 }
 
 /*
- * Carry an entry forward at half the retention, counted from the oldest
- * record that it is known from, since an outcome means nothing without its
- * claim; or forget it when its key's life is over. A key is refused a little
- * before the log may forget it.
+ * Re-appends an entry at half of the retention, counted from its oldest record,
+ * since an outcome is meaningless without its claim; or removes it when the
+ * lifetime of its key has passed. A key is refused shortly before the log may
+ * trim it.
  */
 static void maintain_entry(struct rj_core_state *core,
 			   struct rj_job_entry *entry)
@@ -494,16 +493,16 @@
 		rj_job_ledger_forget(&core->ledger, entry);
 		return;
 	}
-	if (trimmed_early(core, entry) || carry_due(core, entry))
+	if (restore_due(core, entry) || carry_due(core, entry))
 		carry_forward(core, entry);
 }
 
 /*
- * The regular round over the log's entries: settle what dead instances left
- * open, serve accepted jobs, carry forward what must not be forgotten.
+ * Periodic check of the log's entries: settles what dead instances left open,
+ * serves accepted jobs, and re-appends entries that must not be trimmed.
  *
- * An author that only seems dead is safe: its token is fenced at the worker
- * before anyone voids its claim, so a start that it sends late is refused.
+ * An author that only appears dead does no harm: its token is fenced at the
+ * worker before its claim is voided, so a start that it sends late is refused.
  */
 void rj_claims_tick(struct rj_core_state *core)
 {
--- a/src/libradishjunction/core/controllers/report_controller.c
+++ b/src/libradishjunction/core/controllers/report_controller.c
@@ -1,6 +1,6 @@
 /*
- * What workers report of the members of own jobs, and what is gone with a
- * worker that is lost.
+ * Workers' reports about the members of this instance's jobs, and the loss of a
+ * worker.
  */
 #include <assert.h>
 #include <string.h>
@@ -11,8 +11,8 @@
 #define RETRY_DELAY_US (100 * RJ_US_PER_MS)
 
 /*
- * A worker told how a member is. A gang's member that is held still is
- * running, too, and has made no progress.
+ * Records progress of the job that a worker reports. A gang member that is
+ * still throttled to 0 % is running too, but has made no progress.
  */
 void rj_job_record_progress(struct rj_job *job, enum rj_task_state state,
 			    uint64_t ran_us)
@@ -22,18 +22,18 @@
 		job->ran = true;
 }
 
-/* Take what a report says of one task of the job. */
+/* Applies a report's entry for one of the job's tasks. */
 static void report_task(struct rj_job *job, struct rj_member *member,
 			const struct rj_task_report *task)
 {
 	rj_job_record_progress(job, task->state, task->ran_us);
 	member->ran_us = task->ran_us;
 	if (task->state == RJ_TASK_HELD)
-		return; /* an older picture than the start, or a lost start */
+		return; /* the report precedes the start, or the start was lost */
 	member->reported = true;
 	if (member->state == RJ_TASK_DONE || member->state == RJ_TASK_FAILED)
 		return;
-	/* The result of a RUN comes with its own answer. */
+	/* The result of a RUN arrives with its reply. */
 	if (!member->token && task->state != RJ_TASK_RUNNING)
 		return;
 	if (member->token)
@@ -42,7 +42,7 @@
 		rj_member_keep_result(job, member, &task->result);
 }
 
-/* The member that a task in a report is of, or NULL. */
+/* The member that a reported task belongs to, or NULL. */
 static struct rj_member *member_of(struct rj_core_state *core,
 				   const struct rj_upstream *upstream,
 				   const struct rj_task_report *task)
@@ -58,12 +58,12 @@
 }
 
 /*
- * Clear away a lease or task of this instance that belongs to no job of it.
+ * Cleans up a lease or task of this instance that belongs to none of its jobs.
  *
- * Guards against a release or a stop that was lost: reports renew all leases
- * of this instance, those of abandoned attempts as well, so the worker would
- * stay taken for as long as the instance lives. It shows as workers full of
- * foreign tasks that nobody runs.
+ * A release or stop may be lost. Polls renew all leases of this instance,
+ * including those of abandoned attempts, so the worker's capacity would stay
+ * allocated for the lifetime of the instance, with foreign tasks that no job
+ * uses.
  */
 static void clean_up_orphan(struct rj_core_state *core,
 			    const struct rj_upstream *upstream,
@@ -78,12 +78,12 @@
 }
 
 /*
- * A report that was asked for well after the start does not show the member
- * started.
+ * Whether a report that was requested well after the start shows that the
+ * member did not start.
  *
- * Guards against a start whose loss nobody tells, because the call waits for
- * the task's end: the job would hang until its deadline. The margin is the
- * time in which any call arrives or is given up.
+ * A start call that waits for the end of the task does not tell that it was
+ * lost, and the job would hang until its deadline. The margin is the time after
+ * which any other call has arrived or timed out.
  */
 static bool start_was_lost(const struct rj_member *member, uint64_t asked_us)
 {
@@ -94,7 +94,6 @@
 		member->state == RJ_TASK_RUNNING);
 }
 
-/* Whether a member has ended, by what is known of it. */
 static bool has_ended(const struct rj_member *member)
 {
 	return member->state == RJ_TASK_FAILED ||
@@ -103,8 +102,9 @@
 }
 
 /*
- * Take a worker's report, asked for at `asked_us`: how members of own jobs
- * are, and which of them are gone without a word.
+ * Applies a worker's report that was requested at `asked_us`: updates the
+ * members of this instance's jobs and finds those that the worker no longer
+ * has.
  */
 void rj_jobs_apply_report(struct rj_core_state *core,
 			  struct rj_upstream *upstream,
@@ -125,7 +125,7 @@
 		else if (member->job->state == RJ_JOB_RUNNING)
 			report_task(member->job, member, &report->tasks[i]);
 	}
-	/* One member's job may end others here: start over after each. */
+	/* Checking one job may end others in this list: restart after each. */
 	for (bool again = true; again;) {
 		again = false;
 		RJ_FOR_EACH (at, next, &upstream->members) {
@@ -148,8 +148,8 @@
 }
 
 /*
- * A worker reports nothing new. Returns whether that is enough: a member that
- * was not in the last whole report can be judged only by another whole one.
+ * Whether a report without changes suffices. A member that was not in the last
+ * full report can be judged only by another full one.
  */
 bool rj_jobs_unchanged_suffices(const struct rj_upstream *upstream)
 {
@@ -166,7 +166,7 @@
 	return true;
 }
 
-/* Go on without a member whose worker is lost. */
+/* Continues a job after the loss of a member's worker. */
 static void handle_member_lost(struct rj_member *member)
 {
 	struct rj_job *job = member->job;
@@ -201,7 +201,7 @@
 	}
 }
 
-/* A member of a job that has to go on without its worker, or NULL. */
+/* A member whose job has to react to the loss of the worker, or NULL. */
 static struct rj_member *
 next_affected_member(const struct rj_upstream *upstream)
 {
@@ -225,8 +225,8 @@
 }
 
 /*
- * A worker restarted, or was silent for longer than its leases live: all
- * that ran there has ended, and nobody can say how.
+ * Handles a worker that restarted or was unreachable for longer than its leases
+ * last: all tasks on it have ended, with an unknown result.
  */
 void rj_jobs_worker_lost(struct rj_core_state *core,
 			 struct rj_upstream *upstream)
--- a/src/libradishjunction/core/controllers/run_controller.c
+++ b/src/libradishjunction/core/controllers/run_controller.c
@@ -1,8 +1,8 @@
 /*
- * STARTING and RUNNING: from held leases to the end of every member.
+ * STARTING and RUNNING: from granted leases to the end of every member.
  *
- * A gang's members start held still; only when all of them have started are
- * they let run. One that does not start, or ends early, stops all.
+ * The members of a gang start throttled to 0 % and are released once all have
+ * started. A member that does not start, or ends early, stops the whole gang.
  */
 #include <assert.h>
 #include <string.h>
@@ -10,17 +10,18 @@
 
 #include "private/core_state.h"
 
-/* A call that answers at the end of the task; reports notice a dead worker
- * long before. */
+/* Timeout of a call that is answered at the end of the task; reports detect a
+ * dead worker much earlier. */
 #define TASK_END_TIMEOUT_US (3600 * RJ_US_PER_S)
-/* After so many lost answers the next reports show whether it runs. */
+/* After this many lost answers the next reports show whether the member
+ * runs. */
 #define THROTTLE_TRIES 4
-/* So many different workers failing one job point to the job. */
+/* Failures on this many different workers are attributed to the job. */
 #define FAILURES_MAX 3
 #define RETRY_DELAY_US (100 * RJ_US_PER_MS)
 #define RETRY_TOKENS_MAX 50.0
 
-/* Fill what a START and a RUN need besides. */
+/* Sets the fields that only START and RUN need. */
 static void fill_start(struct rj_job *job, struct rj_worker_call *call)
 {
 	call->declared_us = job->spec.declared_us;
@@ -29,8 +30,8 @@
 }
 
 /*
- * Lease and start in one call, for a single task that may run again: the
- * answer is the result. Small jobs cost one call and never touch the log.
+ * Leases and starts a single idempotent task in one call, whose reply carries
+ * the result. Small jobs thus cost one call and never use the log.
  */
 void rj_job_lease_and_start(struct rj_job *job)
 {
@@ -51,8 +52,8 @@
 }
 
 /*
- * Every lease is held and, where one is needed, the claim was read back as
- * the winning one: start all members. A gang starts held still.
+ * Starts all members. Every lease is held and, if a claim is needed, it was
+ * read back as the winning one. A gang starts throttled to 0 %.
  */
 void rj_job_start(struct rj_job *job)
 {
@@ -82,7 +83,7 @@
 }
 
 /*
- * End the job with the result of its first member.
+ * Ends the job with the result of its first member.
  */
 void rj_job_end_with_result(struct rj_job *job, enum rj_answer_kind kind,
 			    enum rj_reason reason)
@@ -94,7 +95,7 @@
 	answer.reason = reason;
 	answer.result.data = job->members[0].result;
 	answer.result.length = job->members[0].result_length;
-	/* A worker lists an ended task until it is released. */
+	/* A worker reports a finished task until it is released. */
 	for (uint32_t i = 0; i < job->member_count; i++)
 		if (job->members[i].token && !job->spec.wait)
 			rj_job_call(job, &job->members[i], RJ_WORKER_RELEASE);
@@ -102,8 +103,9 @@
 }
 
 /*
- * Try the job again elsewhere, within the retry budget: retries are a share
- * of successes, so that a fault that fails everything is not multiplied.
+ * Retries the job within the retry budget. Retries are limited to a share of
+ * the successes, so that a fault that affects every job does not multiply the
+ * load.
  */
 void rj_job_retry(struct rj_job *job, enum rj_reason reason)
 {
@@ -130,7 +132,7 @@
 }
 
 /*
- * The job's work ended well.
+ * Ends the job as done and credits its workers and the retry budget.
  */
 void rj_job_succeeded(struct rj_job *job)
 {
@@ -148,7 +150,8 @@
 	rj_job_end_with_result(job, RJ_ANSWER_DONE, RJ_REASON_NONE);
 }
 
-/* A member failed: the worker or the job is at fault. */
+/* Attributes a failure to the worker and to the job; which of them is at fault
+ * is not known yet. */
 static void member_failed(struct rj_job *job, struct rj_member *member)
 {
 	struct rj_core_state *core = job->core;
@@ -162,7 +165,7 @@
 	job->failures++;
 }
 
-/* Whether a member is in a state. */
+/* A member in this state, or NULL. */
 static struct rj_member *find_member_in(struct rj_job *job,
 					enum rj_task_state state)
 {
@@ -173,7 +176,7 @@
 }
 
 /*
- * Whether all members have ended well.
+ * Whether all members are done.
  */
 bool rj_job_all_done(const struct rj_job *job)
 {
@@ -184,7 +187,8 @@
 }
 
 /*
- * Stop what still runs, then try again elsewhere or end as failed.
+ * Stops the members that still run, then retries the job elsewhere or ends it
+ * as failed.
  */
 void rj_job_stop_after_failure(struct rj_job *job, enum rj_reason reason)
 {
@@ -197,7 +201,8 @@
 }
 
 /*
- * Look at the members of a running job: all done, one failed, one stopped.
+ * Checks the members of a running job: ends it if all are done, and handles one
+ * that failed or stopped.
  */
 void rj_job_check_members(struct rj_job *job)
 {
@@ -236,7 +241,7 @@
 	return true;
 }
 
-/* All members have started: let a gang run. */
+/* All members have started: removes the throttle of a gang. */
 static void release_gang(struct rj_job *job)
 {
 	rj_job_enter_state(job, RJ_JOB_RUNNING);
@@ -247,7 +252,7 @@
 			->throttle_percent = 100;
 }
 
-/* A start was refused: that member surely did not start. */
+/* A start was refused: this member did not start. */
 static void start_refused(struct rj_job *job, struct rj_member *member)
 {
 	member->state = RJ_TASK_DEAD;
@@ -264,9 +269,9 @@
 }
 
 /*
- * Nobody can say whether that member started. Work that may run again is
- * stopped there, unheard, and tried elsewhere; for all other work the worker
- * is asked until it tells.
+ * Handles a member that may or may not have started. An idempotent, unclaimed
+ * job is stopped there without waiting for the answer and retried; for all
+ * others the worker is fenced until it answers.
  */
 void rj_job_start_unconfirmed(struct rj_job *job, struct rj_member *member)
 {
@@ -283,8 +288,8 @@
 }
 
 /*
- * A worker answered a START or a RUN. A lost answer says nothing: the worker
- * is asked, and only work that may run again is tried elsewhere.
+ * Handles the answer to a START or a RUN. After a lost answer the member may or
+ * may not have started.
  */
 void rj_job_start_reply(struct rj_job *job, struct rj_member *member,
 			const struct rj_worker_reply *reply)
@@ -313,8 +318,9 @@
 }
 
 /*
- * A worker answered that a member is let run. A lost or refused answer is
- * repeated with the next report, which shows whether the member still runs.
+ * Handles the answer to the release of a gang member. A lost answer is retried
+ * up to THROTTLE_TRIES times; after that, and after a refusal, the next report
+ * shows whether the member still runs.
  */
 void rj_job_throttle_reply(struct rj_job *job, struct rj_member *member,
 			   const struct rj_worker_reply *reply)
--- a/src/libradishjunction/core/controllers/stop_controller.c
+++ b/src/libradishjunction/core/controllers/stop_controller.c
@@ -8,7 +8,7 @@
 #include "private/core_state.h"
 
 #define STOP_BACKOFF_US (300 * RJ_US_PER_MS)
-/* After so many unanswered stops the lease's own end is waited for. */
+/* After this many unanswered stops, the expiry of the lease is awaited. */
 #define STOP_TRIES 4
 
 /* Whether a member may still run or hold its lease. */
@@ -19,8 +19,8 @@
 	       (member->state == RJ_TASK_NONE && member->start_sent);
 }
 
-/* Whether no member ever started: each worker says that its token died. */
-static bool all_not_started(const struct rj_job *job)
+/* Whether no member ever started: each worker reports its token as dead. */
+static bool no_member_started(const struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++)
 		if (job->members[i].state != RJ_TASK_DEAD)
@@ -28,8 +28,9 @@
 	return job->member_count > 0;
 }
 
-/* The starts never arrived, and never will: the job did not run. */
-static void none_started(struct rj_job *job)
+/* The starts never arrived and can no longer take effect: the job did not
+ * run. */
+static void end_unstarted(struct rj_job *job)
 {
 	job->started = false;
 	if (job->claimed)
@@ -40,15 +41,15 @@
 		rj_job_retry(job, RJ_REASON_LEASE_LAPSED);
 }
 
-/* Every member has stopped: end the job or let it wait again. */
-static void all_stopped(struct rj_job *job)
+/* Every member has stopped: ends the job or queues it again. */
+static void on_all_stopped(struct rj_job *job)
 {
 	if (rj_job_all_done(job)) {
 		rj_job_succeeded(job);
 		return;
 	}
-	if (all_not_started(job)) {
-		none_started(job);
+	if (no_member_started(job)) {
+		end_unstarted(job);
 		return;
 	}
 	if (job->ending) {
@@ -69,10 +70,10 @@
 }
 
 /*
- * Stop every member that may still run, with a checkpoint first where
- * `checkpoint` says so. Called again by the timer while workers do not
- * answer; after STOP_TRIES the end of the lease, which nobody renews, is
- * taken for the stop.
+ * Stops every member that may still run, after a checkpoint if `checkpoint`,
+ * within `limit_us`. The timer repeats this while workers do not answer; after
+ * STOP_TRIES a member counts as stopped when its lease, which is no longer
+ * renewed, has expired.
  */
 void rj_job_stop(struct rj_job *job, bool checkpoint, uint64_t limit_us)
 {
@@ -107,18 +108,17 @@
 			call->timeout_us = limit_us + RJ_CALL_TIMEOUT_US;
 	}
 	if (!pending) {
-		all_stopped(job);
+		on_all_stopped(job);
 		return;
 	}
-	/* A checkpoint that is not done within its limit is cut by a stop. */
+	/* A checkpoint that exceeds its limit is interrupted by a stop. */
 	rj_timer_set(&core->timers, &job->step,
 		     core->now_us +
 			     (checkpoint ? limit_us : RJ_CALL_TIMEOUT_US) +
 			     STOP_BACKOFF_US);
 }
 
-/* Whether no member may still run. */
-static bool none_running(const struct rj_job *job)
+static bool none_may_run(const struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++)
 		if (may_still_run(&job->members[i]))
@@ -127,26 +127,26 @@
 }
 
 /*
- * Go on when the last member of a job that is being stopped has stopped.
+ * Continues once no member of a stopping job may run.
  */
 void rj_job_check_stopped(struct rj_job *job)
 {
-	if (none_running(job))
-		all_stopped(job);
+	if (none_may_run(job))
+		on_all_stopped(job);
 }
 
 /*
- * A worker answered a STOP or a CHECKPOINT. A task that had ended before is
- * taken as it ended: it did run.
+ * Handles the answer to a STOP or a CHECKPOINT. A task that had already
+ * finished keeps its result.
  */
 void rj_job_stop_reply(struct rj_job *job, struct rj_member *member,
 		       const struct rj_worker_reply *reply)
 {
 	if (job->state != RJ_JOB_STOPPING || reply->status == RJ_REPLY_LOST)
-		return; /* the timer tries again */
+		return; /* the timer retries */
 	if (reply->status == RJ_REPLY_REFUSED || reply->state == RJ_TASK_NONE) {
-		/* The worker knows no such lease: nothing of it runs, but it
-		   may have run before the worker forgot it. */
+		/* The worker does not know the lease: the task does not run,
+		 * but may have run before the worker lost its state. */
 		member->state =
 			member->start_sent ? RJ_TASK_STOPPED : RJ_TASK_DEAD;
 	} else {
--- a/src/libradishjunction/core/controllers/upstreams_controller.c
+++ b/src/libradishjunction/core/controllers/upstreams_controller.c
@@ -1,6 +1,6 @@
 /*
- * The workers as targets of calls: which are known, owned, leaving, silent
- * or set aside, and what is free on them.
+ * The workers as targets of calls: which are known, owned, leaving, unreachable
+ * or quarantined, and their free capacity.
  */
 #include <assert.h>
 #include <string.h>
@@ -9,20 +9,22 @@
 #include "private/capacity.h"
 #include "private/core_state.h"
 
-/* The life of a lease until a configuration says it. */
+/* Used until a configuration is in force. */
 #define DEFAULT_LEASE_DURATION_US (5 * RJ_US_PER_S)
-/* A report without news costs some 600 bytes; this bounds them to 3 KB a
- * second however many workers one instance owns, if leases live that long. */
+/* An unchanged report has about 600 bytes; the period limits them to 3 KB per
+ * second for any number of owned workers, if leases last long enough. */
 #define POLL_INTERVAL_MIN_US (500 * RJ_US_PER_MS)
 #define POLL_INTERVAL_PER_WORKER_US (250 * RJ_US_PER_MS)
-/* A whole report in between shows what a lost call has left behind. */
+/* A full report in between shows what a lost call has left on the worker. */
 #define UNCHANGED_REPORTS_MAX 16
 #define POLL_TIMEOUT_US (2 * RJ_US_PER_S)
-/* One lost report may be the link; two are the worker. */
-#define POLLS_LOST_MAX 2
-/* So many different jobs failing in a row point to the worker. */
+/* One lost report may be due to the link; two are attributed to the worker. */
+#define POLLS_LOST_UNREACHABLE 2
+/* Failures of this many different jobs in a row are attributed to the
+ * worker. */
 #define QUARANTINE_FAILURES 3
-/* Leaving is said with so many heartbeats; it must be known within 5 s. */
+/* Resent with each heartbeat for this time; peers must know of it within 5
+ * s. */
 #define LEAVING_REPEAT_US (4 * RJ_US_PER_S)
 #define QUARANTINE_FIRST_US (10 * RJ_US_PER_S)
 #define QUARANTINE_MAX_US (300 * RJ_US_PER_S)
@@ -31,7 +33,7 @@
 static void probe_due(struct rj_core_state *core, struct rj_timer *timer);
 
 /*
- * Start with no worker known.
+ * Initialises an empty table of workers.
  */
 void rj_upstreams_init(struct rj_core_state *core)
 {
@@ -43,7 +45,7 @@
 }
 
 /*
- * A worker by its name, or NULL.
+ * Returns the worker with this name, or NULL.
  */
 struct rj_upstream *rj_upstreams_find(const struct rj_core_state *core,
 				      const char *name)
@@ -52,7 +54,7 @@
 }
 
 /*
- * Whether new work may go to the worker at all.
+ * Whether new tasks may be placed on the worker.
  */
 bool rj_upstreams_usable(const struct rj_upstream *upstream)
 {
@@ -60,7 +62,7 @@
 	       upstream->health == RJ_UPSTREAM_HEALTHY;
 }
 
-/* Tell the planner how a worker is. */
+/* Passes the state of a worker of this failure domain to the planner. */
 static void update_planner(struct rj_core_state *core,
 			   const struct rj_upstream *upstream)
 {
@@ -82,7 +84,6 @@
 	core->jobs.plan_wanted = true;
 }
 
-/* Add a worker to the table. */
 static struct rj_upstream *upstream_new(struct rj_core_state *core,
 					const struct rj_instance *instance)
 {
@@ -109,13 +110,12 @@
 	return upstream;
 }
 
-/* Whether reports of the worker are wanted: owned, or with own work on it. */
+/* Whether the worker is polled: it is owned or runs tasks of this instance. */
 static bool poll_wanted(const struct rj_upstream *upstream)
 {
 	return upstream->owned || upstream->own_members;
 }
 
-/* How many workers this instance polls. */
 static uint32_t polled_count(const struct rj_core_state *core)
 {
 	uint32_t count = 0;
@@ -126,8 +126,8 @@
 	return count;
 }
 
-/* The life of a lease, as configured: how soon a gang's rest stops when its
- * owner is gone. */
+/* The configured duration of a lease, after which the rest of a gang stops when
+ * its owner is dead. */
 static uint64_t lease_duration_us(const struct rj_core_state *core)
 {
 	if (!core->config)
@@ -135,9 +135,10 @@
 	return core->config->limits.lease_life_ms * RJ_US_PER_MS;
 }
 
-/* The time between two reports of one worker. A lease outlasts three of
- * them, which renew it, and the loss of a call; within that the period grows
- * with the workers polled, so that their number costs no traffic. */
+/* The interval between two polls of a worker, which renew its leases. A lease
+ * outlasts three intervals and one lost call. Within this limit the interval
+ * grows with the number of polled workers, so that the total traffic stays
+ * constant. */
 static uint64_t poll_period_us(const struct rj_core_state *core)
 {
 	uint64_t most_us = (lease_duration_us(core) - POLL_TIMEOUT_US) / 3;
@@ -150,14 +151,15 @@
 }
 
 /*
- * How long a lease lives that is taken or renewed now.
+ * Returns the duration of a lease granted or renewed now.
  */
 uint64_t rj_upstreams_lease_duration_us(const struct rj_core_state *core)
 {
 	return lease_duration_us(core);
 }
 
-/* Ask a worker for its report, which renews this instance's leases there. */
+/* Requests a worker's report, which also renews this instance's leases
+ * there. */
 static void send_poll(struct rj_core_state *core, struct rj_upstream *upstream)
 {
 	struct rj_action *action;
@@ -188,7 +190,6 @@
 		action->u.worker_call.known_version = upstream->report_version;
 }
 
-/* The next report of a worker is due. */
 static void poll_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	struct rj_upstream *upstream =
@@ -199,8 +200,8 @@
 }
 
 /*
- * Ask for a worker's report now: what is known of it was just proved wrong,
- * or it has work of this instance for the first time.
+ * Requests a full report of a worker at once, because what was known of it
+ * proved wrong.
  */
 void rj_upstreams_poll_now(struct rj_core_state *core,
 			   struct rj_upstream *upstream)
@@ -209,7 +210,6 @@
 	send_poll(core, upstream);
 }
 
-/* Say of a worker that it leaves. */
 static void fill_leaving(const struct rj_upstream *upstream,
 			 struct rj_peer_leaving *leaving)
 {
@@ -217,7 +217,7 @@
 	leaving->incarnation = upstream->leaving_incarnation;
 }
 
-/* Tell the peers of the failure domain that a worker leaves. */
+/* Tells the peers of this failure domain that a worker is leaving. */
 static void broadcast_leaving(struct rj_core_state *core,
 			      const struct rj_upstream *upstream)
 {
@@ -230,10 +230,10 @@
 }
 
 /*
- * Tell one peer, whose link has just come to stand, who is leaving.
+ * Tells one peer, whose link has just come up, which workers are leaving.
  *
- * Guards against a peer that cannot read the list and whose link was down
- * when it was told: it would go on sending work to a worker that goes.
+ * A peer that cannot read the platform's list, and whose link was down when
+ * this was sent first, would keep placing tasks on a leaving worker.
  */
 void rj_upstreams_send_leaving(struct rj_core_state *core, const char *peer)
 {
@@ -250,8 +250,8 @@
 }
 
 /*
- * Repeat for a few seconds what was learnt of leaving workers: a message may
- * be lost with a break of its link that is too short to be noticed.
+ * Repeats for LEAVING_REPEAT_US which workers are leaving: a message may be
+ * lost in a link failure too short to be detected.
  */
 void rj_upstreams_resend_leaving(struct rj_core_state *core)
 {
@@ -267,12 +267,12 @@
 }
 
 /*
- * The leaving of one incarnation of a worker ends new work on it at once,
- * whoever says so first; only a newer incarnation takes work again.
+ * Stops new tasks on a worker that is leaving, whichever source reports it
+ * first. Only a newer incarnation of the worker accepts tasks again.
  *
- * Guards against an old "live" line of the lagging list, which would send
- * work to a worker that is about to go: it names the incarnation that is
- * known to be leaving, so it changes nothing.
+ * The platform's list lags and may still show the worker as live. The entry
+ * names the incarnation known to be leaving and therefore changes nothing, so
+ * that no task is placed on the worker.
  */
 void rj_upstreams_mark_leaving(struct rj_core_state *core,
 			       struct rj_upstream *upstream,
@@ -292,7 +292,7 @@
 }
 
 /*
- * A peer knows of a worker that is leaving.
+ * Handles a peer's message that a worker is leaving.
  */
 void rj_upstreams_receive_leaving(struct rj_core_state *core,
 				  const struct rj_peer_leaving *leaving)
@@ -303,7 +303,8 @@
 		rj_upstreams_mark_leaving(core, upstream, leaving->incarnation);
 }
 
-/* A newer incarnation of a worker forgets what its older one was. */
+/* Resets the state of a worker that reports a newer incarnation; tasks on the
+ * older one are lost. */
 static void reset_for_incarnation(struct rj_core_state *core,
 				  struct rj_upstream *upstream,
 				  uint64_t incarnation)
@@ -321,28 +322,28 @@
 	upstream->failed_count = 0;
 }
 
-/* Take one worker's line of the list. */
 static void apply_list_worker(struct rj_core_state *core,
-			      const struct rj_instance *line)
+			      const struct rj_instance *instance)
 {
-	struct rj_upstream *upstream = rj_upstreams_find(core, line->name);
+	struct rj_upstream *upstream = rj_upstreams_find(core, instance->name);
 
 	if (!upstream)
-		upstream = upstream_new(core, line);
-	if (line->incarnation < upstream->incarnation)
+		upstream = upstream_new(core, instance);
+	if (instance->incarnation < upstream->incarnation)
 		return;
-	reset_for_incarnation(core, upstream, line->incarnation);
-	g_strlcpy(upstream->domain, line->domain, sizeof(upstream->domain));
-	upstream->rack = line->rack;
+	reset_for_incarnation(core, upstream, instance->incarnation);
+	g_strlcpy(upstream->domain, instance->domain, sizeof(upstream->domain));
+	upstream->rack = instance->rack;
 	rj_racks_add_worker(core, upstream);
-	upstream->address = line->address;
-	if (line->leaving)
-		rj_upstreams_mark_leaving(core, upstream, line->incarnation);
+	upstream->address = instance->address;
+	if (instance->leaving)
+		rj_upstreams_mark_leaving(core, upstream,
+					  instance->incarnation);
 }
 
 /*
- * Take the platform's list of workers. A worker that is not listed stays
- * known: the list lags, and its own answers say more.
+ * Applies the platform's list of workers. A worker that is not listed stays
+ * known, since the list lags and the worker's own reports are more recent.
  */
 void rj_upstreams_apply_list(struct rj_core_state *core,
 			     const struct rj_instance *list, uint32_t count)
@@ -358,7 +359,7 @@
 }
 
 /*
- * This instance owns the worker's rack from now on, or owns it no more.
+ * Sets whether this instance owns the worker's rack.
  */
 void rj_upstreams_set_owned(struct rj_core_state *core,
 			    struct rj_upstream *upstream, bool owned)
@@ -366,43 +367,43 @@
 	if (owned == upstream->owned)
 		return;
 	upstream->owned = owned;
-	/* Only a whole report shows what others run there. */
+	/* Only a full report shows the tasks of other instances. */
 	upstream->report_version = 0;
 	if (owned)
 		send_poll(core, upstream);
 	else
 		rj_foreign_disown(core, upstream);
-	/* Its new owner will say what is free. */
+	/* The new owner will send its offer. */
 	memset(&upstream->offered, 0, sizeof(upstream->offered));
 	update_planner(core, upstream);
 }
 
 /*
- * The owner of the worker's rack says what is free on it. What this instance
- * asked the worker itself says more.
+ * Handles the owner's offer of free capacity on a worker. While this instance
+ * has tasks there, its own polls take precedence.
  */
 void rj_upstreams_receive_offer(struct rj_core_state *core,
 				struct rj_upstream *upstream,
-				const struct rj_resources *left)
+				const struct rj_resources *available)
 {
 	if (upstream->owned)
 		return;
-	upstream->offered = *left;
+	upstream->offered = *available;
 	if (upstream->own_members) {
 		update_planner(core, upstream);
 		return;
 	}
 	upstream->report_version = 0;
-	/* What is free is told, not the capacity: take it as the whole, with
-	   nothing foreign on it. */
-	upstream->free_now = *left;
-	upstream->capacity = *left;
+	/* The offer holds the free capacity, not the total: it is used as the
+	 * total, without foreign tasks. */
+	upstream->free_now = *available;
+	upstream->capacity = *available;
 	memset(&upstream->foreign, 0, sizeof(upstream->foreign));
 	upstream->known = true;
 	update_planner(core, upstream);
 }
 
-/* What tasks that the planner does not know take on a worker. */
+/* Sums up the resources of tasks that are not in the plan. */
 static void count_foreign(struct rj_core_state *core,
 			  struct rj_upstream *upstream,
 			  const struct rj_worker_report *report)
@@ -429,7 +430,7 @@
 	upstream->foreign = foreign;
 }
 
-/* What is free on a worker for anyone. */
+/* Returns the capacity that is free for any instance. */
 static struct rj_resources free_now(const struct rj_worker_report *report)
 {
 	struct rj_resources left = report->capacity;
@@ -447,28 +448,27 @@
 	return left;
 }
 
-/* A worker did not answer its report. */
+/* Handles an unanswered poll. */
 static void poll_lost(struct rj_core_state *core, struct rj_upstream *upstream)
 {
 	upstream->polls_lost++;
-	if (upstream->polls_lost == POLLS_LOST_MAX) {
+	if (upstream->polls_lost == POLLS_LOST_UNREACHABLE) {
 		upstream->health = RJ_UPSTREAM_UNREACHABLE;
 		update_planner(core, upstream);
 	}
-	/* Its own clock has ended every lease that was not renewed. */
+	/* The worker has expired every lease that was not renewed. */
 	if (upstream->own_members && upstream->answered_us &&
 	    core->now_us > upstream->answered_us + lease_duration_us(core))
 		rj_jobs_worker_lost(core, upstream);
 }
 
 /*
- * Have every worker report whole next time: a configuration says which tasks
- * may be stopped.
+ * Requests a full report of every worker, because the configuration determines
+ * which tasks may be stopped.
  *
- * Guards against reports that came before the first configuration: what they
- * showed was taken for work that cannot be stopped, and reports without news
- * do not show it again. It shows as a guaranteed shape that is reclaimed
- * seconds late after a restart.
+ * Before the first configuration all reported tasks count as not stoppable, and
+ * unchanged reports do not show them again. Without this a guaranteed shape
+ * would be reclaimed seconds late after a restart.
  */
 void rj_upstreams_request_full_reports(struct rj_core_state *core)
 {
@@ -477,8 +477,8 @@
 }
 
 /*
- * Offer the peers of the failure domain what is free on an owned worker and
- * is not kept for a job that waits here, if that has changed.
+ * Offers the peers of this failure domain the capacity of an owned worker that
+ * is free and not reserved for a job waiting here, if this has changed.
  */
 void rj_upstreams_update_offer(struct rj_core_state *core,
 			       struct rj_upstream *upstream)
@@ -500,8 +500,7 @@
 }
 
 /*
- * Take the answer to a request for a report that was sent at `asked_us`, or
- * its loss.
+ * Handles the answer to a poll sent at `asked_us`, or its loss.
  */
 void rj_upstreams_receive_report(struct rj_core_state *core,
 				 struct rj_upstream *upstream,
@@ -545,7 +544,7 @@
 	rj_upstreams_update_offer(core, upstream);
 }
 
-/* Take a worker back that was set aside: the next job there is the probe. */
+/* Ends the quarantine of a worker; the next job on it is the probe. */
 static void probe_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	struct rj_upstream *upstream =
@@ -554,15 +553,15 @@
 	if (upstream->health != RJ_UPSTREAM_QUARANTINED)
 		return;
 	upstream->health = RJ_UPSTREAM_HEALTHY;
-	/* One more failure sets it aside again, for twice as long. */
+	/* One more failure quarantines it again, for twice as long. */
 	upstream->failed_count = QUARANTINE_FAILURES - 1;
 	update_planner(core, upstream);
 }
 
 /*
- * A job failed on this worker. Several different jobs failing in a row point
- * to the worker, which is set aside and probed later; one job failing again
- * and again points to the job.
+ * Records the failure of a job on this worker. Several different jobs that fail
+ * in a row point to the worker, which is quarantined; repeated failures of one
+ * job point to the job.
  */
 void rj_upstreams_record_failure(struct rj_core_state *core,
 				 struct rj_upstream *upstream, uint64_t job_id)
@@ -591,7 +590,7 @@
 }
 
 /*
- * A job ended well on this worker.
+ * Records the success of a job on this worker and ends its series of failures.
  */
 void rj_upstreams_record_success(struct rj_core_state *core,
 				 struct rj_upstream *upstream)
--- a/src/libradishjunction/include/private/membership.h
+++ b/src/libradishjunction/include/private/membership.h
@@ -1,6 +1,7 @@
 /*
- * The other instances as they are known here, who is believed alive, and who
- * owns what. All of it may be wrong: leases and the log's order decide.
+ * This instance's view of the other instances: which are believed alive, and
+ * who owns what. The view may be wrong; worker leases and the order of the log
+ * prevent conflicting decisions.
  */
 #ifndef RADISHJUNCTION_PRIVATE_MEMBERSHIP_H
 #define RADISHJUNCTION_PRIVATE_MEMBERSHIP_H
@@ -22,20 +23,20 @@
 	struct rj_resources free[RJ_RACK_WORKERS_MAX];
 };
 
-/* Another instance, as far as it is known here. */
+/* Another instance, as known here. */
 struct rj_member_view {
 	struct rj_list link;
 	char name[RJ_NAME_BYTES];
 	char domain[RJ_NAME_BYTES];
 	struct rj_address address;
-	bool link_wanted; /* a link to it is kept */
+	bool link_wanted; /* a link to it is maintained */
 	bool connected;
-	bool heartbeat_seen; /* a heartbeat came since the link stood */
+	bool heartbeat_seen; /* since the link came up */
 	bool draining;
 	bool log_usable;
-	bool cut_off; /* it alone has lost the log */
+	bool cut_off; /* it lost the log while its peers still have it */
 	bool listed; /* by the platform or the settings */
-	bool in_settings; /* tried for good */
+	bool in_settings; /* reconnected to without limit */
 	uint64_t incarnation;
 	uint64_t last_heartbeat_us;
 	uint64_t config_revision;
@@ -43,24 +44,23 @@
 	uint64_t wait_us;
 	uint64_t log_from; /* see struct rj_peer_heartbeat */
 	uint64_t log_next;
-	bool config_changes; /* it takes changes of configuration */
+	bool config_changes; /* it accepts configuration changes */
 	struct rj_list summaries;
-	/* Messages but for heartbeats since the link stands. */
+	/* Messages other than heartbeats since the link came up. */
 	uint64_t sent;
 	uint64_t received;
-	uint64_t lost; /* of the peer's */
-	uint64_t lost_at_peer; /* of ours, as the peer says */
+	uint64_t lost; /* from the peer */
+	uint64_t lost_at_peer; /* from this instance, as reported by the peer */
 };
 
 struct rj_membership {
-	struct rj_list members; /* of all failure domains, without this one */
+	struct rj_list members; /* all domains, without this instance */
 	uint32_t count;
 	struct rj_timer heartbeat;
-	uint64_t heartbeats_sent; /* heartbeats so far */
+	uint64_t heartbeats_sent; /* rounds so far */
 	struct rj_timer list;
 	uint64_t view_digest;
-	uint64_t
-		log_isolated_us; /* since when only peers have the log; 0: not so */
+	uint64_t log_isolated_us; /* since when only peers have the log, or 0 */
 };
 
 /* controllers/membership_controller.c */
--- a/src/libradishjunction/include/private/upstreams.h
+++ b/src/libradishjunction/include/private/upstreams.h
@@ -1,6 +1,6 @@
 /*
- * The workers as targets of calls, their racks, and what other instances run
- * on them.
+ * The workers as targets of calls, their racks, and the tasks of other
+ * instances on them.
  */
 #ifndef RADISHJUNCTION_PRIVATE_UPSTREAMS_H
 #define RADISHJUNCTION_PRIVATE_UPSTREAMS_H
@@ -18,19 +18,20 @@
 
 enum rj_upstream_health {
 	RJ_UPSTREAM_HEALTHY,
-	RJ_UPSTREAM_UNREACHABLE, /* does not answer */
-	RJ_UPSTREAM_QUARANTINED, /* fails what it starts; probed later */
+	RJ_UPSTREAM_UNREACHABLE, /* does not answer polls */
+	RJ_UPSTREAM_QUARANTINED, /* fails what it starts; retried later */
 	RJ_UPSTREAM_HEALTH_COUNT
 };
 
-/* Jobs whose failure on one worker is remembered, to tell a bad worker. */
+/* Failed jobs remembered per worker, to tell a faulty worker from a faulty
+ * job. */
 #define RJ_FAILED_JOBS 4
 
-/* A rack of the own failure domain. */
+/* A rack of this instance's failure domain. */
 struct rj_rack {
 	struct rj_list link;
 	uint32_t number;
-	struct rj_upstream **workers; /* talloc array, by name */
+	struct rj_upstream **workers; /* talloc array, sorted by name */
 	uint32_t count;
 	bool owned; /* by this instance */
 	const char *owner; /* the peer that owns it, or NULL */
@@ -39,35 +40,36 @@
 /* A worker as a target of calls. */
 struct rj_upstream {
 	struct rj_list link;
-	uint32_t index; /* its id towards the planner */
+	uint32_t index; /* worker id used with the planner */
 	char name[RJ_NAME_BYTES];
 	char domain[RJ_NAME_BYTES];
 	uint32_t rack;
-	struct rj_rack *rack_view; /* of the own failure domain */
+	struct rj_rack *rack_view; /* in this failure domain, or NULL */
 	struct rj_address address;
 	uint64_t incarnation;
-	uint64_t leaving_incarnation; /* the one that is or was leaving */
-	uint64_t leaving_since_us; /* when that was learnt */
+	uint64_t leaving_incarnation; /* that is or was leaving */
+	uint64_t leaving_since_us; /* when this was learnt */
 	bool leaving;
 	bool owned;
-	bool known; /* has answered a report */
+	bool known; /* it has answered a poll, or an offer was received */
 	bool polling;
 	uint32_t polls_lost;
-	uint64_t report_version; /* of the last whole report; 0: none */
-	uint32_t unchanged_reports; /* since then, with nothing changed */
+	uint64_t report_version; /* of the last full report; 0: none */
+	uint32_t unchanged_reports; /* since the last full report */
 	uint64_t answered_us;
 	enum rj_upstream_health health;
 	struct rj_resources capacity;
 	struct rj_resources foreign;
-	struct rj_resources free_now; /* for anyone, as last reported */
-	/* What the rack's owner offers to its peers: told, or heard. */
+	struct rj_resources free_now; /* for any instance, as last reported */
+	/* What the rack's owner offers to its peers: sent if owned here, else
+	 * received from the owner. */
 	struct rj_resources offered;
-	struct rj_list members; /* of own jobs on it */
-	struct rj_list foreign_tasks; /* of others, which may be stopped */
-	uint32_t own_members; /* how many */
+	struct rj_list members; /* of this instance's jobs */
+	struct rj_list foreign_tasks; /* of other instances, stoppable */
+	uint32_t own_members; /* length of `members` */
 	uint64_t failed_jobs[RJ_FAILED_JOBS];
 	uint32_t failed_count;
-	uint64_t quarantine_us; /* how long it is set aside next time */
+	uint64_t quarantine_us; /* duration of the next quarantine */
 	struct rj_timer poll;
 	struct rj_timer probe;
 	struct rj_core_state *core;
@@ -115,14 +117,14 @@
 			       struct rj_upstream *upstream);
 void rj_upstreams_receive_offer(struct rj_core_state *core,
 				struct rj_upstream *upstream,
-				const struct rj_resources *left);
+				const struct rj_resources *available);
 
 /* controllers/foreign_controller.c */
 void rj_foreign_init(struct rj_core_state *core);
 void rj_foreign_finish(struct rj_core_state *core);
 bool rj_foreign_is_planned(const struct rj_core_state *core,
 			   const struct rj_upstream *upstream,
-			   const struct rj_task_report *line);
+			   const struct rj_task_report *task_report);
 void rj_foreign_apply_report(struct rj_core_state *core,
 			     struct rj_upstream *upstream,
 			     const struct rj_worker_report *report);
