--- a/src/libradishjunction/core/controllers/calls_controller.c
+++ b/src/libradishjunction/core/controllers/calls_controller.c
@@ -177,7 +177,7 @@
 }
 
 /* Whether a reply names the attempt of the call. One that names another attempt
- * was misdelivered and tells nothing about this one. */
+ * was misdelivered and does not apply to this one. */
 static bool matches_attempt(const struct rj_job *job,
 			    const struct rj_call *call,
 			    const struct rj_worker_reply *reply)
--- a/src/libradishjunction/core/controllers/claims_controller.c
+++ b/src/libradishjunction/core/controllers/claims_controller.c
@@ -30,8 +30,8 @@
 }
 
 /*
- * Whether the job may start only under a claim in the log: non-idempotent jobs
- * and all accepted jobs.
+ * Whether the job may start only under a claim in the log: non-idempotent jobs,
+ * which must not run twice, and all accepted jobs.
  *
  * Accepted jobs need a claim because two owners that cannot reach each other
  * may serve the same job: one would run it while the other, having read a
--- a/src/libradishjunction/core/controllers/config_controller.c
+++ b/src/libradishjunction/core/controllers/config_controller.c
@@ -10,8 +10,8 @@
 /* A re-append that has not appeared in the log after this time is repeated. */
 #define CARRY_RETRY_US (10 * RJ_US_PER_S)
 
-/* Whether both configurations have the same accounts and classes, so that a
- * task has the same priority and may be stopped alike under both. */
+/* Whether two configurations have the same accounts and classes, so that a task
+ * has the same priority and may be stopped alike under both. */
 static bool same_task_semantics(const struct rj_config *a,
 				const struct rj_config *b)
 {
--- a/src/libradishjunction/core/controllers/foreign_controller.c
+++ b/src/libradishjunction/core/controllers/foreign_controller.c
@@ -14,8 +14,8 @@
 
 #include "private/core_state.h"
 
-/* Delay before the first check whether a task has stopped; it doubles with each
- * check up to the maximum. */
+/* Delay before the first check whether a task has stopped; each later check
+ * waits twice as long, up to the maximum. */
 #define STOP_POLL_FIRST_US (50 * RJ_US_PER_MS)
 #define STOP_POLL_MAX_US (2 * RJ_US_PER_S)
 
@@ -52,8 +52,8 @@
 	g_hash_table_destroy(core->foreign);
 }
 
-/* The id of a task with the planner. The job id would be ambiguous: one job may
- * have an attempt here and another elsewhere. */
+/* The id of a task with the planner. The job id would be ambiguous, since a job
+ * may have two attempts, one here and one elsewhere. */
 static uint64_t plan_id_of(const struct rj_task_report *task)
 {
 	const uint64_t parts[] = { task->attempt.job_id, task->attempt.owner,
--- a/src/libradishjunction/core/controllers/forward_controller.c
+++ b/src/libradishjunction/core/controllers/forward_controller.c
@@ -76,7 +76,7 @@
 	if (answer->kind != RJ_ANSWER_UNKNOWN)
 		return false;
 	if (answer->reason == RJ_REASON_IN_PROGRESS)
-		return true; /* it came back to the peer: see the duplicate filter */
+		return true; /* it came back: see the duplicate filter */
 	return rj_log_usable(core) &&
 	       (answer->reason == RJ_REASON_PLATFORM_DOWN ||
 		answer->reason == RJ_REASON_LOG_GAP);
--- a/src/libradishjunction/core/controllers/log_controller.c
+++ b/src/libradishjunction/core/controllers/log_controller.c
@@ -199,9 +199,9 @@
 }
 
 /*
- * Whether the log still holds the records of its whole retention: the oldest
- * record is nearly as old as the retention. Everything still needed was
- * re-appended since then.
+ * Whether the log still has the records of its whole retention: nothing was
+ * trimmed yet, or the oldest record is nearly as old as the retention.
+ * Everything still needed was re-appended since then.
  */
 static bool covers_retention(const struct rj_core_state *core,
 			     const struct rj_records *records)
@@ -216,13 +216,13 @@
  * records that it had not read were trimmed. If the log covers its retention,
  * it is complete, and the previous state is discarded.
  *
- * A log that was trimmed early lacks claims that no instance has re-appended
- * yet: a key that runs or ran would appear new and its job would run twice. The
- * age of the oldest record shows this. `rj_log_usable` then returns false until
- * a peer without a gap confirms that all it knows was read here, or until the
- * lifetime of every earlier key has passed. The previous state is kept in that
- * case, since no other instance may have it, and records carried by peers take
- * precedence.
+ * A log that was trimmed early has a gap: claims that no instance has
+ * re-appended yet are missing, so a key that runs or ran would appear new and
+ * its job would run twice. The age of the oldest record shows this.
+ * `rj_log_usable` then returns false until a peer without a gap confirms that
+ * all it knows was read here, or until the lifetime of every earlier key has
+ * passed. The previous state is kept in that case, since no other instance may
+ * have it, and records carried by peers take precedence.
  */
 static void restart_at_oldest(struct rj_core_state *core,
 			      struct rj_log_stream *stream,
@@ -296,7 +296,8 @@
 		const struct rj_job_entry *entry =
 			RJ_CONTAINER(at, struct rj_job_entry, link);
 
-		/* Confirms nothing while the state of a job is uncertain. */
+		/* An instance that is uncertain about a job confirms
+		 * nothing. */
 		if (entry->doubtful && !entry->settled)
 			heartbeat->log_from = 0;
 		if (rj_job_entry_matters(entry) &&
@@ -312,11 +313,11 @@
 static void append_keepalive(struct rj_core_state *core,
 			     struct rj_log_stream *stream)
 {
-	uint64_t quiet_us = core->retention_us / 8;
+	uint64_t idle_us = core->retention_us / 8;
 	struct rj_record record;
 
 	if (!rj_log_usable(core) ||
-	    core->now_us < stream->newest_us + quiet_us ||
+	    core->now_us < stream->newest_us + idle_us ||
 	    !rj_ownership_owns(core, core->domain, stream->next))
 		return;
 	stream->newest_us = core->now_us;
@@ -414,7 +415,7 @@
 
 /*
  * Handles the result of an append. After a lost answer the records may still be
- * in the log; reading it tells.
+ * in the log; reading the log shows this.
  */
 void rj_log_appended(struct rj_core_state *core,
 		     const struct rj_appended *appended)
--- a/src/libradishjunction/core/controllers/membership_controller.c
+++ b/src/libradishjunction/core/controllers/membership_controller.c
@@ -2,8 +2,8 @@
  * The other instances: which are believed alive, and who owns what.
  *
  * The view is built from the settings, the platform's list, which lags, and the
- * peers' heartbeats. It may be wrong: ownership decides who acts first, while
- * leases and the order of the log decide who may.
+ * peers' heartbeats, and may be wrong. Ownership decides which instance acts
+ * first; leases and the order of the log decide which one may.
  */
 #include <assert.h>
 #include <string.h>
@@ -149,7 +149,8 @@
  */
 uint32_t rj_membership_worker_connections(const struct rj_core_state *core)
 {
-	uint32_t left = RJ_WORKER_CONNECTIONS - RJ_WORKER_CONNECTIONS_OWNER;
+	uint32_t available =
+		RJ_WORKER_CONNECTIONS - RJ_WORKER_CONNECTIONS_OWNER;
 	uint32_t others = 0;
 	uint32_t owners = 1;
 	struct rj_list *at;
@@ -170,8 +171,8 @@
 	if (owners == 1)
 		return RJ_WORKER_CONNECTIONS_OWNER;
 	others *= RJ_WORKER_CONNECTIONS_OTHER;
-	left = left > others ? (left - others) / owners : 0;
-	return CLAMP(left, RJ_WORKER_CONNECTIONS_MIN,
+	available = available > others ? (available - others) / owners : 0;
+	return CLAMP(available, RJ_WORKER_CONNECTIONS_MIN,
 		     RJ_WORKER_CONNECTIONS_OWNER);
 }
 
@@ -366,7 +367,7 @@
 {
 	uint64_t seed = rj_hash64_string(core->name, 0);
 	uint64_t own = rj_ownership_weight(member->name, seed, false);
-	uint32_t before = 0;
+	uint32_t rank = 0;
 	struct rj_list *at;
 	struct rj_list *next;
 
@@ -377,9 +378,9 @@
 		if (other != member && other->listed &&
 		    !strcmp(other->domain, member->domain) &&
 		    rj_ownership_weight(other->name, seed, false) > own)
-			before++;
+			rank++;
 	}
-	return before;
+	return rank;
 }
 
 /*
--- a/src/libradishjunction/core/controllers/racks_controller.c
+++ b/src/libradishjunction/core/controllers/racks_controller.c
@@ -167,14 +167,14 @@
 /* How many tasks of `shape`, at most `most`, fit on a worker now. */
 static uint32_t tasks_that_fit(const struct rj_shape *shape,
 			       const struct rj_upstream *upstream,
-			       uint32_t most)
+			       uint32_t max_tasks)
 {
 	struct rj_resources left = upstream->free_now;
 	uint32_t tasks = 0;
 
 	if (!rj_upstreams_usable(upstream))
 		return 0;
-	while (tasks < most && rj_resources_fit(&shape->each, &left)) {
+	while (tasks < max_tasks && rj_resources_fit(&shape->each, &left)) {
 		rj_resources_take(&left, &shape->each, 1);
 		tasks++;
 	}
--- a/src/libradishjunction/core/controllers/recovery_controller.c
+++ b/src/libradishjunction/core/controllers/recovery_controller.c
@@ -103,7 +103,7 @@
 {
 	struct rj_core_state *core = job->core;
 	struct rj_plan_job plan;
-	struct rj_plan_member *where;
+	struct rj_plan_member *placement;
 
 	rj_core_count(core, RJ_COUNT_ADOPTIONS);
 	rj_core_log(core, RJ_LOG_ADOPT, RJ_REASON_OWNER, job,
@@ -124,15 +124,15 @@
 	}
 	if (job->planned || !all_in_own_domain(job))
 		return;
-	where = talloc_zero_array(core->actions->mem, struct rj_plan_member,
-				  job->member_count);
-	assert(where);
+	placement = talloc_zero_array(core->actions->mem, struct rj_plan_member,
+				      job->member_count);
+	assert(placement);
 	for (uint32_t i = 0; i < job->member_count; i++) {
-		where[i].worker = job->members[i].upstream->index;
-		where[i].tasks = job->members[i].tasks;
+		placement[i].worker = job->members[i].upstream->index;
+		placement[i].tasks = job->members[i].tasks;
 	}
 	rj_job_fill_plan(job, &plan);
-	core->planner->ops->adopt(core->planner, &plan, where,
+	core->planner->ops->adopt(core->planner, &plan, placement,
 				  job->member_count, core->now_us);
 	job->planned = true;
 }
@@ -337,7 +337,7 @@
 	if (entry->accepted)
 		mark_accepted(job, entry);
 	job->cancelled = job->cancelled || entry->cancelled;
-	/* That the open attempt never ran does not tell about earlier ones. */
+	/* Earlier attempts may have run even if the open one never did. */
 	job->ran_before = job->ran_before || entry->claimed_before;
 	job->attempt = entry->attempt;
 	job->claimed = true;
@@ -506,7 +506,7 @@
  */
 void rj_claims_tick(struct rj_core_state *core)
 {
-	bool current = rj_log_usable(core);
+	bool log_usable = rj_log_usable(core);
 	struct rj_list *at;
 	struct rj_list *next;
 
@@ -528,7 +528,7 @@
 		} else if (!entry->settled && entry->accepted && job &&
 			   job->state == RJ_JOB_RUNNING) {
 			rj_claims_claim_running(job);
-		} else if (!entry->settled && entry->accepted && current &&
+		} else if (!entry->settled && entry->accepted && log_usable &&
 			   owned_here(core, entry)) {
 			serve_accepted(core, entry);
 		}
--- a/src/libradishjunction/core/controllers/report_controller.c
+++ b/src/libradishjunction/core/controllers/report_controller.c
@@ -81,9 +81,9 @@
  * Whether a report that was requested well after the start shows that the
  * member did not start.
  *
- * A start call that waits for the end of the task does not tell that it was
- * lost, and the job would hang until its deadline. The margin is the time after
- * which any other call has arrived or timed out.
+ * A start call that waits for the end of the task does not time out early if it
+ * is lost, and the job would hang until its deadline. The margin is the time
+ * after which any other call has arrived or timed out.
  */
 static bool start_was_lost(const struct rj_member *member, uint64_t asked_us)
 {
@@ -211,14 +211,14 @@
 	RJ_FOR_EACH (at, next, &upstream->members) {
 		struct rj_member *member =
 			RJ_CONTAINER(at, struct rj_member, link);
-		bool live = member->state != RJ_TASK_STOPPED &&
-			    member->state != RJ_TASK_DONE &&
-			    member->state != RJ_TASK_FAILED;
+		bool active = member->state != RJ_TASK_STOPPED &&
+			      member->state != RJ_TASK_DONE &&
+			      member->state != RJ_TASK_FAILED;
 
 		if (member->job->state == RJ_JOB_HOLDING ||
-		    (live && (member->job->state == RJ_JOB_STARTING ||
-			      member->job->state == RJ_JOB_RUNNING ||
-			      member->job->state == RJ_JOB_STOPPING)))
+		    (active && (member->job->state == RJ_JOB_STARTING ||
+				member->job->state == RJ_JOB_RUNNING ||
+				member->job->state == RJ_JOB_STOPPING)))
 			return member;
 	}
 	return NULL;
--- a/src/libradishjunction/core/controllers/run_controller.c
+++ b/src/libradishjunction/core/controllers/run_controller.c
@@ -132,7 +132,8 @@
 }
 
 /*
- * Ends the job as done and credits its workers and the retry budget.
+ * Ends the job as done, resets the failure counts of its workers and adds to
+ * the retry budget.
  */
 void rj_job_succeeded(struct rj_job *job)
 {
--- a/src/libradishjunction/core/controllers/upstreams_controller.c
+++ b/src/libradishjunction/core/controllers/upstreams_controller.c
@@ -23,8 +23,8 @@
 /* Failures of this many different jobs in a row are attributed to the
  * worker. */
 #define QUARANTINE_FAILURES 3
-/* Resent with each heartbeat for this time; peers must know of it within 5
- * s. */
+/* Resent with each heartbeat for this time, since peers have to know within 5 s
+ * that a worker is leaving. */
 #define LEAVING_REPEAT_US (4 * RJ_US_PER_S)
 #define QUARANTINE_FIRST_US (10 * RJ_US_PER_S)
 #define QUARANTINE_MAX_US (300 * RJ_US_PER_S)
@@ -141,13 +141,13 @@
  * constant. */
 static uint64_t poll_period_us(const struct rj_core_state *core)
 {
-	uint64_t most_us = (lease_duration_us(core) - POLL_TIMEOUT_US) / 3;
+	uint64_t max_us = (lease_duration_us(core) - POLL_TIMEOUT_US) / 3;
 	uint64_t period_us = polled_count(core) * POLL_INTERVAL_PER_WORKER_US;
 
 	assert(lease_duration_us(core) > POLL_TIMEOUT_US);
 	if (period_us < POLL_INTERVAL_MIN_US)
 		period_us = POLL_INTERVAL_MIN_US;
-	return period_us < most_us ? period_us : most_us;
+	return period_us < max_us ? period_us : max_us;
 }
 
 /*
@@ -230,7 +230,7 @@
 }
 
 /*
- * Tells one peer, whose link has just come up, which workers are leaving.
+ * Sends to one peer, whose link has just come up, which workers are leaving.
  *
  * A peer that cannot read the platform's list, and whose link was down when
  * this was sent first, would keep placing tasks on a leaving worker.
@@ -485,13 +485,13 @@
 {
 	const struct rj_planner_ops *ops = core->planner->ops;
 	struct rj_resources offered = upstream->free_now;
-	struct rj_resources kept;
+	struct rj_resources reserved;
 
 	if (!upstream->owned)
 		return;
 	if (ops->kept) {
-		ops->kept(core->planner, upstream->index, &kept);
-		rj_resources_take_or_zero(&offered, &kept);
+		ops->kept(core->planner, upstream->index, &reserved);
+		rj_resources_take_or_zero(&offered, &reserved);
 	}
 	if (!memcmp(&offered, &upstream->offered, sizeof(offered)))
 		return;
--- a/src/libradishjunction/include/private/membership.h
+++ b/src/libradishjunction/include/private/membership.h
@@ -14,11 +14,12 @@
 
 struct rj_core_state;
 
+/* A peer's last summary of the free capacity in a rack that it owns. */
 struct rj_rack_summary {
 	struct rj_list link;
 	uint32_t rack;
-	uint64_t owner;
-	uint64_t version;
+	uint64_t owner; /* its incarnation */
+	uint64_t version; /* rises with each summary */
 	uint32_t worker_count;
 	struct rj_resources free[RJ_RACK_WORKERS_MAX];
 };
