--- a/src/libradishjunction/core/controllers/membership_controller.c
+++ b/src/libradishjunction/core/controllers/membership_controller.c
@@ -559,19 +559,19 @@
 				struct rj_member_view *member,
 				const struct rj_peer_heartbeat *heartbeat)
 {
-	bool lost_here = heartbeat->sent > member->received + member->lost;
-	bool lost_there = heartbeat->lost > member->lost_at_peer;
+	bool missed = heartbeat->sent > member->received + member->lost;
+	bool missed_by_peer = heartbeat->lost > member->lost_at_peer;
 	struct rj_peer_heartbeat own;
 
-	if (!lost_here && !lost_there)
+	if (!missed && !missed_by_peer)
 		return;
 	member->lost_at_peer = heartbeat->lost;
-	if (lost_here) {
+	if (missed) {
 		member->lost = heartbeat->sent - member->received;
 		fill_heartbeat(core, &own);
 		send_heartbeat(core, member, &own);
 	}
-	if (lost_there)
+	if (missed_by_peer)
 		rj_racks_send_summaries(core, member->name);
 	rj_forward_peer_lost(core, member->name);
 }
--- a/src/libradishjunction/core/controllers/report_controller.c
+++ b/src/libradishjunction/core/controllers/report_controller.c
@@ -29,7 +29,7 @@
 	rj_job_record_progress(job, task->state, task->ran_us);
 	member->ran_us = task->ran_us;
 	if (task->state == RJ_TASK_HELD)
-		return; /* the report precedes the start, or the start was lost */
+		return; /* it precedes the start, or the start was lost */
 	member->reported = true;
 	if (member->state == RJ_TASK_DONE || member->state == RJ_TASK_FAILED)
 		return;
