--- a/src/libradishjunction/core/controllers/claims_controller.c
+++ b/src/libradishjunction/core/controllers/claims_controller.c
@@ -447,7 +447,7 @@
  * cannot be started here until it is submitted again. The waiters are told that
  * it may be in progress. Returns whether the job was freed.
  */
-bool rj_job_drop_if_bodiless(struct rj_job *job)
+bool rj_job_drop_if_body_missing(struct rj_job *job)
 {
 	if (!job->bodiless)
 		return false;
@@ -459,7 +459,7 @@
 /* The watched attempt never ran: serves the job from here. */
 static void resume_watched(struct rj_job *job)
 {
-	if (!rj_job_drop_if_bodiless(job))
+	if (!rj_job_drop_if_body_missing(job))
 		rj_filters_again(job);
 }
 
--- a/src/libradishjunction/core/controllers/placement_controller.c
+++ b/src/libradishjunction/core/controllers/placement_controller.c
@@ -1,5 +1,5 @@
 /*
- * QUEUED and HOLDING: carries out the planner's decisions and obtains the
+ * QUEUED and LEASING: carries out the planner's decisions and obtains the
  * leases they need.
  *
  * All leases of a gang are requested at once, and one refusal releases the
--- a/src/libradishjunction/core/controllers/stop_controller.c
+++ b/src/libradishjunction/core/controllers/stop_controller.c
@@ -37,7 +37,7 @@
 		rj_claims_append_void(job);
 	if (job->cancelled)
 		rj_job_abandon(job, job->final.reason, 0);
-	else if (!rj_job_drop_if_bodiless(job))
+	else if (!rj_job_drop_if_body_missing(job))
 		rj_job_retry(job, RJ_REASON_LEASE_LAPSED);
 }
 
@@ -60,7 +60,7 @@
 	}
 	if (job->claimed)
 		rj_claims_append_void(job);
-	if (rj_job_drop_if_bodiless(job))
+	if (rj_job_drop_if_body_missing(job))
 		return;
 	if (job->reclaimed) {
 		rj_job_requeue(job, 0, RJ_REASON_RECLAIMED);
--- a/src/libradishjunction/core/controllers/upstreams_controller.c
+++ b/src/libradishjunction/core/controllers/upstreams_controller.c
@@ -466,8 +466,8 @@
  * Requests a full report of every worker, because the configuration determines
  * which tasks may be stopped.
  *
- * Before the first configuration all reported tasks count as not stoppable, and
- * unchanged reports do not show them again. Without this a guaranteed shape
+ * Before the first configuration all reported tasks count as not preemptible,
+ * and unchanged reports do not show them again. Without this a guaranteed shape
  * would be reclaimed seconds late after a restart.
  */
 void rj_upstreams_request_full_reports(struct rj_core_state *core)
--- a/src/libradishjunction/include/private/jobs.h
+++ b/src/libradishjunction/include/private/jobs.h
@@ -180,7 +180,7 @@
 void rj_job_accept(struct rj_job *job);
 void rj_job_claim(struct rj_job *job);
 void rj_job_watch(struct rj_job *job);
-bool rj_job_drop_if_bodiless(struct rj_job *job);
+bool rj_job_drop_if_body_missing(struct rj_job *job);
 
 /* controllers/recovery_controller.c: SETTLING */
 void rj_job_settle(struct rj_job *job);
--- a/src/libradishjunction/include/private/upstreams.h
+++ b/src/libradishjunction/include/private/upstreams.h
@@ -65,7 +65,7 @@
 	 * received from the owner. */
 	struct rj_resources offered;
 	struct rj_list members; /* of this instance's jobs */
-	struct rj_list foreign_tasks; /* of other instances, stoppable */
+	struct rj_list foreign_tasks; /* of other instances, preemptible */
 	uint32_t own_members; /* length of `members` */
 	uint64_t failed_jobs[RJ_FAILED_JOBS];
 	uint32_t failed_count;
