--- a/src/libradishjunction/core/controllers/config_controller.c
+++ b/src/libradishjunction/core/controllers/config_controller.c
@@ -1,18 +1,19 @@
 /*
- * Which configuration is in force here: from the log, or from a peer when
- * the log cannot be read; and carried forward before the log drops it.
+ * Selects the configuration in force, from the log or, when the log cannot be
+ * read, from a peer, and re-appends it before the log trims it.
  */
 #include <string.h>
 #include <talloc.h>
 
 #include "private/core_state.h"
 
-/* An append that was lost shows within this time, or is made again. */
+/* A re-append that has not appeared in the log after this time is repeated. */
 #define CARRY_RETRY_US (10 * RJ_US_PER_S)
 
-/* Whether two configurations have the same classes for the same accounts, so
- * that a task means the same under both. */
-static bool same_tasks(const struct rj_config *a, const struct rj_config *b)
+/* Whether two configurations have the same accounts and classes, so that a task
+ * has the same priority and may be stopped alike under both. */
+static bool same_task_semantics(const struct rj_config *a,
+				const struct rj_config *b)
 {
 	if (a->class_count != b->class_count ||
 	    a->account_count != b->account_count)
@@ -33,23 +34,24 @@
 	return true;
 }
 
-/* A newer configuration came into force: every part that uses it is told,
- * and so are the peers, who may not be able to read the log. */
-static void in_force(struct rj_core_state *core, const char *from)
+/* Puts a newer configuration in force: updates the planner, the racks and the
+ * workers' reports, and sends it to the peers, which may be unable to read the
+ * log. */
+static void activate(struct rj_core_state *core, const char *source)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 	bool same = core->config &&
-		    same_tasks(core->config, core->config_log.config);
+		    same_task_semantics(core->config, core->config_log.config);
 
 	if (core->config)
 		rj_config_unref(core->config);
 	core->config = rj_config_ref(core->config_log.config);
 	rj_core_count(core, RJ_COUNT_CONFIGS_ACCEPTED);
-	rj_core_log(core, RJ_LOG_CONFIG, RJ_REASON_NONE, NULL, from);
+	rj_core_log(core, RJ_LOG_CONFIG, RJ_REASON_NONE, NULL, source);
 	core->planner->ops->configure(core->planner, core->config, core->domain,
 				      core->now_us);
-	rj_racks_update_ownership(core); /* the groups of racks may differ */
+	rj_racks_update_ownership(core); /* rack groups may have changed */
 	if (!same)
 		rj_upstreams_request_full_reports(core);
 	core->jobs.plan_wanted = true;
@@ -64,7 +66,7 @@
 }
 
 /*
- * Apply what a read of the `config` stream brought.
+ * Applies the result of a read of the `config` stream.
  */
 void rj_config_controller_apply_records(struct rj_core_state *core,
 					const struct rj_records *records)
@@ -81,7 +83,7 @@
 					      &records->records[i],
 					      core->now_us, &errors);
 		if (verdict == RJ_CONFIG_ACCEPTED)
-			in_force(core, "log");
+			activate(core, "log");
 		else if (verdict == RJ_CONFIG_STALE ||
 			 verdict == RJ_CONFIG_BAD_TEXT ||
 			 verdict == RJ_CONFIG_BAD_CHANGE)
@@ -90,7 +92,8 @@
 }
 
 /*
- * Take over what a peer has in force; whether it is newer than what is here.
+ * Adopts the configuration offered by a peer. Returns whether it is newer than
+ * the current one.
  */
 static bool adopt(struct rj_core_state *core,
 		  const struct rj_peer_config *offer)
@@ -108,8 +111,8 @@
 }
 
 /*
- * A peer offers the configuration that it has in force. An older one changes
- * nothing: revisions only rise.
+ * Handles a peer's offer of its configuration in force. Older revisions have no
+ * effect.
  */
 void rj_config_controller_receive(struct rj_core_state *core,
 				  const struct rj_peer_config *offer)
@@ -117,25 +120,25 @@
 	if (!adopt(core, offer))
 		return;
 	core->streams[RJ_STREAM_CONFIG].next = core->config_log.next;
-	in_force(core, "peer");
+	activate(core, "peer");
 }
 
 /*
- * Whether a peer needs no more than the change that made the configuration
- * in force: it said that it takes changes, and has the revision before. The
- * view of it may be old; a change that does not fit it changes nothing there.
+ * Whether the last change alone brings a peer up to date: it accepts changes
+ * and has the previous revision. The peer's revision may be outdated here; a
+ * change that does not fit has no effect there.
  */
-static bool change_is_enough(const struct rj_core_state *core,
-			     const struct rj_member_view *member)
+static bool change_suffices(const struct rj_core_state *core,
+			    const struct rj_member_view *member)
 {
-	return core->config_log.change.patch && member && member->heard &&
-	       member->config_changes &&
+	return core->config_log.change.patch && member &&
+	       member->heartbeat_seen && member->config_changes &&
 	       member->config_revision + 1 == core->config->revision;
 }
 
 /*
- * Send the configuration in force to a peer, if there is one: the change
- * alone if that is enough, else the whole.
+ * Sends the configuration in force to a peer, if there is one: the last change
+ * if that suffices, else the full text.
  */
 void rj_config_controller_send(struct rj_core_state *core, const char *peer)
 {
@@ -150,7 +153,7 @@
 	offer->offset = core->config_log.as_of;
 	memcpy(offer->id, core->config->id, sizeof(offer->id));
 	offer->text = "";
-	if (change_is_enough(core, rj_membership_find(core, peer))) {
+	if (change_suffices(core, rj_membership_find(core, peer))) {
 		offer->change = core->config_log.change;
 		offer->change.patch =
 			talloc_strdup(message, offer->change.patch);
@@ -160,8 +163,9 @@
 }
 
 /*
- * Append the configuration in force again when it is due. The owner by hash
- * does it first; a second one is harmless, since it changes nothing.
+ * Re-appends the configuration in force when due. Only its owner by hash
+ * appends; during a disagreement a second append is harmless, since it changes
+ * nothing.
  */
 void rj_config_controller_tick(struct rj_core_state *core)
 {
--- a/src/libradishjunction/core/controllers/log_controller.c
+++ b/src/libradishjunction/core/controllers/log_controller.c
@@ -1,9 +1,9 @@
 /*
- * Reading the log's streams and appending to them.
+ * Reads the log's streams and appends to them.
  *
- * Appends of one stream go one at a time and carry all that waits (group
- * commit), at this instance's share of the log's rate. What became of an
- * append is told to the claims controller; what was read, to the claims or
+ * Each stream has at most one append in flight, which carries all waiting
+ * records (group commit), at this instance's share of the log's rate limit.
+ * Failed appends are passed to the claims controller, records to the claims or
  * the configuration controller.
  */
 #include <assert.h>
@@ -12,20 +12,24 @@
 
 #include "private/core_state.h"
 
-/* A cut that answers nothing shows after this long and the adapter's slack. */
+/* Duration of a long poll. A partition that drops answers is detected after
+ * this time plus the adapter's margin. */
 #define READ_WAIT_US (2 * RJ_US_PER_S)
-/* A publication ends the wait at once; nothing else hangs on this stream. */
+/* A new configuration ends the long poll at once, and nothing else depends on
+ * this stream. */
 #define CONFIG_READ_WAIT_US (10 * RJ_US_PER_S)
 #define READ_BACKOFF_FIRST_US (100 * RJ_US_PER_MS)
 #define READ_BACKOFF_MAX_US (1 * RJ_US_PER_S)
-/* Without an answer for this long, nothing new may depend on the log. */
+/* Without an answer for this long, nothing new that depends on the log
+ * starts. */
 #define READ_STALE_US (5 * RJ_US_PER_S)
-/* 24 instances of one user stay under 500 appends a second at 50 ms. */
-#define APPEND_GAP_US (50 * RJ_US_PER_MS)
+/* At 50 ms, 24 instances of one platform user stay below 500 appends per
+ * second. */
+#define APPEND_INTERVAL_US (50 * RJ_US_PER_MS)
 #define APPEND_RECORDS_MAX 64
 
-/* Ask for what follows the last record that was read. */
-static void read_on(struct rj_core_state *core, struct rj_log_stream *stream)
+/* Requests the records after the last one read. */
+static void read_next(struct rj_core_state *core, struct rj_log_stream *stream)
 {
 	struct rj_action *action;
 
@@ -43,14 +47,16 @@
 					 READ_WAIT_US;
 }
 
-/* The back-off after a failed read is over. */
-static void read_retry(struct rj_core_state *core, struct rj_timer *timer)
+/* The back-off after a failed read has passed. */
+static void retry_due(struct rj_core_state *core, struct rj_timer *timer)
 {
-	read_on(core, RJ_CONTAINER(timer, struct rj_log_stream, retry));
+	read_next(core, RJ_CONTAINER(timer, struct rj_log_stream, retry));
 }
 
-/* Send all that waits in one append, unless one is out already. */
-static void append_now(struct rj_core_state *core, struct rj_log_stream *stream)
+/* Sends up to APPEND_RECORDS_MAX waiting records in one append, unless one is
+ * in flight or the rate limit does not allow it yet. */
+static void start_append(struct rj_core_state *core,
+			 struct rj_log_stream *stream)
 {
 	struct rj_action *action;
 	uint32_t count = stream->waiting_count;
@@ -75,7 +81,7 @@
 	memmove(stream->waiting, stream->waiting + count,
 		stream->waiting_count * sizeof(stream->waiting[0]));
 	stream->append_id = rj_core_next_id(core);
-	stream->append_after_us = core->now_us + APPEND_GAP_US;
+	stream->append_after_us = core->now_us + APPEND_INTERVAL_US;
 	rj_core_count(core, RJ_COUNT_APPENDS);
 	action = rj_actions_add(core->actions, RJ_ACTION_APPEND);
 	action->u.append.append_id = stream->append_id;
@@ -84,15 +90,15 @@
 	action->u.append.count = count;
 }
 
-/* This instance's share allows the next append. */
+/* The rate limit allows the next append. */
 static void append_due(struct rj_core_state *core, struct rj_timer *timer)
 {
-	append_now(core,
-		   RJ_CONTAINER(timer, struct rj_log_stream, append_timer));
+	start_append(core,
+		     RJ_CONTAINER(timer, struct rj_log_stream, append_timer));
 }
 
 /*
- * Make the streams, not read yet.
+ * Initialises the streams; nothing is read yet.
  */
 void rj_log_init(struct rj_core_state *core)
 {
@@ -101,28 +107,28 @@
 
 		stream->stream = (enum rj_stream)i;
 		stream->backoff_us = READ_BACKOFF_FIRST_US;
-		rj_timer_init(&stream->retry, read_retry);
+		rj_timer_init(&stream->retry, retry_due);
 		rj_timer_init(&stream->append_timer, append_due);
 	}
 }
 
 /*
- * Start reading every stream from its oldest record.
+ * Starts reading every stream at its oldest record.
  */
 void rj_log_start(struct rj_core_state *core)
 {
 	for (int i = 0; i < RJ_STREAM_COUNT; i++)
-		read_on(core, &core->streams[i]);
+		read_next(core, &core->streams[i]);
 }
 
 /*
- * Queue one record for the next append of `stream`; it is copied with all
- * that it points to.
+ * Queues one record for the next append to `stream`. The record is copied with
+ * all that it points to.
  */
-void rj_log_append(struct rj_core_state *core, enum rj_stream which,
+void rj_log_append(struct rj_core_state *core, enum rj_stream stream_id,
 		   const struct rj_record *record)
 {
-	struct rj_log_stream *stream = &core->streams[which];
+	struct rj_log_stream *stream = &core->streams[stream_id];
 	struct rj_record *copy;
 
 	copy = talloc_memdup(core, record, sizeof(*record));
@@ -141,11 +147,11 @@
 			       stream->waiting_count + 1);
 	assert(stream->waiting);
 	stream->waiting[stream->waiting_count++] = copy;
-	append_now(core, stream);
+	start_append(core, stream);
 }
 
 /*
- * Whether nothing waits to be appended and no append is out.
+ * Whether no record waits to be appended and no append is in flight.
  */
 bool rj_log_idle(const struct rj_core_state *core)
 {
@@ -157,13 +163,13 @@
 }
 
 /*
- * Whether work may be started that depends on the log: every key still in
- * the log is known here, and a read that was sent a short while ago was answered.
+ * Whether work that depends on the log may start: every key still in the log is
+ * known here, and a recently sent read was answered.
  *
- * Guards against an instance that starts empty, or was paused: it would take
- * an old key for a new one and run its job twice. An answer proves nothing
- * beyond the time at which its read was sent, since it may have lain here
- * while this process was paused.
+ * An instance that starts without state, or was paused, would take an old key
+ * for a new one and run its job twice. An answer is only as fresh as the time
+ * at which its read was sent, since it may have been buffered while this
+ * process was paused.
  */
 bool rj_log_usable(const struct rj_core_state *core)
 {
@@ -175,16 +181,16 @@
 }
 
 /*
- * Why the log is not usable: it cannot be reached, or older keys may be
- * missing in what was read of it.
+ * Why the log is not usable: it is unreachable, or older keys may be missing
+ * from what was read.
  */
 enum rj_reason rj_log_unavailable_reason(const struct rj_core_state *core)
 {
 	return core->platform_up ? RJ_REASON_LOG_GAP : RJ_REASON_PLATFORM_DOWN;
 }
 
-/* The platform has stopped answering, or its answers are not to be had. */
-static void platform_lost(struct rj_core_state *core)
+/* The platform has stopped answering reads. */
+static void mark_platform_down(struct rj_core_state *core)
 {
 	if (!core->platform_up)
 		return;
@@ -193,11 +199,12 @@
 }
 
 /*
- * What a whole log says can be known only from a record that is nearly as old
- * as the log keeps any; all that still matters was carried since then.
+ * Whether the log still has the records of its whole retention: nothing was
+ * trimmed yet, or the oldest record is nearly as old as the retention.
+ * Everything still needed was re-appended since then.
  */
-static bool reaches_back(const struct rj_core_state *core,
-			 const struct rj_records *records)
+static bool covers_retention(const struct rj_core_state *core,
+			     const struct rj_records *records)
 {
 	return !records->oldest ||
 	       (records->count &&
@@ -205,26 +212,29 @@
 }
 
 /*
- * This reader goes on at the oldest record that the log keeps, because it is
- * new, or records were dropped that it had not seen. A log that reaches back
- * says all, so what was known before is forgotten.
+ * Continues at the oldest record in the log, because this reader is new or
+ * records that it had not read were trimmed. If the log covers its retention,
+ * it is complete, and the previous state is discarded.
  *
- * Guards against a log that was trimmed before its time, whose claims nobody
- * has carried yet: a key that runs or ran would seem new, and its job would
- * run twice. Such a log shows by the age of its oldest record. Until a peer
- * that has no gap says that what it knows can be read here, or every key from
- * before has ended its life, `rj_log_usable` says no. What was known before
- * is kept then: nobody else may know it, and what a peer carries counts more.
+ * A log that was trimmed early has a gap: claims that no instance has
+ * re-appended yet are missing, so a key that runs or ran would appear new and
+ * its job would run twice. The age of the oldest record shows this.
+ * `rj_log_usable` then returns false until a peer without a gap confirms that
+ * all it knows was read here, or until the lifetime of every earlier key has
+ * passed. The previous state is kept in that case, since no other instance may
+ * have it, and records carried by peers take precedence.
  */
-static void read_first(struct rj_core_state *core, struct rj_log_stream *stream,
-		       const struct rj_records *records)
+static void restart_at_oldest(struct rj_core_state *core,
+			      struct rj_log_stream *stream,
+			      const struct rj_records *records)
 {
 	stream->caught_up = false;
 	if (stream->stream != RJ_STREAM_JOBS)
 		return;
 	stream->newest_us = core->now_us;
 	core->gap_end_offset = records->oldest;
-	core->ledger.gap_us = reaches_back(core, records) ? 0 : core->now_us;
+	core->ledger.gap_us =
+		covers_retention(core, records) ? 0 : core->now_us;
 	if (!core->ledger.gap_us)
 		rj_job_ledger_reset(&core->ledger);
 	else
@@ -232,8 +242,8 @@
 			    "jobs");
 }
 
-/* Whether a peer without a gap says that all it knows was read here. */
-static bool peer_vouches(const struct rj_core_state *core)
+/* Whether a peer without a gap reports that all it knows was read here. */
+static bool peer_confirms_complete(const struct rj_core_state *core)
 {
 	const struct rj_log_stream *stream = &core->streams[RJ_STREAM_JOBS];
 	struct rj_list *at;
@@ -252,17 +262,17 @@
 }
 
 /*
- * Look whether older keys may still be missing here.
+ * Ends the gap when older keys can no longer be missing.
  */
 void rj_log_check_gap(struct rj_core_state *core)
 {
-	uint64_t life_us;
+	uint64_t key_lifetime_us;
 
 	if (!core->ledger.gap_us || !core->config)
 		return;
-	life_us = core->config->limits.key_life_s * RJ_US_PER_S;
-	if (!peer_vouches(core)) {
-		if (core->now_us <= core->ledger.gap_us + life_us)
+	key_lifetime_us = core->config->limits.key_life_s * RJ_US_PER_S;
+	if (!peer_confirms_complete(core)) {
+		if (core->now_us <= core->ledger.gap_us + key_lifetime_us)
 			return;
 		rj_job_ledger_mark_incomplete(&core->ledger);
 	}
@@ -271,7 +281,8 @@
 }
 
 /*
- * Say from where on the jobs' records can be read to know what is known here.
+ * Fills the range of `jobs` records that has to be read to know what this
+ * instance knows.
  */
 void rj_log_fill_heartbeat(const struct rj_core_state *core,
 			   struct rj_peer_heartbeat *heartbeat)
@@ -285,7 +296,8 @@
 		const struct rj_job_entry *entry =
 			RJ_CONTAINER(at, struct rj_job_entry, link);
 
-		/* Who doubts a job vouches for nothing. */
+		/* An instance that is uncertain about a job confirms
+		 * nothing. */
 		if (entry->incomplete && !entry->settled)
 			heartbeat->log_from = 0;
 		if (rj_job_entry_has_state(entry) &&
@@ -295,17 +307,17 @@
 }
 
 /*
- * Append a record that says nothing when the log has been quiet for a while,
- * so that who starts on it can tell a quiet log from one that was trimmed
- * before its time.
+ * Appends an empty record to a log without recent records, so that a new reader
+ * can tell an idle log from one that was trimmed early.
  */
-static void mark_quiet(struct rj_core_state *core, struct rj_log_stream *stream)
+static void append_keepalive(struct rj_core_state *core,
+			     struct rj_log_stream *stream)
 {
-	uint64_t quiet_us = core->retention_us / 8;
+	uint64_t idle_us = core->retention_us / 8;
 	struct rj_record record;
 
 	if (!rj_log_usable(core) ||
-	    core->now_us < stream->newest_us + quiet_us ||
+	    core->now_us < stream->newest_us + idle_us ||
 	    !rj_ownership_owns(core, core->domain, stream->next))
 		return;
 	stream->newest_us = core->now_us;
@@ -315,18 +327,18 @@
 }
 
 /*
- * The regular round.
+ * Runs the periodic checks of the log.
  */
 void rj_log_tick(struct rj_core_state *core)
 {
 	rj_log_check_gap(core);
-	mark_quiet(core, &core->streams[RJ_STREAM_JOBS]);
+	append_keepalive(core, &core->streams[RJ_STREAM_JOBS]);
 }
 
-/* Note when the newest record that was read was appended. */
-static void note_newest(const struct rj_core_state *core,
-			struct rj_log_stream *stream,
-			const struct rj_records *records)
+/* Records when the newest record read was appended. */
+static void update_newest_time(const struct rj_core_state *core,
+			       struct rj_log_stream *stream,
+			       const struct rj_records *records)
 {
 	uint64_t age_us = records->records[records->count - 1].age_us;
 
@@ -334,7 +346,7 @@
 }
 
 /*
- * Apply what a read of a stream brought, and read on.
+ * Applies the result of a read of a stream and continues reading.
  */
 void rj_log_receive_records(struct rj_core_state *core,
 			    const struct rj_records *records)
@@ -344,16 +356,16 @@
 	if (!stream->reading)
 		return;
 	stream->reading = false;
-	/* The place to read from has moved since: ask again from there. */
+	/* The read position has changed since: ask again from there. */
 	if (records->from != stream->next) {
-		read_on(core, stream);
+		read_next(core, stream);
 		return;
 	}
 	stream->backoff_us = READ_BACKOFF_FIRST_US;
 	stream->current_as_of_us = stream->read_sent_us;
 	core->platform_up = true;
 	if (!stream->read_before || records->oldest > stream->next)
-		read_first(core, stream, records);
+		restart_at_oldest(core, stream, records);
 	stream->read_before = true;
 	stream->oldest = records->oldest;
 	core->counters[RJ_COUNT_RECORDS_READ] += records->count;
@@ -368,30 +380,31 @@
 		for (uint32_t i = 0; i < records->count; i++)
 			rj_claims_apply_record(core, &records->records[i]);
 		if (records->count)
-			note_newest(core, stream, records);
+			update_newest_time(core, stream, records);
 		rj_log_check_gap(core);
 		if (stream->caught_up) {
 			core->jobs.plan_wanted = true;
-			/* An answer from before the pause proves nothing. */
+			/* An answer to a read sent before the pause proves
+			 * nothing. */
 			if (stream->current_as_of_us >= core->paused_before_us)
 				core->paused_before_us = 0;
 		}
 	}
-	read_on(core, stream);
+	read_next(core, stream);
 }
 
 /*
- * A read was not answered: try again after a back-off with jitter.
+ * Handles a failed read: retries after an exponential back-off with jitter.
  */
-void rj_log_read_failed(struct rj_core_state *core, enum rj_stream which)
+void rj_log_read_failed(struct rj_core_state *core, enum rj_stream stream_id)
 {
-	struct rj_log_stream *stream = &core->streams[which];
+	struct rj_log_stream *stream = &core->streams[stream_id];
 
 	if (!stream->reading)
 		return;
 	stream->reading = false;
 	stream->tried = true;
-	platform_lost(core);
+	mark_platform_down(core);
 	rj_timer_set(&core->timers, &stream->retry,
 		     core->now_us +
 			     rj_core_jitter_us(core, stream->backoff_us));
@@ -401,8 +414,8 @@
 }
 
 /*
- * What became of an append. A lost answer is not a refusal: the records may
- * be in the log, and reading will tell.
+ * Handles the result of an append. After a lost answer the records may still be
+ * in the log; reading the log shows this.
  */
 void rj_log_appended(struct rj_core_state *core,
 		     const struct rj_appended *appended)
@@ -427,5 +440,5 @@
 			rj_claims_append_failed(core, &records[i],
 						appended->status);
 	talloc_free(records);
-	append_now(core, stream);
+	start_append(core, stream);
 }
--- a/src/libradishjunction/core/controllers/membership_controller.c
+++ b/src/libradishjunction/core/controllers/membership_controller.c
@@ -1,9 +1,9 @@
 /*
- * The other instances: who is believed alive, and who owns what.
+ * The other instances: which are believed alive, and who owns what.
  *
- * The view is built from the settings, the platform's lagging list and the
- * peers' heartbeats, and may be wrong: ownership decides who acts first,
- * while leases and the log's order decide who may.
+ * The view is built from the settings, the platform's list, which lags, and the
+ * peers' heartbeats, and may be wrong. Ownership decides which instance acts
+ * first; leases and the order of the log decide which one may.
  */
 #include <assert.h>
 #include <string.h>
@@ -11,19 +11,22 @@
 
 #include "private/core_state.h"
 
-#define HEARTBEAT_US (1 * RJ_US_PER_S)
-/* So many may be lost on a bad link before a peer counts as dead. */
-#define BEATS_LOST_MAX 3
-#define ALIVE_US (BEATS_LOST_MAX * HEARTBEAT_US + 500 * RJ_US_PER_MS)
-/* Links to each other failure domain: one may fail, and traffic stays flat. */
-#define LINKS_TO_OTHER_DOMAIN 2
-#define LIST_US (2 * RJ_US_PER_S)
-/* Until the first list has come, nothing can be served. */
-#define LIST_FIRST_US (300 * RJ_US_PER_MS)
-
-/* Add a peer to the view, or find it. */
-static struct rj_member_view *member_learn(struct rj_core_state *core,
-					   const char *name)
+#define HEARTBEAT_INTERVAL_US (1 * RJ_US_PER_S)
+/* Heartbeats that may be lost on a poor link before a peer counts as dead. */
+#define HEARTBEATS_LOST_MAX 3
+#define ALIVE_TIMEOUT_US \
+	(HEARTBEATS_LOST_MAX * HEARTBEAT_INTERVAL_US + 500 * RJ_US_PER_MS)
+/* Links to each other failure domain: one may fail, and the traffic stays
+ * constant. */
+#define LINKS_PER_OTHER_DOMAIN 2
+#define LIST_INTERVAL_US (2 * RJ_US_PER_S)
+/* Nothing can be served until the first list has arrived. */
+#define LIST_STARTUP_INTERVAL_US (300 * RJ_US_PER_MS)
+
+/* Returns the peer with this name, added if it is new, or NULL for this
+ * instance's own name. */
+static struct rj_member_view *find_or_add_member(struct rj_core_state *core,
+						 const char *name)
 {
 	struct rj_member_view *member = rj_membership_find(core, name);
 
@@ -39,7 +42,7 @@
 }
 
 /*
- * A peer by its name, or NULL.
+ * Returns the peer with this name, or NULL.
  */
 struct rj_member_view *rj_membership_find(struct rj_core_state *core,
 					  const char *name)
@@ -58,42 +61,43 @@
 }
 
 /*
- * Of how many heartbeats one goes to other failure domains, where there are
- * `domains` of them in all: the more there are, the fewer each one hears, so
- * that their sum stays flat. Up to four domains each one is sent. An instance
- * that dies shows at once by its link; only one that is cut off shows later.
+ * Returns n such that every n-th heartbeat goes to other failure domains, of
+ * `domains` in all. More domains each receive fewer heartbeats, so that the
+ * total stays constant; with up to four domains each gets every heartbeat. A
+ * dead instance is noticed at once by its closed link; only a partitioned one
+ * is noticed later.
  */
 uint32_t rj_membership_cross_domain_interval(uint32_t domains)
 {
-	return MAX((domains - 1) / LINKS_TO_OTHER_DOMAIN, 1);
+	return MAX((domains - 1) / LINKS_PER_OTHER_DOMAIN, 1);
 }
 
-/* The same for the domains of the configuration in force. */
-static uint32_t beats_to_other_domains(const struct rj_core_state *core)
+/* The same for the configuration in force. */
+static uint32_t cross_domain_interval(const struct rj_core_state *core)
 {
 	return rj_membership_cross_domain_interval(
 		core->config ? core->config->domain_count : 1);
 }
 
 /*
- * Whether a peer is believed alive: its link stands and it was heard from a
- * short while ago.
+ * Whether a peer is believed alive: its link is up and a heartbeat arrived
+ * recently.
  */
 bool rj_membership_alive(const struct rj_core_state *core,
 			 const struct rj_member_view *member)
 {
-	uint64_t alive_us = ALIVE_US;
+	uint64_t timeout_us = ALIVE_TIMEOUT_US;
 
 	if (strcmp(member->domain, core->domain) != 0)
-		alive_us += BEATS_LOST_MAX * HEARTBEAT_US *
-			    (beats_to_other_domains(core) - 1);
-	return member->connected && member->heard &&
-	       core->now_us < member->heard_us + alive_us;
+		timeout_us += HEARTBEATS_LOST_MAX * HEARTBEAT_INTERVAL_US *
+			      (cross_domain_interval(core) - 1);
+	return member->connected && member->heartbeat_seen &&
+	       core->now_us < member->last_heartbeat_us + timeout_us;
 }
 
 /*
- * Whether work may be handed to a peer: it is believed alive and does not
- * stop.
+ * Whether jobs may be handed to a peer: it is believed alive and is not
+ * draining.
  */
 bool rj_membership_accepts_jobs(const struct rj_core_state *core,
 				const struct rj_member_view *member)
@@ -102,8 +106,7 @@
 }
 
 /*
- * The peer with this incarnation, or NULL when none that is believed alive
- * has it.
+ * Returns the name of the live peer with this incarnation, or NULL.
  */
 const char *rj_membership_name_by_incarnation(const struct rj_core_state *core,
 					      uint64_t incarnation)
@@ -123,7 +126,8 @@
 }
 
 /*
- * Whether the instance with this incarnation is believed alive; this one is.
+ * Whether the instance with this incarnation is believed alive; true for this
+ * instance.
  */
 bool rj_membership_incarnation_alive(const struct rj_core_state *core,
 				     uint64_t incarnation)
@@ -133,18 +137,20 @@
 }
 
 /*
- * How many connections to a worker of the own failure domain this instance
- * may have now: those of an owner, as long as it hears all the others.
+ * Returns how many connections to a worker of its failure domain this instance
+ * may open now: the share of an owner while it receives heartbeats from all
+ * peers of the domain.
  *
- * Guards against instances that do not hear each other, each of which takes
- * itself for the owner of every rack: eight of them would ask a worker for
- * 112 connections of its 64, and whom it refuses could not renew its leases.
- * Each of them knows the others from the settings and the list and leaves
- * them their share, and the former owner what it has open.
+ * Instances that cannot reach each other each believe that they own every rack:
+ * eight of them would request 112 connections from a worker that allows 64, and
+ * those it refuses could not renew their leases. Each of them knows the others
+ * from the settings and the list, and leaves them their share, and the former
+ * owner the connections it has open.
  */
 uint32_t rj_membership_worker_connections(const struct rj_core_state *core)
 {
-	uint32_t left = RJ_WORKER_CONNECTIONS - RJ_WORKER_CONNECTIONS_OWNER;
+	uint32_t available =
+		RJ_WORKER_CONNECTIONS - RJ_WORKER_CONNECTIONS_OWNER;
 	uint32_t others = 0;
 	uint32_t owners = 1;
 	struct rj_list *at;
@@ -165,13 +171,14 @@
 	if (owners == 1)
 		return RJ_WORKER_CONNECTIONS_OWNER;
 	others *= RJ_WORKER_CONNECTIONS_OTHER;
-	left = left > others ? (left - others) / owners : 0;
-	return CLAMP(left, RJ_WORKER_CONNECTIONS_MIN,
+	available = available > others ? (available - others) / owners : 0;
+	return CLAMP(available, RJ_WORKER_CONNECTIONS_MIN,
 		     RJ_WORKER_CONNECTIONS_OWNER);
 }
 
 /*
- * Start a message to a peer; the caller fills it. It is lost without a link.
+ * Adds a message to a peer and returns it for the caller to fill. The message
+ * is dropped if there is no link.
  */
 struct rj_peer_message *rj_membership_send(struct rj_core_state *core,
 					   const char *peer,
@@ -193,8 +200,8 @@
 }
 
 /*
- * Send a copy of `message`, which points to nothing, to every connected peer
- * of this failure domain.
+ * Sends a copy of `message`, which must contain no pointers, to every connected
+ * peer of this failure domain.
  */
 void rj_membership_send_domain(struct rj_core_state *core,
 			       const struct rj_peer_message *message)
@@ -212,7 +219,7 @@
 	}
 }
 
-/* Fill a heartbeat of this instance, but for what differs by link. */
+/* Fills the fields of a heartbeat that are the same for all peers. */
 static void fill_heartbeat(struct rj_core_state *core,
 			   struct rj_peer_heartbeat *heartbeat)
 {
@@ -233,7 +240,7 @@
 	rj_log_fill_heartbeat(core, heartbeat);
 }
 
-/* Tell one peer how this instance is, and what was lost on the link. */
+/* Sends a heartbeat to one peer, with the message counts of its link. */
 static void send_heartbeat(struct rj_core_state *core,
 			   const struct rj_member_view *member,
 			   const struct rj_peer_heartbeat *heartbeat)
@@ -247,9 +254,9 @@
 	out->lost = member->lost;
 }
 
-/* Tell the connected peers how this instance is: those of its own failure
- * domain, and all others too where `others` says so. */
-static void heartbeat(struct rj_core_state *core, bool others)
+/* Sends a heartbeat to the connected peers of this failure domain and, if
+ * `others`, of all other domains. */
+static void send_heartbeats(struct rj_core_state *core, bool others)
 {
 	struct rj_peer_heartbeat message;
 	struct rj_list *at;
@@ -267,21 +274,21 @@
 }
 
 /*
- * Tell every connected peer how this instance is.
+ * Sends a heartbeat to every connected peer.
  */
 void rj_membership_send_heartbeats(struct rj_core_state *core)
 {
-	heartbeat(core, true);
+	send_heartbeats(core, true);
 }
 
-/* What this instance owns may have changed. */
-static void view_changed(struct rj_core_state *core)
+/* The racks owned by this instance may have changed. */
+static void on_view_changed(struct rj_core_state *core)
 {
 	rj_racks_update_ownership(core);
 	rj_drain_hand_over_jobs(core);
 }
 
-/* A digest of who is alive and not draining, to see a change of it. */
+/* A digest of who is alive and not draining, to detect changes. */
 static uint64_t view_digest(const struct rj_core_state *core)
 {
 	uint64_t digest = core->stopping + 2 * rj_ownership_cut_off(core);
@@ -299,10 +306,10 @@
 	return digest;
 }
 
-/* Note since when only peers of the failure domain have the log. */
-static void note_alone(struct rj_core_state *core)
+/* Records since when only peers of this failure domain can use the log. */
+static void update_log_isolation(struct rj_core_state *core)
 {
-	bool alone = false;
+	bool isolated = false;
 	struct rj_list *at;
 	struct rj_list *next;
 
@@ -312,50 +319,55 @@
 
 		if (member->log_usable && rj_membership_alive(core, member) &&
 		    !strcmp(member->domain, core->domain))
-			alone = !rj_log_usable(core);
+			isolated = !rj_log_usable(core);
 	}
-	if (!alone)
+	if (!isolated)
 		core->membership.log_isolated_us = 0;
 	else if (!core->membership.log_isolated_us)
 		core->membership.log_isolated_us = core->now_us;
 }
 
-/* The regular round: heartbeats out, and a look at who has gone silent. */
+/* Periodic round: sends heartbeats and checks which peers have become
+ * unreachable. */
 static void heartbeat_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	uint64_t digest;
 
-	note_alone(core);
+	update_log_isolation(core);
 	digest = view_digest(core);
-	heartbeat(core,
-		  core->membership.beats++ % beats_to_other_domains(core) == 0);
+	send_heartbeats(core, core->membership.heartbeats_sent++ %
+					      cross_domain_interval(core) ==
+				      0);
 	rj_upstreams_resend_leaving(core);
 	if (digest != core->membership.view_digest) {
 		core->membership.view_digest = digest;
-		view_changed(core);
+		on_view_changed(core);
 	}
 	rj_config_controller_tick(core);
-	rj_timer_set(&core->timers, timer, core->now_us + HEARTBEAT_US);
+	rj_timer_set(&core->timers, timer,
+		     core->now_us + HEARTBEAT_INTERVAL_US);
 }
 
-/* Time to read the platform's list again. */
+/* Reads the platform's list again. */
 static void list_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	rj_actions_add(core->actions, RJ_ACTION_LIST);
 	rj_timer_set(&core->timers, timer,
 		     core->now_us +
-			     rj_core_jitter_us(core, core->upstreams.count ?
-							     LIST_US :
-							     LIST_FIRST_US));
+			     rj_core_jitter_us(
+				     core, core->upstreams.count ?
+						   LIST_INTERVAL_US :
+						   LIST_STARTUP_INTERVAL_US));
 }
 
-/* How many peers of the same domain as `member` rank before it here. */
-static uint32_t rank(const struct rj_core_state *core,
-		     const struct rj_member_view *member)
+/* How many peers of `member`'s failure domain precede it in the link order of
+ * this instance. */
+static uint32_t link_rank(const struct rj_core_state *core,
+			  const struct rj_member_view *member)
 {
 	uint64_t seed = rj_hash64_string(core->name, 0);
 	uint64_t own = rj_ownership_weight(member->name, seed, false);
-	uint32_t before = 0;
+	uint32_t rank = 0;
 	struct rj_list *at;
 	struct rj_list *next;
 
@@ -366,16 +378,16 @@
 		if (other != member && other->listed &&
 		    !strcmp(other->domain, member->domain) &&
 		    rj_ownership_weight(other->name, seed, false) > own)
-			before++;
+			rank++;
 	}
-	return before;
+	return rank;
 }
 
 /*
- * Keep links to all of the own failure domain and to a few instances of each
- * other one; drop the rest.
+ * Maintains links to all peers of this failure domain and to a few in each
+ * other one; drops the others.
  */
-static void choose_links(struct rj_core_state *core)
+static void update_links(struct rj_core_state *core)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -384,14 +396,14 @@
 		struct rj_member_view *member =
 			RJ_CONTAINER(at, struct rj_member_view, link);
 		bool same = !strcmp(member->domain, core->domain);
-		bool want =
-			member->listed &&
-			(same || rank(core, member) < LINKS_TO_OTHER_DOMAIN);
+		bool want = member->listed &&
+			    (same ||
+			     link_rank(core, member) < LINKS_PER_OTHER_DOMAIN);
 		struct rj_action *action;
 
-		if (want == member->wanted)
+		if (want == member->link_wanted)
 			continue;
-		member->wanted = want;
+		member->link_wanted = want;
 		action = rj_actions_add(core->actions,
 					want ? RJ_ACTION_PEER_CONNECT :
 					       RJ_ACTION_PEER_DROP);
@@ -401,18 +413,21 @@
 	}
 }
 
-/* Take a line of the settings or of the platform's list into the view. */
-static void learn_instance(struct rj_core_state *core,
+/* Adds an instance from the settings or from the platform's list to the view,
+ * or updates it. */
+static void apply_instance(struct rj_core_state *core,
 			   const struct rj_instance *instance)
 {
-	struct rj_member_view *member = member_learn(core, instance->name);
+	struct rj_member_view *member =
+		find_or_add_member(core, instance->name);
 
 	if (!member)
 		return;
-	if (member->wanted &&
+	if (member->link_wanted &&
 	    (strcmp(member->address.ip, instance->address.ip) ||
 	     member->address.port != instance->address.port))
-		member->wanted = false; /* connect again, to the new address */
+		member->link_wanted =
+			false; /* connect again to the new address */
 	g_strlcpy(member->domain, instance->domain, sizeof(member->domain));
 	member->address = instance->address;
 	member->listed = true;
@@ -421,7 +436,7 @@
 }
 
 /*
- * Make the view from the peers of the settings.
+ * Initialises the view with the peers in the settings.
  */
 void rj_membership_init(struct rj_core_state *core,
 			const struct rj_core_options *options)
@@ -432,7 +447,7 @@
 	rj_timer_init(&core->membership.heartbeat, heartbeat_due);
 	rj_timer_init(&core->membership.list, list_due);
 	for (uint32_t i = 0; i < options->peer_count; i++) {
-		learn_instance(core, &options->peers[i]);
+		apply_instance(core, &options->peers[i]);
 		member = rj_membership_find(core, options->peers[i].name);
 		if (member)
 			member->in_settings = true;
@@ -440,22 +455,24 @@
 }
 
 /*
- * Connect to the first peers, and start the rounds.
+ * Connects to the first peers and starts the periodic work.
  */
 void rj_membership_start(struct rj_core_state *core)
 {
-	choose_links(core);
+	update_links(core);
 	rj_actions_add(core->actions, RJ_ACTION_LIST);
 	rj_timer_set(&core->timers, &core->membership.list,
-		     core->now_us + rj_core_jitter_us(core, LIST_FIRST_US));
+		     core->now_us +
+			     rj_core_jitter_us(core, LIST_STARTUP_INTERVAL_US));
 	rj_timer_set(&core->timers, &core->membership.heartbeat,
-		     core->now_us + rj_core_jitter_us(core, HEARTBEAT_US));
+		     core->now_us +
+			     rj_core_jitter_us(core, HEARTBEAT_INTERVAL_US));
 }
 
 /*
- * Take the platform's list of entry instances. It lags: an instance that is
- * not in it yet, or no more, keeps its link as long as that stands, and one
- * that the settings name is tried for good.
+ * Applies the platform's list of entry instances. The list lags: an instance
+ * that is not yet, or no longer, listed keeps its link while that is up, and a
+ * peer in the settings is reconnected to without limit.
  */
 void rj_membership_apply_list(struct rj_core_state *core,
 			      const struct rj_instance *list, uint32_t count)
@@ -471,23 +488,23 @@
 	}
 	for (uint32_t i = 0; i < count; i++)
 		if (list[i].role == RJ_ROLE_ENTRY)
-			learn_instance(core, &list[i]);
-	choose_links(core);
+			apply_instance(core, &list[i]);
+	update_links(core);
 }
 
 /*
- * A link stands: say at once who this is, which configuration is in force
- * and what is free.
+ * Handles a new link: sends a heartbeat, the configuration in force and the
+ * free capacity at once.
  */
 void rj_membership_link_up(struct rj_core_state *core, const char *name)
 {
-	struct rj_member_view *member = member_learn(core, name);
+	struct rj_member_view *member = find_or_add_member(core, name);
 	struct rj_peer_heartbeat own;
 
 	if (!member)
 		return;
 	member->connected = true;
-	member->heard = false;
+	member->heartbeat_seen = false;
 	member->sent = 0;
 	member->received = 0;
 	member->lost = 0;
@@ -501,8 +518,8 @@
 }
 
 /*
- * A link ended: whatever was forwarded over it may be lost, and what the
- * peer owned is owned by others now.
+ * Handles a closed link: jobs forwarded over it may be lost, and other
+ * instances now own what the peer owned.
  */
 void rj_membership_link_down(struct rj_core_state *core, const char *name)
 {
@@ -511,14 +528,14 @@
 	if (!member)
 		return;
 	member->connected = false;
-	member->heard = false;
+	member->heartbeat_seen = false;
 	core->membership.view_digest = view_digest(core);
 	rj_forward_peer_lost(core, name);
-	view_changed(core);
+	on_view_changed(core);
 }
 
 /*
- * A message other than a heartbeat came from a peer.
+ * Counts a message other than a heartbeat from a peer.
  */
 void rj_membership_count_received(struct rj_core_state *core, const char *name)
 {
@@ -529,52 +546,52 @@
 }
 
 /*
- * See by a peer's heartbeat whether the link has lost messages, either way.
- * A link delivers in order, so what was sent before the heartbeat and has not
- * come will not come.
+ * Detects by a peer's heartbeat whether the link has lost messages in either
+ * direction. A link delivers in order, so a message sent before the heartbeat
+ * that has not arrived never will.
  *
- * Guards against a forwarded job, or the answer to one, that is lost on a
- * link that goes on to stand: its caller would wait until it loses patience,
- * for a guaranteed shape, too. What was forwarded is served anew, as when the
- * link ends: by its key or its id it meets what may run there already.
+ * Without this a forwarded job or its answer that is lost on a link that stays
+ * up would leave the caller waiting until its timeout, even for a guaranteed
+ * shape. Forwarded jobs are served again, as after a closed link; the key or
+ * the id finds an attempt that already runs.
  */
-static void look_for_losses(struct rj_core_state *core,
-			    struct rj_member_view *member,
-			    const struct rj_peer_heartbeat *heartbeat)
+static void detect_message_loss(struct rj_core_state *core,
+				struct rj_member_view *member,
+				const struct rj_peer_heartbeat *heartbeat)
 {
-	bool here = heartbeat->sent > member->received + member->lost;
-	bool there = heartbeat->lost > member->lost_at_peer;
+	bool missed = heartbeat->sent > member->received + member->lost;
+	bool missed_by_peer = heartbeat->lost > member->lost_at_peer;
 	struct rj_peer_heartbeat own;
 
-	if (!here && !there)
+	if (!missed && !missed_by_peer)
 		return;
 	member->lost_at_peer = heartbeat->lost;
-	if (here) {
+	if (missed) {
 		member->lost = heartbeat->sent - member->received;
 		fill_heartbeat(core, &own);
 		send_heartbeat(core, member, &own);
 	}
-	if (there)
+	if (missed_by_peer)
 		rj_racks_send_summaries(core, member->name);
 	rj_forward_peer_lost(core, member->name);
 }
 
 /*
- * A peer says how it is. One that is ahead in configuration sends it of its
- * own accord; one that is behind is told.
+ * Handles a peer's heartbeat. A peer with an older configuration is sent the
+ * one in force; a peer with a newer one sends it unasked.
  */
 void rj_membership_receive_heartbeat(struct rj_core_state *core,
 				     const char *name,
 				     const struct rj_peer_heartbeat *heartbeat)
 {
-	struct rj_member_view *member = member_learn(core, name);
+	struct rj_member_view *member = find_or_add_member(core, name);
 	uint64_t digest;
 
 	if (!member)
 		return;
 	member->connected = true;
-	member->heard = true;
-	member->heard_us = core->now_us;
+	member->heartbeat_seen = true;
+	member->last_heartbeat_us = core->now_us;
 	g_strlcpy(member->domain, heartbeat->domain, sizeof(member->domain));
 	member->incarnation = heartbeat->incarnation;
 	member->draining = heartbeat->draining;
@@ -589,22 +606,23 @@
 	rj_log_check_gap(core);
 	if (core->config && member->config_revision < core->config->revision)
 		rj_config_controller_send(core, name);
-	look_for_losses(core, member, heartbeat);
+	detect_message_loss(core, member, heartbeat);
 	digest = view_digest(core);
 	if (digest == core->membership.view_digest)
 		return;
 	core->membership.view_digest = digest;
-	view_changed(core);
+	on_view_changed(core);
 }
 
 /*
- * A peer says what is free in a rack of its own. The newest version of one
- * owner counts; late and repeated ones are dropped.
+ * Handles a peer's summary of the free capacity in a rack that it owns. Only a
+ * newer version from the same owner counts; late and duplicate ones are
+ * dropped.
  */
 void rj_membership_receive_summary(struct rj_core_state *core, const char *name,
 				   const struct rj_peer_summary *summary)
 {
-	struct rj_member_view *member = member_learn(core, name);
+	struct rj_member_view *member = find_or_add_member(core, name);
 	struct rj_rack_summary *mine = NULL;
 	struct rj_list *at;
 	struct rj_list *next;
@@ -634,9 +652,9 @@
 }
 
 /*
- * Take again what peers said of the racks that they own, for workers that
- * were not listed yet when they said it, or were owned here: it is sent only
- * when it changes.
+ * Applies the peers' last summaries of their racks again, for workers that were
+ * not listed yet or were owned here when the summary arrived: a summary is sent
+ * only when it changes.
  */
 void rj_membership_reapply_summaries(struct rj_core_state *core)
 {
--- a/src/libradishjunction/core/controllers/recovery_controller.c
+++ b/src/libradishjunction/core/controllers/recovery_controller.c
@@ -1,10 +1,10 @@
 /*
- * SETTLING: what became of an attempt whose owner died, or whose start was
- * not answered; and carrying records forward before the log drops them.
+ * SETTLING: determines what became of an attempt whose owner died or whose
+ * start was not answered. Also re-appends records before the log trims them.
  *
- * The workers are asked with a fence, after which an attempt that had not
- * started never will. What runs is adopted, what ended is taken as it ended,
- * and what no worker can vouch for is `unknown`.
+ * The workers are asked with a fence, after which an attempt that has not
+ * started never will. Running tasks are adopted, finished ones keep their
+ * result, and what no worker can confirm is `unknown`.
  */
 #include <assert.h>
 #include <string.h>
@@ -12,53 +12,54 @@
 
 #include "private/core_state.h"
 
-/* A carried record that was lost shows within this time. */
+/* A re-appended record that has not appeared in the log after this time counts
+ * as lost. */
 #define CARRY_RETRY_US (3 * RJ_US_PER_S)
 #define FENCE_BACKOFF_US (300 * RJ_US_PER_MS)
-/* A worker that does not answer for so long is gone, and the token with it. */
-#define FENCE_LIMIT_US (30 * RJ_US_PER_S)
-
-/* What the workers said of the members, counted. */
-struct settlement {
-	uint32_t asked; /* no answer yet */
-	uint32_t dead; /* never started */
+/* A worker that does not answer for this long is assumed dead, and its tokens
+ * invalid. */
+#define FENCE_TIMEOUT_US (30 * RJ_US_PER_S)
+
+/* Number of members by the result of their fence. */
+struct fence_results {
+	uint32_t unanswered;
+	uint32_t not_started;
 	uint32_t running;
 	uint32_t done;
 	uint32_t failed;
 	uint32_t stopped;
-	uint32_t lost; /* nobody can say */
+	uint32_t unknown; /* no worker can confirm its state */
 };
 
-/* Count the members by what is known of them. */
-static struct settlement count_members(const struct rj_job *job)
+static struct fence_results count_members(const struct rj_job *job)
 {
-	struct settlement sum;
+	struct fence_results results;
 
-	memset(&sum, 0, sizeof(sum));
+	memset(&results, 0, sizeof(results));
 	for (uint32_t i = 0; i < job->member_count; i++) {
 		const struct rj_member *member = &job->members[i];
 
 		if (!member->settled)
-			sum.asked++;
+			results.unanswered++;
 		else if (member->state == RJ_TASK_DEAD)
-			sum.dead++;
+			results.not_started++;
 		else if (member->state == RJ_TASK_RUNNING)
-			sum.running++;
+			results.running++;
 		else if (member->state == RJ_TASK_DONE)
-			sum.done++;
+			results.done++;
 		else if (member->state == RJ_TASK_FAILED)
-			sum.failed++;
+			results.failed++;
 		else if (member->state == RJ_TASK_STOPPED)
-			sum.stopped++;
+			results.stopped++;
 		else
-			sum.lost++;
+			results.unknown++;
 	}
-	return sum;
+	return results;
 }
 
-/* Nothing of the attempt ever started: close its claim, and serve the job
- * anew if someone wants it. */
-static void never_started(struct rj_job *job)
+/* Nothing of the attempt started: closes its claim and, if there is still a
+ * waiter or the job is accepted, serves the job again. */
+static void settle_never_started(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
 
@@ -84,7 +85,7 @@
 	rj_job_requeue(job, 0, RJ_REASON_LEASE_EXPIRED);
 }
 
-/* Whether the planner here knows the workers of every member. */
+/* Whether the planner knows the workers of every member. */
 static bool all_in_own_domain(const struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++) {
@@ -96,13 +97,13 @@
 	return true;
 }
 
-/* What runs is this instance's from now on: renew every lease, and let a
- * gang run whose owner died before it could. */
+/* Adopts a running attempt: renews every lease and releases a gang whose owner
+ * died before doing so. */
 static void adopt(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
 	struct rj_plan_job plan;
-	struct rj_plan_member *where;
+	struct rj_plan_member *placement;
 
 	rj_core_count(core, RJ_COUNT_ADOPTIONS);
 	rj_core_log(core, RJ_LOG_ADOPT, RJ_REASON_OWNER, job,
@@ -123,21 +124,21 @@
 	}
 	if (job->planned || !all_in_own_domain(job))
 		return;
-	where = talloc_zero_array(core->actions->mem, struct rj_plan_member,
-				  job->member_count);
-	assert(where);
+	placement = talloc_zero_array(core->actions->mem, struct rj_plan_member,
+				      job->member_count);
+	assert(placement);
 	for (uint32_t i = 0; i < job->member_count; i++) {
-		where[i].worker = job->members[i].upstream->index;
-		where[i].tasks = job->members[i].tasks;
+		placement[i].worker = job->members[i].upstream->index;
+		placement[i].tasks = job->members[i].tasks;
 	}
 	rj_job_fill_plan(job, &plan);
-	core->planner->ops->adopt(core->planner, &plan, where,
+	core->planner->ops->adopt(core->planner, &plan, placement,
 				  job->member_count, core->now_us);
 	job->planned = true;
 }
 
-/* The workers cannot vouch for the attempt, or it ended before its end. */
-static void ended_early(struct rj_job *job, bool lost)
+/* Handles an attempt that the workers cannot confirm or that ended early. */
+static void settle_partial(struct rj_job *job, bool unknown)
 {
 	if (job->idempotent) {
 		job->ending = false;
@@ -146,37 +147,37 @@
 		return;
 	}
 	job->ending = true;
-	job->final.kind = lost ? RJ_ANSWER_UNKNOWN : RJ_ANSWER_FAILED;
+	job->final.kind = unknown ? RJ_ANSWER_UNKNOWN : RJ_ANSWER_FAILED;
 	job->final.reason = RJ_REASON_WORKER_LOST;
 	rj_job_stop(job, false, 0);
 }
 
-/* Every member was asked: decide. */
-static void decide(struct rj_job *job)
+/* Decides once every member has answered or timed out. */
+static void settle_decide(struct rj_job *job)
 {
-	struct settlement sum = count_members(job);
+	struct fence_results results = count_members(job);
 	uint32_t all = job->member_count;
 
-	if (sum.dead == all) {
-		never_started(job);
+	if (results.not_started == all) {
+		settle_never_started(job);
 		return;
 	}
-	if (sum.running + sum.done == all && sum.running) {
+	if (results.running + results.done == all && results.running) {
 		adopt(job);
 		return;
 	}
-	if (sum.done == all || (sum.failed && all == 1)) {
+	if (results.done == all || (results.failed && all == 1)) {
 		rj_job_enter_state(job, RJ_JOB_RUNNING);
 		job->started = true;
 		rj_job_check_members(job);
 		return;
 	}
 	job->started = true;
-	ended_early(job, sum.lost > 0);
+	settle_partial(job, results.unknown > 0);
 }
 
-/* A worker of a claim may be listed only after the claim was read. */
-static void find_worker(struct rj_job *job, struct rj_member *member)
+/* A worker named in a claim may be listed only after the claim was read. */
+static void attach_worker(struct rj_job *job, struct rj_member *member)
 {
 	struct rj_upstream *upstream =
 		rj_upstreams_find(job->core, member->worker);
@@ -186,9 +187,9 @@
 }
 
 /*
- * Ask the worker of every member that has not answered yet what became of
- * the attempt. Called again by the timer until all have answered or the
- * limit has passed; members that never answer are lost.
+ * Fences the attempt on the worker of every member that has not answered yet.
+ * The timer repeats this until all have answered or FENCE_TIMEOUT_US has
+ * passed; the state of a member without an answer is then unknown.
  */
 void rj_job_settle(struct rj_job *job)
 {
@@ -205,19 +206,19 @@
 
 		if (member->settled)
 			continue;
-		if (core->now_us > job->state_entered_us + FENCE_LIMIT_US) {
+		if (core->now_us > job->state_entered_us + FENCE_TIMEOUT_US) {
 			member->settled = true;
 			member->state = RJ_TASK_NONE;
 			member->start_sent = false;
 			continue;
 		}
 		if (!member->upstream)
-			find_worker(job, member);
+			attach_worker(job, member);
 		if (member->upstream)
 			rj_job_call(job, member, RJ_WORKER_FENCE);
 	}
-	if (!count_members(job).asked) {
-		decide(job);
+	if (!count_members(job).unanswered) {
+		settle_decide(job);
 		return;
 	}
 	rj_timer_set(&core->timers, &job->state_timer,
@@ -225,9 +226,9 @@
 }
 
 /*
- * A worker said what became of a member. One with another incarnation than
- * granted the lease has forgotten it: it cannot vouch that the member never
- * started.
+ * Handles a worker's answer to a fence. A worker whose incarnation differs from
+ * the one that granted the lease has lost it, and cannot confirm that the
+ * member never started.
  */
 void rj_job_fence_reply(struct rj_job *job, struct rj_member *member,
 			const struct rj_worker_reply *reply)
@@ -245,15 +246,15 @@
 		member->start_sent = false;
 	if (member->state == RJ_TASK_DONE || member->state == RJ_TASK_FAILED)
 		rj_member_keep_result(job, member, &reply->result);
-	if (!count_members(job).asked) {
+	if (!count_members(job).unanswered) {
 		rj_timer_clear(&job->core->timers, &job->state_timer);
-		decide(job);
+		settle_decide(job);
 	}
 }
 
 /*
- * A worker answered the renewal of an adopted member. A refusal means that
- * the lease lapsed in between, and with it the task.
+ * Handles the answer to the renewal of an adopted member's lease. A refusal
+ * means that the lease has expired and the task has ended.
  */
 void rj_job_renew_reply(struct rj_job *job, struct rj_member *member,
 			const struct rj_worker_reply *reply)
@@ -265,7 +266,7 @@
 	rj_job_check_members(job);
 }
 
-/* Take the members of a claim from the log. */
+/* Creates the members listed in a claim. */
 static void members_from_log(struct rj_job *job,
 			     const struct rj_job_entry *entry)
 {
@@ -280,12 +281,12 @@
 		member->token = claimed->token;
 		member->tasks = claimed->tasks;
 		member->start_sent = true;
-		find_worker(job, member);
+		attach_worker(job, member);
 	}
 }
 
-/* The log knows the job whole. */
-static void take_accepted(struct rj_job *job, const struct rj_job_entry *entry)
+/* The log has the whole job, including its body. */
+static void mark_accepted(struct rj_job *job, const struct rj_job_entry *entry)
 {
 	job->accepted = true;
 	if (!job->spec.body.length)
@@ -294,14 +295,15 @@
 }
 
 /*
- * Take back a job that was handed to a peer, since the log says that it is
- * this instance's.
+ * Takes back a job that was forwarded to a peer, because the log shows that
+ * this instance owns it.
  *
- * Guards against a forward whose answer was lost: the job would stay with the
- * peer for this instance alone, and nobody would serve it. It shows as an
- * accepted job without an end. An answer that comes late is dropped.
+ * If the peer's answer was lost, the job would otherwise remain forwarded here
+ * while no instance serves it, and an accepted job would never end. A late
+ * answer is dropped.
  */
-static void take_back(struct rj_job *job, const struct rj_job_entry *entry)
+static void take_back_forwarded(struct rj_job *job,
+				const struct rj_job_entry *entry)
 {
 	if (entry->accepted && !job->spec.wait)
 		rj_job_answer_without_result(job, RJ_ANSWER_ACCEPTED,
@@ -312,10 +314,10 @@
 }
 
 /*
- * Settle the open claim of an attempt that nobody alive drives. Whoever
- * watches the job here goes on from what the workers say.
+ * Settles the open claim of an attempt that no live instance runs. A job that
+ * watches it here continues with the workers' answers.
  */
-static void settle_entry(struct rj_core_state *core,
+static void settle_claim(struct rj_core_state *core,
 			 const struct rj_job_entry *entry)
 {
 	struct rj_job *job = rj_jobs_find(core, entry->job_id);
@@ -329,13 +331,13 @@
 		job->body_missing = true;
 	}
 	if (job->state == RJ_JOB_FORWARDED)
-		take_back(job, entry);
-	/* Who only watched the job may not know that it was accepted: its end
-	   would be kept out of the log. */
+		take_back_forwarded(job, entry);
+	/* A watching job may not know that it was accepted; its outcome would
+	 * not be written to the log. */
 	if (entry->accepted)
-		take_accepted(job, entry);
+		mark_accepted(job, entry);
 	job->cancelled = job->cancelled || entry->cancelled;
-	/* That the open attempt never ran says nothing of earlier ones. */
+	/* Earlier attempts may have run even if the open one never did. */
 	job->ran_before = job->ran_before || entry->claimed_before;
 	job->attempt = entry->attempt;
 	job->claimed = true;
@@ -343,9 +345,9 @@
 	rj_job_settle(job);
 }
 
-/* Whether a job here drives the entry's open claim. */
-static bool driven_here(const struct rj_job *job,
-			const struct rj_job_entry *entry)
+/* Whether a job here serves the entry. */
+static bool is_served_here(const struct rj_job *job,
+			   const struct rj_job_entry *entry)
 {
 	if (!job || job->state == RJ_JOB_WATCHING ||
 	    job->state == RJ_JOB_FORWARDED)
@@ -354,23 +356,23 @@
 	return true;
 }
 
-/* Serve an accepted job that has no owner yet, or whose owner is gone. */
-static void own_accepted(struct rj_core_state *core,
-			 const struct rj_job_entry *entry)
+/* Serves an accepted job that has no live owner. */
+static void serve_accepted(struct rj_core_state *core,
+			   const struct rj_job_entry *entry)
 {
 	struct rj_job *job = rj_jobs_find(core, entry->job_id);
 
-	if (driven_here(job, entry))
+	if (is_served_here(job, entry))
 		return;
 	if (job && job->state == RJ_JOB_FORWARDED)
-		take_back(job, entry);
+		take_back_forwarded(job, entry);
 	if (!job)
 		job = rj_job_new(
 			core, &entry->spec,
 			core->config ? rj_config_class(core->config,
 						       entry->spec.class_name) :
 				       NULL);
-	take_accepted(job, entry);
+	mark_accepted(job, entry);
 	/* An attempt whose claim was closed may have run before it stopped. */
 	job->ran_before = job->ran_before || entry->attempt.number;
 	rj_core_log(core, RJ_LOG_ADOPT, RJ_REASON_OWNER, job, NULL);
@@ -382,7 +384,7 @@
 		rj_job_submit(job);
 }
 
-/* Whether this instance serves what the log says of a job. */
+/* Whether this instance owns the job of the entry. */
 static bool owned_here(const struct rj_core_state *core,
 		       const struct rj_job_entry *entry)
 {
@@ -391,8 +393,9 @@
 		rj_racks_job_key(core, entry->domain, entry->job_id));
 }
 
-/* Append what the log says of a job again, well before it is trimmed. */
-static void carry(struct rj_core_state *core, struct rj_job_entry *entry)
+/* Re-appends the records of an entry, well before they are trimmed. */
+static void carry_forward(struct rj_core_state *core,
+			  struct rj_job_entry *entry)
 {
 	struct rj_record record;
 
@@ -430,16 +433,14 @@
 }
 
 /*
- * Whether the records that say all of a job are gone before their time, and
- * it is for this instance to append them again: for its owner at once, for
- * all others when the owner has not.
+ * Whether the records of an entry were trimmed early and this instance has to
+ * re-append them: at once as owner, else after a delay if the owner has not.
  *
- * Guards against a log that is trimmed too early: an instance that starts
- * then knows nothing of a key that runs or ran. It shows as a charge that is
- * made twice, or as an accepted job that nobody knows any more. The owner
- * itself may not have read what was dropped.
+ * An instance that starts on a log trimmed early does not know a key that runs
+ * or ran: a non-idempotent job would run twice, or an accepted job would be
+ * lost. The owner itself may not have read the trimmed records.
  */
-static bool dropped_due(struct rj_core_state *core, struct rj_job_entry *entry)
+static bool restore_due(struct rj_core_state *core, struct rj_job_entry *entry)
 {
 	if (entry->complete_from_offset >=
 	    core->streams[RJ_STREAM_JOBS].oldest) {
@@ -452,15 +453,16 @@
 			(owned_here(core, entry) ?
 				 0 :
 				 rj_core_jitter_us(core, CARRY_RETRY_US));
-	/* That an attempt is over is said once, to who missed it. */
+	/* The end of an attempt is re-appended once, for readers that missed
+	 * it. */
 	if (!rj_job_entry_has_state(entry) && entry->last_carried_us)
 		return false;
 	return core->now_us >= entry->trimmed_us &&
 	       core->now_us >= entry->last_carried_us + CARRY_RETRY_US;
 }
 
-/* Whether half of the retention has passed since the oldest record that a job
- * which matters is known from, and this instance owns it. */
+/* Whether half of the retention has passed since the oldest record of an entry
+ * that still matters, and this instance owns it. */
 static bool carry_due(const struct rj_core_state *core,
 		      const struct rj_job_entry *entry)
 {
@@ -473,38 +475,39 @@
 }
 
 /*
- * Carry an entry forward at half the retention, counted from the oldest
- * record that it is known from, since an outcome means nothing without its
- * claim; or forget it when its key's life is over. A key is refused a little
- * before the log may forget it.
+ * Re-appends an entry at half of the retention, counted from its oldest record,
+ * since an outcome is meaningless without its claim; or removes it when the
+ * lifetime of its key has passed. A key is refused shortly before the log may
+ * trim it.
  */
-static void keep_entry(struct rj_core_state *core, struct rj_job_entry *entry)
+static void maintain_entry(struct rj_core_state *core,
+			   struct rj_job_entry *entry)
 {
-	uint64_t life_us =
+	uint64_t key_lifetime_us =
 		core->config ? core->config->limits.key_life_s * RJ_US_PER_S :
 			       core->retention_us;
 	uint64_t half_us = core->retention_us / 2;
 
 	if ((entry->settled || !rj_job_entry_has_state(entry)) &&
-	    core->now_us > entry->first_record_us + life_us &&
+	    core->now_us > entry->first_record_us + key_lifetime_us &&
 	    core->now_us > entry->newest_record_us + half_us) {
 		rj_job_ledger_remove(&core->ledger, entry);
 		return;
 	}
-	if (dropped_due(core, entry) || carry_due(core, entry))
-		carry(core, entry);
+	if (restore_due(core, entry) || carry_due(core, entry))
+		carry_forward(core, entry);
 }
 
 /*
- * The regular round over the log's entries: settle what dead instances left
- * open, serve accepted jobs, carry forward what must not be forgotten.
+ * Periodic check of the log's entries: settles what dead instances left open,
+ * serves accepted jobs, and re-appends entries that must not be trimmed.
  *
- * An author that only seems dead is safe: its token is fenced at the worker
- * before anyone voids its claim, so a start that it sends late is refused.
+ * An author that only appears dead does no harm: its token is fenced at the
+ * worker before its claim is voided, so a start that it sends late is refused.
  */
 void rj_claims_tick(struct rj_core_state *core)
 {
-	bool current = rj_log_usable(core);
+	bool log_usable = rj_log_usable(core);
 	struct rj_list *at;
 	struct rj_list *next;
 
@@ -516,20 +519,20 @@
 		struct rj_job *job = rj_jobs_find(core, entry->job_id);
 
 		if (!entry->settled && entry->claimed) {
-			bool mine = entry->attempt.owner == core->incarnation ||
-				    (!rj_membership_incarnation_alive(
-					     core, entry->attempt.owner) &&
-				     owned_here(core, entry));
+			bool own = entry->attempt.owner == core->incarnation ||
+				   (!rj_membership_incarnation_alive(
+					    core, entry->attempt.owner) &&
+				    owned_here(core, entry));
 
-			if (mine && !driven_here(job, entry))
-				settle_entry(core, entry);
+			if (own && !is_served_here(job, entry))
+				settle_claim(core, entry);
 		} else if (!entry->settled && entry->accepted && job &&
 			   job->state == RJ_JOB_RUNNING) {
 			rj_claims_claim_running(job);
-		} else if (!entry->settled && entry->accepted && current &&
+		} else if (!entry->settled && entry->accepted && log_usable &&
 			   owned_here(core, entry)) {
-			own_accepted(core, entry);
+			serve_accepted(core, entry);
 		}
-		keep_entry(core, entry);
+		maintain_entry(core, entry);
 	}
 }
--- a/src/libradishjunction/core/controllers/run_controller.c
+++ b/src/libradishjunction/core/controllers/run_controller.c
@@ -1,8 +1,8 @@
 /*
- * STARTING and RUNNING: from held leases to the end of every member.
+ * STARTING and RUNNING: from granted leases to the end of every member.
  *
- * A gang's members start held still; only when all of them have started are
- * they let run. One that does not start, or ends early, stops all.
+ * The members of a gang start throttled to 0 % and are released once all have
+ * started. A member that does not start, or ends early, stops the whole gang.
  */
 #include <assert.h>
 #include <string.h>
@@ -10,17 +10,18 @@
 
 #include "private/core_state.h"
 
-/* A call that answers at the end of the task; reports notice a dead worker
- * long before. */
-#define WAIT_TIMEOUT_US (3600 * RJ_US_PER_S)
-/* After so many lost answers the next reports show whether it runs. */
+/* Timeout of a call that is answered at the end of the task; reports detect a
+ * dead worker much earlier. */
+#define TASK_END_TIMEOUT_US (3600 * RJ_US_PER_S)
+/* After this many lost answers the next reports show whether the member
+ * runs. */
 #define THROTTLE_TRIES 4
-/* So many different workers failing one job point to the job. */
+/* Failures on this many different workers are attributed to the job. */
 #define FAILURES_MAX 3
 #define RETRY_DELAY_US (100 * RJ_US_PER_MS)
 #define RETRY_TOKENS_MAX 50.0
 
-/* Fill what a START and a RUN need besides. */
+/* Sets the fields that only START and RUN need. */
 static void fill_start(struct rj_job *job, struct rj_worker_call *call)
 {
 	call->declared_us = job->spec.declared_us;
@@ -29,8 +30,8 @@
 }
 
 /*
- * Lease and start in one call, for a single task that may run again: the
- * answer is the result. Small jobs cost one call and never touch the log.
+ * Leases and starts a single idempotent task in one call, whose reply carries
+ * the result. Small jobs thus cost one call and never use the log.
  */
 void rj_job_lease_and_start(struct rj_job *job)
 {
@@ -44,15 +45,15 @@
 	job->members[0].start_sent = true;
 	job->members[0].start_us = core->now_us;
 	call = rj_job_call(job, &job->members[0], RJ_WORKER_RUN);
-	call->timeout_us = WAIT_TIMEOUT_US;
+	call->timeout_us = TASK_END_TIMEOUT_US;
 	call->throttle_percent = 100;
 	fill_start(job, call);
 	rj_core_count(core, RJ_COUNT_STARTS);
 }
 
 /*
- * Every lease is held and, where one is needed, the claim was read back as
- * the winning one: start all members. A gang starts held still.
+ * Starts all members. Every lease is held and, if a claim is needed, it was
+ * read back as the winning one. A gang starts throttled to 0 %.
  */
 void rj_job_start(struct rj_job *job)
 {
@@ -74,7 +75,7 @@
 		call->throttle_percent = single ? 100 : 0;
 		call->wait = single && job->spec.wait;
 		if (call->wait)
-			call->timeout_us = WAIT_TIMEOUT_US;
+			call->timeout_us = TASK_END_TIMEOUT_US;
 		fill_start(job, call);
 	}
 	if (single && job->spec.wait)
@@ -82,7 +83,7 @@
 }
 
 /*
- * End the job with the result of its first member.
+ * Ends the job with the result of its first member.
  */
 void rj_job_end_with_result(struct rj_job *job, enum rj_answer_kind kind,
 			    enum rj_reason reason)
@@ -94,7 +95,7 @@
 	answer.reason = reason;
 	answer.result.data = job->members[0].result;
 	answer.result.length = job->members[0].result_length;
-	/* A worker lists an ended task until it is released. */
+	/* A worker reports a finished task until it is released. */
 	for (uint32_t i = 0; i < job->member_count; i++)
 		if (job->members[i].token && !job->spec.wait)
 			rj_job_call(job, &job->members[i], RJ_WORKER_RELEASE);
@@ -102,8 +103,9 @@
 }
 
 /*
- * Try the job again elsewhere, within the retry budget: retries are a share
- * of successes, so that a fault that fails everything is not multiplied.
+ * Retries the job within the retry budget. Retries are limited to a share of
+ * the successes, so that a fault that affects every job does not multiply the
+ * load.
  */
 void rj_job_retry(struct rj_job *job, enum rj_reason reason)
 {
@@ -130,7 +132,8 @@
 }
 
 /*
- * The job's work ended well.
+ * Ends the job as done, resets the failure counts of its workers and adds to
+ * the retry budget.
  */
 void rj_job_succeeded(struct rj_job *job)
 {
@@ -148,7 +151,8 @@
 	rj_job_end_with_result(job, RJ_ANSWER_DONE, RJ_REASON_NONE);
 }
 
-/* A member failed: the worker or the job is at fault. */
+/* Attributes a failure to the worker and to the job; which of them is at fault
+ * is not known yet. */
 static void member_failed(struct rj_job *job, struct rj_member *member)
 {
 	struct rj_core_state *core = job->core;
@@ -162,8 +166,9 @@
 	job->failures++;
 }
 
-/* Whether a member is in a state. */
-static struct rj_member *member_in(struct rj_job *job, enum rj_task_state state)
+/* A member in this state, or NULL. */
+static struct rj_member *find_member_in(struct rj_job *job,
+					enum rj_task_state state)
 {
 	for (uint32_t i = 0; i < job->member_count; i++)
 		if (job->members[i].state == state)
@@ -172,7 +177,7 @@
 }
 
 /*
- * Whether all members have ended well.
+ * Whether all members are done.
  */
 bool rj_job_all_done(const struct rj_job *job)
 {
@@ -183,20 +188,22 @@
 }
 
 /*
- * Stop what still runs, then try again elsewhere or end as failed.
+ * Stops the members that still run, then retries the job elsewhere or ends it
+ * as failed.
  */
 void rj_job_stop_after_failure(struct rj_job *job, enum rj_reason reason)
 {
-	bool again = job->idempotent && job->failures < FAILURES_MAX;
+	bool retry = job->idempotent && job->failures < FAILURES_MAX;
 
-	job->ending = !again;
+	job->ending = !retry;
 	job->final.kind = RJ_ANSWER_FAILED;
 	job->final.reason = reason;
 	rj_job_stop(job, false, 0);
 }
 
 /*
- * Look at the members of a running job: all done, one failed, one stopped.
+ * Checks the members of a running job: ends it if all are done, and handles one
+ * that failed or stopped.
  */
 void rj_job_check_members(struct rj_job *job)
 {
@@ -208,7 +215,7 @@
 		rj_job_succeeded(job);
 		return;
 	}
-	member = member_in(job, RJ_TASK_FAILED);
+	member = find_member_in(job, RJ_TASK_FAILED);
 	if (member) {
 		member_failed(job, member);
 		if (job->member_count == 1 &&
@@ -219,8 +226,9 @@
 			rj_job_stop_after_failure(job, RJ_REASON_TASK_FAILED);
 		return;
 	}
-	if (member_in(job, RJ_TASK_STOPPED) || member_in(job, RJ_TASK_DEAD) ||
-	    member_in(job, RJ_TASK_NONE))
+	if (find_member_in(job, RJ_TASK_STOPPED) ||
+	    find_member_in(job, RJ_TASK_DEAD) ||
+	    find_member_in(job, RJ_TASK_NONE))
 		rj_job_stop_after_failure(job, RJ_REASON_WORKER_LOST);
 }
 
@@ -234,8 +242,8 @@
 	return true;
 }
 
-/* All members have started: let a gang run. */
-static void let_run(struct rj_job *job)
+/* All members have started: removes the throttle of a gang. */
+static void release_gang(struct rj_job *job)
 {
 	rj_job_enter_state(job, RJ_JOB_RUNNING);
 	if (job->member_count == 1)
@@ -245,7 +253,7 @@
 			->throttle_percent = 100;
 }
 
-/* A start was refused: that member surely did not start. */
+/* A start was refused: this member did not start. */
 static void start_refused(struct rj_job *job, struct rj_member *member)
 {
 	member->state = RJ_TASK_DEAD;
@@ -262,9 +270,9 @@
 }
 
 /*
- * Nobody can say whether that member started. Work that may run again is
- * stopped there, unheard, and tried elsewhere; for all other work the worker
- * is asked until it tells.
+ * Handles a member that may or may not have started. An idempotent, unclaimed
+ * job is stopped there without waiting for the answer and retried; for all
+ * others the worker is fenced until it answers.
  */
 void rj_job_start_unconfirmed(struct rj_job *job, struct rj_member *member)
 {
@@ -281,8 +289,8 @@
 }
 
 /*
- * A worker answered a START or a RUN. A lost answer says nothing: the worker
- * is asked, and only work that may run again is tried elsewhere.
+ * Handles the answer to a START or a RUN. After a lost answer the member may or
+ * may not have started.
  */
 void rj_job_start_reply(struct rj_job *job, struct rj_member *member,
 			const struct rj_worker_reply *reply)
@@ -305,14 +313,15 @@
 	if (reply->state == RJ_TASK_DONE || reply->state == RJ_TASK_FAILED)
 		rj_member_keep_result(job, member, &reply->result);
 	if (job->state == RJ_JOB_STARTING && all_running(job))
-		let_run(job);
+		release_gang(job);
 	if (reply->state != RJ_TASK_RUNNING)
 		rj_job_check_members(job);
 }
 
 /*
- * A worker answered that a member is let run. A lost or refused answer is
- * repeated with the next report, which shows whether the member still runs.
+ * Handles the answer to the release of a gang member. A lost answer is retried
+ * up to THROTTLE_TRIES times; after that, and after a refusal, the next report
+ * shows whether the member still runs.
  */
 void rj_job_throttle_reply(struct rj_job *job, struct rj_member *member,
 			   const struct rj_worker_reply *reply)
