--- a/src/test_soak/callers.c
+++ b/src/test_soak/callers.c
@@ -76,13 +76,13 @@
 	const char *state;
 
 	if (result->status == STATUS_GONE)
-		soak_judge_gone(call->job, call->sent_us);
+		soak_check_unknown(call->job, call->sent_us);
 	if (result->status != STATUS_OK)
 		return;
 	body = json_loadb(result->body, result->length, 0, NULL);
 	state = json_string_value(json_object_get(body, "State"));
 	if (state)
-		soak_judge_state(call->job, state, call->sent_us);
+		soak_check_state(call->job, state, call->sent_us);
 	else
 		soak_violation(call->job->soak, "mixed: %s has no state",
 			       call->job->id);
--- a/src/test_soak/site.c
+++ b/src/test_soak/cluster.c
@@ -29,7 +29,7 @@
  * Write down what is done to the site; the time is that of the instances'
  * lines.
  */
-void soak_note(struct soak *soak, const char *format, ...)
+void soak_journal_write(struct soak *soak, const char *format, ...)
 {
 	va_list arguments;
 
@@ -61,14 +61,15 @@
 	const struct post *post = private_data;
 
 	if (post->calms && result->outcome != RJ_HTTP_ANSWERED)
-		soak_post(post->soak, &post->to, post->path, post->body);
+		soak_standin_post(post->soak, &post->to, post->path,
+				  post->body);
 }
 
 /*
  * Call the stand-in's own interface.
  */
-void soak_post(struct soak *soak, const struct rj_address *to, const char *path,
-	       const char *body)
+void soak_standin_post(struct soak *soak, const struct rj_address *to,
+		       const char *path, const char *body)
 {
 	struct post *post = talloc_zero(soak->ev, struct post);
 	struct rj_http_request send = { .method = "POST",
@@ -127,7 +128,7 @@
 	if (listening)
 		take_listening(soak, listening);
 	else if (object)
-		soak_judge_event(soak, object);
+		soak_check_event(soak, object);
 	json_decref(object);
 }
 
@@ -209,7 +210,7 @@
  * port of an ended one to whoever asks next, such as an instance of a soak that
  * runs beside this one. It shows as jobs that are accepted and then unknown.
  */
-void soak_instance_gone(struct soak_instance *instance)
+void soak_instance_detach(struct soak_instance *instance)
 {
 	instance->callers.target = 0;
 	soak_proxy_reset(&instance->callers);
@@ -224,16 +225,17 @@
 		if (!instance->process.ended || instance->noted)
 			continue;
 		instance->noted = true;
-		soak_note(soak, "%s has ended: %d", instance->name,
-			  soak_process_outcome(&instance->process));
-		soak_instance_gone(instance);
+		soak_journal_write(
+			soak, "%s has ended: %d", instance->name,
+			soak_process_exit_status(&instance->process));
+		soak_instance_detach(instance);
 	}
 }
 
 /*
  * Let time pass, with callers and strikes.
  */
-void soak_site_run(struct soak *soak, uint64_t for_us)
+void soak_cluster_run(struct soak *soak, uint64_t for_us)
 {
 	uint64_t until_us = rj_clock_now_us() + for_us;
 
@@ -242,7 +244,7 @@
 		note_ended(soak);
 		soak_callers_tick(soak);
 		if (!soak->calm)
-			soak_strikes_tick(soak);
+			soak_faults_tick(soak);
 	}
 }
 
@@ -278,7 +280,7 @@
 	soak_process_start(&soak->standin, soak->ev, argv, log);
 	while (!soak->worker_count)
 		tevent_loop_once(soak->ev);
-	soak_post(
+	soak_standin_post(
 		soak, &soak->log, "/standin/config",
 		"{\"Version\":1,\"Routes\":[{\"Name\":\"q\",\"Host\":"
 		"\"h.example\",\"PathPrefix\":\"/p/\",\"TimeoutMs\":3000,"
@@ -290,8 +292,8 @@
 		char *body = g_strdup_printf("{\"published\":\"127.0.0.1:%u\"}",
 					     soak->workers[i].orders.port);
 
-		soak_post(soak, &soak->workers[i].address, "/standin/fault",
-			  body);
+		soak_standin_post(soak, &soak->workers[i].address,
+				  "/standin/fault", body);
 		g_free(body);
 	}
 	g_free(program);
@@ -312,7 +314,7 @@
 /*
  * Start all processes; options and seed are set.
  */
-void soak_site_start(struct soak *soak)
+void soak_cluster_start(struct soak *soak)
 {
 	struct rj_error err;
 
@@ -349,24 +351,24 @@
 /*
  * End all trouble: whatever was harmed works again.
  */
-void soak_site_calm(struct soak *soak)
+void soak_cluster_recover(struct soak *soak)
 {
 	soak->calm = true;
-	soak_note(soak, "calm");
-	soak_post(soak, &soak->log, "/standin/mode", "ok");
+	soak_journal_write(soak, "calm");
+	soak_standin_post(soak, &soak->log, "/standin/mode", "ok");
 	for (uint32_t i = 0; i < soak->worker_count; i++) {
-		soak_proxy_set(&soak->workers[i].orders, SOAK_PROXY_PASS);
-		soak_post(soak, &soak->workers[i].address, "/standin/fault",
-			  "{}");
+		soak_proxy_set_mode(&soak->workers[i].orders, SOAK_PROXY_PASS);
+		soak_standin_post(soak, &soak->workers[i].address,
+				  "/standin/fault", "{}");
 	}
 	for (uint32_t i = 0; i < soak->options.instances; i++) {
 		struct soak_instance *instance = &soak->instances[i];
 
-		soak_proxy_set(&instance->callers, SOAK_PROXY_PASS);
-		soak_proxy_set(&instance->store, SOAK_PROXY_PASS);
+		soak_proxy_set_mode(&instance->callers, SOAK_PROXY_PASS);
+		soak_proxy_set_mode(&instance->store, SOAK_PROXY_PASS);
 		soak_process_signal(&instance->process, SIGCONT);
 		if (!instance->process.pid || instance->stopping) {
-			soak_process_end(&instance->process);
+			soak_process_kill(&instance->process);
 			soak_instance_start(instance);
 		}
 	}
@@ -384,18 +386,18 @@
  * End all processes and forget the seed. Its folder stays when a promise was
  * broken.
  */
-void soak_site_finish(struct soak *soak)
+void soak_cluster_finish(struct soak *soak)
 {
 	rj_http_client_finish(&soak->http);
 	for (uint32_t i = 0; i < soak->options.instances; i++) {
 		struct soak_instance *instance = &soak->instances[i];
 
-		soak_process_end(&instance->process);
+		soak_process_kill(&instance->process);
 		soak_proxy_finish(&instance->callers);
 		soak_proxy_finish(&instance->store);
 		g_free(instance->settings);
 	}
-	soak_process_end(&soak->standin);
+	soak_process_kill(&soak->standin);
 	for (uint32_t i = 0; i < soak->worker_count; i++)
 		soak_proxy_finish(&soak->workers[i].orders);
 	for (guint i = 0; i < soak->job_list->len; i++)
--- a/src/test_soak/strikes.c
+++ b/src/test_soak/faults.c
@@ -73,8 +73,8 @@
 /* An instance starts anew. */
 static void start_again(struct ending *ending)
 {
-	soak_note(ending->soak, "start %s", ending->instance->name);
-	soak_process_end(&ending->instance->process);
+	soak_journal_write(ending->soak, "start %s", ending->instance->name);
+	soak_process_kill(&ending->instance->process);
 	soak_instance_start(ending->instance);
 }
 
@@ -85,17 +85,17 @@
 
 	if (!instance->process.pid || instance->stopping)
 		return;
-	soak_note(soak, "kill %s", instance->name);
+	soak_journal_write(soak, "kill %s", instance->name);
 	instance->stopping = true;
 	soak_process_signal(&instance->process, SIGKILL);
-	soak_instance_gone(instance);
+	soak_instance_detach(instance);
 	end_in(soak, some_time_us(soak), start_again)->instance = instance;
 }
 
 /* All instances are killed. */
 static void strike_kill_all(struct soak *soak)
 {
-	soak_note(soak, "kill all");
+	soak_journal_write(soak, "kill all");
 	for (uint32_t i = 0; i < soak->options.instances; i++) {
 		struct soak_instance *instance = &soak->instances[i];
 
@@ -103,7 +103,7 @@
 			continue;
 		instance->stopping = true;
 		soak_process_signal(&instance->process, SIGKILL);
-		soak_instance_gone(instance);
+		soak_instance_detach(instance);
 		end_in(soak, some_time_us(soak), start_again)->instance =
 			instance;
 	}
@@ -116,7 +116,7 @@
 
 	if (!instance->process.pid || instance->stopping)
 		return;
-	soak_note(soak, "stop %s", instance->name);
+	soak_journal_write(soak, "stop %s", instance->name);
 	instance->stopping = true;
 	soak_process_signal(&instance->process, SIGTERM);
 	end_in(soak, GRACE_US, start_again)->instance = instance;
@@ -125,7 +125,7 @@
 /* An instance goes on. */
 static void resume(struct ending *ending)
 {
-	soak_note(ending->soak, "resume %s", ending->instance->name);
+	soak_journal_write(ending->soak, "resume %s", ending->instance->name);
 	soak_process_signal(&ending->instance->process, SIGCONT);
 }
 
@@ -134,7 +134,7 @@
 {
 	struct soak_instance *instance = some_instance(soak);
 
-	soak_note(soak, "suspend %s", instance->name);
+	soak_journal_write(soak, "suspend %s", instance->name);
 	soak_process_signal(&instance->process, SIGSTOP);
 	end_in(soak,
 	       (PAUSE_MIN_MS + soak_random(soak, PAUSE_SPREAD_MS) *
@@ -153,8 +153,8 @@
 /* A way works again. */
 static void heal(struct ending *ending)
 {
-	soak_note(ending->soak, "pass port %u", ending->proxy->port);
-	soak_proxy_set(ending->proxy, SOAK_PROXY_PASS);
+	soak_journal_write(ending->soak, "pass port %u", ending->proxy->port);
+	soak_proxy_set_mode(ending->proxy, SOAK_PROXY_PASS);
 }
 
 /* Any harm that lasts a while. */
@@ -174,19 +174,21 @@
 	enum soak_proxy_mode mode;
 
 	if (how == 0) {
-		soak_note(soak, "reset %s, port %u", what, proxy->port);
+		soak_journal_write(soak, "reset %s, port %u", what,
+				   proxy->port);
 		soak_proxy_reset(proxy);
 		return;
 	}
 	if (how == 1) {
-		soak_note(soak, "silence %s, port %u", what, proxy->port);
-		soak_proxy_silence(proxy);
+		soak_journal_write(soak, "silence %s, port %u", what,
+				   proxy->port);
+		soak_proxy_blackhole(proxy);
 		return;
 	}
 	mode = some_mode(soak);
-	soak_note(soak, "%s %s, port %u", soak_proxy_mode_string[mode], what,
-		  proxy->port);
-	soak_proxy_set(proxy, mode);
+	soak_journal_write(soak, "%s %s, port %u", soak_proxy_mode_string[mode],
+			   what, proxy->port);
+	soak_proxy_set_mode(proxy, mode);
 	end_in(soak, some_time_us(soak), heal)->proxy = proxy;
 }
 
@@ -212,8 +214,9 @@
 /* The log serves again. */
 static void heal_log(struct ending *ending)
 {
-	soak_note(ending->soak, "log: ok");
-	soak_post(ending->soak, &ending->soak->log, "/standin/mode", "ok");
+	soak_journal_write(ending->soak, "log: ok");
+	soak_standin_post(ending->soak, &ending->soak->log, "/standin/mode",
+			  "ok");
 }
 
 /* The log refuses, is silent, or loses its answers. */
@@ -223,16 +226,16 @@
 
 	const char *mode = modes[soak_random(soak, G_N_ELEMENTS(modes))];
 
-	soak_note(soak, "log: %s", mode);
-	soak_post(soak, &soak->log, "/standin/mode", mode);
+	soak_journal_write(soak, "log: %s", mode);
+	soak_standin_post(soak, &soak->log, "/standin/mode", mode);
 	end_in(soak, some_time_us(soak) / 2, heal_log);
 }
 
 /* A worker is well again. */
 static void heal_worker(struct ending *ending)
 {
-	soak_post(ending->soak, &ending->worker->address, "/standin/fault",
-		  "{}");
+	soak_standin_post(ending->soak, &ending->worker->address,
+			  "/standin/fault", "{}");
 }
 
 /* A worker misbehaves, says that it leaves, or crashes. */
@@ -246,8 +249,9 @@
 	const char *fault = faults[soak_random(soak, G_N_ELEMENTS(faults))];
 	struct soak_worker *worker = some_worker(soak);
 
-	soak_note(soak, "worker w%d: %s", (int)(worker - soak->workers), fault);
-	soak_post(soak, &worker->address, "/standin/fault", fault);
+	soak_journal_write(soak, "worker w%d: %s",
+			   (int)(worker - soak->workers), fault);
+	soak_standin_post(soak, &worker->address, "/standin/fault", fault);
 	end_in(soak, some_time_us(soak), heal_worker)->worker = worker;
 }
 
@@ -263,7 +267,7 @@
  * Strike, when it is time to: half of the strikes follow the one before at
  * once.
  */
-void soak_strikes_tick(struct soak *soak)
+void soak_faults_tick(struct soak *soak)
 {
 	uint64_t now_us = rj_clock_now_us();
 
--- a/src/test_soak/judge.c
+++ b/src/test_soak/invariants.c
@@ -26,7 +26,7 @@
 	va_start(arguments, format);
 	text = g_strdup_vprintf(format, arguments);
 	va_end(arguments);
-	soak_note(soak, "broken: %s", text);
+	soak_journal_write(soak, "broken: %s", text);
 	fprintf(stderr, "seed %" G_GUINT64_FORMAT ": %s\n", soak->seed, text);
 	g_free(text);
 	soak->violations++;
@@ -114,7 +114,7 @@
 /*
  * A line of the stand-in about a run.
  */
-void soak_judge_event(struct soak *soak, const json_t *event)
+void soak_check_event(struct soak *soak, const json_t *event)
 {
 	const char *what = json_string_value(json_object_get(event, "event"));
 	const char *name = json_string_value(json_object_get(event, "task"));
@@ -165,7 +165,7 @@
 /*
  * A caller was told a state on a question asked at `asked_us`.
  */
-void soak_judge_state(struct soak_job *job, const char *state,
+void soak_check_state(struct soak_job *job, const char *state,
 		      uint64_t asked_us)
 {
 	struct soak *soak = job->soak;
@@ -201,7 +201,7 @@
 /*
  * A caller was told that there is no such job.
  */
-void soak_judge_gone(struct soak_job *job, uint64_t asked_us)
+void soak_check_unknown(struct soak_job *job, uint64_t asked_us)
 {
 	if (job->accepted && asked_us > job->accepted_us + VISIBLE_US)
 		soak_violation(job->soak, "lost: %s is not known", job->id);
@@ -210,7 +210,7 @@
 /*
  * Judge what must hold once all is calm.
  */
-void soak_judge_end(struct soak *soak)
+void soak_check_final(struct soak *soak)
 {
 	for (guint i = 0; i < soak->job_list->len; i++) {
 		struct soak_job *job = soak->job_list->pdata[i];
--- a/src/test_soak/main.c
+++ b/src/test_soak/main.c
@@ -36,14 +36,14 @@
 
 	soak->options = *options;
 	soak->seed = seed;
-	soak_site_start(soak);
-	soak_site_run(soak, options->seconds * RJ_US_PER_S);
-	soak_site_calm(soak);
+	soak_cluster_start(soak);
+	soak_cluster_run(soak, options->seconds * RJ_US_PER_S);
+	soak_cluster_recover(soak);
 	until_us = rj_clock_now_us() + CALM_US;
 	while (!soak_callers_done(soak) && rj_clock_now_us() < until_us)
-		soak_site_run(soak, RJ_US_PER_S / 10);
-	soak_site_run(soak, SETTLE_US);
-	soak_judge_end(soak);
+		soak_cluster_run(soak, RJ_US_PER_S / 10);
+	soak_cluster_run(soak, SETTLE_US);
+	soak_check_final(soak);
 	totals->seeds++;
 	totals->broken += soak->violations > 0;
 	totals->strikes += soak->strikes;
@@ -54,7 +54,7 @@
 		totals->accepted += job->accepted;
 		totals->ended += job->accepted && job->ended;
 	}
-	soak_site_finish(soak);
+	soak_cluster_finish(soak);
 	g_free(soak);
 }
 
--- a/src/test_soak/process.c
+++ b/src/test_soak/process.c
@@ -69,7 +69,7 @@
  * How a program has ended: its exit status, or minus the signal that ended it;
  * 0 as well while it runs.
  */
-int soak_process_outcome(const struct soak_process *process)
+int soak_process_exit_status(const struct soak_process *process)
 {
 	siginfo_t info = { .si_pid = 0 };
 
@@ -103,7 +103,7 @@
  * End the program, if it still runs, and wait until it is gone. What it has
  * written last is handed on.
  */
-void soak_process_end(struct soak_process *process)
+void soak_process_kill(struct soak_process *process)
 {
 	int status;
 
--- a/src/test_soak/proxy.c
+++ b/src/test_soak/proxy.c
@@ -20,9 +20,12 @@
 #define HELD_MAX_BYTES (4UL * 1024 * 1024)
 
 const char *const soak_proxy_mode_string[SOAK_PROXY_MODE_COUNT] = {
-	[SOAK_PROXY_PASS] = "pass",	  [SOAK_PROXY_DELAY] = "delay",
-	[SOAK_PROXY_HOLD_TO] = "hold_to", [SOAK_PROXY_HOLD_FROM] = "hold_from",
-	[SOAK_PROXY_HOLD] = "hold",	  [SOAK_PROXY_REFUSE] = "refuse",
+	[SOAK_PROXY_PASS] = "pass",
+	[SOAK_PROXY_DELAY] = "delay",
+	[SOAK_PROXY_HOLD_TO_TARGET] = "hold_to",
+	[SOAK_PROXY_HOLD_FROM_TARGET] = "hold_from",
+	[SOAK_PROXY_HOLD_BOTH] = "hold",
+	[SOAK_PROXY_REFUSE] = "refuse",
 };
 
 /* The two ends of a connection. */
@@ -66,9 +69,9 @@
 {
 	enum soak_proxy_mode mode = pair->proxy->mode;
 
-	return pair->silent || mode == SOAK_PROXY_HOLD ||
-	       mode == (to == TARGET ? SOAK_PROXY_HOLD_TO :
-				       SOAK_PROXY_HOLD_FROM);
+	return pair->silent || mode == SOAK_PROXY_HOLD_BOTH ||
+	       mode == (to == TARGET ? SOAK_PROXY_HOLD_TO_TARGET :
+				       SOAK_PROXY_HOLD_FROM_TARGET);
 }
 
 /* Wait for what can be done next on both sides. */
@@ -248,7 +251,7 @@
 /*
  * Treat what passes in another way from now on.
  */
-void soak_proxy_set(struct soak_proxy *proxy, enum soak_proxy_mode mode)
+void soak_proxy_set_mode(struct soak_proxy *proxy, enum soak_proxy_mode mode)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -273,7 +276,7 @@
 /*
  * Open connections go silent for good; new ones work.
  */
-void soak_proxy_silence(struct soak_proxy *proxy)
+void soak_proxy_blackhole(struct soak_proxy *proxy)
 {
 	struct rj_list *at;
 	struct rj_list *next;
--- a/src/test_soak/soak.h
+++ b/src/test_soak/soak.h
@@ -3,9 +3,9 @@
  * users' platform, with seeded trouble from outside them, judged from what
  * callers and workers see while it runs.
  *
- * Life cycle: `soak_site_start` starts all processes of a seed; callers and
- * strikes are let loose by `soak_callers_tick` and `soak_strikes_tick` while
- * `soak_site_run` lets time pass; `soak_site_finish` ends all of it. Whoever
+ * Life cycle: `soak_cluster_start` starts all processes of a seed; callers and
+ * strikes are let loose by `soak_callers_tick` and `soak_faults_tick` while
+ * `soak_cluster_run` lets time pass; `soak_cluster_finish` ends all of it. Whoever
  * sees a broken promise says so with `soak_violation`.
  */
 #ifndef SOAK_SOAK_H
@@ -119,35 +119,36 @@
 };
 
 /* A line of the journal. */
-void soak_note(struct soak *soak, const char *format, ...) G_GNUC_PRINTF(2, 3);
+void soak_journal_write(struct soak *soak, const char *format, ...)
+	G_GNUC_PRINTF(2, 3);
 
 /* Chance. */
 uint32_t soak_random(struct soak *soak, uint32_t below);
 
 /* The site. */
-void soak_site_start(struct soak *soak);
-void soak_site_run(struct soak *soak, uint64_t for_us);
-void soak_site_calm(struct soak *soak);
-void soak_site_finish(struct soak *soak);
+void soak_cluster_start(struct soak *soak);
+void soak_cluster_run(struct soak *soak, uint64_t for_us);
+void soak_cluster_recover(struct soak *soak);
+void soak_cluster_finish(struct soak *soak);
 void soak_instance_start(struct soak_instance *instance);
-void soak_instance_gone(struct soak_instance *instance);
-void soak_post(struct soak *soak, const struct rj_address *to, const char *path,
-	       const char *body);
+void soak_instance_detach(struct soak_instance *instance);
+void soak_standin_post(struct soak *soak, const struct rj_address *to,
+		       const char *path, const char *body);
 
 /* Callers. */
 void soak_callers_tick(struct soak *soak);
 bool soak_callers_done(const struct soak *soak);
 
 /* Strikes. */
-void soak_strikes_tick(struct soak *soak);
+void soak_faults_tick(struct soak *soak);
 
 /* Judgement. */
 void soak_violation(struct soak *soak, const char *format, ...)
 	G_GNUC_PRINTF(2, 3);
-void soak_judge_event(struct soak *soak, const json_t *event);
-void soak_judge_state(struct soak_job *job, const char *state,
+void soak_check_event(struct soak *soak, const json_t *event);
+void soak_check_state(struct soak_job *job, const char *state,
 		      uint64_t asked_us);
-void soak_judge_gone(struct soak_job *job, uint64_t asked_us);
-void soak_judge_end(struct soak *soak);
+void soak_check_unknown(struct soak_job *job, uint64_t asked_us);
+void soak_check_final(struct soak *soak);
 
 #endif
