--- a/src/test_soak/callers.c
+++ b/src/test_soak/callers.c
@@ -8,18 +8,18 @@
 #include "soak.h"
 
 #define CALL_TIMEOUT_US (3 * RJ_US_PER_S)
-#define TRIES_MAX 5
-#define RETRY_MS 700
-#define ASK_MS 600
+#define SUBMISSIONS_MAX 5
+#define RETRY_INTERVAL_MS 700
+#define QUERY_INTERVAL_MS 600
 #define ANSWER_MAX_BYTES 65536
 /* Beside a first run of the standard length, up to this much more. */
-#define WORK_MIN_MS 300
-#define WORK_SPREAD_MS 1500
+#define RUN_MIN_MS 300
+#define RUN_SPREAD_MS 1500
 #define CANCEL_ONE_IN 8
 
 enum verb {
 	SUBMIT,
-	ASK,
+	QUERY,
 	CANCEL,
 };
 
@@ -39,16 +39,18 @@
 };
 
 /* The call's caller goes on later. */
-static void come_back(struct soak_job *job, uint32_t in_ms)
+static void schedule_call(struct soak_job *job, uint32_t in_ms)
 {
-	job->next_us = rj_clock_now_us() +
-		       (in_ms + soak_random(job->soak, in_ms)) * RJ_US_PER_MS;
+	job->next_call_us =
+		rj_clock_now_us() +
+		(in_ms + soak_random(job->soak, in_ms)) * RJ_US_PER_MS;
 }
 
 /* The answer to a submission. */
-static void submitted(struct soak_job *job, const struct rj_http_result *result)
+static void handle_submit_response(struct soak_job *job,
+				   const struct rj_http_result *result)
 {
-	job->open--;
+	job->open_submissions--;
 	if (result->outcome != RJ_HTTP_ANSWERED)
 		return;
 	switch (result->status) {
@@ -59,7 +61,7 @@
 		break;
 	case STATUS_TOO_MANY:
 	case STATUS_UNAVAILABLE:
-		job->refusals++;
+		job->rejections++;
 		break;
 	case STATUS_TIMEOUT:
 		break;
@@ -70,19 +72,20 @@
 }
 
 /* The answer to a question. */
-static void asked(const struct call *call, const struct rj_http_result *result)
+static void handle_state_response(const struct call *call,
+				  const struct rj_http_result *result)
 {
 	json_t *body;
 	const char *state;
 
 	if (result->status == STATUS_GONE)
-		soak_judge_gone(call->job, call->sent_us);
+		soak_check_unknown(call->job, call->sent_us);
 	if (result->status != STATUS_OK)
 		return;
 	body = json_loadb(result->body, result->length, 0, NULL);
 	state = json_string_value(json_object_get(body, "State"));
 	if (state)
-		soak_judge_state(call->job, state, call->sent_us);
+		soak_check_state(call->job, state, call->sent_us);
 	else
 		soak_violation(call->job->soak, "mixed: %s has no state",
 			       call->job->id);
@@ -90,22 +93,24 @@
 }
 
 /* Any answer. */
-static void answered(void *private_data, const struct rj_http_result *result)
+static void handle_response(void *private_data,
+			    const struct rj_http_result *result)
 {
 	const struct call *call = private_data;
 	struct soak_job *job = call->job;
-	bool came = result->outcome == RJ_HTTP_ANSWERED;
+	bool is_answered = result->outcome == RJ_HTTP_ANSWERED;
 
 	if (call->verb == SUBMIT)
-		submitted(job, result);
-	else if (call->verb == ASK && came)
-		asked(call, result);
-	else if (call->verb == CANCEL && came && result->status == STATUS_OK)
+		handle_submit_response(job, result);
+	else if (call->verb == QUERY && is_answered)
+		handle_state_response(call, result);
+	else if (call->verb == CANCEL && is_answered &&
+		 result->status == STATUS_OK)
 		job->cancelled = true;
 }
 
 /* The steps of a job as it is handed in. */
-static char *body_of(void *mem, const struct soak_job *job)
+static char *job_body(void *mem, const struct soak_job *job)
 {
 	char *body =
 		talloc_asprintf(mem, "{\"Spec\":\"%s\",\"Steps\":[", job->spec);
@@ -131,7 +136,7 @@
 	struct soak_instance *instance =
 		&soak->instances[soak_random(soak, soak->options.instances)];
 	struct rj_address address = { .ip = "127.0.0.1",
-				      .port = instance->callers.port };
+				      .port = instance->caller_proxy.port };
 	struct call *call = talloc_zero(soak->ev, struct call);
 	char *path = talloc_asprintf(call, "/p/%s", job->id);
 	struct rj_http_send send = { .method = methods[verb],
@@ -140,16 +145,16 @@
 				     .answer_max_bytes = ANSWER_MAX_BYTES,
 				     .headers = headers,
 				     .header_count = G_N_ELEMENTS(headers),
-				     .done = answered,
+				     .done = handle_response,
 				     .private_data = call };
 
 	call->job = job;
 	call->verb = verb;
 	call->sent_us = rj_clock_now_us();
 	if (verb == SUBMIT) {
-		job->tries++;
-		job->open++;
-		send.body = body_of(call, job);
+		job->submissions++;
+		job->open_submissions++;
+		send.body = job_body(call, job);
 		send.length = strlen(send.body);
 	}
 	rj_http_client_send(&soak->http, &send);
@@ -164,47 +169,48 @@
 	(void)g_snprintf(job->id, sizeof(job->id), "%08x%08x",
 			 (uint32_t)soak->seed, soak->job_list->len + 1);
 	(void)g_snprintf(job->spec, sizeof(job->spec), "%u",
-			 WORK_MIN_MS + soak_random(soak, WORK_SPREAD_MS));
-	job->step_count = 1 + soak_random(soak, SOAK_STEPS);
+			 RUN_MIN_MS + soak_random(soak, RUN_SPREAD_MS));
+	job->step_count = 1 + soak_random(soak, SOAK_STEPS_MAX);
 	for (uint32_t i = 0; i < job->step_count; i++) {
 		job->steps[i].tasks = 1 + soak_random(soak, 4);
 		job->steps[i].cpu_milli = 1000 + soak_random(soak, 8000);
 		job->steps[i].accelerators = 1U << soak_random(soak, 4);
 	}
-	job->cancels = soak_random(soak, CANCEL_ONE_IN) == 0;
+	job->will_cancel = soak_random(soak, CANCEL_ONE_IN) == 0;
 	job->tasks =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g_hash_table_insert(soak->jobs, job->id, job);
 	g_ptr_array_add(soak->job_list, job);
-	come_back(job, 1);
+	schedule_call(job, 1);
 }
 
 /* Whether a caller waits for nothing any more. */
-static bool is_done(const struct soak_job *job)
+static bool is_caller_done(const struct soak_job *job)
 {
-	if (job->open)
+	if (job->open_submissions)
 		return false;
-	return job->accepted ? job->ended : job->tries >= TRIES_MAX;
+	return job->accepted ? job->ended : job->submissions >= SUBMISSIONS_MAX;
 }
 
 /* A caller's next call. */
-static void call_again(struct soak_job *job)
+static void make_call(struct soak_job *job)
 {
 	if (!job->accepted) {
-		if (job->tries < TRIES_MAX && !job->open)
+		if (job->submissions < SUBMISSIONS_MAX &&
+		    !job->open_submissions)
 			send_call(job, SUBMIT);
-		come_back(job, RETRY_MS);
+		schedule_call(job, RETRY_INTERVAL_MS);
 		return;
 	}
-	if (job->cancels && !job->cancelled && !job->soak->calm) {
+	if (job->will_cancel && !job->cancelled && !job->soak->recovering) {
 		job->cancel_sent = true;
 		send_call(job, CANCEL);
 	}
-	send_call(job, ASK);
+	send_call(job, QUERY);
 	/* Once in a while a submission comes again after its answer. */
-	if (soak_random(job->soak, 30) == 0 && !job->soak->calm)
+	if (soak_random(job->soak, 30) == 0 && !job->soak->recovering)
 		send_call(job, SUBMIT);
-	come_back(job, ASK_MS);
+	schedule_call(job, QUERY_INTERVAL_MS);
 }
 
 /*
@@ -214,7 +220,7 @@
 {
 	uint64_t now_us = rj_clock_now_us();
 
-	if (!soak->calm && now_us >= soak->next_job_us) {
+	if (!soak->recovering && now_us >= soak->next_job_us) {
 		soak->next_job_us =
 			now_us + RJ_US_PER_S / soak->options.jobs_per_s;
 		add_job(soak);
@@ -222,8 +228,8 @@
 	for (guint i = 0; i < soak->job_list->len; i++) {
 		struct soak_job *job = soak->job_list->pdata[i];
 
-		if (now_us >= job->next_us && !is_done(job))
-			call_again(job);
+		if (now_us >= job->next_call_us && !is_caller_done(job))
+			make_call(job);
 	}
 }
 
@@ -233,7 +239,7 @@
 bool soak_callers_done(const struct soak *soak)
 {
 	for (guint i = 0; i < soak->job_list->len; i++)
-		if (!is_done(soak->job_list->pdata[i]))
+		if (!is_caller_done(soak->job_list->pdata[i]))
 			return false;
 	return true;
 }
--- a/src/test_soak/site.c
+++ b/src/test_soak/cluster.c
@@ -10,8 +10,8 @@
 
 #include "soak.h"
 
-#define STEP_US (20 * RJ_US_PER_MS)
-#define START_PATIENCE_US (30 * RJ_US_PER_S)
+#define TICK_US (20 * RJ_US_PER_MS)
+#define START_TIMEOUT_US (30 * RJ_US_PER_S)
 #define CONTROL_TIMEOUT_US (3 * RJ_US_PER_S)
 #define CONNECTIONS_MAX 64
 #define ANSWER_MAX_BYTES 65536
@@ -29,7 +29,7 @@
  * Write down what is done to the site; the time is that of the instances'
  * lines.
  */
-void soak_note(struct soak *soak, const char *format, ...)
+void soak_journal_write(struct soak *soak, const char *format, ...)
 {
 	va_list arguments;
 
@@ -47,7 +47,7 @@
 	struct rj_address to;
 	char *path;
 	char *body;
-	bool calms; /* it is sent until it has arrived */
+	bool retries; /* it is sent until it has arrived */
 };
 
 /*
@@ -56,19 +56,21 @@
  * Guards against a site that is never calm: on a busy machine a call may get no
  * answer in time, and a worker would misbehave for good.
  */
-static void posted(void *private_data, const struct rj_http_result *result)
+static void handle_post_response(void *private_data,
+				 const struct rj_http_result *result)
 {
 	const struct post *post = private_data;
 
-	if (post->calms && result->outcome != RJ_HTTP_ANSWERED)
-		soak_post(post->soak, &post->to, post->path, post->body);
+	if (post->retries && result->outcome != RJ_HTTP_ANSWERED)
+		soak_standin_post(post->soak, &post->to, post->path,
+				  post->body);
 }
 
 /*
  * Call the stand-in's own interface.
  */
-void soak_post(struct soak *soak, const struct rj_address *to, const char *path,
-	       const char *body)
+void soak_standin_post(struct soak *soak, const struct rj_address *to,
+		       const char *path, const char *body)
 {
 	struct post *post = talloc_zero(soak->ev, struct post);
 	struct rj_http_send send = { .method = "POST",
@@ -77,19 +79,19 @@
 				     .length = strlen(body),
 				     .timeout_us = CONTROL_TIMEOUT_US,
 				     .answer_max_bytes = ANSWER_MAX_BYTES,
-				     .done = posted,
+				     .done = handle_post_response,
 				     .private_data = post };
 
 	post->soak = soak;
 	post->to = *to;
 	post->path = talloc_strdup(post, path);
 	post->body = talloc_strdup(post, body);
-	post->calms = soak->calm;
+	post->retries = soak->recovering;
 	rj_http_client_send(&soak->http, &send);
 }
 
 /* An address of the stand-in's first line. */
-static struct rj_address address_of(const json_t *text)
+static struct rj_address parse_address(const json_t *text)
 {
 	const char *colon = strrchr(json_string_value(text), ':');
 	struct rj_address address = { .ip = "127.0.0.1" };
@@ -99,40 +101,40 @@
 }
 
 /* The stand-in listens: put a proxy before each worker. */
-static void take_listening(struct soak *soak, const json_t *listening)
+static void handle_listening(struct soak *soak, const json_t *listening)
 {
 	const json_t *workers = json_object_get(listening, "workers");
 	size_t i;
 	const json_t *worker;
 
-	soak->log = address_of(json_object_get(listening, "log"));
+	soak->log_address = parse_address(json_object_get(listening, "log"));
 	json_array_foreach(workers, i, worker)
 	{
 		struct soak_worker *to = &soak->workers[i];
 
-		to->address = address_of(worker);
-		soak_proxy_init(&to->orders, soak->ev, soak->ev);
-		to->orders.target = to->address.port;
+		to->address = parse_address(worker);
+		soak_proxy_init(&to->proxy, soak->ev, soak->ev);
+		to->proxy.target = to->address.port;
 	}
 	soak->worker_count = (uint32_t)json_array_size(workers);
 }
 
 /* A line of the stand-in. */
-static void standin_line(void *private_data, const char *line)
+static void handle_standin_line(void *private_data, const char *line)
 {
 	struct soak *soak = private_data;
 	json_t *object = json_loads(line, 0, NULL);
 	const json_t *listening = json_object_get(object, "listening");
 
 	if (listening)
-		take_listening(soak, listening);
+		handle_listening(soak, listening);
 	else if (object)
-		soak_judge_event(soak, object);
+		soak_check_event(soak, object);
 	json_decref(object);
 }
 
 /* A line of an instance: its ports stand in the one of its start. */
-static void instance_line(void *private_data, const char *line)
+static void handle_instance_line(void *private_data, const char *line)
 {
 	struct soak_instance *instance = private_data;
 	json_t *object;
@@ -140,11 +142,11 @@
 	if (!strstr(line, "\"event\":\"start\""))
 		return;
 	object = json_loads(line, 0, NULL);
-	instance->callers.target = (uint16_t)json_integer_value(
+	instance->caller_proxy.target = (uint16_t)json_integer_value(
 		json_object_get(object, "callers_port"));
 	instance->ready_port = (uint16_t)json_integer_value(
 		json_object_get(object, "ready_port"));
-	instance->up = true;
+	instance->started = true;
 	json_decref(object);
 }
 
@@ -162,7 +164,7 @@
 		"\"reclaim_ms\":\"2900\",\"revoke_ms\":\"5000\","
 		"\"drain_ms\":\"2000\",\"cordon_ms\":\"5000\",\"stop_ms\":\"400\","
 		"\"heartbeat_ms\":\"500\"}",
-		instance->name, instance->store.port);
+		instance->name, instance->log_proxy.port);
 
 	if (!g_file_set_contents(instance->settings, text, -1, NULL))
 		g_error("%s cannot be written; free some room",
@@ -182,10 +184,10 @@
 	const char *const argv[] = { program, "--settings", instance->settings,
 				     NULL };
 
-	instance->up = false;
-	instance->noted = false;
+	instance->started = false;
+	instance->exit_journaled = false;
 	instance->stopping = false;
-	instance->callers.target = 0;
+	instance->caller_proxy.target = 0;
 	soak_process_start(&instance->process, soak->ev, argv, log);
 	g_free(program);
 	g_free(log);
@@ -197,7 +199,7 @@
 {
 	struct soak *soak = private_data;
 
-	timer = tevent_add_timer(ev, ev, rj_clock_timeval_in(STEP_US), tick,
+	timer = tevent_add_timer(ev, ev, rj_clock_timeval_in(TICK_US), tick,
 				 soak);
 	assert(timer);
 }
@@ -209,57 +211,59 @@
  * port of an ended one to whoever asks next, such as an instance of a soak that
  * runs beside this one. It shows as jobs that are accepted and then unknown.
  */
-void soak_instance_gone(struct soak_instance *instance)
+void soak_instance_detach(struct soak_instance *instance)
 {
-	instance->callers.target = 0;
-	soak_proxy_reset(&instance->callers);
+	instance->caller_proxy.target = 0;
+	soak_proxy_reset(&instance->caller_proxy);
 }
 
 /* Note the instances that have ended by now. */
-static void note_ended(struct soak *soak)
+static void journal_exits(struct soak *soak)
 {
 	for (uint32_t i = 0; i < soak->options.instances; i++) {
 		struct soak_instance *instance = &soak->instances[i];
 
-		if (!instance->process.ended || instance->noted)
+		if (!instance->process.output_closed ||
+		    instance->exit_journaled)
 			continue;
-		instance->noted = true;
-		soak_note(soak, "%s has ended: %d", instance->name,
-			  soak_process_outcome(&instance->process));
-		soak_instance_gone(instance);
+		instance->exit_journaled = true;
+		soak_journal_write(
+			soak, "%s has ended: %d", instance->name,
+			soak_process_exit_status(&instance->process));
+		soak_instance_detach(instance);
 	}
 }
 
 /*
  * Let time pass, with callers and strikes.
  */
-void soak_site_run(struct soak *soak, uint64_t for_us)
+void soak_cluster_run(struct soak *soak, uint64_t for_us)
 {
 	uint64_t until_us = rj_clock_now_us() + for_us;
 
 	while (rj_clock_now_us() < until_us) {
 		tevent_loop_once(soak->ev);
-		note_ended(soak);
+		journal_exits(soak);
 		soak_callers_tick(soak);
-		if (!soak->calm)
-			soak_strikes_tick(soak);
+		if (!soak->recovering)
+			soak_faults_tick(soak);
 	}
 }
 
 /* Wait until all instances have started. */
-static void wait_for_all(struct soak *soak)
+static void wait_for_instances(struct soak *soak)
 {
-	uint64_t until_us = rj_clock_now_us() + START_PATIENCE_US;
+	uint64_t until_us = rj_clock_now_us() + START_TIMEOUT_US;
 
 	for (uint32_t i = 0; i < soak->options.instances; i++)
-		while (!soak->instances[i].up) {
+		while (!soak->instances[i].started) {
 			if (rj_clock_now_us() > until_us) {
 				soak_violation(soak, "lost: %s did not start",
 					       soak->instances[i].name);
 				break;
 			}
 			tevent_loop_once(soak->ev);
-			note_ended(soak);
+			journal_exits(soak);
 		}
 }
 
@@ -273,13 +277,13 @@
 	const char *const argv[] = { program, "--events", "--workers", workers,
 				     NULL };
 
-	soak->standin.line = standin_line;
+	soak->standin.on_line = handle_standin_line;
 	soak->standin.private_data = soak;
 	soak_process_start(&soak->standin, soak->ev, argv, log);
 	while (!soak->worker_count)
 		tevent_loop_once(soak->ev);
-	soak_post(
-		soak, &soak->log, "/standin/config",
+	soak_standin_post(
+		soak, &soak->log_address, "/standin/config",
 		"{\"Version\":1,\"Routes\":[{\"Name\":\"q\",\"Host\":"
 		"\"h.example\",\"PathPrefix\":\"/p/\",\"TimeoutMs\":3000,"
 		"\"TargetLatencyMs\":1000,\"Priority\":1,\"Service\":"
@@ -288,10 +292,10 @@
 		"\"t\",\"ApiKeys\":[\"k1\"],\"Guaranteed\":{\"Gpu\":8}}]}");
 	for (uint32_t i = 0; i < soak->worker_count; i++) {
 		char *body = g_strdup_printf("{\"published\":\"127.0.0.1:%u\"}",
-					     soak->workers[i].orders.port);
+					     soak->workers[i].proxy.port);
 
-		soak_post(soak, &soak->workers[i].address, "/standin/fault",
-			  body);
+		soak_standin_post(soak, &soak->workers[i].address,
+				  "/standin/fault", body);
 		g_free(body);
 	}
 	g_free(program);
@@ -312,7 +316,7 @@
 /*
  * Start all processes; options and seed are set.
  */
-void soak_site_start(struct soak *soak)
+void soak_cluster_start(struct soak *soak)
 {
 	struct rj_error err;
 
@@ -335,42 +339,42 @@
 				 i);
 		instance->settings = g_strdup_printf("%s/%s.json", soak->folder,
 						     instance->name);
-		instance->process.line = instance_line;
+		instance->process.on_line = handle_instance_line;
 		instance->process.private_data = instance;
-		soak_proxy_init(&instance->callers, soak->ev, soak->ev);
-		soak_proxy_init(&instance->store, soak->ev, soak->ev);
-		instance->store.target = soak->log.port;
+		soak_proxy_init(&instance->caller_proxy, soak->ev, soak->ev);
+		soak_proxy_init(&instance->log_proxy, soak->ev, soak->ev);
+		instance->log_proxy.target = soak->log_address.port;
 		write_settings(instance);
 		soak_instance_start(instance);
 	}
-	wait_for_all(soak);
+	wait_for_instances(soak);
 }
 
 /*
  * End all trouble: whatever was harmed works again.
  */
-void soak_site_calm(struct soak *soak)
+void soak_cluster_recover(struct soak *soak)
 {
-	soak->calm = true;
-	soak_note(soak, "calm");
-	soak_post(soak, &soak->log, "/standin/mode", "ok");
+	soak->recovering = true;
+	soak_journal_write(soak, "calm");
+	soak_standin_post(soak, &soak->log_address, "/standin/mode", "ok");
 	for (uint32_t i = 0; i < soak->worker_count; i++) {
-		soak_proxy_set(&soak->workers[i].orders, SOAK_PROXY_PASS);
-		soak_post(soak, &soak->workers[i].address, "/standin/fault",
-			  "{}");
+		soak_proxy_set_mode(&soak->workers[i].proxy, SOAK_PROXY_PASS);
+		soak_standin_post(soak, &soak->workers[i].address,
+				  "/standin/fault", "{}");
 	}
 	for (uint32_t i = 0; i < soak->options.instances; i++) {
 		struct soak_instance *instance = &soak->instances[i];
 
-		soak_proxy_set(&instance->callers, SOAK_PROXY_PASS);
-		soak_proxy_set(&instance->store, SOAK_PROXY_PASS);
+		soak_proxy_set_mode(&instance->caller_proxy, SOAK_PROXY_PASS);
+		soak_proxy_set_mode(&instance->log_proxy, SOAK_PROXY_PASS);
 		soak_process_signal(&instance->process, SIGCONT);
 		if (!instance->process.pid || instance->stopping) {
-			soak_process_end(&instance->process);
+			soak_process_kill(&instance->process);
 			soak_instance_start(instance);
 		}
 	}
-	wait_for_all(soak);
+	wait_for_instances(soak);
 }
 
 /* Free what is known of a job. */
@@ -384,20 +388,20 @@
  * End all processes and forget the seed. Its folder stays when a promise was
  * broken.
  */
-void soak_site_finish(struct soak *soak)
+void soak_cluster_finish(struct soak *soak)
 {
 	rj_http_client_finish(&soak->http);
 	for (uint32_t i = 0; i < soak->options.instances; i++) {
 		struct soak_instance *instance = &soak->instances[i];
 
-		soak_process_end(&instance->process);
-		soak_proxy_finish(&instance->callers);
-		soak_proxy_finish(&instance->store);
+		soak_process_kill(&instance->process);
+		soak_proxy_finish(&instance->caller_proxy);
+		soak_proxy_finish(&instance->log_proxy);
 		g_free(instance->settings);
 	}
-	soak_process_end(&soak->standin);
+	soak_process_kill(&soak->standin);
 	for (uint32_t i = 0; i < soak->worker_count; i++)
-		soak_proxy_finish(&soak->workers[i].orders);
+		soak_proxy_finish(&soak->workers[i].proxy);
 	for (guint i = 0; i < soak->job_list->len; i++)
 		free_job(soak->job_list->pdata[i]);
 	g_ptr_array_free(soak->job_list, TRUE);
--- a/src/test_soak/judge.c
+++ b/src/test_soak/invariants.c
@@ -26,14 +26,14 @@
 	va_start(arguments, format);
 	text = g_strdup_vprintf(format, arguments);
 	va_end(arguments);
-	soak_note(soak, "broken: %s", text);
+	soak_journal_write(soak, "broken: %s", text);
 	fprintf(stderr, "seed %" G_GUINT64_FORMAT ": %s\n", soak->seed, text);
 	g_free(text);
 	soak->violations++;
 }
 
 /* What is known of a task. */
-static struct soak_task *task_of(struct soak_job *job, const char *name)
+static struct soak_task *get_task(struct soak_job *job, const char *name)
 {
 	struct soak_task *task = g_hash_table_lookup(job->tasks, name);
 
@@ -52,14 +52,14 @@
 
 		(void)g_snprintf(name, sizeof(name), "%s.0.%u.%u", job->id,
 				 step, i);
-		if (!task_of(job, name)->done)
+		if (!get_task(job, name)->succeeded)
 			return false;
 	}
 	return true;
 }
 
 /* The step of a task's name; -1 when the job has no such step. */
-static int step_of(const struct soak_job *job, const char *name)
+static int parse_step(const struct soak_job *job, const char *name)
 {
 	unsigned int step;
 
@@ -69,8 +69,8 @@
 }
 
 /* A worker has more or less to do. */
-static void hold(struct soak *soak, const char *worker_id,
-		 const struct soak_step *step, bool begins)
+static void update_allocation(struct soak *soak, const char *worker_id,
+			      const struct soak_step *step, bool is_start)
 {
 	struct soak_worker *worker;
 	unsigned int number;
@@ -79,33 +79,33 @@
 	    number >= soak->worker_count)
 		return;
 	worker = &soak->workers[number];
-	if (!begins) {
-		worker->held.cpu_milli -= step->cpu_milli;
-		worker->held.accelerators -= step->accelerators;
+	if (!is_start) {
+		worker->allocated.cpu_milli -= step->cpu_milli;
+		worker->allocated.accelerators -= step->accelerators;
 		return;
 	}
-	worker->held.cpu_milli += step->cpu_milli;
-	worker->held.accelerators += step->accelerators;
-	if (worker->held.cpu_milli > WORKER_CPU_MILLI ||
-	    worker->held.accelerators > WORKER_ACCELERATORS)
+	worker->allocated.cpu_milli += step->cpu_milli;
+	worker->allocated.accelerators += step->accelerators;
+	if (worker->allocated.cpu_milli > WORKER_CPU_MILLI ||
+	    worker->allocated.accelerators > WORKER_ACCELERATORS)
 		soak_violation(soak, "capacity: %s holds %u accelerators",
-			       worker_id, worker->held.accelerators);
+			       worker_id, worker->allocated.accelerators);
 }
 
 /* A run has begun. */
-static void judge_begin(struct soak_job *job, struct soak_task *task,
-			const char *name, int step, const char *spec)
+static void check_run_start(struct soak_job *job, struct soak_task *task,
+			    const char *name, int step, const char *spec)
 {
 	struct soak *soak = job->soak;
 
-	job->begun++;
+	job->runs_started++;
 	if (strcmp(spec, job->spec) != 0)
 		soak_violation(soak, "unasked: %s has spec %s", name, spec);
 	if (task->running++)
 		soak_violation(soak, "twice: %s runs already", name);
-	if (task->noted)
+	if (task->acknowledged)
 		soak_violation(soak, "twice: %s had ended", name);
-	if (task->failed >= SOAK_ATTEMPTS_MAX)
+	if (task->failures >= SOAK_ATTEMPTS_MAX)
 		soak_violation(soak, "attempts: %s", name);
 	if (step > 0 && !is_step_done(job, (uint32_t)step - 1))
 		soak_violation(soak, "order: %s", name);
@@ -114,7 +114,7 @@
 /*
  * A line of the stand-in about a run.
  */
-void soak_judge_event(struct soak *soak, const json_t *event)
+void soak_check_event(struct soak *soak, const json_t *event)
 {
 	const char *what = json_string_value(json_object_get(event, "event"));
 	const char *name = json_string_value(json_object_get(event, "task"));
@@ -130,34 +130,34 @@
 		return;
 	g_strlcpy(id, name, sizeof(id));
 	job = g_hash_table_lookup(soak->jobs, id);
-	step = job ? step_of(job, name) : -1;
+	step = job ? parse_step(job, name) : -1;
 	if (step < 0) {
 		soak_violation(soak, "unasked: %s", name);
 		return;
 	}
-	task = task_of(job, name);
+	task = get_task(job, name);
 	if (!strcmp(what, "begin")) {
-		judge_begin(job, task, name, step, how);
-		hold(soak, worker, &job->steps[step], true);
+		check_run_start(job, task, name, step, how);
+		update_allocation(soak, worker, &job->steps[step], true);
 	} else if (!strcmp(what, "end")) {
 		task->running--;
-		task->done |= !strcmp(how, "done");
-		task->failed += !strcmp(how, "failed");
-		hold(soak, worker, &job->steps[step], false);
+		task->succeeded |= !strcmp(how, "done");
+		task->failures += !strcmp(how, "failed");
+		update_allocation(soak, worker, &job->steps[step], false);
 	} else if (!strcmp(what, "noted")) {
-		task->noted |= !strcmp(how, "done");
+		task->acknowledged |= !strcmp(how, "done");
 	}
 }
 
 /* Whether some task has failed as often as it may. */
-static bool has_failed(const struct soak_job *job)
+static bool has_exhausted_attempts(const struct soak_job *job)
 {
 	GHashTableIter at;
 	gpointer task;
 
 	g_hash_table_iter_init(&at, job->tasks);
 	while (g_hash_table_iter_next(&at, NULL, &task))
-		if (((struct soak_task *)task)->failed >= SOAK_ATTEMPTS_MAX)
+		if (((struct soak_task *)task)->failures >= SOAK_ATTEMPTS_MAX)
 			return true;
 	return false;
 }
@@ -165,7 +165,7 @@
 /*
  * A caller was told a state on a question asked at `asked_us`.
  */
-void soak_judge_state(struct soak_job *job, const char *state,
+void soak_check_state(struct soak_job *job, const char *state,
 		      uint64_t asked_us)
 {
 	struct soak *soak = job->soak;
@@ -175,12 +175,12 @@
 	/* What workers told before this answer is known before it. */
 	soak_process_drain(&soak->standin);
 
-	if (job->ended && strcmp(state, job->shown) != 0) {
+	if (job->ended && strcmp(state, job->last_state) != 0) {
 		/* A question from before the end was shown may tell what was
 		 * before it. */
-		if (asked_us > job->shown_us)
+		if (asked_us > job->last_state_us)
 			soak_violation(soak, "mixed: %s was %s, is %s", job->id,
-				       job->shown, state);
+				       job->last_state, state);
 		return;
 	}
 	if (!strcmp(state, "completed"))
@@ -188,20 +188,20 @@
 			if (!is_step_done(job, i))
 				soak_violation(soak, "mixed: %s, step %u",
 					       job->id, i);
-	if (!strcmp(state, "failed") && !has_failed(job))
+	if (!strcmp(state, "failed") && !has_exhausted_attempts(job))
 		soak_violation(soak, "lost: %s has failed", job->id);
 	if (!strcmp(state, "cancelled") && !job->cancel_sent)
 		soak_violation(soak, "lost: %s is cancelled", job->id);
 	if (!job->ended)
-		job->shown_us = rj_clock_now_us();
-	g_strlcpy(job->shown, state, sizeof(job->shown));
+		job->last_state_us = rj_clock_now_us();
+	g_strlcpy(job->last_state, state, sizeof(job->last_state));
 	job->ended = ended;
 }
 
 /*
  * A caller was told that there is no such job.
  */
-void soak_judge_gone(struct soak_job *job, uint64_t asked_us)
+void soak_check_unknown(struct soak_job *job, uint64_t asked_us)
 {
 	if (job->accepted && asked_us > job->accepted_us + VISIBLE_US)
 		soak_violation(job->soak, "lost: %s is not known", job->id);
@@ -210,7 +210,7 @@
 /*
  * Judge what must hold once all is calm.
  */
-void soak_judge_end(struct soak *soak)
+void soak_check_final(struct soak *soak)
 {
 	for (guint i = 0; i < soak->job_list->len; i++) {
 		struct soak_job *job = soak->job_list->pdata[i];
@@ -218,11 +218,12 @@
 		gpointer name;
 		gpointer task;
 
-		if (job->begun && !job->accepted && job->refusals == job->tries)
+		if (job->runs_started && !job->accepted &&
+		    job->rejections == job->submissions)
 			soak_violation(soak, "refused: %s has run", job->id);
 		if (job->accepted && !job->ended)
 			soak_violation(soak, "lost: %s is %s", job->id,
-				       job->shown);
+				       job->last_state);
 		g_hash_table_iter_init(&at, job->tasks);
 		while (g_hash_table_iter_next(&at, &name, &task))
 			if (job->ended && ((struct soak_task *)task)->running)
--- a/src/test_soak/main.c
+++ b/src/test_soak/main.c
@@ -12,59 +12,59 @@
 
 /* All is to be over so long after the trouble: leases of 6 s, ten seconds
  * until an unreachable owner lets go, and the longest jobs. */
-#define CALM_US (75 * RJ_US_PER_S)
+#define RECOVERY_TIMEOUT_US (75 * RJ_US_PER_S)
 /* Stops of what is left over take so long. */
-#define SETTLE_US (8 * RJ_US_PER_S)
+#define SETTLE_TIME_US (8 * RJ_US_PER_S)
 #define ERRORS_MAX 8
 
-/* What all seeds came to. */
+/* Totals over all seeds. */
 struct totals {
-	uint32_t seeds;
-	uint32_t broken;
-	uint32_t strikes;
-	uint32_t jobs;
-	uint32_t accepted;
-	uint32_t ended;
+	uint32_t seed_count;
+	uint32_t violated_seeds;
+	uint32_t fault_count;
+	uint32_t job_count;
+	uint32_t accepted; /* jobs */
+	uint32_t ended; /* accepted jobs whose end was reported */
 };
 
 /* Play one seed. */
-static void play(const struct soak_options *options, uint64_t seed,
-		 struct totals *totals)
+static void run_seed(const struct soak_options *options, uint64_t seed,
+		     struct totals *totals)
 {
 	struct soak *soak = g_new0(struct soak, 1);
 	uint64_t until_us;
 
 	soak->options = *options;
 	soak->seed = seed;
-	soak_site_start(soak);
-	soak_site_run(soak, options->seconds * RJ_US_PER_S);
-	soak_site_calm(soak);
-	until_us = rj_clock_now_us() + CALM_US;
+	soak_cluster_start(soak);
+	soak_cluster_run(soak, options->seconds * RJ_US_PER_S);
+	soak_cluster_recover(soak);
+	until_us = rj_clock_now_us() + RECOVERY_TIMEOUT_US;
 	while (!soak_callers_done(soak) && rj_clock_now_us() < until_us)
-		soak_site_run(soak, RJ_US_PER_S / 10);
-	soak_site_run(soak, SETTLE_US);
-	soak_judge_end(soak);
-	totals->seeds++;
-	totals->broken += soak->violations > 0;
-	totals->strikes += soak->strikes;
-	totals->jobs += soak->job_list->len;
+		soak_cluster_run(soak, RJ_US_PER_S / 10);
+	soak_cluster_run(soak, SETTLE_TIME_US);
+	soak_check_final(soak);
+	totals->seed_count++;
+	totals->violated_seeds += soak->violations > 0;
+	totals->fault_count += soak->fault_count;
+	totals->job_count += soak->job_list->len;
 	for (guint i = 0; i < soak->job_list->len; i++) {
 		const struct soak_job *job = soak->job_list->pdata[i];
 
 		totals->accepted += job->accepted;
 		totals->ended += job->accepted && job->ended;
 	}
-	soak_site_finish(soak);
+	soak_cluster_finish(soak);
 	g_free(soak);
 }
 
 /* An option's number, within its bounds, or what it is when left out. */
-static uint32_t number(const struct arg_int *option, uint32_t otherwise,
-		       uint32_t most)
+static uint32_t option_value(const struct arg_int *option, uint32_t fallback,
+			     uint32_t max)
 {
 	if (!option->count)
-		return otherwise;
-	return CLAMP((uint32_t)option->ival[0], 1, most);
+		return fallback;
+	return CLAMP((uint32_t)option->ival[0], 1, max);
 }
 
 int main(int argc, char **argv)
@@ -96,21 +96,23 @@
 	signal(SIGPIPE, SIG_IGN);
 	options = (struct soak_options){
 		.programs = g_path_get_dirname(argv[0]),
-		.instances = number(instances, 4, SOAK_INSTANCES_MAX),
-		.workers = number(workers, 12, SOAK_WORKERS_MAX),
-		.seconds = number(seconds, 15, 3600),
-		.jobs_per_s = number(jobs, 4, 1000),
+		.instances = option_value(instances, 4, SOAK_INSTANCES_MAX),
+		.workers = option_value(workers, 12, SOAK_WORKERS_MAX),
+		.seconds = option_value(seconds, 15, 3600),
+		.jobs_per_s = option_value(jobs, 4, 1000),
 	};
-	for (uint32_t i = 0; i < number(seeds, 1, 100000); i++)
-		play(&options, number(from, 1, INT32_MAX) + i, &totals);
+	for (uint32_t i = 0; i < option_value(seeds, 1, 100000); i++)
+		run_seed(&options, option_value(from, 1, INT32_MAX) + i,
+			 &totals);
 	printf("{\"seeds\":%u,\"from\":%u,\"instances\":%u,\"workers\":%u,"
 	       "\"strikes\":%u,\"jobs\":%u,\"accepted\":%u,\"ended\":%u,"
 	       "\"broken\":%u}\n",
-	       totals.seeds, number(from, 1, INT32_MAX), options.instances,
-	       options.workers, totals.strikes, totals.jobs, totals.accepted,
-	       totals.ended, totals.broken);
+	       totals.seed_count, option_value(from, 1, INT32_MAX),
+	       options.instances, options.workers, totals.fault_count,
+	       totals.job_count, totals.accepted, totals.ended,
+	       totals.violated_seeds);
 	g_free(options.programs);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	curl_global_cleanup();
-	return totals.broken > 0;
+	return totals.violated_seeds > 0;
 }
--- a/src/test_soak/process.c
+++ b/src/test_soak/process.c
@@ -12,14 +12,16 @@
 #define CHUNK_BYTES 65536
 
 /* Hand on the whole lines. */
-static void split(struct soak_process *process)
+static void handle_lines(struct soak_process *process)
 {
 	char *end;
 
-	while ((end = strchr(process->part->str, '\n'))) {
+	while ((end = strchr(process->partial_line->str, '\n'))) {
 		*end = '\0';
-		process->line(process->private_data, process->part->str);
-		g_string_erase(process->part, 0, end + 1 - process->part->str);
+		process->on_line(process->private_data,
+				 process->partial_line->str);
+		g_string_erase(process->partial_line, 0,
+			       end + 1 - process->partial_line->str);
 	}
 }
 
@@ -34,13 +36,13 @@
 	if (count < 0 && (errno == EINTR || errno == EAGAIN))
 		return;
 	if (count <= 0) {
-		process->ended = true;
+		process->output_closed = true;
 		TALLOC_FREE(process->event);
 		return;
 	}
 	(void)fwrite(chunk, 1, (size_t)count, process->log);
-	g_string_append_len(process->part, chunk, count);
-	split(process);
+	g_string_append_len(process->partial_line, chunk, count);
+	handle_lines(process);
 }
 
 /*
@@ -52,14 +54,14 @@
 {
 	GError *error = NULL;
 
-	assert(!process->pid && process->line);
+	assert(!process->pid && process->on_line);
 	if (!g_spawn_async_with_pipes(
 		    NULL, (char **)argv, NULL, G_SPAWN_DO_NOT_REAP_CHILD, NULL,
 		    NULL, &process->pid, NULL, &process->fd, NULL, &error))
 		g_error("%s: %s; build it first", argv[0], error->message);
 	process->log = fopen(log_path, "a");
-	process->part = g_string_new(NULL);
-	process->ended = false;
+	process->partial_line = g_string_new(NULL);
+	process->output_closed = false;
 	process->event = tevent_add_fd(ev, ev, process->fd, TEVENT_FD_READ,
 				       readable, process);
 	assert(process->log && process->event);
@@ -69,7 +71,7 @@
  * How a program has ended: its exit status, or minus the signal that ended it;
  * 0 as well while it runs.
  */
-int soak_process_outcome(const struct soak_process *process)
+int soak_process_exit_status(const struct soak_process *process)
 {
 	siginfo_t info = { .si_pid = 0 };
 
@@ -86,24 +88,25 @@
 {
 	struct pollfd waits = { .fd = process->fd, .events = POLLIN };
 
-	while (process->pid && !process->ended && poll(&waits, 1, 0) > 0)
+	while (process->pid && !process->output_closed &&
+	       poll(&waits, 1, 0) > 0)
 		readable(NULL, NULL, 0, process);
 }
 
 /*
  * Send a signal to the program, by its id.
  */
-void soak_process_signal(const struct soak_process *process, int number)
+void soak_process_signal(const struct soak_process *process, int signal_number)
 {
 	if (process->pid)
-		(void)kill(process->pid, number);
+		(void)kill(process->pid, signal_number);
 }
 
 /*
  * End the program, if it still runs, and wait until it is gone. What it has
  * written last is handed on.
  */
-void soak_process_end(struct soak_process *process)
+void soak_process_kill(struct soak_process *process)
 {
 	int status;
 
@@ -112,11 +115,11 @@
 	(void)kill(process->pid, SIGKILL);
 	while (waitpid(process->pid, &status, 0) < 0 && errno == EINTR)
 		;
-	while (!process->ended)
+	while (!process->output_closed)
 		readable(NULL, NULL, 0, process);
 	close(process->fd);
 	(void)fclose(process->log);
-	g_string_free(process->part, TRUE);
+	g_string_free(process->partial_line, TRUE);
 	g_spawn_close_pid(process->pid);
 	process->pid = 0;
 }
--- a/src/test_soak/process.h
+++ b/src/test_soak/process.h
@@ -2,7 +2,7 @@
  * A program that the soak has started: its lines, its signals, its end.
  *
  * Life cycle: `soak_process_start`; `line` is called for each whole line of
- * its standard output, which also goes to a file; `soak_process_end` kills it
+ * its standard output, which also goes to a file; `soak_process_kill` kills it
  * by its id if it still runs, and waits for it.
  */
 #ifndef SOAK_PROCESS_H
@@ -14,21 +14,21 @@
 #include <tevent.h>
 
 struct soak_process {
-	GPid pid; /* 0: it does not run */
+	GPid pid; /* 0: not started, or reaped */
 	int fd; /* its standard output */
 	struct tevent_fd *event;
-	GString *part; /* of a line */
+	GString *partial_line; /* output after the last newline */
 	FILE *log;
-	bool ended; /* it has closed its standard output */
-	void (*line)(void *private_data, const char *line);
+	bool output_closed; /* end of file on its standard output */
+	void (*on_line)(void *private_data, const char *line);
 	void *private_data;
 };
 
 void soak_process_start(struct soak_process *process, struct tevent_context *ev,
 			const char *const *argv, const char *log_path);
-int soak_process_outcome(const struct soak_process *process);
+int soak_process_exit_status(const struct soak_process *process);
 void soak_process_drain(struct soak_process *process);
-void soak_process_signal(const struct soak_process *process, int number);
-void soak_process_end(struct soak_process *process);
+void soak_process_signal(const struct soak_process *process, int signal_number);
+void soak_process_kill(struct soak_process *process);
 
 #endif
--- a/src/test_soak/proxy.c
+++ b/src/test_soak/proxy.c
@@ -17,72 +17,78 @@
 #define CHUNK_BYTES 65536
 #define BACKLOG 256
 /* What is held for a reader that does not read. */
-#define HELD_MAX_BYTES (4UL * 1024 * 1024)
+#define PENDING_MAX_BYTES (4UL * 1024 * 1024)
 
 const char *const soak_proxy_mode_string[SOAK_PROXY_MODE_COUNT] = {
-	[SOAK_PROXY_PASS] = "pass",	  [SOAK_PROXY_DELAY] = "delay",
-	[SOAK_PROXY_HOLD_TO] = "hold_to", [SOAK_PROXY_HOLD_FROM] = "hold_from",
-	[SOAK_PROXY_HOLD] = "hold",	  [SOAK_PROXY_REFUSE] = "refuse",
+	[SOAK_PROXY_PASS] = "pass",
+	[SOAK_PROXY_DELAY] = "delay",
+	[SOAK_PROXY_HOLD_TO_TARGET] = "hold_to",
+	[SOAK_PROXY_HOLD_FROM_TARGET] = "hold_from",
+	[SOAK_PROXY_HOLD_BOTH] = "hold",
+	[SOAK_PROXY_REFUSE] = "refuse",
 };
 
 /* The two ends of a connection. */
 enum side {
 	CLIENT,
 	TARGET,
-	SIDES,
+	SIDE_COUNT,
 };
 
 /* One connection through the proxy. */
-struct pair {
+struct connection {
 	struct rj_list link;
 	struct soak_proxy *proxy;
-	int fd[SIDES];
-	struct tevent_fd *event[SIDES];
-	GByteArray *held[SIDES]; /* to be written to that side */
-	uint64_t due_us[SIDES]; /* not before */
-	bool ended[SIDES]; /* nothing more comes from that side */
-	bool silent; /* nothing passes any more */
+	int fd[SIDE_COUNT];
+	struct tevent_fd *event[SIDE_COUNT];
+	GByteArray *pending[SIDE_COUNT]; /* to be written to that side */
+	uint64_t send_after_us[SIDE_COUNT]; /* not before */
+	bool eof[SIDE_COUNT]; /* nothing more comes from that side */
+	bool blackholed; /* nothing passes any more */
 };
 
 /* A connection ends; with a reset, its ends see one. */
-static void close_pair(struct pair *pair, bool reset)
+static void close_connection(struct connection *connection, bool reset)
 {
-	const struct linger at_once = { 1, 0 };
+	const struct linger immediate = { 1, 0 };
 
-	for (int i = 0; i < SIDES; i++) {
-		TALLOC_FREE(pair->event[i]);
+	for (int i = 0; i < SIDE_COUNT; i++) {
+		TALLOC_FREE(connection->event[i]);
 		if (reset)
-			(void)setsockopt(pair->fd[i], SOL_SOCKET, SO_LINGER,
-					 &at_once, sizeof(at_once));
-		close(pair->fd[i]);
-		g_byte_array_free(pair->held[i], TRUE);
+			(void)setsockopt(connection->fd[i], SOL_SOCKET,
+					 SO_LINGER, &immediate,
+					 sizeof(immediate));
+		close(connection->fd[i]);
+		g_byte_array_free(connection->pending[i], TRUE);
 	}
-	rj_list_remove(&pair->link);
-	talloc_free(pair);
+	rj_list_remove(&connection->link);
+	talloc_free(connection);
 }
 
 /* Whether bytes to a side are held just now. */
-static bool is_held(const struct pair *pair, enum side to)
+static bool is_blocked(const struct connection *connection, enum side to)
 {
-	enum soak_proxy_mode mode = pair->proxy->mode;
+	enum soak_proxy_mode mode = connection->proxy->mode;
 
-	return pair->silent || mode == SOAK_PROXY_HOLD ||
-	       mode == (to == TARGET ? SOAK_PROXY_HOLD_TO :
-				       SOAK_PROXY_HOLD_FROM);
+	return connection->blackholed || mode == SOAK_PROXY_HOLD_BOTH ||
+	       mode == (to == TARGET ? SOAK_PROXY_HOLD_TO_TARGET :
+				       SOAK_PROXY_HOLD_FROM_TARGET);
 }
 
 /* Wait for what can be done next on both sides. */
-static void watch(struct pair *pair)
+static void update_events(struct connection *connection)
 {
-	for (int i = 0; i < SIDES; i++) {
+	for (int i = 0; i < SIDE_COUNT; i++) {
 		uint16_t flags = 0;
 
-		if (!pair->ended[i] && pair->held[!i]->len < HELD_MAX_BYTES)
+		if (!connection->eof[i] &&
+		    connection->pending[!i]->len < PENDING_MAX_BYTES)
 			flags |= TEVENT_FD_READ;
-		if (pair->held[i]->len && !is_held(pair, (enum side)i) &&
-		    rj_clock_now_us() >= pair->due_us[i])
+		if (connection->pending[i]->len &&
+		    !is_blocked(connection, (enum side)i) &&
+		    rj_clock_now_us() >= connection->send_after_us[i])
 			flags |= TEVENT_FD_WRITE;
-		tevent_fd_set_flags(pair->event[i], flags);
+		tevent_fd_set_flags(connection->event[i], flags);
 	}
 }
 
@@ -90,49 +96,49 @@
 static void delay_over(struct tevent_context *ev, struct tevent_timer *timer,
 		       struct timeval now, void *private_data)
 {
-	watch(private_data);
+	update_events(private_data);
 }
 
 /* Read what a side sends. Returns false when the connection is gone. */
-static bool take(struct pair *pair, enum side from)
+static bool receive(struct connection *connection, enum side from)
 {
 	enum side to = from == CLIENT ? TARGET : CLIENT;
 	uint8_t chunk[CHUNK_BYTES];
-	ssize_t count = recv(pair->fd[from], chunk, sizeof(chunk), 0);
+	ssize_t count = recv(connection->fd[from], chunk, sizeof(chunk), 0);
 	struct tevent_timer *timer;
 
 	if (count < 0)
 		return errno == EAGAIN || errno == EINTR;
 	if (!count) {
-		pair->ended[from] = true;
-		if (!pair->held[to]->len && !pair->silent)
-			(void)shutdown(pair->fd[to], SHUT_WR);
-		return !pair->ended[to];
+		connection->eof[from] = true;
+		if (!connection->pending[to]->len && !connection->blackholed)
+			(void)shutdown(connection->fd[to], SHUT_WR);
+		return !connection->eof[to];
 	}
-	g_byte_array_append(pair->held[to], chunk, (guint)count);
-	if (pair->proxy->mode != SOAK_PROXY_DELAY)
+	g_byte_array_append(connection->pending[to], chunk, (guint)count);
+	if (connection->proxy->mode != SOAK_PROXY_DELAY)
 		return true;
-	pair->due_us[to] = rj_clock_now_us() + DELAY_US;
-	timer = tevent_add_timer(pair->proxy->ev, pair,
+	connection->send_after_us[to] = rj_clock_now_us() + DELAY_US;
+	timer = tevent_add_timer(connection->proxy->ev, connection,
 				 rj_clock_timeval_in(DELAY_US), delay_over,
-				 pair);
+				 connection);
 	assert(timer);
 	(void)timer;
 	return true;
 }
 
 /* Write what is held for a side. Returns false when the connection is gone. */
-static bool give(struct pair *pair, enum side to)
+static bool forward(struct connection *connection, enum side to)
 {
 	enum side from = to == CLIENT ? TARGET : CLIENT;
-	ssize_t count = send(pair->fd[to], pair->held[to]->data,
-			     pair->held[to]->len, MSG_NOSIGNAL);
+	ssize_t count = send(connection->fd[to], connection->pending[to]->data,
+			     connection->pending[to]->len, MSG_NOSIGNAL);
 
 	if (count < 0)
 		return errno == EAGAIN || errno == EINTR;
-	g_byte_array_remove_range(pair->held[to], 0, (guint)count);
-	if (!pair->held[to]->len && pair->ended[from])
-		(void)shutdown(pair->fd[to], SHUT_WR);
+	g_byte_array_remove_range(connection->pending[to], 0, (guint)count);
+	if (!connection->pending[to]->len && connection->eof[from])
+		(void)shutdown(connection->fd[to], SHUT_WR);
 	return true;
 }
 
@@ -140,24 +146,24 @@
 static void serve(struct tevent_context *ev, struct tevent_fd *event,
 		  uint16_t flags, void *private_data)
 {
-	struct pair *pair = private_data;
-	enum side side = event == pair->event[TARGET] ? TARGET : CLIENT;
+	struct connection *connection = private_data;
+	enum side side = event == connection->event[TARGET] ? TARGET : CLIENT;
 
-	if (((flags & TEVENT_FD_READ) && !take(pair, side)) ||
-	    ((flags & TEVENT_FD_WRITE) && !give(pair, side)))
-		close_pair(pair, true);
+	if (((flags & TEVENT_FD_READ) && !receive(connection, side)) ||
+	    ((flags & TEVENT_FD_WRITE) && !forward(connection, side)))
+		close_connection(connection, true);
 	else
-		watch(pair);
+		update_events(connection);
 }
 
 /* A socket that does not block; -1 when there is none. */
-static int open_socket(void)
+static int open_nonblocking_socket(void)
 {
 	return socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 }
 
 /* A loopback address. */
-static struct sockaddr_in loopback(uint16_t port)
+static struct sockaddr_in loopback_address(uint16_t port)
 {
 	struct sockaddr_in address = { .sin_family = AF_INET,
 				       .sin_port = htons(port) };
@@ -169,12 +175,12 @@
 /* Connect to the target; -1 when nobody is there. */
 static int connect_target(const struct soak_proxy *proxy)
 {
-	struct sockaddr_in address = loopback(proxy->target);
+	struct sockaddr_in address = loopback_address(proxy->target);
 	int fd;
 
 	if (!proxy->target)
 		return -1;
-	fd = open_socket();
+	fd = open_nonblocking_socket();
 	if (fd >= 0 &&
 	    connect(fd, (struct sockaddr *)&address, sizeof(address)) < 0 &&
 	    errno != EINPROGRESS) {
@@ -189,34 +195,35 @@
 			  uint16_t flags, void *private_data)
 {
 	struct soak_proxy *proxy = private_data;
-	const struct linger at_once = { 1, 0 };
+	const struct linger immediate = { 1, 0 };
 	int client =
 		accept4(proxy->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
 	int target = -1;
-	struct pair *pair;
+	struct connection *connection;
 
 	if (client < 0)
 		return;
 	if (proxy->mode != SOAK_PROXY_REFUSE)
 		target = connect_target(proxy);
 	if (target < 0) {
-		(void)setsockopt(client, SOL_SOCKET, SO_LINGER, &at_once,
-				 sizeof(at_once));
+		(void)setsockopt(client, SOL_SOCKET, SO_LINGER, &immediate,
+				 sizeof(immediate));
 		close(client);
 		return;
 	}
-	pair = talloc_zero(proxy->mem, struct pair);
-	assert(pair);
-	pair->proxy = proxy;
-	pair->fd[CLIENT] = client;
-	pair->fd[TARGET] = target;
-	for (int i = 0; i < SIDES; i++) {
-		pair->held[i] = g_byte_array_new();
-		pair->event[i] = tevent_add_fd(ev, pair, pair->fd[i],
-					       TEVENT_FD_READ, serve, pair);
-		assert(pair->event[i]);
+	connection = talloc_zero(proxy->mem, struct connection);
+	assert(connection);
+	connection->proxy = proxy;
+	connection->fd[CLIENT] = client;
+	connection->fd[TARGET] = target;
+	for (int i = 0; i < SIDE_COUNT; i++) {
+		connection->pending[i] = g_byte_array_new();
+		connection->event[i] =
+			tevent_add_fd(ev, connection, connection->fd[i],
+				      TEVENT_FD_READ, serve, connection);
+		assert(connection->event[i]);
 	}
-	rj_list_append(&proxy->pairs, &pair->link);
+	rj_list_append(&proxy->connections, &connection->link);
 }
 
 /*
@@ -225,14 +232,14 @@
 void soak_proxy_init(struct soak_proxy *proxy, void *mem,
 		     struct tevent_context *ev)
 {
-	struct sockaddr_in address = loopback(0);
+	struct sockaddr_in address = loopback_address(0);
 	socklen_t size = sizeof(address);
 
 	memset(proxy, 0, sizeof(*proxy));
 	proxy->ev = ev;
 	proxy->mem = talloc_named_const(mem, 0, "proxy");
-	rj_list_init(&proxy->pairs);
-	proxy->fd = open_socket();
+	rj_list_init(&proxy->connections);
+	proxy->fd = open_nonblocking_socket();
 	if (proxy->fd < 0 ||
 	    bind(proxy->fd, (struct sockaddr *)&address, size) ||
 	    listen(proxy->fd, BACKLOG) ||
@@ -240,15 +247,16 @@
 		g_error("proxy: %s; free some ports or descriptors",
 			g_strerror(errno));
 	proxy->port = ntohs(address.sin_port);
-	proxy->accepts = tevent_add_fd(ev, proxy->mem, proxy->fd,
-				       TEVENT_FD_READ, accept_client, proxy);
-	assert(proxy->accepts);
+	proxy->accept_event =
+		tevent_add_fd(ev, proxy->mem, proxy->fd, TEVENT_FD_READ,
+			      accept_client, proxy);
+	assert(proxy->accept_event);
 }
 
 /*
  * Treat what passes in another way from now on.
  */
-void soak_proxy_set(struct soak_proxy *proxy, enum soak_proxy_mode mode)
+void soak_proxy_set_mode(struct soak_proxy *proxy, enum soak_proxy_mode mode)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -256,8 +264,8 @@
 	proxy->mode = mode;
 	if (mode == SOAK_PROXY_REFUSE)
 		soak_proxy_reset(proxy);
-	RJ_FOR_EACH (at, next, &proxy->pairs)
-		watch(RJ_CONTAINER(at, struct pair, link));
+	RJ_FOR_EACH (at, next, &proxy->connections)
+		update_events(RJ_CONTAINER(at, struct connection, link));
 }
 
 /*
@@ -265,24 +273,26 @@
  */
 void soak_proxy_reset(struct soak_proxy *proxy)
 {
-	while (proxy->pairs.next != &proxy->pairs)
-		close_pair(RJ_CONTAINER(proxy->pairs.next, struct pair, link),
-			   true);
+	while (proxy->connections.next != &proxy->connections)
+		close_connection(RJ_CONTAINER(proxy->connections.next,
+					      struct connection, link),
+				 true);
 }
 
 /*
  * Open connections go silent for good; new ones work.
  */
-void soak_proxy_silence(struct soak_proxy *proxy)
+void soak_proxy_blackhole(struct soak_proxy *proxy)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	RJ_FOR_EACH (at, next, &proxy->pairs) {
-		struct pair *pair = RJ_CONTAINER(at, struct pair, link);
+	RJ_FOR_EACH (at, next, &proxy->connections) {
+		struct connection *connection =
+			RJ_CONTAINER(at, struct connection, link);
 
-		pair->silent = true;
-		watch(pair);
+		connection->blackholed = true;
+		update_events(connection);
 	}
 }
 
--- a/src/test_soak/proxy.h
+++ b/src/test_soak/proxy.h
@@ -19,9 +19,9 @@
 enum soak_proxy_mode {
 	SOAK_PROXY_PASS,
 	SOAK_PROXY_DELAY, /* both ways, by a quarter of a second */
-	SOAK_PROXY_HOLD_TO, /* nothing reaches the target */
-	SOAK_PROXY_HOLD_FROM, /* nothing comes back from it */
-	SOAK_PROXY_HOLD, /* neither */
+	SOAK_PROXY_HOLD_TO_TARGET, /* nothing reaches the target */
+	SOAK_PROXY_HOLD_FROM_TARGET, /* nothing comes back from it */
+	SOAK_PROXY_HOLD_BOTH, /* neither */
 	SOAK_PROXY_REFUSE, /* all is reset, and new connections too */
 	SOAK_PROXY_MODE_COUNT
 };
@@ -32,18 +32,18 @@
 	struct tevent_context *ev;
 	void *mem;
 	int fd;
-	struct tevent_fd *accepts;
+	struct tevent_fd *accept_event;
 	uint16_t port; /* that it listens on */
 	uint16_t target; /* port; 0: nobody is there */
 	enum soak_proxy_mode mode;
-	struct rj_list pairs;
+	struct rj_list connections;
 };
 
 void soak_proxy_init(struct soak_proxy *proxy, void *mem,
 		     struct tevent_context *ev);
-void soak_proxy_set(struct soak_proxy *proxy, enum soak_proxy_mode mode);
+void soak_proxy_set_mode(struct soak_proxy *proxy, enum soak_proxy_mode mode);
 void soak_proxy_reset(struct soak_proxy *proxy);
-void soak_proxy_silence(struct soak_proxy *proxy);
+void soak_proxy_blackhole(struct soak_proxy *proxy);
 void soak_proxy_finish(struct soak_proxy *proxy);
 
 #endif
--- a/src/test_soak/soak.h
+++ b/src/test_soak/soak.h
@@ -1,12 +1,13 @@
 /*
- * The fault soak: real processes of the entry daemon over the stand-in of the
- * users' platform, with seeded trouble from outside them, judged from what
- * callers and workers see while it runs.
+ * The fault soak: real processes of the entry daemon, over the stand-in of the
+ * users' platform, under seeded fault injection from outside. Invariants are
+ * checked during the run from what callers and workers observe.
  *
- * Life cycle: `soak_site_start` starts all processes of a seed; callers and
- * strikes are let loose by `soak_callers_tick` and `soak_strikes_tick` while
- * `soak_site_run` lets time pass; `soak_site_finish` ends all of it. Whoever
- * sees a broken promise says so with `soak_violation`.
+ * Life cycle: `soak_cluster_start` starts all processes of a seed;
+ * `soak_cluster_run` drives callers and fault injection through
+ * `soak_callers_tick` and `soak_faults_tick`; `soak_cluster_recover` ends fault
+ * injection; `soak_cluster_finish` ends all processes. Every violated invariant
+ * is reported by `soak_violation`.
  */
 #ifndef SOAK_SOAK_H
 #define SOAK_SOAK_H
@@ -22,132 +23,132 @@
 #define SOAK_INSTANCES_MAX 256
 #define SOAK_WORKERS_MAX 256
 #define SOAK_ID_BYTES 17
-#define SOAK_STEPS 2
-/* Failed runs of a task that end its job; stands in the configuration. */
+#define SOAK_STEPS_MAX 2
+/* Failed runs of a task that fail its job; `MaxAttempts` in the published
+ * configuration. */
 #define SOAK_ATTEMPTS_MAX 4
 
 struct soak_options {
-	char *programs; /* folder */
+	char *programs; /* folder of the executables */
 	uint32_t instances;
 	uint32_t workers;
-	uint32_t seconds; /* of trouble */
+	uint32_t seconds; /* of fault injection */
 	uint32_t jobs_per_s;
 };
 
-/* One instance: its process and the ways to it and from it. */
+/* An instance: its process and the proxies on its connections. */
 struct soak_instance {
 	struct soak *soak;
 	struct soak_process process;
 	char name[8];
-	char *settings; /* file */
-	struct soak_proxy callers; /* callers -> instance */
-	struct soak_proxy store; /* instance -> log */
-	bool up; /* its line of the start has come */
-	bool stopping; /* it was asked to stop */
-	bool noted; /* its end stands in the journal */
+	char *settings; /* path of its settings file */
+	struct soak_proxy caller_proxy; /* callers -> instance */
+	struct soak_proxy log_proxy; /* instance -> log */
+	bool started; /* its start event was read */
+	bool stopping; /* was signalled to stop or killed */
+	bool exit_journaled; /* its exit is in the journal */
 	uint16_t ready_port;
 };
 
-/* One worker of the stand-in, behind a proxy. */
+/* A worker of the stand-in. */
 struct soak_worker {
-	struct soak_proxy orders; /* instances -> worker */
+	struct soak_proxy proxy; /* instances -> worker */
 	struct rj_address address;
 	struct {
 		uint32_t cpu_milli;
 		uint32_t accelerators;
-	} held; /* by what runs there */
+	} allocated; /* to its current runs */
 };
 
 struct soak_step {
 	uint32_t tasks;
-	uint32_t cpu_milli;
-	uint32_t accelerators;
+	uint32_t cpu_milli; /* per task */
+	uint32_t accelerators; /* per task */
 };
 
-/* What callers know of a job, and what workers have told of its tasks. */
+/* A job, as seen by its caller and by the workers that run its tasks. */
 struct soak_job {
 	struct soak *soak;
 	char id[SOAK_ID_BYTES];
-	char spec[16]; /* milliseconds of work */
-	struct soak_step steps[SOAK_STEPS];
+	char spec[16]; /* run time, in ms */
+	struct soak_step steps[SOAK_STEPS_MAX];
 	uint32_t step_count;
-	uint32_t tries;
-	uint32_t refusals; /* answers that say it was not accepted */
-	uint32_t open; /* calls to hand it in that are on their way */
+	uint32_t submissions;
+	uint32_t rejections; /* submissions answered as not accepted */
+	uint32_t open_submissions; /* awaiting an answer */
 	bool accepted;
 	uint64_t accepted_us;
-	bool cancels; /* its caller will cancel it */
+	bool will_cancel; /* its caller requests cancellation */
 	bool cancel_sent;
-	bool cancelled; /* the wish was acknowledged */
-	uint64_t next_us; /* its caller's next call */
-	char shown[16]; /* the newest state that a caller was told */
-	uint64_t shown_us;
-	bool ended; /* that state is an end */
-	uint32_t begun; /* runs of its tasks */
+	bool cancelled; /* the cancellation was acknowledged */
+	uint64_t next_call_us;
+	char last_state[16]; /* latest state answered to a caller */
+	uint64_t last_state_us; /* when it was received */
+	bool ended; /* `last_state` is final */
+	uint32_t runs_started; /* of its tasks */
 	GHashTable *tasks; /* name -> struct soak_task */
 };
 
-/* One task, by what its workers have told. */
+/* A task, as reported by its workers. */
 struct soak_task {
-	uint32_t running;
-	uint32_t run; /* the number of the newest */
-	bool done; /* a run has ended well */
-	bool noted; /* ... and that was taken note of */
-	uint32_t failed; /* runs that ended so */
+	uint32_t running; /* runs in progress */
+	uint32_t run; /* latest run number */
+	bool succeeded; /* a run has completed successfully */
+	bool acknowledged; /* ... and an instance has acknowledged it */
+	uint32_t failures; /* failed runs */
 };
 
 struct soak {
 	struct tevent_context *ev;
 	struct soak_options options;
 	uint64_t seed;
-	uint64_t random;
-	char *folder; /* of logs and settings */
-	FILE *journal; /* what was done to the site, and when */
+	uint64_t random; /* generator state */
+	char *folder; /* logs and settings */
+	FILE *journal; /* injected faults and process exits, with times */
 	struct rj_http_client http;
 	struct soak_process standin;
-	struct rj_address log;
+	struct rj_address log_address;
 	struct soak_instance instances[SOAK_INSTANCES_MAX];
 	struct soak_worker workers[SOAK_WORKERS_MAX];
-	uint32_t worker_count; /* known so far */
+	uint32_t worker_count; /* 0 until the stand-in listens */
 	GHashTable *jobs; /* id -> struct soak_job */
 	GPtrArray *job_list;
 	uint64_t next_job_us;
-	uint64_t next_strike_us;
-	bool calm; /* no more jobs, cancels or strikes */
-	uint32_t strikes;
+	uint64_t next_fault_us;
+	bool recovering; /* no more new jobs, cancellations or faults */
+	uint32_t fault_count; /* injected so far */
 	uint32_t violations;
 };
 
-/* A line of the journal. */
-void soak_note(struct soak *soak, const char *format, ...) G_GNUC_PRINTF(2, 3);
+void soak_journal_write(struct soak *soak, const char *format, ...)
+	G_GNUC_PRINTF(2, 3);
 
-/* Chance. */
 uint32_t soak_random(struct soak *soak, uint32_t below);
 
-/* The site. */
-void soak_site_start(struct soak *soak);
-void soak_site_run(struct soak *soak, uint64_t for_us);
-void soak_site_calm(struct soak *soak);
-void soak_site_finish(struct soak *soak);
+/* The cluster of processes. */
+void soak_cluster_start(struct soak *soak);
+void soak_cluster_run(struct soak *soak, uint64_t for_us);
+void soak_cluster_recover(struct soak *soak);
+void soak_cluster_finish(struct soak *soak);
 void soak_instance_start(struct soak_instance *instance);
-void soak_instance_gone(struct soak_instance *instance);
-void soak_post(struct soak *soak, const struct rj_address *to, const char *path,
-	       const char *body);
+void soak_instance_detach(struct soak_instance *instance);
+void soak_standin_post(struct soak *soak, const struct rj_address *to,
+		       const char *path, const char *body);
 
 /* Callers. */
 void soak_callers_tick(struct soak *soak);
 bool soak_callers_done(const struct soak *soak);
 
-/* Strikes. */
-void soak_strikes_tick(struct soak *soak);
+/* Fault injection. */
+void soak_faults_tick(struct soak *soak);
 
-/* Judgement. */
+/* Invariants. */
 void soak_violation(struct soak *soak, const char *format, ...)
 	G_GNUC_PRINTF(2, 3);
-void soak_judge_event(struct soak *soak, const json_t *event);
-void soak_judge_state(struct soak_job *job, const char *state,
+void soak_check_event(struct soak *soak, const json_t *event);
+void soak_check_state(struct soak_job *job, const char *state,
 		      uint64_t asked_us);
-void soak_judge_gone(struct soak_job *job, uint64_t asked_us);
-void soak_judge_end(struct soak *soak);
+void soak_check_unknown(struct soak_job *job, uint64_t asked_us);
+void soak_check_final(struct soak *soak);
 
 #endif
