--- a/src/test_soak/callers.c
+++ b/src/test_soak/callers.c
@@ -1,6 +1,6 @@
 /*
- * Callers: they hand jobs in, again when no answer came, ask for their state
- * at any instance, and cancel some.
+ * Callers: they submit jobs, resubmit unanswered ones, query job states at
+ * random instances, and cancel some jobs.
  */
 #include <string.h>
 #include <talloc.h>
@@ -12,7 +12,7 @@
 #define RETRY_INTERVAL_MS 700
 #define QUERY_INTERVAL_MS 600
 #define ANSWER_MAX_BYTES 65536
-/* Beside a first run of the standard length, up to this much more. */
+/* Run time of a task: the minimum plus a random part below the spread. */
 #define RUN_MIN_MS 300
 #define RUN_SPREAD_MS 1500
 #define CANCEL_ONE_IN 8
@@ -31,14 +31,15 @@
 	STATUS_TIMEOUT = 504,
 };
 
-/* One call on its way. */
+/* A call that awaits its answer. */
 struct call {
 	struct soak_job *job;
 	enum verb verb;
 	uint64_t sent_us;
 };
 
-/* The call's caller goes on later. */
+/* Schedule a caller's next call in `in_ms` to twice that, so that callers
+ * spread out. */
 static void schedule_call(struct soak_job *job, uint32_t in_ms)
 {
 	job->next_call_us =
@@ -46,7 +47,8 @@
 		(in_ms + soak_random(job->soak, in_ms)) * RJ_US_PER_MS;
 }
 
-/* The answer to a submission. */
+/* Handle the result of a submission. A lost call or a 504 leaves open whether
+ * the job was accepted. */
 static void handle_submit_response(struct soak_job *job,
 				   const struct rj_http_result *result)
 {
@@ -66,12 +68,14 @@
 	case STATUS_TIMEOUT:
 		break;
 	default:
-		soak_violation(job->soak, "refused: %s with %u", job->id,
-			       result->status);
+		soak_violation(job->soak,
+			       "refused: %s was rejected with status %u",
+			       job->id, result->status);
 	}
 }
 
-/* The answer to a question. */
+/* Handle the answer to a state query; statuses other than 200 and 410 say
+ * nothing about the job. */
 static void handle_state_response(const struct call *call,
 				  const struct rj_http_result *result)
 {
@@ -87,12 +91,12 @@
 	if (state)
 		soak_check_state(call->job, state, call->sent_us);
 	else
-		soak_violation(call->job->soak, "mixed: %s has no state",
+		soak_violation(call->job->soak,
+			       "mixed: the answer for %s has no state",
 			       call->job->id);
 	json_decref(body);
 }
 
-/* Any answer. */
 static void handle_response(void *private_data,
 			    const struct rj_http_result *result)
 {
@@ -109,7 +113,8 @@
 		job->cancelled = true;
 }
 
-/* The steps of a job as it is handed in. */
+/* The body of a submission, allocated on `mem`. Each step after the first
+ * depends on step 0. */
 static char *job_body(void *mem, const struct soak_job *job)
 {
 	char *body =
@@ -126,7 +131,7 @@
 	return talloc_asprintf_append(body, "]}");
 }
 
-/* Send one call to an instance of the caller's choice. */
+/* Send a call to a random instance. */
 static void send_call(struct soak_job *job, enum verb verb)
 {
 	static const char *const methods[] = { "POST", "GET", "DELETE" };
@@ -160,7 +165,7 @@
 	rj_http_client_send(&soak->http, &send);
 }
 
-/* A new caller with a job. */
+/* Create a job with random steps and its caller. */
 static void add_job(struct soak *soak)
 {
 	struct soak_job *job = g_new0(struct soak_job, 1);
@@ -184,7 +189,8 @@
 	schedule_call(job, 1);
 }
 
-/* Whether a caller waits for nothing any more. */
+/* Whether a caller has nothing left to do: its job has ended, or was not
+ * accepted in all its submissions. */
 static bool is_caller_done(const struct soak_job *job)
 {
 	if (job->open_submissions)
@@ -192,7 +198,7 @@
 	return job->accepted ? job->ended : job->submissions >= SUBMISSIONS_MAX;
 }
 
-/* A caller's next call. */
+/* Make a caller's due calls and schedule the next. */
 static void make_call(struct soak_job *job)
 {
 	if (!job->accepted) {
@@ -207,14 +213,14 @@
 		send_call(job, CANCEL);
 	}
 	send_call(job, QUERY);
-	/* Once in a while a submission comes again after its answer. */
+	/* Instances must tolerate a duplicate submission of a known job. */
 	if (soak_random(job->soak, 30) == 0 && !job->soak->recovering)
 		send_call(job, SUBMIT);
 	schedule_call(job, QUERY_INTERVAL_MS);
 }
 
 /*
- * Let the callers do what is due.
+ * Create new jobs and make the callers' calls that are due.
  */
 void soak_callers_tick(struct soak *soak)
 {
@@ -234,7 +240,8 @@
 }
 
 /*
- * Whether all callers know how their jobs have ended.
+ * Whether every accepted job is known to have ended and no caller will submit
+ * again.
  */
 bool soak_callers_done(const struct soak *soak)
 {
--- a/src/test_soak/cluster.c
+++ b/src/test_soak/cluster.c
@@ -1,5 +1,5 @@
 /*
- * The processes of one seed and the ways between them.
+ * The processes of one seed and the proxies between them.
  */
 #include <assert.h>
 #include <glib/gstdio.h>
@@ -17,8 +17,8 @@
 #define ANSWER_MAX_BYTES 65536
 
 /*
- * A number below a bound, the same in every run of a seed as long as the
- * processes behave alike.
+ * A random number below `below`. The sequence depends on the seed alone; which
+ * draw meets which event also depends on the timing of the processes.
  */
 uint32_t soak_random(struct soak *soak, uint32_t below)
 {
@@ -26,8 +26,8 @@
 }
 
 /*
- * Write down what is done to the site; the time is that of the instances'
- * lines.
+ * Write a line to the journal, prefixed with the wall-clock time in us, the
+ * clock of the instances' logs.
  */
 void soak_journal_write(struct soak *soak, const char *format, ...)
 {
@@ -41,20 +41,20 @@
 	(void)fflush(soak->journal);
 }
 
-/* A call to the stand-in's own interface. */
+/* A call to the stand-in's control interface. */
 struct post {
 	struct soak *soak;
 	struct rj_address to;
 	char *path;
 	char *body;
-	bool retries; /* it is sent until it has arrived */
+	bool retries; /* until it is answered */
 };
 
 /*
- * Its answer.
+ * Send a call again that got no answer, if it must take effect.
  *
- * Guards against a site that is never calm: on a busy machine a call may get no
- * answer in time, and a worker would misbehave for good.
+ * On a busy machine a call may get no answer in time; without a retry, a
+ * worker would keep its fault for good and the cluster would never recover.
  */
 static void handle_post_response(void *private_data,
 				 const struct rj_http_result *result)
@@ -67,7 +67,8 @@
 }
 
 /*
- * Call the stand-in's own interface.
+ * Call the stand-in's control interface without waiting for the answer. Calls
+ * made while recovering are retried until answered.
  */
 void soak_standin_post(struct soak *soak, const struct rj_address *to,
 		       const char *path, const char *body)
@@ -90,7 +91,7 @@
 	rj_http_client_send(&soak->http, &send);
 }
 
-/* An address of the stand-in's first line. */
+/* Parse "IP:PORT" from the stand-in's first line; the IP is loopback. */
 static struct rj_address parse_address(const json_t *text)
 {
 	const char *colon = strrchr(json_string_value(text), ':');
@@ -100,7 +101,8 @@
 	return address;
 }
 
-/* The stand-in listens: put a proxy before each worker. */
+/* Take the addresses of the log and the workers from the stand-in's first
+ * line, and start a proxy for each worker. */
 static void handle_listening(struct soak *soak, const json_t *listening)
 {
 	const json_t *workers = json_object_get(listening, "workers");
@@ -119,7 +121,6 @@
 	soak->worker_count = (uint32_t)json_array_size(workers);
 }
 
-/* A line of the stand-in. */
 static void handle_standin_line(void *private_data, const char *line)
 {
 	struct soak *soak = private_data;
@@ -133,7 +134,7 @@
 	json_decref(object);
 }
 
-/* A line of an instance: its ports stand in the one of its start. */
+/* Take the ports of an instance from its start event. */
 static void handle_instance_line(void *private_data, const char *line)
 {
 	struct soak_instance *instance = private_data;
@@ -150,7 +151,8 @@
 	json_decref(object);
 }
 
-/* The settings of an instance: each of its ways leads through a proxy. */
+/* Write the settings file of an instance: it reaches the log through its
+ * proxy. */
 static void write_settings(struct soak_instance *instance)
 {
 	char *text = g_strdup_printf(
@@ -167,13 +169,14 @@
 		instance->name, instance->log_proxy.port);
 
 	if (!g_file_set_contents(instance->settings, text, -1, NULL))
-		g_error("%s cannot be written; free some room",
+		g_error("%s cannot be written; free some disk space",
 			instance->settings);
 	g_free(text);
 }
 
 /*
- * Start the process of an instance, for the first time or anew.
+ * Start the process of an instance, also after it was killed. Callers are
+ * connected to it once its start event has been read.
  */
 void soak_instance_start(struct soak_instance *instance)
 {
@@ -193,7 +196,7 @@
 	g_free(log);
 }
 
-/* Wake the loop up regularly. */
+/* Timer: wake the event loop up at least every TICK_US. */
 static void tick(struct tevent_context *ev, struct tevent_timer *timer,
 		 struct timeval now, void *private_data)
 {
@@ -205,11 +208,11 @@
 }
 
 /*
- * Take an instance that has ended out of its callers' way.
+ * Disconnect callers from an instance that has exited.
  *
- * Guards against a caller that reaches another process: the system gives the
- * port of an ended one to whoever asks next, such as an instance of a soak that
- * runs beside this one. It shows as jobs that are accepted and then unknown.
+ * The system may reassign its port to another process, such as an instance of
+ * a soak that runs at the same time. Callers that reached it would see jobs
+ * accepted and then unknown.
  */
 void soak_instance_detach(struct soak_instance *instance)
 {
@@ -217,7 +220,7 @@
 	soak_proxy_reset(&instance->caller_proxy);
 }
 
-/* Note the instances that have ended by now. */
+/* Write new exits of instances to the journal and disconnect their callers. */
 static void journal_exits(struct soak *soak)
 {
 	for (uint32_t i = 0; i < soak->options.instances; i++) {
@@ -235,7 +238,8 @@
 }
 
 /*
- * Let time pass, with callers and strikes.
+ * Run the event loop for `for_us`, with callers and, until
+ * `soak_cluster_recover`, fault injection.
  */
 void soak_cluster_run(struct soak *soak, uint64_t for_us)
 {
@@ -250,7 +254,7 @@
 	}
 }
 
-/* Wait until all instances have started. */
+/* Wait until all instances have started; report those that time out. */
 static void wait_for_instances(struct soak *soak)
 {
 	uint64_t until_us = rj_clock_now_us() + START_TIMEOUT_US;
@@ -267,7 +271,8 @@
 		}
 }
 
-/* Start the stand-in and give it a configuration. */
+/* Start the stand-in, publish the configuration, and have each worker publish
+ * the address of its proxy. */
 static void start_standin(struct soak *soak)
 {
 	char *program = g_build_filename(soak->options.programs,
@@ -303,7 +308,7 @@
 	g_free(workers);
 }
 
-/* Open the journal; false when that fails. */
+/* Open the journal. Returns false on failure. */
 static bool open_journal(struct soak *soak)
 {
 	char *path = g_build_filename(soak->folder, "journal", NULL);
@@ -314,7 +319,8 @@
 }
 
 /*
- * Start all processes; options and seed are set.
+ * Start all processes of a seed and wait for them; `options` and `seed` are
+ * set, all other members zero. Aborts when logs cannot be written.
  */
 void soak_cluster_start(struct soak *soak)
 {
@@ -328,7 +334,7 @@
 	if (!soak->folder || !open_journal(soak) ||
 	    rj_http_client_init(&soak->http, soak->ev, soak->ev, NULL,
 				CONNECTIONS_MAX, &err))
-		g_error("soak: no folder for logs; free some room");
+		g_error("soak: cannot create the log folder; free some disk space");
 	tick(soak->ev, NULL, tevent_timeval_zero(), soak);
 	start_standin(soak);
 	for (uint32_t i = 0; i < soak->options.instances; i++) {
@@ -351,7 +357,8 @@
 }
 
 /*
- * End all trouble: whatever was harmed works again.
+ * End fault injection: restore the log, the workers and all proxies, resume
+ * suspended instances, restart stopped ones, and wait until all have started.
  */
 void soak_cluster_recover(struct soak *soak)
 {
@@ -377,7 +384,6 @@
 	wait_for_instances(soak);
 }
 
-/* Free what is known of a job. */
 static void free_job(struct soak_job *job)
 {
 	g_hash_table_destroy(job->tasks);
@@ -385,8 +391,8 @@
 }
 
 /*
- * End all processes and forget the seed. Its folder stays when a promise was
- * broken.
+ * Kill all processes and free the state of the seed. Its folder is kept, and
+ * named on standard error, when an invariant was violated.
  */
 void soak_cluster_finish(struct soak *soak)
 {
--- a/src/test_soak/faults.c
+++ b/src/test_soak/faults.c
@@ -1,7 +1,7 @@
 /*
- * Trouble from outside the processes: signals, ways that are harmed, a log
- * and workers that misbehave. Strikes come in series and overlap; each ends
- * by itself or with the calm.
+ * Fault injection from outside the processes: signals to instances, network
+ * faults by proxies, faults of the log and of workers. Faults come in bursts
+ * and overlap; each is undone by a timer or by `soak_cluster_recover`.
  */
 #include <assert.h>
 #include <signal.h>
@@ -12,12 +12,13 @@
 
 #define PAUSE_MIN_MS 200
 #define PAUSE_SPREAD_MS 1400
-/* A stop takes 2.6 s at least, and is followed by a kill. */
+/* A graceful stop takes at least 2.6 s; the instance is killed after this
+ * time. */
 #define STOP_TIMEOUT_US (6 * RJ_US_PER_S)
 #define FAULT_MIN_MS 300
 #define FAULT_SPREAD_MS 4000
 
-/* What ends a strike. */
+/* The pending end of a fault, and what it applies to. */
 struct recovery {
 	void (*recover)(struct recovery *recovery);
 	struct soak *soak;
@@ -26,7 +27,7 @@
 	struct soak_proxy *proxy;
 };
 
-/* The time of a strike is over; with the calm all has ended already. */
+/* Timer: end a fault, unless `soak_cluster_recover` has ended all faults. */
 static void due(struct tevent_context *ev, struct tevent_timer *timer,
 		struct timeval now, void *private_data)
 {
@@ -37,7 +38,8 @@
 	talloc_free(recovery);
 }
 
-/* End a strike in a while. */
+/* Call `recover` in `delay_us`. The caller sets what it applies to in the
+ * returned recovery, which is freed afterwards. */
 static struct recovery *schedule_recovery(struct soak *soak, uint64_t delay_us,
 					  void (*recover)(struct recovery *))
 {
@@ -53,26 +55,23 @@
 	return recovery;
 }
 
-/* How long a harm lasts. */
+/* A random duration of a fault. */
 static uint64_t random_duration_us(struct soak *soak)
 {
 	return (FAULT_MIN_MS + soak_random(soak, FAULT_SPREAD_MS)) *
 	       RJ_US_PER_MS;
 }
 
-/* Any instance. */
 static struct soak_instance *random_instance(struct soak *soak)
 {
 	return &soak->instances[soak_random(soak, soak->options.instances)];
 }
 
-/* Any worker. */
 static struct soak_worker *random_worker(struct soak *soak)
 {
 	return &soak->workers[soak_random(soak, soak->worker_count)];
 }
 
-/* An instance starts anew. */
 static void restart_instance(struct recovery *recovery)
 {
 	soak_journal_write(recovery->soak, "start %s",
@@ -81,7 +80,7 @@
 	soak_instance_start(recovery->instance);
 }
 
-/* An instance is killed and starts anew. */
+/* Kill an instance and restart it later. */
 static void inject_kill(struct soak *soak)
 {
 	struct soak_instance *instance = random_instance(soak);
@@ -96,7 +95,7 @@
 		->instance = instance;
 }
 
-/* All instances are killed. */
+/* Kill all running instances and restart each later. */
 static void inject_kill_all(struct soak *soak)
 {
 	soak_journal_write(soak, "kill all");
@@ -114,7 +113,7 @@
 	}
 }
 
-/* An instance is asked to stop, and starts anew once its time is over. */
+/* Stop an instance gracefully and restart it after the stop timeout. */
 static void inject_stop(struct soak *soak)
 {
 	struct soak_instance *instance = random_instance(soak);
@@ -128,7 +127,6 @@
 		instance;
 }
 
-/* An instance goes on. */
 static void resume_instance(struct recovery *recovery)
 {
 	soak_journal_write(recovery->soak, "resume %s",
@@ -136,7 +134,7 @@
 	soak_process_signal(&recovery->instance->process, SIGCONT);
 }
 
-/* An instance stands still. */
+/* Suspend an instance for a random time. */
 static void inject_pause(struct soak *soak)
 {
 	struct soak_instance *instance = random_instance(soak);
@@ -151,13 +149,12 @@
 		->instance = instance;
 }
 
-/* An instance is told that its settings have changed. */
+/* Make an instance reload its settings. */
 static void inject_reload(struct soak *soak)
 {
 	soak_process_signal(&random_instance(soak)->process, SIGHUP);
 }
 
-/* A way works again. */
 static void restore_proxy(struct recovery *recovery)
 {
 	soak_journal_write(recovery->soak, "pass port %u",
@@ -165,7 +162,7 @@
 	soak_proxy_set_mode(recovery->proxy, SOAK_PROXY_PASS);
 }
 
-/* Any harm that lasts a while. */
+/* A random mode other than pass; requires SOAK_PROXY_DELAY to be the first. */
 static enum soak_proxy_mode random_mode(struct soak *soak)
 {
 	uint32_t fault_modes = SOAK_PROXY_MODE_COUNT - SOAK_PROXY_DELAY;
@@ -174,8 +171,8 @@
 				      soak_random(soak, fault_modes));
 }
 
-/* A way is harmed for a while, or its connections at once; `what` says which
- * way. */
+/* Reset or blackhole the open connections of a proxy, or set a fault mode for a
+ * random time. `connections` names them in the journal. */
 static void inject_proxy_fault(struct soak *soak, struct soak_proxy *proxy,
 			       const char *connections)
 {
@@ -202,21 +199,20 @@
 		->proxy = proxy;
 }
 
-/* The way of an instance to the log is harmed. */
 static void inject_log_proxy_fault(struct soak *soak)
 {
 	inject_proxy_fault(soak, &random_instance(soak)->log_proxy,
 			   "instance to log");
 }
 
-/* The way of callers to an instance is harmed. */
 static void inject_caller_proxy_fault(struct soak *soak)
 {
 	inject_proxy_fault(soak, &random_instance(soak)->caller_proxy,
 			   "callers to instance");
 }
 
-/* The ways to some workers are harmed. */
+/* Inject faults between instances and random workers: an eighth of them plus
+ * one. */
 static void inject_worker_proxy_faults(struct soak *soak)
 {
 	for (uint32_t i = 0; i <= soak->worker_count / 8; i++)
@@ -224,7 +220,6 @@
 				   "instances to worker");
 }
 
-/* The log serves again. */
 static void restore_log(struct recovery *recovery)
 {
 	soak_journal_write(recovery->soak, "log: ok");
@@ -232,7 +227,7 @@
 			  "/standin/mode", "ok");
 }
 
-/* The log refuses, is silent, or loses its answers. */
+/* Make the log refuse requests, not answer, or append without an answer. */
 static void inject_log_fault(struct soak *soak)
 {
 	static const char *const modes[] = { "refuse", "silent", "lose" };
@@ -244,14 +239,14 @@
 	schedule_recovery(soak, random_duration_us(soak) / 2, restore_log);
 }
 
-/* A worker is well again. */
 static void restore_worker(struct recovery *recovery)
 {
 	soak_standin_post(recovery->soak, &recovery->worker->address,
 			  "/standin/fault", "{}");
 }
 
-/* A worker misbehaves, says that it leaves, or crashes. */
+/* Make a worker fail its runs, stall them, reject starts, announce that it
+ * drains, or crash. */
 static void inject_worker_fault(struct soak *soak)
 {
 	static const char *const bodies[] = {
@@ -269,6 +264,7 @@
 		->worker = worker;
 }
 
+/* Drawn uniformly; repeated entries are more frequent. */
 static void (*const injectors[])(struct soak *) = {
 	inject_kill,
 	inject_kill,
@@ -288,8 +284,8 @@
 };
 
 /*
- * Strike, when it is time to: half of the strikes follow the one before at
- * once.
+ * Inject a random fault when one is due. Half of the faults come within 100 ms
+ * of the one before, the others within 1.5 s.
  */
 void soak_faults_tick(struct soak *soak)
 {
--- a/src/test_soak/invariants.c
+++ b/src/test_soak/invariants.c
@@ -1,7 +1,18 @@
 /*
- * The promises, judged from what workers tell and callers are told. Messages
- * open with the rule: unasked, refused, twice, order, attempts, capacity,
- * mixed, lost.
+ * Checks the invariants against worker events and callers' answers. A message
+ * starts with the name of the violated invariant:
+ *
+ * unasked   a run belongs to a submitted job, has its spec, and ends with it
+ * refused   a valid submission is not rejected as invalid, and a rejected job
+ *           does not run
+ * twice     a task has one run at a time, and none after its acknowledged
+ *           success
+ * order     a step starts after the step before it has completed
+ * attempts  a task does not run again after SOAK_ATTEMPTS_MAX failed runs
+ * capacity  the runs on a worker fit its resources
+ * mixed     answers agree with each other and with the workers' events
+ * lost      an accepted job is known and ends, and fails or is cancelled only
+ *           for a cause; every instance starts
  */
 #include <stdarg.h>
 #include <stdio.h>
@@ -9,14 +20,15 @@
 
 #include "soak.h"
 
-/* What a worker of the stand-in has. */
+/* Capacity of a worker of the stand-in. */
 #define WORKER_CPU_MILLI 64000
 #define WORKER_ACCELERATORS 8
-/* A job is known everywhere so long after its acknowledgement. */
+/* Every instance must know a job this long after its acceptance. */
 #define VISIBLE_US (3 * RJ_US_PER_S)
 
 /*
- * A promise was broken.
+ * Report a violated invariant on standard error and in the journal, and count
+ * it; the seed goes on. The message starts with the invariant's name.
  */
 void soak_violation(struct soak *soak, const char *format, ...)
 {
@@ -32,7 +44,7 @@
 	soak->violations++;
 }
 
-/* What is known of a task. */
+/* The record of a task, created when absent. */
 static struct soak_task *get_task(struct soak_job *job, const char *name)
 {
 	struct soak_task *task = g_hash_table_lookup(job->tasks, name);
@@ -44,7 +56,7 @@
 	return task;
 }
 
-/* Whether all tasks of a step have ended well. */
+/* Whether all tasks of a step have succeeded. */
 static bool is_step_done(struct soak_job *job, uint32_t step)
 {
 	for (uint32_t i = 0; i < job->steps[step].tasks; i++) {
@@ -58,7 +70,7 @@
 	return true;
 }
 
-/* The step of a task's name; -1 when the job has no such step. */
+/* The step index in a task's name; -1 when the job has no such step. */
 static int parse_step(const struct soak_job *job, const char *name)
 {
 	unsigned int step;
@@ -68,7 +80,7 @@
 	return (int)step;
 }
 
-/* A worker has more or less to do. */
+/* Add a run to a worker's allocation, or remove it, and check its capacity. */
 static void update_allocation(struct soak *soak, const char *worker_id,
 			      const struct soak_step *step, bool is_start)
 {
@@ -88,11 +100,13 @@
 	worker->allocated.accelerators += step->accelerators;
 	if (worker->allocated.cpu_milli > WORKER_CPU_MILLI ||
 	    worker->allocated.accelerators > WORKER_ACCELERATORS)
-		soak_violation(soak, "capacity: %s holds %u accelerators",
-			       worker_id, worker->allocated.accelerators);
+		soak_violation(
+			soak,
+			"capacity: %s is over-allocated, %u accelerators in use",
+			worker_id, worker->allocated.accelerators);
 }
 
-/* A run has begun. */
+/* Check the start of a run against the state of its job and task. */
 static void check_run_start(struct soak_job *job, struct soak_task *task,
 			    const char *name, int step, const char *spec)
 {
@@ -100,19 +114,29 @@
 
 	job->runs_started++;
 	if (strcmp(spec, job->spec) != 0)
-		soak_violation(soak, "unasked: %s has spec %s", name, spec);
+		soak_violation(soak, "unasked: %s was started with spec %s",
+			       name, spec);
 	if (task->running++)
-		soak_violation(soak, "twice: %s runs already", name);
+		soak_violation(soak, "twice: %s was started during another run",
+			       name);
 	if (task->acknowledged)
-		soak_violation(soak, "twice: %s had ended", name);
+		soak_violation(
+			soak,
+			"twice: %s was started after acknowledged success",
+			name);
 	if (task->failures >= SOAK_ATTEMPTS_MAX)
-		soak_violation(soak, "attempts: %s", name);
+		soak_violation(
+			soak, "attempts: %s was started after its last attempt",
+			name);
 	if (step > 0 && !is_step_done(job, (uint32_t)step - 1))
-		soak_violation(soak, "order: %s", name);
+		soak_violation(soak,
+			       "order: %s was started before its dependencies",
+			       name);
 }
 
 /*
- * A line of the stand-in about a run.
+ * Check a run event of the stand-in and record it. Events of other kinds are
+ * ignored.
  */
 void soak_check_event(struct soak *soak, const json_t *event)
 {
@@ -132,7 +156,9 @@
 	job = g_hash_table_lookup(soak->jobs, id);
 	step = job ? parse_step(job, name) : -1;
 	if (step < 0) {
-		soak_violation(soak, "unasked: %s", name);
+		soak_violation(soak,
+			       "unasked: %s is no task of a submitted job",
+			       name);
 		return;
 	}
 	task = get_task(job, name);
@@ -149,7 +175,7 @@
 	}
 }
 
-/* Whether some task has failed as often as it may. */
+/* Whether some task has used up its attempts. */
 static bool has_exhausted_attempts(const struct soak_job *job)
 {
 	GHashTableIter at;
@@ -163,7 +189,7 @@
 }
 
 /*
- * A caller was told a state on a question asked at `asked_us`.
+ * Check and record the state in an answer to a query sent at `asked_us`.
  */
 void soak_check_state(struct soak_job *job, const char *state,
 		      uint64_t asked_us)
@@ -172,26 +198,35 @@
 	bool ended = !strcmp(state, "completed") || !strcmp(state, "failed") ||
 		     !strcmp(state, "cancelled");
 
-	/* What workers told before this answer is known before it. */
+	/* Process worker events written before this answer first. */
 	soak_process_drain(&soak->standin);
 
 	if (job->ended && strcmp(state, job->last_state) != 0) {
-		/* A question from before the end was shown may tell what was
-		 * before it. */
+		/* A query sent before the end was reported may be answered
+		 * with an older state. */
 		if (asked_us > job->last_state_us)
-			soak_violation(soak, "mixed: %s was %s, is %s", job->id,
-				       job->last_state, state);
+			soak_violation(
+				soak, "mixed: %s was reported as %s, now as %s",
+				job->id, job->last_state, state);
 		return;
 	}
 	if (!strcmp(state, "completed"))
 		for (uint32_t i = 0; i < job->step_count; i++)
 			if (!is_step_done(job, i))
-				soak_violation(soak, "mixed: %s, step %u",
-					       job->id, i);
+				soak_violation(
+					soak,
+					"mixed: %s is completed, but step %u is not",
+					job->id, i);
 	if (!strcmp(state, "failed") && !has_exhausted_attempts(job))
-		soak_violation(soak, "lost: %s has failed", job->id);
+		soak_violation(
+			soak,
+			"lost: %s is reported as failed, attempts are left",
+			job->id);
 	if (!strcmp(state, "cancelled") && !job->cancel_sent)
-		soak_violation(soak, "lost: %s is cancelled", job->id);
+		soak_violation(
+			soak,
+			"lost: %s is reported as cancelled without a request",
+			job->id);
 	if (!job->ended)
 		job->last_state_us = rj_clock_now_us();
 	g_strlcpy(job->last_state, state, sizeof(job->last_state));
@@ -199,16 +234,18 @@
 }
 
 /*
- * A caller was told that there is no such job.
+ * Check an answer that the job is unknown, to a query sent at `asked_us`.
  */
 void soak_check_unknown(struct soak_job *job, uint64_t asked_us)
 {
 	if (job->accepted && asked_us > job->accepted_us + VISIBLE_US)
-		soak_violation(job->soak, "lost: %s is not known", job->id);
+		soak_violation(job->soak,
+			       "lost: %s was accepted, but is unknown",
+			       job->id);
 }
 
 /*
- * Judge what must hold once all is calm.
+ * Check what must hold once the cluster has recovered and settled.
  */
 void soak_check_final(struct soak *soak)
 {
@@ -220,14 +257,21 @@
 
 		if (job->runs_started && !job->accepted &&
 		    job->rejections == job->submissions)
-			soak_violation(soak, "refused: %s has run", job->id);
+			soak_violation(
+				soak,
+				"refused: %s has run, but was never accepted",
+				job->id);
 		if (job->accepted && !job->ended)
-			soak_violation(soak, "lost: %s is %s", job->id,
-				       job->last_state);
+			soak_violation(
+				soak,
+				"lost: %s did not end, its last state is: %s",
+				job->id, job->last_state);
 		g_hash_table_iter_init(&at, job->tasks);
 		while (g_hash_table_iter_next(&at, &name, &task))
 			if (job->ended && ((struct soak_task *)task)->running)
-				soak_violation(soak, "unasked: %s still runs",
-					       (char *)name);
+				soak_violation(
+					soak,
+					"unasked: %s still runs after its job ended",
+					(char *)name);
 	}
 }
--- a/src/test_soak/main.c
+++ b/src/test_soak/main.c
@@ -1,6 +1,6 @@
 /*
- * rj-soak: the fault soak; see soak.h. Ends with one line of JSON, and with
- * status 1 when a promise was broken.
+ * rj-soak: the fault soak; see soak.h. Prints one line of JSON at the end and
+ * exits with status 1 when an invariant was violated.
  */
 #include <argtable2.h>
 #include <curl/curl.h>
@@ -10,10 +10,10 @@
 
 #include "soak.h"
 
-/* All is to be over so long after the trouble: leases of 6 s, ten seconds
- * until an unreachable owner lets go, and the longest jobs. */
+/* Time for all jobs to end after fault injection: covers leases of 6 s, 10 s
+ * until an unreachable owner gives up its ownership, and the longest jobs. */
 #define RECOVERY_TIMEOUT_US (75 * RJ_US_PER_S)
-/* Stops of what is left over take so long. */
+/* Time to stop the runs that are left once all jobs have ended. */
 #define SETTLE_TIME_US (8 * RJ_US_PER_S)
 #define ERRORS_MAX 8
 
@@ -27,7 +27,7 @@
 	uint32_t ended; /* accepted jobs whose end was reported */
 };
 
-/* Play one seed. */
+/* Run one seed and add its results to `totals`. */
 static void run_seed(const struct soak_options *options, uint64_t seed,
 		     struct totals *totals)
 {
@@ -58,7 +58,7 @@
 	g_free(soak);
 }
 
-/* An option's number, within its bounds, or what it is when left out. */
+/* The value of an option, clamped to 1..`max`; `fallback` when not given. */
 static uint32_t option_value(const struct arg_int *option, uint32_t fallback,
 			     uint32_t max)
 {
@@ -70,15 +70,16 @@
 int main(int argc, char **argv)
 {
 	struct arg_int *seeds =
-		arg_int0(NULL, "seeds", "N", "how many are played (1)");
-	struct arg_int *from = arg_int0(NULL, "from", "K", "the first (1)");
+		arg_int0(NULL, "seeds", "N", "number of seeds to run (1)");
+	struct arg_int *from = arg_int0(NULL, "from", "K", "first seed (1)");
 	struct arg_int *seconds =
-		arg_int0(NULL, "seconds", "N", "of trouble in each (15)");
+		arg_int0(NULL, "seconds", "N",
+			 "seconds of fault injection per seed (15)");
 	struct arg_int *instances =
 		arg_int0(NULL, "instances", "N", "processes (4)");
 	struct arg_int *workers = arg_int0(NULL, "workers", "N", "(12)");
-	struct arg_int *jobs =
-		arg_int0(NULL, "jobs-per-s", "N", "handed in (4)");
+	struct arg_int *jobs = arg_int0(NULL, "jobs-per-s", "N",
+					"jobs submitted per second (4)");
 	struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
 	struct arg_end *end = arg_end(ERRORS_MAX);
 	void *table[] = { seeds,   from, seconds, instances,
--- a/src/test_soak/process.c
+++ b/src/test_soak/process.c
@@ -11,7 +11,7 @@
 
 #define CHUNK_BYTES 65536
 
-/* Hand on the whole lines. */
+/* Pass complete lines to `on_line`. */
 static void handle_lines(struct soak_process *process)
 {
 	char *end;
@@ -25,7 +25,7 @@
 	}
 }
 
-/* The program has written something, or has ended. */
+/* Read from standard output; end of file sets `output_closed`. */
 static void readable(struct tevent_context *ev, struct tevent_fd *event,
 		     uint16_t flags, void *private_data)
 {
@@ -46,8 +46,8 @@
 }
 
 /*
- * Start a program; `line` and `private_data` are set. Its output is appended
- * to the file.
+ * Start a program with `on_line` and `private_data` already set, and append its
+ * standard output to `log_path`. Aborts when the program cannot be started.
  */
 void soak_process_start(struct soak_process *process, struct tevent_context *ev,
 			const char *const *argv, const char *log_path)
@@ -68,8 +68,8 @@
 }
 
 /*
- * How a program has ended: its exit status, or minus the signal that ended it;
- * 0 as well while it runs.
+ * The exit status of the program, or the negated number of the signal that
+ * killed it. Also 0 while it runs. Does not reap the process.
  */
 int soak_process_exit_status(const struct soak_process *process)
 {
@@ -82,7 +82,7 @@
 }
 
 /*
- * Hand on all that the program has written by now.
+ * Read all output available now, without blocking, and pass on its lines.
  */
 void soak_process_drain(struct soak_process *process)
 {
@@ -94,7 +94,8 @@
 }
 
 /*
- * Send a signal to the program, by its id.
+ * Send a signal to the program; no effect when it was never started or is
+ * reaped.
  */
 void soak_process_signal(const struct soak_process *process, int signal_number)
 {
@@ -103,8 +104,8 @@
 }
 
 /*
- * End the program, if it still runs, and wait until it is gone. What it has
- * written last is handed on.
+ * Kill the program if it still runs, reap it, pass on the rest of its output
+ * and close its log.
  */
 void soak_process_kill(struct soak_process *process)
 {
--- a/src/test_soak/process.h
+++ b/src/test_soak/process.h
@@ -1,9 +1,10 @@
 /*
- * A program that the soak has started: its lines, its signals, its end.
+ * A child process: its standard output, signals and exit status.
  *
- * Life cycle: `soak_process_start`; `line` is called for each whole line of
- * its standard output, which also goes to a file; `soak_process_kill` kills it
- * by its id if it still runs, and waits for it.
+ * Life cycle: set `on_line` and `private_data`, then `soak_process_start`.
+ * `on_line` is called for each complete line of standard output, which is also
+ * appended to a file. `soak_process_kill` kills the process if it still runs
+ * and reaps it; it may then be started again.
  */
 #ifndef SOAK_PROCESS_H
 #define SOAK_PROCESS_H
--- a/src/test_soak/proxy.c
+++ b/src/test_soak/proxy.c
@@ -16,7 +16,7 @@
 #define DELAY_US (250 * RJ_US_PER_MS)
 #define CHUNK_BYTES 65536
 #define BACKLOG 256
-/* What is held for a reader that does not read. */
+/* Data buffered for one side; above it, the other side is not read. */
 #define PENDING_MAX_BYTES (4UL * 1024 * 1024)
 
 const char *const soak_proxy_mode_string[SOAK_PROXY_MODE_COUNT] = {
@@ -28,26 +28,25 @@
 	[SOAK_PROXY_REFUSE] = "refuse",
 };
 
-/* The two ends of a connection. */
 enum side {
 	CLIENT,
 	TARGET,
 	SIDE_COUNT,
 };
 
-/* One connection through the proxy. */
+/* A proxied connection: a socket to the client and one to the target. */
 struct connection {
 	struct rj_list link;
 	struct soak_proxy *proxy;
 	int fd[SIDE_COUNT];
 	struct tevent_fd *event[SIDE_COUNT];
-	GByteArray *pending[SIDE_COUNT]; /* to be written to that side */
-	uint64_t send_after_us[SIDE_COUNT]; /* not before */
-	bool eof[SIDE_COUNT]; /* nothing more comes from that side */
-	bool blackholed; /* nothing passes any more */
+	GByteArray *pending[SIDE_COUNT]; /* bytes to send to that side */
+	uint64_t send_after_us[SIDE_COUNT]; /* earliest time to send */
+	bool eof[SIDE_COUNT]; /* received from that side */
+	bool blackholed; /* nothing is forwarded any more */
 };
 
-/* A connection ends; with a reset, its ends see one. */
+/* Close both sockets and free the connection; with `reset`, send RST. */
 static void close_connection(struct connection *connection, bool reset)
 {
 	const struct linger immediate = { 1, 0 };
@@ -65,7 +64,7 @@
 	talloc_free(connection);
 }
 
-/* Whether bytes to a side are held just now. */
+/* Whether data to a side is held back at present. */
 static bool is_blocked(const struct connection *connection, enum side to)
 {
 	enum soak_proxy_mode mode = connection->proxy->mode;
@@ -75,7 +74,7 @@
 				       SOAK_PROXY_HOLD_FROM_TARGET);
 }
 
-/* Wait for what can be done next on both sides. */
+/* Poll both sockets for the operations that are possible now. */
 static void update_events(struct connection *connection)
 {
 	for (int i = 0; i < SIDE_COUNT; i++) {
@@ -92,14 +91,14 @@
 	}
 }
 
-/* The delay of what goes to some side may be over. */
+/* Timer: a delay may be over. */
 static void delay_over(struct tevent_context *ev, struct tevent_timer *timer,
 		       struct timeval now, void *private_data)
 {
 	update_events(private_data);
 }
 
-/* Read what a side sends. Returns false when the connection is gone. */
+/* Read from a side. Returns false when the connection is to be closed. */
 static bool receive(struct connection *connection, enum side from)
 {
 	enum side to = from == CLIENT ? TARGET : CLIENT;
@@ -127,7 +126,8 @@
 	return true;
 }
 
-/* Write what is held for a side. Returns false when the connection is gone. */
+/* Send pending data to a side. Returns false when the connection is to be
+ * closed. */
 static bool forward(struct connection *connection, enum side to)
 {
 	enum side from = to == CLIENT ? TARGET : CLIENT;
@@ -142,7 +142,7 @@
 	return true;
 }
 
-/* Something can be done on one side of a connection. */
+/* Socket event on one side of a connection. */
 static void serve(struct tevent_context *ev, struct tevent_fd *event,
 		  uint16_t flags, void *private_data)
 {
@@ -156,13 +156,12 @@
 		update_events(connection);
 }
 
-/* A socket that does not block; -1 when there is none. */
+/* Returns a TCP socket, or -1. */
 static int open_nonblocking_socket(void)
 {
 	return socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 }
 
-/* A loopback address. */
 static struct sockaddr_in loopback_address(uint16_t port)
 {
 	struct sockaddr_in address = { .sin_family = AF_INET,
@@ -172,7 +171,8 @@
 	return address;
 }
 
-/* Connect to the target; -1 when nobody is there. */
+/* Start to connect to the target. Returns a socket, or -1 when there is no
+ * target or the attempt fails at once. */
 static int connect_target(const struct soak_proxy *proxy)
 {
 	struct sockaddr_in address = loopback_address(proxy->target);
@@ -190,7 +190,8 @@
 	return fd;
 }
 
-/* A client has connected. */
+/* Accept a client and connect it to the target, or reset it when the mode
+ * refuses connections or there is no target. */
 static void accept_client(struct tevent_context *ev, struct tevent_fd *event,
 			  uint16_t flags, void *private_data)
 {
@@ -227,7 +228,8 @@
 }
 
 /*
- * Listen on any free port of loopback.
+ * Listen on a free loopback port and store it in `port`; there is no target
+ * yet. Aborts when it cannot listen.
  */
 void soak_proxy_init(struct soak_proxy *proxy, void *mem,
 		     struct tevent_context *ev)
@@ -254,7 +256,7 @@
 }
 
 /*
- * Treat what passes in another way from now on.
+ * Change the mode for open and new connections.
  */
 void soak_proxy_set_mode(struct soak_proxy *proxy, enum soak_proxy_mode mode)
 {
@@ -269,7 +271,7 @@
 }
 
 /*
- * Reset all open connections.
+ * Reset all open connections; new ones work if the mode permits.
  */
 void soak_proxy_reset(struct soak_proxy *proxy)
 {
@@ -280,7 +282,8 @@
 }
 
 /*
- * Open connections go silent for good; new ones work.
+ * Stop forwarding on all open connections, for good and without closing them;
+ * new ones work.
  */
 void soak_proxy_blackhole(struct soak_proxy *proxy)
 {
@@ -297,7 +300,7 @@
 }
 
 /*
- * Close everything.
+ * Reset all connections and stop listening.
  */
 void soak_proxy_finish(struct soak_proxy *proxy)
 {
--- a/src/test_soak/proxy.h
+++ b/src/test_soak/proxy.h
@@ -1,11 +1,12 @@
 /*
- * A TCP proxy on loopback that stands between two processes and can harm
- * what passes: delay it, hold it in one direction or both, reset it, or leave
- * open connections silent for good while new ones work.
+ * A TCP proxy on loopback that injects network faults between two processes:
+ * it delays data, holds it back in one or both directions, resets connections,
+ * or blackholes the open ones while new ones work.
  *
- * Life cycle: `soak_proxy_init` listens on any free port; the target may be
- * set and changed later; `soak_proxy_finish` closes all. What is held passes
- * on when the mode ends, as after a cut of a network.
+ * Life cycle: `soak_proxy_init` listens on a free port; `target` may be set at
+ * any time and applies to new connections; `soak_proxy_finish` closes
+ * everything. Data that was held back is forwarded once the mode permits it, as
+ * after a network partition.
  */
 #ifndef SOAK_PROXY_H
 #define SOAK_PROXY_H
@@ -18,11 +19,11 @@
 
 enum soak_proxy_mode {
 	SOAK_PROXY_PASS,
-	SOAK_PROXY_DELAY, /* both ways, by a quarter of a second */
-	SOAK_PROXY_HOLD_TO_TARGET, /* nothing reaches the target */
-	SOAK_PROXY_HOLD_FROM_TARGET, /* nothing comes back from it */
-	SOAK_PROXY_HOLD_BOTH, /* neither */
-	SOAK_PROXY_REFUSE, /* all is reset, and new connections too */
+	SOAK_PROXY_DELAY, /* 250 ms in both directions */
+	SOAK_PROXY_HOLD_TO_TARGET, /* hold data to the target */
+	SOAK_PROXY_HOLD_FROM_TARGET, /* hold data from the target */
+	SOAK_PROXY_HOLD_BOTH, /* hold both directions */
+	SOAK_PROXY_REFUSE, /* reset open and new connections */
 	SOAK_PROXY_MODE_COUNT
 };
 
@@ -33,10 +34,10 @@
 	void *mem;
 	int fd;
 	struct tevent_fd *accept_event;
-	uint16_t port; /* that it listens on */
-	uint16_t target; /* port; 0: nobody is there */
+	uint16_t port; /* listening port */
+	uint16_t target; /* port; 0: reset new connections */
 	enum soak_proxy_mode mode;
-	struct rj_list connections;
+	struct rj_list connections; /* open ones */
 };
 
 void soak_proxy_init(struct soak_proxy *proxy, void *mem,
