--- a/src/test_soak/cluster.c
+++ b/src/test_soak/cluster.c
@@ -334,7 +334,7 @@
 	if (!soak->folder || !open_journal(soak) ||
 	    rj_http_client_init(&soak->http, soak->ev, soak->ev, NULL,
 				CONNECTIONS_MAX, &err))
-		g_error("soak: cannot create the log folder; free some disk space");
+		g_error("soak: no folder for logs; free some disk space");
 	tick(soak->ev, NULL, tevent_timeval_zero(), soak);
 	start_standin(soak);
 	for (uint32_t i = 0; i < soak->options.instances; i++) {
--- a/src/test_soak/invariants.c
+++ b/src/test_soak/invariants.c
@@ -101,8 +101,7 @@
 	if (worker->allocated.cpu_milli > WORKER_CPU_MILLI ||
 	    worker->allocated.accelerators > WORKER_ACCELERATORS)
 		soak_violation(
-			soak,
-			"capacity: %s is over-allocated, %u accelerators in use",
+			soak, "capacity: %s is over-allocated: %u accelerators",
 			worker_id, worker->allocated.accelerators);
 }
 
@@ -129,9 +128,10 @@
 			soak, "attempts: %s was started after its last attempt",
 			name);
 	if (step > 0 && !is_step_done(job, (uint32_t)step - 1))
-		soak_violation(soak,
-			       "order: %s was started before its dependencies",
-			       name);
+		soak_violation(
+			soak,
+			"order: %s started before its dependencies completed",
+			name);
 }
 
 /*
@@ -215,7 +215,7 @@
 			if (!is_step_done(job, i))
 				soak_violation(
 					soak,
-					"mixed: %s is completed, but step %u is not",
+					"mixed: %s completed, step %u did not",
 					job->id, i);
 	if (!strcmp(state, "failed") && !has_exhausted_attempts(job))
 		soak_violation(
@@ -271,7 +271,7 @@
 			if (job->ended && ((struct soak_task *)task)->running)
 				soak_violation(
 					soak,
-					"unasked: %s still runs after its job ended",
+					"unasked: %s runs after its job ended",
 					(char *)name);
 	}
 }
--- a/src/test_soak/soak.h
+++ b/src/test_soak/soak.h
@@ -92,7 +92,7 @@
 /* A task, as reported by its workers. */
 struct soak_task {
 	uint32_t running; /* runs in progress */
-	uint32_t run; /* latest run number */
+	uint32_t run; /* unused */
 	bool succeeded; /* a run has completed successfully */
 	bool acknowledged; /* ... and an instance has acknowledged it */
 	uint32_t failures; /* failed runs */
