--- a/src/test_soak/faults.c
+++ b/src/test_soak/faults.c
@@ -1,7 +1,8 @@
 /*
  * Fault injection from outside the processes: signals to instances, network
  * faults by proxies, faults of the log and of workers. Faults come in bursts
- * and overlap; each is undone by a timer or by `soak_cluster_recover`.
+ * and overlap; lasting ones are undone by a timer or by
+ * `soak_cluster_recover`.
  */
 #include <assert.h>
 #include <signal.h>
