--- a/src/test_soak/faults.c
+++ b/src/test_soak/faults.c
@@ -1,7 +1,8 @@
 /*
- * Trouble from outside the processes: signals, ways that are harmed, a log
- * and workers that misbehave. Strikes come in series and overlap; each ends
- * by itself or with the calm.
+ * Fault injection from outside the processes: signals to instances, network
+ * faults by proxies, faults of the log and of workers. Faults come in bursts
+ * and overlap; lasting ones are undone by a timer or by
+ * `soak_cluster_recover`.
  */
 #include <assert.h>
 #include <signal.h>
@@ -12,76 +13,78 @@
 
 #define PAUSE_MIN_MS 200
 #define PAUSE_SPREAD_MS 1400
-/* A stop takes 2.6 s at least, and is followed by a kill. */
-#define GRACE_US (6 * RJ_US_PER_S)
-#define HARM_MIN_MS 300
-#define HARM_SPREAD_MS 4000
-
-/* What ends a strike. */
-struct ending {
-	void (*end)(struct ending *ending);
+/* A graceful stop takes at least 2.6 s; the instance is killed after this
+ * time. */
+#define STOP_TIMEOUT_US (6 * RJ_US_PER_S)
+#define FAULT_MIN_MS 300
+#define FAULT_SPREAD_MS 4000
+
+/* The pending end of a fault, and what it applies to. */
+struct recovery {
+	void (*recover)(struct recovery *recovery);
 	struct soak *soak;
 	struct soak_instance *instance;
 	struct soak_worker *worker;
 	struct soak_proxy *proxy;
 };
 
-/* The time of a strike is over; with the calm all has ended already. */
+/* Timer: end a fault, unless `soak_cluster_recover` has ended all faults. */
 static void due(struct tevent_context *ev, struct tevent_timer *timer,
 		struct timeval now, void *private_data)
 {
-	struct ending *ending = private_data;
+	struct recovery *recovery = private_data;
 
-	if (!ending->soak->calm)
-		ending->end(ending);
-	talloc_free(ending);
+	if (!recovery->soak->recovering)
+		recovery->recover(recovery);
+	talloc_free(recovery);
 }
 
-/* End a strike in a while. */
-static struct ending *end_in(struct soak *soak, uint64_t delay_us,
-			     void (*end)(struct ending *))
+/* Call `recover` in `delay_us`. The caller sets what it applies to in the
+ * returned recovery, which is freed afterwards. */
+static struct recovery *schedule_recovery(struct soak *soak, uint64_t delay_us,
+					  void (*recover)(struct recovery *))
 {
-	struct ending *ending = talloc_zero(soak->ev, struct ending);
-	struct tevent_timer *timer = tevent_add_timer(
-		soak->ev, ending, rj_clock_timeval_in(delay_us), due, ending);
+	struct recovery *recovery = talloc_zero(soak->ev, struct recovery);
+	struct tevent_timer *timer =
+		tevent_add_timer(soak->ev, recovery,
+				 rj_clock_timeval_in(delay_us), due, recovery);
 
 	assert(timer);
 	(void)timer;
-	ending->soak = soak;
-	ending->end = end;
-	return ending;
+	recovery->soak = soak;
+	recovery->recover = recover;
+	return recovery;
 }
 
-/* How long a harm lasts. */
-static uint64_t some_time_us(struct soak *soak)
+/* A random duration of a fault. */
+static uint64_t random_duration_us(struct soak *soak)
 {
-	return (HARM_MIN_MS + soak_random(soak, HARM_SPREAD_MS)) * RJ_US_PER_MS;
+	return (FAULT_MIN_MS + soak_random(soak, FAULT_SPREAD_MS)) *
+	       RJ_US_PER_MS;
 }
 
-/* Any instance. */
-static struct soak_instance *some_instance(struct soak *soak)
+static struct soak_instance *random_instance(struct soak *soak)
 {
 	return &soak->instances[soak_random(soak, soak->options.instances)];
 }
 
-/* Any worker. */
-static struct soak_worker *some_worker(struct soak *soak)
+static struct soak_worker *random_worker(struct soak *soak)
 {
 	return &soak->workers[soak_random(soak, soak->worker_count)];
 }
 
-/* An instance starts anew. */
-static void start_again(struct ending *ending)
+static void restart_instance(struct recovery *recovery)
 {
-	soak_journal_write(ending->soak, "start %s", ending->instance->name);
-	soak_process_kill(&ending->instance->process);
-	soak_instance_start(ending->instance);
+	soak_journal_write(recovery->soak, "start %s",
+			   recovery->instance->name);
+	soak_process_kill(&recovery->instance->process);
+	soak_instance_start(recovery->instance);
 }
 
-/* An instance is killed and starts anew. */
-static void strike_kill(struct soak *soak)
+/* Kill an instance and restart it later. */
+static void inject_kill(struct soak *soak)
 {
-	struct soak_instance *instance = some_instance(soak);
+	struct soak_instance *instance = random_instance(soak);
 
 	if (!instance->process.pid || instance->stopping)
 		return;
@@ -89,11 +92,12 @@
 	instance->stopping = true;
 	soak_process_signal(&instance->process, SIGKILL);
 	soak_instance_detach(instance);
-	end_in(soak, some_time_us(soak), start_again)->instance = instance;
+	schedule_recovery(soak, random_duration_us(soak), restart_instance)
+		->instance = instance;
 }
 
-/* All instances are killed. */
-static void strike_kill_all(struct soak *soak)
+/* Kill all running instances and restart each later. */
+static void inject_kill_all(struct soak *soak)
 {
 	soak_journal_write(soak, "kill all");
 	for (uint32_t i = 0; i < soak->options.instances; i++) {
@@ -104,178 +108,195 @@
 		instance->stopping = true;
 		soak_process_signal(&instance->process, SIGKILL);
 		soak_instance_detach(instance);
-		end_in(soak, some_time_us(soak), start_again)->instance =
-			instance;
+		schedule_recovery(soak, random_duration_us(soak),
+				  restart_instance)
+			->instance = instance;
 	}
 }
 
-/* An instance is asked to stop, and starts anew once its time is over. */
-static void strike_stop(struct soak *soak)
+/* Stop an instance gracefully and restart it after the stop timeout. */
+static void inject_stop(struct soak *soak)
 {
-	struct soak_instance *instance = some_instance(soak);
+	struct soak_instance *instance = random_instance(soak);
 
 	if (!instance->process.pid || instance->stopping)
 		return;
 	soak_journal_write(soak, "stop %s", instance->name);
 	instance->stopping = true;
 	soak_process_signal(&instance->process, SIGTERM);
-	end_in(soak, GRACE_US, start_again)->instance = instance;
+	schedule_recovery(soak, STOP_TIMEOUT_US, restart_instance)->instance =
+		instance;
 }
 
-/* An instance goes on. */
-static void resume(struct ending *ending)
+static void resume_instance(struct recovery *recovery)
 {
-	soak_journal_write(ending->soak, "resume %s", ending->instance->name);
-	soak_process_signal(&ending->instance->process, SIGCONT);
+	soak_journal_write(recovery->soak, "resume %s",
+			   recovery->instance->name);
+	soak_process_signal(&recovery->instance->process, SIGCONT);
 }
 
-/* An instance stands still. */
-static void strike_pause(struct soak *soak)
+/* Suspend an instance for a random time. */
+static void inject_pause(struct soak *soak)
 {
-	struct soak_instance *instance = some_instance(soak);
+	struct soak_instance *instance = random_instance(soak);
 
 	soak_journal_write(soak, "suspend %s", instance->name);
 	soak_process_signal(&instance->process, SIGSTOP);
-	end_in(soak,
-	       (PAUSE_MIN_MS + soak_random(soak, PAUSE_SPREAD_MS) *
-				       (1 + soak_random(soak, 3))) *
-		       RJ_US_PER_MS,
-	       resume)
+	schedule_recovery(soak,
+			  (PAUSE_MIN_MS + soak_random(soak, PAUSE_SPREAD_MS) *
+						  (1 + soak_random(soak, 3))) *
+				  RJ_US_PER_MS,
+			  resume_instance)
 		->instance = instance;
 }
 
-/* An instance is told that its settings have changed. */
-static void strike_reload(struct soak *soak)
+/* Make an instance reload its settings. */
+static void inject_reload(struct soak *soak)
 {
-	soak_process_signal(&some_instance(soak)->process, SIGHUP);
+	soak_process_signal(&random_instance(soak)->process, SIGHUP);
 }
 
-/* A way works again. */
-static void heal(struct ending *ending)
+static void restore_proxy(struct recovery *recovery)
 {
-	soak_journal_write(ending->soak, "pass port %u", ending->proxy->port);
-	soak_proxy_set_mode(ending->proxy, SOAK_PROXY_PASS);
+	soak_journal_write(recovery->soak, "pass port %u",
+			   recovery->proxy->port);
+	soak_proxy_set_mode(recovery->proxy, SOAK_PROXY_PASS);
 }
 
-/* Any harm that lasts a while. */
-static enum soak_proxy_mode some_mode(struct soak *soak)
+/* A random mode other than pass; requires SOAK_PROXY_DELAY to be the first. */
+static enum soak_proxy_mode random_mode(struct soak *soak)
 {
-	uint32_t harms = SOAK_PROXY_MODE_COUNT - SOAK_PROXY_DELAY;
+	uint32_t fault_modes = SOAK_PROXY_MODE_COUNT - SOAK_PROXY_DELAY;
 
 	return (enum soak_proxy_mode)(SOAK_PROXY_DELAY +
-				      soak_random(soak, harms));
+				      soak_random(soak, fault_modes));
 }
 
-/* A way is harmed for a while, or its connections at once; `what` says which
- * way. */
-static void harm(struct soak *soak, struct soak_proxy *proxy, const char *what)
+/* Reset or blackhole the open connections of a proxy, or set a fault mode for a
+ * random time. `connections` names them in the journal. */
+static void inject_proxy_fault(struct soak *soak, struct soak_proxy *proxy,
+			       const char *connections)
 {
-	uint32_t how = soak_random(soak, 4);
+	uint32_t kind = soak_random(soak, 4);
 	enum soak_proxy_mode mode;
 
-	if (how == 0) {
-		soak_journal_write(soak, "reset %s, port %u", what,
+	if (kind == 0) {
+		soak_journal_write(soak, "reset %s, port %u", connections,
 				   proxy->port);
 		soak_proxy_reset(proxy);
 		return;
 	}
-	if (how == 1) {
-		soak_journal_write(soak, "silence %s, port %u", what,
+	if (kind == 1) {
+		soak_journal_write(soak, "silence %s, port %u", connections,
 				   proxy->port);
 		soak_proxy_blackhole(proxy);
 		return;
 	}
-	mode = some_mode(soak);
+	mode = random_mode(soak);
 	soak_journal_write(soak, "%s %s, port %u", soak_proxy_mode_string[mode],
-			   what, proxy->port);
+			   connections, proxy->port);
 	soak_proxy_set_mode(proxy, mode);
-	end_in(soak, some_time_us(soak), heal)->proxy = proxy;
+	schedule_recovery(soak, random_duration_us(soak), restore_proxy)
+		->proxy = proxy;
 }
 
-/* The way of an instance to the log is harmed. */
-static void strike_store_way(struct soak *soak)
+static void inject_log_proxy_fault(struct soak *soak)
 {
-	harm(soak, &some_instance(soak)->store, "instance to log");
+	inject_proxy_fault(soak, &random_instance(soak)->log_proxy,
+			   "instance to log");
 }
 
-/* The way of callers to an instance is harmed. */
-static void strike_caller_way(struct soak *soak)
+static void inject_caller_proxy_fault(struct soak *soak)
 {
-	harm(soak, &some_instance(soak)->callers, "callers to instance");
+	inject_proxy_fault(soak, &random_instance(soak)->caller_proxy,
+			   "callers to instance");
 }
 
-/* The ways to some workers are harmed. */
-static void strike_worker_ways(struct soak *soak)
+/* Inject faults between instances and random workers: an eighth of them plus
+ * one. */
+static void inject_worker_proxy_faults(struct soak *soak)
 {
 	for (uint32_t i = 0; i <= soak->worker_count / 8; i++)
-		harm(soak, &some_worker(soak)->orders, "instances to worker");
+		inject_proxy_fault(soak, &random_worker(soak)->proxy,
+				   "instances to worker");
 }
 
-/* The log serves again. */
-static void heal_log(struct ending *ending)
+static void restore_log(struct recovery *recovery)
 {
-	soak_journal_write(ending->soak, "log: ok");
-	soak_standin_post(ending->soak, &ending->soak->log, "/standin/mode",
-			  "ok");
+	soak_journal_write(recovery->soak, "log: ok");
+	soak_standin_post(recovery->soak, &recovery->soak->log_address,
+			  "/standin/mode", "ok");
 }
 
-/* The log refuses, is silent, or loses its answers. */
-static void strike_log(struct soak *soak)
+/* Make the log refuse requests, not answer, or append without an answer. */
+static void inject_log_fault(struct soak *soak)
 {
 	static const char *const modes[] = { "refuse", "silent", "lose" };
 
 	const char *mode = modes[soak_random(soak, G_N_ELEMENTS(modes))];
 
 	soak_journal_write(soak, "log: %s", mode);
-	soak_standin_post(soak, &soak->log, "/standin/mode", mode);
-	end_in(soak, some_time_us(soak) / 2, heal_log);
+	soak_standin_post(soak, &soak->log_address, "/standin/mode", mode);
+	schedule_recovery(soak, random_duration_us(soak) / 2, restore_log);
 }
 
-/* A worker is well again. */
-static void heal_worker(struct ending *ending)
+static void restore_worker(struct recovery *recovery)
 {
-	soak_standin_post(ending->soak, &ending->worker->address,
+	soak_standin_post(recovery->soak, &recovery->worker->address,
 			  "/standin/fault", "{}");
 }
 
-/* A worker misbehaves, says that it leaves, or crashes. */
-static void strike_worker(struct soak *soak)
+/* Make a worker fail its runs, stall them, reject starts, announce that it
+ * drains, or crash. */
+static void inject_worker_fault(struct soak *soak)
 {
-	static const char *const faults[] = {
+	static const char *const bodies[] = {
 		"{\"fails\":true}", "{\"stands_still\":true}",
 		"{\"sick\":true}",  "{\"leaving\":true}",
 		"{\"crash\":true}", "{\"leaving\":true,\"crash\":true}",
 	};
-	const char *fault = faults[soak_random(soak, G_N_ELEMENTS(faults))];
-	struct soak_worker *worker = some_worker(soak);
+	const char *body = bodies[soak_random(soak, G_N_ELEMENTS(bodies))];
+	struct soak_worker *worker = random_worker(soak);
 
 	soak_journal_write(soak, "worker w%d: %s",
-			   (int)(worker - soak->workers), fault);
-	soak_standin_post(soak, &worker->address, "/standin/fault", fault);
-	end_in(soak, some_time_us(soak), heal_worker)->worker = worker;
+			   (int)(worker - soak->workers), body);
+	soak_standin_post(soak, &worker->address, "/standin/fault", body);
+	schedule_recovery(soak, random_duration_us(soak), restore_worker)
+		->worker = worker;
 }
 
-static void (*const strikes[])(struct soak *) = {
-	strike_kill,	   strike_kill,	       strike_kill_all,
-	strike_stop,	   strike_pause,       strike_pause,
-	strike_reload,	   strike_store_way,   strike_store_way,
-	strike_caller_way, strike_worker_ways, strike_worker_ways,
-	strike_log,	   strike_worker,      strike_worker,
+/* Drawn uniformly; repeated entries are more frequent. */
+static void (*const injectors[])(struct soak *) = {
+	inject_kill,
+	inject_kill,
+	inject_kill_all,
+	inject_stop,
+	inject_pause,
+	inject_pause,
+	inject_reload,
+	inject_log_proxy_fault,
+	inject_log_proxy_fault,
+	inject_caller_proxy_fault,
+	inject_worker_proxy_faults,
+	inject_worker_proxy_faults,
+	inject_log_fault,
+	inject_worker_fault,
+	inject_worker_fault,
 };
 
 /*
- * Strike, when it is time to: half of the strikes follow the one before at
- * once.
+ * Inject a random fault when one is due. Half of the faults come within 100 ms
+ * of the one before, the others within 1.5 s.
  */
 void soak_faults_tick(struct soak *soak)
 {
 	uint64_t now_us = rj_clock_now_us();
 
-	if (now_us < soak->next_strike_us)
+	if (now_us < soak->next_fault_us)
 		return;
-	soak->next_strike_us =
+	soak->next_fault_us =
 		now_us + soak_random(soak, soak_random(soak, 2) ? 100 : 1500) *
 				 RJ_US_PER_MS;
-	soak->strikes++;
-	strikes[soak_random(soak, G_N_ELEMENTS(strikes))](soak);
+	soak->fault_count++;
+	injectors[soak_random(soak, G_N_ELEMENTS(injectors))](soak);
 }
--- a/src/test_soak/process.h
+++ b/src/test_soak/process.h
@@ -1,9 +1,10 @@
 /*
- * A program that the soak has started: its lines, its signals, its end.
+ * A child process: its standard output, signals and exit status.
  *
- * Life cycle: `soak_process_start`; `line` is called for each whole line of
- * its standard output, which also goes to a file; `soak_process_kill` kills it
- * by its id if it still runs, and waits for it.
+ * Life cycle: set `on_line` and `private_data`, then `soak_process_start`.
+ * `on_line` is called for each complete line of standard output, which is also
+ * appended to a file. `soak_process_kill` kills the process if it still runs
+ * and reaps it; it may then be started again.
  */
 #ifndef SOAK_PROCESS_H
 #define SOAK_PROCESS_H
@@ -14,13 +15,13 @@
 #include <tevent.h>
 
 struct soak_process {
-	GPid pid; /* 0: it does not run */
+	GPid pid; /* 0: not started, or reaped */
 	int fd; /* its standard output */
 	struct tevent_fd *event;
-	GString *part; /* of a line */
+	GString *partial_line; /* output after the last newline */
 	FILE *log;
-	bool ended; /* it has closed its standard output */
-	void (*line)(void *private_data, const char *line);
+	bool output_closed; /* end of file on its standard output */
+	void (*on_line)(void *private_data, const char *line);
 	void *private_data;
 };
 
@@ -28,7 +29,7 @@
 			const char *const *argv, const char *log_path);
 int soak_process_exit_status(const struct soak_process *process);
 void soak_process_drain(struct soak_process *process);
-void soak_process_signal(const struct soak_process *process, int number);
+void soak_process_signal(const struct soak_process *process, int signal_number);
 void soak_process_kill(struct soak_process *process);
 
 #endif
