--- a/src/test_libradishjunction/naive/naive_core.c
+++ b/src/test_libradishjunction/naive/reference_core.c
@@ -1,4 +1,4 @@
-#include "naive/naive_core.h"
+#include "naive/reference_core.h"
 
 #include <assert.h>
 #include <string.h>
@@ -32,7 +32,7 @@
 	struct member *members; /* one for each task */
 };
 
-struct naive_core {
+struct reference_core {
 	struct rj_core_options options;
 	uint64_t random;
 	uint64_t beat_us;
@@ -50,10 +50,10 @@
 /*
  * Make one as a talloc child of `mem`.
  */
-struct naive_core *naive_core_create(void *mem,
-				     const struct rj_core_options *options)
+struct reference_core *
+reference_core_create(void *mem, const struct rj_core_options *options)
 {
-	struct naive_core *core = talloc_zero(mem, struct naive_core);
+	struct reference_core *core = talloc_zero(mem, struct reference_core);
 
 	assert(core && options->peer_count <= PEERS_MAX);
 	core->options = *options;
@@ -67,7 +67,7 @@
 /*
  * When it wants its timer next.
  */
-uint64_t naive_core_wake_us(const struct naive_core *core)
+uint64_t reference_core_wake_us(const struct reference_core *core)
 {
 	uint64_t wake_us = core->beat_us;
 
@@ -77,7 +77,7 @@
 	return wake_us;
 }
 
-static struct rj_worker_call *call(struct naive_core *core,
+static struct rj_worker_call *call(struct reference_core *core,
 				   struct rj_actions *actions,
 				   const struct job *job, uint32_t member,
 				   enum rj_worker_op op)
@@ -138,7 +138,8 @@
 }
 
 /* The next worker that the list shows as live. */
-static bool choose_worker(struct naive_core *core, char worker[RJ_NAME_BYTES])
+static bool choose_worker(struct reference_core *core,
+			  char worker[RJ_NAME_BYTES])
 {
 	for (uint32_t i = 0; i < core->worker_count; i++) {
 		const struct rj_instance *line =
@@ -153,8 +154,8 @@
 	return false;
 }
 
-static void try_job(struct naive_core *core, struct job *job, uint64_t now_us,
-		    struct rj_actions *actions)
+static void try_job(struct reference_core *core, struct job *job,
+		    uint64_t now_us, struct rj_actions *actions)
 {
 	job->try_us = RJ_NEVER_US;
 	if (job->tries++ >= TRIES_MAX) {
@@ -175,7 +176,7 @@
 	}
 }
 
-static struct job *find_job(struct naive_core *core, uint64_t job_id)
+static struct job *find_job(struct reference_core *core, uint64_t job_id)
 {
 	struct job *job = core->jobs;
 
@@ -184,7 +185,7 @@
 	return job;
 }
 
-static struct job *find_key(struct naive_core *core, const char *key)
+static struct job *find_key(struct reference_core *core, const char *key)
 {
 	struct job *job = core->jobs;
 
@@ -193,8 +194,9 @@
 	return job;
 }
 
-static void submit(struct naive_core *core, const struct rj_request *request,
-		   uint64_t now_us, struct rj_actions *actions)
+static void submit(struct reference_core *core,
+		   const struct rj_request *request, uint64_t now_us,
+		   struct rj_actions *actions)
 {
 	struct job *job = find_key(core, request->spec.key);
 
@@ -225,7 +227,7 @@
 	}
 }
 
-static void cancel(struct naive_core *core, struct job *job,
+static void cancel(struct reference_core *core, struct job *job,
 		   struct rj_actions *actions)
 {
 	for (uint32_t i = 0; i < job->spec.shape.tasks; i++)
@@ -234,7 +236,7 @@
 	end_job(job, actions, RJ_ANSWER_NOT_RUN, RJ_REASON_CANCELLED, NULL);
 }
 
-static void take_request(struct naive_core *core,
+static void take_request(struct reference_core *core,
 			 const struct rj_request *request, uint64_t now_us,
 			 struct rj_actions *actions)
 {
@@ -269,7 +271,7 @@
 	end_job(job, actions, RJ_ANSWER_DONE, RJ_REASON_NONE, &reply->result);
 }
 
-static void take_member_reply(struct naive_core *core, struct job *job,
+static void take_member_reply(struct reference_core *core, struct job *job,
 			      uint32_t index,
 			      const struct rj_worker_reply *reply,
 			      uint64_t now_us, struct rj_actions *actions)
@@ -298,7 +300,7 @@
 	}
 }
 
-static void take_reply(struct naive_core *core,
+static void take_reply(struct reference_core *core,
 		       const struct rj_worker_reply *reply, uint64_t now_us,
 		       struct rj_actions *actions)
 {
@@ -322,7 +324,7 @@
 	action->u.read.wait_us = 10 * RJ_US_PER_S;
 }
 
-static void hand_on_config(struct naive_core *core,
+static void hand_on_config(struct reference_core *core,
 			   const struct rj_record *record,
 			   struct rj_actions *actions)
 {
@@ -344,7 +346,7 @@
 	}
 }
 
-static void take_records(struct naive_core *core,
+static void take_records(struct reference_core *core,
 			 const struct rj_records *records,
 			 struct rj_actions *actions)
 {
@@ -359,8 +361,8 @@
 	read_config(actions, records->next);
 }
 
-static void take_list(struct naive_core *core, const struct rj_instance *list,
-		      uint32_t count)
+static void take_list(struct reference_core *core,
+		      const struct rj_instance *list, uint32_t count)
 {
 	core->worker_count = 0;
 	for (uint32_t i = 0; i < count && core->worker_count < WORKERS_MAX; i++)
@@ -369,7 +371,8 @@
 			core->workers[core->worker_count++] = list[i];
 }
 
-static void send_heartbeats(struct naive_core *core, struct rj_actions *actions)
+static void send_heartbeats(struct reference_core *core,
+			    struct rj_actions *actions)
 {
 	for (uint32_t i = 0; i < core->peer_count; i++) {
 		struct rj_peer_message *message =
@@ -385,7 +388,8 @@
 	}
 }
 
-static void renew_leases(struct naive_core *core, struct rj_actions *actions)
+static void renew_leases(struct reference_core *core,
+			 struct rj_actions *actions)
 {
 	for (uint32_t i = 0; i < core->worker_count; i++) {
 		struct rj_worker_call *report =
@@ -395,7 +399,7 @@
 	}
 }
 
-static void take_timer(struct naive_core *core, uint64_t now_us,
+static void take_timer(struct reference_core *core, uint64_t now_us,
 		       struct rj_actions *actions)
 {
 	for (struct job *job = core->jobs; job; job = job->next)
@@ -415,8 +419,9 @@
 /*
  * Process one event, as rj_core_process does.
  */
-void naive_core_process(struct naive_core *core, const struct rj_event *event,
-			struct rj_actions *actions)
+void reference_core_process(struct reference_core *core,
+			    const struct rj_event *event,
+			    struct rj_actions *actions)
 {
 	switch (event->kind) {
 	case RJ_EVENT_REQUEST:
--- a/src/test_libradishjunction/support/checker.c
+++ b/src/test_libradishjunction/support/checker.c
@@ -6,12 +6,12 @@
 #include <string.h>
 #include <talloc.h>
 
-const char *const promise_string[PROMISE_COUNT] = {
-	[PROMISE_GUARANTEE] = "guarantee", [PROMISE_GANG] = "gang",
-	[PROMISE_ANSWER] = "answer",	   [PROMISE_NOT_RUN] = "not_run",
-	[PROMISE_ONCE] = "once",	   [PROMISE_LEAVING] = "leaving",
-	[PROMISE_STOP] = "stop",	   [PROMISE_CONFIG] = "config",
-	[PROMISE_ACCEPTED] = "accepted",
+const char *const invariant_string[INVARIANT_COUNT] = {
+	[INVARIANT_GUARANTEE] = "guarantee", [INVARIANT_GANG] = "gang",
+	[INVARIANT_ANSWER] = "answer",	     [INVARIANT_NOT_RUN] = "not_run",
+	[INVARIANT_ONCE] = "once",	     [INVARIANT_LEAVING] = "leaving",
+	[INVARIANT_STOP] = "stop",	     [INVARIANT_CONFIG] = "config",
+	[INVARIANT_ACCEPTED] = "accepted",
 };
 
 /*
@@ -28,7 +28,7 @@
 	(void)vsnprintf(text, sizeof(text), format, args);
 	va_end(args);
 	(void)snprintf(line, sizeof(line), "%" PRIu64 " VIOLATION %s: %s",
-		       now_us, promise_string[promise], text);
+		       now_us, invariant_string[promise], text);
 	if (!checker->violations[promise]++)
 		memcpy(checker->first[promise], line, sizeof(line));
 	if (checker->tell)
@@ -143,9 +143,9 @@
 
 		if (!intent->accepted)
 			continue;
-		checker->checks[PROMISE_ACCEPTED]++;
+		checker->checks[INVARIANT_ACCEPTED]++;
 		if (intent->answered_us == RJ_NEVER_US)
-			checker_violation(checker, now_us, PROMISE_ACCEPTED,
+			checker_violation(checker, now_us, INVARIANT_ACCEPTED,
 					  "accepted intent %u has no outcome",
 					  i);
 	}
@@ -158,7 +158,7 @@
 {
 	uint32_t sum = 0;
 
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
 		sum += checker->violations[i];
 	return sum;
 }
--- a/src/test_libradishjunction/support/checker.h
+++ b/src/test_libradishjunction/support/checker.h
@@ -16,19 +16,19 @@
 #include "radishjunction/core.h"
 
 enum promise {
-	PROMISE_GUARANTEE,
-	PROMISE_GANG,
-	PROMISE_ANSWER,
-	PROMISE_NOT_RUN,
-	PROMISE_ONCE,
-	PROMISE_LEAVING,
-	PROMISE_STOP,
-	PROMISE_CONFIG,
-	PROMISE_ACCEPTED,
-	PROMISE_COUNT
+	INVARIANT_GUARANTEE,
+	INVARIANT_GANG,
+	INVARIANT_ANSWER,
+	INVARIANT_NOT_RUN,
+	INVARIANT_ONCE,
+	INVARIANT_LEAVING,
+	INVARIANT_STOP,
+	INVARIANT_CONFIG,
+	INVARIANT_ACCEPTED,
+	INVARIANT_COUNT
 };
 
-extern const char *const promise_string[PROMISE_COUNT];
+extern const char *const invariant_string[INVARIANT_COUNT];
 
 #define CHECKER_NODES_MAX 16
 #define CHECKER_WORKERS_MAX 64
@@ -93,9 +93,9 @@
 	uint64_t lease_life_us;
 	uint64_t guarantee_limit_us; /* checkpoint limit and bound */
 	uint64_t calm_us; /* when the last fault ended; RJ_NEVER_US: not yet */
-	uint32_t violations[PROMISE_COUNT];
-	uint64_t checks[PROMISE_COUNT]; /* how often each had a say */
-	char first[PROMISE_COUNT][200];
+	uint32_t violations[INVARIANT_COUNT];
+	uint64_t checks[INVARIANT_COUNT]; /* how often each had a say */
+	char first[INVARIANT_COUNT][200];
 	GArray *intents;
 	GHashTable *requests;
 	GHashTable *attempts;
@@ -127,13 +127,13 @@
 		     uint64_t request_id, uint32_t node, uint32_t intent,
 		     enum rj_request_op op);
 void checker_request_delivered(struct checker *checker, uint64_t request_id);
-void checker_request_gone(struct checker *checker, uint64_t request_id);
-void checker_node_gone(struct checker *checker, uint32_t node);
-void checker_node_wakes(struct checker *checker, uint64_t now_us, uint32_t node,
-			bool empty);
+void checker_request_abandoned(struct checker *checker, uint64_t request_id);
+void checker_node_ended(struct checker *checker, uint32_t node);
+void checker_node_resumed(struct checker *checker, uint64_t now_us,
+			  uint32_t node, bool empty);
 void checker_answer(struct checker *checker, uint64_t now_us, uint32_t node,
 		    uint64_t request_id, const struct rj_answer *answer);
-void checker_foreign_body(struct checker *checker, uint64_t now_us,
+void checker_unknown_body(struct checker *checker, uint64_t now_us,
 			  const struct rj_attempt *id);
 void checker_task_started(struct checker *checker, uint64_t now_us,
 			  const struct rj_attempt *id, uint32_t intent,
@@ -144,22 +144,22 @@
 void checker_task_ended(struct checker *checker, uint64_t now_us,
 			const struct rj_attempt *id, uint32_t member,
 			enum rj_task_state state);
-void checker_leaving_learnt(struct checker *checker, uint64_t now_us,
-			    uint32_t node, uint32_t worker,
-			    uint64_t incarnation);
-void checker_new_work(struct checker *checker, uint64_t now_us, uint32_t node,
+void checker_leaving_known(struct checker *checker, uint64_t now_us,
+			   uint32_t node, uint32_t worker,
+			   uint64_t incarnation);
+void checker_job_sent(struct checker *checker, uint64_t now_us, uint32_t node,
 		      uint32_t worker, uint64_t incarnation,
 		      const uint64_t heard_us[CHECKER_NODES_MAX]);
 void checker_exit(struct checker *checker, uint64_t now_us, uint32_t node);
 void checker_config_accepted(struct checker *checker, uint64_t now_us,
 			     uint64_t revision, const char *id);
-void checker_config_offered(struct checker *checker, uint64_t now_us,
-			    uint32_t node, uint64_t revision, const char *id);
-void checker_config_seen(struct checker *checker, uint64_t now_us,
-			 uint32_t node, uint64_t incarnation,
-			 uint64_t revision);
-void checker_node_reach(struct checker *checker, uint64_t now_us, uint32_t node,
-			bool reached);
+void checker_config_forwarded(struct checker *checker, uint64_t now_us,
+			      uint32_t node, uint64_t revision, const char *id);
+void checker_config_in_force(struct checker *checker, uint64_t now_us,
+			     uint32_t node, uint64_t incarnation,
+			     uint64_t revision);
+void checker_node_platform(struct checker *checker, uint64_t now_us,
+			   uint32_t node, bool reached);
 void checker_node_peer(struct checker *checker, uint32_t node,
 		       uint64_t since_us);
 void checker_tick(struct checker *checker, uint64_t now_us);
--- a/src/test_libradishjunction/support/checker_config.c
+++ b/src/test_libradishjunction/support/checker_config.c
@@ -19,17 +19,17 @@
 /*
  * An instance hands on what it takes for the accepted one of a revision.
  */
-void checker_config_offered(struct checker *checker, uint64_t now_us,
-			    uint32_t node, uint64_t revision, const char *id)
+void checker_config_forwarded(struct checker *checker, uint64_t now_us,
+			      uint32_t node, uint64_t revision, const char *id)
 {
 	const char *accepted = NULL;
 
 	if (revision && revision <= checker->config_ids->len)
 		accepted = checker->config_ids->pdata[revision - 1];
-	checker->checks[PROMISE_CONFIG]++;
+	checker->checks[INVARIANT_CONFIG]++;
 	if (!accepted || strcmp(accepted, id) != 0)
 		checker_violation(
-			checker, now_us, PROMISE_CONFIG,
+			checker, now_us, INVARIANT_CONFIG,
 			"node %u holds %s for revision %" PRIu64 ", not %s",
 			node, id, revision, accepted ? accepted : "none");
 }
@@ -37,23 +37,24 @@
 /*
  * An instance says which revision is in force at it.
  */
-void checker_config_seen(struct checker *checker, uint64_t now_us,
-			 uint32_t node, uint64_t incarnation, uint64_t revision)
+void checker_config_in_force(struct checker *checker, uint64_t now_us,
+			     uint32_t node, uint64_t incarnation,
+			     uint64_t revision)
 {
 	struct checker_node *seen = &checker->nodes[node];
 
-	checker->checks[PROMISE_CONFIG]++;
+	checker->checks[INVARIANT_CONFIG]++;
 	if (seen->incarnation != incarnation) {
 		seen->incarnation = incarnation;
 		seen->revision = 0;
 	}
 	if (revision > checker->revision)
-		checker_violation(checker, now_us, PROMISE_CONFIG,
+		checker_violation(checker, now_us, INVARIANT_CONFIG,
 				  "node %u has revision %" PRIu64
 				  ", which was not accepted",
 				  node, revision);
 	if (revision < seen->revision)
-		checker_violation(checker, now_us, PROMISE_CONFIG,
+		checker_violation(checker, now_us, INVARIANT_CONFIG,
 				  "node %u went back from revision %" PRIu64
 				  " to %" PRIu64,
 				  node, seen->revision, revision);
@@ -68,8 +69,8 @@
 /*
  * An instance can, or cannot, reach the platform.
  */
-void checker_node_reach(struct checker *checker, uint64_t now_us, uint32_t node,
-			bool reached)
+void checker_node_platform(struct checker *checker, uint64_t now_us,
+			   uint32_t node, bool reached)
 {
 	struct checker_node *seen = &checker->nodes[node];
 
@@ -106,7 +107,7 @@
 		since_us = MAX(since_us, checker->revision_us);
 		if (now_us <= since_us + CHECKER_CONFIG_US)
 			continue;
-		checker_violation(checker, now_us, PROMISE_CONFIG,
+		checker_violation(checker, now_us, INVARIANT_CONFIG,
 				  "node %u has revision %" PRIu64
 				  ", not %" PRIu64,
 				  i, seen->revision, checker->revision);
--- a/src/test_libradishjunction/support/checker_guarantee.c
+++ b/src/test_libradishjunction/support/checker_guarantee.c
@@ -5,8 +5,8 @@
 /*
  * The account has what it asked for once all of the shape has progressed.
  */
-void checker_guarantee_whole(struct checker *checker, uint64_t now_us,
-			     const struct checker_attempt *attempt)
+void checker_guarantee_met(struct checker *checker, uint64_t now_us,
+			   const struct checker_attempt *attempt)
 {
 	struct checker_intent *intent =
 		checker_intent_get(checker, attempt->intent);
@@ -14,7 +14,7 @@
 	if (intent->whole_us != RJ_NEVER_US)
 		return;
 	intent->whole_us = now_us;
-	checker->checks[PROMISE_GUARANTEE] += intent->guaranteed;
+	checker->checks[INVARIANT_GUARANTEE] += intent->guaranteed;
 }
 
 /*
@@ -38,7 +38,7 @@
 			continue;
 		intent->late_told = true;
 		checker_violation(
-			checker, now_us, PROMISE_GUARANTEE,
+			checker, now_us, INVARIANT_GUARANTEE,
 			"intent %u waits for its guaranteed shape since "
 			"%" PRIu64,
 			i, since_us);
--- a/src/test_libradishjunction/support/checker_leaving.c
+++ b/src/test_libradishjunction/support/checker_leaving.c
@@ -6,8 +6,8 @@
  * An instance starts empty, or goes on after a pause: what it was told
  * meanwhile it learns only now.
  */
-void checker_node_wakes(struct checker *checker, uint64_t now_us, uint32_t node,
-			bool empty)
+void checker_node_resumed(struct checker *checker, uint64_t now_us,
+			  uint32_t node, bool empty)
 {
 	struct checker_node *self = &checker->nodes[node];
 
@@ -22,9 +22,8 @@
 /*
  * An instance was told that a worker leaves.
  */
-void checker_leaving_learnt(struct checker *checker, uint64_t now_us,
-			    uint32_t node, uint32_t worker,
-			    uint64_t incarnation)
+void checker_leaving_known(struct checker *checker, uint64_t now_us,
+			   uint32_t node, uint32_t worker, uint64_t incarnation)
 {
 	struct checker_node *known = &checker->nodes[node];
 
@@ -39,13 +38,13 @@
  * `heard_us` is since when it has heard each other instance without a break,
  * RJ_NEVER_US where it does not.
  */
-void checker_new_work(struct checker *checker, uint64_t now_us, uint32_t node,
+void checker_job_sent(struct checker *checker, uint64_t now_us, uint32_t node,
 		      uint32_t worker, uint64_t incarnation,
 		      const uint64_t heard_us[CHECKER_NODES_MAX])
 {
 	struct checker_node *self = &checker->nodes[node];
 
-	checker->checks[PROMISE_LEAVING]++;
+	checker->checks[INVARIANT_LEAVING]++;
 	for (uint32_t i = 0; i < CHECKER_NODES_MAX; i++) {
 		struct checker_node *other = &checker->nodes[i];
 		uint64_t since_us = other->learnt_us[worker];
@@ -58,7 +57,7 @@
 			since_us = heard_us[i];
 		if (now_us > since_us + CHECKER_LEAVING_US)
 			checker_violation(
-				checker, now_us, PROMISE_LEAVING,
+				checker, now_us, INVARIANT_LEAVING,
 				"node %u sends work to worker %u, known to "
 				"leave for %" PRIu64 " us",
 				node, worker,
--- a/src/test_libradishjunction/support/event_loop.c
+++ b/src/test_libradishjunction/support/event_loop.c
@@ -14,7 +14,7 @@
 /*
  * Fail the test in 30 s unless the returned timer is freed before.
  */
-struct tevent_timer *test_patience(struct tevent_context *loop)
+struct tevent_timer *test_timeout_start(struct tevent_context *loop)
 {
 	return tevent_add_timer(loop, loop,
 				tevent_timeval_current_ofs(PATIENCE_S, 0),
--- a/src/test_libradishjunction/support/fake_caller.c
+++ b/src/test_libradishjunction/support/fake_caller.c
@@ -1,4 +1,4 @@
-#include "support/world.h"
+#include "support/simulation.h"
 
 #include <assert.h>
 #include <inttypes.h>
@@ -12,12 +12,12 @@
 #define TRIES_MAX 30
 #define RESULT_FORMAT "result of intent %u, %016" PRIx64 ";"
 
-static void ask(struct world *world, struct world_event *event);
+static void ask(struct world *world, struct simulation_event *event);
 
 static void ask_after(struct world *world, struct fake_caller *caller,
 		      uint64_t delay_us)
 {
-	world_after(world, delay_us, ask)->data = caller;
+	simulation_schedule(world, delay_us, ask)->data = caller;
 }
 
 /* Some live instance; the caller's own failure domain two times in three. */
@@ -27,12 +27,13 @@
 	uint32_t per_domain = world->options.nodes_per_domain;
 	uint32_t domain = caller->domain;
 
-	if (caller->tries > 1 && world_random(world, 3) == 0)
-		domain = (uint32_t)world_random(world, world->options.domains);
+	if (caller->tries > 1 && simulation_random(world, 3) == 0)
+		domain = (uint32_t)simulation_random(world,
+						     world->options.domains);
 	for (uint32_t i = 0; i < per_domain; i++) {
 		struct node *node =
 			&world->nodes[domain * per_domain +
-				      world_random(world, per_domain)];
+				      simulation_random(world, per_domain)];
 
 		if (node->engine)
 			return node;
@@ -40,7 +41,7 @@
 	return NULL;
 }
 
-static void patience_ends(struct world *world, struct world_event *event)
+static void patience_ends(struct world *world, struct simulation_event *event)
 {
 	struct fake_caller *caller = event->data;
 	struct node *node = &world->nodes[caller->node];
@@ -48,7 +49,7 @@
 
 	if (caller->request_id != event->life)
 		return;
-	checker_request_gone(&world->checker, caller->request_id);
+	checker_request_abandoned(&world->checker, caller->request_id);
 	gone = node_event(world, RJ_EVENT_CALLER_DISCONNECTED);
 	gone->u.request_id = caller->request_id;
 	node_deliver_after(world, node, CALLER_DELAY_US, gone);
@@ -91,14 +92,15 @@
 	uint64_t request_id = world->next_request++;
 	struct rj_event *event =
 		fake_caller_event(world, caller, node, op, request_id);
-	struct world_event *patience;
+	struct simulation_event *patience;
 
 	node_deliver_after(world, node, CALLER_DELAY_US, event);
 	if (op == RJ_REQUEST_CANCEL)
 		return;
 	caller->request_id = request_id;
 	caller->node = node->index;
-	patience = world_after(world, caller->patience_us, patience_ends);
+	patience =
+		simulation_schedule(world, caller->patience_us, patience_ends);
 	patience->data = caller;
 	patience->life = caller->request_id;
 }
@@ -107,7 +109,7 @@
  * Ask, or ask again: a keyed job is submitted anew with its key, an accepted
  * one is looked up, and one that is neither is given up.
  */
-static void ask(struct world *world, struct world_event *event)
+static void ask(struct world *world, struct simulation_event *event)
 {
 	struct fake_caller *caller = event->data;
 	struct node *node;
@@ -134,7 +136,7 @@
 		    caller->job_id ? RJ_REQUEST_LOOKUP : RJ_REQUEST_SUBMIT);
 }
 
-static void cancel(struct world *world, struct world_event *event)
+static void cancel(struct world *world, struct simulation_event *event)
 {
 	struct fake_caller *caller = event->data;
 	struct node *node = choose_node(world, caller);
@@ -143,7 +145,7 @@
 		put_request(world, caller, node, RJ_REQUEST_CANCEL);
 }
 
-static void double_ask(struct world *world, struct world_event *event)
+static void double_ask(struct world *world, struct simulation_event *event)
 {
 	struct fake_caller *caller = event->data;
 	struct node *node = choose_node(world, caller);
@@ -161,7 +163,7 @@
  * Add a caller that first asks after `delay_us`.
  */
 struct fake_caller *fake_caller_add(struct world *world, uint64_t delay_us,
-				    const struct caller_plan *plan)
+				    const struct fake_caller_options *plan)
 {
 	struct fake_caller *caller = talloc_zero(world, struct fake_caller);
 	struct checker_intent intent = { .key = plan->key,
@@ -202,8 +204,9 @@
 	g_ptr_array_add(world->callers, caller);
 	ask_after(world, caller, delay_us);
 	if (plan->doubled)
-		world_after(world, delay_us + world_random(world, RJ_US_PER_S),
-			    double_ask)
+		simulation_schedule(
+			world, delay_us + simulation_random(world, RJ_US_PER_S),
+			double_ask)
 			->data = caller;
 	return caller;
 }
@@ -240,8 +243,10 @@
 	if (answer->kind == RJ_ANSWER_ACCEPTED) {
 		caller->job_id = answer->job_id;
 		if (caller->cancels)
-			world_after(world, world_random(world, 2 * RJ_US_PER_S),
-				    cancel)
+			simulation_schedule(
+				world,
+				simulation_random(world, 2 * RJ_US_PER_S),
+				cancel)
 				->data = caller;
 		back_us = COME_BACK_US;
 	} else if (answer->kind != RJ_ANSWER_UNKNOWN &&
@@ -256,7 +261,7 @@
 /*
  * An instance has ended: whoever waited on it knows nothing and asks another.
  */
-void fake_caller_node_gone(struct world *world, struct node *node)
+void fake_caller_node_ended(struct world *world, struct node *node)
 {
 	for (guint i = 0; i < world->callers->len; i++) {
 		struct fake_caller *caller = world->callers->pdata[i];
--- a/src/test_libradishjunction/support/fake_log.c
+++ b/src/test_libradishjunction/support/fake_log.c
@@ -1,4 +1,4 @@
-#include "support/world.h"
+#include "support/simulation.h"
 
 #include <assert.h>
 #include <inttypes.h>
@@ -43,11 +43,11 @@
 
 static uint64_t round_trip_us(struct world *world)
 {
-	return ROUND_TRIP_US + world_random(world, ROUND_TRIP_US) +
+	return ROUND_TRIP_US + simulation_random(world, ROUND_TRIP_US) +
 	       world->log.slow_us;
 }
 
-static void take_snapshot(struct world *world, struct world_event *event)
+static void take_snapshot(struct world *world, struct simulation_event *event)
 {
 	struct list_snapshot *snapshot =
 		talloc_zero(world, struct list_snapshot);
@@ -90,7 +90,7 @@
 	g_queue_push_tail(&world->log.lists, snapshot);
 	if (g_queue_get_length(&world->log.lists) > LIST_SNAPSHOTS)
 		talloc_free(g_queue_pop_head(&world->log.lists));
-	(void)world_after(world, LIST_PERIOD_US, take_snapshot);
+	(void)simulation_schedule(world, LIST_PERIOD_US, take_snapshot);
 }
 
 /*
@@ -106,7 +106,7 @@
 	}
 	g_queue_init(&log->lists);
 	log->list_lag_us = RJ_US_PER_S;
-	(void)world_after(world, 0, take_snapshot);
+	(void)simulation_schedule(world, 0, take_snapshot);
 }
 
 /*
@@ -178,7 +178,7 @@
 {
 	GQueue *readers = world->log.readers[stream];
 	GQueue waiting = *readers;
-	struct world_event *reader;
+	struct simulation_event *reader;
 
 	g_queue_init(readers);
 	while ((reader = g_queue_pop_head(&waiting))) {
@@ -216,8 +216,8 @@
 	world->log.revision++;
 	(void)snprintf(world->log.config_id, RJ_CONFIG_ID_BYTES, "%s",
 		       record->config_id);
-	world_note(world, "revision %" PRIu64 " is accepted",
-		   world->log.revision);
+	simulation_trace(world, "revision %" PRIu64 " is accepted",
+			 world->log.revision);
 	checker_config_accepted(&world->checker, world->now_us,
 				world->log.revision, record->config_id);
 }
@@ -243,15 +243,15 @@
 	return first;
 }
 
-static void store_late(struct world *world, struct world_event *event)
+static void store_late(struct world *world, struct simulation_event *event)
 {
 	const struct pending_append *pending = event->data;
 
-	world_note(world, "a late append takes effect");
+	simulation_trace(world, "a late append takes effect");
 	(void)store(world, &pending->append);
 }
 
-static void append_arrives(struct world *world, struct world_event *event)
+static void append_arrives(struct world *world, struct simulation_event *event)
 {
 	struct pending_append *pending = event->data;
 	struct node *node = &world->nodes[event->index];
@@ -263,18 +263,19 @@
 	if (!fake_log_reachable(world, node)) {
 		appended->status = RJ_APPEND_LOST;
 		delay_us = TIMEOUT_US;
-	} else if (world_chance(world, world->rates.append_refused)) {
+	} else if (simulation_chance(world, world->rates.append_refused)) {
 		appended->status = RJ_APPEND_REFUSED;
-	} else if (world_chance(world, world->rates.append_late)) {
-		struct world_event *late = world_after(
-			world, world_random(world, LATE_MAX_US), store_late);
+	} else if (simulation_chance(world, world->rates.append_late)) {
+		struct simulation_event *late = simulation_schedule(
+			world, simulation_random(world, LATE_MAX_US),
+			store_late);
 
 		late->data = talloc_steal(late, pending);
 		appended->status = RJ_APPEND_LOST;
 		delay_us = TIMEOUT_US;
 	} else {
 		appended->first_offset = store(world, &pending->append);
-		if (world_chance(world, world->rates.append_answer_lost)) {
+		if (simulation_chance(world, world->rates.append_answer_lost)) {
 			appended->status = RJ_APPEND_LOST;
 			delay_us = TIMEOUT_US;
 		}
@@ -292,8 +293,8 @@
 void fake_log_append(struct world *world, struct node *node,
 		     const struct rj_append *append)
 {
-	struct world_event *event =
-		world_after(world, round_trip_us(world) / 2, append_arrives);
+	struct simulation_event *event = simulation_schedule(
+		world, round_trip_us(world) / 2, append_arrives);
 	struct pending_append *pending =
 		talloc_zero(event, struct pending_append);
 
@@ -309,10 +310,10 @@
 	event->data = pending;
 }
 
-static void poll_ends(struct world *world, struct world_event *event)
+static void poll_ends(struct world *world, struct simulation_event *event)
 {
 	struct node *node = &world->nodes[event->index];
-	struct world_event *reader = event->data;
+	struct simulation_event *reader = event->data;
 
 	if (!reader->run || node->life != event->life)
 		return;
@@ -323,17 +324,17 @@
 		fail_read(world, node, event->other);
 }
 
-static void read_arrives(struct world *world, struct world_event *event)
+static void read_arrives(struct world *world, struct simulation_event *event)
 {
 	struct node *node = &world->nodes[event->index];
 	const struct rj_read *read = event->data;
-	struct world_event *reader;
-	struct world_event *end;
+	struct simulation_event *reader;
+	struct simulation_event *end;
 
 	if (node->life != event->life)
 		return;
 	if (!fake_log_reachable(world, node) ||
-	    world_chance(world, world->rates.read_failed)) {
+	    simulation_chance(world, world->rates.read_failed)) {
 		fail_read(world, node, read->stream);
 		return;
 	}
@@ -343,14 +344,14 @@
 		return;
 	}
 	/* A long poll: `order` holds the offset, `run` that it still waits. */
-	reader = talloc_zero(world, struct world_event);
+	reader = talloc_zero(world, struct simulation_event);
 	assert(reader);
 	reader->index = event->index;
 	reader->life = event->life;
 	reader->order = read->from;
 	reader->run = poll_ends;
 	g_queue_push_tail(world->log.readers[read->stream], reader);
-	end = world_after(world, read->wait_us, poll_ends);
+	end = simulation_schedule(world, read->wait_us, poll_ends);
 	end->index = event->index;
 	end->other = read->stream;
 	end->life = event->life;
@@ -363,8 +364,8 @@
 void fake_log_read(struct world *world, struct node *node,
 		   const struct rj_read *read)
 {
-	struct world_event *event =
-		world_after(world, round_trip_us(world) / 2, read_arrives);
+	struct simulation_event *event = simulation_schedule(
+		world, round_trip_us(world) / 2, read_arrives);
 
 	event->index = node->index;
 	event->life = node->life;
@@ -400,7 +401,7 @@
 		const struct rj_instance *line = &shown->list[i];
 
 		if (line->role == RJ_ROLE_WORKER && line->leaving)
-			checker_leaving_learnt(
+			checker_leaving_known(
 				&world->checker, world->now_us, node->index,
 				fake_worker_find(world, line->name)->index,
 				line->incarnation);
--- a/src/test_libradishjunction/support/fake_peers.c
+++ b/src/test_libradishjunction/support/fake_peers.c
@@ -1,4 +1,4 @@
-#include "support/world.h"
+#include "support/simulation.h"
 
 #include <assert.h>
 #include <string.h>
@@ -29,8 +29,9 @@
 	const struct fake_link *link =
 		a < b ? &world->links[a][b] : &world->links[b][a];
 
-	return !link->cut && world_domains_joined(world, world->nodes[a].domain,
-						  world->nodes[b].domain);
+	return !link->cut &&
+	       simulation_domains_connected(world, world->nodes[a].domain,
+					    world->nodes[b].domain);
 }
 
 static void tell(struct world *world, struct node *node, uint64_t delay_us,
@@ -59,7 +60,7 @@
 	tell(world, &world->nodes[b], 1000, kind, world->nodes[a].name);
 }
 
-static void notice_cut(struct world *world, struct world_event *event)
+static void notice_cut(struct world *world, struct simulation_event *event)
 {
 	struct fake_link *link = link_of(world, event->index, event->other);
 
@@ -69,7 +70,7 @@
 }
 
 /* Bring up wanted links, and notice those that nothing passes any more. */
-static void keep_links(struct world *world, struct world_event *event)
+static void keep_links(struct world *world, struct simulation_event *event)
 {
 	for (uint32_t a = 0; a < world->node_count; a++) {
 		for (uint32_t b = a + 1; b < world->node_count; b++) {
@@ -83,8 +84,9 @@
 			    can_pass(world, a, b))
 				set_link(world, a, b, true);
 			else if (link->up && !can_pass(world, a, b)) {
-				struct world_event *cut = world_after(
-					world, NOTICE_US, notice_cut);
+				struct simulation_event *cut =
+					simulation_schedule(world, NOTICE_US,
+							    notice_cut);
 
 				cut->index = a;
 				cut->other = b;
@@ -92,7 +94,7 @@
 			}
 		}
 	}
-	(void)world_after(world, CONNECT_PERIOD_US, keep_links);
+	(void)simulation_schedule(world, CONNECT_PERIOD_US, keep_links);
 }
 
 /*
@@ -100,7 +102,7 @@
  */
 void fake_peers_init(struct world *world)
 {
-	(void)world_after(world, CONNECT_PERIOD_US, keep_links);
+	(void)simulation_schedule(world, CONNECT_PERIOD_US, keep_links);
 }
 
 /*
@@ -128,7 +130,7 @@
 	set_link(world, node->index, peer->index, false);
 }
 
-static void message_arrives(struct world *world, struct world_event *event)
+static void message_arrives(struct world *world, struct simulation_event *event)
 {
 	struct node *to = &world->nodes[event->other];
 	const struct fake_link *link =
@@ -147,9 +149,9 @@
 		struct fake_worker *worker =
 			fake_worker_find(world, leaving->worker);
 
-		checker_leaving_learnt(&world->checker, world->now_us,
-				       event->other, worker->index,
-				       leaving->incarnation);
+		checker_leaving_known(&world->checker, world->now_us,
+				      event->other, worker->index,
+				      leaving->incarnation);
 	}
 	node_deliver_after(world, to, 0, told);
 }
@@ -163,32 +165,33 @@
 {
 	struct node *peer = node_find(world, name);
 	struct fake_link *link;
-	struct world_event *event;
+	struct simulation_event *event;
 	uint64_t at_us;
 	uint64_t *last_us;
 
 	if (message->kind == RJ_PEER_HEARTBEAT)
-		checker_config_seen(&world->checker, world->now_us, node->index,
-				    node->incarnation,
-				    message->u.heartbeat.config_revision);
+		checker_config_in_force(&world->checker, world->now_us,
+					node->index, node->incarnation,
+					message->u.heartbeat.config_revision);
 	if (message->kind == RJ_PEER_CONFIG)
-		checker_config_offered(&world->checker, world->now_us,
-				       node->index, message->u.config.revision,
-				       message->u.config.id);
+		checker_config_forwarded(
+			&world->checker, world->now_us, node->index,
+			message->u.config.revision, message->u.config.id);
 	if (!peer || peer == node)
 		return;
 	link = link_of(world, node->index, peer->index);
-	if (!link->up || world_chance(world, world->rates.peer_lost))
+	if (!link->up || simulation_chance(world, world->rates.peer_lost))
 		return;
 	last_us = &link->last_us[node->index < peer->index];
 	at_us = world->now_us +
-		world_delay_us(world, node->domain, peer->domain);
-	if (world_chance(world, world->rates.peer_late))
-		at_us += world_random(world, LATE_MAX_US);
+		simulation_delay_us(world, node->domain, peer->domain);
+	if (simulation_chance(world, world->rates.peer_late))
+		at_us += simulation_random(world, LATE_MAX_US);
 	if (at_us < *last_us)
 		at_us = *last_us;
 	*last_us = at_us;
-	event = world_after(world, at_us - world->now_us, message_arrives);
+	event = simulation_schedule(world, at_us - world->now_us,
+				    message_arrives);
 	event->index = node->index;
 	event->other = peer->index;
 	event->life = link->life;
@@ -198,7 +201,7 @@
 /*
  * An instance has ended: its links go down.
  */
-void fake_peers_node_gone(struct world *world, struct node *node)
+void fake_peers_node_ended(struct world *world, struct node *node)
 {
 	for (uint32_t i = 0; i < world->node_count; i++) {
 		if (i == node->index)
@@ -214,8 +217,8 @@
  * RJ_NEVER_US where it does not. One that goes on after a pause hears, and is
  * heard, only from then on.
  */
-void fake_peers_heard(const struct world *world, uint32_t node,
-		      uint64_t heard_us[CHECKER_NODES_MAX])
+void fake_peers_contact(const struct world *world, uint32_t node,
+			uint64_t heard_us[CHECKER_NODES_MAX])
 {
 	for (uint32_t i = 0; i < CHECKER_NODES_MAX; i++)
 		heard_us[i] = RJ_NEVER_US;
@@ -236,7 +239,7 @@
 /*
  * End every cut between instances and between failure domains.
  */
-void fake_peers_mend(struct world *world)
+void fake_peers_heal(struct world *world)
 {
 	for (uint32_t a = 0; a < world->node_count; a++)
 		for (uint32_t b = a + 1; b < world->node_count; b++)
--- a/src/test_libradishjunction/support/fake_worker.c
+++ b/src/test_libradishjunction/support/fake_worker.c
@@ -1,4 +1,4 @@
-#include "support/world.h"
+#include "support/simulation.h"
 
 #include <assert.h>
 #include <inttypes.h>
@@ -21,7 +21,7 @@
 
 	worker->index = index;
 	worker->incarnation = 1;
-	worker->drift_ppm = world_drift_ppm(world);
+	worker->drift_ppm = simulation_drift_ppm(world);
 	worker->capacity = capacity;
 	worker->free = capacity;
 	worker->armed_us = RJ_NEVER_US;
@@ -82,7 +82,7 @@
 static void renew(struct world *world, const struct fake_worker *worker,
 		  struct fake_task *task, uint64_t life_us)
 {
-	int64_t lost_us = (int64_t)life_us * worker->drift_ppm / WORLD_PPM;
+	int64_t lost_us = (int64_t)life_us * worker->drift_ppm / SIMULATION_PPM;
 
 	task->lease_until_us = world->now_us + life_us - (uint64_t)lost_us;
 }
@@ -117,7 +117,7 @@
 
 static void settle(struct world *world, struct fake_worker *worker);
 
-static void settle_event(struct world *world, struct world_event *event)
+static void settle_event(struct world *world, struct simulation_event *event)
 {
 	struct fake_worker *worker = &world->workers[event->index];
 
@@ -131,7 +131,7 @@
 static void settle(struct world *world, struct fake_worker *worker)
 {
 	uint64_t next_us = RJ_NEVER_US;
-	struct world_event *event;
+	struct simulation_event *event;
 
 	for (guint i = 0; i < worker->tasks->len; i++) {
 		struct fake_task *task = worker->tasks->pdata[i];
@@ -160,7 +160,8 @@
 	if (next_us == RJ_NEVER_US)
 		return;
 	worker->armed_us = next_us;
-	event = world_after(world, next_us - world->now_us, settle_event);
+	event = simulation_schedule(world, next_us - world->now_us,
+				    settle_event);
 	event->index = worker->index;
 }
 
@@ -241,7 +242,7 @@
 		refuse(world, from, task, RJ_REASON_LEASE_EXPIRED);
 		return NULL;
 	}
-	if ((worker->leaving && worker->tells_leaving) || worker->refuses ||
+	if ((worker->leaving && worker->reports_leaving) || worker->refuses ||
 	    !rj_resources_fit(&call->each, &worker->free)) {
 		refuse(world, from, NULL, RJ_REASON_LEASE_REFUSED);
 		return NULL;
@@ -267,7 +268,7 @@
 		memcpy(body, from->data, from->length);
 	if (sscanf(body, "intent=%u run_us=%" SCNu64 " fails=%u", &task->intent,
 		   &task->work_us, &fails) != 3) {
-		checker_foreign_body(&world->checker, world->now_us,
+		checker_unknown_body(&world->checker, world->now_us,
 				     &task->attempt);
 		return false;
 	}
@@ -332,7 +333,7 @@
 	return find_task(worker, &call->attempt, call->member);
 }
 
-static void end_checkpoint(struct world *world, struct world_event *event)
+static void end_checkpoint(struct world *world, struct simulation_event *event)
 {
 	struct fake_call *from = event->data;
 	struct fake_worker *worker = &world->workers[from->worker];
@@ -355,14 +356,15 @@
 {
 	uint64_t takes_us = CHECKPOINT_US + worker->slow_us;
 	bool in_time = takes_us <= from->call.limit_us;
-	struct world_event *event;
+	struct simulation_event *event;
 
 	if (task->state != RJ_TASK_RUNNING) {
 		answer_task(world, from, task);
 		return;
 	}
-	event = world_after(world, in_time ? takes_us : from->call.limit_us,
-			    end_checkpoint);
+	event = simulation_schedule(world,
+				    in_time ? takes_us : from->call.limit_us,
+				    end_checkpoint);
 	event->data = from;
 	event->other = in_time;
 	event->life = worker->incarnation;
@@ -375,7 +377,7 @@
 	struct rj_worker_report *report = &reply.report;
 
 	report->incarnation = worker->incarnation;
-	report->leaving = worker->leaving && worker->tells_leaving;
+	report->leaving = worker->leaving && worker->reports_leaving;
 	report->capacity = worker->capacity;
 	report->tasks = talloc_zero_array(from, struct rj_task_report,
 					  worker->tasks->len + 1);
@@ -524,7 +526,8 @@
 		return;
 	if (paused)
 		settle(world, worker);
-	world_note(world, "%s %s", worker->name, paused ? "pauses" : "goes on");
+	simulation_trace(world, "%s %s", worker->name,
+			 paused ? "pauses" : "goes on");
 	worker->paused = paused;
 	for (guint i = 0; i < worker->tasks->len; i++) {
 		struct fake_task *task = worker->tasks->pdata[i];
@@ -566,7 +569,7 @@
 
 	if (worker->down)
 		return;
-	world_note(world, "%s ends", worker->name);
+	simulation_trace(world, "%s ends", worker->name);
 	for (guint i = 0; i < worker->tasks->len; i++) {
 		struct fake_task *task = worker->tasks->pdata[i];
 
@@ -603,6 +606,6 @@
 	worker->leaving = false;
 	worker->silent = false;
 	worker->incarnation++;
-	world_note(world, "%s starts as %" PRIu64, worker->name,
-		   worker->incarnation);
+	simulation_trace(world, "%s starts as %" PRIu64, worker->name,
+			 worker->incarnation);
 }
--- a/src/test_libradishjunction/support/fake_worker_link.c
+++ b/src/test_libradishjunction/support/fake_worker_link.c
@@ -46,9 +46,9 @@
 		told->report.tasks[i].result =
 			copy_bytes(event, &reply->report.tasks[i].result);
 	if (told->leaving || told->report.leaving)
-		checker_leaving_learnt(&world->checker,
-				       world->now_us + delay_us, call->node,
-				       call->worker, told->incarnation);
+		checker_leaving_known(&world->checker, world->now_us + delay_us,
+				      call->node, call->worker,
+				      told->incarnation);
 	node_deliver_after(world, node, delay_us, event);
 }
 
@@ -60,52 +60,55 @@
 {
 	struct fake_worker *worker = &world->workers[call->worker];
 	uint32_t node_domain = world->nodes[call->node].domain;
-	uint64_t delay_us = world_delay_us(world, worker->domain, node_domain) +
-			    worker->slow_us;
+	uint64_t delay_us =
+		simulation_delay_us(world, worker->domain, node_domain) +
+		worker->slow_us;
 
 	reply->incarnation = worker->incarnation;
-	reply->leaving = worker->leaving && worker->tells_leaving;
+	reply->leaving = worker->leaving && worker->reports_leaving;
 	if (call->answered || worker->silent ||
-	    !world_domains_joined(world, worker->domain, node_domain) ||
-	    world_chance(world, world->rates.reply_lost))
+	    !simulation_domains_connected(world, worker->domain, node_domain) ||
+	    simulation_chance(world, world->rates.reply_lost))
 		return;
-	if (world_chance(world, world->rates.reply_late)) {
-		fake_worker_deliver(world, call,
-				    call->call.timeout_us +
-					    world_random(world, LATE_MAX_US),
-				    reply);
+	if (simulation_chance(world, world->rates.reply_late)) {
+		fake_worker_deliver(
+			world, call,
+			call->call.timeout_us +
+				simulation_random(world, LATE_MAX_US),
+			reply);
 		return;
 	}
 	call->answered = true;
-	if (world_chance(world, world->rates.reply_cut)) {
+	if (simulation_chance(world, world->rates.reply_cut)) {
 		reply->status = RJ_REPLY_LOST;
 		reply->result.length /= 2;
 		memset(&reply->report, 0, sizeof(reply->report));
 	} else if (worker->tasks->len &&
-		   world_chance(world, world->rates.reply_crossed)) {
+		   simulation_chance(world, world->rates.reply_crossed)) {
 		const struct fake_task *other =
-			worker->tasks->pdata[world_random(world,
-							  worker->tasks->len)];
+			worker->tasks->pdata[simulation_random(
+				world, worker->tasks->len)];
 
 		reply->attempt = other->attempt;
 		reply->token = other->token;
 		reply->state = other->state;
 	}
 	fake_worker_deliver(world, call, delay_us, reply);
-	if (world_chance(world, world->rates.reply_doubled))
-		fake_worker_deliver(world, call,
-				    delay_us + world_random(world, LATE_MAX_US),
-				    reply);
+	if (simulation_chance(world, world->rates.reply_doubled))
+		fake_worker_deliver(
+			world, call,
+			delay_us + simulation_random(world, LATE_MAX_US),
+			reply);
 }
 
-static void call_arrives(struct world *world, struct world_event *event)
+static void call_arrives(struct world *world, struct simulation_event *event)
 {
 	struct fake_call *call = event->data;
 	struct fake_worker *worker = &world->workers[call->worker];
 
 	if (worker->down || worker->silent ||
-	    !world_domains_joined(world, worker->domain,
-				  world->nodes[call->node].domain))
+	    !simulation_domains_connected(world, worker->domain,
+					  world->nodes[call->node].domain))
 		return;
 	if (worker->paused)
 		g_queue_push_tail(&worker->held, call);
@@ -113,7 +116,7 @@
 		fake_worker_serve(world, worker, call);
 }
 
-static void call_times_out(struct world *world, struct world_event *event)
+static void call_times_out(struct world *world, struct simulation_event *event)
 {
 	struct fake_call *call = event->data;
 	struct rj_worker_reply reply = { .status = RJ_REPLY_LOST };
@@ -142,15 +145,16 @@
 	call->worker = worker->index;
 	call->life = node->life;
 	if (asked->op == RJ_WORKER_LEASE || asked->op == RJ_WORKER_RUN) {
-		fake_peers_heard(world, node->index, heard_us);
-		checker_new_work(&world->checker, world->now_us, node->index,
+		fake_peers_contact(world, node->index, heard_us);
+		checker_job_sent(&world->checker, world->now_us, node->index,
 				 worker->index, worker->incarnation, heard_us);
 	}
-	world_after(world, asked->timeout_us, call_times_out)->data = call;
-	if (world_chance(world, world->rates.call_lost))
+	simulation_schedule(world, asked->timeout_us, call_times_out)->data =
+		call;
+	if (simulation_chance(world, world->rates.call_lost))
 		return;
-	delay_us = world_delay_us(world, node->domain, worker->domain);
-	if (world_chance(world, world->rates.call_late))
-		delay_us = world_random(world, LATE_MAX_US);
-	world_after(world, delay_us, call_arrives)->data = call;
+	delay_us = simulation_delay_us(world, node->domain, worker->domain);
+	if (simulation_chance(world, world->rates.call_late))
+		delay_us = simulation_random(world, LATE_MAX_US);
+	simulation_schedule(world, delay_us, call_arrives)->data = call;
 }
--- /dev/null
+++ b/src/test_libradishjunction/support/fault_injection.h
@@ -0,0 +1,21 @@
+/*
+ * How each fault strikes the world, and how it ends.
+ */
+#ifndef SUPPORT_FAULT_STRIKES_H
+#define SUPPORT_FAULT_STRIKES_H
+
+#include "support/fault_profiles.h"
+
+void fault_inject(struct world *world, struct simulation_event *event);
+void fault_inject_platform(struct world *world, enum fault_kind kind,
+			   uint64_t lasts_us);
+void fault_isolate_domain(struct world *world, uint32_t domain,
+			  uint64_t lasts_us);
+void fault_kill_nodes(struct world *world, uint32_t first, uint32_t count);
+void fault_restore_platform(struct world *world,
+			    struct simulation_event *event);
+void fault_restore_links(struct world *world, struct simulation_event *event);
+void fault_replace_stopped(struct world *world, struct simulation_event *event);
+void fault_recover_all(struct world *world, struct simulation_event *event);
+
+#endif
--- a/src/test_libradishjunction/support/fault_profiles.h
+++ b/src/test_libradishjunction/support/fault_profiles.h
@@ -4,7 +4,7 @@
 #ifndef SUPPORT_FAULT_PROFILES_H
 #define SUPPORT_FAULT_PROFILES_H
 
-#include "support/world.h"
+#include "support/simulation.h"
 
 #define FAULTS_LOAD_FROM_US (3 * RJ_US_PER_S)
 /* Long enough for keys to be settled and for callers to ask a few times. */
@@ -22,14 +22,14 @@
 	FAULT_CUT_LINK,
 	FAULT_WORKER_KILL,
 	FAULT_WORKER_PAUSE,
-	FAULT_WORKER_SILENT,
+	FAULT_WORKER_UNREACHABLE,
 	FAULT_WORKER_FAILS,
 	FAULT_WORKER_REFUSES,
 	FAULT_WORKER_SLOW,
 	FAULT_LEAVING,
 	FAULT_LIST_LAG,
 	FAULT_PUBLISH,
-	FAULT_CUT_ALONE, /* a domain, from the others and the platform */
+	FAULT_ISOLATE_DOMAIN, /* a domain, from the others and the platform */
 	FAULT_CUT_WITHIN, /* all links among the instances of a domain */
 	FAULT_CUT_INSTANCE, /* one, from the platform alone */
 	FAULT_TRIM, /* the log drops what it should still keep */
@@ -39,7 +39,7 @@
 enum load_kind {
 	LOAD_PREVIEW,
 	LOAD_QUOTE,
-	LOAD_QUOTE_DOUBLED,
+	LOAD_QUOTE_DUPLICATED,
 	LOAD_GANG,
 	LOAD_RENDER,
 	LOAD_GUARANTEED,
@@ -58,15 +58,15 @@
 };
 
 /* Where the profiles are run, and for how long. */
-enum fault_place {
-	FAULT_PLACE_SMALL, /* two domains of two instances */
-	FAULT_PLACE_LARGE, /* three of four; clocks drift, callers hurry */
-	FAULT_PLACE_TRIMMED, /* the small one; the log drops too much */
-	FAULT_PLACE_APART, /* a region loses the other and the platform */
-	FAULT_PLACE_COUNT
+enum fault_setup_kind {
+	FAULT_SETUP_SMALL, /* two domains of two instances */
+	FAULT_SETUP_LARGE, /* three of four; clocks drift, callers hurry */
+	FAULT_SETUP_TRIMMED, /* the small one; the log drops too much */
+	FAULT_SETUP_ISOLATED, /* a region loses the other and the platform */
+	FAULT_SETUP_COUNT
 };
 
-struct fault_place_options {
+struct fault_setup {
 	const char *name;
 	uint32_t domains;
 	uint32_t nodes_per_domain;
@@ -87,8 +87,8 @@
 	uint64_t more_us; /* beyond the end of the profile */
 };
 
-extern const struct fault_place_options fault_places[FAULT_PLACE_COUNT];
-extern const struct fault_profile fault_profiles[PROMISE_COUNT];
+extern const struct fault_setup fault_setups[FAULT_SETUP_COUNT];
+extern const struct fault_profile fault_profiles[INVARIANT_COUNT];
 
 uint32_t profile_pick(struct world *world, const uint8_t *weights,
 		      uint32_t count);
--- a/src/test_libradishjunction/support/fault_result.c
+++ b/src/test_libradishjunction/support/fault_result.c
@@ -35,7 +35,7 @@
 void faults_result_add(struct faults_result *sum,
 		       const struct faults_result *one)
 {
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++) {
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++) {
 		if (!sum->violations[i])
 			memcpy(sum->first[i], one->first[i],
 			       sizeof(sum->first[i]));
@@ -95,11 +95,12 @@
 /*
  * Add what came of a world that has run.
  */
-void faults_result_add_world(struct world *world, struct faults_result *result)
+void faults_result_add_simulation(struct world *world,
+				  struct faults_result *result)
 {
 	const struct checker *checker = &world->checker;
 
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++) {
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++) {
 		if (!result->violations[i])
 			memcpy(result->first[i], checker->first[i],
 			       sizeof(result->first[i]));
--- a/src/test_libradishjunction/support/faults.c
+++ b/src/test_libradishjunction/support/faults.c
@@ -4,22 +4,22 @@
 #include <talloc.h>
 
 #include "support/fault_load.h"
-#include "support/fault_strikes.h"
+#include "support/fault_injection.h"
 
 #define APART_US (3600 * RJ_US_PER_S)
 
 /* A little of everything that callers ask for. */
 static const uint8_t mixed[LOAD_KIND_COUNT] = {
-	[LOAD_PREVIEW] = 6, [LOAD_QUOTE] = 4,  [LOAD_QUOTE_DOUBLED] = 1,
+	[LOAD_PREVIEW] = 6, [LOAD_QUOTE] = 4,  [LOAD_QUOTE_DUPLICATED] = 1,
 	[LOAD_GANG] = 1,    [LOAD_RENDER] = 2,
 };
 
-const char *const trouble_string[TROUBLE_COUNT] = {
-	[TROUBLE_NONE] = "none",
-	[TROUBLE_OUTAGE] = "outage",
-	[TROUBLE_CUT_DOMAIN] = "cut_domain",
-	[TROUBLE_KILLED_INSTANCE] = "killed_instance",
-	[TROUBLE_ROLLING_REPLACEMENT] = "rolling_replacement",
+const char *const fault_scenario_string[FAULT_SCENARIO_COUNT] = {
+	[FAULT_SCENARIO_NONE] = "none",
+	[FAULT_SCENARIO_OUTAGE] = "outage",
+	[FAULT_SCENARIO_CUT_DOMAIN] = "cut_domain",
+	[FAULT_SCENARIO_KILLED_INSTANCE] = "killed_instance",
+	[FAULT_SCENARIO_ROLLING_REPLACEMENT] = "rolling_replacement",
 };
 
 static void share_rates(struct world *world, const struct fault_rates *most)
@@ -29,16 +29,15 @@
 
 	/* Half of the rates are off in any one run. */
 	for (size_t i = 0; i < sizeof(*most) / sizeof(*from); i++)
-		if (from[i] && world_random(world, 2) == 0)
-			to[i] = (uint32_t)world_random(world, from[i]);
+		if (from[i] && simulation_random(world, 2) == 0)
+			to[i] = (uint32_t)simulation_random(world, from[i]);
 }
 
 static struct world *make_world(void *mem, const struct engine_ops *engine,
-				const struct fault_place_options *place,
-				uint64_t seed, uint64_t retention_us,
-				FILE *transcript)
+				const struct fault_setup *place, uint64_t seed,
+				uint64_t retention_us, FILE *transcript)
 {
-	struct world_options options = {
+	struct simulation_options options = {
 		.engine = engine,
 		.seed = rj_hash64(&seed, sizeof(seed), 1),
 		.domains = place->domains,
@@ -51,23 +50,23 @@
 		.transcript = transcript,
 	};
 
-	return world_create(mem, &options);
+	return simulation_create(mem, &options);
 }
 
 /* Where claims, outcomes and configurations matter, the log forgets within
  * the run in two seeds of seven. */
-static uint64_t retention_us(const struct fault_place_options *place,
+static uint64_t retention_us(const struct fault_setup *place,
 			     enum promise promise, uint64_t seed)
 {
-	bool matters = promise == PROMISE_ONCE || promise == PROMISE_CONFIG ||
-		       promise == PROMISE_ACCEPTED;
+	bool matters = promise == INVARIANT_ONCE ||
+		       promise == INVARIANT_CONFIG ||
+		       promise == INVARIANT_ACCEPTED;
 
 	return matters && seed % 7 >= 5 ? place->short_retention_us : 0;
 }
 
 /* Plan the faults of one run: those of the profile and of the place. */
-static void add_faults(struct world *world,
-		       const struct fault_place_options *place,
+static void add_faults(struct world *world, const struct fault_setup *place,
 		       const struct fault_profile *profile, uint32_t count)
 {
 	uint8_t weights[FAULT_KIND_COUNT];
@@ -76,10 +75,10 @@
 		weights[i] = profile->faults[i] + place->faults[i];
 	for (uint32_t i = 0; i < count; i++) {
 		uint64_t span_us = place->load_until_us - FAULTS_LOAD_FROM_US;
-		struct world_event *event = world_after(
+		struct simulation_event *event = simulation_schedule(
 			world,
-			FAULTS_LOAD_FROM_US + world_random(world, span_us),
-			fault_strike);
+			FAULTS_LOAD_FROM_US + simulation_random(world, span_us),
+			fault_inject);
 
 		event->other = profile_pick(world, weights, FAULT_KIND_COUNT);
 		event->life = place->lasts_max_us;
@@ -89,18 +88,19 @@
 /*
  * Run one seed of a promise's profile at a place and add what came of it.
  */
-void faults_run_at(const struct engine_ops *engine, enum fault_place where,
+void faults_run_at(const struct engine_ops *engine, enum fault_setup_kind where,
 		   enum promise promise, uint64_t seed, FILE *transcript,
 		   struct faults_result *result)
 {
-	const struct fault_place_options *place = &fault_places[where];
+	const struct fault_setup *place = &fault_setups[where];
 	const struct fault_profile *profile = &fault_profiles[promise];
 	uint64_t end_us = profile->end_us ? profile->end_us : FAULTS_END_US;
 	void *mem = talloc_new(NULL);
 	struct world *world =
 		make_world(mem, engine, place, seed,
 			   retention_us(place, promise, seed), transcript);
-	uint32_t count = 1 + (uint32_t)world_random(world, place->faults_max);
+	uint32_t count =
+		1 + (uint32_t)simulation_random(world, place->faults_max);
 
 	share_rates(world, &profile->rates);
 	if (profile->peers_lose)
@@ -109,11 +109,11 @@
 		 profile->callers > place->callers ? profile->callers :
 						     place->callers);
 	add_faults(world, place, profile, count);
-	(void)world_after(world, 0, fault_replace_stopped);
-	(void)world_after(world, place->calm_us, fault_calm);
-	world_run_until(world, end_us + place->more_us);
+	(void)simulation_schedule(world, 0, fault_replace_stopped);
+	(void)simulation_schedule(world, place->calm_us, fault_recover_all);
+	simulation_run_until(world, end_us + place->more_us);
 	checker_finish_run(&world->checker, world->now_us);
-	faults_result_add_world(world, result);
+	faults_result_add_simulation(world, result);
 	talloc_free(mem);
 }
 
@@ -123,11 +123,11 @@
 void faults_run(const struct engine_ops *engine, enum promise promise,
 		uint64_t seed, FILE *transcript, struct faults_result *result)
 {
-	faults_run_at(engine, FAULT_PLACE_SMALL, promise, seed, transcript,
+	faults_run_at(engine, FAULT_SETUP_SMALL, promise, seed, transcript,
 		      result);
 }
 
-static void stop_one(struct world *world, struct world_event *event)
+static void stop_one(struct world *world, struct simulation_event *event)
 {
 	node_stop(world, event->index);
 }
@@ -135,18 +135,19 @@
 static void cause(struct world *world, enum trouble trouble)
 {
 	switch (trouble) {
-	case TROUBLE_OUTAGE:
-		fault_strike_platform(world, FAULT_OUTAGE, 10 * RJ_US_PER_S);
+	case FAULT_SCENARIO_OUTAGE:
+		fault_inject_platform(world, FAULT_OUTAGE, 10 * RJ_US_PER_S);
 		break;
-	case TROUBLE_CUT_DOMAIN:
-		fault_cut_alone(world, 0, 10 * RJ_US_PER_S);
+	case FAULT_SCENARIO_CUT_DOMAIN:
+		fault_isolate_domain(world, 0, 10 * RJ_US_PER_S);
 		break;
-	case TROUBLE_KILLED_INSTANCE:
+	case FAULT_SCENARIO_KILLED_INSTANCE:
 		fault_kill_nodes(world, 0, 1);
 		break;
-	case TROUBLE_ROLLING_REPLACEMENT:
+	case FAULT_SCENARIO_ROLLING_REPLACEMENT:
 		for (uint32_t i = 0; i < world->node_count; i++)
-			world_after(world, i * 3 * RJ_US_PER_S, stop_one)
+			simulation_schedule(world, i * 3 * RJ_US_PER_S,
+					    stop_one)
 				->index = i;
 		break;
 	default:
@@ -158,21 +159,20 @@
  * Run mixed load under one kind of trouble, from the load's first third on
  * for about ten seconds, and count what is served.
  */
-void faults_served(const struct engine_ops *engine, enum trouble trouble,
-		   uint64_t seed, struct faults_result *result)
+void faults_run_scenario(const struct engine_ops *engine, enum trouble trouble,
+			 uint64_t seed, struct faults_result *result)
 {
-	const struct fault_place_options *place =
-		&fault_places[FAULT_PLACE_SMALL];
+	const struct fault_setup *place = &fault_setups[FAULT_SETUP_SMALL];
 	void *mem = talloc_new(NULL);
 	struct world *world = make_world(mem, engine, place, seed, 0, NULL);
 
 	load_add(world, place, mixed, 2 * place->callers);
-	(void)world_after(world, 0, fault_replace_stopped);
-	world_run_until(world, 8 * RJ_US_PER_S);
+	(void)simulation_schedule(world, 0, fault_replace_stopped);
+	simulation_run_until(world, 8 * RJ_US_PER_S);
 	cause(world, trouble);
-	world_run_until(world, FAULTS_END_US);
+	simulation_run_until(world, FAULTS_END_US);
 	checker_finish_run(&world->checker, world->now_us);
-	faults_result_add_world(world, result);
+	faults_result_add_simulation(world, result);
 	talloc_free(mem);
 }
 
@@ -181,25 +181,24 @@
  * of its load; its links come back in the midst of more of it. Keys live
  * longer than that, and the log keeps its records for two hours.
  */
-void faults_apart(const struct engine_ops *engine, uint64_t seed,
-		  FILE *transcript, struct faults_result *result)
+void faults_run_isolated_region(const struct engine_ops *engine, uint64_t seed,
+				FILE *transcript, struct faults_result *result)
 {
-	const struct fault_place_options *place =
-		&fault_places[FAULT_PLACE_APART];
+	const struct fault_setup *place = &fault_setups[FAULT_SETUP_ISOLATED];
 	const uint64_t cut_us = place->load_until_us / 2;
 	void *mem = talloc_new(NULL);
 	struct world *world =
 		make_world(mem, engine, place, seed, 2 * APART_US, transcript);
 
 	load_add(world, place, mixed, place->callers);
-	world_run_until(world, cut_us);
-	fault_cut_alone(world, 0, APART_US);
-	world_run_until(world, APART_US);
+	simulation_run_until(world, cut_us);
+	fault_isolate_domain(world, 0, APART_US);
+	simulation_run_until(world, APART_US);
 	load_add(world, place, mixed, place->callers);
-	(void)world_after(world, place->calm_us, fault_calm);
-	world_run_until(world, APART_US + 2 * FAULTS_END_US);
+	(void)simulation_schedule(world, place->calm_us, fault_recover_all);
+	simulation_run_until(world, APART_US + 2 * FAULTS_END_US);
 	checker_finish_run(&world->checker, world->now_us);
-	faults_result_add_world(world, result);
+	faults_result_add_simulation(world, result);
 	talloc_free(mem);
 }
 
@@ -207,16 +206,16 @@
  * A world with load and without a fault, to be run by the caller. Nothing is
  * cancelled, and there is room for all.
  */
-struct world *faults_quiet_world(void *mem, const struct engine_ops *engine,
-				 uint64_t seed)
+struct world *faults_simulation_without_faults(void *mem,
+					       const struct engine_ops *engine,
+					       uint64_t seed)
 {
 	static const uint8_t light[LOAD_KIND_COUNT] = {
 		[LOAD_PREVIEW] = 4,
 		[LOAD_QUOTE] = 3,
-		[LOAD_QUOTE_DOUBLED] = 2,
+		[LOAD_QUOTE_DUPLICATED] = 2,
 	};
-	const struct fault_place_options *place =
-		&fault_places[FAULT_PLACE_SMALL];
+	const struct fault_setup *place = &fault_setups[FAULT_SETUP_SMALL];
 	struct world *world = make_world(mem, engine, place, seed, 0, NULL);
 
 	/* What was drawn so far depends on the engine; the callers must not. */
--- a/src/test_libradishjunction/support/plan_world.c
+++ b/src/test_libradishjunction/support/plan_simulation.c
@@ -1,4 +1,4 @@
-#include "support/plan_world.h"
+#include "support/plan_simulation.h"
 
 #include <assert.h>
 #include <string.h>
@@ -28,7 +28,7 @@
 /*
  * When the world ends, whatever still waits.
  */
-static uint64_t give_up_us(const struct plan_world *world)
+static uint64_t give_up_us(const struct plan_simulation *world)
 {
 	return GIVE_UP_HORIZONS * world->stream->horizon_us;
 }
@@ -36,7 +36,7 @@
 /*
  * The job as the stream has it.
  */
-static const struct stream_job *truth_of(const struct plan_world *world,
+static const struct stream_job *truth_of(const struct plan_simulation *world,
 					 uint32_t index)
 {
 	return &world->stream->jobs[index];
@@ -53,10 +53,10 @@
 /*
  * Give the workers of a running job back.
  */
-static void vacate(struct plan_world *world, uint32_t index)
+static void vacate(struct plan_simulation *world, uint32_t index)
 {
 	const struct stream_job *truth = truth_of(world, index);
-	struct world_job *job = &world->jobs[index];
+	struct plan_simulation_job *job = &world->jobs[index];
 
 	for (uint32_t i = 0; i < job->member_count; i++)
 		rj_resources_subtract(&world->taken[job->members[i].worker],
@@ -71,7 +71,7 @@
 /*
  * Whether the job is a gang of the largest shape.
  */
-static bool is_largest(const struct plan_world *world,
+static bool is_largest(const struct plan_simulation *world,
 		       const struct stream_job *truth)
 {
 	return truth->class_index == STREAM_GANG && size_of(truth) >= 64;
@@ -80,10 +80,11 @@
 /*
  * The job has come to its end at `at_us`, whichever it was.
  */
-static void count_end(struct plan_world *world, uint32_t index, uint64_t at_us)
+static void count_end(struct plan_simulation *world, uint32_t index,
+		      uint64_t at_us)
 {
 	const struct stream_job *truth = truth_of(world, index);
-	struct world_job *job = &world->jobs[index];
+	struct plan_simulation_job *job = &world->jobs[index];
 	double took_s = (double)(at_us - truth->plan.queued_us) / RJ_US_PER_S;
 	uint64_t started_us = MIN(job->first_us, at_us);
 	double waited_s =
@@ -106,7 +107,7 @@
 /*
  * A refused job counts as if it had taken until its deadline.
  */
-static void count_refusal(struct plan_world *world, uint32_t index)
+static void count_refusal(struct plan_simulation *world, uint32_t index)
 {
 	const struct stream_job *truth = truth_of(world, index);
 
@@ -120,7 +121,7 @@
 /*
  * Hand a job to the planner; while no instance lives it waits outside.
  */
-static void submit(struct plan_world *world, uint32_t index)
+static void submit(struct plan_simulation *world, uint32_t index)
 {
 	const struct stream_job *truth = truth_of(world, index);
 	struct rj_plan_job plan = truth->plan;
@@ -138,7 +139,7 @@
 /*
  * A job arrives.
  */
-static void arrive(struct plan_world *world, uint32_t index)
+static void arrive(struct plan_simulation *world, uint32_t index)
 {
 	const struct stream_job *truth = truth_of(world, index);
 	const struct rj_guarantee *guarantee =
@@ -156,17 +157,17 @@
 		world->result->guaranteed_due++;
 	}
 	if (truth->cancel_us != RJ_NEVER_US)
-		plan_world_push(world, truth->cancel_us, WORLD_CANCEL, index,
-				0);
+		plan_simulation_push(world, truth->cancel_us, WORLD_CANCEL,
+				     index, 0);
 	submit(world, index);
 }
 
 /*
  * The caller cancels the job, wherever it is.
  */
-static void cancel(struct plan_world *world, uint32_t index)
+static void cancel(struct plan_simulation *world, uint32_t index)
 {
-	struct world_job *job = &world->jobs[index];
+	struct plan_simulation_job *job = &world->jobs[index];
 
 	if (job->state == WORLD_OVER)
 		return;
@@ -180,9 +181,10 @@
 /*
  * A job has run to its end, unless it was stopped before.
  */
-static void end(struct plan_world *world, const struct world_event *event)
+static void end(struct plan_simulation *world,
+		const struct simulation_event *event)
 {
-	struct world_job *job = &world->jobs[event->index];
+	struct plan_simulation_job *job = &world->jobs[event->index];
 
 	if (job->state != WORLD_RUNNING || job->attempt != event->attempt)
 		return;
@@ -197,9 +199,9 @@
 /*
  * Accelerator seconds since the job was started.
  */
-static double ran_area(const struct plan_world *world, uint32_t index)
+static double ran_area(const struct plan_simulation *world, uint32_t index)
 {
-	const struct world_job *job = &world->jobs[index];
+	const struct plan_simulation_job *job = &world->jobs[index];
 
 	return (double)(world->now_us - job->started_us) / RJ_US_PER_S *
 	       size_of(truth_of(world, index));
@@ -209,9 +211,10 @@
  * A reclaimed job has stopped; what it did is kept only if it could be
  * checkpointed.
  */
-static void stopped(struct plan_world *world, const struct world_event *event)
+static void stopped(struct plan_simulation *world,
+		    const struct simulation_event *event)
 {
-	struct world_job *job = &world->jobs[event->index];
+	struct plan_simulation_job *job = &world->jobs[event->index];
 	const struct stream_job *truth = truth_of(world, event->index);
 
 	if (job->state != WORLD_RUNNING || job->attempt != event->attempt)
@@ -232,7 +235,7 @@
 /*
  * Tell the planner how a worker is.
  */
-static void set_worker(struct plan_world *world, uint32_t index)
+static void set_worker(struct plan_simulation *world, uint32_t index)
 {
 	struct rj_plan_worker worker = world->stream->workers[index];
 
@@ -244,9 +247,10 @@
  * A task failed on a failing worker: the job is tried again after a while,
  * and the worker set aside after several in a row.
  */
-static void fail(struct plan_world *world, const struct world_event *event)
+static void fail(struct plan_simulation *world,
+		 const struct simulation_event *event)
 {
-	struct world_job *job = &world->jobs[event->index];
+	struct plan_simulation_job *job = &world->jobs[event->index];
 	uint32_t count = job->member_count;
 
 	if (job->state != WORLD_RUNNING || job->attempt != event->attempt)
@@ -261,8 +265,8 @@
 			continue;
 		world->set_aside[worker] = true;
 		set_worker(world, worker);
-		plan_world_push(world, world->now_us + SET_ASIDE_US,
-				WORLD_PROBE, worker, 0);
+		plan_simulation_push(world, world->now_us + SET_ASIDE_US,
+				     WORLD_PROBE, worker, 0);
 	}
 	vacate(world, event->index);
 	job->state = WORLD_WAITING;
@@ -274,7 +278,7 @@
 /*
  * A worker that was set aside is tried again: one more failure is enough.
  */
-static void probe(struct plan_world *world, uint32_t worker)
+static void probe(struct plan_simulation *world, uint32_t worker)
 {
 	world->set_aside[worker] = false;
 	world->failed_in_row[worker] =
@@ -285,7 +289,7 @@
 /*
  * Make a planner as a new instance would have it.
  */
-static void make_planner(struct plan_world *world)
+static void make_planner(struct plan_simulation *world)
 {
 	world->planner = world->options.maker->make(world->mem);
 	world->planner->ops->configure(world->planner, &world->stream->config,
@@ -297,13 +301,13 @@
 /*
  * A new instance takes over: it adopts what runs and is given what waits.
  */
-static void instance_back(struct plan_world *world)
+static void instance_back(struct plan_simulation *world)
 {
 	world->instance_down = false;
 	world->planner->ops->finish(world->planner);
 	make_planner(world);
 	for (uint32_t i = 0; i < world->stream->count; i++) {
-		struct world_job *job = &world->jobs[i];
+		struct plan_simulation_job *job = &world->jobs[i];
 
 		if (job->state == WORLD_RUNNING)
 			world->planner->ops->adopt(
@@ -317,7 +321,8 @@
 /*
  * Let an event happen.
  */
-static void handle(struct plan_world *world, const struct world_event *event)
+static void handle(struct plan_simulation *world,
+		   const struct simulation_event *event)
 {
 	switch (event->kind) {
 	case WORLD_ARRIVE:
@@ -359,13 +364,13 @@
 /*
  * Carry out a START: whole gang or nothing, and no worker over its size.
  */
-static void carry_start(struct plan_world *world,
+static void carry_start(struct plan_simulation *world,
 			const struct rj_decision *decision)
 {
 	uint32_t index = (uint32_t)decision->job_id - 1;
 	const struct stream_job *truth = truth_of(world, index);
 	const struct rj_shape *shape = &truth->plan.shape;
-	struct world_job *job = &world->jobs[index];
+	struct plan_simulation_job *job = &world->jobs[index];
 	bool fails = false;
 	uint32_t tasks = 0;
 
@@ -407,34 +412,36 @@
 	}
 	job->first_us = MIN(job->first_us, world->now_us);
 	world->busy += (uint64_t)size_of(truth);
-	plan_world_push(world, world->now_us + (fails ? FAIL_US : job->left_us),
-			fails ? WORLD_FAIL : WORLD_END, index, job->attempt);
+	plan_simulation_push(
+		world, world->now_us + (fails ? FAIL_US : job->left_us),
+		fails ? WORLD_FAIL : WORLD_END, index, job->attempt);
 }
 
 /*
  * Carry out a RECLAIM: only what can be stopped, and only once.
  */
-static void carry_reclaim(struct plan_world *world,
+static void carry_reclaim(struct plan_simulation *world,
 			  const struct rj_decision *decision)
 {
 	uint32_t index = (uint32_t)decision->job_id - 1;
-	struct world_job *job = &world->jobs[index];
+	struct plan_simulation_job *job = &world->jobs[index];
 
 	g_assert_cmpint(job->state, ==, WORLD_RUNNING);
 	g_assert_true(truth_of(world, index)->plan.preemptible);
 	g_assert_false(job->stopping);
 	job->stopping = true;
 	world->result->reclaims++;
-	plan_world_push(world,
-			world->now_us + (decision->checkpoint ? CHECKPOINT_US :
-								STOP_US),
-			WORLD_STOPPED, index, job->attempt);
+	plan_simulation_push(world,
+			     world->now_us + (decision->checkpoint ?
+						      CHECKPOINT_US :
+						      STOP_US),
+			     WORLD_STOPPED, index, job->attempt);
 }
 
 /*
  * Let the planner decide, and carry it out.
  */
-static void pass(struct plan_world *world)
+static void pass(struct plan_simulation *world)
 {
 	uint64_t wake_us;
 
@@ -461,13 +468,13 @@
 		return;
 	world->wake_at_us = wake_us;
 	if (wake_us != RJ_NEVER_US)
-		plan_world_push(world, wake_us, WORLD_WAKE, 0, 0);
+		plan_simulation_push(world, wake_us, WORLD_WAKE, 0, 0);
 }
 
 /*
  * Account for the time until `until_us`, in which nothing happens.
  */
-static void elapse(struct plan_world *world, uint64_t until_us)
+static void elapse(struct plan_simulation *world, uint64_t until_us)
 {
 	uint64_t from_us = MIN(world->now_us, world->stream->horizon_us);
 	double time_s =
@@ -502,9 +509,9 @@
 /*
  * Make the world at its first moment, with all arrivals and faults to come.
  */
-static void world_init(struct plan_world *world,
+static void world_init(struct plan_simulation *world,
 		       const struct plan_stream *stream,
-		       const struct plan_world_options *options,
+		       const struct plan_simulation_options *options,
 		       struct plan_result *result)
 {
 	uint64_t horizon_us = stream->horizon_us;
@@ -516,40 +523,41 @@
 	world->options = *options;
 	world->result = result;
 	world->wake_at_us = RJ_NEVER_US;
-	world->events = g_array_new(FALSE, FALSE, sizeof(struct world_event));
+	world->events =
+		g_array_new(FALSE, FALSE, sizeof(struct simulation_event));
 	world->gang_waits = g_array_new(FALSE, FALSE, sizeof(double));
 	for (uint32_t i = 0; i < STREAM_CLASSES; i++)
 		for (uint32_t j = 0; j <= STREAM_ACCOUNTS; j++)
 			world->completions[i][j] =
 				g_array_new(FALSE, FALSE, sizeof(double));
-	world->jobs =
-		talloc_zero_array(world->mem, struct world_job, stream->count);
+	world->jobs = talloc_zero_array(world->mem, struct plan_simulation_job,
+					stream->count);
 	for (uint32_t i = 0; i < stream->count; i++) {
 		world->jobs[i].first_us = RJ_NEVER_US;
 		world->jobs[i].left_us = stream->jobs[i].run_us;
-		plan_world_push(world, stream->jobs[i].plan.queued_us,
-				WORLD_ARRIVE, i, 0);
+		plan_simulation_push(world, stream->jobs[i].plan.queued_us,
+				     WORLD_ARRIVE, i, 0);
 	}
 	rj_decisions_init(&world->decisions, world->mem);
 	make_planner(world);
 	if (stream->load == STREAM_FAILING_WORKERS) {
-		plan_world_push(world, horizon_us / 3, WORLD_WORKERS_FAIL, 0,
-				0);
-		plan_world_push(world, horizon_us / 3 * 2, WORLD_WORKERS_MEND,
-				0, 0);
+		plan_simulation_push(world, horizon_us / 3, WORLD_WORKERS_FAIL,
+				     0, 0);
+		plan_simulation_push(world, horizon_us / 3 * 2,
+				     WORLD_WORKERS_MEND, 0, 0);
 	}
 	if (stream->load == STREAM_INSTANCE_LOST) {
-		plan_world_push(world, horizon_us / 2, WORLD_INSTANCE_LOST, 0,
-				0);
-		plan_world_push(world, horizon_us / 2 + INSTANCE_GAP_US,
-				WORLD_INSTANCE_BACK, 0, 0);
+		plan_simulation_push(world, horizon_us / 2, WORLD_INSTANCE_LOST,
+				     0, 0);
+		plan_simulation_push(world, horizon_us / 2 + INSTANCE_GAP_US,
+				     WORLD_INSTANCE_BACK, 0, 0);
 	}
 }
 
 /*
  * Write the result, and free the world.
  */
-static void world_finish(struct plan_world *world)
+static void world_finish(struct plan_simulation *world)
 {
 	struct plan_result *result = world->result;
 	double all_s =
@@ -580,15 +588,15 @@
 /*
  * Run the planner over the stream until all jobs are over, or it is given up.
  */
-void plan_world_run(const struct plan_stream *stream,
-		    const struct plan_world_options *options,
-		    struct plan_result *result)
+void plan_simulation_run(const struct plan_stream *stream,
+			 const struct plan_simulation_options *options,
+			 struct plan_result *result)
 {
-	struct plan_world world;
+	struct plan_simulation world;
 
 	world_init(&world, stream, options, result);
 	while (world.events->len) {
-		struct world_event event = plan_world_pop(&world);
+		struct simulation_event event = plan_simulation_pop(&world);
 
 		if (event.at_us > give_up_us(&world))
 			break;
@@ -596,7 +604,7 @@
 		world.now_us = event.at_us;
 		handle(&world, &event);
 		if (!world.events->len ||
-		    plan_world_event(&world, 0)->at_us > world.now_us)
+		    plan_simulation_event(&world, 0)->at_us > world.now_us)
 			pass(&world);
 	}
 	for (uint32_t i = 0; i < stream->count; i++)
--- a/src/test_libradishjunction/support/plan_world.h
+++ b/src/test_libradishjunction/support/plan_simulation.h
@@ -2,7 +2,7 @@
  * Runs a planner over a stream in virtual time, as the core would: it
  * starts, stops, fails and ends jobs and counts what that gave.
  *
- * Life cycle: `plan_world_run` does it all and fills a result on the
+ * Life cycle: `plan_simulation_run` does it all and fills a result on the
  * caller's memory. That no worker is given more than it has and that no part
  * of a gang runs alone is asserted at each decision; `check`, if given, is
  * called after each pass.
@@ -23,7 +23,7 @@
 	WORLD_OVER,
 };
 
-struct world_job {
+struct plan_simulation_job {
 	enum world_job_state state;
 	uint32_t attempt;
 	uint64_t started_us;
@@ -49,7 +49,7 @@
 	WORLD_WAKE,
 };
 
-struct world_event {
+struct simulation_event {
 	uint64_t at_us;
 	uint64_t number; /* breaks ties in the order of their making */
 	enum world_event_kind kind;
@@ -57,17 +57,17 @@
 	uint32_t attempt;
 };
 
-struct plan_world;
+struct plan_simulation;
 
 /* How a planner is made and looked at. */
-struct plan_maker {
+struct planner_factory {
 	const char *name;
 	struct rj_planner *(*make)(void *mem);
 };
 
-struct plan_world_options {
-	const struct plan_maker *maker;
-	void (*check)(struct plan_world *world);
+struct plan_simulation_options {
+	const struct planner_factory *maker;
+	void (*check)(struct plan_simulation *world);
 };
 
 /* Seconds, shares of one, and counts; index STREAM_ACCOUNTS is all. */
@@ -88,12 +88,12 @@
 	double failures; /* of tasks on failing workers */
 };
 
-struct plan_world {
+struct plan_simulation {
 	const struct plan_stream *stream;
-	struct plan_world_options options;
+	struct plan_simulation_options options;
 	struct rj_planner *planner;
 	struct rj_decisions decisions;
-	struct world_job *jobs;
+	struct plan_simulation_job *jobs;
 	GArray *events; /* a heap, soonest first */
 	uint64_t event_number;
 	uint64_t now_us;
@@ -115,20 +115,21 @@
 	void *mem;
 };
 
-void plan_world_run(const struct plan_stream *stream,
-		    const struct plan_world_options *options,
-		    struct plan_result *result);
+void plan_simulation_run(const struct plan_stream *stream,
+			 const struct plan_simulation_options *options,
+			 struct plan_result *result);
 
 /* plan_event.c: what is to happen, as a heap. */
-struct world_event *plan_world_event(struct plan_world *world, uint32_t at);
-void plan_world_push(struct plan_world *world, uint64_t at_us,
-		     enum world_event_kind kind, uint32_t index,
-		     uint32_t attempt);
-struct world_event plan_world_pop(struct plan_world *world);
-
-/* plan_maker.c */
-extern const struct plan_maker plan_maker_first_fit;
-extern const struct plan_maker plan_maker_easy;
-extern const struct plan_maker plan_maker_topology;
+struct simulation_event *plan_simulation_event(struct plan_simulation *world,
+					       uint32_t at);
+void plan_simulation_push(struct plan_simulation *world, uint64_t at_us,
+			  enum world_event_kind kind, uint32_t index,
+			  uint32_t attempt);
+struct simulation_event plan_simulation_pop(struct plan_simulation *world);
+
+/* planner_factory.c */
+extern const struct planner_factory planner_factory_first_fit;
+extern const struct planner_factory planner_factory_easy;
+extern const struct planner_factory planner_factory_topology;
 
 #endif
--- a/src/test_libradishjunction/support/world.c
+++ b/src/test_libradishjunction/support/simulation.c
@@ -1,4 +1,4 @@
-#include "support/world.h"
+#include "support/simulation.h"
 
 #include <assert.h>
 #include <inttypes.h>
@@ -14,8 +14,8 @@
 
 static gint queue_order(gconstpointer left, gconstpointer right, gpointer data)
 {
-	const struct world_event *a = left;
-	const struct world_event *b = right;
+	const struct simulation_event *a = left;
+	const struct simulation_event *b = right;
 
 	if (a->at_us != b->at_us)
 		return a->at_us < b->at_us ? -1 : 1;
@@ -25,7 +25,7 @@
 /*
  * A number from 0 to `below` - 1 from the world's seed.
  */
-uint64_t world_random(struct world *world, uint64_t below)
+uint64_t simulation_random(struct world *world, uint64_t below)
 {
 	assert(below);
 	return rj_random64(&world->random) % below;
@@ -35,9 +35,9 @@
  * Whether a fault of this probability strikes now. Counts those that do, and
  * draws no number for a fault that is switched off.
  */
-bool world_chance(struct world *world, uint32_t thousandths)
+bool simulation_chance(struct world *world, uint32_t thousandths)
 {
-	if (!thousandths || world_random(world, 1000) >= thousandths)
+	if (!thousandths || simulation_random(world, 1000) >= thousandths)
 		return false;
 	world->faults++;
 	return true;
@@ -46,24 +46,25 @@
 /*
  * How fast a clock that is made now runs; draws nothing without drift.
  */
-int64_t world_drift_ppm(struct world *world)
+int64_t simulation_drift_ppm(struct world *world)
 {
 	int64_t most = world->options.drift_ppm;
 
 	if (!most)
 		return 0;
-	return (int64_t)world_random(world, 2 * (uint64_t)most + 1) - most;
+	return (int64_t)simulation_random(world, 2 * (uint64_t)most + 1) - most;
 }
 
 /*
  * Have `run` called after `delay_us`. The event is freed when it has run;
  * what hangs on it goes with it.
  */
-struct world_event *world_after(struct world *world, uint64_t delay_us,
-				void (*run)(struct world *world,
-					    struct world_event *event))
+struct simulation_event *simulation_schedule(
+	struct world *world, uint64_t delay_us,
+	void (*run)(struct world *world, struct simulation_event *event))
 {
-	struct world_event *event = talloc_zero(world, struct world_event);
+	struct simulation_event *event =
+		talloc_zero(world, struct simulation_event);
 
 	assert(event);
 	event->at_us = world->now_us + delay_us;
@@ -76,7 +77,7 @@
 /*
  * Write a line of the world's own into the transcript.
  */
-void world_note(struct world *world, const char *format, ...)
+void simulation_trace(struct world *world, const char *format, ...)
 {
 	va_list args;
 
@@ -93,7 +94,8 @@
 /*
  * Whether traffic passes between two failure domains.
  */
-bool world_domains_joined(const struct world *world, uint32_t a, uint32_t b)
+bool simulation_domains_connected(const struct world *world, uint32_t a,
+				  uint32_t b)
 {
 	return a == b || (!world->domain_cut[a] && !world->domain_cut[b]);
 }
@@ -102,25 +104,25 @@
  * One way between two failure domains: about 0.3 ms within one and about 5
  * between two.
  */
-uint64_t world_delay_us(struct world *world, uint32_t from, uint32_t to)
+uint64_t simulation_delay_us(struct world *world, uint32_t from, uint32_t to)
 {
 	if (from == to)
-		return 200 + world_random(world, 200);
-	return 4500 + world_random(world, 1000);
+		return 200 + simulation_random(world, 200);
+	return 4500 + simulation_random(world, 1000);
 }
 
 /*
  * The configuration that the world publishes, as JSON. `variation` changes
  * the guarantee and nothing that requests depend on.
  */
-char *world_config_text(const struct world *world, void *mem,
-			uint32_t variation)
+char *simulation_config_text(const struct world *world, void *mem,
+			     uint32_t variation)
 {
 	char *domains = talloc_strdup(mem, "");
 	char *guarantees = talloc_strdup(mem, "");
 	char *accounts = talloc_strdup(mem, "");
-	const char *const names[] = { WORLD_GUARANTEED_ACCOUNT,
-				      WORLD_OTHER_ACCOUNT };
+	const char *const names[] = { SIMULATION_GUARANTEED_ACCOUNT,
+				      SIMULATION_OTHER_ACCOUNT };
 
 	for (uint32_t i = 0; i < world->options.domains; i++) {
 		domains = talloc_asprintf_append(
@@ -135,7 +137,7 @@
 			"%s{\"domain\":\"d%u\",\"tasks\":%u,\"adjacent\":true,"
 			"\"slots\":1,\"accelerators\":4,\"cores\":1,"
 			"\"memory_mb\":64,\"count\":%u}",
-			i ? "," : "", i, WORLD_GUARANTEED_TASKS,
+			i ? "," : "", i, SIMULATION_GUARANTEED_TASKS,
 			1 + variation % 2);
 	}
 	for (uint32_t i = 0; i < 2; i++) {
@@ -168,7 +170,7 @@
 		"\"key_life_s\":%u}}",
 		domains, accounts,
 		world->options.key_life_s ? world->options.key_life_s :
-					    WORLD_KEY_LIFE_S);
+					    SIMULATION_KEY_LIFE_S);
 }
 
 /*
@@ -224,12 +226,12 @@
 	}
 }
 
-static void wake(struct world *world, struct world_event *event);
+static void wake(struct world *world, struct simulation_event *event);
 
 /* What an instance's clock says at a time of the world. */
 static uint64_t node_clock_us(const struct node *node, uint64_t at_us)
 {
-	int64_t gained_us = (int64_t)at_us * node->drift_ppm / WORLD_PPM;
+	int64_t gained_us = (int64_t)at_us * node->drift_ppm / SIMULATION_PPM;
 
 	return at_us + node->clock_offset_us + (uint64_t)gained_us;
 }
@@ -239,7 +241,7 @@
 {
 	int64_t at_us = (int64_t)(own_us - node->clock_offset_us);
 
-	at_us -= at_us * node->drift_ppm / WORLD_PPM;
+	at_us -= at_us * node->drift_ppm / SIMULATION_PPM;
 	while (node_clock_us(node, (uint64_t)at_us) < own_us)
 		at_us += (int64_t)(own_us -
 				   node_clock_us(node, (uint64_t)at_us));
@@ -250,7 +252,7 @@
 static void arm(struct world *world, struct node *node)
 {
 	uint64_t wake_us = node->engine->ops->wake_us(node->engine);
-	struct world_event *event;
+	struct simulation_event *event;
 
 	if (wake_us == RJ_NEVER_US)
 		return;
@@ -260,7 +262,7 @@
 	if (node->wake_us <= wake_us)
 		return;
 	node->wake_us = wake_us;
-	event = world_after(world, wake_us - world->now_us, wake);
+	event = simulation_schedule(world, wake_us - world->now_us, wake);
 	event->index = node->index;
 	event->life = node->life;
 }
@@ -273,7 +275,7 @@
 
 	event->now_us = node_clock_us(node, world->now_us);
 	if (world->options.transcript && event->kind != RJ_EVENT_TIMER &&
-	    !(world->options.brief && transcript_event_is_upkeep(event)))
+	    !(world->options.brief && transcript_event_is_periodic(event)))
 		transcript_event(world->options.transcript, world->now_us,
 				 node->name, event);
 	if (event->kind == RJ_EVENT_REQUEST)
@@ -285,7 +287,7 @@
 
 		if (world->options.transcript &&
 		    !(world->options.brief &&
-		      transcript_action_is_upkeep(action)))
+		      transcript_action_is_periodic(action)))
 			transcript_action(world->options.transcript,
 					  world->now_us, node->name, action);
 		exits |= action->kind == RJ_ACTION_EXIT;
@@ -298,7 +300,7 @@
 		arm(world, node);
 }
 
-static void wake(struct world *world, struct world_event *event)
+static void wake(struct world *world, struct simulation_event *event)
 {
 	struct node *node = &world->nodes[event->index];
 	struct rj_event timer = { .kind = RJ_EVENT_TIMER };
@@ -311,7 +313,7 @@
 	process(world, node, &timer);
 }
 
-static void deliver(struct world *world, struct world_event *event)
+static void deliver(struct world *world, struct simulation_event *event)
 {
 	struct node *node = &world->nodes[event->index];
 	struct rj_event *told = talloc_steal(world, event->data);
@@ -334,7 +336,8 @@
 void node_deliver_after(struct world *world, struct node *node,
 			uint64_t delay_us, struct rj_event *event)
 {
-	struct world_event *later = world_after(world, delay_us, deliver);
+	struct simulation_event *later =
+		simulation_schedule(world, delay_us, deliver);
 
 	later->index = node->index;
 	later->life = node->life;
@@ -344,15 +347,15 @@
 /*
  * Tell the checker which instances reach the platform, after that changed.
  */
-void world_reach_changed(struct world *world)
+void simulation_reachability_changed(struct world *world)
 {
 	for (uint32_t i = 0; i < world->node_count; i++) {
 		const struct node *node = &world->nodes[i];
 
-		checker_node_reach(&world->checker, world->now_us, i,
-				   node->engine && !node->paused &&
-					   !node->stopping &&
-					   fake_log_reachable(world, node));
+		checker_node_platform(&world->checker, world->now_us, i,
+				      node->engine && !node->paused &&
+					      !node->stopping &&
+					      fake_log_reachable(world, node));
 	}
 }
 
@@ -384,23 +387,24 @@
 	}
 	node->life++;
 	node->incarnation = (uint64_t)(index + 1) << 16 | node->life;
-	node->clock_offset_us = RJ_US_PER_S + world_random(world, 1ULL << 40);
-	node->drift_ppm = world_drift_ppm(world);
+	node->clock_offset_us =
+		RJ_US_PER_S + simulation_random(world, 1ULL << 40);
+	node->drift_ppm = simulation_drift_ppm(world);
 	node->wake_us = RJ_NEVER_US;
 	node->stopping = false;
 	node->paused = false;
 	node->resumed_us = world->now_us;
-	checker_node_wakes(&world->checker, world->now_us, index, true);
+	checker_node_resumed(&world->checker, world->now_us, index, true);
 	options.peers = peers;
 	options.incarnation = node->incarnation;
 	(void)rj_name_set(options.name, node->name);
 	(void)snprintf(options.domain, sizeof(options.domain), "d%u",
 		       node->domain);
-	world_note(world, "%s starts as %" PRIx64, node->name,
-		   node->incarnation);
+	simulation_trace(world, "%s starts as %" PRIx64, node->name,
+			 node->incarnation);
 	node->engine = world->options.engine->create(world, &options);
-	checker_node_reach(&world->checker, world->now_us, index,
-			   fake_log_reachable(world, node));
+	checker_node_platform(&world->checker, world->now_us, index,
+			      fake_log_reachable(world, node));
 	process(world, node, &timer);
 }
 
@@ -414,15 +418,15 @@
 
 	if (!node->engine)
 		return;
-	world_note(world, "%s ends", node->name);
+	simulation_trace(world, "%s ends", node->name);
 	node->life++;
 	while ((event = g_queue_pop_head(&node->held)))
 		talloc_free(event);
 	TALLOC_FREE(node->engine);
-	checker_node_reach(&world->checker, world->now_us, index, false);
-	checker_node_gone(&world->checker, index);
-	fake_peers_node_gone(world, node);
-	fake_caller_node_gone(world, node);
+	checker_node_platform(&world->checker, world->now_us, index, false);
+	checker_node_ended(&world->checker, index);
+	fake_peers_node_ended(world, node);
+	fake_caller_node_ended(world, node);
 }
 
 /*
@@ -437,14 +441,15 @@
 
 	if (!node->engine || node->paused == paused)
 		return;
-	world_note(world, "%s %s", node->name, paused ? "pauses" : "goes on");
+	simulation_trace(world, "%s %s", node->name,
+			 paused ? "pauses" : "goes on");
 	node->paused = paused;
-	checker_node_reach(&world->checker, world->now_us, index,
-			   !paused && fake_log_reachable(world, node));
+	checker_node_platform(&world->checker, world->now_us, index,
+			      !paused && fake_log_reachable(world, node));
 	if (paused)
 		return;
 	node->resumed_us = world->now_us;
-	checker_node_wakes(&world->checker, world->now_us, index, false);
+	checker_node_resumed(&world->checker, world->now_us, index, false);
 	while (node->life == life && (event = g_queue_pop_head(&node->held))) {
 		process(world, node, event);
 		talloc_free(event);
@@ -462,9 +467,9 @@
 
 	if (!node->engine)
 		return;
-	world_note(world, "%s is asked to stop", node->name);
+	simulation_trace(world, "%s is asked to stop", node->name);
 	node->stopping = true;
-	checker_node_reach(&world->checker, world->now_us, index, false);
+	checker_node_platform(&world->checker, world->now_us, index, false);
 	node_deliver_after(world, node, 0, node_event(world, RJ_EVENT_STOP));
 }
 
@@ -478,7 +483,7 @@
 
 	if (!node->engine || node->paused || node->stopping)
 		return RJ_NEVER_US;
-	fake_peers_heard(world, index, heard_us);
+	fake_peers_contact(world, index, heard_us);
 	for (uint32_t i = 0; i < world->node_count; i++)
 		since_us =
 			MIN(since_us, MAX(heard_us[i],
@@ -486,13 +491,13 @@
 	return since_us;
 }
 
-static void tick(struct world *world, struct world_event *event)
+static void tick(struct world *world, struct simulation_event *event)
 {
 	for (uint32_t i = 0; i < world->node_count; i++)
 		checker_node_peer(&world->checker, i,
 				  reached_by_peer_us(world, i));
 	checker_tick(&world->checker, world->now_us);
-	(void)world_after(world, TICK_US, tick);
+	(void)simulation_schedule(world, TICK_US, tick);
 }
 
 static void tell_violation(void *data, const char *text)
@@ -523,7 +528,7 @@
 
 static void init_nodes(struct world *world)
 {
-	const struct world_options *options = &world->options;
+	const struct simulation_options *options = &world->options;
 
 	world->node_count = options->domains * options->nodes_per_domain;
 	assert(world->node_count <= CHECKER_NODES_MAX);
@@ -542,7 +547,7 @@
 
 static void init_workers(struct world *world)
 {
-	const struct world_options *options = &world->options;
+	const struct simulation_options *options = &world->options;
 	uint32_t per_domain =
 		options->racks_per_domain * options->workers_per_rack;
 
@@ -564,11 +569,12 @@
  * Make a world and start its instances, each at its own moment of the first
  * half second. The first configuration is in the log already.
  */
-struct world *world_create(void *mem, const struct world_options *options)
+struct world *simulation_create(void *mem,
+				const struct simulation_options *options)
 {
 	struct world *world = talloc_zero(mem, struct world);
 
-	assert(world && options->domains <= WORLD_DOMAINS_MAX);
+	assert(world && options->domains <= SIMULATION_DOMAINS_MAX);
 	world->options = *options;
 	world->random = options->seed;
 	world->next_request = 1;
@@ -577,7 +583,7 @@
 	world->callers = g_ptr_array_new();
 	world->log_retention_us = options->retention_us ?
 					  options->retention_us :
-					  WORLD_RETENTION_US;
+					  SIMULATION_RETENTION_US;
 	checker_init(&world->checker, world);
 	world->checker.lease_life_us = 3 * RJ_US_PER_S;
 	world->checker.tell = tell_violation;
@@ -587,25 +593,26 @@
 	init_workers(world);
 	fake_log_init(world);
 	fake_peers_init(world);
-	fake_log_publish(world, 0, "first", world_config_text(world, world, 0));
+	fake_log_publish(world, 0, "first",
+			 simulation_config_text(world, world, 0));
 	for (uint32_t i = 0; i < world->node_count; i++) {
-		world->now_us += world_random(world, 100 * RJ_US_PER_MS);
+		world->now_us += simulation_random(world, 100 * RJ_US_PER_MS);
 		node_start(world, i);
 	}
-	(void)world_after(world, TICK_US, tick);
+	(void)simulation_schedule(world, TICK_US, tick);
 	return world;
 }
 
 /*
  * Let time pass until `until_us`, running every event in its order.
  */
-void world_run_until(struct world *world, uint64_t until_us)
+void simulation_run_until(struct world *world, uint64_t until_us)
 {
 	uint32_t at_one_time = 0;
 
 	for (;;) {
 		GSequenceIter *first = g_sequence_get_begin_iter(world->queue);
-		struct world_event *event;
+		struct simulation_event *event;
 
 		if (g_sequence_iter_is_end(first))
 			break;
--- a/src/test_libradishjunction/support/world.h
+++ b/src/test_libradishjunction/support/simulation.h
@@ -3,8 +3,8 @@
  * an engine, and fakes of the log, the workers, the peer links and the
  * callers.
  *
- * Life cycle: `world_create` makes one as a talloc child and starts its
- * instances, `world_run_until` lets time pass, the rest brings faults about;
+ * Life cycle: `simulation_create` makes one as a talloc child and starts its
+ * instances, `simulation_run_until` lets time pass, the rest brings faults about;
  * freed with talloc. One seed gives one history. Times are virtual
  * microseconds; each instance's own clock differs from it by a constant, and
  * where `drift_ppm` is set, it and the workers' clocks run fast or slow.
@@ -18,20 +18,20 @@
 #include "support/checker.h"
 #include "support/engine.h"
 
-#define WORLD_DOMAINS_MAX 3
-#define WORLD_PPM 1000000
-#define WORLD_RETENTION_US (600 * RJ_US_PER_S)
-#define WORLD_KEY_LIFE_S 120
-#define WORLD_GUARANTEED_ACCOUNT "hub"
-#define WORLD_GUARANTEED_TASKS 4
-#define WORLD_OTHER_ACCOUNT "guest"
+#define SIMULATION_DOMAINS_MAX 3
+#define SIMULATION_PPM 1000000
+#define SIMULATION_RETENTION_US (600 * RJ_US_PER_S)
+#define SIMULATION_KEY_LIFE_S 120
+#define SIMULATION_GUARANTEED_ACCOUNT "hub"
+#define SIMULATION_GUARANTEED_TASKS 4
+#define SIMULATION_OTHER_ACCOUNT "guest"
 
 struct world;
 
-struct world_event {
+struct simulation_event {
 	uint64_t at_us;
 	uint64_t order; /* events of one time run in the order of making */
-	void (*run)(struct world *world, struct world_event *event);
+	void (*run)(struct world *world, struct simulation_event *event);
 	uint32_t index; /* whatever the event is about */
 	uint32_t other;
 	uint64_t life; /* of the instance or worker; others are dropped */
@@ -114,7 +114,7 @@
 	bool fails_all;
 	bool refuses;
 	bool leaving; /* as the platform's list says it, after its lag */
-	bool tells_leaving; /* its own answers say it too */
+	bool reports_leaving; /* its own answers say it too */
 	uint64_t slow_us; /* added to each of its answers */
 	int64_t drift_ppm; /* its clock runs fast, or slow below 0 */
 	/* The connections that each instance may have, by its last call. */
@@ -132,7 +132,7 @@
 	uint64_t list_lag_us;
 	uint64_t slow_us; /* added to each operation */
 	bool down;
-	bool cut[WORLD_DOMAINS_MAX];
+	bool cut[SIMULATION_DOMAINS_MAX];
 	bool cut_node[CHECKER_NODES_MAX]; /* one instance alone */
 };
 
@@ -165,22 +165,22 @@
 	bool ended;
 };
 
-struct world_options {
+struct simulation_options {
 	const struct engine_ops *engine;
 	uint64_t seed;
 	uint32_t domains;
 	uint32_t nodes_per_domain;
 	uint32_t racks_per_domain;
 	uint32_t workers_per_rack;
-	uint64_t retention_us; /* 0: WORLD_RETENTION_US */
-	uint32_t key_life_s; /* 0: WORLD_KEY_LIFE_S */
+	uint64_t retention_us; /* 0: SIMULATION_RETENTION_US */
+	uint32_t key_life_s; /* 0: SIMULATION_KEY_LIFE_S */
 	uint32_t drift_ppm; /* the most by which a clock is fast or slow */
 	FILE *transcript; /* NULL: none */
 	bool brief; /* the transcript is without upkeep */
 };
 
 struct world {
-	struct world_options options;
+	struct simulation_options options;
 	uint64_t now_us;
 	uint64_t random;
 	uint64_t next_order;
@@ -190,7 +190,7 @@
 	struct checker checker;
 	struct fault_rates rates;
 	uint64_t faults; /* how many were brought about */
-	bool domain_cut[WORLD_DOMAINS_MAX]; /* from the other domains */
+	bool domain_cut[SIMULATION_DOMAINS_MAX]; /* from the other domains */
 	uint64_t log_retention_us;
 	struct node nodes[CHECKER_NODES_MAX];
 	uint32_t node_count;
@@ -201,21 +201,23 @@
 	GPtrArray *callers; /* struct fake_caller */
 };
 
-struct world *world_create(void *mem, const struct world_options *options);
-void world_run_until(struct world *world, uint64_t until_us);
-uint64_t world_random(struct world *world, uint64_t below);
-bool world_chance(struct world *world, uint32_t thousandths);
-int64_t world_drift_ppm(struct world *world);
-struct world_event *world_after(struct world *world, uint64_t delay_us,
-				void (*run)(struct world *world,
-					    struct world_event *event));
-void world_note(struct world *world, const char *format, ...)
+struct world *simulation_create(void *mem,
+				const struct simulation_options *options);
+void simulation_run_until(struct world *world, uint64_t until_us);
+uint64_t simulation_random(struct world *world, uint64_t below);
+bool simulation_chance(struct world *world, uint32_t thousandths);
+int64_t simulation_drift_ppm(struct world *world);
+struct simulation_event *simulation_schedule(
+	struct world *world, uint64_t delay_us,
+	void (*run)(struct world *world, struct simulation_event *event));
+void simulation_trace(struct world *world, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
-bool world_domains_joined(const struct world *world, uint32_t a, uint32_t b);
-uint64_t world_delay_us(struct world *world, uint32_t from, uint32_t to);
-void world_reach_changed(struct world *world);
-char *world_config_text(const struct world *world, void *mem,
-			uint32_t variation);
+bool simulation_domains_connected(const struct world *world, uint32_t a,
+				  uint32_t b);
+uint64_t simulation_delay_us(struct world *world, uint32_t from, uint32_t to);
+void simulation_reachability_changed(struct world *world);
+char *simulation_config_text(const struct world *world, void *mem,
+			     uint32_t variation);
 
 void node_start(struct world *world, uint32_t index);
 void node_kill(struct world *world, uint32_t index);
@@ -253,13 +255,13 @@
 void fake_peers_drop(struct world *world, struct node *node, const char *name);
 void fake_peers_send(struct world *world, struct node *node, const char *name,
 		     const struct rj_peer_message *message);
-void fake_peers_node_gone(struct world *world, struct node *node);
-void fake_peers_heard(const struct world *world, uint32_t node,
-		      uint64_t heard_us[CHECKER_NODES_MAX]);
-void fake_peers_mend(struct world *world);
+void fake_peers_node_ended(struct world *world, struct node *node);
+void fake_peers_contact(const struct world *world, uint32_t node,
+			uint64_t heard_us[CHECKER_NODES_MAX]);
+void fake_peers_heal(struct world *world);
 
 /* What a caller wants. */
-struct caller_plan {
+struct fake_caller_options {
 	const char *class_name;
 	const char *account;
 	uint32_t domain;
@@ -278,13 +280,13 @@
 };
 
 struct fake_caller *fake_caller_add(struct world *world, uint64_t delay_us,
-				    const struct caller_plan *plan);
+				    const struct fake_caller_options *plan);
 struct rj_event *fake_caller_event(struct world *world,
 				   const struct fake_caller *caller,
 				   const struct node *node,
 				   enum rj_request_op op, uint64_t request_id);
 void fake_caller_answer(struct world *world, struct node *node,
 			uint64_t request_id, const struct rj_answer *answer);
-void fake_caller_node_gone(struct world *world, struct node *node);
+void fake_caller_node_ended(struct world *world, struct node *node);
 
 #endif
--- a/src/test_libradishjunction/support/transcript.c
+++ b/src/test_libradishjunction/support/transcript.c
@@ -99,7 +99,7 @@
 /*
  * Whether an event comes by itself and over again, and tells no story.
  */
-bool transcript_event_is_upkeep(const struct rj_event *event)
+bool transcript_event_is_periodic(const struct rj_event *event)
 {
 	switch (event->kind) {
 	case RJ_EVENT_TIMER:
@@ -120,7 +120,7 @@
 /*
  * Whether an action is done by itself and over again, and tells no story.
  */
-bool transcript_action_is_upkeep(const struct rj_action *action)
+bool transcript_action_is_periodic(const struct rj_action *action)
 {
 	switch (action->kind) {
 	case RJ_ACTION_READ:
