--- a/src/bench/ownership.c
+++ b/src/bench/ownership.c
@@ -16,7 +16,7 @@
 #include "private/peer_codec.h"
 #include "private/worker_wire.h"
 #include "support/quantile.h"
-#include "support/world.h"
+#include "support/simulation.h"
 
 #define RACKS 8
 #define RACK_WORKERS 8
--- a/src/bench/policy.c
+++ b/src/bench/policy.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "bench.h"
-#include "support/plan_world.h"
+#include "support/plan_simulation.h"
 #include "support/quantile.h"
 
 /* More seeds than this say nothing new. */
--- a/src/test_libradishjunction/naive/engine_naive.c
+++ b/src/test_libradishjunction/naive/engine_reference.c
@@ -3,7 +3,7 @@
 #include <assert.h>
 #include <talloc.h>
 
-#include "naive/naive_core.h"
+#include "naive/reference_core.h"
 
 struct engine_of_naive {
 	struct engine base;
--- a/src/test_libradishjunction/naive/naive_core.c
+++ b/src/test_libradishjunction/naive/reference_core.c
@@ -1,4 +1,4 @@
-#include "naive/naive_core.h"
+#include "naive/reference_core.h"
 
 #include <assert.h>
 #include <string.h>
--- a/src/test_libradishjunction/support/fake_worker.h
+++ b/src/test_libradishjunction/support/fake_worker.h
@@ -5,7 +5,7 @@
 #ifndef SUPPORT_FAKE_WORKER_H
 #define SUPPORT_FAKE_WORKER_H
 
-#include "support/world.h"
+#include "support/simulation.h"
 
 /* A call on its way, or waiting for its task's end. */
 struct fake_call {
--- a/src/test_libradishjunction/support/fault_strikes.c
+++ b/src/test_libradishjunction/support/fault_injection.c
@@ -1,4 +1,4 @@
-#include "support/fault_strikes.h"
+#include "support/fault_injection.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/src/test_libradishjunction/support/fault_profiles.h
+++ b/src/test_libradishjunction/support/fault_profiles.h
@@ -4,7 +4,7 @@
 #ifndef SUPPORT_FAULT_PROFILES_H
 #define SUPPORT_FAULT_PROFILES_H
 
-#include "support/world.h"
+#include "support/simulation.h"
 
 #define FAULTS_LOAD_FROM_US (3 * RJ_US_PER_S)
 /* Long enough for keys to be settled and for callers to ask a few times. */
--- a/src/test_libradishjunction/support/faults.c
+++ b/src/test_libradishjunction/support/faults.c
@@ -4,7 +4,7 @@
 #include <talloc.h>
 
 #include "support/fault_load.h"
-#include "support/fault_strikes.h"
+#include "support/fault_injection.h"
 
 #define APART_US (3600 * RJ_US_PER_S)
 
--- a/src/test_libradishjunction/support/plan_event.c
+++ b/src/test_libradishjunction/support/plan_event.c
@@ -1,4 +1,4 @@
-#include "support/plan_world.h"
+#include "support/plan_simulation.h"
 
 /*
  * Whether the event happens before the other.
--- a/src/test_libradishjunction/support/plan_world.c
+++ b/src/test_libradishjunction/support/plan_simulation.c
@@ -1,4 +1,4 @@
-#include "support/plan_world.h"
+#include "support/plan_simulation.h"
 
 #include <assert.h>
 #include <string.h>
--- a/src/test_libradishjunction/support/plan_maker.c
+++ b/src/test_libradishjunction/support/planner_factory.c
@@ -2,7 +2,7 @@
 
 #include "naive/planner_easy.h"
 #include "radishjunction/planner_topology.h"
-#include "support/plan_world.h"
+#include "support/plan_simulation.h"
 
 /*
  * First come, first fit, as a child of `mem`.
--- a/src/test_libradishjunction/support/world.c
+++ b/src/test_libradishjunction/support/simulation.c
@@ -1,4 +1,4 @@
-#include "support/world.h"
+#include "support/simulation.h"
 
 #include <assert.h>
 #include <inttypes.h>
--- a/src/test_libradishjunction/test_accepted.c
+++ b/src/test_libradishjunction/test_accepted.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "support/world.h"
+#include "support/simulation.h"
 
 #define SETTLED_US (5 * RJ_US_PER_S)
 #define LONG_RUN_US (10 * RJ_US_PER_S)
--- a/src/test_libradishjunction/test_golden.c
+++ b/src/test_libradishjunction/test_golden.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <talloc.h>
 
-#include "support/world.h"
+#include "support/simulation.h"
 
 /* Set, the transcripts are written anew; read the difference before it is
    committed. */
--- a/src/test_libradishjunction/test_lifecycle.c
+++ b/src/test_libradishjunction/test_lifecycle.c
@@ -6,7 +6,7 @@
 
 #include "radishjunction/core.h"
 #include "radishjunction/planner_topology.h"
-#include "support/world.h"
+#include "support/simulation.h"
 
 #define SETTLED_US (5 * RJ_US_PER_S)
 #define RUN_US (2 * RJ_US_PER_S)
--- a/src/test_libradishjunction/test_paused_claim.c
+++ b/src/test_libradishjunction/test_paused_claim.c
@@ -1,7 +1,7 @@
 #include <glib.h>
 #include <talloc.h>
 
-#include "support/world.h"
+#include "support/simulation.h"
 
 #define SETTLED_US (5 * RJ_US_PER_S)
 #define REPEAT_ID 901
--- a/src/test_libradishjunction/test_planner_differential.c
+++ b/src/test_libradishjunction/test_planner_differential.c
@@ -3,7 +3,7 @@
 #include <talloc.h>
 
 #include "private/topology.h"
-#include "support/plan_world.h"
+#include "support/plan_simulation.h"
 
 /* Each load of both users, for as long as its fault and two bursts take. */
 #define SEEDS 1
