--- a/src/bench/faults.c
+++ b/src/bench/faults.c
@@ -14,17 +14,17 @@
 
 struct sweep {
 	const struct engine_ops *engine;
-	enum fault_place place;
-	enum promise promise;
+	enum fault_setup_kind place;
+	enum invariant invariant;
 	GMutex lock;
 	struct faults_result sum;
-	uint64_t first_seed[PROMISE_COUNT];
-	bool failed[PROMISE_COUNT];
+	uint64_t first_seed[INVARIANT_COUNT];
+	bool failed[INVARIANT_COUNT];
 };
 
 /* Which run a failed assertion belongs to. */
 static _Thread_local uint64_t running_seed;
-static _Thread_local enum promise running_promise;
+static _Thread_local enum invariant running_promise;
 
 /*
  * An assertion of the core fails in one seed of thousands: name the seed, so
@@ -41,8 +41,8 @@
 		digits[--at] = (char)('0' + seed % 10);
 		seed /= 10;
 	} while (seed);
-	(void)!write(STDERR_FILENO, promise_string[running_promise],
-		     strlen(promise_string[running_promise]));
+	(void)!write(STDERR_FILENO, invariant_string[running_promise],
+		     strlen(invariant_string[running_promise]));
 	(void)!write(STDERR_FILENO, " seed ", 6);
 	(void)!write(STDERR_FILENO, digits + at, sizeof(digits) - at);
 	(void)signal(signal_number, SIG_DFL);
@@ -55,7 +55,7 @@
 	struct faults_result *sum = &sweep->sum;
 
 	g_mutex_lock(&sweep->lock);
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++) {
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++) {
 		if (one->violations[i] &&
 		    (!sweep->failed[i] || seed < sweep->first_seed[i])) {
 			sweep->failed[i] = true;
@@ -75,13 +75,13 @@
 	struct faults_result one;
 
 	running_seed = seed;
-	running_promise = sweep->promise;
+	running_promise = sweep->invariant;
 	faults_result_init(&one);
-	if (sweep->place == FAULT_PLACE_APART)
-		faults_apart(sweep->engine, seed, NULL, &one);
+	if (sweep->place == FAULT_SETUP_ISOLATED)
+		faults_run_isolated_region(sweep->engine, seed, NULL, &one);
 	else
-		faults_run_at(sweep->engine, sweep->place, sweep->promise, seed,
-			      NULL, &one);
+		faults_run_at(sweep->engine, sweep->place, sweep->invariant,
+			      seed, NULL, &one);
 	merge(sweep, seed, &one);
 	faults_result_finish(&one);
 }
@@ -113,7 +113,7 @@
 	print(json_pack(
 		"{s:s,s:s,s:s,s:s,s:i,s:I,s:I,s:I}", "bench", "faults",
 		"engine", sweep->engine->name, "measure", measure, "promise",
-		promise_string[sweep->promise], "samples", (int)times->len,
+		invariant_string[sweep->invariant], "samples", (int)times->len,
 		"p50_us",
 		(json_int_t)g_array_index(times, uint64_t, times->len / 2),
 		"p99_us",
@@ -126,14 +126,14 @@
 static void print_sweep(const struct sweep *sweep, uint64_t runs)
 {
 	const struct faults_result *sum = &sweep->sum;
-	enum promise promise = sweep->promise;
+	enum invariant invariant = sweep->invariant;
 	json_t *others = json_object();
 	json_t *line;
 
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
-		if (i != promise && sum->violations[i])
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
+		if (i != invariant && sum->violations[i])
 			json_object_set_new(
-				others, promise_string[i],
+				others, invariant_string[i],
 				json_pack("{s:I,s:I,s:s}", "violations",
 					  (json_int_t)sum->violations[i],
 					  "first_failing_seed",
@@ -141,19 +141,19 @@
 					  "first", sum->first[i]));
 	line = json_pack("{s:s,s:s,s:s,s:I,s:I,s:I,s:I,s:i,s:i,s:i,s:o}",
 			 "bench", "faults", "engine", sweep->engine->name,
-			 "promise", promise_string[promise], "runs",
+			 "promise", invariant_string[invariant], "runs",
 			 (json_int_t)runs, "faults", (json_int_t)sum->faults,
-			 "checks", (json_int_t)sum->checks[promise],
-			 "violations", (json_int_t)sum->violations[promise],
+			 "checks", (json_int_t)sum->checks[invariant],
+			 "violations", (json_int_t)sum->violations[invariant],
 			 "asked", (int)sum->asked, "served", (int)sum->served,
 			 "unsettled", (int)sum->unsettled,
 			 "violations_of_others", others);
-	if (sweep->failed[promise]) {
+	if (sweep->failed[invariant]) {
 		json_object_set_new(
 			line, "first_failing_seed",
-			json_integer((json_int_t)sweep->first_seed[promise]));
+			json_integer((json_int_t)sweep->first_seed[invariant]));
 		json_object_set_new(line, "first",
-				    json_string(sum->first[promise]));
+				    json_string(sum->first[invariant]));
 	}
 	print(line);
 	print_times(sweep, "claim_settled", sum->claim_settle_us);
@@ -163,12 +163,12 @@
 
 /* Returns whether the promise, and every other in these runs, held. */
 static bool sweep_promise(const struct engine_ops *engine,
-			  enum fault_place place, enum promise promise,
+			  enum fault_setup_kind place, enum invariant invariant,
 			  uint64_t from, uint64_t seeds, int threads)
 {
 	struct sweep sweep = { .engine = engine,
 			       .place = place,
-			       .promise = promise };
+			       .invariant = invariant };
 	GThreadPool *pool;
 	bool held = true;
 
@@ -180,55 +180,57 @@
 					 NULL);
 	g_thread_pool_free(pool, FALSE, TRUE);
 	print_sweep(&sweep, seeds);
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
 		held &= !sweep.failed[i];
 	faults_result_finish(&sweep.sum);
 	g_mutex_clear(&sweep.lock);
 	return held;
 }
 
-static void print_served(const struct engine_ops *engine, enum trouble trouble,
-			 uint64_t from, uint64_t seeds)
+static void print_served(const struct engine_ops *engine,
+			 enum fault_scenario fault_scenario, uint64_t from,
+			 uint64_t seeds)
 {
 	struct faults_result sum;
 
 	faults_result_init(&sum);
 	for (uint64_t i = 0; i < seeds; i++)
-		faults_served(engine, trouble, from + i, &sum);
-	print(json_pack("{s:s,s:s,s:s,s:s,s:I,s:i,s:i,s:f,s:f,s:i,s:i}",
-			"bench", "faults", "engine", engine->name, "measure",
-			"served", "trouble", trouble_string[trouble], "runs",
-			(json_int_t)seeds, "asked", (int)sum.asked, "served",
-			(int)sum.served, "share",
-			(double)sum.served / sum.asked, "share_prompt",
-			(double)sum.prompt / sum.asked, "not_run",
-			(int)sum.counts[RJ_ANSWER_NOT_RUN], "unanswered",
-			(int)sum.unanswered));
+		faults_run_scenario(engine, fault_scenario, from + i, &sum);
+	print(json_pack(
+		"{s:s,s:s,s:s,s:s,s:I,s:i,s:i,s:f,s:f,s:i,s:i}", "bench",
+		"faults", "engine", engine->name, "measure", "served",
+		"trouble", fault_scenario_string[fault_scenario], "runs",
+		(json_int_t)seeds, "asked", (int)sum.asked, "served",
+		(int)sum.served, "share", (double)sum.served / sum.asked,
+		"share_prompt", (double)sum.prompt / sum.asked, "not_run",
+		(int)sum.counts[RJ_ANSWER_NOT_RUN], "unanswered",
+		(int)sum.unanswered));
 	faults_result_finish(&sum);
 }
 
-static int run_one(const struct engine_ops *engine, enum fault_place place,
-		   enum promise promise, uint64_t seed, bool transcript)
+static int run_one(const struct engine_ops *engine, enum fault_setup_kind place,
+		   enum invariant invariant, uint64_t seed, bool transcript)
 {
 	struct faults_result result;
 	int status = 0;
 
 	running_seed = seed;
-	running_promise = promise;
+	running_promise = invariant;
 	/* A failed assertion must not take the last lines with it. */
 	(void)setvbuf(stdout, NULL, _IOLBF, 0);
 	faults_result_init(&result);
-	if (place == FAULT_PLACE_APART)
-		faults_apart(engine, seed, transcript ? stdout : NULL, &result);
+	if (place == FAULT_SETUP_ISOLATED)
+		faults_run_isolated_region(engine, seed,
+					   transcript ? stdout : NULL, &result);
 	else
-		faults_run_at(engine, place, promise, seed,
+		faults_run_at(engine, place, invariant, seed,
 			      transcript ? stdout : NULL, &result);
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++) {
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++) {
 		if (!result.violations[i])
 			continue;
 		status = 1;
 		print(json_pack("{s:s,s:I,s:I,s:s}", "promise",
-				promise_string[i], "seed", (json_int_t)seed,
+				invariant_string[i], "seed", (json_int_t)seed,
 				"violations", (json_int_t)result.violations[i],
 				"first", result.first[i]));
 	}
@@ -236,22 +238,22 @@
 	return status;
 }
 
-/* The promise of that name; PROMISE_COUNT when there is none. */
-static enum promise find_promise(const char *name)
+/* The promise of that name; INVARIANT_COUNT when there is none. */
+static enum invariant find_promise(const char *name)
 {
 	uint32_t i = 0;
 
-	while (i < PROMISE_COUNT && strcmp(promise_string[i], name) != 0)
+	while (i < INVARIANT_COUNT && strcmp(invariant_string[i], name) != 0)
 		i++;
 	return i;
 }
 
-/* The place of that name; FAULT_PLACE_COUNT when there is none. */
-static enum fault_place find_place(const char *name)
+/* The place of that name; FAULT_SETUP_COUNT when there is none. */
+static enum fault_setup_kind find_place(const char *name)
 {
 	uint32_t i = 0;
 
-	while (i < FAULT_PLACE_COUNT && strcmp(fault_places[i].name, name) != 0)
+	while (i < FAULT_SETUP_COUNT && strcmp(fault_setups[i].name, name) != 0)
 		i++;
 	return i;
 }
@@ -259,7 +261,7 @@
 static const struct engine_ops *find_engine(const char *name)
 {
 	static const struct engine_ops *const engines[] = {
-		&engine_core, &engine_core_first_fit, &engine_naive
+		&engine_core, &engine_core_first_fit, &engine_reference
 	};
 
 	for (size_t i = 0; i < sizeof(engines) / sizeof(engines[0]); i++)
@@ -268,19 +270,19 @@
 	return NULL;
 }
 
-static int run_all(const struct engine_ops *engine, enum fault_place place,
-		   enum promise only, uint64_t from, uint64_t seeds,
+static int run_all(const struct engine_ops *engine, enum fault_setup_kind place,
+		   enum invariant only, uint64_t from, uint64_t seeds,
 		   int threads)
 {
 	uint64_t served = seeds < SERVED_SEEDS_MAX ? seeds : SERVED_SEEDS_MAX;
 	bool held = true;
 
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
-		if (only == PROMISE_COUNT || only == i)
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
+		if (only == INVARIANT_COUNT || only == i)
 			held &= sweep_promise(engine, place, i, from, seeds,
 					      threads);
-	if (only == PROMISE_COUNT && place == FAULT_PLACE_SMALL)
-		for (uint32_t i = 0; i < TROUBLE_COUNT; i++)
+	if (only == INVARIANT_COUNT && place == FAULT_SETUP_SMALL)
+		for (uint32_t i = 0; i < FAULT_SCENARIO_COUNT; i++)
 			print_served(engine, i, from, served);
 	return held ? 0 : 1;
 }
@@ -294,7 +296,7 @@
 	struct arg_int *seeds = arg_int0(NULL, "seeds", "N", "runs a promise");
 	struct arg_int *from = arg_int0(NULL, "from", "K", "the first seed");
 	struct arg_int *seed = arg_int0(NULL, "seed", "K", "replay this one");
-	struct arg_str *promise =
+	struct arg_str *invariant =
 		arg_str0(NULL, "promise", "P", "only this promise");
 	struct arg_str *engine = arg_str0(NULL, "engine", "NAME",
 					  "core, first_fit or naive; core");
@@ -306,11 +308,11 @@
 		arg_lit0(NULL, "transcript", "with --seed: every event");
 	struct arg_lit *help = arg_lit0(NULL, "help", "say this");
 	struct arg_end *end = arg_end(4);
-	void *table[] = { seeds, from,	  seed,	      promise, engine,
-			  place, threads, transcript, help,    end };
+	void *table[] = { seeds, from,	  seed,	      invariant, engine,
+			  place, threads, transcript, help,	 end };
 	const struct engine_ops *ops = &engine_core;
-	enum promise only = PROMISE_COUNT;
-	enum fault_place where = FAULT_PLACE_SMALL;
+	enum invariant only = INVARIANT_COUNT;
+	enum fault_setup_kind where = FAULT_SETUP_SMALL;
 	int status = 2;
 
 	seeds->ival[0] = 100;
@@ -334,14 +336,14 @@
 	}
 	if (place->count)
 		where = find_place(place->sval[0]);
-	if (where == FAULT_PLACE_COUNT) {
+	if (where == FAULT_SETUP_COUNT) {
 		(void)fputs("faults: --place: small, large, trimmed or apart\n",
 			    stderr);
 		goto out;
 	}
-	if (promise->count)
-		only = find_promise(promise->sval[0]);
-	if ((promise->count || seed->count) && only == PROMISE_COUNT) {
+	if (invariant->count)
+		only = find_promise(invariant->sval[0]);
+	if ((invariant->count || seed->count) && only == INVARIANT_COUNT) {
 		(void)fputs("faults: --promise: name one, such as \"once\"\n",
 			    stderr);
 		goto out;
--- a/src/bench/ownership.c
+++ b/src/bench/ownership.c
@@ -170,31 +170,31 @@
 };
 
 /* Cut or mend all links between the instances. */
-static void cut_links(struct world *world, bool cut)
+static void cut_links(struct simulation *simulation, bool cut)
 {
-	for (uint32_t a = 0; a < world->node_count; a++)
-		for (uint32_t b = a + 1; b < world->node_count; b++)
-			world->links[a][b].cut = cut;
+	for (uint32_t a = 0; a < simulation->node_count; a++)
+		for (uint32_t b = a + 1; b < simulation->node_count; b++)
+			simulation->links[a][b].cut = cut;
 }
 
 /* Small jobs, keyed quotes, and gangs that may have to be adjacent. */
-static void add_callers(struct world *world, uint32_t load_percent)
+static void add_callers(struct simulation *simulation, uint32_t load_percent)
 {
 	uint32_t callers = (uint32_t)((uint64_t)ACCELERATORS * LOAD_US *
 				      load_percent / 100 / MEAN_ACCELERATOR_US);
 
 	for (uint32_t i = 0; i < callers; i++) {
-		struct caller_plan plan = {
+		struct fake_caller_options plan = {
 			.class_name = "preview",
-			.account = WORLD_OTHER_ACCOUNT,
+			.account = SIMULATION_OTHER_ACCOUNT,
 			.tasks = 1,
 			.accelerators = 1,
 			.run_us = 20 * RJ_US_PER_MS +
-				  world_random(world, RJ_US_PER_S),
+				  simulation_random(simulation, RJ_US_PER_S),
 			.idempotent = true,
 			.waits = true,
 		};
-		uint64_t kind = world_random(world, 5);
+		uint64_t kind = simulation_random(simulation, 5);
 
 		if (kind == 3) {
 			plan.class_name = "quote";
@@ -202,30 +202,32 @@
 			plan.idempotent = false;
 		} else if (kind == 4) {
 			plan.class_name = "pack";
-			plan.tasks = 2 + (uint32_t)world_random(world, 3);
-			plan.accelerators =
-				4 + 4 * (uint32_t)world_random(world, 2);
-			plan.adjacent = world_random(world, 2) == 0;
+			plan.tasks =
+				2 + (uint32_t)simulation_random(simulation, 3);
+			plan.accelerators = 4 + 4 * (uint32_t)simulation_random(
+							    simulation, 2);
+			plan.adjacent = simulation_random(simulation, 2) == 0;
 			plan.run_us *= 3;
 		}
-		fake_caller_add(world,
-				LOAD_FROM_US + world_random(world, LOAD_US),
+		fake_caller_add(simulation,
+				LOAD_FROM_US +
+					simulation_random(simulation, LOAD_US),
 				&plan);
 	}
 }
 
 /* Let the time of one run pass, with the links as the mode has them. */
-static void run_mode(struct world *world, enum mode mode)
+static void run_mode(struct simulation *simulation, enum mode mode)
 {
-	cut_links(world, mode == MODE_ANY);
+	cut_links(simulation, mode == MODE_ANY);
 	for (uint64_t at_us = 0; mode == MODE_CUT && at_us < LOAD_US;
 	     at_us += CUT_PERIOD_US) {
-		world_run_until(world, LOAD_FROM_US + at_us);
-		cut_links(world, true);
-		world_run_until(world, LOAD_FROM_US + at_us + CUT_US);
-		cut_links(world, false);
+		simulation_run_until(simulation, LOAD_FROM_US + at_us);
+		cut_links(simulation, true);
+		simulation_run_until(simulation, LOAD_FROM_US + at_us + CUT_US);
+		cut_links(simulation, false);
 	}
-	world_run_until(world, END_US);
+	simulation_run_until(simulation, END_US);
 }
 
 /* Add one instance's counts. */
@@ -253,22 +255,24 @@
 static void run_seed(struct outcome *outcome, enum mode mode,
 		     uint32_t instances, uint32_t load_percent, uint64_t seed)
 {
-	struct world_options options = { .engine = &engine_counted,
-					 .seed = seed,
-					 .domains = 1,
-					 .nodes_per_domain = instances,
-					 .racks_per_domain = RACKS,
-					 .workers_per_rack = RACK_WORKERS };
+	struct simulation_options options = { .engine = &engine_counted,
+					      .seed = seed,
+					      .domains = 1,
+					      .nodes_per_domain = instances,
+					      .racks_per_domain = RACKS,
+					      .workers_per_rack =
+						      RACK_WORKERS };
 	void *mem = talloc_new(NULL);
-	struct world *world = world_create(mem, &options);
+	struct simulation *simulation = simulation_create(mem, &options);
 
-	add_callers(world, load_percent);
-	run_mode(world, mode);
-	for (uint32_t i = 0; i < world->node_count; i++)
+	add_callers(simulation, load_percent);
+	run_mode(simulation, mode);
+	for (uint32_t i = 0; i < simulation->node_count; i++)
 		add_tally(&outcome->tally,
-			  (struct counted *)world->nodes[i].engine);
-	for (guint i = 0; i < world->callers->len; i++) {
-		const struct fake_caller *caller = world->callers->pdata[i];
+			  (struct counted *)simulation->nodes[i].engine);
+	for (guint i = 0; i < simulation->callers->len; i++) {
+		const struct fake_caller *caller =
+			simulation->callers->pdata[i];
 		double took_ms =
 			(double)(caller->served_us - caller->first_us) /
 			RJ_US_PER_MS;
@@ -283,9 +287,10 @@
 	}
 	/* Which configuration is in force is told by heartbeats alone, and
 	   without links there are none. */
-	for (int i = 0; i < PROMISE_COUNT; i++)
-		if (i != PROMISE_CONFIG)
-			outcome->violations += world->checker.violations[i];
+	for (int i = 0; i < INVARIANT_COUNT; i++)
+		if (i != INVARIANT_CONFIG)
+			outcome->violations +=
+				simulation->checker.violations[i];
 	talloc_free(mem);
 }
 
--- a/src/bench/policy.c
+++ b/src/bench/policy.c
@@ -18,10 +18,10 @@
 	CONTENDER_COUNT
 };
 
-static const struct plan_maker *const makers[CONTENDER_COUNT] = {
-	[CONTENDER_TOPOLOGY] = &plan_maker_topology,
-	[CONTENDER_FIRST_FIT] = &plan_maker_first_fit,
-	[CONTENDER_EASY] = &plan_maker_easy,
+static const struct planner_factory *const makers[CONTENDER_COUNT] = {
+	[CONTENDER_TOPOLOGY] = &planner_factory_topology,
+	[CONTENDER_FIRST_FIT] = &planner_factory_first_fit,
+	[CONTENDER_EASY] = &planner_factory_easy,
 };
 
 /* One load with its results for each seed. */
@@ -214,12 +214,12 @@
 		plan_stream_init(&stream, NULL, series->users, series->load,
 				 seed + i, STREAM_HORIZON_US);
 		for (uint32_t j = 0; j < CONTENDER_COUNT; j++) {
-			struct plan_world_options options = {
-				.maker = makers[j],
+			struct plan_simulation_options options = {
+				.factory = makers[j],
 			};
 
-			plan_world_run(&stream, &options,
-				       &series->results[j][i]);
+			plan_simulation_run(&stream, &options,
+					    &series->results[j][i]);
 		}
 		for (uint32_t j = 0; j < STREAM_CLASSES; j++) {
 			series->bound_s[j][i] = plan_stream_bound_s(&stream, j);
--- a/src/test_libradishjunction/naive/engine_reference.c
+++ b/src/test_libradishjunction/naive/engine_reference.c
@@ -5,39 +5,39 @@
 
 #include "naive/reference_core.h"
 
-struct engine_of_naive {
+struct reference_engine {
 	struct engine base;
-	struct naive_core *core;
+	struct reference_core *core;
 };
 
 static struct engine *create(void *mem, const struct rj_core_options *options)
 {
-	struct engine_of_naive *engine =
-		talloc_zero(mem, struct engine_of_naive);
+	struct reference_engine *engine =
+		talloc_zero(mem, struct reference_engine);
 
 	assert(engine);
-	engine->base.ops = &engine_naive;
-	engine->core = naive_core_create(engine, options);
+	engine->base.ops = &engine_reference;
+	engine->core = reference_core_create(engine, options);
 	return &engine->base;
 }
 
 static void process(struct engine *base, const struct rj_event *event,
 		    struct rj_actions *actions)
 {
-	struct engine_of_naive *engine = (struct engine_of_naive *)base;
+	struct reference_engine *engine = (struct reference_engine *)base;
 
-	naive_core_process(engine->core, event, actions);
+	reference_core_process(engine->core, event, actions);
 }
 
 static uint64_t wake_us(const struct engine *base)
 {
-	const struct engine_of_naive *engine =
-		(const struct engine_of_naive *)base;
+	const struct reference_engine *engine =
+		(const struct reference_engine *)base;
 
-	return naive_core_wake_us(engine->core);
+	return reference_core_wake_us(engine->core);
 }
 
-const struct engine_ops engine_naive = {
+const struct engine_ops engine_reference = {
 	.name = "naive",
 	.create = create,
 	.process = process,
--- a/src/test_libradishjunction/naive/planner_easy.c
+++ b/src/test_libradishjunction/naive/planner_easy.c
@@ -24,8 +24,8 @@
 	struct rj_domain domain;
 	uint32_t queue_max;
 	struct rj_plan_member members[RJ_GANG_MAX];
-	struct rj_plan_member kept[RJ_GANG_MAX]; /* for the head */
-	uint32_t kept_count;
+	struct rj_plan_member reserved[RJ_GANG_MAX]; /* for the head */
+	uint32_t reserved_count;
 	uint64_t shadow_us;
 	const struct rj_shape *head;
 };
@@ -175,22 +175,22 @@
  * What is free on the worker without what is kept for the head; all that is
  * free for a job that ends before the head may start.
  */
-static struct rj_resources room_of(const struct easy_state *state,
-				   const struct rj_capacity_worker *worker,
-				   bool in_time)
+static struct rj_resources
+unreserved_capacity(const struct easy_state *state,
+		    const struct rj_capacity_worker *worker, bool before_shadow)
 {
-	struct rj_resources room = worker->free;
+	struct rj_resources available = worker->free;
 
-	for (uint32_t i = 0; !in_time && i < state->kept_count; i++) {
-		struct rj_resources kept = { 0 };
+	for (uint32_t i = 0; !before_shadow && i < state->reserved_count; i++) {
+		struct rj_resources reserved = { 0 };
 
-		if (state->kept[i].worker != worker->plan.id)
+		if (state->reserved[i].worker != worker->plan.id)
 			continue;
-		rj_resources_add(&kept, &state->head->each,
-				 state->kept[i].tasks);
-		rj_resources_take_or_zero(&room, &kept);
+		rj_resources_add(&reserved, &state->head->each,
+				 state->reserved[i].tasks);
+		rj_resources_take_or_zero(&available, &reserved);
 	}
-	return room;
+	return available;
 }
 
 /*
@@ -198,20 +198,20 @@
  */
 static uint32_t fill_rack(struct easy_state *state,
 			  const struct rj_capacity_rack *rack,
-			  const struct rj_shape *shape, bool in_time,
-			  uint32_t count, uint32_t *want)
+			  const struct rj_shape *shape, bool before_shadow,
+			  uint32_t count, uint32_t *remaining)
 {
 	uint32_t first = count;
 
-	while (*want) {
+	while (*remaining) {
 		uint32_t best = rack->count;
 		uint32_t best_tasks = 0;
 
 		for (uint32_t i = 0; i < rack->count; i++) {
-			struct rj_resources room =
-				room_of(state, rack->workers[i], in_time);
-			uint32_t tasks = rj_resources_times(&shape->each, &room,
-							    RJ_GANG_MAX);
+			struct rj_resources available = unreserved_capacity(
+				state, rack->workers[i], before_shadow);
+			uint32_t tasks = rj_resources_times(
+				&shape->each, &available, RJ_GANG_MAX);
 			bool used = false;
 
 			for (uint32_t j = first; j < count; j++)
@@ -226,8 +226,8 @@
 		if (best == rack->count)
 			return count;
 		state->members[count].worker = rack->workers[best]->plan.id;
-		state->members[count].tasks = MIN(best_tasks, *want);
-		*want -= state->members[count].tasks;
+		state->members[count].tasks = MIN(best_tasks, *remaining);
+		*remaining -= state->members[count].tasks;
 		count++;
 	}
 	return count;
@@ -236,12 +236,12 @@
 /*
  * Where the shape fits: the tightest rack, or several for one that may span.
  */
-static uint32_t place(struct easy_state *state, const struct rj_shape *shape,
-		      bool in_time)
+static uint32_t find_placement(struct easy_state *state,
+			       const struct rj_shape *shape, bool before_shadow)
 {
 	uint32_t best = state->capacity.rack_count;
 	uint32_t best_fits = UINT32_MAX;
-	uint32_t want = shape->tasks;
+	uint32_t remaining = shape->tasks;
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
@@ -249,10 +249,10 @@
 		uint32_t fits = 0;
 
 		for (uint32_t j = 0; j < rack->count; j++) {
-			struct rj_resources room =
-				room_of(state, rack->workers[j], in_time);
+			struct rj_resources available = unreserved_capacity(
+				state, rack->workers[j], before_shadow);
 
-			fits += rj_resources_times(&shape->each, &room,
+			fits += rj_resources_times(&shape->each, &available,
 						   RJ_GANG_MAX);
 		}
 		if (fits < shape->tasks || fits >= best_fits)
@@ -262,20 +262,20 @@
 	}
 	if (best < state->capacity.rack_count)
 		return fill_rack(state, state->capacity.racks[best], shape,
-				 in_time, 0, &want);
+				 before_shadow, 0, &remaining);
 	for (uint32_t i = 0; !shape->adjacent && i < state->capacity.rack_count;
 	     i++)
 		count = fill_rack(state, state->capacity.racks[i], shape,
-				  in_time, count, &want);
-	return want ? 0 : count;
+				  before_shadow, count, &remaining);
+	return remaining ? 0 : count;
 }
 
 /*
  * Start a waiting job on the first `count` members of the state.
  */
-static void start(struct easy_state *state, struct rj_plan_entry *entry,
-		  uint32_t count, enum rj_reason reason, uint64_t now_us,
-		  struct rj_decisions *decisions)
+static void start_job(struct easy_state *state, struct rj_plan_entry *entry,
+		      uint32_t count, enum rj_reason reason, uint64_t now_us,
+		      struct rj_decisions *decisions)
 {
 	rj_decisions_add_start(decisions, entry->job.job_id, reason,
 			       state->members, count);
@@ -286,7 +286,7 @@
 /*
  * The soonest declared end first.
  */
-static gint compare_ends(gconstpointer a, gconstpointer b)
+static gint compare_completions(gconstpointer a, gconstpointer b)
 {
 	const struct rj_plan_entry *one =
 		*(const struct rj_plan_entry *const *)a;
@@ -308,42 +308,45 @@
 static void find_shadow(struct easy_state *state,
 			const struct rj_plan_entry *head, uint64_t now_us)
 {
-	GPtrArray *ends = g_ptr_array_copy(state->running, NULL, NULL);
+	GPtrArray *by_completion = g_ptr_array_copy(state->running, NULL, NULL);
 	uint32_t count = 0;
-	uint32_t out = 0;
+	uint32_t released = 0;
 
-	g_ptr_array_sort(ends, compare_ends);
+	g_ptr_array_sort(by_completion, compare_completions);
 	state->shadow_us = RJ_NEVER_US;
-	while (out < ends->len && !count) {
+	while (released < by_completion->len && !count) {
 		const struct rj_plan_entry *entry =
-			g_ptr_array_index(ends, out);
+			g_ptr_array_index(by_completion, released);
 
 		rj_capacity_give(&state->capacity, &entry->job.shape.each,
 				 entry->members, entry->member_count);
 		state->shadow_us =
 			MAX(entry->started_us + declared_us(entry), now_us);
-		count = place(state, &head->job.shape, true);
-		out++;
+		count = find_placement(state, &head->job.shape, true);
+		released++;
 	}
-	for (uint32_t i = 0; i < out; i++) {
-		const struct rj_plan_entry *entry = g_ptr_array_index(ends, i);
+	for (uint32_t i = 0; i < released; i++) {
+		const struct rj_plan_entry *entry =
+			g_ptr_array_index(by_completion, i);
 
 		rj_capacity_take(&state->capacity, &entry->job.shape.each,
 				 entry->members, entry->member_count);
 	}
-	g_ptr_array_free(ends, TRUE);
+	g_ptr_array_free(by_completion, TRUE);
 	if (!count)
 		return;
-	memcpy(state->kept, state->members, sizeof(*state->kept) * count);
-	state->kept_count = count;
+	memcpy(state->reserved, state->members,
+	       sizeof(*state->reserved) * count);
+	state->reserved_count = count;
 	state->head = &head->job.shape;
 }
 
 /*
  * Give up a waiting job whose deadline has passed.
  */
-static void refuse_late(struct easy_state *state, struct rj_plan_entry *entry,
-			struct rj_decisions *decisions)
+static void reject_expired(struct easy_state *state,
+			   struct rj_plan_entry *entry,
+			   struct rj_decisions *decisions)
 {
 	struct rj_decision *decision =
 		rj_decisions_add(decisions, RJ_DECISION_REFUSE);
@@ -364,10 +367,10 @@
  * Whether a job of this shape did not fit before in this pass.
  */
 static bool has_failed(const struct failures *failures,
-		       const struct rj_shape *shape, bool in_time)
+		       const struct rj_shape *shape, bool before_shadow)
 {
-	for (uint32_t i = 0; i < failures->count[in_time]; i++)
-		if (rj_shape_equal(failures->shapes[in_time][i], shape))
+	for (uint32_t i = 0; i < failures->count[before_shadow]; i++)
+		if (rj_shape_equal(failures->shapes[before_shadow][i], shape))
 			return true;
 	return false;
 }
@@ -375,11 +378,12 @@
 /*
  * Remember a shape that did not fit.
  */
-static void note_failure(struct failures *failures,
-			 const struct rj_shape *shape, bool in_time)
+static void record_failure(struct failures *failures,
+			   const struct rj_shape *shape, bool before_shadow)
 {
-	if (failures->count[in_time] < FAILURES_MAX)
-		failures->shapes[in_time][failures->count[in_time]++] = shape;
+	if (failures->count[before_shadow] < FAILURES_MAX)
+		failures->shapes[before_shadow]
+				[failures->count[before_shadow]++] = shape;
 }
 
 /*
@@ -395,40 +399,42 @@
 	uint32_t depth = 0;
 	GList *next;
 
-	state->kept_count = 0;
+	state->reserved_count = 0;
 	for (GList *at = state->queue.head; at; at = next) {
 		struct rj_plan_entry *entry = at->data;
-		bool in_time = !failed ||
-			       now_us + declared_us(entry) <= state->shadow_us;
+		bool before_shadow = !failed || now_us + declared_us(entry) <=
+							state->shadow_us;
 		uint32_t count;
 
 		next = at->next;
 		if (entry->job.deadline_us <= now_us) {
-			refuse_late(state, entry, decisions);
+			reject_expired(state, entry, decisions);
 			continue;
 		}
 		if (entry->not_before_us > now_us || depth == BACKFILL_DEPTH)
 			continue;
 		entry->not_before_us = 0;
 		depth++;
-		if (has_failed(&failures, &entry->job.shape, in_time))
+		if (has_failed(&failures, &entry->job.shape, before_shadow))
 			continue;
-		count = place(state, &entry->job.shape, in_time);
+		count = find_placement(state, &entry->job.shape, before_shadow);
 		if (count) {
 			depth--;
-			start(state, entry, count,
-			      failed ? RJ_REASON_BACKFILL : RJ_REASON_BEST_FIT,
-			      now_us, decisions);
+			start_job(state, entry, count,
+				  failed ? RJ_REASON_BACKFILL :
+					   RJ_REASON_BEST_FIT,
+				  now_us, decisions);
 			continue;
 		}
 		if (failed) {
-			note_failure(&failures, &entry->job.shape, in_time);
+			record_failure(&failures, &entry->job.shape,
+				       before_shadow);
 			continue;
 		}
 		failed = entry;
 		find_shadow(state, entry, now_us);
 	}
-	state->kept_count = 0;
+	state->reserved_count = 0;
 }
 
 /*
--- a/src/test_libradishjunction/naive/reference_core.c
+++ b/src/test_libradishjunction/naive/reference_core.c
@@ -7,7 +7,7 @@
 #define WORKERS_MAX 64
 #define PEERS_MAX 16
 #define HEARTBEAT_US RJ_US_PER_S
-#define TRY_AGAIN_US (100 * RJ_US_PER_MS)
+#define RETRY_DELAY_US (100 * RJ_US_PER_MS)
 #define TRIES_MAX 100
 #define LEASE_LIFE_US (3 * RJ_US_PER_S)
 #define CALL_TIMEOUT_US RJ_US_PER_S
@@ -25,17 +25,17 @@
 	struct rj_job_spec spec;
 	struct rj_attempt attempt;
 	uint64_t request_id; /* who waits; 0: nobody */
-	uint64_t try_us; /* when to try again */
+	uint64_t retry_us; /* when to try again */
 	uint32_t tries;
 	bool ended;
 	struct rj_answer answer;
 	struct member *members; /* one for each task */
 };
 
-struct naive_core {
+struct reference_core {
 	struct rj_core_options options;
 	uint64_t random;
-	uint64_t beat_us;
+	uint64_t heartbeat_us;
 	uint64_t next_call;
 	uint64_t revision;
 	struct rj_instance workers[WORKERS_MAX];
@@ -43,17 +43,17 @@
 	uint32_t next_worker;
 	char peers[PEERS_MAX][RJ_NAME_BYTES];
 	uint32_t peer_count;
-	bool greeted;
+	bool connected;
 	struct job *jobs;
 };
 
 /*
  * Make one as a talloc child of `mem`.
  */
-struct naive_core *naive_core_create(void *mem,
-				     const struct rj_core_options *options)
+struct reference_core *
+reference_core_create(void *mem, const struct rj_core_options *options)
 {
-	struct naive_core *core = talloc_zero(mem, struct naive_core);
+	struct reference_core *core = talloc_zero(mem, struct reference_core);
 
 	assert(core && options->peer_count <= PEERS_MAX);
 	core->options = *options;
@@ -67,47 +67,47 @@
 /*
  * When it wants its timer next.
  */
-uint64_t naive_core_wake_us(const struct naive_core *core)
+uint64_t reference_core_wake_us(const struct reference_core *core)
 {
-	uint64_t wake_us = core->beat_us;
+	uint64_t wake_us = core->heartbeat_us;
 
 	for (const struct job *job = core->jobs; job; job = job->next)
-		if (!job->ended && job->try_us < wake_us)
-			wake_us = job->try_us;
+		if (!job->ended && job->retry_us < wake_us)
+			wake_us = job->retry_us;
 	return wake_us;
 }
 
-static struct rj_worker_call *call(struct naive_core *core,
+static struct rj_worker_call *call(struct reference_core *core,
 				   struct rj_actions *actions,
 				   const struct job *job, uint32_t member,
 				   enum rj_worker_op op)
 {
 	struct rj_action *action =
 		rj_actions_add(actions, RJ_ACTION_WORKER_CALL);
-	struct rj_worker_call *made = &action->u.worker_call;
+	struct rj_worker_call *worker_call = &action->u.worker_call;
 
-	made->call_id = ++core->next_call;
-	made->op = op;
-	made->timeout_us = CALL_TIMEOUT_US;
-	made->holder = core->options.incarnation;
-	made->life_us = LEASE_LIFE_US;
+	worker_call->call_id = ++core->next_call;
+	worker_call->op = op;
+	worker_call->timeout_us = CALL_TIMEOUT_US;
+	worker_call->holder = core->options.incarnation;
+	worker_call->life_us = LEASE_LIFE_US;
 	if (!job)
-		return made;
-	made->attempt = job->attempt;
-	made->member = member;
-	made->gang = job->spec.shape.tasks;
-	made->token = job->members[member].token;
-	made->each = job->spec.shape.each;
-	made->body = job->spec.body;
-	memcpy(made->worker, job->members[member].worker, RJ_NAME_BYTES);
-	memcpy(made->account, job->spec.account, RJ_NAME_BYTES);
-	memcpy(made->class_name, job->spec.class_name, RJ_NAME_BYTES);
-	job->members[member].call_id = made->call_id;
-	return made;
+		return worker_call;
+	worker_call->attempt = job->attempt;
+	worker_call->member = member;
+	worker_call->gang = job->spec.shape.tasks;
+	worker_call->token = job->members[member].token;
+	worker_call->each = job->spec.shape.each;
+	worker_call->body = job->spec.body;
+	memcpy(worker_call->worker, job->members[member].worker, RJ_NAME_BYTES);
+	memcpy(worker_call->account, job->spec.account, RJ_NAME_BYTES);
+	memcpy(worker_call->class_name, job->spec.class_name, RJ_NAME_BYTES);
+	job->members[member].call_id = worker_call->call_id;
+	return worker_call;
 }
 
 static void answer(struct rj_actions *actions, uint64_t request_id,
-		   const struct rj_answer *told)
+		   const struct rj_answer *response)
 {
 	struct rj_action *action;
 
@@ -115,12 +115,12 @@
 		return;
 	action = rj_actions_add(actions, RJ_ACTION_ANSWER);
 	action->u.answer.request_id = request_id;
-	action->u.answer.answer = *told;
+	action->u.answer.answer = *response;
 }
 
-static void end_job(struct job *job, struct rj_actions *actions,
-		    enum rj_answer_kind kind, enum rj_reason reason,
-		    const struct rj_bytes *result)
+static void complete_job(struct job *job, struct rj_actions *actions,
+			 enum rj_answer_kind kind, enum rj_reason reason,
+			 const struct rj_bytes *result)
 {
 	if (job->ended)
 		return;
@@ -138,7 +138,8 @@
 }
 
 /* The next worker that the list shows as live. */
-static bool choose_worker(struct naive_core *core, char worker[RJ_NAME_BYTES])
+static bool choose_worker(struct reference_core *core,
+			  char worker[RJ_NAME_BYTES])
 {
 	for (uint32_t i = 0; i < core->worker_count; i++) {
 		const struct rj_instance *line =
@@ -153,13 +154,13 @@
 	return false;
 }
 
-static void try_job(struct naive_core *core, struct job *job, uint64_t now_us,
-		    struct rj_actions *actions)
+static void start_attempt(struct reference_core *core, struct job *job,
+			  uint64_t now_us, struct rj_actions *actions)
 {
-	job->try_us = RJ_NEVER_US;
+	job->retry_us = RJ_NEVER_US;
 	if (job->tries++ >= TRIES_MAX) {
-		end_job(job, actions, RJ_ANSWER_NOT_RUN, RJ_REASON_RETRY_BUDGET,
-			NULL);
+		complete_job(job, actions, RJ_ANSWER_NOT_RUN,
+			     RJ_REASON_RETRY_BUDGET, NULL);
 		return;
 	}
 	job->attempt.number++;
@@ -168,14 +169,14 @@
 
 		memset(member, 0, sizeof(*member));
 		if (!choose_worker(core, member->worker)) {
-			job->try_us = now_us + TRY_AGAIN_US;
+			job->retry_us = now_us + RETRY_DELAY_US;
 			return;
 		}
 		(void)call(core, actions, job, i, RJ_WORKER_LEASE);
 	}
 }
 
-static struct job *find_job(struct naive_core *core, uint64_t job_id)
+static struct job *find_job(struct reference_core *core, uint64_t job_id)
 {
 	struct job *job = core->jobs;
 
@@ -184,7 +185,7 @@
 	return job;
 }
 
-static struct job *find_key(struct naive_core *core, const char *key)
+static struct job *find_key(struct reference_core *core, const char *key)
 {
 	struct job *job = core->jobs;
 
@@ -193,8 +194,9 @@
 	return job;
 }
 
-static void submit(struct naive_core *core, const struct rj_request *request,
-		   uint64_t now_us, struct rj_actions *actions)
+static void submit(struct reference_core *core,
+		   const struct rj_request *request, uint64_t now_us,
+		   struct rj_actions *actions)
 {
 	struct job *job = find_key(core, request->spec.key);
 
@@ -211,35 +213,36 @@
 		job->attempt.owner = core->options.incarnation;
 		job->next = core->jobs;
 		core->jobs = job;
-		try_job(core, job, now_us, actions);
+		start_attempt(core, job, now_us, actions);
 	}
 	if (job->ended) {
 		answer(actions, request->request_id, &job->answer);
 	} else if (request->spec.wait) {
 		job->request_id = request->request_id;
 	} else {
-		struct rj_answer told = { .kind = RJ_ANSWER_ACCEPTED };
+		struct rj_answer response = { .kind = RJ_ANSWER_ACCEPTED };
 
-		told.job_id = job->attempt.job_id;
-		answer(actions, request->request_id, &told);
+		response.job_id = job->attempt.job_id;
+		answer(actions, request->request_id, &response);
 	}
 }
 
-static void cancel(struct naive_core *core, struct job *job,
+static void cancel(struct reference_core *core, struct job *job,
 		   struct rj_actions *actions)
 {
 	for (uint32_t i = 0; i < job->spec.shape.tasks; i++)
 		if (job->members[i].token)
 			(void)call(core, actions, job, i, RJ_WORKER_STOP);
-	end_job(job, actions, RJ_ANSWER_NOT_RUN, RJ_REASON_CANCELLED, NULL);
+	complete_job(job, actions, RJ_ANSWER_NOT_RUN, RJ_REASON_CANCELLED,
+		     NULL);
 }
 
-static void take_request(struct naive_core *core,
-			 const struct rj_request *request, uint64_t now_us,
-			 struct rj_actions *actions)
+static void handle_request(struct reference_core *core,
+			   const struct rj_request *request, uint64_t now_us,
+			   struct rj_actions *actions)
 {
-	struct rj_answer told = { .kind = RJ_ANSWER_NOT_RUN,
-				  .reason = RJ_REASON_NO_SUCH_JOB };
+	struct rj_answer response = { .kind = RJ_ANSWER_NOT_RUN,
+				      .reason = RJ_REASON_NO_SUCH_JOB };
 	struct job *job;
 
 	if (request->op == RJ_REQUEST_SUBMIT) {
@@ -250,12 +253,12 @@
 	if (job && request->op == RJ_REQUEST_CANCEL && !job->ended)
 		cancel(core, job, actions);
 	if (job && job->ended) {
-		told = job->answer;
+		response = job->answer;
 	} else if (job) {
-		told.kind = RJ_ANSWER_UNKNOWN;
-		told.reason = RJ_REASON_IN_PROGRESS;
+		response.kind = RJ_ANSWER_UNKNOWN;
+		response.reason = RJ_REASON_IN_PROGRESS;
 	}
-	answer(actions, request->request_id, &told);
+	answer(actions, request->request_id, &response);
 }
 
 static void member_done(struct job *job, struct member *member,
@@ -266,20 +269,21 @@
 	for (uint32_t i = 0; i < job->spec.shape.tasks; i++)
 		if (!job->members[i].done)
 			return;
-	end_job(job, actions, RJ_ANSWER_DONE, RJ_REASON_NONE, &reply->result);
+	complete_job(job, actions, RJ_ANSWER_DONE, RJ_REASON_NONE,
+		     &reply->result);
 }
 
-static void take_member_reply(struct naive_core *core, struct job *job,
-			      uint32_t index,
-			      const struct rj_worker_reply *reply,
-			      uint64_t now_us, struct rj_actions *actions)
+static void handle_member_reply(struct reference_core *core, struct job *job,
+				uint32_t index,
+				const struct rj_worker_reply *reply,
+				uint64_t now_us, struct rj_actions *actions)
 {
 	struct member *member = &job->members[index];
 	struct rj_worker_call *start;
 
 	member->call_id = 0;
 	if (reply->status != RJ_REPLY_OK) {
-		job->try_us = now_us + TRY_AGAIN_US;
+		job->retry_us = now_us + RETRY_DELAY_US;
 		return;
 	}
 	if (reply->op == RJ_WORKER_LEASE) {
@@ -291,23 +295,24 @@
 	} else if (reply->state == RJ_TASK_DONE) {
 		member_done(job, member, reply, actions);
 	} else if (reply->state == RJ_TASK_FAILED) {
-		end_job(job, actions, RJ_ANSWER_FAILED, RJ_REASON_TASK_FAILED,
-			&reply->result);
+		complete_job(job, actions, RJ_ANSWER_FAILED,
+			     RJ_REASON_TASK_FAILED, &reply->result);
 	} else {
-		job->try_us = now_us + TRY_AGAIN_US;
+		job->retry_us = now_us + RETRY_DELAY_US;
 	}
 }
 
-static void take_reply(struct naive_core *core,
-		       const struct rj_worker_reply *reply, uint64_t now_us,
-		       struct rj_actions *actions)
+static void handle_reply(struct reference_core *core,
+			 const struct rj_worker_reply *reply, uint64_t now_us,
+			 struct rj_actions *actions)
 {
 	for (struct job *job = core->jobs; job; job = job->next) {
 		for (uint32_t i = 0; i < job->spec.shape.tasks; i++) {
 			if (job->members[i].call_id != reply->call_id ||
 			    job->ended)
 				continue;
-			take_member_reply(core, job, i, reply, now_us, actions);
+			handle_member_reply(core, job, i, reply, now_us,
+					    actions);
 			return;
 		}
 	}
@@ -322,7 +327,7 @@
 	action->u.read.wait_us = 10 * RJ_US_PER_S;
 }
 
-static void hand_on_config(struct naive_core *core,
+static void forward_config(struct reference_core *core,
 			   const struct rj_record *record,
 			   struct rj_actions *actions)
 {
@@ -344,9 +349,9 @@
 	}
 }
 
-static void take_records(struct naive_core *core,
-			 const struct rj_records *records,
-			 struct rj_actions *actions)
+static void handle_records(struct reference_core *core,
+			   const struct rj_records *records,
+			   struct rj_actions *actions)
 {
 	for (uint32_t i = 0; i < records->count; i++) {
 		const struct rj_record *record = &records->records[i];
@@ -354,13 +359,13 @@
 		if (record->kind != RJ_RECORD_CONFIG)
 			continue;
 		core->revision = record->revision;
-		hand_on_config(core, record, actions);
+		forward_config(core, record, actions);
 	}
 	read_config(actions, records->next);
 }
 
-static void take_list(struct naive_core *core, const struct rj_instance *list,
-		      uint32_t count)
+static void handle_instances(struct reference_core *core,
+			     const struct rj_instance *list, uint32_t count)
 {
 	core->worker_count = 0;
 	for (uint32_t i = 0; i < count && core->worker_count < WORKERS_MAX; i++)
@@ -369,23 +374,25 @@
 			core->workers[core->worker_count++] = list[i];
 }
 
-static void send_heartbeats(struct naive_core *core, struct rj_actions *actions)
+static void send_heartbeats(struct reference_core *core,
+			    struct rj_actions *actions)
 {
 	for (uint32_t i = 0; i < core->peer_count; i++) {
 		struct rj_peer_message *message =
 			talloc_zero(actions->mem, struct rj_peer_message);
 		struct rj_action *action;
 
-		action = rj_actions_add(actions,
-					core->greeted ? RJ_ACTION_PEER_SEND :
-							RJ_ACTION_PEER_CONNECT);
+		action = rj_actions_add(
+			actions, core->connected ? RJ_ACTION_PEER_SEND :
+						   RJ_ACTION_PEER_CONNECT);
 		memcpy(action->u.peer.name, core->peers[i], RJ_NAME_BYTES);
 		message->u.heartbeat.config_revision = core->revision;
 		action->u.peer.message = message;
 	}
 }
 
-static void renew_leases(struct naive_core *core, struct rj_actions *actions)
+static void renew_leases(struct reference_core *core,
+			 struct rj_actions *actions)
 {
 	for (uint32_t i = 0; i < core->worker_count; i++) {
 		struct rj_worker_call *report =
@@ -395,32 +402,33 @@
 	}
 }
 
-static void take_timer(struct naive_core *core, uint64_t now_us,
-		       struct rj_actions *actions)
+static void handle_timer(struct reference_core *core, uint64_t now_us,
+			 struct rj_actions *actions)
 {
 	for (struct job *job = core->jobs; job; job = job->next)
-		if (!job->ended && job->try_us <= now_us)
-			try_job(core, job, now_us, actions);
-	if (now_us < core->beat_us)
+		if (!job->ended && job->retry_us <= now_us)
+			start_attempt(core, job, now_us, actions);
+	if (now_us < core->heartbeat_us)
 		return;
 	send_heartbeats(core, actions);
 	renew_leases(core, actions);
 	(void)rj_actions_add(actions, RJ_ACTION_LIST);
-	if (!core->greeted)
+	if (!core->connected)
 		read_config(actions, 0);
-	core->greeted = true;
-	core->beat_us = now_us + HEARTBEAT_US;
+	core->connected = true;
+	core->heartbeat_us = now_us + HEARTBEAT_US;
 }
 
 /*
  * Process one event, as rj_core_process does.
  */
-void naive_core_process(struct naive_core *core, const struct rj_event *event,
-			struct rj_actions *actions)
+void reference_core_process(struct reference_core *core,
+			    const struct rj_event *event,
+			    struct rj_actions *actions)
 {
 	switch (event->kind) {
 	case RJ_EVENT_REQUEST:
-		take_request(core, &event->u.request, event->now_us, actions);
+		handle_request(core, &event->u.request, event->now_us, actions);
 		break;
 	case RJ_EVENT_CALLER_GONE:
 		for (struct job *job = core->jobs; job; job = job->next)
@@ -428,21 +436,21 @@
 				job->request_id = 0;
 		break;
 	case RJ_EVENT_RECORDS:
-		take_records(core, &event->u.records, actions);
+		handle_records(core, &event->u.records, actions);
 		break;
 	case RJ_EVENT_READ_FAILED:
 		read_config(actions, 0);
 		break;
 	case RJ_EVENT_INSTANCES:
-		take_list(core, event->u.instances.list,
-			  event->u.instances.count);
+		handle_instances(core, event->u.instances.list,
+				 event->u.instances.count);
 		break;
 	case RJ_EVENT_WORKER_REPLY:
-		take_reply(core, &event->u.worker_reply, event->now_us,
-			   actions);
+		handle_reply(core, &event->u.worker_reply, event->now_us,
+			     actions);
 		break;
 	case RJ_EVENT_TIMER:
-		take_timer(core, event->now_us, actions);
+		handle_timer(core, event->now_us, actions);
 		break;
 	case RJ_EVENT_STOP:
 		(void)rj_actions_add(actions, RJ_ACTION_EXIT);
--- a/src/test_libradishjunction/naive/reference_core.h
+++ b/src/test_libradishjunction/naive/reference_core.h
@@ -4,7 +4,7 @@
  * its own memory, takes whatever configuration it read last, and stops when
  * told. No claims, no read-back, no fence, no reclaim.
  *
- * Life cycle: `naive_core_create`, `naive_core_process` for each event,
+ * Life cycle: `reference_core_create`, `reference_core_process` for each event,
  * freed with talloc.
  */
 #ifndef NAIVE_CORE_H
@@ -12,12 +12,13 @@
 
 #include "radishjunction/core.h"
 
-struct naive_core;
+struct reference_core;
 
-struct naive_core *naive_core_create(void *mem,
-				     const struct rj_core_options *options);
-void naive_core_process(struct naive_core *core, const struct rj_event *event,
-			struct rj_actions *actions);
-uint64_t naive_core_wake_us(const struct naive_core *core);
+struct reference_core *
+reference_core_create(void *mem, const struct rj_core_options *options);
+void reference_core_process(struct reference_core *core,
+			    const struct rj_event *event,
+			    struct rj_actions *actions);
+uint64_t reference_core_wake_us(const struct reference_core *core);
 
 #endif
--- a/src/test_libradishjunction/support/callers_fixture.c
+++ b/src/test_libradishjunction/support/callers_fixture.c
@@ -19,20 +19,20 @@
 	const struct rj_bytes *body = &event->u.request.spec.body;
 
 	if (event->kind == RJ_EVENT_CALLER_GONE) {
-		server->gone_id = event->u.request_id;
+		server->disconnected_id = event->u.request_id;
 		return;
 	}
 	g_assert_cmpint(event->kind, ==, RJ_EVENT_REQUEST);
-	server->asked = event->u.request;
+	server->last_request = event->u.request;
 	memset(server->body, 0, sizeof(server->body));
 	if (body->length)
 		memcpy(server->body, body->data,
 		       MIN(body->length, sizeof(server->body) - 1));
-	server->asked_count++;
-	if (!server->hold)
-		server->callers.base.ops->answer(&server->callers.base,
-						 server->asked.request_id,
-						 &server->answer);
+	server->request_count++;
+	if (!server->defer_answers)
+		server->callers.base.ops->answer(
+			&server->callers.base, server->last_request.request_id,
+			&server->answer);
 }
 
 static bool view_ready(struct rj_caller_views *views)
@@ -126,7 +126,7 @@
 		return;
 	done = recv(client->fd, data, sizeof(data), 0);
 	if (done > 0)
-		g_string_append_len(client->got, data, done);
+		g_string_append_len(client->received, data, done);
 	if (done == 0)
 		client->closed = true;
 	if (client->closed)
@@ -144,7 +144,7 @@
 	memset(client, 0, sizeof(*client));
 	client->text = text;
 	client->length = strlen(text);
-	client->got = g_string_new(NULL);
+	client->received = g_string_new(NULL);
 	client->fd = rj_tcp_connect(&address, NULL);
 	client->event = tevent_add_fd(callers_loop, callers_loop, client->fd,
 				      TEVENT_FD_READ | TEVENT_FD_WRITE,
@@ -158,7 +158,7 @@
 {
 	talloc_free(client->event);
 	close(client->fd);
-	g_string_free(client->got, TRUE);
+	g_string_free(client->received, TRUE);
 }
 
 /*
@@ -166,8 +166,9 @@
  */
 unsigned int callers_client_status(const struct callers_client *client)
 {
-	return client->got->len < 12 ? 0 :
-				       (unsigned int)atoi(client->got->str + 9);
+	return client->received->len < 12 ?
+		       0 :
+		       (unsigned int)atoi(client->received->str + 9);
 }
 
 /*
@@ -181,10 +182,10 @@
 	callers_client_init(&client, server, text);
 	RUN_UNTIL(callers_loop, client.closed);
 	if (callers_client_status(&client) != status ||
-	    !strstr(client.got->str, part))
-		g_test_message("sent %s\ngot %s", text, client.got->str);
+	    !strstr(client.received->str, part))
+		g_test_message("sent %s\ngot %s", text, client.received->str);
 	g_assert_cmpuint(callers_client_status(&client), ==, status);
-	g_assert_nonnull(strstr(client.got->str, part));
+	g_assert_nonnull(strstr(client.received->str, part));
 	callers_client_finish(&client);
 }
 
--- a/src/test_libradishjunction/support/callers_fixture.h
+++ b/src/test_libradishjunction/support/callers_fixture.h
@@ -19,11 +19,11 @@
 	struct rj_sink sink; /* first member, always */
 	struct rj_caller_views views;
 	struct rj_http_callers callers;
-	struct rj_request asked; /* the newest; its body is not kept */
+	struct rj_request last_request; /* the newest; its body is not kept */
 	char body[64];
-	uint32_t asked_count;
-	uint64_t gone_id;
-	bool hold; /* do not answer */
+	uint32_t request_count;
+	uint64_t disconnected_id;
+	bool defer_answers; /* do not answer */
 	struct rj_answer answer;
 };
 
@@ -34,7 +34,7 @@
 	const char *text;
 	size_t length;
 	size_t sent;
-	GString *got;
+	GString *received;
 	bool closed;
 };
 
--- a/src/test_libradishjunction/support/checker.c
+++ b/src/test_libradishjunction/support/checker.c
@@ -6,19 +6,19 @@
 #include <string.h>
 #include <talloc.h>
 
-const char *const promise_string[PROMISE_COUNT] = {
-	[PROMISE_GUARANTEE] = "guarantee", [PROMISE_GANG] = "gang",
-	[PROMISE_ANSWER] = "answer",	   [PROMISE_NOT_RUN] = "not_run",
-	[PROMISE_ONCE] = "once",	   [PROMISE_LEAVING] = "leaving",
-	[PROMISE_STOP] = "stop",	   [PROMISE_CONFIG] = "config",
-	[PROMISE_ACCEPTED] = "accepted",
+const char *const invariant_string[INVARIANT_COUNT] = {
+	[INVARIANT_GUARANTEE] = "guarantee", [INVARIANT_GANG] = "gang",
+	[INVARIANT_ANSWER] = "answer",	     [INVARIANT_NOT_RUN] = "not_run",
+	[INVARIANT_ONCE] = "once",	     [INVARIANT_LEAVING] = "leaving",
+	[INVARIANT_STOP] = "stop",	     [INVARIANT_CONFIG] = "config",
+	[INVARIANT_ACCEPTED] = "accepted",
 };
 
 /*
  * Count a violation and keep the first one's words.
  */
 void checker_violation(struct checker *checker, uint64_t now_us,
-		       enum promise promise, const char *format, ...)
+		       enum invariant invariant, const char *format, ...)
 {
 	char text[160];
 	char line[200];
@@ -28,11 +28,11 @@
 	(void)vsnprintf(text, sizeof(text), format, args);
 	va_end(args);
 	(void)snprintf(line, sizeof(line), "%" PRIu64 " VIOLATION %s: %s",
-		       now_us, promise_string[promise], text);
-	if (!checker->violations[promise]++)
-		memcpy(checker->first[promise], line, sizeof(line));
-	if (checker->tell)
-		checker->tell(checker->tell_data, line);
+		       now_us, invariant_string[invariant], text);
+	if (!checker->violations[invariant]++)
+		memcpy(checker->first[invariant], line, sizeof(line));
+	if (checker->report)
+		checker->report(checker->report_data, line);
 }
 
 static guint attempt_hash(gconstpointer key)
@@ -78,7 +78,7 @@
 	checker->mem = mem;
 	checker->lease_life_us = 5 * RJ_US_PER_S;
 	checker->guarantee_limit_us = CHECKER_GUARANTEE_US;
-	checker->calm_us = RJ_NEVER_US;
+	checker->recovered_us = RJ_NEVER_US;
 	checker->intents =
 		g_array_new(FALSE, TRUE, sizeof(struct checker_intent));
 	checker->settle_us = g_array_new(FALSE, TRUE, sizeof(uint64_t));
@@ -89,8 +89,8 @@
 	checker->gangs = g_ptr_array_new();
 	checker->config_ids = g_ptr_array_new_with_free_func(g_free);
 	for (uint32_t i = 0; i < CHECKER_NODES_MAX; i++) {
-		checker->nodes[i].reached_us = RJ_NEVER_US;
-		checker->nodes[i].peer_us = RJ_NEVER_US;
+		checker->nodes[i].platform_since_us = RJ_NEVER_US;
+		checker->nodes[i].peer_since_us = RJ_NEVER_US;
 	}
 	holder = talloc(mem, struct checker *);
 	assert(holder);
@@ -106,7 +106,7 @@
 {
 	struct checker_intent copy = *intent;
 
-	copy.whole_us = RJ_NEVER_US;
+	copy.progressed_us = RJ_NEVER_US;
 	copy.answered_us = RJ_NEVER_US;
 	g_array_append_val(checker->intents, copy);
 	return checker->intents->len - 1;
@@ -143,9 +143,9 @@
 
 		if (!intent->accepted)
 			continue;
-		checker->checks[PROMISE_ACCEPTED]++;
+		checker->checks[INVARIANT_ACCEPTED]++;
 		if (intent->answered_us == RJ_NEVER_US)
-			checker_violation(checker, now_us, PROMISE_ACCEPTED,
+			checker_violation(checker, now_us, INVARIANT_ACCEPTED,
 					  "accepted intent %u has no outcome",
 					  i);
 	}
@@ -158,7 +158,7 @@
 {
 	uint32_t sum = 0;
 
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
 		sum += checker->violations[i];
 	return sum;
 }
--- a/src/test_libradishjunction/support/checker.h
+++ b/src/test_libradishjunction/support/checker.h
@@ -15,20 +15,20 @@
 
 #include "radishjunction/core.h"
 
-enum promise {
-	PROMISE_GUARANTEE,
-	PROMISE_GANG,
-	PROMISE_ANSWER,
-	PROMISE_NOT_RUN,
-	PROMISE_ONCE,
-	PROMISE_LEAVING,
-	PROMISE_STOP,
-	PROMISE_CONFIG,
-	PROMISE_ACCEPTED,
-	PROMISE_COUNT
+enum invariant {
+	INVARIANT_GUARANTEE,
+	INVARIANT_GANG,
+	INVARIANT_ANSWER,
+	INVARIANT_NOT_RUN,
+	INVARIANT_ONCE,
+	INVARIANT_LEAVING,
+	INVARIANT_STOP,
+	INVARIANT_CONFIG,
+	INVARIANT_ACCEPTED,
+	INVARIANT_COUNT
 };
 
-extern const char *const promise_string[PROMISE_COUNT];
+extern const char *const invariant_string[INVARIANT_COUNT];
 
 #define CHECKER_NODES_MAX 16
 #define CHECKER_WORKERS_MAX 64
@@ -45,12 +45,13 @@
 	uint32_t ran; /* attempts that made progress */
 	uint32_t completed; /* attempts of which every member is done */
 	uint64_t submitted_us;
-	uint64_t whole_us; /* all of it made progress; RJ_NEVER_US: never */
+	uint64_t
+		progressed_us; /* all of it made progress; RJ_NEVER_US: never */
 	uint64_t answered_us; /* first final answer; RJ_NEVER_US if none */
 	enum rj_answer_kind answer; /* that answer */
 	bool accepted;
 	bool cancelled;
-	bool late_told; /* its guarantee's violation is counted */
+	bool late_reported; /* its guarantee's violation is counted */
 };
 
 struct checker_request {
@@ -59,7 +60,7 @@
 	enum rj_request_op op;
 	uint32_t answers;
 	bool delivered;
-	bool gone; /* its caller no longer waits */
+	bool abandoned; /* its caller no longer waits */
 };
 
 struct checker_attempt {
@@ -70,9 +71,9 @@
 	uint32_t running; /* members that make progress */
 	uint32_t progressed; /* members that have made some */
 	uint32_t done;
-	uint64_t broken_us; /* a member ended otherwise; RJ_NEVER_US: none */
+	uint64_t failed_us; /* a member ended otherwise; RJ_NEVER_US: none */
 	bool ran;
-	bool told;
+	bool reported;
 	uint8_t member[RJ_GANG_MAX]; /* bits of enum member_bit */
 };
 
@@ -81,21 +82,23 @@
 	uint32_t domain;
 	uint64_t incarnation;
 	uint64_t revision;
-	uint64_t reached_us; /* since when it reaches the platform */
-	uint64_t peer_us; /* since when it hears a peer that does */
-	uint64_t late_told; /* the revision whose lateness is counted */
-	uint64_t learnt_us[CHECKER_WORKERS_MAX]; /* that it is leaving */
-	uint64_t learnt[CHECKER_WORKERS_MAX]; /* incarnation that leaves */
+	uint64_t platform_since_us; /* since when it reaches the platform */
+	uint64_t peer_since_us; /* since when it hears a peer that does */
+	uint64_t late_reported; /* the revision whose lateness is counted */
+	uint64_t leaving_since_us[CHECKER_WORKERS_MAX]; /* that it is leaving */
+	uint64_t leaving_incarnation
+		[CHECKER_WORKERS_MAX]; /* incarnation that leaves */
 };
 
 struct checker {
 	void *mem;
 	uint64_t lease_life_us;
 	uint64_t guarantee_limit_us; /* checkpoint limit and bound */
-	uint64_t calm_us; /* when the last fault ended; RJ_NEVER_US: not yet */
-	uint32_t violations[PROMISE_COUNT];
-	uint64_t checks[PROMISE_COUNT]; /* how often each had a say */
-	char first[PROMISE_COUNT][200];
+	uint64_t
+		recovered_us; /* when the last fault ended; RJ_NEVER_US: not yet */
+	uint32_t violations[INVARIANT_COUNT];
+	uint64_t checks[INVARIANT_COUNT]; /* how often each had a say */
+	char first[INVARIANT_COUNT][200];
 	GArray *intents;
 	GHashTable *requests;
 	GHashTable *attempts;
@@ -105,8 +108,8 @@
 	GPtrArray *config_ids; /* of the accepted ones, by revision - 1 */
 	uint64_t revision_us; /* when it was accepted */
 	GArray *settle_us; /* times to be in force at each instance */
-	void (*tell)(void *data, const char *text);
-	void *tell_data;
+	void (*report)(void *data, const char *text);
+	void *report_data;
 };
 
 /* The checkpoint limit of the world's configuration and one second. */
@@ -127,13 +130,13 @@
 		     uint64_t request_id, uint32_t node, uint32_t intent,
 		     enum rj_request_op op);
 void checker_request_delivered(struct checker *checker, uint64_t request_id);
-void checker_request_gone(struct checker *checker, uint64_t request_id);
-void checker_node_gone(struct checker *checker, uint32_t node);
-void checker_node_wakes(struct checker *checker, uint64_t now_us, uint32_t node,
-			bool empty);
+void checker_request_abandoned(struct checker *checker, uint64_t request_id);
+void checker_node_ended(struct checker *checker, uint32_t node);
+void checker_node_resumed(struct checker *checker, uint64_t now_us,
+			  uint32_t node, bool empty);
 void checker_answer(struct checker *checker, uint64_t now_us, uint32_t node,
 		    uint64_t request_id, const struct rj_answer *answer);
-void checker_foreign_body(struct checker *checker, uint64_t now_us,
+void checker_unknown_body(struct checker *checker, uint64_t now_us,
 			  const struct rj_attempt *id);
 void checker_task_started(struct checker *checker, uint64_t now_us,
 			  const struct rj_attempt *id, uint32_t intent,
@@ -144,22 +147,22 @@
 void checker_task_ended(struct checker *checker, uint64_t now_us,
 			const struct rj_attempt *id, uint32_t member,
 			enum rj_task_state state);
-void checker_leaving_learnt(struct checker *checker, uint64_t now_us,
-			    uint32_t node, uint32_t worker,
-			    uint64_t incarnation);
-void checker_new_work(struct checker *checker, uint64_t now_us, uint32_t node,
+void checker_leaving_known(struct checker *checker, uint64_t now_us,
+			   uint32_t node, uint32_t worker,
+			   uint64_t incarnation);
+void checker_job_sent(struct checker *checker, uint64_t now_us, uint32_t node,
 		      uint32_t worker, uint64_t incarnation,
-		      const uint64_t heard_us[CHECKER_NODES_MAX]);
+		      const uint64_t contact_us[CHECKER_NODES_MAX]);
 void checker_exit(struct checker *checker, uint64_t now_us, uint32_t node);
 void checker_config_accepted(struct checker *checker, uint64_t now_us,
 			     uint64_t revision, const char *id);
-void checker_config_offered(struct checker *checker, uint64_t now_us,
-			    uint32_t node, uint64_t revision, const char *id);
-void checker_config_seen(struct checker *checker, uint64_t now_us,
-			 uint32_t node, uint64_t incarnation,
-			 uint64_t revision);
-void checker_node_reach(struct checker *checker, uint64_t now_us, uint32_t node,
-			bool reached);
+void checker_config_forwarded(struct checker *checker, uint64_t now_us,
+			      uint32_t node, uint64_t revision, const char *id);
+void checker_config_in_force(struct checker *checker, uint64_t now_us,
+			     uint32_t node, uint64_t incarnation,
+			     uint64_t revision);
+void checker_node_platform(struct checker *checker, uint64_t now_us,
+			   uint32_t node, bool reachable);
 void checker_node_peer(struct checker *checker, uint32_t node,
 		       uint64_t since_us);
 void checker_tick(struct checker *checker, uint64_t now_us);
--- a/src/test_libradishjunction/support/checker_answers.c
+++ b/src/test_libradishjunction/support/checker_answers.c
@@ -30,13 +30,13 @@
 /*
  * The caller has stopped waiting, or its instance died.
  */
-void checker_request_gone(struct checker *checker, uint64_t request_id)
+void checker_request_abandoned(struct checker *checker, uint64_t request_id)
 {
 	struct checker_request *request =
 		g_hash_table_lookup(checker->requests, &request_id);
 
 	if (request)
-		request->gone = true;
+		request->abandoned = true;
 }
 
 /*
@@ -51,26 +51,26 @@
 		request->delivered = true;
 }
 
-static void mark_gone(gpointer key, gpointer value, gpointer data)
+static void mark_abandoned(gpointer key, gpointer value, gpointer data)
 {
 	struct checker_request *request = value;
 	const uint32_t *node = data;
 
 	if (request->node == *node)
-		request->gone = true;
+		request->abandoned = true;
 }
 
 /*
  * An instance has ended, and the connections of its callers with it.
  */
-void checker_node_gone(struct checker *checker, uint32_t node)
+void checker_node_ended(struct checker *checker, uint32_t node)
 {
-	g_hash_table_foreach(checker->requests, mark_gone, &node);
+	g_hash_table_foreach(checker->requests, mark_abandoned, &node);
 }
 
 /* Whether `result` is one or more whole results of the intent. */
-static bool result_is_whole(const struct checker_intent *intent,
-			    const struct rj_bytes *result)
+static bool result_is_complete(const struct checker_intent *intent,
+			       const struct rj_bytes *result)
 {
 	uint32_t length = (uint32_t)strlen(intent->result);
 
@@ -101,14 +101,14 @@
 			  struct checker_intent *intent,
 			  const struct rj_answer *answer)
 {
-	checker->checks[PROMISE_NOT_RUN]++;
+	checker->checks[INVARIANT_NOT_RUN]++;
 	if (intent->ran)
-		checker_violation(checker, now_us, PROMISE_NOT_RUN,
+		checker_violation(checker, now_us, INVARIANT_NOT_RUN,
 				  "intent %u was told not_run (%s) and had run",
 				  request->intent,
 				  rj_reason_string[answer->reason]);
 	if (intent->accepted && answer->reason == RJ_REASON_NO_SUCH_JOB)
-		checker_violation(checker, now_us, PROMISE_ACCEPTED,
+		checker_violation(checker, now_us, INVARIANT_ACCEPTED,
 				  "accepted intent %u is no longer known",
 				  request->intent);
 	if (request->op == RJ_REQUEST_SUBMIT)
@@ -127,9 +127,9 @@
 		g_hash_table_lookup(checker->requests, &request_id);
 	struct checker_intent *intent;
 
-	checker->checks[PROMISE_ANSWER]++;
+	checker->checks[INVARIANT_ANSWER]++;
 	if (!request || request->node != node) {
-		checker_violation(checker, now_us, PROMISE_ANSWER,
+		checker_violation(checker, now_us, INVARIANT_ANSWER,
 				  "node %u answered request %" PRIu64
 				  ", which it never got",
 				  node, request_id);
@@ -137,23 +137,23 @@
 	}
 	intent = checker_intent_get(checker, request->intent);
 	if (request->answers++)
-		checker_violation(checker, now_us, PROMISE_ANSWER,
+		checker_violation(checker, now_us, INVARIANT_ANSWER,
 				  "request %" PRIu64 " was answered twice",
 				  request_id);
 	if (answer->kind == RJ_ANSWER_DONE) {
-		if (!result_is_whole(intent, &answer->result))
+		if (!result_is_complete(intent, &answer->result))
 			checker_violation(
-				checker, now_us, PROMISE_ANSWER,
+				checker, now_us, INVARIANT_ANSWER,
 				"intent %u: the result is not its own whole",
 				request->intent);
 		if (!intent->completed)
 			checker_violation(
-				checker, now_us, PROMISE_ANSWER,
+				checker, now_us, INVARIANT_ANSWER,
 				"intent %u: done, but no run of it ended",
 				request->intent);
 	}
 	if (answer->kind == RJ_ANSWER_FAILED && !intent->ran)
-		checker_violation(checker, now_us, PROMISE_ANSWER,
+		checker_violation(checker, now_us, INVARIANT_ANSWER,
 				  "intent %u: failed (%s), but it never ran",
 				  request->intent,
 				  rj_reason_string[answer->reason]);
@@ -161,7 +161,7 @@
 		check_not_run(checker, now_us, request, intent, answer);
 	if (answer->kind == RJ_ANSWER_ACCEPTED)
 		intent->accepted = true;
-	if (!request->gone && is_final(answer) &&
+	if (!request->abandoned && is_final(answer) &&
 	    intent->answered_us == RJ_NEVER_US) {
 		intent->answered_us = now_us;
 		intent->answer = answer->kind;
@@ -174,7 +174,7 @@
 	const uint32_t *node = data;
 
 	return request->node == *node && request->delivered &&
-	       !request->answers && !request->gone;
+	       !request->answers && !request->abandoned;
 }
 
 /*
@@ -185,10 +185,10 @@
 	const struct checker_request *open =
 		g_hash_table_find(checker->requests, is_open_at, &node);
 
-	checker->checks[PROMISE_STOP]++;
+	checker->checks[INVARIANT_STOP]++;
 	if (open)
 		checker_violation(
-			checker, now_us, PROMISE_STOP,
+			checker, now_us, INVARIANT_STOP,
 			"node %u exits with a request of intent %u open", node,
 			open->intent);
 }
--- a/src/test_libradishjunction/support/checker_config.c
+++ b/src/test_libradishjunction/support/checker_config.c
@@ -19,17 +19,17 @@
 /*
  * An instance hands on what it takes for the accepted one of a revision.
  */
-void checker_config_offered(struct checker *checker, uint64_t now_us,
-			    uint32_t node, uint64_t revision, const char *id)
+void checker_config_forwarded(struct checker *checker, uint64_t now_us,
+			      uint32_t node, uint64_t revision, const char *id)
 {
 	const char *accepted = NULL;
 
 	if (revision && revision <= checker->config_ids->len)
 		accepted = checker->config_ids->pdata[revision - 1];
-	checker->checks[PROMISE_CONFIG]++;
+	checker->checks[INVARIANT_CONFIG]++;
 	if (!accepted || strcmp(accepted, id) != 0)
 		checker_violation(
-			checker, now_us, PROMISE_CONFIG,
+			checker, now_us, INVARIANT_CONFIG,
 			"node %u holds %s for revision %" PRIu64 ", not %s",
 			node, id, revision, accepted ? accepted : "none");
 }
@@ -37,46 +37,47 @@
 /*
  * An instance says which revision is in force at it.
  */
-void checker_config_seen(struct checker *checker, uint64_t now_us,
-			 uint32_t node, uint64_t incarnation, uint64_t revision)
+void checker_config_in_force(struct checker *checker, uint64_t now_us,
+			     uint32_t node, uint64_t incarnation,
+			     uint64_t revision)
 {
-	struct checker_node *seen = &checker->nodes[node];
+	struct checker_node *known = &checker->nodes[node];
 
-	checker->checks[PROMISE_CONFIG]++;
-	if (seen->incarnation != incarnation) {
-		seen->incarnation = incarnation;
-		seen->revision = 0;
+	checker->checks[INVARIANT_CONFIG]++;
+	if (known->incarnation != incarnation) {
+		known->incarnation = incarnation;
+		known->revision = 0;
 	}
 	if (revision > checker->revision)
-		checker_violation(checker, now_us, PROMISE_CONFIG,
+		checker_violation(checker, now_us, INVARIANT_CONFIG,
 				  "node %u has revision %" PRIu64
 				  ", which was not accepted",
 				  node, revision);
-	if (revision < seen->revision)
-		checker_violation(checker, now_us, PROMISE_CONFIG,
+	if (revision < known->revision)
+		checker_violation(checker, now_us, INVARIANT_CONFIG,
 				  "node %u went back from revision %" PRIu64
 				  " to %" PRIu64,
-				  node, seen->revision, revision);
-	if (revision > seen->revision && revision == checker->revision) {
+				  node, known->revision, revision);
+	if (revision > known->revision && revision == checker->revision) {
 		uint64_t took_us = now_us - checker->revision_us;
 
 		g_array_append_val(checker->settle_us, took_us);
 	}
-	seen->revision = revision;
+	known->revision = revision;
 }
 
 /*
  * An instance can, or cannot, reach the platform.
  */
-void checker_node_reach(struct checker *checker, uint64_t now_us, uint32_t node,
-			bool reached)
+void checker_node_platform(struct checker *checker, uint64_t now_us,
+			   uint32_t node, bool reachable)
 {
-	struct checker_node *seen = &checker->nodes[node];
+	struct checker_node *known = &checker->nodes[node];
 
-	if (!reached)
-		seen->reached_us = RJ_NEVER_US;
-	else if (seen->reached_us == RJ_NEVER_US)
-		seen->reached_us = now_us;
+	if (!reachable)
+		known->platform_since_us = RJ_NEVER_US;
+	else if (known->platform_since_us == RJ_NEVER_US)
+		known->platform_since_us = now_us;
 }
 
 /*
@@ -86,7 +87,7 @@
 void checker_node_peer(struct checker *checker, uint32_t node,
 		       uint64_t since_us)
 {
-	checker->nodes[node].peer_us = since_us;
+	checker->nodes[node].peer_since_us = since_us;
 }
 
 /*
@@ -96,20 +97,21 @@
 void checker_config_tick(struct checker *checker, uint64_t now_us)
 {
 	for (uint32_t i = 0; i < CHECKER_NODES_MAX; i++) {
-		struct checker_node *seen = &checker->nodes[i];
-		uint64_t since_us = MIN(seen->reached_us, seen->peer_us);
+		struct checker_node *known = &checker->nodes[i];
+		uint64_t since_us =
+			MIN(known->platform_since_us, known->peer_since_us);
 
 		if (since_us == RJ_NEVER_US ||
-		    seen->revision >= checker->revision ||
-		    seen->late_told == checker->revision)
+		    known->revision >= checker->revision ||
+		    known->late_reported == checker->revision)
 			continue;
 		since_us = MAX(since_us, checker->revision_us);
 		if (now_us <= since_us + CHECKER_CONFIG_US)
 			continue;
-		checker_violation(checker, now_us, PROMISE_CONFIG,
+		checker_violation(checker, now_us, INVARIANT_CONFIG,
 				  "node %u has revision %" PRIu64
 				  ", not %" PRIu64,
-				  i, seen->revision, checker->revision);
-		seen->late_told = checker->revision;
+				  i, known->revision, checker->revision);
+		known->late_reported = checker->revision;
 	}
 }
--- a/src/test_libradishjunction/support/checker_guarantee.c
+++ b/src/test_libradishjunction/support/checker_guarantee.c
@@ -5,16 +5,16 @@
 /*
  * The account has what it asked for once all of the shape has progressed.
  */
-void checker_guarantee_whole(struct checker *checker, uint64_t now_us,
-			     const struct checker_attempt *attempt)
+void checker_guarantee_met(struct checker *checker, uint64_t now_us,
+			   const struct checker_attempt *attempt)
 {
 	struct checker_intent *intent =
 		checker_intent_get(checker, attempt->intent);
 
-	if (intent->whole_us != RJ_NEVER_US)
+	if (intent->progressed_us != RJ_NEVER_US)
 		return;
-	intent->whole_us = now_us;
-	checker->checks[PROMISE_GUARANTEE] += intent->guaranteed;
+	intent->progressed_us = now_us;
+	checker->checks[INVARIANT_GUARANTEE] += intent->guaranteed;
 }
 
 /*
@@ -27,18 +27,18 @@
 		uint64_t since_us = intent->submitted_us;
 
 		if (!intent->guaranteed || !intent->requests ||
-		    intent->whole_us != RJ_NEVER_US || intent->late_told ||
-		    intent->cancelled)
+		    intent->progressed_us != RJ_NEVER_US ||
+		    intent->late_reported || intent->cancelled)
 			continue;
-		if (checker->calm_us == RJ_NEVER_US)
+		if (checker->recovered_us == RJ_NEVER_US)
 			continue;
-		if (checker->calm_us > since_us)
-			since_us = checker->calm_us;
+		if (checker->recovered_us > since_us)
+			since_us = checker->recovered_us;
 		if (now_us <= since_us + checker->guarantee_limit_us)
 			continue;
-		intent->late_told = true;
+		intent->late_reported = true;
 		checker_violation(
-			checker, now_us, PROMISE_GUARANTEE,
+			checker, now_us, INVARIANT_GUARANTEE,
 			"intent %u waits for its guaranteed shape since "
 			"%" PRIu64,
 			i, since_us);
--- a/src/test_libradishjunction/support/checker_leaving.c
+++ b/src/test_libradishjunction/support/checker_leaving.c
@@ -6,62 +6,61 @@
  * An instance starts empty, or goes on after a pause: what it was told
  * meanwhile it learns only now.
  */
-void checker_node_wakes(struct checker *checker, uint64_t now_us, uint32_t node,
-			bool empty)
+void checker_node_resumed(struct checker *checker, uint64_t now_us,
+			  uint32_t node, bool empty)
 {
 	struct checker_node *self = &checker->nodes[node];
 
 	for (uint32_t i = 0; i < CHECKER_WORKERS_MAX; i++) {
 		if (empty)
-			self->learnt[i] = 0;
-		if (self->learnt_us[i])
-			self->learnt_us[i] = now_us;
+			self->leaving_incarnation[i] = 0;
+		if (self->leaving_since_us[i])
+			self->leaving_since_us[i] = now_us;
 	}
 }
 
 /*
  * An instance was told that a worker leaves.
  */
-void checker_leaving_learnt(struct checker *checker, uint64_t now_us,
-			    uint32_t node, uint32_t worker,
-			    uint64_t incarnation)
+void checker_leaving_known(struct checker *checker, uint64_t now_us,
+			   uint32_t node, uint32_t worker, uint64_t incarnation)
 {
 	struct checker_node *known = &checker->nodes[node];
 
-	if (known->learnt[worker] >= incarnation)
+	if (known->leaving_incarnation[worker] >= incarnation)
 		return;
-	known->learnt[worker] = incarnation;
-	known->learnt_us[worker] = now_us;
+	known->leaving_incarnation[worker] = incarnation;
+	known->leaving_since_us[worker] = now_us;
 }
 
 /*
  * An instance sends new work to a worker that would take it.
- * `heard_us` is since when it has heard each other instance without a break,
+ * `contact_us` is since when it has heard each other instance without a break,
  * RJ_NEVER_US where it does not.
  */
-void checker_new_work(struct checker *checker, uint64_t now_us, uint32_t node,
+void checker_job_sent(struct checker *checker, uint64_t now_us, uint32_t node,
 		      uint32_t worker, uint64_t incarnation,
-		      const uint64_t heard_us[CHECKER_NODES_MAX])
+		      const uint64_t contact_us[CHECKER_NODES_MAX])
 {
 	struct checker_node *self = &checker->nodes[node];
 
-	checker->checks[PROMISE_LEAVING]++;
+	checker->checks[INVARIANT_LEAVING]++;
 	for (uint32_t i = 0; i < CHECKER_NODES_MAX; i++) {
 		struct checker_node *other = &checker->nodes[i];
-		uint64_t since_us = other->learnt_us[worker];
+		uint64_t since_us = other->leaving_since_us[worker];
 
 		if (other->domain != self->domain ||
-		    other->learnt[worker] != incarnation ||
-		    (i != node && heard_us[i] == RJ_NEVER_US))
+		    other->leaving_incarnation[worker] != incarnation ||
+		    (i != node && contact_us[i] == RJ_NEVER_US))
 			continue;
-		if (i != node && heard_us[i] > since_us)
-			since_us = heard_us[i];
+		if (i != node && contact_us[i] > since_us)
+			since_us = contact_us[i];
 		if (now_us > since_us + CHECKER_LEAVING_US)
 			checker_violation(
-				checker, now_us, PROMISE_LEAVING,
+				checker, now_us, INVARIANT_LEAVING,
 				"node %u sends work to worker %u, known to "
 				"leave for %" PRIu64 " us",
 				node, worker,
-				now_us - other->learnt_us[worker]);
+				now_us - other->leaving_since_us[worker]);
 	}
 }
--- a/src/test_libradishjunction/support/checker_tasks.c
+++ b/src/test_libradishjunction/support/checker_tasks.c
@@ -19,10 +19,10 @@
 /*
  * A worker was asked to start a task with a body that no caller had sent.
  */
-void checker_foreign_body(struct checker *checker, uint64_t now_us,
+void checker_unknown_body(struct checker *checker, uint64_t now_us,
 			  const struct rj_attempt *id)
 {
-	checker_violation(checker, now_us, PROMISE_ANSWER,
+	checker_violation(checker, now_us, INVARIANT_ANSWER,
 			  "job %016" PRIx64
 			  " is started with a body that no caller sent",
 			  id->job_id);
@@ -43,19 +43,19 @@
 		attempt->id = *id;
 		attempt->intent = intent;
 		attempt->gang = gang;
-		attempt->broken_us = RJ_NEVER_US;
+		attempt->failed_us = RJ_NEVER_US;
 		g_hash_table_insert(checker->attempts, &attempt->id, attempt);
 		if (gang > 1)
 			g_ptr_array_add(checker->gangs, attempt);
 	}
 	if (attempt->intent != intent)
-		checker_violation(checker, now_us, PROMISE_ANSWER,
+		checker_violation(checker, now_us, INVARIANT_ANSWER,
 				  "an attempt of intent %u runs the body of %u",
 				  attempt->intent, intent);
 	if (!(attempt->member[member] & MEMBER_STARTED))
 		attempt->started++;
 	else if (!checker_intent_get(checker, intent)->idempotent)
-		checker_violation(checker, now_us, PROMISE_ONCE,
+		checker_violation(checker, now_us, INVARIANT_ONCE,
 				  "intent %u: member %u started twice", intent,
 				  member);
 	attempt->member[member] |= MEMBER_STARTED;
@@ -71,15 +71,15 @@
 
 	attempt->ran = true;
 	intent->ran++;
-	checker->checks[PROMISE_NOT_RUN]++;
+	checker->checks[INVARIANT_NOT_RUN]++;
 	if (intent->refused >= intent->requests)
 		checker_violation(
-			checker, now_us, PROMISE_NOT_RUN,
+			checker, now_us, INVARIANT_NOT_RUN,
 			"intent %u runs after every answer was not_run",
 			attempt->intent);
 	if (intent->idempotent)
 		return;
-	checker->checks[PROMISE_ONCE]++;
+	checker->checks[INVARIANT_ONCE]++;
 	for (uint32_t i = 0; i < checker->intents->len; i++) {
 		struct checker_intent *other = checker_intent_get(checker, i);
 
@@ -88,7 +88,7 @@
 			ran += other->ran;
 	}
 	if (ran > 1)
-		checker_violation(checker, now_us, PROMISE_ONCE,
+		checker_violation(checker, now_us, INVARIANT_ONCE,
 				  "intent %u (key %u) runs for the %uth time",
 				  attempt->intent, intent->key, ran);
 }
@@ -119,11 +119,11 @@
 	if (!attempt->ran)
 		check_run(checker, now_us, attempt);
 	if (attempt->progressed == attempt->gang)
-		checker_guarantee_whole(checker, now_us, attempt);
-	checker->checks[PROMISE_GANG] += attempt->gang > 1;
+		checker_guarantee_met(checker, now_us, attempt);
+	checker->checks[INVARIANT_GANG] += attempt->gang > 1;
 	if (attempt->started < attempt->gang)
 		checker_violation(
-			checker, now_us, PROMISE_GANG,
+			checker, now_us, INVARIANT_GANG,
 			"intent %u: member %u runs with %u of %u started",
 			attempt->intent, member, attempt->started,
 			attempt->gang);
@@ -144,8 +144,8 @@
 	checker_task_progress(checker, now_us, id, member, false);
 	attempt->member[member] |= MEMBER_ENDED;
 	if (state != RJ_TASK_DONE) {
-		if (attempt->broken_us == RJ_NEVER_US)
-			attempt->broken_us = now_us;
+		if (attempt->failed_us == RJ_NEVER_US)
+			attempt->failed_us = now_us;
 		return;
 	}
 	if (++attempt->done == attempt->gang)
@@ -164,13 +164,14 @@
 		struct checker_attempt *attempt =
 			g_ptr_array_index(checker->gangs, i);
 
-		if (attempt->broken_us == RJ_NEVER_US || !attempt->running ||
-		    attempt->told || now_us <= attempt->broken_us + limit_us)
+		if (attempt->failed_us == RJ_NEVER_US || !attempt->running ||
+		    attempt->reported ||
+		    now_us <= attempt->failed_us + limit_us)
 			continue;
-		attempt->told = true;
+		attempt->reported = true;
 		checker_violation(
-			checker, now_us, PROMISE_GANG,
+			checker, now_us, INVARIANT_GANG,
 			"intent %u: %u members still run, one ended at %" PRIu64,
-			attempt->intent, attempt->running, attempt->broken_us);
+			attempt->intent, attempt->running, attempt->failed_us);
 	}
 }
--- a/src/test_libradishjunction/support/engine.h
+++ b/src/test_libradishjunction/support/engine.h
@@ -24,6 +24,6 @@
 
 extern const struct engine_ops engine_core;
 extern const struct engine_ops engine_core_first_fit;
-extern const struct engine_ops engine_naive;
+extern const struct engine_ops engine_reference;
 
 #endif
--- a/src/test_libradishjunction/support/engine_core.c
+++ b/src/test_libradishjunction/support/engine_core.c
@@ -5,7 +5,7 @@
 
 #include "radishjunction/planner_topology.h"
 
-struct engine_of_core {
+struct core_engine {
 	struct engine base;
 	struct rj_core core;
 	struct rj_planner *planner;
@@ -13,7 +13,7 @@
 	struct rj_planner_first_fit first_fit;
 };
 
-static int release(struct engine_of_core *engine)
+static int release(struct core_engine *engine)
 {
 	rj_core_finish(&engine->core);
 	engine->planner->ops->finish(engine->planner);
@@ -21,7 +21,7 @@
 }
 
 /* Make the core over the planner that `engine` holds already. */
-static struct engine *start(struct engine_of_core *engine,
+static struct engine *start(struct core_engine *engine,
 			    const struct rj_core_options *options)
 {
 	struct rj_core_options whole = *options;
@@ -37,7 +37,7 @@
 
 static struct engine *create(void *mem, const struct rj_core_options *options)
 {
-	struct engine_of_core *engine = talloc_zero(mem, struct engine_of_core);
+	struct core_engine *engine = talloc_zero(mem, struct core_engine);
 	int failed;
 
 	assert(engine);
@@ -51,7 +51,7 @@
 static struct engine *create_first_fit(void *mem,
 				       const struct rj_core_options *options)
 {
-	struct engine_of_core *engine = talloc_zero(mem, struct engine_of_core);
+	struct core_engine *engine = talloc_zero(mem, struct core_engine);
 	int failed;
 
 	assert(engine);
@@ -65,15 +65,14 @@
 static void process(struct engine *base, const struct rj_event *event,
 		    struct rj_actions *actions)
 {
-	struct engine_of_core *engine = (struct engine_of_core *)base;
+	struct core_engine *engine = (struct core_engine *)base;
 
 	rj_core_process(&engine->core, event, actions);
 }
 
 static uint64_t wake_us(const struct engine *base)
 {
-	const struct engine_of_core *engine =
-		(const struct engine_of_core *)base;
+	const struct core_engine *engine = (const struct core_engine *)base;
 
 	return rj_core_wake_us(&engine->core);
 }
--- a/src/test_libradishjunction/support/event_loop.c
+++ b/src/test_libradishjunction/support/event_loop.c
@@ -3,21 +3,21 @@
 #include <glib.h>
 
 /* Far above what any test takes: one that hangs fails. */
-#define PATIENCE_S 30
+#define TIMEOUT_S 30
 
 static void on_patience(struct tevent_context *loop, struct tevent_timer *timer,
 			struct timeval now, void *private_data)
 {
-	g_error("the condition did not come true in %d s", PATIENCE_S);
+	g_error("the condition did not come true in %d s", TIMEOUT_S);
 }
 
 /*
  * Fail the test in 30 s unless the returned timer is freed before.
  */
-struct tevent_timer *test_patience(struct tevent_context *loop)
+struct tevent_timer *test_timeout_start(struct tevent_context *loop)
 {
 	return tevent_add_timer(loop, loop,
-				tevent_timeval_current_ofs(PATIENCE_S, 0),
+				tevent_timeval_current_ofs(TIMEOUT_S, 0),
 				on_patience, NULL);
 }
 
--- a/src/test_libradishjunction/support/event_loop.h
+++ b/src/test_libradishjunction/support/event_loop.h
@@ -8,15 +8,16 @@
 #include <tevent.h>
 
 /* Run the loop until the condition holds; the test fails if it never does. */
-#define RUN_UNTIL(loop, condition)                                   \
-	do {                                                         \
-		struct tevent_timer *patience = test_patience(loop); \
-		while (!(condition))                                 \
-			test_loop_once(loop);                        \
-		talloc_free(patience);                               \
+#define RUN_UNTIL(loop, condition)                       \
+	do {                                             \
+		struct tevent_timer *run_until_timeout = \
+			test_timeout_start(loop);        \
+		while (!(condition))                     \
+			test_loop_once(loop);            \
+		talloc_free(run_until_timeout);          \
 	} while (0)
 
-struct tevent_timer *test_patience(struct tevent_context *loop);
+struct tevent_timer *test_timeout_start(struct tevent_context *loop);
 void test_loop_once(struct tevent_context *loop);
 
 #endif
--- a/src/test_libradishjunction/support/fake_log.c
+++ b/src/test_libradishjunction/support/fake_log.c
@@ -35,70 +35,72 @@
 /*
  * Whether an instance reaches the platform.
  */
-bool fake_log_reachable(const struct world *world, const struct node *node)
+bool fake_log_reachable(const struct simulation *simulation,
+			const struct node *node)
 {
-	return !world->log.down && !world->log.cut[node->domain] &&
-	       !world->log.cut_node[node->index];
+	return !simulation->log.down && !simulation->log.cut[node->domain] &&
+	       !simulation->log.cut_node[node->index];
 }
 
-static uint64_t round_trip_us(struct world *world)
+static uint64_t round_trip_us(struct simulation *simulation)
 {
-	return ROUND_TRIP_US + world_random(world, ROUND_TRIP_US) +
-	       world->log.slow_us;
+	return ROUND_TRIP_US + simulation_random(simulation, ROUND_TRIP_US) +
+	       simulation->log.slow_us;
 }
 
-static void take_snapshot(struct world *world, struct world_event *event)
+static void take_snapshot(struct simulation *simulation,
+			  struct simulation_event *event)
 {
 	struct list_snapshot *snapshot =
-		talloc_zero(world, struct list_snapshot);
+		talloc_zero(simulation, struct list_snapshot);
 
 	assert(snapshot);
-	snapshot->at_us = world->now_us;
-	for (uint32_t i = 0; i < world->node_count; i++) {
-		struct rj_instance *line = &snapshot->list[snapshot->count];
-		const struct node *node = &world->nodes[i];
+	snapshot->at_us = simulation->now_us;
+	for (uint32_t i = 0; i < simulation->node_count; i++) {
+		struct rj_instance *entry = &snapshot->list[snapshot->count];
+		const struct node *node = &simulation->nodes[i];
 
 		if (!node->engine)
 			continue;
 		snapshot->count++;
-		memcpy(line->name, node->name, sizeof(line->name));
-		line->role = RJ_ROLE_ENTRY;
-		(void)snprintf(line->domain, sizeof(line->domain), "d%u",
+		memcpy(entry->name, node->name, sizeof(entry->name));
+		entry->role = RJ_ROLE_ENTRY;
+		(void)snprintf(entry->domain, sizeof(entry->domain), "d%u",
 			       node->domain);
-		(void)g_strlcpy(line->address.ip, "127.0.0.1", RJ_IP_BYTES);
-		line->address.port = (uint16_t)(1 + i);
-		line->incarnation = node->incarnation;
-		line->leaving = node->stopping;
+		(void)g_strlcpy(entry->address.ip, "127.0.0.1", RJ_IP_BYTES);
+		entry->address.port = (uint16_t)(1 + i);
+		entry->incarnation = node->incarnation;
+		entry->leaving = node->stopping;
 	}
-	for (uint32_t i = 0; i < world->worker_count; i++) {
-		struct rj_instance *line = &snapshot->list[snapshot->count];
-		const struct fake_worker *worker = &world->workers[i];
+	for (uint32_t i = 0; i < simulation->worker_count; i++) {
+		struct rj_instance *entry = &snapshot->list[snapshot->count];
+		const struct fake_worker *worker = &simulation->workers[i];
 
 		if (worker->down)
 			continue;
 		snapshot->count++;
-		memcpy(line->name, worker->name, sizeof(line->name));
-		line->role = RJ_ROLE_WORKER;
-		(void)snprintf(line->domain, sizeof(line->domain), "d%u",
+		memcpy(entry->name, worker->name, sizeof(entry->name));
+		entry->role = RJ_ROLE_WORKER;
+		(void)snprintf(entry->domain, sizeof(entry->domain), "d%u",
 			       worker->domain);
-		line->rack = worker->rack;
-		(void)g_strlcpy(line->address.ip, "127.0.0.1", RJ_IP_BYTES);
-		line->address.port = (uint16_t)(1000 + i);
-		line->incarnation = worker->incarnation;
-		line->leaving = worker->leaving;
+		entry->rack = worker->rack;
+		(void)g_strlcpy(entry->address.ip, "127.0.0.1", RJ_IP_BYTES);
+		entry->address.port = (uint16_t)(1000 + i);
+		entry->incarnation = worker->incarnation;
+		entry->leaving = worker->leaving;
 	}
-	g_queue_push_tail(&world->log.lists, snapshot);
-	if (g_queue_get_length(&world->log.lists) > LIST_SNAPSHOTS)
-		talloc_free(g_queue_pop_head(&world->log.lists));
-	(void)world_after(world, LIST_PERIOD_US, take_snapshot);
+	g_queue_push_tail(&simulation->log.lists, snapshot);
+	if (g_queue_get_length(&simulation->log.lists) > LIST_SNAPSHOTS)
+		talloc_free(g_queue_pop_head(&simulation->log.lists));
+	(void)simulation_schedule(simulation, LIST_PERIOD_US, take_snapshot);
 }
 
 /*
  * Start with empty streams; the list lags by a second.
  */
-void fake_log_init(struct world *world)
+void fake_log_init(struct simulation *simulation)
 {
-	struct fake_log *log = &world->log;
+	struct fake_log *log = &simulation->log;
 
 	for (uint32_t i = 0; i < RJ_STREAM_COUNT; i++) {
 		log->streams[i] = g_ptr_array_new();
@@ -106,47 +108,48 @@
 	}
 	g_queue_init(&log->lists);
 	log->list_lag_us = RJ_US_PER_S;
-	(void)world_after(world, 0, take_snapshot);
+	(void)simulation_schedule(simulation, 0, take_snapshot);
 }
 
 /*
  * Free what GLib holds for the log.
  */
-void fake_log_finish(struct world *world)
+void fake_log_finish(struct simulation *simulation)
 {
 	for (uint32_t i = 0; i < RJ_STREAM_COUNT; i++) {
-		g_ptr_array_unref(world->log.streams[i]);
-		g_queue_free(world->log.readers[i]);
+		g_ptr_array_unref(simulation->log.streams[i]);
+		g_queue_free(simulation->log.readers[i]);
 	}
-	g_queue_clear(&world->log.lists);
+	g_queue_clear(&simulation->log.lists);
 }
 
-static void trim(struct world *world, enum rj_stream stream)
+static void trim(struct simulation *simulation, enum rj_stream stream)
 {
-	GPtrArray *records = world->log.streams[stream];
+	GPtrArray *records = simulation->log.streams[stream];
 
-	while (world->log.oldest[stream] < records->len) {
+	while (simulation->log.oldest[stream] < records->len) {
 		const struct stored *oldest =
-			records->pdata[world->log.oldest[stream]];
+			records->pdata[simulation->log.oldest[stream]];
 
-		if (oldest->at_us + world->log_retention_us > world->now_us)
+		if (oldest->at_us + simulation->log_retention_us >
+		    simulation->now_us)
 			break;
-		world->log.oldest[stream]++;
+		simulation->log.oldest[stream]++;
 	}
 }
 
 /* Answer a read with what the stream holds from `from` on. */
-static void answer_read(struct world *world, struct node *node,
+static void answer_read(struct simulation *simulation, struct node *node,
 			enum rj_stream stream, uint64_t from)
 {
-	GPtrArray *stored = world->log.streams[stream];
-	struct rj_event *event = node_event(world, RJ_EVENT_RECORDS);
+	GPtrArray *stored = simulation->log.streams[stream];
+	struct rj_event *event = node_event(simulation, RJ_EVENT_RECORDS);
 	struct rj_records *records = &event->u.records;
 
-	trim(world, stream);
+	trim(simulation, stream);
 	records->stream = stream;
 	records->from = from;
-	records->oldest = world->log.oldest[stream];
+	records->oldest = simulation->log.oldest[stream];
 	records->head = stored->len;
 	if (from < records->oldest)
 		from = records->oldest;
@@ -159,141 +162,152 @@
 
 		copy_record(event, record, &one->record);
 		record->offset = from++;
-		record->age_us = world->now_us - one->at_us;
+		record->age_us = simulation->now_us - one->at_us;
 	}
 	records->next = from;
-	node_deliver_after(world, node, round_trip_us(world) / 2, event);
+	node_deliver_after(simulation, node, round_trip_us(simulation) / 2,
+			   event);
 }
 
-static void fail_read(struct world *world, struct node *node,
+static void fail_read(struct simulation *simulation, struct node *node,
 		      enum rj_stream stream)
 {
-	struct rj_event *event = node_event(world, RJ_EVENT_READ_FAILED);
+	struct rj_event *event = node_event(simulation, RJ_EVENT_READ_FAILED);
 
 	event->u.stream = stream;
-	node_deliver_after(world, node, TIMEOUT_US, event);
+	node_deliver_after(simulation, node, TIMEOUT_US, event);
 }
 
-static void wake_readers(struct world *world, enum rj_stream stream)
+static void wake_readers(struct simulation *simulation, enum rj_stream stream)
 {
-	GQueue *readers = world->log.readers[stream];
+	GQueue *readers = simulation->log.readers[stream];
 	GQueue waiting = *readers;
-	struct world_event *reader;
+	struct simulation_event *reader;
 
 	g_queue_init(readers);
 	while ((reader = g_queue_pop_head(&waiting))) {
-		struct node *node = &world->nodes[reader->index];
+		struct node *node = &simulation->nodes[reader->index];
 
-		if (reader->run && node->life == reader->life) {
-			if (fake_log_reachable(world, node))
-				answer_read(world, node, stream, reader->order);
+		if (reader->run && node->epoch == reader->epoch) {
+			if (fake_log_reachable(simulation, node))
+				answer_read(simulation, node, stream,
+					    reader->order);
 			else
-				fail_read(world, node, stream);
+				fail_read(simulation, node, stream);
 		}
 		reader->run = NULL;
 	}
 }
 
 /* The config stream's rule, by which the checker knows what was accepted. */
-static void replay_config(struct world *world, const struct rj_record *record)
+static void replay_config(struct simulation *simulation,
+			  const struct rj_record *record)
 {
 	const char *text = record->config_text;
 	struct rj_error_list errors;
 	struct rj_config *config;
 
-	if (record->base_revision != world->log.revision)
+	if (record->base_revision != simulation->log.revision)
 		return;
-	rj_error_list_init(&errors, world);
+	rj_error_list_init(&errors, simulation);
 	if (!text)
-		text = rj_config_change_apply(world, world->log.config_text,
+		text = rj_config_change_apply(simulation,
+					      simulation->log.config_text,
 					      &record->config_change, &errors);
-	config = text ? rj_config_parse(world, text, &errors) : NULL;
+	config = text ? rj_config_parse(simulation, text, &errors) : NULL;
 	rj_error_list_finish(&errors);
 	if (!config)
 		return;
-	world->log.config_text = talloc_strdup(world, text);
+	simulation->log.config_text = talloc_strdup(simulation, text);
 	rj_config_unref(config);
-	world->log.revision++;
-	(void)snprintf(world->log.config_id, RJ_CONFIG_ID_BYTES, "%s",
+	simulation->log.revision++;
+	(void)snprintf(simulation->log.config_id, RJ_CONFIG_ID_BYTES, "%s",
 		       record->config_id);
-	world_note(world, "revision %" PRIu64 " is accepted",
-		   world->log.revision);
-	checker_config_accepted(&world->checker, world->now_us,
-				world->log.revision, record->config_id);
+	simulation_trace(simulation, "revision %" PRIu64 " is accepted",
+			 simulation->log.revision);
+	checker_config_accepted(&simulation->checker, simulation->now_us,
+				simulation->log.revision, record->config_id);
 }
 
-static uint64_t store(struct world *world, const struct rj_append *append)
+static uint64_t store(struct simulation *simulation,
+		      const struct rj_append *append)
 {
-	GPtrArray *records = world->log.streams[append->stream];
+	GPtrArray *records = simulation->log.streams[append->stream];
 	uint64_t first = records->len;
 
 	for (uint32_t i = 0; i < append->count; i++) {
-		struct stored *stored = talloc_zero(world, struct stored);
+		struct stored *stored = talloc_zero(simulation, struct stored);
 
 		assert(stored);
 		copy_record(stored, &stored->record, &append->records[i]);
-		stored->at_us = world->now_us;
+		stored->at_us = simulation->now_us;
 		g_ptr_array_add(records, stored);
 		if (append->stream == RJ_STREAM_CONFIG &&
 		    append->records[i].kind == RJ_RECORD_CONFIG &&
 		    !append->records[i].carried)
-			replay_config(world, &append->records[i]);
+			replay_config(simulation, &append->records[i]);
 	}
-	wake_readers(world, append->stream);
+	wake_readers(simulation, append->stream);
 	return first;
 }
 
-static void store_late(struct world *world, struct world_event *event)
+static void store_late(struct simulation *simulation,
+		       struct simulation_event *event)
 {
 	const struct pending_append *pending = event->data;
 
-	world_note(world, "a late append takes effect");
-	(void)store(world, &pending->append);
+	simulation_trace(simulation, "a late append takes effect");
+	(void)store(simulation, &pending->append);
 }
 
-static void append_arrives(struct world *world, struct world_event *event)
+static void append_arrives(struct simulation *simulation,
+			   struct simulation_event *event)
 {
 	struct pending_append *pending = event->data;
-	struct node *node = &world->nodes[event->index];
-	struct rj_event *told = node_event(world, RJ_EVENT_APPENDED);
-	struct rj_appended *appended = &told->u.appended;
-	uint64_t delay_us = round_trip_us(world) / 2;
+	struct node *node = &simulation->nodes[event->index];
+	struct rj_event *reply = node_event(simulation, RJ_EVENT_APPENDED);
+	struct rj_appended *appended = &reply->u.appended;
+	uint64_t delay_us = round_trip_us(simulation) / 2;
 
 	appended->append_id = pending->append.append_id;
-	if (!fake_log_reachable(world, node)) {
+	if (!fake_log_reachable(simulation, node)) {
 		appended->status = RJ_APPEND_LOST;
 		delay_us = TIMEOUT_US;
-	} else if (world_chance(world, world->rates.append_refused)) {
+	} else if (simulation_chance(simulation,
+				     simulation->rates.append_refused)) {
 		appended->status = RJ_APPEND_REFUSED;
-	} else if (world_chance(world, world->rates.append_late)) {
-		struct world_event *late = world_after(
-			world, world_random(world, LATE_MAX_US), store_late);
+	} else if (simulation_chance(simulation,
+				     simulation->rates.append_late)) {
+		struct simulation_event *late = simulation_schedule(
+			simulation, simulation_random(simulation, LATE_MAX_US),
+			store_late);
 
 		late->data = talloc_steal(late, pending);
 		appended->status = RJ_APPEND_LOST;
 		delay_us = TIMEOUT_US;
 	} else {
-		appended->first_offset = store(world, &pending->append);
-		if (world_chance(world, world->rates.append_answer_lost)) {
+		appended->first_offset = store(simulation, &pending->append);
+		if (simulation_chance(simulation,
+				      simulation->rates.append_answer_lost)) {
 			appended->status = RJ_APPEND_LOST;
 			delay_us = TIMEOUT_US;
 		}
 	}
 	/* An append outlives the instance that sent it; its answer does not. */
-	if (node->life == event->life)
-		node_deliver_after(world, node, delay_us, told);
+	if (node->epoch == event->epoch)
+		node_deliver_after(simulation, node, delay_us, reply);
 	else
-		talloc_free(told);
+		talloc_free(reply);
 }
 
 /*
  * Append the records together, or not at all.
  */
-void fake_log_append(struct world *world, struct node *node,
+void fake_log_append(struct simulation *simulation, struct node *node,
 		     const struct rj_append *append)
 {
-	struct world_event *event =
-		world_after(world, round_trip_us(world) / 2, append_arrives);
+	struct simulation_event *event = simulation_schedule(
+		simulation, round_trip_us(simulation) / 2, append_arrives);
 	struct pending_append *pending =
 		talloc_zero(event, struct pending_append);
 
@@ -305,69 +319,71 @@
 		copy_record(pending, &pending->append.records[i],
 			    &append->records[i]);
 	event->index = node->index;
-	event->life = node->life;
+	event->epoch = node->epoch;
 	event->data = pending;
 }
 
-static void poll_ends(struct world *world, struct world_event *event)
+static void poll_expired(struct simulation *simulation,
+			 struct simulation_event *event)
 {
-	struct node *node = &world->nodes[event->index];
-	struct world_event *reader = event->data;
+	struct node *node = &simulation->nodes[event->index];
+	struct simulation_event *reader = event->data;
 
-	if (!reader->run || node->life != event->life)
+	if (!reader->run || node->epoch != event->epoch)
 		return;
 	reader->run = NULL;
-	if (fake_log_reachable(world, node))
-		answer_read(world, node, event->other, reader->order);
+	if (fake_log_reachable(simulation, node))
+		answer_read(simulation, node, event->other, reader->order);
 	else
-		fail_read(world, node, event->other);
+		fail_read(simulation, node, event->other);
 }
 
-static void read_arrives(struct world *world, struct world_event *event)
+static void read_arrives(struct simulation *simulation,
+			 struct simulation_event *event)
 {
-	struct node *node = &world->nodes[event->index];
+	struct node *node = &simulation->nodes[event->index];
 	const struct rj_read *read = event->data;
-	struct world_event *reader;
-	struct world_event *end;
+	struct simulation_event *reader;
+	struct simulation_event *expiry;
 
-	if (node->life != event->life)
+	if (node->epoch != event->epoch)
 		return;
-	if (!fake_log_reachable(world, node) ||
-	    world_chance(world, world->rates.read_failed)) {
-		fail_read(world, node, read->stream);
+	if (!fake_log_reachable(simulation, node) ||
+	    simulation_chance(simulation, simulation->rates.read_failed)) {
+		fail_read(simulation, node, read->stream);
 		return;
 	}
-	if (read->from < world->log.streams[read->stream]->len ||
+	if (read->from < simulation->log.streams[read->stream]->len ||
 	    !read->wait_us) {
-		answer_read(world, node, read->stream, read->from);
+		answer_read(simulation, node, read->stream, read->from);
 		return;
 	}
 	/* A long poll: `order` holds the offset, `run` that it still waits. */
-	reader = talloc_zero(world, struct world_event);
+	reader = talloc_zero(simulation, struct simulation_event);
 	assert(reader);
 	reader->index = event->index;
-	reader->life = event->life;
+	reader->epoch = event->epoch;
 	reader->order = read->from;
-	reader->run = poll_ends;
-	g_queue_push_tail(world->log.readers[read->stream], reader);
-	end = world_after(world, read->wait_us, poll_ends);
-	end->index = event->index;
-	end->other = read->stream;
-	end->life = event->life;
-	end->data = reader;
+	reader->run = poll_expired;
+	g_queue_push_tail(simulation->log.readers[read->stream], reader);
+	expiry = simulation_schedule(simulation, read->wait_us, poll_expired);
+	expiry->index = event->index;
+	expiry->other = read->stream;
+	expiry->epoch = event->epoch;
+	expiry->data = reader;
 }
 
 /*
  * Read a stream; waits for something new when there is nothing.
  */
-void fake_log_read(struct world *world, struct node *node,
+void fake_log_read(struct simulation *simulation, struct node *node,
 		   const struct rj_read *read)
 {
-	struct world_event *event =
-		world_after(world, round_trip_us(world) / 2, read_arrives);
+	struct simulation_event *event = simulation_schedule(
+		simulation, round_trip_us(simulation) / 2, read_arrives);
 
 	event->index = node->index;
-	event->life = node->life;
+	event->epoch = node->epoch;
 	event->data = talloc_memdup(event, read, sizeof(*read));
 }
 
@@ -375,42 +391,44 @@
  * Tell an instance the list of instances and workers as it was a while ago;
  * nothing comes when the platform is out of reach.
  */
-void fake_log_list(struct world *world, struct node *node)
+void fake_log_list(struct simulation *simulation, struct node *node)
 {
 	const struct list_snapshot *shown = NULL;
 	struct rj_event *event;
 
-	if (!fake_log_reachable(world, node))
+	if (!fake_log_reachable(simulation, node))
 		return;
-	for (GList *at = world->log.lists.head; at; at = at->next) {
+	for (GList *at = simulation->log.lists.head; at; at = at->next) {
 		const struct list_snapshot *snapshot = at->data;
 
-		if (shown &&
-		    snapshot->at_us + world->log.list_lag_us > world->now_us)
+		if (shown && snapshot->at_us + simulation->log.list_lag_us >
+				     simulation->now_us)
 			break;
 		shown = snapshot;
 	}
 	if (!shown)
 		return;
-	event = node_event(world, RJ_EVENT_INSTANCES);
+	event = node_event(simulation, RJ_EVENT_INSTANCES);
 	event->u.instances.list = talloc_memdup(
 		event, shown->list, shown->count * sizeof(shown->list[0]));
 	event->u.instances.count = shown->count;
 	for (uint32_t i = 0; i < shown->count; i++) {
-		const struct rj_instance *line = &shown->list[i];
-
-		if (line->role == RJ_ROLE_WORKER && line->leaving)
-			checker_leaving_learnt(
-				&world->checker, world->now_us, node->index,
-				fake_worker_find(world, line->name)->index,
-				line->incarnation);
+		const struct rj_instance *entry = &shown->list[i];
+
+		if (entry->role == RJ_ROLE_WORKER && entry->leaving)
+			checker_leaving_known(
+				&simulation->checker, simulation->now_us,
+				node->index,
+				fake_worker_find(simulation, entry->name)
+					->index,
+				entry->incarnation);
 	}
-	node_deliver_after(world, node, round_trip_us(world), event);
+	node_deliver_after(simulation, node, round_trip_us(simulation), event);
 }
 
 /* Append an operator's publication of `record`, which has its content. */
-static void publish(struct world *world, uint64_t base, const char *id,
-		    struct rj_record *record)
+static void publish(struct simulation *simulation, uint64_t base,
+		    const char *id, struct rj_record *record)
 {
 	struct rj_append append = { .stream = RJ_STREAM_CONFIG,
 				    .records = record,
@@ -421,29 +439,29 @@
 	record->revision = base + 1;
 	(void)snprintf(record->config_id, sizeof(record->config_id), "%s", id);
 	(void)rj_name_set(record->author, "operator");
-	(void)store(world, &append);
+	(void)store(simulation, &append);
 }
 
 /*
  * Publish a configuration as an operator does, without a fault on the way.
  */
-void fake_log_publish(struct world *world, uint64_t base, const char *id,
-		      const char *text)
+void fake_log_publish(struct simulation *simulation, uint64_t base,
+		      const char *id, const char *text)
 {
 	struct rj_record record = { .config_text = text };
 
-	publish(world, base, id, &record);
+	publish(simulation, base, id, &record);
 }
 
 /*
  * Publish what changes the newest accepted configuration into `text`.
  */
-void fake_log_publish_change(struct world *world, uint64_t base, const char *id,
-			     const char *text)
+void fake_log_publish_change(struct simulation *simulation, uint64_t base,
+			     const char *id, const char *text)
 {
 	struct rj_record record = { 0 };
 
-	(void)rj_config_change_make(world, world->log.config_text, text,
-				    &record.config_change);
-	publish(world, base, id, &record);
+	(void)rj_config_change_make(simulation, simulation->log.config_text,
+				    text, &record.config_change);
+	publish(simulation, base, id, &record);
 }
--- a/src/test_libradishjunction/support/fake_peers.c
+++ b/src/test_libradishjunction/support/fake_peers.c
@@ -8,204 +8,224 @@
 
 #define CONNECT_PERIOD_US (250 * RJ_US_PER_MS)
 /* A cut is noticed by what is sent into it. */
-#define NOTICE_US (2 * RJ_US_PER_S)
+#define CUT_DETECTION_US (2 * RJ_US_PER_S)
 #define LATE_MAX_US (2 * RJ_US_PER_S)
 
-static struct fake_link *link_of(struct world *world, uint32_t a, uint32_t b)
+static struct fake_link *link_of(struct simulation *simulation, uint32_t a,
+				 uint32_t b)
 {
-	return a < b ? &world->links[a][b] : &world->links[b][a];
+	return a < b ? &simulation->links[a][b] : &simulation->links[b][a];
 }
 
-static struct node *node_find(struct world *world, const char *name)
+static struct node *node_find(struct simulation *simulation, const char *name)
 {
-	for (uint32_t i = 0; i < world->node_count; i++)
-		if (!strcmp(world->nodes[i].name, name))
-			return &world->nodes[i];
+	for (uint32_t i = 0; i < simulation->node_count; i++)
+		if (!strcmp(simulation->nodes[i].name, name))
+			return &simulation->nodes[i];
 	return NULL;
 }
 
-static bool can_pass(const struct world *world, uint32_t a, uint32_t b)
+static bool is_connected(const struct simulation *simulation, uint32_t a,
+			 uint32_t b)
 {
 	const struct fake_link *link =
-		a < b ? &world->links[a][b] : &world->links[b][a];
+		a < b ? &simulation->links[a][b] : &simulation->links[b][a];
 
-	return !link->cut && world_domains_joined(world, world->nodes[a].domain,
-						  world->nodes[b].domain);
+	return !link->cut && simulation_domains_connected(
+				     simulation, simulation->nodes[a].domain,
+				     simulation->nodes[b].domain);
 }
 
-static void tell(struct world *world, struct node *node, uint64_t delay_us,
-		 enum rj_event_kind kind, const char *peer)
+static void notify_link_change(struct simulation *simulation, struct node *node,
+			       uint64_t delay_us, enum rj_event_kind kind,
+			       const char *peer)
 {
 	struct rj_event *event;
 
 	if (!node->engine)
 		return;
-	event = node_event(world, kind);
+	event = node_event(simulation, kind);
 	(void)rj_name_set(event->u.peer.name, peer);
-	node_deliver_after(world, node, delay_us, event);
+	node_deliver_after(simulation, node, delay_us, event);
 }
 
-static void set_link(struct world *world, uint32_t a, uint32_t b, bool up)
+static void set_link(struct simulation *simulation, uint32_t a, uint32_t b,
+		     bool up)
 {
-	struct fake_link *link = link_of(world, a, b);
+	struct fake_link *link = link_of(simulation, a, b);
 	enum rj_event_kind kind = up ? RJ_EVENT_PEER_UP : RJ_EVENT_PEER_DOWN;
 
 	if (link->up == up)
 		return;
 	link->up = up;
-	link->up_us = world->now_us;
-	link->life++;
-	tell(world, &world->nodes[a], 1000, kind, world->nodes[b].name);
-	tell(world, &world->nodes[b], 1000, kind, world->nodes[a].name);
+	link->up_us = simulation->now_us;
+	link->epoch++;
+	notify_link_change(simulation, &simulation->nodes[a], 1000, kind,
+			   simulation->nodes[b].name);
+	notify_link_change(simulation, &simulation->nodes[b], 1000, kind,
+			   simulation->nodes[a].name);
 }
 
-static void notice_cut(struct world *world, struct world_event *event)
+static void detect_cut(struct simulation *simulation,
+		       struct simulation_event *event)
 {
-	struct fake_link *link = link_of(world, event->index, event->other);
+	struct fake_link *link =
+		link_of(simulation, event->index, event->other);
 
-	if (link->life == event->life &&
-	    !can_pass(world, event->index, event->other))
-		set_link(world, event->index, event->other, false);
+	if (link->epoch == event->epoch &&
+	    !is_connected(simulation, event->index, event->other))
+		set_link(simulation, event->index, event->other, false);
 }
 
 /* Bring up wanted links, and notice those that nothing passes any more. */
-static void keep_links(struct world *world, struct world_event *event)
+static void maintain_links(struct simulation *simulation,
+			   struct simulation_event *event)
 {
-	for (uint32_t a = 0; a < world->node_count; a++) {
-		for (uint32_t b = a + 1; b < world->node_count; b++) {
-			struct fake_link *link = &world->links[a][b];
-			bool both = world->nodes[a].engine &&
-				    world->nodes[b].engine;
-			bool awake = both && !world->nodes[a].paused &&
-				     !world->nodes[b].paused;
+	for (uint32_t a = 0; a < simulation->node_count; a++) {
+		for (uint32_t b = a + 1; b < simulation->node_count; b++) {
+			struct fake_link *link = &simulation->links[a][b];
+			bool both = simulation->nodes[a].engine &&
+				    simulation->nodes[b].engine;
+			bool awake = both && !simulation->nodes[a].paused &&
+				     !simulation->nodes[b].paused;
 
 			if (!link->up && link->wanted && awake &&
-			    can_pass(world, a, b))
-				set_link(world, a, b, true);
-			else if (link->up && !can_pass(world, a, b)) {
-				struct world_event *cut = world_after(
-					world, NOTICE_US, notice_cut);
+			    is_connected(simulation, a, b))
+				set_link(simulation, a, b, true);
+			else if (link->up && !is_connected(simulation, a, b)) {
+				struct simulation_event *cut =
+					simulation_schedule(simulation,
+							    CUT_DETECTION_US,
+							    detect_cut);
 
 				cut->index = a;
 				cut->other = b;
-				cut->life = link->life;
+				cut->epoch = link->epoch;
 			}
 		}
 	}
-	(void)world_after(world, CONNECT_PERIOD_US, keep_links);
+	(void)simulation_schedule(simulation, CONNECT_PERIOD_US,
+				  maintain_links);
 }
 
 /*
  * Start without a link.
  */
-void fake_peers_init(struct world *world)
+void fake_peers_init(struct simulation *simulation)
 {
-	(void)world_after(world, CONNECT_PERIOD_US, keep_links);
+	(void)simulation_schedule(simulation, CONNECT_PERIOD_US,
+				  maintain_links);
 }
 
 /*
  * Keep a link from this instance to that peer.
  */
-void fake_peers_connect(struct world *world, struct node *node,
+void fake_peers_connect(struct simulation *simulation, struct node *node,
 			const char *name)
 {
-	struct node *peer = node_find(world, name);
+	struct node *peer = node_find(simulation, name);
 
 	if (peer && peer != node)
-		link_of(world, node->index, peer->index)->wanted = true;
+		link_of(simulation, node->index, peer->index)->wanted = true;
 }
 
 /*
  * End the link between this instance and that peer.
  */
-void fake_peers_drop(struct world *world, struct node *node, const char *name)
+void fake_peers_drop(struct simulation *simulation, struct node *node,
+		     const char *name)
 {
-	struct node *peer = node_find(world, name);
+	struct node *peer = node_find(simulation, name);
 
 	if (!peer)
 		return;
-	link_of(world, node->index, peer->index)->wanted = false;
-	set_link(world, node->index, peer->index, false);
+	link_of(simulation, node->index, peer->index)->wanted = false;
+	set_link(simulation, node->index, peer->index, false);
 }
 
-static void message_arrives(struct world *world, struct world_event *event)
+static void message_arrives(struct simulation *simulation,
+			    struct simulation_event *event)
 {
-	struct node *to = &world->nodes[event->other];
+	struct node *to = &simulation->nodes[event->other];
 	const struct fake_link *link =
-		link_of(world, event->index, event->other);
-	struct rj_event *told;
+		link_of(simulation, event->index, event->other);
+	struct rj_event *received;
 
-	if (link->life != event->life || !to->engine ||
-	    !can_pass(world, event->index, event->other))
+	if (link->epoch != event->epoch || !to->engine ||
+	    !is_connected(simulation, event->index, event->other))
 		return;
-	told = node_event(world, RJ_EVENT_PEER_MESSAGE);
-	(void)rj_name_set(told->u.peer.name, world->nodes[event->index].name);
-	told->u.peer.message = talloc_steal(told, event->data);
-	if (told->u.peer.message->kind == RJ_PEER_LEAVING) {
+	received = node_event(simulation, RJ_EVENT_PEER_MESSAGE);
+	(void)rj_name_set(received->u.peer.name,
+			  simulation->nodes[event->index].name);
+	received->u.peer.message = talloc_steal(received, event->data);
+	if (received->u.peer.message->kind == RJ_PEER_LEAVING) {
 		const struct rj_peer_leaving *leaving =
-			&told->u.peer.message->u.leaving;
+			&received->u.peer.message->u.leaving;
 		struct fake_worker *worker =
-			fake_worker_find(world, leaving->worker);
+			fake_worker_find(simulation, leaving->worker);
 
-		checker_leaving_learnt(&world->checker, world->now_us,
-				       event->other, worker->index,
-				       leaving->incarnation);
+		checker_leaving_known(&simulation->checker, simulation->now_us,
+				      event->other, worker->index,
+				      leaving->incarnation);
 	}
-	node_deliver_after(world, to, 0, told);
+	node_deliver_after(simulation, to, 0, received);
 }
 
 /*
  * Send a message; one link delivers in order, and loses what is under way
  * when it ends.
  */
-void fake_peers_send(struct world *world, struct node *node, const char *name,
-		     const struct rj_peer_message *message)
+void fake_peers_send(struct simulation *simulation, struct node *node,
+		     const char *name, const struct rj_peer_message *message)
 {
-	struct node *peer = node_find(world, name);
+	struct node *peer = node_find(simulation, name);
 	struct fake_link *link;
-	struct world_event *event;
+	struct simulation_event *event;
 	uint64_t at_us;
 	uint64_t *last_us;
 
 	if (message->kind == RJ_PEER_HEARTBEAT)
-		checker_config_seen(&world->checker, world->now_us, node->index,
-				    node->incarnation,
-				    message->u.heartbeat.config_revision);
+		checker_config_in_force(&simulation->checker,
+					simulation->now_us, node->index,
+					node->incarnation,
+					message->u.heartbeat.config_revision);
 	if (message->kind == RJ_PEER_CONFIG)
-		checker_config_offered(&world->checker, world->now_us,
-				       node->index, message->u.config.revision,
-				       message->u.config.id);
+		checker_config_forwarded(
+			&simulation->checker, simulation->now_us, node->index,
+			message->u.config.revision, message->u.config.id);
 	if (!peer || peer == node)
 		return;
-	link = link_of(world, node->index, peer->index);
-	if (!link->up || world_chance(world, world->rates.peer_lost))
+	link = link_of(simulation, node->index, peer->index);
+	if (!link->up ||
+	    simulation_chance(simulation, simulation->rates.peer_lost))
 		return;
 	last_us = &link->last_us[node->index < peer->index];
-	at_us = world->now_us +
-		world_delay_us(world, node->domain, peer->domain);
-	if (world_chance(world, world->rates.peer_late))
-		at_us += world_random(world, LATE_MAX_US);
+	at_us = simulation->now_us +
+		simulation_delay_us(simulation, node->domain, peer->domain);
+	if (simulation_chance(simulation, simulation->rates.peer_late))
+		at_us += simulation_random(simulation, LATE_MAX_US);
 	if (at_us < *last_us)
 		at_us = *last_us;
 	*last_us = at_us;
-	event = world_after(world, at_us - world->now_us, message_arrives);
+	event = simulation_schedule(simulation, at_us - simulation->now_us,
+				    message_arrives);
 	event->index = node->index;
 	event->other = peer->index;
-	event->life = link->life;
+	event->epoch = link->epoch;
 	event->data = copy_message(event, message);
 }
 
 /*
  * An instance has ended: its links go down.
  */
-void fake_peers_node_gone(struct world *world, struct node *node)
+void fake_peers_node_ended(struct simulation *simulation, struct node *node)
 {
-	for (uint32_t i = 0; i < world->node_count; i++) {
+	for (uint32_t i = 0; i < simulation->node_count; i++) {
 		if (i == node->index)
 			continue;
-		set_link(world, node->index, i, false);
-		link_of(world, node->index, i)->last_us[0] = 0;
-		link_of(world, node->index, i)->last_us[1] = 0;
+		set_link(simulation, node->index, i, false);
+		link_of(simulation, node->index, i)->last_us[0] = 0;
+		link_of(simulation, node->index, i)->last_us[1] = 0;
 	}
 }
 
@@ -214,36 +234,40 @@
  * RJ_NEVER_US where it does not. One that goes on after a pause hears, and is
  * heard, only from then on.
  */
-void fake_peers_heard(const struct world *world, uint32_t node,
-		      uint64_t heard_us[CHECKER_NODES_MAX])
+void fake_peers_contact(const struct simulation *simulation, uint32_t node,
+			uint64_t contact_us[CHECKER_NODES_MAX])
 {
 	for (uint32_t i = 0; i < CHECKER_NODES_MAX; i++)
-		heard_us[i] = RJ_NEVER_US;
-	for (uint32_t i = 0; i < world->node_count; i++) {
-		const struct fake_link *link = i < node ?
-						       &world->links[i][node] :
-						       &world->links[node][i];
-
-		if (i == node || !link->up || !can_pass(world, i, node) ||
-		    world->nodes[i].paused)
+		contact_us[i] = RJ_NEVER_US;
+	for (uint32_t i = 0; i < simulation->node_count; i++) {
+		const struct fake_link *link =
+			i < node ? &simulation->links[i][node] :
+				   &simulation->links[node][i];
+
+		if (i == node || !link->up ||
+		    !is_connected(simulation, i, node) ||
+		    simulation->nodes[i].paused)
 			continue;
-		heard_us[i] = MAX(link->up_us, link->whole_us);
-		heard_us[i] = MAX(heard_us[i], world->nodes[i].resumed_us);
-		heard_us[i] = MAX(heard_us[i], world->nodes[node].resumed_us);
+		contact_us[i] = MAX(link->up_us, link->healed_us);
+		contact_us[i] =
+			MAX(contact_us[i], simulation->nodes[i].resumed_us);
+		contact_us[i] =
+			MAX(contact_us[i], simulation->nodes[node].resumed_us);
 	}
 }
 
 /*
  * End every cut between instances and between failure domains.
  */
-void fake_peers_mend(struct world *world)
+void fake_peers_heal(struct simulation *simulation)
 {
-	for (uint32_t a = 0; a < world->node_count; a++)
-		for (uint32_t b = a + 1; b < world->node_count; b++)
-			if (!can_pass(world, a, b))
-				world->links[a][b].whole_us = world->now_us;
-	memset(world->domain_cut, 0, sizeof(world->domain_cut));
-	for (uint32_t a = 0; a < world->node_count; a++)
-		for (uint32_t b = a + 1; b < world->node_count; b++)
-			world->links[a][b].cut = false;
+	for (uint32_t a = 0; a < simulation->node_count; a++)
+		for (uint32_t b = a + 1; b < simulation->node_count; b++)
+			if (!is_connected(simulation, a, b))
+				simulation->links[a][b].healed_us =
+					simulation->now_us;
+	memset(simulation->domain_cut, 0, sizeof(simulation->domain_cut));
+	for (uint32_t a = 0; a < simulation->node_count; a++)
+		for (uint32_t b = a + 1; b < simulation->node_count; b++)
+			simulation->links[a][b].cut = false;
 }
--- a/src/test_libradishjunction/support/fake_worker.h
+++ b/src/test_libradishjunction/support/fake_worker.h
@@ -12,16 +12,16 @@
 	struct rj_worker_call call;
 	uint32_t node;
 	uint32_t worker;
-	uint64_t life; /* of the node */
+	uint64_t epoch; /* of the node */
 	bool answered;
 };
 
-void fake_worker_serve(struct world *world, struct fake_worker *worker,
-		       struct fake_call *from);
-void fake_worker_answer(struct world *world, struct fake_call *call,
+void fake_worker_serve(struct simulation *simulation,
+		       struct fake_worker *worker, struct fake_call *from);
+void fake_worker_answer(struct simulation *simulation, struct fake_call *call,
 			struct rj_worker_reply *reply);
-void fake_worker_deliver(struct world *world, const struct fake_call *call,
-			 uint64_t delay_us,
+void fake_worker_deliver(struct simulation *simulation,
+			 const struct fake_call *call, uint64_t delay_us,
 			 const struct rj_worker_reply *reply);
 
 #endif
--- a/src/test_libradishjunction/support/fake_worker_link.c
+++ b/src/test_libradishjunction/support/fake_worker_link.c
@@ -11,146 +11,159 @@
 /*
  * The worker of that name, or NULL.
  */
-struct fake_worker *fake_worker_find(struct world *world, const char *name)
+struct fake_worker *fake_worker_find(struct simulation *simulation,
+				     const char *name)
 {
-	for (uint32_t i = 0; i < world->worker_count; i++)
-		if (!strcmp(world->workers[i].name, name))
-			return &world->workers[i];
+	for (uint32_t i = 0; i < simulation->worker_count; i++)
+		if (!strcmp(simulation->workers[i].name, name))
+			return &simulation->workers[i];
 	return NULL;
 }
 
 /*
  * Deliver a reply to the instance that called, if it still lives.
  */
-void fake_worker_deliver(struct world *world, const struct fake_call *call,
-			 uint64_t delay_us, const struct rj_worker_reply *reply)
+void fake_worker_deliver(struct simulation *simulation,
+			 const struct fake_call *call, uint64_t delay_us,
+			 const struct rj_worker_reply *reply)
 {
-	struct node *node = &world->nodes[call->node];
+	struct node *node = &simulation->nodes[call->node];
 	struct rj_event *event;
-	struct rj_worker_reply *told;
+	struct rj_worker_reply *sent;
 
-	if (node->life != call->life)
+	if (node->epoch != call->epoch)
 		return;
-	event = node_event(world, RJ_EVENT_WORKER_REPLY);
-	told = &event->u.worker_reply;
-	*told = *reply;
-	told->call_id = call->call.call_id;
-	told->op = call->call.op;
-	memcpy(told->worker, call->call.worker, sizeof(told->worker));
-	told->result = copy_bytes(event, &reply->result);
+	event = node_event(simulation, RJ_EVENT_WORKER_REPLY);
+	sent = &event->u.worker_reply;
+	*sent = *reply;
+	sent->call_id = call->call.call_id;
+	sent->op = call->call.op;
+	memcpy(sent->worker, call->call.worker, sizeof(sent->worker));
+	sent->result = copy_bytes(event, &reply->result);
 	if (reply->report.task_count)
-		told->report.tasks = talloc_memdup(
+		sent->report.tasks = talloc_memdup(
 			event, reply->report.tasks,
-			reply->report.task_count * sizeof(*told->report.tasks));
-	for (uint32_t i = 0; i < told->report.task_count; i++)
-		told->report.tasks[i].result =
+			reply->report.task_count * sizeof(*sent->report.tasks));
+	for (uint32_t i = 0; i < sent->report.task_count; i++)
+		sent->report.tasks[i].result =
 			copy_bytes(event, &reply->report.tasks[i].result);
-	if (told->leaving || told->report.leaving)
-		checker_leaving_learnt(&world->checker,
-				       world->now_us + delay_us, call->node,
-				       call->worker, told->incarnation);
-	node_deliver_after(world, node, delay_us, event);
+	if (sent->leaving || sent->report.leaving)
+		checker_leaving_known(&simulation->checker,
+				      simulation->now_us + delay_us, call->node,
+				      call->worker, sent->incarnation);
+	node_deliver_after(simulation, node, delay_us, event);
 }
 
 /*
  * Answer a call, with whatever the network does to the answer.
  */
-void fake_worker_answer(struct world *world, struct fake_call *call,
+void fake_worker_answer(struct simulation *simulation, struct fake_call *call,
 			struct rj_worker_reply *reply)
 {
-	struct fake_worker *worker = &world->workers[call->worker];
-	uint32_t node_domain = world->nodes[call->node].domain;
-	uint64_t delay_us = world_delay_us(world, worker->domain, node_domain) +
-			    worker->slow_us;
+	struct fake_worker *worker = &simulation->workers[call->worker];
+	uint32_t node_domain = simulation->nodes[call->node].domain;
+	uint64_t delay_us =
+		simulation_delay_us(simulation, worker->domain, node_domain) +
+		worker->slow_us;
 
 	reply->incarnation = worker->incarnation;
-	reply->leaving = worker->leaving && worker->tells_leaving;
-	if (call->answered || worker->silent ||
-	    !world_domains_joined(world, worker->domain, node_domain) ||
-	    world_chance(world, world->rates.reply_lost))
+	reply->leaving = worker->leaving && worker->reports_leaving;
+	if (call->answered || worker->unreachable ||
+	    !simulation_domains_connected(simulation, worker->domain,
+					  node_domain) ||
+	    simulation_chance(simulation, simulation->rates.reply_lost))
 		return;
-	if (world_chance(world, world->rates.reply_late)) {
-		fake_worker_deliver(world, call,
-				    call->call.timeout_us +
-					    world_random(world, LATE_MAX_US),
-				    reply);
+	if (simulation_chance(simulation, simulation->rates.reply_late)) {
+		fake_worker_deliver(
+			simulation, call,
+			call->call.timeout_us +
+				simulation_random(simulation, LATE_MAX_US),
+			reply);
 		return;
 	}
 	call->answered = true;
-	if (world_chance(world, world->rates.reply_cut)) {
+	if (simulation_chance(simulation, simulation->rates.reply_truncated)) {
 		reply->status = RJ_REPLY_LOST;
 		reply->result.length /= 2;
 		memset(&reply->report, 0, sizeof(reply->report));
 	} else if (worker->tasks->len &&
-		   world_chance(world, world->rates.reply_crossed)) {
+		   simulation_chance(simulation,
+				     simulation->rates.reply_mismatched)) {
 		const struct fake_task *other =
-			worker->tasks->pdata[world_random(world,
-							  worker->tasks->len)];
+			worker->tasks->pdata[simulation_random(
+				simulation, worker->tasks->len)];
 
 		reply->attempt = other->attempt;
 		reply->token = other->token;
 		reply->state = other->state;
 	}
-	fake_worker_deliver(world, call, delay_us, reply);
-	if (world_chance(world, world->rates.reply_doubled))
-		fake_worker_deliver(world, call,
-				    delay_us + world_random(world, LATE_MAX_US),
-				    reply);
+	fake_worker_deliver(simulation, call, delay_us, reply);
+	if (simulation_chance(simulation, simulation->rates.reply_duplicated))
+		fake_worker_deliver(
+			simulation, call,
+			delay_us + simulation_random(simulation, LATE_MAX_US),
+			reply);
 }
 
-static void call_arrives(struct world *world, struct world_event *event)
+static void call_arrives(struct simulation *simulation,
+			 struct simulation_event *event)
 {
 	struct fake_call *call = event->data;
-	struct fake_worker *worker = &world->workers[call->worker];
+	struct fake_worker *worker = &simulation->workers[call->worker];
 
-	if (worker->down || worker->silent ||
-	    !world_domains_joined(world, worker->domain,
-				  world->nodes[call->node].domain))
+	if (worker->down || worker->unreachable ||
+	    !simulation_domains_connected(simulation, worker->domain,
+					  simulation->nodes[call->node].domain))
 		return;
 	if (worker->paused)
-		g_queue_push_tail(&worker->held, call);
+		g_queue_push_tail(&worker->deferred, call);
 	else
-		fake_worker_serve(world, worker, call);
+		fake_worker_serve(simulation, worker, call);
 }
 
-static void call_times_out(struct world *world, struct world_event *event)
+static void call_times_out(struct simulation *simulation,
+			   struct simulation_event *event)
 {
 	struct fake_call *call = event->data;
 	struct rj_worker_reply reply = { .status = RJ_REPLY_LOST };
 
 	if (call->answered)
 		return;
-	fake_worker_deliver(world, call, 0, &reply);
+	fake_worker_deliver(simulation, call, 0, &reply);
 }
 
 /*
  * Call a worker as an instance does; the call ends in an event.
  */
-void fake_worker_call(struct world *world, struct node *node,
-		      const struct rj_worker_call *asked)
+void fake_worker_call(struct simulation *simulation, struct node *node,
+		      const struct rj_worker_call *request)
 {
-	struct fake_worker *worker = fake_worker_find(world, asked->worker);
-	struct fake_call *call = talloc_zero(world, struct fake_call);
-	uint64_t heard_us[CHECKER_NODES_MAX];
+	struct fake_worker *worker =
+		fake_worker_find(simulation, request->worker);
+	struct fake_call *call = talloc_zero(simulation, struct fake_call);
+	uint64_t contact_us[CHECKER_NODES_MAX];
 	uint64_t delay_us;
 
-	assert(worker && call && asked->timeout_us);
-	call->call = *asked;
-	worker->connections_max[node->index] = asked->connections_max;
-	call->call.body = copy_bytes(call, &asked->body);
+	assert(worker && call && request->timeout_us);
+	call->call = *request;
+	worker->connections_max[node->index] = request->connections_max;
+	call->call.body = copy_bytes(call, &request->body);
 	call->node = node->index;
 	call->worker = worker->index;
-	call->life = node->life;
-	if (asked->op == RJ_WORKER_LEASE || asked->op == RJ_WORKER_RUN) {
-		fake_peers_heard(world, node->index, heard_us);
-		checker_new_work(&world->checker, world->now_us, node->index,
-				 worker->index, worker->incarnation, heard_us);
+	call->epoch = node->epoch;
+	if (request->op == RJ_WORKER_LEASE || request->op == RJ_WORKER_RUN) {
+		fake_peers_contact(simulation, node->index, contact_us);
+		checker_job_sent(&simulation->checker, simulation->now_us,
+				 node->index, worker->index,
+				 worker->incarnation, contact_us);
 	}
-	world_after(world, asked->timeout_us, call_times_out)->data = call;
-	if (world_chance(world, world->rates.call_lost))
+	simulation_schedule(simulation, request->timeout_us, call_times_out)
+		->data = call;
+	if (simulation_chance(simulation, simulation->rates.call_lost))
 		return;
-	delay_us = world_delay_us(world, node->domain, worker->domain);
-	if (world_chance(world, world->rates.call_late))
-		delay_us = world_random(world, LATE_MAX_US);
-	world_after(world, delay_us, call_arrives)->data = call;
+	delay_us =
+		simulation_delay_us(simulation, node->domain, worker->domain);
+	if (simulation_chance(simulation, simulation->rates.call_late))
+		delay_us = simulation_random(simulation, LATE_MAX_US);
+	simulation_schedule(simulation, delay_us, call_arrives)->data = call;
 }
--- a/src/test_libradishjunction/support/fault_injection.c
+++ b/src/test_libradishjunction/support/fault_injection.c
@@ -5,72 +5,82 @@
 #include <string.h>
 
 /* Long enough for work to reach it after it should have been known. */
-#define LEAVING_LASTS_US (10 * RJ_US_PER_S)
+#define LEAVING_DURATION_US (10 * RJ_US_PER_S)
 
-static void node_back(struct world *world, struct world_event *event)
+static void restart_node(struct simulation *simulation,
+			 struct simulation_event *event)
 {
-	if (!world->nodes[event->index].engine)
-		node_start(world, event->index);
+	if (!simulation->nodes[event->index].engine)
+		node_start(simulation, event->index);
 }
 
-static void node_back_after(struct world *world, uint32_t index,
-			    uint64_t delay_us)
+static void restart_node_after(struct simulation *simulation, uint32_t index,
+			       uint64_t delay_us)
 {
-	world_after(world, delay_us, node_back)->index = index;
+	simulation_schedule(simulation, delay_us, restart_node)->index = index;
 }
 
 /*
  * Kill `count` instances from `first` on; each is replaced within 6 s.
  */
-void fault_kill_nodes(struct world *world, uint32_t first, uint32_t count)
+void fault_kill_nodes(struct simulation *simulation, uint32_t first,
+		      uint32_t count)
 {
 	for (uint32_t i = first; i < first + count; i++) {
-		node_kill(world, i);
-		node_back_after(world, i, world_random(world, 6 * RJ_US_PER_S));
+		node_kill(simulation, i);
+		restart_node_after(
+			simulation, i,
+			simulation_random(simulation, 6 * RJ_US_PER_S));
 	}
 }
 
-static void publish_race(struct world *world)
+static void publish_race(struct simulation *simulation)
 {
-	uint32_t racers = 1 + (uint32_t)world_random(world, 2);
-	uint64_t base = world->log.revision;
+	uint32_t racers = 1 + (uint32_t)simulation_random(simulation, 2);
+	uint64_t base = simulation->log.revision;
 
-	if (world_random(world, 4) == 0) {
-		world_note(world, "a bad configuration is published");
-		fake_log_publish(world, base, "bad", "{\"domains\":7}");
+	if (simulation_random(simulation, 4) == 0) {
+		simulation_trace(simulation,
+				 "a bad configuration is published");
+		fake_log_publish(simulation, base, "bad", "{\"domains\":7}");
 	}
-	if (base && world_random(world, 4) == 0) {
-		world_note(world, "a configuration made from an old one");
-		fake_log_publish(world, world_random(world, base), "stale",
-				 world_config_text(world, world, 0));
+	if (base && simulation_random(simulation, 4) == 0) {
+		simulation_trace(simulation,
+				 "a configuration made from an old one");
+		fake_log_publish(
+			simulation, simulation_random(simulation, base),
+			"stale",
+			simulation_config_text(simulation, simulation, 0));
 	}
 	for (uint32_t i = 0; i < racers; i++) {
 		char id[RJ_CONFIG_ID_BYTES];
 		const char *text;
 
 		(void)snprintf(id, sizeof(id), "p%" PRIu64 "-%u", base, i);
-		text = world_config_text(world, world, (uint32_t)base + i);
+		text = simulation_config_text(simulation, simulation,
+					      (uint32_t)base + i);
 		/* Changes race with whole configurations, and follow them. */
 		if (base && (base + i) % 3)
-			fake_log_publish_change(world, base, id, text);
+			fake_log_publish_change(simulation, base, id, text);
 		else
-			fake_log_publish(world, base, id, text);
+			fake_log_publish(simulation, base, id, text);
 	}
 }
 
-static void strike_worker(struct world *world, enum fault_kind kind,
-			  struct fake_worker *worker)
+static void inject_worker_fault(struct simulation *simulation,
+				enum fault_kind kind,
+				struct fake_worker *worker)
 {
-	world_note(world, "fault %d at %s", kind, worker->name);
+	simulation_trace(simulation, "fault %d at %s", kind, worker->name);
 	switch (kind) {
 	case FAULT_WORKER_KILL:
-		fake_worker_kill(world, worker->index);
+		fake_worker_kill(simulation, worker->index);
 		break;
 	case FAULT_WORKER_PAUSE:
-		fake_worker_pause(world, worker->index, true);
+		fake_worker_pause(simulation, worker->index, true);
 		break;
-	case FAULT_WORKER_SILENT:
-		worker->silent = true;
+	case FAULT_WORKER_UNREACHABLE:
+		worker->unreachable = true;
 		break;
 	case FAULT_WORKER_FAILS:
 		worker->fails_all = true;
@@ -79,200 +89,226 @@
 		worker->refuses = true;
 		break;
 	case FAULT_WORKER_SLOW:
-		worker->slow_us = world_random(world, 3 * RJ_US_PER_S);
+		worker->slow_us =
+			simulation_random(simulation, 3 * RJ_US_PER_S);
 		break;
 	default:
 		worker->leaving = true;
-		worker->tells_leaving = world_random(world, 2) == 0;
+		worker->reports_leaving = simulation_random(simulation, 2) == 0;
 		break;
 	}
 }
 
-static void mend_worker(struct world *world, struct fake_worker *worker)
+static void recover_worker(struct simulation *simulation,
+			   struct fake_worker *worker)
 {
 	if (worker->down || worker->leaving)
-		fake_worker_restart(world, worker->index);
-	fake_worker_pause(world, worker->index, false);
-	worker->silent = false;
+		fake_worker_restart(simulation, worker->index);
+	fake_worker_pause(simulation, worker->index, false);
+	worker->unreachable = false;
 	worker->fails_all = false;
 	worker->refuses = false;
 	worker->slow_us = 0;
 }
 
-static void worker_back(struct world *world, struct world_event *event)
+static void restore_worker(struct simulation *simulation,
+			   struct simulation_event *event)
 {
-	mend_worker(world, &world->workers[event->index]);
+	recover_worker(simulation, &simulation->workers[event->index]);
 }
 
-static void node_goes_on(struct world *world, struct world_event *event)
+static void resume_node(struct simulation *simulation,
+			struct simulation_event *event)
 {
-	if (world->nodes[event->index].life == event->life)
-		node_pause(world, event->index, false);
+	if (simulation->nodes[event->index].epoch == event->epoch)
+		node_pause(simulation, event->index, false);
 }
 
 /*
  * The platform answers everybody again, and soon.
  */
-void fault_platform_back(struct world *world, struct world_event *event)
+void fault_restore_platform(struct simulation *simulation,
+			    struct simulation_event *event)
 {
-	world_note(world, "the platform is in reach");
-	world->log.down = false;
-	world->log.slow_us = 0;
-	world->log.list_lag_us = RJ_US_PER_S;
-	memset(world->log.cut, 0, sizeof(world->log.cut));
-	memset(world->log.cut_node, 0, sizeof(world->log.cut_node));
-	world_reach_changed(world);
+	simulation_trace(simulation, "the platform is in reach");
+	simulation->log.down = false;
+	simulation->log.slow_us = 0;
+	simulation->log.list_lag_us = RJ_US_PER_S;
+	memset(simulation->log.cut, 0, sizeof(simulation->log.cut));
+	memset(simulation->log.cut_node, 0, sizeof(simulation->log.cut_node));
+	simulation_reachability_changed(simulation);
 }
 
 /*
  * All links carry messages again.
  */
-void fault_links_back(struct world *world, struct world_event *event)
+void fault_restore_links(struct simulation *simulation,
+			 struct simulation_event *event)
 {
-	world_note(world, "links are whole");
-	fake_peers_mend(world);
+	simulation_trace(simulation, "links are whole");
+	fake_peers_heal(simulation);
 }
 
-static void strike_node(struct world *world, enum fault_kind kind,
-			uint32_t node, uint64_t lasts_us)
+static void inject_node_fault(struct simulation *simulation,
+			      enum fault_kind kind, uint32_t node,
+			      uint64_t duration_us)
 {
-	struct world_event *event;
-	uint32_t per_domain = world->options.nodes_per_domain;
+	struct simulation_event *event;
+	uint32_t per_domain = simulation->options.nodes_per_domain;
 
 	switch (kind) {
 	case FAULT_KILL:
-		fault_kill_nodes(world, node, 1);
+		fault_kill_nodes(simulation, node, 1);
 		break;
 	case FAULT_KILL_DOMAIN:
-		fault_kill_nodes(world, node / per_domain * per_domain,
+		fault_kill_nodes(simulation, node / per_domain * per_domain,
 				 per_domain);
 		break;
 	case FAULT_PAUSE:
-		node_pause(world, node, true);
-		event = world_after(world, lasts_us, node_goes_on);
+		node_pause(simulation, node, true);
+		event = simulation_schedule(simulation, duration_us,
+					    resume_node);
 		event->index = node;
-		event->life = world->nodes[node].life;
+		event->epoch = simulation->nodes[node].epoch;
 		break;
 	default:
-		node_stop(world, node);
+		node_stop(simulation, node);
 		break;
 	}
 }
 
 /*
- * Bring about a fault of the platform for `lasts_us`.
+ * Bring about a fault of the platform for `duration_us`.
  */
-void fault_strike_platform(struct world *world, enum fault_kind kind,
-			   uint64_t lasts_us)
+void fault_inject_platform(struct simulation *simulation, enum fault_kind kind,
+			   uint64_t duration_us)
 {
-	world_note(world, "fault %d at the platform", kind);
+	simulation_trace(simulation, "fault %d at the platform", kind);
 	if (kind == FAULT_OUTAGE)
-		world->log.down = true;
+		simulation->log.down = true;
 	else if (kind == FAULT_SLOW_LOG)
-		world->log.slow_us = world_random(world, 4 * RJ_US_PER_S);
+		simulation->log.slow_us =
+			simulation_random(simulation, 4 * RJ_US_PER_S);
 	else if (kind == FAULT_LIST_LAG)
-		world->log.list_lag_us = world_random(world, 15 * RJ_US_PER_S);
+		simulation->log.list_lag_us =
+			simulation_random(simulation, 15 * RJ_US_PER_S);
 	else if (kind == FAULT_CUT_INSTANCE)
-		world->log.cut_node[world_random(world, world->node_count)] =
-			true;
+		simulation->log.cut_node[simulation_random(
+			simulation, simulation->node_count)] = true;
 	else
-		world->log.cut[world_random(world, world->options.domains)] =
-			true;
-	world_reach_changed(world);
-	(void)world_after(world, lasts_us, fault_platform_back);
+		simulation->log.cut[simulation_random(
+			simulation, simulation->options.domains)] = true;
+	simulation_reachability_changed(simulation);
+	(void)simulation_schedule(simulation, duration_us,
+				  fault_restore_platform);
 }
 
 /*
  * Cut a failure domain off from the others and from the platform at once.
  */
-void fault_cut_alone(struct world *world, uint32_t domain, uint64_t lasts_us)
+void fault_isolate_domain(struct simulation *simulation, uint32_t domain,
+			  uint64_t duration_us)
 {
-	world_note(world, "domain %u is cut off", domain);
-	world->domain_cut[domain] = true;
-	world->log.cut[domain] = true;
-	world_reach_changed(world);
-	(void)world_after(world, lasts_us, fault_links_back);
-	(void)world_after(world, lasts_us, fault_platform_back);
+	simulation_trace(simulation, "domain %u is cut off", domain);
+	simulation->domain_cut[domain] = true;
+	simulation->log.cut[domain] = true;
+	simulation_reachability_changed(simulation);
+	(void)simulation_schedule(simulation, duration_us, fault_restore_links);
+	(void)simulation_schedule(simulation, duration_us,
+				  fault_restore_platform);
 }
 
 /* No instance of the domain hears another one of it: each takes itself for
  * the owner of all racks. */
-static void cut_within(struct world *world, uint32_t domain)
+static void cut_links_within_domain(struct simulation *simulation,
+				    uint32_t domain)
 {
-	uint32_t per_domain = world->options.nodes_per_domain;
+	uint32_t per_domain = simulation->options.nodes_per_domain;
 	uint32_t first = domain * per_domain;
 
-	world_note(world, "links within domain %u are cut", domain);
+	simulation_trace(simulation, "links within domain %u are cut", domain);
 	for (uint32_t a = first; a < first + per_domain; a++)
 		for (uint32_t b = a + 1; b < first + per_domain; b++)
-			world->links[a][b].cut = true;
+			simulation->links[a][b].cut = true;
 }
 
 /* The log drops all jobs' records that it holds, however young. */
-static void trim(struct world *world)
+static void trim_jobs_log(struct simulation *simulation)
 {
-	world_note(world, "the log is trimmed before its time");
-	world->log.oldest[RJ_STREAM_JOBS] =
-		world->log.streams[RJ_STREAM_JOBS]->len;
+	simulation_trace(simulation, "the log is trimmed before its time");
+	simulation->log.oldest[RJ_STREAM_JOBS] =
+		simulation->log.streams[RJ_STREAM_JOBS]->len;
 }
 
 /*
  * Bring about the fault of kind `event->other` somewhere, for up to
  * `event->life` beyond a second.
  */
-void fault_strike(struct world *world, struct world_event *event)
+void fault_inject(struct simulation *simulation, struct simulation_event *event)
 {
 	enum fault_kind kind = event->other;
-	uint64_t lasts_us =
-		RJ_US_PER_S + world_random(world, (uint64_t)event->life);
-	uint32_t node = (uint32_t)world_random(world, world->node_count);
-	uint32_t other = (uint32_t)world_random(world, world->node_count);
-	uint32_t worker = (uint32_t)world_random(world, world->worker_count);
+	uint64_t duration_us =
+		RJ_US_PER_S +
+		simulation_random(simulation, (uint64_t)event->epoch);
+	uint32_t node =
+		(uint32_t)simulation_random(simulation, simulation->node_count);
+	uint32_t other =
+		(uint32_t)simulation_random(simulation, simulation->node_count);
+	uint32_t worker = (uint32_t)simulation_random(simulation,
+						      simulation->worker_count);
 
-	world->faults++;
+	simulation->faults++;
 	switch (kind) {
 	case FAULT_KILL:
 	case FAULT_KILL_DOMAIN:
 	case FAULT_PAUSE:
 	case FAULT_STOP:
-		strike_node(world, kind, node, lasts_us);
+		inject_node_fault(simulation, kind, node, duration_us);
 		break;
 	case FAULT_OUTAGE:
 	case FAULT_SLOW_LOG:
 	case FAULT_LIST_LAG:
 	case FAULT_CUT_PLATFORM:
 	case FAULT_CUT_INSTANCE:
-		fault_strike_platform(world, kind, lasts_us);
+		fault_inject_platform(simulation, kind, duration_us);
 		break;
 	case FAULT_CUT_DOMAIN:
-		world->domain_cut[world->nodes[node].domain] = true;
-		(void)world_after(world, lasts_us, fault_links_back);
+		simulation->domain_cut[simulation->nodes[node].domain] = true;
+		(void)simulation_schedule(simulation, duration_us,
+					  fault_restore_links);
 		break;
 	case FAULT_CUT_LINK:
 		if (node != other)
-			world->links[node < other ? node : other]
-				    [node < other ? other : node]
-					    .cut = true;
-		(void)world_after(world, lasts_us, fault_links_back);
+			simulation
+				->links[node < other ? node : other]
+				       [node < other ? other : node]
+				.cut = true;
+		(void)simulation_schedule(simulation, duration_us,
+					  fault_restore_links);
 		break;
 	case FAULT_PUBLISH:
-		publish_race(world);
+		publish_race(simulation);
 		break;
-	case FAULT_CUT_ALONE:
-		fault_cut_alone(world, world->nodes[node].domain, lasts_us);
+	case FAULT_ISOLATE_DOMAIN:
+		fault_isolate_domain(simulation, simulation->nodes[node].domain,
+				     duration_us);
 		break;
 	case FAULT_CUT_WITHIN:
-		cut_within(world, world->nodes[node].domain);
-		(void)world_after(world, lasts_us, fault_links_back);
+		cut_links_within_domain(simulation,
+					simulation->nodes[node].domain);
+		(void)simulation_schedule(simulation, duration_us,
+					  fault_restore_links);
 		break;
 	case FAULT_TRIM:
-		trim(world);
+		trim_jobs_log(simulation);
 		break;
 	default:
-		strike_worker(world, kind, &world->workers[worker]);
+		inject_worker_fault(simulation, kind,
+				    &simulation->workers[worker]);
 		if (kind == FAULT_LEAVING)
-			lasts_us += LEAVING_LASTS_US;
-		world_after(world, lasts_us, worker_back)->index = worker;
+			duration_us += LEAVING_DURATION_US;
+		simulation_schedule(simulation, duration_us, restore_worker)
+			->index = worker;
 		break;
 	}
 }
@@ -280,32 +316,37 @@
 /*
  * Stopped instances are replaced as soon as they have gone.
  */
-void fault_replace_stopped(struct world *world, struct world_event *event)
+void fault_replace_stopped(struct simulation *simulation,
+			   struct simulation_event *event)
 {
-	for (uint32_t i = 0; i < world->node_count; i++)
-		if (world->nodes[i].stopping && !world->nodes[i].engine) {
-			world->nodes[i].stopping = false;
-			node_back_after(world, i,
-					world_random(world, RJ_US_PER_S));
+	for (uint32_t i = 0; i < simulation->node_count; i++)
+		if (simulation->nodes[i].stopping &&
+		    !simulation->nodes[i].engine) {
+			simulation->nodes[i].stopping = false;
+			restart_node_after(
+				simulation, i,
+				simulation_random(simulation, RJ_US_PER_S));
 		}
-	(void)world_after(world, RJ_US_PER_S / 2, fault_replace_stopped);
+	(void)simulation_schedule(simulation, RJ_US_PER_S / 2,
+				  fault_replace_stopped);
 }
 
 /*
  * Every fault ends, and from now on time limits hold.
  */
-void fault_calm(struct world *world, struct world_event *event)
+void fault_recover_all(struct simulation *simulation,
+		       struct simulation_event *event)
 {
-	world_note(world, "faults have ended");
-	memset(&world->rates, 0, sizeof(world->rates));
-	fault_platform_back(world, event);
-	fault_links_back(world, event);
-	for (uint32_t i = 0; i < world->node_count; i++) {
-		node_pause(world, i, false);
-		if (!world->nodes[i].engine)
-			node_start(world, i);
+	simulation_trace(simulation, "faults have ended");
+	memset(&simulation->rates, 0, sizeof(simulation->rates));
+	fault_restore_platform(simulation, event);
+	fault_restore_links(simulation, event);
+	for (uint32_t i = 0; i < simulation->node_count; i++) {
+		node_pause(simulation, i, false);
+		if (!simulation->nodes[i].engine)
+			node_start(simulation, i);
 	}
-	for (uint32_t i = 0; i < world->worker_count; i++)
-		mend_worker(world, &world->workers[i]);
-	world->checker.calm_us = world->now_us;
+	for (uint32_t i = 0; i < simulation->worker_count; i++)
+		recover_worker(simulation, &simulation->workers[i]);
+	simulation->checker.recovered_us = simulation->now_us;
 }
--- a/src/test_libradishjunction/support/fault_injection.h
+++ b/src/test_libradishjunction/support/fault_injection.h
@@ -6,14 +6,21 @@
 
 #include "support/fault_profiles.h"
 
-void fault_strike(struct world *world, struct world_event *event);
-void fault_strike_platform(struct world *world, enum fault_kind kind,
-			   uint64_t lasts_us);
-void fault_cut_alone(struct world *world, uint32_t domain, uint64_t lasts_us);
-void fault_kill_nodes(struct world *world, uint32_t first, uint32_t count);
-void fault_platform_back(struct world *world, struct world_event *event);
-void fault_links_back(struct world *world, struct world_event *event);
-void fault_replace_stopped(struct world *world, struct world_event *event);
-void fault_calm(struct world *world, struct world_event *event);
+void fault_inject(struct simulation *simulation,
+		  struct simulation_event *event);
+void fault_inject_platform(struct simulation *simulation, enum fault_kind kind,
+			   uint64_t duration_us);
+void fault_isolate_domain(struct simulation *simulation, uint32_t domain,
+			  uint64_t duration_us);
+void fault_kill_nodes(struct simulation *simulation, uint32_t first,
+		      uint32_t count);
+void fault_restore_platform(struct simulation *simulation,
+			    struct simulation_event *event);
+void fault_restore_links(struct simulation *simulation,
+			 struct simulation_event *event);
+void fault_replace_stopped(struct simulation *simulation,
+			   struct simulation_event *event);
+void fault_recover_all(struct simulation *simulation,
+		       struct simulation_event *event);
 
 #endif
--- a/src/test_libradishjunction/support/fault_load.c
+++ b/src/test_libradishjunction/support/fault_load.c
@@ -3,62 +3,68 @@
 #include <string.h>
 
 /* The shortest time that a caller in a hurry waits on a connection. */
-#define HASTY_US (2 * RJ_US_PER_S)
+#define IMPATIENT_TIMEOUT_US (2 * RJ_US_PER_S)
 
-static void plan_caller(struct world *world, enum load_kind kind,
-			struct caller_plan *plan)
+static void choose_caller_options(struct simulation *simulation,
+				  enum load_kind kind,
+				  struct fake_caller_options *options)
 {
-	plan->account = WORLD_OTHER_ACCOUNT;
-	plan->domain = (uint32_t)world_random(world, world->options.domains);
-	plan->tasks = 1;
-	plan->accelerators = 1;
-	plan->waits = true;
-	plan->idempotent = true;
-	plan->run_us = 20 * RJ_US_PER_MS + world_random(world, RJ_US_PER_S);
+	options->account = SIMULATION_OTHER_ACCOUNT;
+	options->domain = (uint32_t)simulation_random(
+		simulation, simulation->options.domains);
+	options->tasks = 1;
+	options->accelerators = 1;
+	options->waits = true;
+	options->idempotent = true;
+	options->run_us =
+		20 * RJ_US_PER_MS + simulation_random(simulation, RJ_US_PER_S);
 	switch (kind) {
 	case LOAD_PREVIEW:
-		plan->class_name = "preview";
-		plan->fails = world_random(world, 10) == 0;
+		options->class_name = "preview";
+		options->fails = simulation_random(simulation, 10) == 0;
 		break;
 	case LOAD_QUOTE:
-	case LOAD_QUOTE_DOUBLED:
-		plan->class_name = "quote";
-		plan->key = world->next_key++;
-		plan->idempotent = false;
-		plan->doubled = kind == LOAD_QUOTE_DOUBLED;
+	case LOAD_QUOTE_DUPLICATED:
+		options->class_name = "quote";
+		options->key = simulation->next_key++;
+		options->idempotent = false;
+		options->duplicated = kind == LOAD_QUOTE_DUPLICATED;
 		break;
 	case LOAD_GANG:
-		plan->class_name = "pack";
-		plan->tasks = 2 + (uint32_t)world_random(world, 3);
-		plan->accelerators = 4 + 4 * (uint32_t)world_random(world, 2);
-		plan->adjacent = world_random(world, 2) == 0;
-		plan->run_us *= 3;
+		options->class_name = "pack";
+		options->tasks = 2 + (uint32_t)simulation_random(simulation, 3);
+		options->accelerators =
+			4 + 4 * (uint32_t)simulation_random(simulation, 2);
+		options->adjacent = simulation_random(simulation, 2) == 0;
+		options->run_us *= 3;
 		break;
 	case LOAD_RENDER:
-		plan->class_name = "render";
-		plan->key = world->next_key++;
-		plan->accelerators = 2 + 2 * (uint32_t)world_random(world, 3);
-		plan->run_us *= 8;
-		plan->waits = false;
-		plan->cancels = world_random(world, 5) == 0;
+		options->class_name = "render";
+		options->key = simulation->next_key++;
+		options->accelerators =
+			2 + 2 * (uint32_t)simulation_random(simulation, 3);
+		options->run_us *= 8;
+		options->waits = false;
+		options->cancels = simulation_random(simulation, 5) == 0;
 		break;
 	case LOAD_OCCUPY:
-		plan->class_name = "render";
-		plan->key = world->next_key++;
-		plan->accelerators = 8;
-		plan->run_us = 10 * RJ_US_PER_S +
-			       world_random(world, 15 * RJ_US_PER_S);
-		plan->waits = false;
+		options->class_name = "render";
+		options->key = simulation->next_key++;
+		options->accelerators = 8;
+		options->run_us =
+			10 * RJ_US_PER_S +
+			simulation_random(simulation, 15 * RJ_US_PER_S);
+		options->waits = false;
 		break;
 	default:
-		plan->class_name = "pack";
-		plan->account = WORLD_GUARANTEED_ACCOUNT;
-		plan->guaranteed = true;
-		plan->tasks = WORLD_GUARANTEED_TASKS;
-		plan->accelerators = 4;
-		plan->adjacent = true;
-		plan->run_us = 2 * RJ_US_PER_S;
-		plan->key = world->next_key++;
+		options->class_name = "pack";
+		options->account = SIMULATION_GUARANTEED_ACCOUNT;
+		options->guaranteed = true;
+		options->tasks = SIMULATION_GUARANTEED_TASKS;
+		options->accelerators = 4;
+		options->adjacent = true;
+		options->run_us = 2 * RJ_US_PER_S;
+		options->key = simulation->next_key++;
 		break;
 	}
 }
@@ -66,39 +72,42 @@
 /*
  * Add `callers` callers, whose kinds are drawn by these weights.
  */
-void load_add(struct world *world, const struct fault_place_options *place,
+void load_add(struct simulation *simulation, const struct fault_setup *setup,
 	      const uint8_t *weights, uint32_t callers)
 {
-	bool guaranteed[WORLD_DOMAINS_MAX] = { false };
+	bool guaranteed[SIMULATION_DOMAINS_MAX] = { false };
 
 	for (uint32_t i = 0; i < callers; i++) {
 		enum load_kind kind =
-			profile_pick(world, weights, LOAD_KIND_COUNT);
+			profile_pick(simulation, weights, LOAD_KIND_COUNT);
 		uint64_t from_us = FAULTS_LOAD_FROM_US;
-		uint64_t until_us = place->load_until_us;
+		uint64_t until_us = setup->load_until_us;
 		struct fake_caller *caller;
-		struct caller_plan plan;
+		struct fake_caller_options options;
 
-		memset(&plan, 0, sizeof(plan));
-		plan_caller(world, kind, &plan);
+		memset(&options, 0, sizeof(options));
+		choose_caller_options(simulation, kind, &options);
 		/* One shape is guaranteed in each failure domain: its account
 		   asks for no more, since more has no guarantee. */
-		if (plan.guaranteed && guaranteed[plan.domain])
-			plan.account = WORLD_OTHER_ACCOUNT;
-		plan.guaranteed &= !guaranteed[plan.domain];
-		if (plan.guaranteed) {
-			guaranteed[plan.domain] = true;
-			from_us = place->load_until_us;
-			until_us = place->calm_us + 2 * RJ_US_PER_S;
+		if (options.guaranteed && guaranteed[options.domain])
+			options.account = SIMULATION_OTHER_ACCOUNT;
+		options.guaranteed &= !guaranteed[options.domain];
+		if (options.guaranteed) {
+			guaranteed[options.domain] = true;
+			from_us = setup->load_until_us;
+			until_us = setup->recovery_us + 2 * RJ_US_PER_S;
 		}
 		caller = fake_caller_add(
-			world,
-			from_us + world_random(world, until_us - from_us),
-			&plan);
-		if (place->tries)
-			caller->tries_max = place->tries;
-		if (place->hasty && world_random(world, 2) == 0)
-			caller->patience_us =
-				HASTY_US + world_random(world, HASTY_US);
+			simulation,
+			from_us + simulation_random(simulation,
+						    until_us - from_us),
+			&options);
+		if (setup->tries)
+			caller->tries_max = setup->tries;
+		if (setup->impatient && simulation_random(simulation, 2) == 0)
+			caller->timeout_us =
+				IMPATIENT_TIMEOUT_US +
+				simulation_random(simulation,
+						  IMPATIENT_TIMEOUT_US);
 	}
 }
--- a/src/test_libradishjunction/support/fault_load.h
+++ b/src/test_libradishjunction/support/fault_load.h
@@ -6,7 +6,7 @@
 
 #include "support/fault_profiles.h"
 
-void load_add(struct world *world, const struct fault_place_options *place,
+void load_add(struct simulation *simulation, const struct fault_setup *setup,
 	      const uint8_t *weights, uint32_t callers);
 
 #endif
--- a/src/test_libradishjunction/support/fault_profiles.h
+++ b/src/test_libradishjunction/support/fault_profiles.h
@@ -22,14 +22,14 @@
 	FAULT_CUT_LINK,
 	FAULT_WORKER_KILL,
 	FAULT_WORKER_PAUSE,
-	FAULT_WORKER_SILENT,
+	FAULT_WORKER_UNREACHABLE,
 	FAULT_WORKER_FAILS,
 	FAULT_WORKER_REFUSES,
 	FAULT_WORKER_SLOW,
 	FAULT_LEAVING,
 	FAULT_LIST_LAG,
 	FAULT_PUBLISH,
-	FAULT_CUT_ALONE, /* a domain, from the others and the platform */
+	FAULT_ISOLATE_DOMAIN, /* a domain, from the others and the platform */
 	FAULT_CUT_WITHIN, /* all links among the instances of a domain */
 	FAULT_CUT_INSTANCE, /* one, from the platform alone */
 	FAULT_TRIM, /* the log drops what it should still keep */
@@ -39,7 +39,7 @@
 enum load_kind {
 	LOAD_PREVIEW,
 	LOAD_QUOTE,
-	LOAD_QUOTE_DOUBLED,
+	LOAD_QUOTE_DUPLICATED,
 	LOAD_GANG,
 	LOAD_RENDER,
 	LOAD_GUARANTEED,
@@ -52,21 +52,21 @@
 	uint8_t faults[FAULT_KIND_COUNT];
 	uint8_t load[LOAD_KIND_COUNT];
 	uint32_t callers; /* 0: the usual number of the place */
-	bool peers_lose; /* messages, where the place says so */
+	bool lossy_peers; /* messages, where the place says so */
 	uint64_t end_us; /* 0: FAULTS_END_US */
 	struct fault_rates rates; /* the most; each run takes a share */
 };
 
 /* Where the profiles are run, and for how long. */
-enum fault_place {
-	FAULT_PLACE_SMALL, /* two domains of two instances */
-	FAULT_PLACE_LARGE, /* three of four; clocks drift, callers hurry */
-	FAULT_PLACE_TRIMMED, /* the small one; the log drops too much */
-	FAULT_PLACE_APART, /* a region loses the other and the platform */
-	FAULT_PLACE_COUNT
+enum fault_setup_kind {
+	FAULT_SETUP_SMALL, /* two domains of two instances */
+	FAULT_SETUP_LARGE, /* three of four; clocks drift, callers hurry */
+	FAULT_SETUP_TRIMMED, /* the small one; the log drops too much */
+	FAULT_SETUP_ISOLATED, /* a region loses the other and the platform */
+	FAULT_SETUP_COUNT
 };
 
-struct fault_place_options {
+struct fault_setup {
 	const char *name;
 	uint32_t domains;
 	uint32_t nodes_per_domain;
@@ -76,21 +76,21 @@
 	uint32_t key_life_s; /* 0: the usual one */
 	uint32_t callers;
 	uint32_t tries; /* of each caller; 0: the usual number */
-	bool hasty; /* some callers give up before a pause ends */
+	bool impatient; /* some callers give up before a pause ends */
 	uint32_t faults_max;
 	uint8_t faults[FAULT_KIND_COUNT]; /* beside those of the profile */
 	struct fault_rates rates; /* of profiles whose peers lose messages */
 	uint64_t load_until_us;
-	uint64_t calm_us;
-	uint64_t lasts_max_us; /* the most that a fault lasts beyond 1 s */
+	uint64_t recovery_us;
+	uint64_t duration_max_us; /* the most that a fault lasts beyond 1 s */
 	uint64_t short_retention_us; /* twice the longest fault, and more */
-	uint64_t more_us; /* beyond the end of the profile */
+	uint64_t extra_us; /* beyond the end of the profile */
 };
 
-extern const struct fault_place_options fault_places[FAULT_PLACE_COUNT];
-extern const struct fault_profile fault_profiles[PROMISE_COUNT];
+extern const struct fault_setup fault_setups[FAULT_SETUP_COUNT];
+extern const struct fault_profile fault_profiles[INVARIANT_COUNT];
 
-uint32_t profile_pick(struct world *world, const uint8_t *weights,
+uint32_t profile_pick(struct simulation *simulation, const uint8_t *weights,
 		      uint32_t count);
 
 #endif
--- a/src/test_libradishjunction/support/fault_result.c
+++ b/src/test_libradishjunction/support/fault_result.c
@@ -35,7 +35,7 @@
 void faults_result_add(struct faults_result *sum,
 		       const struct faults_result *one)
 {
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++) {
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++) {
 		if (!sum->violations[i])
 			memcpy(sum->first[i], one->first[i],
 			       sizeof(sum->first[i]));
@@ -55,16 +55,18 @@
 	add_times(sum->config_us, one->config_us);
 }
 
-static void add_callers(struct world *world, struct faults_result *result)
+static void add_callers(struct simulation *simulation,
+			struct faults_result *result)
 {
-	for (guint i = 0; i < world->callers->len; i++) {
-		const struct fake_caller *caller = world->callers->pdata[i];
-		const struct checker_intent *intent =
-			checker_intent_get(&world->checker, caller->intent);
+	for (guint i = 0; i < simulation->callers->len; i++) {
+		const struct fake_caller *caller =
+			simulation->callers->pdata[i];
+		const struct checker_intent *intent = checker_intent_get(
+			&simulation->checker, caller->intent);
 
 		result->asked++;
 		if (caller->served_us != RJ_NEVER_US &&
-		    caller->served_us - caller->first_us <= caller->patience_us)
+		    caller->served_us - caller->first_us <= caller->timeout_us)
 			result->served++;
 		if (caller->served_us != RJ_NEVER_US &&
 		    caller->served_us - caller->first_us <= FAULTS_PROMPT_US)
@@ -83,9 +85,10 @@
 
 			g_array_append_val(result->claim_settle_us, took_us);
 		}
-		if (intent->guaranteed && intent->whole_us != RJ_NEVER_US) {
+		if (intent->guaranteed &&
+		    intent->progressed_us != RJ_NEVER_US) {
 			uint64_t took_us =
-				intent->whole_us - intent->submitted_us;
+				intent->progressed_us - intent->submitted_us;
 
 			g_array_append_val(result->reclaim_us, took_us);
 		}
@@ -95,18 +98,19 @@
 /*
  * Add what came of a world that has run.
  */
-void faults_result_add_world(struct world *world, struct faults_result *result)
+void faults_result_add_world(struct simulation *simulation,
+			     struct faults_result *result)
 {
-	const struct checker *checker = &world->checker;
+	const struct checker *checker = &simulation->checker;
 
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++) {
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++) {
 		if (!result->violations[i])
 			memcpy(result->first[i], checker->first[i],
 			       sizeof(result->first[i]));
 		result->violations[i] += checker->violations[i];
 		result->checks[i] += checker->checks[i];
 	}
-	result->faults += world->faults;
+	result->faults += simulation->faults;
 	add_times(result->config_us, checker->settle_us);
-	add_callers(world, result);
+	add_callers(simulation, result);
 }
--- a/src/test_libradishjunction/support/faults.c
+++ b/src/test_libradishjunction/support/faults.c
@@ -6,147 +6,160 @@
 #include "support/fault_load.h"
 #include "support/fault_injection.h"
 
-#define APART_US (3600 * RJ_US_PER_S)
+#define ISOLATION_US (3600 * RJ_US_PER_S)
 
 /* A little of everything that callers ask for. */
-static const uint8_t mixed[LOAD_KIND_COUNT] = {
-	[LOAD_PREVIEW] = 6, [LOAD_QUOTE] = 4,  [LOAD_QUOTE_DOUBLED] = 1,
+static const uint8_t mixed_load[LOAD_KIND_COUNT] = {
+	[LOAD_PREVIEW] = 6, [LOAD_QUOTE] = 4,  [LOAD_QUOTE_DUPLICATED] = 1,
 	[LOAD_GANG] = 1,    [LOAD_RENDER] = 2,
 };
 
-const char *const trouble_string[TROUBLE_COUNT] = {
-	[TROUBLE_NONE] = "none",
-	[TROUBLE_OUTAGE] = "outage",
-	[TROUBLE_CUT_DOMAIN] = "cut_domain",
-	[TROUBLE_KILLED_INSTANCE] = "killed_instance",
-	[TROUBLE_ROLLING_REPLACEMENT] = "rolling_replacement",
+const char *const fault_scenario_string[FAULT_SCENARIO_COUNT] = {
+	[FAULT_SCENARIO_NONE] = "none",
+	[FAULT_SCENARIO_OUTAGE] = "outage",
+	[FAULT_SCENARIO_CUT_DOMAIN] = "cut_domain",
+	[FAULT_SCENARIO_KILLED_INSTANCE] = "killed_instance",
+	[FAULT_SCENARIO_ROLLING_REPLACEMENT] = "rolling_replacement",
 };
 
-static void share_rates(struct world *world, const struct fault_rates *most)
+static void draw_rates(struct simulation *simulation,
+		       const struct fault_rates *limits)
 {
-	const uint32_t *from = (const uint32_t *)most;
-	uint32_t *to = (uint32_t *)&world->rates;
+	const uint32_t *from = (const uint32_t *)limits;
+	uint32_t *to = (uint32_t *)&simulation->rates;
 
 	/* Half of the rates are off in any one run. */
-	for (size_t i = 0; i < sizeof(*most) / sizeof(*from); i++)
-		if (from[i] && world_random(world, 2) == 0)
-			to[i] = (uint32_t)world_random(world, from[i]);
+	for (size_t i = 0; i < sizeof(*limits) / sizeof(*from); i++)
+		if (from[i] && simulation_random(simulation, 2) == 0)
+			to[i] = (uint32_t)simulation_random(simulation,
+							    from[i]);
 }
 
-static struct world *make_world(void *mem, const struct engine_ops *engine,
-				const struct fault_place_options *place,
-				uint64_t seed, uint64_t retention_us,
-				FILE *transcript)
+static struct simulation *make_simulation(void *mem,
+					  const struct engine_ops *engine,
+					  const struct fault_setup *setup,
+					  uint64_t seed, uint64_t retention_us,
+					  FILE *transcript)
 {
-	struct world_options options = {
+	struct simulation_options options = {
 		.engine = engine,
 		.seed = rj_hash64(&seed, sizeof(seed), 1),
-		.domains = place->domains,
-		.nodes_per_domain = place->nodes_per_domain,
-		.racks_per_domain = place->racks_per_domain,
-		.workers_per_rack = place->workers_per_rack,
+		.domains = setup->domains,
+		.nodes_per_domain = setup->nodes_per_domain,
+		.racks_per_domain = setup->racks_per_domain,
+		.workers_per_rack = setup->workers_per_rack,
 		.retention_us = retention_us,
-		.key_life_s = place->key_life_s,
-		.drift_ppm = place->drift_ppm,
+		.key_life_s = setup->key_life_s,
+		.drift_ppm = setup->drift_ppm,
 		.transcript = transcript,
 	};
 
-	return world_create(mem, &options);
+	return simulation_create(mem, &options);
 }
 
 /* Where claims, outcomes and configurations matter, the log forgets within
  * the run in two seeds of seven. */
-static uint64_t retention_us(const struct fault_place_options *place,
-			     enum promise promise, uint64_t seed)
+static uint64_t retention_us(const struct fault_setup *setup,
+			     enum invariant invariant, uint64_t seed)
 {
-	bool matters = promise == PROMISE_ONCE || promise == PROMISE_CONFIG ||
-		       promise == PROMISE_ACCEPTED;
+	bool matters = invariant == INVARIANT_ONCE ||
+		       invariant == INVARIANT_CONFIG ||
+		       invariant == INVARIANT_ACCEPTED;
 
-	return matters && seed % 7 >= 5 ? place->short_retention_us : 0;
+	return matters && seed % 7 >= 5 ? setup->short_retention_us : 0;
 }
 
 /* Plan the faults of one run: those of the profile and of the place. */
-static void add_faults(struct world *world,
-		       const struct fault_place_options *place,
-		       const struct fault_profile *profile, uint32_t count)
+static void schedule_faults(struct simulation *simulation,
+			    const struct fault_setup *setup,
+			    const struct fault_profile *profile, uint32_t count)
 {
 	uint8_t weights[FAULT_KIND_COUNT];
 
 	for (uint32_t i = 0; i < FAULT_KIND_COUNT; i++)
-		weights[i] = profile->faults[i] + place->faults[i];
+		weights[i] = profile->faults[i] + setup->faults[i];
 	for (uint32_t i = 0; i < count; i++) {
-		uint64_t span_us = place->load_until_us - FAULTS_LOAD_FROM_US;
-		struct world_event *event = world_after(
-			world,
-			FAULTS_LOAD_FROM_US + world_random(world, span_us),
-			fault_strike);
-
-		event->other = profile_pick(world, weights, FAULT_KIND_COUNT);
-		event->life = place->lasts_max_us;
+		uint64_t span_us = setup->load_until_us - FAULTS_LOAD_FROM_US;
+		struct simulation_event *event = simulation_schedule(
+			simulation,
+			FAULTS_LOAD_FROM_US +
+				simulation_random(simulation, span_us),
+			fault_inject);
+
+		event->other =
+			profile_pick(simulation, weights, FAULT_KIND_COUNT);
+		event->epoch = setup->duration_max_us;
 	}
 }
 
 /*
  * Run one seed of a promise's profile at a place and add what came of it.
  */
-void faults_run_at(const struct engine_ops *engine, enum fault_place where,
-		   enum promise promise, uint64_t seed, FILE *transcript,
+void faults_run_at(const struct engine_ops *engine,
+		   enum fault_setup_kind setup_kind, enum invariant invariant,
+		   uint64_t seed, FILE *transcript,
 		   struct faults_result *result)
 {
-	const struct fault_place_options *place = &fault_places[where];
-	const struct fault_profile *profile = &fault_profiles[promise];
+	const struct fault_setup *setup = &fault_setups[setup_kind];
+	const struct fault_profile *profile = &fault_profiles[invariant];
 	uint64_t end_us = profile->end_us ? profile->end_us : FAULTS_END_US;
 	void *mem = talloc_new(NULL);
-	struct world *world =
-		make_world(mem, engine, place, seed,
-			   retention_us(place, promise, seed), transcript);
-	uint32_t count = 1 + (uint32_t)world_random(world, place->faults_max);
-
-	share_rates(world, &profile->rates);
-	if (profile->peers_lose)
-		share_rates(world, &place->rates);
-	load_add(world, place, profile->load,
-		 profile->callers > place->callers ? profile->callers :
-						     place->callers);
-	add_faults(world, place, profile, count);
-	(void)world_after(world, 0, fault_replace_stopped);
-	(void)world_after(world, place->calm_us, fault_calm);
-	world_run_until(world, end_us + place->more_us);
-	checker_finish_run(&world->checker, world->now_us);
-	faults_result_add_world(world, result);
+	struct simulation *simulation = make_simulation(
+		mem, engine, setup, seed, retention_us(setup, invariant, seed),
+		transcript);
+	uint32_t count =
+		1 + (uint32_t)simulation_random(simulation, setup->faults_max);
+
+	draw_rates(simulation, &profile->rates);
+	if (profile->lossy_peers)
+		draw_rates(simulation, &setup->rates);
+	load_add(simulation, setup, profile->load,
+		 profile->callers > setup->callers ? profile->callers :
+						     setup->callers);
+	schedule_faults(simulation, setup, profile, count);
+	(void)simulation_schedule(simulation, 0, fault_replace_stopped);
+	(void)simulation_schedule(simulation, setup->recovery_us,
+				  fault_recover_all);
+	simulation_run_until(simulation, end_us + setup->extra_us);
+	checker_finish_run(&simulation->checker, simulation->now_us);
+	faults_result_add_world(simulation, result);
 	talloc_free(mem);
 }
 
 /*
  * Run one seed of a promise's profile in the small world.
  */
-void faults_run(const struct engine_ops *engine, enum promise promise,
+void faults_run(const struct engine_ops *engine, enum invariant invariant,
 		uint64_t seed, FILE *transcript, struct faults_result *result)
 {
-	faults_run_at(engine, FAULT_PLACE_SMALL, promise, seed, transcript,
+	faults_run_at(engine, FAULT_SETUP_SMALL, invariant, seed, transcript,
 		      result);
 }
 
-static void stop_one(struct world *world, struct world_event *event)
+static void stop_node(struct simulation *simulation,
+		      struct simulation_event *event)
 {
-	node_stop(world, event->index);
+	node_stop(simulation, event->index);
 }
 
-static void cause(struct world *world, enum trouble trouble)
+static void inject_scenario(struct simulation *simulation,
+			    enum fault_scenario fault_scenario)
 {
-	switch (trouble) {
-	case TROUBLE_OUTAGE:
-		fault_strike_platform(world, FAULT_OUTAGE, 10 * RJ_US_PER_S);
+	switch (fault_scenario) {
+	case FAULT_SCENARIO_OUTAGE:
+		fault_inject_platform(simulation, FAULT_OUTAGE,
+				      10 * RJ_US_PER_S);
 		break;
-	case TROUBLE_CUT_DOMAIN:
-		fault_cut_alone(world, 0, 10 * RJ_US_PER_S);
+	case FAULT_SCENARIO_CUT_DOMAIN:
+		fault_isolate_domain(simulation, 0, 10 * RJ_US_PER_S);
 		break;
-	case TROUBLE_KILLED_INSTANCE:
-		fault_kill_nodes(world, 0, 1);
+	case FAULT_SCENARIO_KILLED_INSTANCE:
+		fault_kill_nodes(simulation, 0, 1);
 		break;
-	case TROUBLE_ROLLING_REPLACEMENT:
-		for (uint32_t i = 0; i < world->node_count; i++)
-			world_after(world, i * 3 * RJ_US_PER_S, stop_one)
+	case FAULT_SCENARIO_ROLLING_REPLACEMENT:
+		for (uint32_t i = 0; i < simulation->node_count; i++)
+			simulation_schedule(simulation, i * 3 * RJ_US_PER_S,
+					    stop_node)
 				->index = i;
 		break;
 	default:
@@ -158,21 +171,22 @@
  * Run mixed load under one kind of trouble, from the load's first third on
  * for about ten seconds, and count what is served.
  */
-void faults_served(const struct engine_ops *engine, enum trouble trouble,
-		   uint64_t seed, struct faults_result *result)
+void faults_run_scenario(const struct engine_ops *engine,
+			 enum fault_scenario fault_scenario, uint64_t seed,
+			 struct faults_result *result)
 {
-	const struct fault_place_options *place =
-		&fault_places[FAULT_PLACE_SMALL];
+	const struct fault_setup *setup = &fault_setups[FAULT_SETUP_SMALL];
 	void *mem = talloc_new(NULL);
-	struct world *world = make_world(mem, engine, place, seed, 0, NULL);
-
-	load_add(world, place, mixed, 2 * place->callers);
-	(void)world_after(world, 0, fault_replace_stopped);
-	world_run_until(world, 8 * RJ_US_PER_S);
-	cause(world, trouble);
-	world_run_until(world, FAULTS_END_US);
-	checker_finish_run(&world->checker, world->now_us);
-	faults_result_add_world(world, result);
+	struct simulation *simulation =
+		make_simulation(mem, engine, setup, seed, 0, NULL);
+
+	load_add(simulation, setup, mixed_load, 2 * setup->callers);
+	(void)simulation_schedule(simulation, 0, fault_replace_stopped);
+	simulation_run_until(simulation, 8 * RJ_US_PER_S);
+	inject_scenario(simulation, fault_scenario);
+	simulation_run_until(simulation, FAULTS_END_US);
+	checker_finish_run(&simulation->checker, simulation->now_us);
+	faults_result_add_world(simulation, result);
 	talloc_free(mem);
 }
 
@@ -181,25 +195,25 @@
  * of its load; its links come back in the midst of more of it. Keys live
  * longer than that, and the log keeps its records for two hours.
  */
-void faults_apart(const struct engine_ops *engine, uint64_t seed,
-		  FILE *transcript, struct faults_result *result)
+void faults_run_isolated_region(const struct engine_ops *engine, uint64_t seed,
+				FILE *transcript, struct faults_result *result)
 {
-	const struct fault_place_options *place =
-		&fault_places[FAULT_PLACE_APART];
-	const uint64_t cut_us = place->load_until_us / 2;
+	const struct fault_setup *setup = &fault_setups[FAULT_SETUP_ISOLATED];
+	const uint64_t cut_us = setup->load_until_us / 2;
 	void *mem = talloc_new(NULL);
-	struct world *world =
-		make_world(mem, engine, place, seed, 2 * APART_US, transcript);
-
-	load_add(world, place, mixed, place->callers);
-	world_run_until(world, cut_us);
-	fault_cut_alone(world, 0, APART_US);
-	world_run_until(world, APART_US);
-	load_add(world, place, mixed, place->callers);
-	(void)world_after(world, place->calm_us, fault_calm);
-	world_run_until(world, APART_US + 2 * FAULTS_END_US);
-	checker_finish_run(&world->checker, world->now_us);
-	faults_result_add_world(world, result);
+	struct simulation *simulation = make_simulation(
+		mem, engine, setup, seed, 2 * ISOLATION_US, transcript);
+
+	load_add(simulation, setup, mixed_load, setup->callers);
+	simulation_run_until(simulation, cut_us);
+	fault_isolate_domain(simulation, 0, ISOLATION_US);
+	simulation_run_until(simulation, ISOLATION_US);
+	load_add(simulation, setup, mixed_load, setup->callers);
+	(void)simulation_schedule(simulation, setup->recovery_us,
+				  fault_recover_all);
+	simulation_run_until(simulation, ISOLATION_US + 2 * FAULTS_END_US);
+	checker_finish_run(&simulation->checker, simulation->now_us);
+	faults_result_add_world(simulation, result);
 	talloc_free(mem);
 }
 
@@ -207,20 +221,21 @@
  * A world with load and without a fault, to be run by the caller. Nothing is
  * cancelled, and there is room for all.
  */
-struct world *faults_quiet_world(void *mem, const struct engine_ops *engine,
+struct simulation *
+faults_simulation_without_faults(void *mem, const struct engine_ops *engine,
 				 uint64_t seed)
 {
 	static const uint8_t light[LOAD_KIND_COUNT] = {
 		[LOAD_PREVIEW] = 4,
 		[LOAD_QUOTE] = 3,
-		[LOAD_QUOTE_DOUBLED] = 2,
+		[LOAD_QUOTE_DUPLICATED] = 2,
 	};
-	const struct fault_place_options *place =
-		&fault_places[FAULT_PLACE_SMALL];
-	struct world *world = make_world(mem, engine, place, seed, 0, NULL);
+	const struct fault_setup *setup = &fault_setups[FAULT_SETUP_SMALL];
+	struct simulation *simulation =
+		make_simulation(mem, engine, setup, seed, 0, NULL);
 
 	/* What was drawn so far depends on the engine; the callers must not. */
-	world->random = seed;
-	load_add(world, place, light, place->callers);
-	return world;
+	simulation->random = seed;
+	load_add(simulation, setup, light, setup->callers);
+	return simulation;
 }
--- a/src/test_libradishjunction/support/faults.h
+++ b/src/test_libradishjunction/support/faults.h
@@ -3,7 +3,7 @@
  *
  * `faults_run` makes a world, lets load and faults strike it for a while,
  * ends every fault, waits for quiet and judges; nothing is kept but the
- * result. `faults_served` runs load with one kind of trouble and counts what
+ * result. `faults_run_scenario` runs load with one kind of trouble and counts what
  * is still served.
  */
 #ifndef SUPPORT_FAULTS_H
@@ -12,24 +12,24 @@
 #include "support/fault_profiles.h"
 
 /* The trouble under which the share of served requests is measured. */
-enum trouble {
-	TROUBLE_NONE,
-	TROUBLE_OUTAGE,
-	TROUBLE_CUT_DOMAIN,
-	TROUBLE_KILLED_INSTANCE,
-	TROUBLE_ROLLING_REPLACEMENT,
-	TROUBLE_COUNT
+enum fault_scenario {
+	FAULT_SCENARIO_NONE,
+	FAULT_SCENARIO_OUTAGE,
+	FAULT_SCENARIO_CUT_DOMAIN,
+	FAULT_SCENARIO_KILLED_INSTANCE,
+	FAULT_SCENARIO_ROLLING_REPLACEMENT,
+	FAULT_SCENARIO_COUNT
 };
 
 /* A caller who is served so soon has not noticed any trouble. */
 #define FAULTS_PROMPT_US (3 * RJ_US_PER_S)
 
-extern const char *const trouble_string[TROUBLE_COUNT];
+extern const char *const fault_scenario_string[FAULT_SCENARIO_COUNT];
 
 struct faults_result {
-	uint32_t violations[PROMISE_COUNT];
-	uint64_t checks[PROMISE_COUNT];
-	char first[PROMISE_COUNT][200];
+	uint32_t violations[INVARIANT_COUNT];
+	uint64_t checks[INVARIANT_COUNT];
+	char first[INVARIANT_COUNT][200];
 	uint64_t faults;
 	uint32_t asked;
 	uint32_t served; /* done or accepted within the patience */
@@ -45,18 +45,22 @@
 void faults_result_init(struct faults_result *result);
 void faults_result_add(struct faults_result *sum,
 		       const struct faults_result *one);
-void faults_result_add_world(struct world *world, struct faults_result *result);
+void faults_result_add_world(struct simulation *simulation,
+			     struct faults_result *result);
 void faults_result_finish(struct faults_result *result);
-void faults_run(const struct engine_ops *engine, enum promise promise,
+void faults_run(const struct engine_ops *engine, enum invariant invariant,
 		uint64_t seed, FILE *transcript, struct faults_result *result);
-void faults_run_at(const struct engine_ops *engine, enum fault_place where,
-		   enum promise promise, uint64_t seed, FILE *transcript,
+void faults_run_at(const struct engine_ops *engine,
+		   enum fault_setup_kind setup_kind, enum invariant invariant,
+		   uint64_t seed, FILE *transcript,
 		   struct faults_result *result);
-void faults_apart(const struct engine_ops *engine, uint64_t seed,
-		  FILE *transcript, struct faults_result *result);
-struct world *faults_quiet_world(void *mem, const struct engine_ops *engine,
+void faults_run_isolated_region(const struct engine_ops *engine, uint64_t seed,
+				FILE *transcript, struct faults_result *result);
+struct simulation *
+faults_simulation_without_faults(void *mem, const struct engine_ops *engine,
 				 uint64_t seed);
-void faults_served(const struct engine_ops *engine, enum trouble trouble,
-		   uint64_t seed, struct faults_result *result);
+void faults_run_scenario(const struct engine_ops *engine,
+			 enum fault_scenario fault_scenario, uint64_t seed,
+			 struct faults_result *result);
 
 #endif
--- a/src/test_libradishjunction/support/plan_event.c
+++ b/src/test_libradishjunction/support/plan_event.c
@@ -3,8 +3,8 @@
 /*
  * Whether the event happens before the other.
  */
-static bool is_sooner(const struct world_event *one,
-		      const struct world_event *two)
+static bool is_sooner(const struct plan_event *one,
+		      const struct plan_event *two)
 {
 	if (one->at_us != two->at_us)
 		return one->at_us < two->at_us;
@@ -14,37 +14,41 @@
 /*
  * The event at this place of the heap.
  */
-struct world_event *plan_world_event(struct plan_world *world, uint32_t at)
+struct plan_event *plan_simulation_event(struct plan_simulation *simulation,
+					 uint32_t at)
 {
-	return &g_array_index(world->events, struct world_event, at);
+	return &g_array_index(simulation->events, struct plan_event, at);
 }
 
 /*
  * Change the places of two events.
  */
-static void event_swap(struct plan_world *world, uint32_t a, uint32_t b)
+static void event_swap(struct plan_simulation *simulation, uint32_t a,
+		       uint32_t b)
 {
-	struct world_event event = *plan_world_event(world, a);
+	struct plan_event event = *plan_simulation_event(simulation, a);
 
-	*plan_world_event(world, a) = *plan_world_event(world, b);
-	*plan_world_event(world, b) = event;
+	*plan_simulation_event(simulation, a) =
+		*plan_simulation_event(simulation, b);
+	*plan_simulation_event(simulation, b) = event;
 }
 
 /*
  * Let something happen at `at_us`.
  */
-void plan_world_push(struct plan_world *world, uint64_t at_us,
-		     enum world_event_kind kind, uint32_t index,
-		     uint32_t attempt)
+void plan_simulation_push(struct plan_simulation *simulation, uint64_t at_us,
+			  enum plan_event_kind kind, uint32_t index,
+			  uint32_t attempt)
 {
-	struct world_event event = { at_us, world->event_number++, kind, index,
-				     attempt };
-	uint32_t at = world->events->len;
+	struct plan_event event = { at_us, simulation->event_number++, kind,
+				    index, attempt };
+	uint32_t at = simulation->events->len;
 
-	g_array_append_val(world->events, event);
-	while (at && is_sooner(plan_world_event(world, at),
-			       plan_world_event(world, (at - 1) / 2))) {
-		event_swap(world, at, (at - 1) / 2);
+	g_array_append_val(simulation->events, event);
+	while (at &&
+	       is_sooner(plan_simulation_event(simulation, at),
+			 plan_simulation_event(simulation, (at - 1) / 2))) {
+		event_swap(simulation, at, (at - 1) / 2);
 		at = (at - 1) / 2;
 	}
 }
@@ -52,26 +56,26 @@
 /*
  * Take the soonest event out of the heap.
  */
-struct world_event plan_world_pop(struct plan_world *world)
+struct plan_event plan_simulation_pop(struct plan_simulation *simulation)
 {
-	struct world_event first = *plan_world_event(world, 0);
+	struct plan_event first = *plan_simulation_event(simulation, 0);
 	uint32_t at = 0;
 
-	event_swap(world, 0, world->events->len - 1);
-	g_array_set_size(world->events, world->events->len - 1);
+	event_swap(simulation, 0, simulation->events->len - 1);
+	g_array_set_size(simulation->events, simulation->events->len - 1);
 	for (;;) {
 		uint32_t child = 2 * at + 1;
 
-		if (child >= world->events->len)
+		if (child >= simulation->events->len)
 			return first;
-		if (child + 1 < world->events->len &&
-		    is_sooner(plan_world_event(world, child + 1),
-			      plan_world_event(world, child)))
+		if (child + 1 < simulation->events->len &&
+		    is_sooner(plan_simulation_event(simulation, child + 1),
+			      plan_simulation_event(simulation, child)))
 			child++;
-		if (!is_sooner(plan_world_event(world, child),
-			       plan_world_event(world, at)))
+		if (!is_sooner(plan_simulation_event(simulation, child),
+			       plan_simulation_event(simulation, at)))
 			return first;
-		event_swap(world, child, at);
+		event_swap(simulation, child, at);
 		at = child;
 	}
 }
