--- a/src/test_libradishjunction/support/plan_simulation.c
+++ b/src/test_libradishjunction/support/plan_simulation.c
@@ -13,14 +13,14 @@
 /* A failing worker fails a task after so long; how the core deals with it. */
 #define FAIL_US (200 * RJ_US_PER_MS)
 #define FAIL_BACK_OFF_US RJ_US_PER_S
-#define FAILURES_TO_SET_ASIDE 3
-#define SET_ASIDE_US (60 * RJ_US_PER_S)
+#define FAILURES_TO_EXCLUDE 3
+#define EXCLUSION_US (60 * RJ_US_PER_S)
 
 /* A lost instance is replaced, and has read its workers, after so long. */
-#define INSTANCE_GAP_US (3 * RJ_US_PER_S)
+#define INSTANCE_REPLACEMENT_US (3 * RJ_US_PER_S)
 
 /* What has not ended after so many horizons counts as if it ended then. */
-#define GIVE_UP_HORIZONS 4
+#define TIME_LIMIT_HORIZONS 4
 
 /* A guaranteed shape is late after the checkpoint limit and this. */
 #define LATE_US RJ_US_PER_S
@@ -28,330 +28,356 @@
 /*
  * When the world ends, whatever still waits.
  */
-static uint64_t give_up_us(const struct plan_world *world)
+static uint64_t time_limit_us(const struct plan_simulation *simulation)
 {
-	return GIVE_UP_HORIZONS * world->stream->horizon_us;
+	return TIME_LIMIT_HORIZONS * simulation->stream->horizon_us;
 }
 
 /*
  * The job as the stream has it.
  */
-static const struct stream_job *truth_of(const struct plan_world *world,
-					 uint32_t index)
+static const struct stream_job *
+stream_job_of(const struct plan_simulation *simulation, uint32_t index)
 {
-	return &world->stream->jobs[index];
+	return &simulation->stream->jobs[index];
 }
 
 /*
  * The accelerators of the job.
  */
-static double size_of(const struct stream_job *truth)
+static double job_accelerators(const struct stream_job *stream_job)
 {
-	return truth->plan.shape.tasks * truth->plan.shape.each.accelerators;
+	return stream_job->plan.shape.tasks *
+	       stream_job->plan.shape.each.accelerators;
 }
 
 /*
  * Give the workers of a running job back.
  */
-static void vacate(struct plan_world *world, uint32_t index)
+static void release_workers(struct plan_simulation *simulation, uint32_t index)
 {
-	const struct stream_job *truth = truth_of(world, index);
-	struct world_job *job = &world->jobs[index];
+	const struct stream_job *stream_job = stream_job_of(simulation, index);
+	struct plan_simulation_job *job = &simulation->jobs[index];
 
 	for (uint32_t i = 0; i < job->member_count; i++)
-		rj_resources_take(&world->taken[job->members[i].worker],
-				  &truth->plan.shape.each,
-				  job->members[i].tasks);
+		rj_resources_take(
+			&simulation->allocated[job->members[i].worker],
+			&stream_job->plan.shape.each, job->members[i].tasks);
 	TALLOC_FREE(job->members);
 	job->member_count = 0;
 	job->stopping = false;
-	world->busy -= (uint64_t)size_of(truth);
+	simulation->busy -= (uint64_t)job_accelerators(stream_job);
 }
 
 /*
  * Whether the job is a gang of the largest shape.
  */
-static bool is_largest(const struct plan_world *world,
-		       const struct stream_job *truth)
+static bool is_largest(const struct plan_simulation *simulation,
+		       const struct stream_job *stream_job)
 {
-	return truth->class_index == STREAM_GANG && size_of(truth) >= 64;
+	return stream_job->class_index == STREAM_GANG &&
+	       job_accelerators(stream_job) >= 64;
 }
 
 /*
  * The job has come to its end at `at_us`, whichever it was.
  */
-static void count_end(struct plan_world *world, uint32_t index, uint64_t at_us)
+static void record_completion(struct plan_simulation *simulation,
+			      uint32_t index, uint64_t at_us)
 {
-	const struct stream_job *truth = truth_of(world, index);
-	struct world_job *job = &world->jobs[index];
-	double took_s = (double)(at_us - truth->plan.queued_us) / RJ_US_PER_S;
-	uint64_t started_us = MIN(job->first_us, at_us);
+	const struct stream_job *stream_job = stream_job_of(simulation, index);
+	struct plan_simulation_job *job = &simulation->jobs[index];
+	double took_s =
+		(double)(at_us - stream_job->plan.queued_us) / RJ_US_PER_S;
+	uint64_t started_us = MIN(job->first_start_us, at_us);
 	double waited_s =
-		(double)(started_us - truth->plan.queued_us) / RJ_US_PER_S;
+		(double)(started_us - stream_job->plan.queued_us) / RJ_US_PER_S;
 
-	job->state = WORLD_OVER;
-	rj_resources_take(&world->open[truth->account], &truth->plan.shape.each,
-			  truth->plan.shape.tasks);
-	if (truth->cancel_us != RJ_NEVER_US)
+	job->state = PLAN_JOB_FINISHED;
+	rj_resources_take(&simulation->open_resources[stream_job->account],
+			  &stream_job->plan.shape.each,
+			  stream_job->plan.shape.tasks);
+	if (stream_job->cancel_us != RJ_NEVER_US)
 		return;
-	g_array_append_val(
-		world->completions[truth->class_index][truth->account], took_s);
-	g_array_append_val(
-		world->completions[truth->class_index][STREAM_ACCOUNTS],
-		took_s);
-	if (is_largest(world, truth))
-		g_array_append_val(world->gang_waits, waited_s);
+	g_array_append_val(simulation->completions[stream_job->class_index]
+						  [stream_job->account],
+			   took_s);
+	g_array_append_val(simulation->completions[stream_job->class_index]
+						  [STREAM_ACCOUNTS],
+			   took_s);
+	if (is_largest(simulation, stream_job))
+		g_array_append_val(simulation->gang_waits, waited_s);
 }
 
 /*
  * A refused job counts as if it had taken until its deadline.
  */
-static void count_refusal(struct plan_world *world, uint32_t index)
+static void record_refusal(struct plan_simulation *simulation, uint32_t index)
 {
-	const struct stream_job *truth = truth_of(world, index);
+	const struct stream_job *stream_job = stream_job_of(simulation, index);
 
-	world->result->refusals++;
-	count_end(world, index,
-		  truth->plan.deadline_us == RJ_NEVER_US ?
-			  give_up_us(world) :
-			  truth->plan.deadline_us);
+	simulation->result->refusals++;
+	record_completion(simulation, index,
+			  stream_job->plan.deadline_us == RJ_NEVER_US ?
+				  time_limit_us(simulation) :
+				  stream_job->plan.deadline_us);
 }
 
 /*
  * Hand a job to the planner; while no instance lives it waits outside.
  */
-static void submit(struct plan_world *world, uint32_t index)
+static void submit(struct plan_simulation *simulation, uint32_t index)
 {
-	const struct stream_job *truth = truth_of(world, index);
-	struct rj_plan_job plan = truth->plan;
+	const struct stream_job *stream_job = stream_job_of(simulation, index);
+	struct rj_plan_job plan = stream_job->plan;
 	enum rj_reason reason;
 	uint64_t retry_after_us;
 
-	world->jobs[index].state = WORLD_WAITING;
-	if (world->instance_down)
+	simulation->jobs[index].state = PLAN_JOB_WAITING;
+	if (simulation->instance_down)
 		return;
-	if (world->planner->ops->submit(world->planner, &plan, world->now_us,
-					&reason, &retry_after_us))
-		count_refusal(world, index);
+	if (simulation->planner->ops->submit(simulation->planner, &plan,
+					     simulation->now_us, &reason,
+					     &retry_after_us))
+		record_refusal(simulation, index);
 }
 
 /*
  * A job arrives.
  */
-static void arrive(struct plan_world *world, uint32_t index)
+static void handle_arrival(struct plan_simulation *simulation, uint32_t index)
 {
-	const struct stream_job *truth = truth_of(world, index);
+	const struct stream_job *stream_job = stream_job_of(simulation, index);
 	const struct rj_guarantee *guarantee =
-		&world->stream->guarantees[truth->account];
+		&simulation->stream->guarantees[stream_job->account];
 	struct rj_resources all = { 0 };
 
 	/* All that the account has open fits into its guarantee. */
-	rj_resources_add(&world->open[truth->account], &truth->plan.shape.each,
-			 truth->plan.shape.tasks);
+	rj_resources_add(&simulation->open_resources[stream_job->account],
+			 &stream_job->plan.shape.each,
+			 stream_job->plan.shape.tasks);
 	rj_resources_add(&all, &guarantee->shape.each,
 			 guarantee->shape.tasks * guarantee->count);
-	if (truth->guaranteed && truth->cancel_us == RJ_NEVER_US &&
-	    rj_resources_fit(&world->open[truth->account], &all)) {
-		world->jobs[index].due = true;
-		world->result->guaranteed_due++;
+	if (stream_job->guaranteed && stream_job->cancel_us == RJ_NEVER_US &&
+	    rj_resources_fit(&simulation->open_resources[stream_job->account],
+			     &all)) {
+		simulation->jobs[index].guarantee_due = true;
+		simulation->result->guaranteed_due++;
 	}
-	if (truth->cancel_us != RJ_NEVER_US)
-		plan_world_push(world, truth->cancel_us, WORLD_CANCEL, index,
-				0);
-	submit(world, index);
+	if (stream_job->cancel_us != RJ_NEVER_US)
+		plan_simulation_push(simulation, stream_job->cancel_us,
+				     PLAN_EVENT_CANCEL, index, 0);
+	submit(simulation, index);
 }
 
 /*
  * The caller cancels the job, wherever it is.
  */
-static void cancel(struct plan_world *world, uint32_t index)
+static void handle_cancel(struct plan_simulation *simulation, uint32_t index)
 {
-	struct world_job *job = &world->jobs[index];
+	struct plan_simulation_job *job = &simulation->jobs[index];
 
-	if (job->state == WORLD_OVER)
+	if (job->state == PLAN_JOB_FINISHED)
 		return;
-	if (job->state == WORLD_RUNNING)
-		vacate(world, index);
-	world->planner->ops->ended(world->planner, index + 1, false, 0,
-				   world->now_us);
-	count_end(world, index, world->now_us);
+	if (job->state == PLAN_JOB_RUNNING)
+		release_workers(simulation, index);
+	simulation->planner->ops->ended(simulation->planner, index + 1, false,
+					0, simulation->now_us);
+	record_completion(simulation, index, simulation->now_us);
 }
 
 /*
  * A job has run to its end, unless it was stopped before.
  */
-static void end(struct plan_world *world, const struct world_event *event)
+static void handle_completion(struct plan_simulation *simulation,
+			      const struct plan_event *event)
 {
-	struct world_job *job = &world->jobs[event->index];
+	struct plan_simulation_job *job = &simulation->jobs[event->index];
 
-	if (job->state != WORLD_RUNNING || job->attempt != event->attempt)
+	if (job->state != PLAN_JOB_RUNNING || job->attempt != event->attempt)
 		return;
-	vacate(world, event->index);
-	count_end(world, event->index, world->now_us);
-	if (!world->instance_down)
-		world->planner->ops->ended(
-			world->planner, event->index + 1, true,
-			world->now_us - job->started_us, world->now_us);
+	release_workers(simulation, event->index);
+	record_completion(simulation, event->index, simulation->now_us);
+	if (!simulation->instance_down)
+		simulation->planner->ops->ended(
+			simulation->planner, event->index + 1, true,
+			simulation->now_us - job->started_us,
+			simulation->now_us);
 }
 
 /*
  * Accelerator seconds since the job was started.
  */
-static double ran_area(const struct plan_world *world, uint32_t index)
+static double ran_area(const struct plan_simulation *simulation, uint32_t index)
 {
-	const struct world_job *job = &world->jobs[index];
+	const struct plan_simulation_job *job = &simulation->jobs[index];
 
-	return (double)(world->now_us - job->started_us) / RJ_US_PER_S *
-	       size_of(truth_of(world, index));
+	return (double)(simulation->now_us - job->started_us) / RJ_US_PER_S *
+	       job_accelerators(stream_job_of(simulation, index));
 }
 
 /*
  * A reclaimed job has stopped; what it did is kept only if it could be
  * checkpointed.
  */
-static void stopped(struct plan_world *world, const struct world_event *event)
+static void handle_stopped(struct plan_simulation *simulation,
+			   const struct plan_event *event)
 {
-	struct world_job *job = &world->jobs[event->index];
-	const struct stream_job *truth = truth_of(world, event->index);
+	struct plan_simulation_job *job = &simulation->jobs[event->index];
+	const struct stream_job *stream_job =
+		stream_job_of(simulation, event->index);
 
-	if (job->state != WORLD_RUNNING || job->attempt != event->attempt)
+	if (job->state != PLAN_JOB_RUNNING || job->attempt != event->attempt)
 		return;
-	if (truth->plan.checkpoint)
-		job->left_us -= world->now_us - job->started_us - CHECKPOINT_US;
+	if (stream_job->plan.checkpoint)
+		job->remaining_us -=
+			simulation->now_us - job->started_us - CHECKPOINT_US;
 	else
-		world->lost_s += ran_area(world, event->index);
-	if (truth->plan.checkpoint)
-		world->lost_s += size_of(truth) * CHECKPOINT_US / RJ_US_PER_S;
-	vacate(world, event->index);
-	job->state = WORLD_WAITING;
-	if (!world->instance_down)
-		world->planner->ops->requeue(world->planner, event->index + 1,
-					     world->now_us, world->now_us);
+		simulation->lost_s += ran_area(simulation, event->index);
+	if (stream_job->plan.checkpoint)
+		simulation->lost_s += job_accelerators(stream_job) *
+				      CHECKPOINT_US / RJ_US_PER_S;
+	release_workers(simulation, event->index);
+	job->state = PLAN_JOB_WAITING;
+	if (!simulation->instance_down)
+		simulation->planner->ops->requeue(
+			simulation->planner, event->index + 1,
+			simulation->now_us, simulation->now_us);
 }
 
 /*
  * Tell the planner how a worker is.
  */
-static void set_worker(struct plan_world *world, uint32_t index)
+static void update_worker(struct plan_simulation *simulation, uint32_t index)
 {
-	struct rj_plan_worker worker = world->stream->workers[index];
+	struct rj_plan_worker worker = simulation->stream->workers[index];
 
-	worker.usable = !world->set_aside[index];
-	world->planner->ops->worker(world->planner, &worker, world->now_us);
+	worker.usable = !simulation->excluded[index];
+	simulation->planner->ops->worker(simulation->planner, &worker,
+					 simulation->now_us);
 }
 
 /*
  * A task failed on a failing worker: the job is tried again after a while,
  * and the worker set aside after several in a row.
  */
-static void fail(struct plan_world *world, const struct world_event *event)
+static void handle_failure(struct plan_simulation *simulation,
+			   const struct plan_event *event)
 {
-	struct world_job *job = &world->jobs[event->index];
+	struct plan_simulation_job *job = &simulation->jobs[event->index];
 	uint32_t count = job->member_count;
 
-	if (job->state != WORLD_RUNNING || job->attempt != event->attempt)
+	if (job->state != PLAN_JOB_RUNNING || job->attempt != event->attempt)
 		return;
-	world->result->failures++;
-	world->lost_s += ran_area(world, event->index);
+	simulation->result->failures++;
+	simulation->lost_s += ran_area(simulation, event->index);
 	for (uint32_t i = 0; i < count; i++) {
 		uint32_t worker = job->members[i].worker;
 
-		if (!world->failing[worker] || world->set_aside[worker] ||
-		    ++world->failed_in_row[worker] < FAILURES_TO_SET_ASIDE)
+		if (!simulation->failing[worker] ||
+		    simulation->excluded[worker] ||
+		    ++simulation->consecutive_failures[worker] <
+			    FAILURES_TO_EXCLUDE)
 			continue;
-		world->set_aside[worker] = true;
-		set_worker(world, worker);
-		plan_world_push(world, world->now_us + SET_ASIDE_US,
-				WORLD_PROBE, worker, 0);
+		simulation->excluded[worker] = true;
+		update_worker(simulation, worker);
+		plan_simulation_push(simulation,
+				     simulation->now_us + EXCLUSION_US,
+				     PLAN_EVENT_PROBE, worker, 0);
 	}
-	vacate(world, event->index);
-	job->state = WORLD_WAITING;
-	world->planner->ops->requeue(world->planner, event->index + 1,
-				     world->now_us + FAIL_BACK_OFF_US,
-				     world->now_us);
+	release_workers(simulation, event->index);
+	job->state = PLAN_JOB_WAITING;
+	simulation->planner->ops->requeue(simulation->planner, event->index + 1,
+					  simulation->now_us + FAIL_BACK_OFF_US,
+					  simulation->now_us);
 }
 
 /*
  * A worker that was set aside is tried again: one more failure is enough.
  */
-static void probe(struct plan_world *world, uint32_t worker)
+static void probe_worker(struct plan_simulation *simulation, uint32_t worker)
 {
-	world->set_aside[worker] = false;
-	world->failed_in_row[worker] =
-		world->failing[worker] ? FAILURES_TO_SET_ASIDE - 1 : 0;
-	set_worker(world, worker);
+	simulation->excluded[worker] = false;
+	simulation->consecutive_failures[worker] =
+		simulation->failing[worker] ? FAILURES_TO_EXCLUDE - 1 : 0;
+	update_worker(simulation, worker);
 }
 
 /*
  * Make a planner as a new instance would have it.
  */
-static void make_planner(struct plan_world *world)
+static void make_planner(struct plan_simulation *simulation)
 {
-	world->planner = world->options.maker->make(world->mem);
-	world->planner->ops->configure(world->planner, &world->stream->config,
-				       STREAM_DOMAIN, world->now_us);
+	simulation->planner =
+		simulation->options.factory->make(simulation->mem);
+	simulation->planner->ops->configure(simulation->planner,
+					    &simulation->stream->config,
+					    STREAM_DOMAIN, simulation->now_us);
 	for (uint32_t i = 0; i < STREAM_WORKERS; i++)
-		set_worker(world, i);
+		update_worker(simulation, i);
 }
 
 /*
  * A new instance takes over: it adopts what runs and is given what waits.
  */
-static void instance_back(struct plan_world *world)
+static void replace_instance(struct plan_simulation *simulation)
 {
-	world->instance_down = false;
-	world->planner->ops->finish(world->planner);
-	make_planner(world);
-	for (uint32_t i = 0; i < world->stream->count; i++) {
-		struct world_job *job = &world->jobs[i];
-
-		if (job->state == WORLD_RUNNING)
-			world->planner->ops->adopt(
-				world->planner, &truth_of(world, i)->plan,
-				job->members, job->member_count, world->now_us);
-		else if (job->state == WORLD_WAITING)
-			submit(world, i);
+	simulation->instance_down = false;
+	simulation->planner->ops->finish(simulation->planner);
+	make_planner(simulation);
+	for (uint32_t i = 0; i < simulation->stream->count; i++) {
+		struct plan_simulation_job *job = &simulation->jobs[i];
+
+		if (job->state == PLAN_JOB_RUNNING)
+			simulation->planner->ops->adopt(
+				simulation->planner,
+				&stream_job_of(simulation, i)->plan,
+				job->members, job->member_count,
+				simulation->now_us);
+		else if (job->state == PLAN_JOB_WAITING)
+			submit(simulation, i);
 	}
 }
 
 /*
  * Let an event happen.
  */
-static void handle(struct plan_world *world, const struct world_event *event)
+static void handle_event(struct plan_simulation *simulation,
+			 const struct plan_event *event)
 {
 	switch (event->kind) {
-	case WORLD_ARRIVE:
-		arrive(world, event->index);
+	case PLAN_EVENT_ARRIVAL:
+		handle_arrival(simulation, event->index);
 		break;
-	case WORLD_CANCEL:
-		cancel(world, event->index);
+	case PLAN_EVENT_CANCEL:
+		handle_cancel(simulation, event->index);
 		break;
-	case WORLD_END:
-		end(world, event);
+	case PLAN_EVENT_COMPLETION:
+		handle_completion(simulation, event);
 		break;
-	case WORLD_FAIL:
-		fail(world, event);
+	case PLAN_EVENT_FAILURE:
+		handle_failure(simulation, event);
 		break;
-	case WORLD_STOPPED:
-		stopped(world, event);
+	case PLAN_EVENT_STOPPED:
+		handle_stopped(simulation, event);
 		break;
-	case WORLD_WORKERS_FAIL:
-		world->failing[3] = true;
-		world->failing[9] = true;
+	case PLAN_EVENT_WORKERS_FAIL:
+		simulation->failing[3] = true;
+		simulation->failing[9] = true;
 		break;
-	case WORLD_WORKERS_MEND:
-		memset(world->failing, 0, sizeof(world->failing));
+	case PLAN_EVENT_WORKERS_RECOVER:
+		memset(simulation->failing, 0, sizeof(simulation->failing));
 		break;
-	case WORLD_PROBE:
-		probe(world, event->index);
+	case PLAN_EVENT_PROBE:
+		probe_worker(simulation, event->index);
 		break;
-	case WORLD_INSTANCE_LOST:
-		world->instance_down = true;
+	case PLAN_EVENT_INSTANCE_LOST:
+		simulation->instance_down = true;
 		break;
-	case WORLD_INSTANCE_BACK:
-		instance_back(world);
+	case PLAN_EVENT_INSTANCE_REPLACED:
+		replace_instance(simulation);
 		break;
-	case WORLD_WAKE:
+	case PLAN_EVENT_WAKE:
 		break;
 	}
 }
@@ -359,132 +385,144 @@
 /*
  * Carry out a START: whole gang or nothing, and no worker over its size.
  */
-static void carry_start(struct plan_world *world,
+static void apply_start(struct plan_simulation *simulation,
 			const struct rj_decision *decision)
 {
 	uint32_t index = (uint32_t)decision->job_id - 1;
-	const struct stream_job *truth = truth_of(world, index);
-	const struct rj_shape *shape = &truth->plan.shape;
-	struct world_job *job = &world->jobs[index];
+	const struct stream_job *stream_job = stream_job_of(simulation, index);
+	const struct rj_shape *shape = &stream_job->plan.shape;
+	struct plan_simulation_job *job = &simulation->jobs[index];
 	bool fails = false;
 	uint32_t tasks = 0;
 
-	g_assert_cmpint(job->state, ==, WORLD_WAITING);
+	g_assert_cmpint(job->state, ==, PLAN_JOB_WAITING);
 	for (uint32_t i = 0; i < decision->member_count; i++) {
 		const struct rj_plan_member *member = &decision->members[i];
-		struct rj_resources *taken = &world->taken[member->worker];
+		struct rj_resources *allocated =
+			&simulation->allocated[member->worker];
 
 		tasks += member->tasks;
-		rj_resources_add(taken, &shape->each, member->tasks);
-		g_assert_true(
-			rj_resources_fit(taken, &world->stream->domain.worker));
+		rj_resources_add(allocated, &shape->each, member->tasks);
+		g_assert_true(rj_resources_fit(
+			allocated, &simulation->stream->domain.worker));
 		if (shape->adjacent)
 			g_assert_cmpuint(member->worker / STREAM_RACK_WORKERS,
 					 ==,
 					 decision->members[0].worker /
 						 STREAM_RACK_WORKERS);
-		fails |= world->failing[member->worker];
+		fails |= simulation->failing[member->worker];
 	}
 	g_assert_cmpuint(tasks, ==, shape->tasks);
 	job->members =
-		talloc_memdup(world->mem, decision->members,
+		talloc_memdup(simulation->mem, decision->members,
 			      sizeof(*job->members) * decision->member_count);
 	job->member_count = decision->member_count;
-	job->state = WORLD_RUNNING;
+	job->state = PLAN_JOB_RUNNING;
 	job->attempt++;
-	job->started_us = world->now_us;
-	if (job->first_us == RJ_NEVER_US && job->due) {
-		uint64_t wait_us = world->now_us - truth->plan.queued_us;
+	job->started_us = simulation->now_us;
+	if (job->first_start_us == RJ_NEVER_US && job->guarantee_due) {
+		uint64_t wait_us =
+			simulation->now_us - stream_job->plan.queued_us;
 		uint64_t limit_us =
-			world->stream->config.limits.checkpoint_limit_ms *
+			simulation->stream->config.limits.checkpoint_limit_ms *
 				RJ_US_PER_MS +
 			LATE_US;
 		double wait_s = (double)wait_us / RJ_US_PER_S;
 
-		world->result->guaranteed_late += wait_us > limit_us;
-		world->result->guaranteed_wait_max_s =
-			MAX(world->result->guaranteed_wait_max_s, wait_s);
+		simulation->result->guaranteed_late += wait_us > limit_us;
+		simulation->result->guaranteed_wait_max_s =
+			MAX(simulation->result->guaranteed_wait_max_s, wait_s);
 	}
-	job->first_us = MIN(job->first_us, world->now_us);
-	world->busy += (uint64_t)size_of(truth);
-	plan_world_push(world, world->now_us + (fails ? FAIL_US : job->left_us),
-			fails ? WORLD_FAIL : WORLD_END, index, job->attempt);
+	job->first_start_us = MIN(job->first_start_us, simulation->now_us);
+	simulation->busy += (uint64_t)job_accelerators(stream_job);
+	plan_simulation_push(simulation,
+			     simulation->now_us +
+				     (fails ? FAIL_US : job->remaining_us),
+			     fails ? PLAN_EVENT_FAILURE : PLAN_EVENT_COMPLETION,
+			     index, job->attempt);
 }
 
 /*
  * Carry out a RECLAIM: only what can be stopped, and only once.
  */
-static void carry_reclaim(struct plan_world *world,
+static void apply_reclaim(struct plan_simulation *simulation,
 			  const struct rj_decision *decision)
 {
 	uint32_t index = (uint32_t)decision->job_id - 1;
-	struct world_job *job = &world->jobs[index];
+	struct plan_simulation_job *job = &simulation->jobs[index];
 
-	g_assert_cmpint(job->state, ==, WORLD_RUNNING);
-	g_assert_true(truth_of(world, index)->plan.stoppable);
+	g_assert_cmpint(job->state, ==, PLAN_JOB_RUNNING);
+	g_assert_true(stream_job_of(simulation, index)->plan.stoppable);
 	g_assert_false(job->stopping);
 	job->stopping = true;
-	world->result->reclaims++;
-	plan_world_push(world,
-			world->now_us + (decision->checkpoint ? CHECKPOINT_US :
-								STOP_US),
-			WORLD_STOPPED, index, job->attempt);
+	simulation->result->reclaims++;
+	plan_simulation_push(simulation,
+			     simulation->now_us + (decision->checkpoint ?
+							   CHECKPOINT_US :
+							   STOP_US),
+			     PLAN_EVENT_STOPPED, index, job->attempt);
 }
 
 /*
  * Let the planner decide, and carry it out.
  */
-static void pass(struct plan_world *world)
+static void run_pass(struct plan_simulation *simulation)
 {
 	uint64_t wake_us;
 
-	if (world->instance_down)
+	if (simulation->instance_down)
 		return;
-	rj_decisions_clear(&world->decisions);
-	world->planner->ops->pass(world->planner, world->now_us,
-				  &world->decisions);
-	for (uint32_t i = 0; i < world->decisions.count; i++) {
-		const struct rj_decision *decision = &world->decisions.list[i];
+	rj_decisions_clear(&simulation->decisions);
+	simulation->planner->ops->pass(simulation->planner, simulation->now_us,
+				       &simulation->decisions);
+	for (uint32_t i = 0; i < simulation->decisions.count; i++) {
+		const struct rj_decision *decision =
+			&simulation->decisions.list[i];
 
 		if (decision->kind == RJ_DECISION_START)
-			carry_start(world, decision);
+			apply_start(simulation, decision);
 		else if (decision->kind == RJ_DECISION_RECLAIM)
-			carry_reclaim(world, decision);
+			apply_reclaim(simulation, decision);
 		else
-			count_refusal(world, (uint32_t)decision->job_id - 1);
+			record_refusal(simulation,
+				       (uint32_t)decision->job_id - 1);
 	}
-	if (world->options.check)
-		world->options.check(world);
-	wake_us = world->planner->ops->wake_us(world->planner);
-	g_assert_cmpuint(wake_us, >, world->now_us);
-	if (wake_us >= world->wake_at_us && world->wake_at_us > world->now_us)
+	if (simulation->options.check)
+		simulation->options.check(simulation);
+	wake_us = simulation->planner->ops->wake_us(simulation->planner);
+	g_assert_cmpuint(wake_us, >, simulation->now_us);
+	if (wake_us >= simulation->wake_at_us &&
+	    simulation->wake_at_us > simulation->now_us)
 		return;
-	world->wake_at_us = wake_us;
+	simulation->wake_at_us = wake_us;
 	if (wake_us != RJ_NEVER_US)
-		plan_world_push(world, wake_us, WORLD_WAKE, 0, 0);
+		plan_simulation_push(simulation, wake_us, PLAN_EVENT_WAKE, 0,
+				     0);
 }
 
 /*
  * Account for the time until `until_us`, in which nothing happens.
  */
-static void elapse(struct plan_world *world, uint64_t until_us)
+static void account_time(struct plan_simulation *simulation, uint64_t until_us)
 {
-	uint64_t from_us = MIN(world->now_us, world->stream->horizon_us);
-	double time_s =
-		(double)(MIN(until_us, world->stream->horizon_us) - from_us) /
-		RJ_US_PER_S;
+	uint64_t from_us =
+		MIN(simulation->now_us, simulation->stream->horizon_us);
+	double time_s = (double)(MIN(until_us, simulation->stream->horizon_us) -
+				 from_us) /
+			RJ_US_PER_S;
 	struct rj_plan_view view;
 
 	if (time_s <= 0)
 		return;
-	world->busy_s += time_s * (double)world->busy;
-	world->planner->ops->view(world->planner, world->now_us, &view);
+	simulation->busy_s += time_s * (double)simulation->busy;
+	simulation->planner->ops->view(simulation->planner, simulation->now_us,
+				       &view);
 	if (!view.largest_waiting)
 		return;
-	world->waiting_s += time_s;
+	simulation->waiting_s += time_s;
 	if (view.accelerators_free)
-		world->stranded_s += time_s * view.accelerators_stranded /
-				     view.accelerators_free;
+		simulation->stranded_s += time_s * view.accelerators_stranded /
+					  view.accelerators_free;
 }
 
 /*
@@ -502,105 +540,113 @@
 /*
  * Make the world at its first moment, with all arrivals and faults to come.
  */
-static void world_init(struct plan_world *world,
-		       const struct plan_stream *stream,
-		       const struct plan_world_options *options,
-		       struct plan_result *result)
+static void plan_init(struct plan_simulation *simulation,
+		      const struct plan_stream *stream,
+		      const struct plan_simulation_options *options,
+		      struct plan_result *result)
 {
 	uint64_t horizon_us = stream->horizon_us;
 
-	memset(world, 0, sizeof(*world));
+	memset(simulation, 0, sizeof(*simulation));
 	memset(result, 0, sizeof(*result));
-	world->mem = talloc_new(NULL);
-	world->stream = stream;
-	world->options = *options;
-	world->result = result;
-	world->wake_at_us = RJ_NEVER_US;
-	world->events = g_array_new(FALSE, FALSE, sizeof(struct world_event));
-	world->gang_waits = g_array_new(FALSE, FALSE, sizeof(double));
+	simulation->mem = talloc_new(NULL);
+	simulation->stream = stream;
+	simulation->options = *options;
+	simulation->result = result;
+	simulation->wake_at_us = RJ_NEVER_US;
+	simulation->events =
+		g_array_new(FALSE, FALSE, sizeof(struct plan_event));
+	simulation->gang_waits = g_array_new(FALSE, FALSE, sizeof(double));
 	for (uint32_t i = 0; i < STREAM_CLASSES; i++)
 		for (uint32_t j = 0; j <= STREAM_ACCOUNTS; j++)
-			world->completions[i][j] =
+			simulation->completions[i][j] =
 				g_array_new(FALSE, FALSE, sizeof(double));
-	world->jobs =
-		talloc_zero_array(world->mem, struct world_job, stream->count);
+	simulation->jobs = talloc_zero_array(
+		simulation->mem, struct plan_simulation_job, stream->count);
 	for (uint32_t i = 0; i < stream->count; i++) {
-		world->jobs[i].first_us = RJ_NEVER_US;
-		world->jobs[i].left_us = stream->jobs[i].run_us;
-		plan_world_push(world, stream->jobs[i].plan.queued_us,
-				WORLD_ARRIVE, i, 0);
+		simulation->jobs[i].first_start_us = RJ_NEVER_US;
+		simulation->jobs[i].remaining_us = stream->jobs[i].run_us;
+		plan_simulation_push(simulation, stream->jobs[i].plan.queued_us,
+				     PLAN_EVENT_ARRIVAL, i, 0);
 	}
-	rj_decisions_init(&world->decisions, world->mem);
-	make_planner(world);
+	rj_decisions_init(&simulation->decisions, simulation->mem);
+	make_planner(simulation);
 	if (stream->load == STREAM_FAILING_WORKERS) {
-		plan_world_push(world, horizon_us / 3, WORLD_WORKERS_FAIL, 0,
-				0);
-		plan_world_push(world, horizon_us / 3 * 2, WORLD_WORKERS_MEND,
-				0, 0);
+		plan_simulation_push(simulation, horizon_us / 3,
+				     PLAN_EVENT_WORKERS_FAIL, 0, 0);
+		plan_simulation_push(simulation, horizon_us / 3 * 2,
+				     PLAN_EVENT_WORKERS_RECOVER, 0, 0);
 	}
 	if (stream->load == STREAM_INSTANCE_LOST) {
-		plan_world_push(world, horizon_us / 2, WORLD_INSTANCE_LOST, 0,
-				0);
-		plan_world_push(world, horizon_us / 2 + INSTANCE_GAP_US,
-				WORLD_INSTANCE_BACK, 0, 0);
+		plan_simulation_push(simulation, horizon_us / 2,
+				     PLAN_EVENT_INSTANCE_LOST, 0, 0);
+		plan_simulation_push(simulation,
+				     horizon_us / 2 + INSTANCE_REPLACEMENT_US,
+				     PLAN_EVENT_INSTANCE_REPLACED, 0, 0);
 	}
 }
 
 /*
  * Write the result, and free the world.
  */
-static void world_finish(struct plan_world *world)
+static void plan_finish(struct plan_simulation *simulation)
 {
-	struct plan_result *result = world->result;
-	double all_s =
-		STREAM_WORKERS * 8.0 * world->stream->horizon_us / RJ_US_PER_S;
+	struct plan_result *result = simulation->result;
+	double all_s = STREAM_WORKERS * 8.0 * simulation->stream->horizon_us /
+		       RJ_US_PER_S;
 
 	for (uint32_t i = 0; i < STREAM_CLASSES; i++)
 		for (uint32_t j = 0; j <= STREAM_ACCOUNTS; j++) {
-			result->count[i][j] = world->completions[i][j]->len;
-			quantiles(world->completions[i][j],
+			result->count[i][j] =
+				simulation->completions[i][j]->len;
+			quantiles(simulation->completions[i][j],
 				  result->completion_s[i][j]);
-			g_array_free(world->completions[i][j], TRUE);
+			g_array_free(simulation->completions[i][j], TRUE);
 		}
-	quantiles(world->gang_waits, result->gang_wait_s);
-	result->fragmentation =
-		world->stranded_s * RJ_US_PER_S / world->stream->horizon_us;
+	quantiles(simulation->gang_waits, result->gang_wait_s);
+	result->fragmentation = simulation->stranded_s * RJ_US_PER_S /
+				simulation->stream->horizon_us;
 	result->fragmentation_waiting =
-		world->waiting_s > 0 ? world->stranded_s / world->waiting_s : 0;
-	result->utilisation = (world->busy_s - world->lost_s) / all_s;
-	result->lost_share =
-		world->busy_s > 0 ? world->lost_s / world->busy_s : 0;
-	g_array_free(world->gang_waits, TRUE);
-	g_array_free(world->events, TRUE);
-	rj_decisions_finish(&world->decisions);
-	world->planner->ops->finish(world->planner);
-	talloc_free(world->mem);
+		simulation->waiting_s > 0 ?
+			simulation->stranded_s / simulation->waiting_s :
+			0;
+	result->utilisation = (simulation->busy_s - simulation->lost_s) / all_s;
+	result->lost_share = simulation->busy_s > 0 ?
+				     simulation->lost_s / simulation->busy_s :
+				     0;
+	g_array_free(simulation->gang_waits, TRUE);
+	g_array_free(simulation->events, TRUE);
+	rj_decisions_finish(&simulation->decisions);
+	simulation->planner->ops->finish(simulation->planner);
+	talloc_free(simulation->mem);
 }
 
 /*
  * Run the planner over the stream until all jobs are over, or it is given up.
  */
-void plan_world_run(const struct plan_stream *stream,
-		    const struct plan_world_options *options,
-		    struct plan_result *result)
+void plan_simulation_run(const struct plan_stream *stream,
+			 const struct plan_simulation_options *options,
+			 struct plan_result *result)
 {
-	struct plan_world world;
+	struct plan_simulation simulation;
 
-	world_init(&world, stream, options, result);
-	while (world.events->len) {
-		struct world_event event = plan_world_pop(&world);
+	plan_init(&simulation, stream, options, result);
+	while (simulation.events->len) {
+		struct plan_event event = plan_simulation_pop(&simulation);
 
-		if (event.at_us > give_up_us(&world))
+		if (event.at_us > time_limit_us(&simulation))
 			break;
-		elapse(&world, event.at_us);
-		world.now_us = event.at_us;
-		handle(&world, &event);
-		if (!world.events->len ||
-		    plan_world_event(&world, 0)->at_us > world.now_us)
-			pass(&world);
+		account_time(&simulation, event.at_us);
+		simulation.now_us = event.at_us;
+		handle_event(&simulation, &event);
+		if (!simulation.events->len ||
+		    plan_simulation_event(&simulation, 0)->at_us >
+			    simulation.now_us)
+			run_pass(&simulation);
 	}
 	for (uint32_t i = 0; i < stream->count; i++)
-		if (world.jobs[i].state != WORLD_OVER)
-			count_end(&world, i, give_up_us(&world));
-	world_finish(&world);
+		if (simulation.jobs[i].state != PLAN_JOB_FINISHED)
+			record_completion(&simulation, i,
+					  time_limit_us(&simulation));
+	plan_finish(&simulation);
 }
--- a/src/test_libradishjunction/support/plan_simulation.h
+++ b/src/test_libradishjunction/support/plan_simulation.h
@@ -2,7 +2,7 @@
  * Runs a planner over a stream in virtual time, as the core would: it
  * starts, stops, fails and ends jobs and counts what that gave.
  *
- * Life cycle: `plan_world_run` does it all and fills a result on the
+ * Life cycle: `plan_simulation_run` does it all and fills a result on the
  * caller's memory. That no worker is given more than it has and that no part
  * of a gang runs alone is asserted at each decision; `check`, if given, is
  * called after each pass.
@@ -16,58 +16,58 @@
 
 enum plan_quantile { PLAN_P50, PLAN_P95, PLAN_P99, PLAN_QUANTILE_COUNT };
 
-enum world_job_state {
-	WORLD_COMING,
-	WORLD_WAITING,
-	WORLD_RUNNING,
-	WORLD_OVER,
+enum plan_job_state {
+	PLAN_JOB_NOT_ARRIVED,
+	PLAN_JOB_WAITING,
+	PLAN_JOB_RUNNING,
+	PLAN_JOB_FINISHED,
 };
 
-struct world_job {
-	enum world_job_state state;
+struct plan_simulation_job {
+	enum plan_job_state state;
 	uint32_t attempt;
 	uint64_t started_us;
-	uint64_t first_us; /* first start, RJ_NEVER_US before it */
-	uint64_t left_us; /* of its run time */
+	uint64_t first_start_us; /* first start, RJ_NEVER_US before it */
+	uint64_t remaining_us; /* of its run time */
 	bool stopping;
-	bool due; /* its account may count on its guarantee for it */
+	bool guarantee_due; /* its account may count on its guarantee for it */
 	struct rj_plan_member *members;
 	uint32_t member_count;
 };
 
-enum world_event_kind {
-	WORLD_ARRIVE,
-	WORLD_CANCEL,
-	WORLD_END,
-	WORLD_FAIL,
-	WORLD_STOPPED,
-	WORLD_WORKERS_FAIL,
-	WORLD_WORKERS_MEND,
-	WORLD_PROBE,
-	WORLD_INSTANCE_LOST,
-	WORLD_INSTANCE_BACK,
-	WORLD_WAKE,
+enum plan_event_kind {
+	PLAN_EVENT_ARRIVAL,
+	PLAN_EVENT_CANCEL,
+	PLAN_EVENT_COMPLETION,
+	PLAN_EVENT_FAILURE,
+	PLAN_EVENT_STOPPED,
+	PLAN_EVENT_WORKERS_FAIL,
+	PLAN_EVENT_WORKERS_RECOVER,
+	PLAN_EVENT_PROBE,
+	PLAN_EVENT_INSTANCE_LOST,
+	PLAN_EVENT_INSTANCE_REPLACED,
+	PLAN_EVENT_WAKE,
 };
 
-struct world_event {
+struct plan_event {
 	uint64_t at_us;
 	uint64_t number; /* breaks ties in the order of their making */
-	enum world_event_kind kind;
+	enum plan_event_kind kind;
 	uint32_t index; /* of the job or the worker */
 	uint32_t attempt;
 };
 
-struct plan_world;
+struct plan_simulation;
 
 /* How a planner is made and looked at. */
-struct plan_maker {
+struct planner_factory {
 	const char *name;
 	struct rj_planner *(*make)(void *mem);
 };
 
-struct plan_world_options {
-	const struct plan_maker *maker;
-	void (*check)(struct plan_world *world);
+struct plan_simulation_options {
+	const struct planner_factory *factory;
+	void (*check)(struct plan_simulation *simulation);
 };
 
 /* Seconds, shares of one, and counts; index STREAM_ACCOUNTS is all. */
@@ -88,20 +88,21 @@
 	double failures; /* of tasks on failing workers */
 };
 
-struct plan_world {
+struct plan_simulation {
 	const struct plan_stream *stream;
-	struct plan_world_options options;
+	struct plan_simulation_options options;
 	struct rj_planner *planner;
 	struct rj_decisions decisions;
-	struct world_job *jobs;
+	struct plan_simulation_job *jobs;
 	GArray *events; /* a heap, soonest first */
 	uint64_t event_number;
 	uint64_t now_us;
-	struct rj_resources taken[STREAM_WORKERS];
+	struct rj_resources allocated[STREAM_WORKERS];
 	bool failing[STREAM_WORKERS];
-	uint32_t failed_in_row[STREAM_WORKERS];
-	bool set_aside[STREAM_WORKERS];
-	struct rj_resources open[STREAM_ACCOUNTS]; /* asked for, not over */
+	uint32_t consecutive_failures[STREAM_WORKERS];
+	bool excluded[STREAM_WORKERS];
+	struct rj_resources
+		open_resources[STREAM_ACCOUNTS]; /* asked for, not over */
 	bool instance_down;
 	uint64_t wake_at_us;
 	uint64_t busy; /* accelerators in use now */
@@ -115,20 +116,21 @@
 	void *mem;
 };
 
-void plan_world_run(const struct plan_stream *stream,
-		    const struct plan_world_options *options,
-		    struct plan_result *result);
+void plan_simulation_run(const struct plan_stream *stream,
+			 const struct plan_simulation_options *options,
+			 struct plan_result *result);
 
 /* plan_event.c: what is to happen, as a heap. */
-struct world_event *plan_world_event(struct plan_world *world, uint32_t at);
-void plan_world_push(struct plan_world *world, uint64_t at_us,
-		     enum world_event_kind kind, uint32_t index,
-		     uint32_t attempt);
-struct world_event plan_world_pop(struct plan_world *world);
-
-/* plan_maker.c */
-extern const struct plan_maker plan_maker_first_fit;
-extern const struct plan_maker plan_maker_easy;
-extern const struct plan_maker plan_maker_topology;
+struct plan_event *plan_simulation_event(struct plan_simulation *simulation,
+					 uint32_t at);
+void plan_simulation_push(struct plan_simulation *simulation, uint64_t at_us,
+			  enum plan_event_kind kind, uint32_t index,
+			  uint32_t attempt);
+struct plan_event plan_simulation_pop(struct plan_simulation *simulation);
+
+/* planner_factory.c */
+extern const struct planner_factory planner_factory_first_fit;
+extern const struct planner_factory planner_factory_easy;
+extern const struct planner_factory planner_factory_topology;
 
 #endif
--- a/src/test_libradishjunction/support/planner_factory.c
+++ b/src/test_libradishjunction/support/planner_factory.c
@@ -39,6 +39,8 @@
 	return &planner->base;
 }
 
-const struct plan_maker plan_maker_first_fit = { "first_fit", make_first_fit };
-const struct plan_maker plan_maker_easy = { "easy", make_easy };
-const struct plan_maker plan_maker_topology = { "topology", make_topology };
+const struct planner_factory planner_factory_first_fit = { "first_fit",
+							   make_first_fit };
+const struct planner_factory planner_factory_easy = { "easy", make_easy };
+const struct planner_factory planner_factory_topology = { "topology",
+							  make_topology };
--- a/src/test_libradishjunction/support/planner_fixture.c
+++ b/src/test_libradishjunction/support/planner_fixture.c
@@ -190,7 +190,8 @@
 /*
  * Stop all that the last pass asked for, but `except`.
  */
-void planner_obey(struct planner_fixture *f, uint64_t except, uint64_t now_us)
+void planner_apply_reclaims(struct planner_fixture *f, uint64_t except,
+			    uint64_t now_us)
 {
 	for (uint32_t i = 0; i < f->decisions.count; i++) {
 		const struct rj_decision *decision = &f->decisions.list[i];
--- a/src/test_libradishjunction/support/planner_fixture.h
+++ b/src/test_libradishjunction/support/planner_fixture.h
@@ -48,7 +48,8 @@
 					      uint64_t job_id);
 void planner_ended(struct planner_fixture *f, uint64_t job_id, uint64_t ran_us,
 		   uint64_t now_us);
-void planner_obey(struct planner_fixture *f, uint64_t except, uint64_t now_us);
+void planner_apply_reclaims(struct planner_fixture *f, uint64_t except,
+			    uint64_t now_us);
 bool planner_is_in_one_rack(const struct rj_decision *start);
 
 /* Add a test that works on a fresh fixture. */
--- a/src/test_libradishjunction/support/simulation.c
+++ b/src/test_libradishjunction/support/simulation.c
@@ -10,12 +10,12 @@
 
 #define TICK_US (250 * RJ_US_PER_MS)
 /* Beyond this the same instant repeats: an engine wakes itself for ever. */
-#define WAKES_AT_ONE_TIME_MAX 1000
+#define EVENTS_PER_INSTANT_MAX 1000
 
 static gint queue_order(gconstpointer left, gconstpointer right, gpointer data)
 {
-	const struct world_event *a = left;
-	const struct world_event *b = right;
+	const struct simulation_event *a = left;
+	const struct simulation_event *b = right;
 
 	if (a->at_us != b->at_us)
 		return a->at_us < b->at_us ? -1 : 1;
@@ -25,117 +25,123 @@
 /*
  * A number from 0 to `below` - 1 from the world's seed.
  */
-uint64_t world_random(struct world *world, uint64_t below)
+uint64_t simulation_random(struct simulation *simulation, uint64_t below)
 {
 	assert(below);
-	return rj_random64(&world->random) % below;
+	return rj_random64(&simulation->random) % below;
 }
 
 /*
  * Whether a fault of this probability strikes now. Counts those that do, and
  * draws no number for a fault that is switched off.
  */
-bool world_chance(struct world *world, uint32_t thousandths)
+bool simulation_chance(struct simulation *simulation, uint32_t thousandths)
 {
-	if (!thousandths || world_random(world, 1000) >= thousandths)
+	if (!thousandths || simulation_random(simulation, 1000) >= thousandths)
 		return false;
-	world->faults++;
+	simulation->faults++;
 	return true;
 }
 
 /*
  * How fast a clock that is made now runs; draws nothing without drift.
  */
-int64_t world_drift_ppm(struct world *world)
+int64_t simulation_drift_ppm(struct simulation *simulation)
 {
-	int64_t most = world->options.drift_ppm;
+	int64_t most = simulation->options.drift_ppm;
 
 	if (!most)
 		return 0;
-	return (int64_t)world_random(world, 2 * (uint64_t)most + 1) - most;
+	return (int64_t)simulation_random(simulation, 2 * (uint64_t)most + 1) -
+	       most;
 }
 
 /*
  * Have `run` called after `delay_us`. The event is freed when it has run;
  * what hangs on it goes with it.
  */
-struct world_event *world_after(struct world *world, uint64_t delay_us,
-				void (*run)(struct world *world,
-					    struct world_event *event))
+struct simulation_event *
+simulation_schedule(struct simulation *simulation, uint64_t delay_us,
+		    void (*run)(struct simulation *simulation,
+				struct simulation_event *event))
 {
-	struct world_event *event = talloc_zero(world, struct world_event);
+	struct simulation_event *event =
+		talloc_zero(simulation, struct simulation_event);
 
 	assert(event);
-	event->at_us = world->now_us + delay_us;
-	event->order = world->next_order++;
+	event->at_us = simulation->now_us + delay_us;
+	event->order = simulation->next_order++;
 	event->run = run;
-	g_sequence_insert_sorted(world->queue, event, queue_order, NULL);
+	g_sequence_insert_sorted(simulation->queue, event, queue_order, NULL);
 	return event;
 }
 
 /*
  * Write a line of the world's own into the transcript.
  */
-void world_note(struct world *world, const char *format, ...)
+void simulation_trace(struct simulation *simulation, const char *format, ...)
 {
 	va_list args;
 
-	if (!world->options.transcript)
+	if (!simulation->options.transcript)
 		return;
-	(void)fprintf(world->options.transcript, "%" PRIu64 " world ",
-		      world->now_us);
+	(void)fprintf(simulation->options.transcript, "%" PRIu64 " world ",
+		      simulation->now_us);
 	va_start(args, format);
-	(void)vfprintf(world->options.transcript, format, args);
+	(void)vfprintf(simulation->options.transcript, format, args);
 	va_end(args);
-	(void)fputc('\n', world->options.transcript);
+	(void)fputc('\n', simulation->options.transcript);
 }
 
 /*
  * Whether traffic passes between two failure domains.
  */
-bool world_domains_joined(const struct world *world, uint32_t a, uint32_t b)
+bool simulation_domains_connected(const struct simulation *simulation,
+				  uint32_t a, uint32_t b)
 {
-	return a == b || (!world->domain_cut[a] && !world->domain_cut[b]);
+	return a == b ||
+	       (!simulation->domain_cut[a] && !simulation->domain_cut[b]);
 }
 
 /*
  * One way between two failure domains: about 0.3 ms within one and about 5
  * between two.
  */
-uint64_t world_delay_us(struct world *world, uint32_t from, uint32_t to)
+uint64_t simulation_delay_us(struct simulation *simulation, uint32_t from,
+			     uint32_t to)
 {
 	if (from == to)
-		return 200 + world_random(world, 200);
-	return 4500 + world_random(world, 1000);
+		return 200 + simulation_random(simulation, 200);
+	return 4500 + simulation_random(simulation, 1000);
 }
 
 /*
  * The configuration that the world publishes, as JSON. `variation` changes
  * the guarantee and nothing that requests depend on.
  */
-char *world_config_text(const struct world *world, void *mem,
-			uint32_t variation)
+char *simulation_config_text(const struct simulation *simulation, void *mem,
+			     uint32_t variation)
 {
 	char *domains = talloc_strdup(mem, "");
 	char *guarantees = talloc_strdup(mem, "");
 	char *accounts = talloc_strdup(mem, "");
-	const char *const names[] = { WORLD_GUARANTEED_ACCOUNT,
-				      WORLD_OTHER_ACCOUNT };
+	const char *const names[] = { SIMULATION_GUARANTEED_ACCOUNT,
+				      SIMULATION_OTHER_ACCOUNT };
 
-	for (uint32_t i = 0; i < world->options.domains; i++) {
+	for (uint32_t i = 0; i < simulation->options.domains; i++) {
 		domains = talloc_asprintf_append(
 			domains,
 			"%s{\"name\":\"d%u\",\"region\":\"r\",\"racks\":%u,"
 			"\"workers_per_rack\":%u,\"worker\":{\"slots\":8,"
 			"\"accelerators\":8,\"cores\":64,\"memory_mb\":65536}}",
-			i ? "," : "", i, world->options.racks_per_domain,
-			world->options.workers_per_rack);
+			i ? "," : "", i, simulation->options.racks_per_domain,
+			simulation->options.workers_per_rack);
 		guarantees = talloc_asprintf_append(
 			guarantees,
 			"%s{\"domain\":\"d%u\",\"tasks\":%u,\"adjacent\":true,"
 			"\"slots\":1,\"accelerators\":4,\"cores\":1,"
 			"\"memory_mb\":64,\"count\":%u}",
-			i ? "," : "", i, WORLD_GUARANTEED_TASKS,
+			i ? "," : "", i, SIMULATION_GUARANTEED_TASKS,
 			1 + variation % 2);
 	}
 	for (uint32_t i = 0; i < 2; i++) {
@@ -167,56 +173,59 @@
 		"\"checkpoint_limit_ms\":2000,\"retry_percent\":100,"
 		"\"key_life_s\":%u}}",
 		domains, accounts,
-		world->options.key_life_s ? world->options.key_life_s :
-					    WORLD_KEY_LIFE_S);
+		simulation->options.key_life_s ?
+			simulation->options.key_life_s :
+			SIMULATION_KEY_LIFE_S);
 }
 
 /*
  * A new event for an instance, a talloc child of the world.
  */
-struct rj_event *node_event(struct world *world, enum rj_event_kind kind)
+struct rj_event *node_event(struct simulation *simulation,
+			    enum rj_event_kind kind)
 {
-	struct rj_event *event = talloc_zero(world, struct rj_event);
+	struct rj_event *event = talloc_zero(simulation, struct rj_event);
 
 	assert(event);
 	event->kind = kind;
 	return event;
 }
 
-static void node_exit(struct world *world, struct node *node)
+static void node_exit(struct simulation *simulation, struct node *node)
 {
-	checker_exit(&world->checker, world->now_us, node->index);
-	node_kill(world, node->index);
+	checker_exit(&simulation->checker, simulation->now_us, node->index);
+	node_kill(simulation, node->index);
 }
 
-static void carry_out(struct world *world, struct node *node,
-		      const struct rj_action *action)
+static void execute_action(struct simulation *simulation, struct node *node,
+			   const struct rj_action *action)
 {
 	switch (action->kind) {
 	case RJ_ACTION_ANSWER:
-		fake_caller_answer(world, node, action->u.answer.request_id,
+		fake_caller_answer(simulation, node,
+				   action->u.answer.request_id,
 				   &action->u.answer.answer);
 		break;
 	case RJ_ACTION_APPEND:
-		fake_log_append(world, node, &action->u.append);
+		fake_log_append(simulation, node, &action->u.append);
 		break;
 	case RJ_ACTION_READ:
-		fake_log_read(world, node, &action->u.read);
+		fake_log_read(simulation, node, &action->u.read);
 		break;
 	case RJ_ACTION_LIST:
-		fake_log_list(world, node);
+		fake_log_list(simulation, node);
 		break;
 	case RJ_ACTION_WORKER_CALL:
-		fake_worker_call(world, node, &action->u.worker_call);
+		fake_worker_call(simulation, node, &action->u.worker_call);
 		break;
 	case RJ_ACTION_PEER_CONNECT:
-		fake_peers_connect(world, node, action->u.peer.name);
+		fake_peers_connect(simulation, node, action->u.peer.name);
 		break;
 	case RJ_ACTION_PEER_DROP:
-		fake_peers_drop(world, node, action->u.peer.name);
+		fake_peers_drop(simulation, node, action->u.peer.name);
 		break;
 	case RJ_ACTION_PEER_SEND:
-		fake_peers_send(world, node, action->u.peer.name,
+		fake_peers_send(simulation, node, action->u.peer.name,
 				action->u.peer.message);
 		break;
 	default:
@@ -224,22 +233,24 @@
 	}
 }
 
-static void wake(struct world *world, struct world_event *event);
+static void on_timer(struct simulation *simulation,
+		     struct simulation_event *event);
 
 /* What an instance's clock says at a time of the world. */
 static uint64_t node_clock_us(const struct node *node, uint64_t at_us)
 {
-	int64_t gained_us = (int64_t)at_us * node->drift_ppm / WORLD_PPM;
+	int64_t gained_us = (int64_t)at_us * node->drift_ppm / SIMULATION_PPM;
 
 	return at_us + node->clock_offset_us + (uint64_t)gained_us;
 }
 
 /* The first time at which an instance's clock says `own_us` or more. */
-static uint64_t node_when_us(const struct node *node, uint64_t own_us)
+static uint64_t node_simulation_time_us(const struct node *node,
+					uint64_t own_us)
 {
 	int64_t at_us = (int64_t)(own_us - node->clock_offset_us);
 
-	at_us -= at_us * node->drift_ppm / WORLD_PPM;
+	at_us -= at_us * node->drift_ppm / SIMULATION_PPM;
 	while (node_clock_us(node, (uint64_t)at_us) < own_us)
 		at_us += (int64_t)(own_us -
 				   node_clock_us(node, (uint64_t)at_us));
@@ -247,316 +258,334 @@
 }
 
 /* Arm the instance's one timer, if it has to come earlier than the armed. */
-static void arm(struct world *world, struct node *node)
+static void arm_timer(struct simulation *simulation, struct node *node)
 {
 	uint64_t wake_us = node->engine->ops->wake_us(node->engine);
-	struct world_event *event;
+	struct simulation_event *event;
 
 	if (wake_us == RJ_NEVER_US)
 		return;
-	wake_us = node_when_us(node, wake_us);
-	if ((int64_t)wake_us < (int64_t)world->now_us)
-		wake_us = world->now_us;
+	wake_us = node_simulation_time_us(node, wake_us);
+	if ((int64_t)wake_us < (int64_t)simulation->now_us)
+		wake_us = simulation->now_us;
 	if (node->wake_us <= wake_us)
 		return;
 	node->wake_us = wake_us;
-	event = world_after(world, wake_us - world->now_us, wake);
+	event = simulation_schedule(simulation, wake_us - simulation->now_us,
+				    on_timer);
 	event->index = node->index;
-	event->life = node->life;
+	event->epoch = node->epoch;
 }
 
 /* Let an instance process one event and carry out its actions. */
-static void process(struct world *world, struct node *node,
-		    struct rj_event *event)
+static void process_event(struct simulation *simulation, struct node *node,
+			  struct rj_event *event)
 {
 	bool exits = false;
 
-	event->now_us = node_clock_us(node, world->now_us);
-	if (world->options.transcript && event->kind != RJ_EVENT_TIMER &&
-	    !(world->options.brief && transcript_event_is_upkeep(event)))
-		transcript_event(world->options.transcript, world->now_us,
-				 node->name, event);
+	event->now_us = node_clock_us(node, simulation->now_us);
+	if (simulation->options.transcript && event->kind != RJ_EVENT_TIMER &&
+	    !(simulation->options.brief && transcript_event_is_periodic(event)))
+		transcript_event(simulation->options.transcript,
+				 simulation->now_us, node->name, event);
 	if (event->kind == RJ_EVENT_REQUEST)
-		checker_request_delivered(&world->checker,
+		checker_request_delivered(&simulation->checker,
 					  event->u.request.request_id);
 	node->engine->ops->process(node->engine, event, &node->actions);
 	for (uint32_t i = 0; i < node->actions.count; i++) {
 		const struct rj_action *action = &node->actions.list[i];
 
-		if (world->options.transcript &&
-		    !(world->options.brief &&
-		      transcript_action_is_upkeep(action)))
-			transcript_action(world->options.transcript,
-					  world->now_us, node->name, action);
+		if (simulation->options.transcript &&
+		    !(simulation->options.brief &&
+		      transcript_action_is_periodic(action)))
+			transcript_action(simulation->options.transcript,
+					  simulation->now_us, node->name,
+					  action);
 		exits |= action->kind == RJ_ACTION_EXIT;
-		carry_out(world, node, action);
+		execute_action(simulation, node, action);
 	}
 	rj_actions_clear(&node->actions);
 	if (exits)
-		node_exit(world, node);
+		node_exit(simulation, node);
 	else
-		arm(world, node);
+		arm_timer(simulation, node);
 }
 
-static void wake(struct world *world, struct world_event *event)
+static void on_timer(struct simulation *simulation,
+		     struct simulation_event *event)
 {
-	struct node *node = &world->nodes[event->index];
+	struct node *node = &simulation->nodes[event->index];
 	struct rj_event timer = { .kind = RJ_EVENT_TIMER };
 
-	if (node->life != event->life || node->wake_us != event->at_us)
+	if (node->epoch != event->epoch || node->wake_us != event->at_us)
 		return;
 	node->wake_us = RJ_NEVER_US;
 	if (node->paused)
 		return; /* armed again when it goes on */
-	process(world, node, &timer);
+	process_event(simulation, node, &timer);
 }
 
-static void deliver(struct world *world, struct world_event *event)
+static void deliver(struct simulation *simulation,
+		    struct simulation_event *event)
 {
-	struct node *node = &world->nodes[event->index];
-	struct rj_event *told = talloc_steal(world, event->data);
+	struct node *node = &simulation->nodes[event->index];
+	struct rj_event *received = talloc_steal(simulation, event->data);
 
-	if (node->life != event->life) {
-		talloc_free(told);
+	if (node->epoch != event->epoch) {
+		talloc_free(received);
 		return;
 	}
 	if (node->paused) {
-		g_queue_push_tail(&node->held, told);
+		g_queue_push_tail(&node->deferred, received);
 		return;
 	}
-	process(world, node, told);
-	talloc_free(told);
+	process_event(simulation, node, received);
+	talloc_free(received);
 }
 
 /*
  * Deliver an event to this life of an instance; the world owns it now.
  */
-void node_deliver_after(struct world *world, struct node *node,
+void node_deliver_after(struct simulation *simulation, struct node *node,
 			uint64_t delay_us, struct rj_event *event)
 {
-	struct world_event *later = world_after(world, delay_us, deliver);
+	struct simulation_event *later =
+		simulation_schedule(simulation, delay_us, deliver);
 
 	later->index = node->index;
-	later->life = node->life;
+	later->epoch = node->epoch;
 	later->data = talloc_steal(later, event);
 }
 
 /*
  * Tell the checker which instances reach the platform, after that changed.
  */
-void world_reach_changed(struct world *world)
+void simulation_reachability_changed(struct simulation *simulation)
 {
-	for (uint32_t i = 0; i < world->node_count; i++) {
-		const struct node *node = &world->nodes[i];
+	for (uint32_t i = 0; i < simulation->node_count; i++) {
+		const struct node *node = &simulation->nodes[i];
 
-		checker_node_reach(&world->checker, world->now_us, i,
-				   node->engine && !node->paused &&
-					   !node->stopping &&
-					   fake_log_reachable(world, node));
+		checker_node_platform(
+			&simulation->checker, simulation->now_us, i,
+			node->engine && !node->paused && !node->stopping &&
+				fake_log_reachable(simulation, node));
 	}
 }
 
 /*
  * Start an instance, empty and with a new incarnation.
  */
-void node_start(struct world *world, uint32_t index)
+void node_start(struct simulation *simulation, uint32_t index)
 {
-	struct node *node = &world->nodes[index];
-	struct rj_core_options options = { .seed = rj_random64(&world->random),
-					   .retention_us =
-						   world->log_retention_us };
+	struct node *node = &simulation->nodes[index];
+	struct rj_core_options options = {
+		.seed = rj_random64(&simulation->random),
+		.retention_us = simulation->log_retention_us
+	};
 	struct rj_instance peers[CHECKER_NODES_MAX];
 	struct rj_event timer = { .kind = RJ_EVENT_TIMER };
 
 	assert(!node->engine);
 	memset(peers, 0, sizeof(peers));
-	for (uint32_t i = 0; i < world->node_count; i++) {
+	for (uint32_t i = 0; i < simulation->node_count; i++) {
 		struct rj_instance *peer = &peers[options.peer_count];
 
 		if (i == index)
 			continue;
 		options.peer_count++;
-		(void)rj_name_set(peer->name, world->nodes[i].name);
+		(void)rj_name_set(peer->name, simulation->nodes[i].name);
 		(void)snprintf(peer->domain, sizeof(peer->domain), "d%u",
-			       world->nodes[i].domain);
+			       simulation->nodes[i].domain);
 		(void)g_strlcpy(peer->address.ip, "127.0.0.1", RJ_IP_BYTES);
 		peer->address.port = (uint16_t)(1 + i);
 	}
-	node->life++;
-	node->incarnation = (uint64_t)(index + 1) << 16 | node->life;
-	node->clock_offset_us = RJ_US_PER_S + world_random(world, 1ULL << 40);
-	node->drift_ppm = world_drift_ppm(world);
+	node->epoch++;
+	node->incarnation = (uint64_t)(index + 1) << 16 | node->epoch;
+	node->clock_offset_us =
+		RJ_US_PER_S + simulation_random(simulation, 1ULL << 40);
+	node->drift_ppm = simulation_drift_ppm(simulation);
 	node->wake_us = RJ_NEVER_US;
 	node->stopping = false;
 	node->paused = false;
-	node->resumed_us = world->now_us;
-	checker_node_wakes(&world->checker, world->now_us, index, true);
+	node->resumed_us = simulation->now_us;
+	checker_node_resumed(&simulation->checker, simulation->now_us, index,
+			     true);
 	options.peers = peers;
 	options.incarnation = node->incarnation;
 	(void)rj_name_set(options.name, node->name);
 	(void)snprintf(options.domain, sizeof(options.domain), "d%u",
 		       node->domain);
-	world_note(world, "%s starts as %" PRIx64, node->name,
-		   node->incarnation);
-	node->engine = world->options.engine->create(world, &options);
-	checker_node_reach(&world->checker, world->now_us, index,
-			   fake_log_reachable(world, node));
-	process(world, node, &timer);
+	simulation_trace(simulation, "%s starts as %" PRIx64, node->name,
+			 node->incarnation);
+	node->engine = simulation->options.engine->create(simulation, &options);
+	checker_node_platform(&simulation->checker, simulation->now_us, index,
+			      fake_log_reachable(simulation, node));
+	process_event(simulation, node, &timer);
 }
 
 /*
  * End an instance without a word; its callers see their connections close.
  */
-void node_kill(struct world *world, uint32_t index)
+void node_kill(struct simulation *simulation, uint32_t index)
 {
-	struct node *node = &world->nodes[index];
+	struct node *node = &simulation->nodes[index];
 	struct rj_event *event;
 
 	if (!node->engine)
 		return;
-	world_note(world, "%s ends", node->name);
-	node->life++;
-	while ((event = g_queue_pop_head(&node->held)))
+	simulation_trace(simulation, "%s ends", node->name);
+	node->epoch++;
+	while ((event = g_queue_pop_head(&node->deferred)))
 		talloc_free(event);
 	TALLOC_FREE(node->engine);
-	checker_node_reach(&world->checker, world->now_us, index, false);
-	checker_node_gone(&world->checker, index);
-	fake_peers_node_gone(world, node);
-	fake_caller_node_gone(world, node);
+	checker_node_platform(&simulation->checker, simulation->now_us, index,
+			      false);
+	checker_node_ended(&simulation->checker, index);
+	fake_peers_node_ended(simulation, node);
+	fake_caller_node_ended(simulation, node);
 }
 
 /*
  * Freeze an instance, or let it go on: what came meanwhile reaches it then,
  * all at once.
  */
-void node_pause(struct world *world, uint32_t index, bool paused)
+void node_pause(struct simulation *simulation, uint32_t index, bool paused)
 {
-	struct node *node = &world->nodes[index];
+	struct node *node = &simulation->nodes[index];
 	struct rj_event *event;
-	uint64_t life = node->life;
+	uint64_t epoch = node->epoch;
 
 	if (!node->engine || node->paused == paused)
 		return;
-	world_note(world, "%s %s", node->name, paused ? "pauses" : "goes on");
+	simulation_trace(simulation, "%s %s", node->name,
+			 paused ? "pauses" : "goes on");
 	node->paused = paused;
-	checker_node_reach(&world->checker, world->now_us, index,
-			   !paused && fake_log_reachable(world, node));
+	checker_node_platform(&simulation->checker, simulation->now_us, index,
+			      !paused && fake_log_reachable(simulation, node));
 	if (paused)
 		return;
-	node->resumed_us = world->now_us;
-	checker_node_wakes(&world->checker, world->now_us, index, false);
-	while (node->life == life && (event = g_queue_pop_head(&node->held))) {
-		process(world, node, event);
+	node->resumed_us = simulation->now_us;
+	checker_node_resumed(&simulation->checker, simulation->now_us, index,
+			     false);
+	while (node->epoch == epoch &&
+	       (event = g_queue_pop_head(&node->deferred))) {
+		process_event(simulation, node, event);
 		talloc_free(event);
 	}
-	if (node->life == life && node->wake_us == RJ_NEVER_US)
-		arm(world, node);
+	if (node->epoch == epoch && node->wake_us == RJ_NEVER_US)
+		arm_timer(simulation, node);
 }
 
 /*
  * Ask an instance to stop gracefully.
  */
-void node_stop(struct world *world, uint32_t index)
+void node_stop(struct simulation *simulation, uint32_t index)
 {
-	struct node *node = &world->nodes[index];
+	struct node *node = &simulation->nodes[index];
 
 	if (!node->engine)
 		return;
-	world_note(world, "%s is asked to stop", node->name);
+	simulation_trace(simulation, "%s is asked to stop", node->name);
 	node->stopping = true;
-	checker_node_reach(&world->checker, world->now_us, index, false);
-	node_deliver_after(world, node, 0, node_event(world, RJ_EVENT_STOP));
+	checker_node_platform(&simulation->checker, simulation->now_us, index,
+			      false);
+	node_deliver_after(simulation, node, 0,
+			   node_event(simulation, RJ_EVENT_STOP));
 }
 
 /* Since when an instance hears a peer that reaches the platform: by the
  * longest of all ways. */
-static uint64_t reached_by_peer_us(const struct world *world, uint32_t index)
+static uint64_t peer_contact_us(const struct simulation *simulation,
+				uint32_t index)
 {
-	const struct node *node = &world->nodes[index];
-	uint64_t heard_us[CHECKER_NODES_MAX];
+	const struct node *node = &simulation->nodes[index];
+	uint64_t contact_us[CHECKER_NODES_MAX];
 	uint64_t since_us = RJ_NEVER_US;
 
 	if (!node->engine || node->paused || node->stopping)
 		return RJ_NEVER_US;
-	fake_peers_heard(world, index, heard_us);
-	for (uint32_t i = 0; i < world->node_count; i++)
-		since_us =
-			MIN(since_us, MAX(heard_us[i],
-					  world->checker.nodes[i].reached_us));
+	fake_peers_contact(simulation, index, contact_us);
+	for (uint32_t i = 0; i < simulation->node_count; i++)
+		since_us = MIN(
+			since_us,
+			MAX(contact_us[i],
+			    simulation->checker.nodes[i].platform_since_us));
 	return since_us;
 }
 
-static void tick(struct world *world, struct world_event *event)
+static void check_tick(struct simulation *simulation,
+		       struct simulation_event *event)
 {
-	for (uint32_t i = 0; i < world->node_count; i++)
-		checker_node_peer(&world->checker, i,
-				  reached_by_peer_us(world, i));
-	checker_tick(&world->checker, world->now_us);
-	(void)world_after(world, TICK_US, tick);
+	for (uint32_t i = 0; i < simulation->node_count; i++)
+		checker_node_peer(&simulation->checker, i,
+				  peer_contact_us(simulation, i));
+	checker_tick(&simulation->checker, simulation->now_us);
+	(void)simulation_schedule(simulation, TICK_US, check_tick);
 }
 
-static void tell_violation(void *data, const char *text)
+static void trace_violation(void *data, const char *text)
 {
-	struct world *world = data;
+	struct simulation *simulation = data;
 
-	if (world->options.transcript)
-		(void)fprintf(world->options.transcript, "%s\n", text);
+	if (simulation->options.transcript)
+		(void)fprintf(simulation->options.transcript, "%s\n", text);
 }
 
-static int world_release(struct world *world)
+static int release(struct simulation *simulation)
 {
-	for (uint32_t i = 0; i < world->node_count; i++) {
+	for (uint32_t i = 0; i < simulation->node_count; i++) {
 		struct rj_event *event;
 
-		while ((event = g_queue_pop_head(&world->nodes[i].held)))
+		while ((event = g_queue_pop_head(
+				&simulation->nodes[i].deferred)))
 			talloc_free(event);
-		TALLOC_FREE(world->nodes[i].engine);
-		rj_actions_finish(&world->nodes[i].actions);
+		TALLOC_FREE(simulation->nodes[i].engine);
+		rj_actions_finish(&simulation->nodes[i].actions);
 	}
-	for (uint32_t i = 0; i < world->worker_count; i++)
-		fake_worker_finish(world, i);
-	fake_log_finish(world);
-	g_sequence_free(world->queue);
-	g_ptr_array_unref(world->callers);
+	for (uint32_t i = 0; i < simulation->worker_count; i++)
+		fake_worker_finish(simulation, i);
+	fake_log_finish(simulation);
+	g_sequence_free(simulation->queue);
+	g_ptr_array_unref(simulation->callers);
 	return 0;
 }
 
-static void init_nodes(struct world *world)
+static void init_nodes(struct simulation *simulation)
 {
-	const struct world_options *options = &world->options;
+	const struct simulation_options *options = &simulation->options;
 
-	world->node_count = options->domains * options->nodes_per_domain;
-	assert(world->node_count <= CHECKER_NODES_MAX);
-	for (uint32_t i = 0; i < world->node_count; i++) {
-		struct node *node = &world->nodes[i];
+	simulation->node_count = options->domains * options->nodes_per_domain;
+	assert(simulation->node_count <= CHECKER_NODES_MAX);
+	for (uint32_t i = 0; i < simulation->node_count; i++) {
+		struct node *node = &simulation->nodes[i];
 
 		node->index = i;
 		node->domain = i / options->nodes_per_domain;
-		world->checker.nodes[i].domain = node->domain;
+		simulation->checker.nodes[i].domain = node->domain;
 		(void)snprintf(node->name, sizeof(node->name), "d%u-n%u",
 			       node->domain, i % options->nodes_per_domain);
-		g_queue_init(&node->held);
-		rj_actions_init(&node->actions, world);
+		g_queue_init(&node->deferred);
+		rj_actions_init(&node->actions, simulation);
 	}
 }
 
-static void init_workers(struct world *world)
+static void init_workers(struct simulation *simulation)
 {
-	const struct world_options *options = &world->options;
+	const struct simulation_options *options = &simulation->options;
 	uint32_t per_domain =
 		options->racks_per_domain * options->workers_per_rack;
 
-	world->worker_count = options->domains * per_domain;
-	assert(world->worker_count <= CHECKER_WORKERS_MAX);
-	for (uint32_t i = 0; i < world->worker_count; i++) {
-		struct fake_worker *worker = &world->workers[i];
+	simulation->worker_count = options->domains * per_domain;
+	assert(simulation->worker_count <= CHECKER_WORKERS_MAX);
+	for (uint32_t i = 0; i < simulation->worker_count; i++) {
+		struct fake_worker *worker = &simulation->workers[i];
 
 		worker->index = i;
 		worker->domain = i / per_domain;
 		worker->rack = i % per_domain / options->workers_per_rack;
 		(void)snprintf(worker->name, sizeof(worker->name), "d%u-w%u",
 			       worker->domain, i % per_domain);
-		fake_worker_init(world, i);
+		fake_worker_init(simulation, i);
 	}
 }
 
@@ -564,48 +593,52 @@
  * Make a world and start its instances, each at its own moment of the first
  * half second. The first configuration is in the log already.
  */
-struct world *world_create(void *mem, const struct world_options *options)
-{
-	struct world *world = talloc_zero(mem, struct world);
-
-	assert(world && options->domains <= WORLD_DOMAINS_MAX);
-	world->options = *options;
-	world->random = options->seed;
-	world->next_request = 1;
-	world->next_key = 1;
-	world->queue = g_sequence_new(NULL);
-	world->callers = g_ptr_array_new();
-	world->log_retention_us = options->retention_us ?
-					  options->retention_us :
-					  WORLD_RETENTION_US;
-	checker_init(&world->checker, world);
-	world->checker.lease_life_us = 3 * RJ_US_PER_S;
-	world->checker.tell = tell_violation;
-	world->checker.tell_data = world;
-	talloc_set_destructor(world, world_release);
-	init_nodes(world);
-	init_workers(world);
-	fake_log_init(world);
-	fake_peers_init(world);
-	fake_log_publish(world, 0, "first", world_config_text(world, world, 0));
-	for (uint32_t i = 0; i < world->node_count; i++) {
-		world->now_us += world_random(world, 100 * RJ_US_PER_MS);
-		node_start(world, i);
+struct simulation *simulation_create(void *mem,
+				     const struct simulation_options *options)
+{
+	struct simulation *simulation = talloc_zero(mem, struct simulation);
+
+	assert(simulation && options->domains <= SIMULATION_DOMAINS_MAX);
+	simulation->options = *options;
+	simulation->random = options->seed;
+	simulation->next_request = 1;
+	simulation->next_key = 1;
+	simulation->queue = g_sequence_new(NULL);
+	simulation->callers = g_ptr_array_new();
+	simulation->log_retention_us = options->retention_us ?
+					       options->retention_us :
+					       SIMULATION_RETENTION_US;
+	checker_init(&simulation->checker, simulation);
+	simulation->checker.lease_life_us = 3 * RJ_US_PER_S;
+	simulation->checker.report = trace_violation;
+	simulation->checker.report_data = simulation;
+	talloc_set_destructor(simulation, release);
+	init_nodes(simulation);
+	init_workers(simulation);
+	fake_log_init(simulation);
+	fake_peers_init(simulation);
+	fake_log_publish(simulation, 0, "first",
+			 simulation_config_text(simulation, simulation, 0));
+	for (uint32_t i = 0; i < simulation->node_count; i++) {
+		simulation->now_us +=
+			simulation_random(simulation, 100 * RJ_US_PER_MS);
+		node_start(simulation, i);
 	}
-	(void)world_after(world, TICK_US, tick);
-	return world;
+	(void)simulation_schedule(simulation, TICK_US, check_tick);
+	return simulation;
 }
 
 /*
  * Let time pass until `until_us`, running every event in its order.
  */
-void world_run_until(struct world *world, uint64_t until_us)
+void simulation_run_until(struct simulation *simulation, uint64_t until_us)
 {
-	uint32_t at_one_time = 0;
+	uint32_t events_at_instant = 0;
 
 	for (;;) {
-		GSequenceIter *first = g_sequence_get_begin_iter(world->queue);
-		struct world_event *event;
+		GSequenceIter *first =
+			g_sequence_get_begin_iter(simulation->queue);
+		struct simulation_event *event;
 
 		if (g_sequence_iter_is_end(first))
 			break;
@@ -613,16 +646,17 @@
 		if (event->at_us > until_us)
 			break;
 		g_sequence_remove(first);
-		at_one_time =
-			event->at_us == world->now_us ? at_one_time + 1 : 0;
-		if (at_one_time > WAKES_AT_ONE_TIME_MAX)
+		events_at_instant = event->at_us == simulation->now_us ?
+					    events_at_instant + 1 :
+					    0;
+		if (events_at_instant > EVENTS_PER_INSTANT_MAX)
 			g_error("the world stands still at %" PRIu64,
-				world->now_us);
-		if (event->at_us > world->now_us)
-			world->now_us = event->at_us;
-		event->run(world, event);
+				simulation->now_us);
+		if (event->at_us > simulation->now_us)
+			simulation->now_us = event->at_us;
+		event->run(simulation, event);
 		talloc_free(event);
 	}
-	if (until_us > world->now_us)
-		world->now_us = until_us;
+	if (until_us > simulation->now_us)
+		simulation->now_us = until_us;
 }
--- a/src/test_libradishjunction/support/transcript.c
+++ b/src/test_libradishjunction/support/transcript.c
@@ -90,7 +90,7 @@
 	}
 }
 
-static bool message_is_upkeep(const struct rj_peer_message *message)
+static bool message_is_periodic(const struct rj_peer_message *message)
 {
 	return message->kind == RJ_PEER_HEARTBEAT ||
 	       message->kind == RJ_PEER_SUMMARY;
@@ -99,7 +99,7 @@
 /*
  * Whether an event comes by itself and over again, and tells no story.
  */
-bool transcript_event_is_upkeep(const struct rj_event *event)
+bool transcript_event_is_periodic(const struct rj_event *event)
 {
 	switch (event->kind) {
 	case RJ_EVENT_TIMER:
@@ -111,7 +111,7 @@
 		return event->u.worker_reply.op == RJ_WORKER_REPORT &&
 		       event->u.worker_reply.status == RJ_REPLY_OK;
 	case RJ_EVENT_PEER_MESSAGE:
-		return message_is_upkeep(event->u.peer.message);
+		return message_is_periodic(event->u.peer.message);
 	default:
 		return false;
 	}
@@ -120,7 +120,7 @@
 /*
  * Whether an action is done by itself and over again, and tells no story.
  */
-bool transcript_action_is_upkeep(const struct rj_action *action)
+bool transcript_action_is_periodic(const struct rj_action *action)
 {
 	switch (action->kind) {
 	case RJ_ACTION_READ:
@@ -129,7 +129,7 @@
 	case RJ_ACTION_WORKER_CALL:
 		return action->u.worker_call.op == RJ_WORKER_REPORT;
 	case RJ_ACTION_PEER_SEND:
-		return message_is_upkeep(action->u.peer.message);
+		return message_is_periodic(action->u.peer.message);
 	default:
 		return false;
 	}
--- a/src/test_libradishjunction/support/transcript.h
+++ b/src/test_libradishjunction/support/transcript.h
@@ -10,8 +10,8 @@
 
 #include "radishjunction/action.h"
 
-bool transcript_event_is_upkeep(const struct rj_event *event);
-bool transcript_action_is_upkeep(const struct rj_action *action);
+bool transcript_event_is_periodic(const struct rj_event *event);
+bool transcript_action_is_periodic(const struct rj_action *action);
 void transcript_event(FILE *out, uint64_t now_us, const char *node,
 		      const struct rj_event *event);
 void transcript_action(FILE *out, uint64_t now_us, const char *node,
--- a/src/test_libradishjunction/test_accepted.c
+++ b/src/test_libradishjunction/test_accepted.c
@@ -16,10 +16,10 @@
 /*
  * Whether any worker was ever asked to start a task of the job.
  */
-static bool has_started(const struct world *world, uint64_t job_id)
+static bool has_started(const struct simulation *simulation, uint64_t job_id)
 {
-	for (uint32_t i = 0; i < world->worker_count; i++) {
-		const GPtrArray *tasks = world->workers[i].tasks;
+	for (uint32_t i = 0; i < simulation->worker_count; i++) {
+		const GPtrArray *tasks = simulation->workers[i].tasks;
 
 		for (guint j = 0; j < tasks->len; j++) {
 			const struct fake_task *task = tasks->pdata[j];
@@ -43,55 +43,57 @@
  */
 static void test_accepted_jobs_wait_for_the_log(void)
 {
-	struct world_options options = { .engine = &engine_core,
-					 .seed = 1639,
-					 .domains = 1,
-					 .nodes_per_domain = 1,
-					 .racks_per_domain = 1,
-					 .workers_per_rack = 4 };
-	struct world *world = world_create(NULL, &options);
-	const uint32_t whole = world->workers[0].capacity.accelerators;
-	struct caller_plan first = { .class_name = "preview",
-				     .account = WORLD_OTHER_ACCOUNT,
-				     .tasks = 4,
-				     .accelerators = whole,
-				     .run_us = LONG_RUN_US,
-				     .idempotent = true,
-				     .waits = true };
-	struct caller_plan second = first;
+	struct simulation_options options = { .engine = &engine_core,
+					      .seed = 1639,
+					      .domains = 1,
+					      .nodes_per_domain = 1,
+					      .racks_per_domain = 1,
+					      .workers_per_rack = 4 };
+	struct simulation *simulation = simulation_create(NULL, &options);
+	const uint32_t whole = simulation->workers[0].capacity.accelerators;
+	struct fake_caller_options first = { .class_name = "preview",
+					     .account =
+						     SIMULATION_OTHER_ACCOUNT,
+					     .tasks = 4,
+					     .accelerators = whole,
+					     .run_us = LONG_RUN_US,
+					     .idempotent = true,
+					     .waits = true };
+	struct fake_caller_options second = first;
 	struct fake_caller *render;
 
-	fake_log_publish(world, 0, "first", world_config_text(world, world, 0));
-	world_run_until(world, SETTLED_US);
-	fake_caller_add(world, 0, &first);
+	fake_log_publish(simulation, 0, "first",
+			 simulation_config_text(simulation, simulation, 0));
+	simulation_run_until(simulation, SETTLED_US);
+	fake_caller_add(simulation, 0, &first);
 	second.waits = false;
 	second.key = 7;
 	second.tasks = 1;
-	render = fake_caller_add(world, RJ_US_PER_S, &second);
-	world_run_until(world, SETTLED_US + 3 * RJ_US_PER_S);
+	render = fake_caller_add(simulation, RJ_US_PER_S, &second);
+	simulation_run_until(simulation, SETTLED_US + 3 * RJ_US_PER_S);
 	g_assert_cmpuint(render->job_id, !=, 0);
-	world->log.down = true;
-	world_reach_changed(world);
-	world_run_until(world, SETTLED_US + OUTAGE_US);
-	g_assert_false(has_started(world, render->job_id));
-	world->log.down = false;
-	world_reach_changed(world);
-	world_run_until(world, SETTLED_US + OUTAGE_US + LONG_RUN_US);
-	g_assert_true(has_started(world, render->job_id));
-	talloc_free(world);
+	simulation->log.down = true;
+	simulation_reachability_changed(simulation);
+	simulation_run_until(simulation, SETTLED_US + OUTAGE_US);
+	g_assert_false(has_started(simulation, render->job_id));
+	simulation->log.down = false;
+	simulation_reachability_changed(simulation);
+	simulation_run_until(simulation, SETTLED_US + OUTAGE_US + LONG_RUN_US);
+	g_assert_true(has_started(simulation, render->job_id));
+	talloc_free(simulation);
 }
 
 /*
  * Ask the first instance about a caller's job, under an id of the test's.
  */
-static void ask(struct world *world, const struct fake_caller *caller,
+static void ask(struct simulation *simulation, const struct fake_caller *caller,
 		enum rj_request_op op, uint64_t request_id)
 {
-	struct node *node = &world->nodes[0];
+	struct node *node = &simulation->nodes[0];
 	struct rj_event *event =
-		fake_caller_event(world, caller, node, op, request_id);
+		fake_caller_event(simulation, caller, node, op, request_id);
 
-	node_deliver_after(world, node, 1, event);
+	node_deliver_after(simulation, node, 1, event);
 }
 
 /*
@@ -105,38 +107,39 @@
 	char *text = NULL;
 	size_t size = 0;
 	FILE *transcript = open_memstream(&text, &size);
-	struct world_options options = { .engine = &engine_core,
-					 .seed = 1,
-					 .domains = 1,
-					 .nodes_per_domain = 1,
-					 .racks_per_domain = 1,
-					 .workers_per_rack = 4,
-					 .transcript = transcript };
-	struct world *world = world_create(NULL, &options);
-	struct caller_plan plan = { .class_name = "preview",
-				    .account = WORLD_OTHER_ACCOUNT,
-				    .key = 7,
-				    .tasks = 1,
-				    .accelerators = 1,
-				    .run_us = LONG_RUN_US,
-				    .idempotent = true };
+	struct simulation_options options = { .engine = &engine_core,
+					      .seed = 1,
+					      .domains = 1,
+					      .nodes_per_domain = 1,
+					      .racks_per_domain = 1,
+					      .workers_per_rack = 4,
+					      .transcript = transcript };
+	struct simulation *simulation = simulation_create(NULL, &options);
+	struct fake_caller_options plan = { .class_name = "preview",
+					    .account = SIMULATION_OTHER_ACCOUNT,
+					    .key = 7,
+					    .tasks = 1,
+					    .accelerators = 1,
+					    .run_us = LONG_RUN_US,
+					    .idempotent = true };
 	struct fake_caller *pack;
 
-	fake_log_publish(world, 0, "first", world_config_text(world, world, 0));
-	world_run_until(world, SETTLED_US);
-	pack = fake_caller_add(world, 0, &plan);
-	world_run_until(world, SETTLED_US + RJ_US_PER_S);
+	fake_log_publish(simulation, 0, "first",
+			 simulation_config_text(simulation, simulation, 0));
+	simulation_run_until(simulation, SETTLED_US);
+	pack = fake_caller_add(simulation, 0, &plan);
+	simulation_run_until(simulation, SETTLED_US + RJ_US_PER_S);
 	g_assert_cmpuint(pack->job_id, !=, 0);
-	ask(world, pack, RJ_REQUEST_LOOKUP, WAITING_ID);
-	ask(world, pack, RJ_REQUEST_SUBMIT, REPEAT_ID);
-	world_run_until(world, SETTLED_US + 2 * RJ_US_PER_S);
+	ask(simulation, pack, RJ_REQUEST_LOOKUP, WAITING_ID);
+	ask(simulation, pack, RJ_REQUEST_SUBMIT, REPEAT_ID);
+	simulation_run_until(simulation, SETTLED_US + 2 * RJ_US_PER_S);
 	fflush(transcript);
 	g_assert_nonnull(strstr(text, "answer id=902 accepted"));
 	g_assert_null(strstr(text, "answer id=901 "));
-	world_run_until(world, SETTLED_US + 2 * LONG_RUN_US);
+	simulation_run_until(simulation, SETTLED_US + 2 * LONG_RUN_US);
 	fflush(transcript);
 	g_assert_nonnull(strstr(text, "answer id=901 done"));
-	talloc_free(world);
+	talloc_free(simulation);
 	fclose(transcript);
 	free(text);
 }
--- a/src/test_libradishjunction/test_checker.c
+++ b/src/test_libradishjunction/test_checker.c
@@ -62,10 +62,10 @@
 }
 
 /* Exactly this promise was seen violated, once or more. */
-static void history_expect(struct history *history, enum promise promise)
+static void history_expect(struct history *history, enum invariant invariant)
 {
-	g_assert_cmpuint(history->checker.violations[promise], >, 0);
-	g_assert_cmpuint(history->checker.violations[promise], ==,
+	g_assert_cmpuint(history->checker.violations[invariant], >, 0);
+	g_assert_cmpuint(history->checker.violations[invariant], ==,
 			 checker_violations(&history->checker));
 	talloc_free(history->mem);
 }
@@ -94,13 +94,13 @@
 	struct history history;
 
 	history_start(&history, (struct checker_intent){ .guaranteed = true });
-	history.checker.calm_us = 2 * RJ_US_PER_S;
+	history.checker.recovered_us = 2 * RJ_US_PER_S;
 	checker_tick(&history.checker,
 		     history.checker.guarantee_limit_us + RJ_US_PER_S);
 	g_assert_cmpuint(checker_violations(&history.checker), ==, 0);
 	checker_tick(&history.checker,
 		     history.checker.guarantee_limit_us + 3 * RJ_US_PER_S);
-	history_expect(&history, PROMISE_GUARANTEE);
+	history_expect(&history, INVARIANT_GUARANTEE);
 }
 
 /*
@@ -112,7 +112,7 @@
 
 	history_start(&history, (struct checker_intent){ .gang = 2 });
 	history_run(&history, 0);
-	history_expect(&history, PROMISE_GANG);
+	history_expect(&history, INVARIANT_GANG);
 }
 
 /*
@@ -139,7 +139,7 @@
 	checker_tick(&history.checker, history.now_us +
 					       history.checker.lease_life_us +
 					       CHECKER_GANG_MARGIN_US + 1);
-	history_expect(&history, PROMISE_GANG);
+	history_expect(&history, INVARIANT_GANG);
 }
 
 /*
@@ -157,7 +157,7 @@
 		history_run(&history, 0);
 		history_end(&history, 0, RJ_TASK_DONE);
 		history_answer(&history, RJ_ANSWER_DONE, wrong[i]);
-		history_expect(&history, PROMISE_ANSWER);
+		history_expect(&history, INVARIANT_ANSWER);
 	}
 }
 
@@ -172,14 +172,14 @@
 	history_start(&history, (struct checker_intent){ .gang = 1 });
 	history_run(&history, 0);
 	history_answer(&history, RJ_ANSWER_DONE, "whole;");
-	history_expect(&history, PROMISE_ANSWER);
+	history_expect(&history, INVARIANT_ANSWER);
 	history_start(&history, (struct checker_intent){ .gang = 1 });
 	history_answer(&history, RJ_ANSWER_FAILED, "");
-	history_expect(&history, PROMISE_ANSWER);
+	history_expect(&history, INVARIANT_ANSWER);
 	history_start(&history, (struct checker_intent){ .gang = 1 });
 	history_answer(&history, RJ_ANSWER_UNKNOWN, "");
 	history_answer(&history, RJ_ANSWER_UNKNOWN, "");
-	history_expect(&history, PROMISE_ANSWER);
+	history_expect(&history, INVARIANT_ANSWER);
 }
 
 /*
@@ -192,11 +192,11 @@
 	history_start(&history, (struct checker_intent){ .gang = 1 });
 	history_answer(&history, RJ_ANSWER_NOT_RUN, "");
 	history_run(&history, 0);
-	history_expect(&history, PROMISE_NOT_RUN);
+	history_expect(&history, INVARIANT_NOT_RUN);
 	history_start(&history, (struct checker_intent){ .gang = 1 });
 	history_run(&history, 0);
 	history_answer(&history, RJ_ANSWER_NOT_RUN, "");
-	history_expect(&history, PROMISE_NOT_RUN);
+	history_expect(&history, INVARIANT_NOT_RUN);
 }
 
 /*
@@ -229,7 +229,7 @@
 	history_run(&history, 0);
 	history.attempt.owner = 2;
 	history_run(&history, 0);
-	history_expect(&history, PROMISE_ONCE);
+	history_expect(&history, INVARIANT_ONCE);
 	history_start(&history, (struct checker_intent){ .key = 3 });
 	history_run(&history, 0);
 	history.intent = checker_intent_add(&history.checker, &other);
@@ -237,7 +237,7 @@
 			history.intent, RJ_REQUEST_SUBMIT);
 	history.attempt.job_id = 2;
 	history_run(&history, 0);
-	history_expect(&history, PROMISE_ONCE);
+	history_expect(&history, INVARIANT_ONCE);
 }
 
 /*
@@ -255,15 +255,15 @@
 
 	for (uint32_t node = 0; node < 2; node++) {
 		history_start(&history, (struct checker_intent){ .gang = 1 });
-		checker_leaving_learnt(&history.checker, RJ_US_PER_S, 0, 5, 1);
-		checker_new_work(&history.checker, late_us - 1, node, 5, 1,
+		checker_leaving_known(&history.checker, RJ_US_PER_S, 0, 5, 1);
+		checker_job_sent(&history.checker, late_us - 1, node, 5, 1,
 				 heard);
-		checker_new_work(&history.checker, late_us, node, 5, 2, heard);
-		checker_new_work(&history.checker, late_us, 1, 5, 1, later);
-		checker_new_work(&history.checker, late_us, 1, 5, 1, never);
+		checker_job_sent(&history.checker, late_us, node, 5, 2, heard);
+		checker_job_sent(&history.checker, late_us, 1, 5, 1, later);
+		checker_job_sent(&history.checker, late_us, 1, 5, 1, never);
 		g_assert_cmpuint(checker_violations(&history.checker), ==, 0);
-		checker_new_work(&history.checker, late_us, node, 5, 1, heard);
-		history_expect(&history, PROMISE_LEAVING);
+		checker_job_sent(&history.checker, late_us, node, 5, 1, heard);
+		history_expect(&history, INVARIANT_LEAVING);
 	}
 }
 
@@ -278,7 +278,7 @@
 	checker_exit(&history.checker, history.now_us, 1);
 	g_assert_cmpuint(checker_violations(&history.checker), ==, 0);
 	checker_exit(&history.checker, history.now_us, 0);
-	history_expect(&history, PROMISE_STOP);
+	history_expect(&history, INVARIANT_STOP);
 }
 
 /*
@@ -293,32 +293,32 @@
 	history_start(&history, (struct checker_intent){ .gang = 1 });
 	checker_config_accepted(&history.checker, 1, 1, "one");
 	checker_config_accepted(&history.checker, 2, 2, "two");
-	checker_config_seen(&history.checker, 3, 0, 1, 2);
-	checker_config_seen(&history.checker, 4, 0, 1, 1);
-	history_expect(&history, PROMISE_CONFIG);
+	checker_config_in_force(&history.checker, 3, 0, 1, 2);
+	checker_config_in_force(&history.checker, 4, 0, 1, 1);
+	history_expect(&history, INVARIANT_CONFIG);
 	history_start(&history, (struct checker_intent){ .gang = 1 });
-	checker_node_reach(&history.checker, 1, 0, true);
+	checker_node_platform(&history.checker, 1, 0, true);
 	checker_config_accepted(&history.checker, 1, 1, "one");
 	checker_tick(&history.checker, 1 + CHECKER_CONFIG_US);
 	g_assert_cmpuint(checker_violations(&history.checker), ==, 0);
 	checker_tick(&history.checker, 2 + CHECKER_CONFIG_US);
-	history_expect(&history, PROMISE_CONFIG);
+	history_expect(&history, INVARIANT_CONFIG);
 	history_start(&history, (struct checker_intent){ .gang = 1 });
 	checker_config_accepted(&history.checker, 1, 1, "one");
 	checker_node_peer(&history.checker, 0, 5);
 	checker_tick(&history.checker, 5 + CHECKER_CONFIG_US);
 	g_assert_cmpuint(checker_violations(&history.checker), ==, 0);
 	checker_tick(&history.checker, 6 + CHECKER_CONFIG_US);
-	history_expect(&history, PROMISE_CONFIG);
+	history_expect(&history, INVARIANT_CONFIG);
 	history_start(&history, (struct checker_intent){ .gang = 1 });
-	checker_config_seen(&history.checker, 2, 0, 1, 1);
-	history_expect(&history, PROMISE_CONFIG);
+	checker_config_in_force(&history.checker, 2, 0, 1, 1);
+	history_expect(&history, INVARIANT_CONFIG);
 	history_start(&history, (struct checker_intent){ .gang = 1 });
 	checker_config_accepted(&history.checker, 1, 1, "one");
-	checker_config_offered(&history.checker, 2, 0, 1, "one");
+	checker_config_forwarded(&history.checker, 2, 0, 1, "one");
 	g_assert_cmpuint(checker_violations(&history.checker), ==, 0);
-	checker_config_offered(&history.checker, 2, 0, 1, "other");
-	history_expect(&history, PROMISE_CONFIG);
+	checker_config_forwarded(&history.checker, 2, 0, 1, "other");
+	history_expect(&history, INVARIANT_CONFIG);
 }
 
 /*
@@ -331,7 +331,7 @@
 	history_start(&history, (struct checker_intent){ .gang = 1 });
 	history_answer(&history, RJ_ANSWER_ACCEPTED, "");
 	checker_finish_run(&history.checker, 100 * RJ_US_PER_S);
-	history_expect(&history, PROMISE_ACCEPTED);
+	history_expect(&history, INVARIANT_ACCEPTED);
 }
 
 int main(int argc, char **argv)
--- a/src/test_libradishjunction/test_connections.c
+++ b/src/test_libradishjunction/test_connections.c
@@ -25,11 +25,11 @@
 	return sum - most + RJ_WORKER_CONNECTIONS_OWNER;
 }
 
-static void cut_all_links(struct world *world)
+static void cut_all_links(struct simulation *simulation)
 {
 	for (uint32_t a = 0; a < NODES; a++)
 		for (uint32_t b = a + 1; b < NODES; b++)
-			world->links[a][b].cut = true;
+			simulation->links[a][b].cut = true;
 }
 
 /*
@@ -41,24 +41,24 @@
  */
 static void test_instances_that_hear_nobody_share(void)
 {
-	struct world_options options = { .engine = &engine_core,
-					 .seed = 3,
-					 .domains = 1,
-					 .nodes_per_domain = NODES,
-					 .racks_per_domain = 2,
-					 .workers_per_rack = 4 };
-	struct world *world = world_create(NULL, &options);
+	struct simulation_options options = { .engine = &engine_core,
+					      .seed = 3,
+					      .domains = 1,
+					      .nodes_per_domain = NODES,
+					      .racks_per_domain = 2,
+					      .workers_per_rack = 4 };
+	struct simulation *simulation = simulation_create(NULL, &options);
 
-	world_run_until(world, SETTLED_US);
-	for (uint32_t i = 0; i < world->worker_count; i++)
-		g_assert_cmpuint(connections_to(&world->workers[i]), <=,
+	simulation_run_until(simulation, SETTLED_US);
+	for (uint32_t i = 0; i < simulation->worker_count; i++)
+		g_assert_cmpuint(connections_to(&simulation->workers[i]), <=,
 				 RJ_WORKER_CONNECTIONS);
-	cut_all_links(world);
-	world_run_until(world, SETTLED_US + CUT_US);
-	for (uint32_t i = 0; i < world->worker_count; i++)
-		g_assert_cmpuint(connections_to(&world->workers[i]), <=,
+	cut_all_links(simulation);
+	simulation_run_until(simulation, SETTLED_US + CUT_US);
+	for (uint32_t i = 0; i < simulation->worker_count; i++)
+		g_assert_cmpuint(connections_to(&simulation->workers[i]), <=,
 				 RJ_WORKER_CONNECTIONS);
-	talloc_free(world);
+	talloc_free(simulation);
 }
 
 int main(int argc, char **argv)
--- a/src/test_libradishjunction/test_differential.c
+++ b/src/test_libradishjunction/test_differential.c
@@ -7,19 +7,21 @@
 #define END_US (60 * RJ_US_PER_S)
 
 /* Run the same callers against an engine; no fault strikes. */
-static struct world *run(void *mem, const struct engine_ops *engine,
-			 uint64_t seed)
+static struct simulation *run(void *mem, const struct engine_ops *engine,
+			      uint64_t seed)
 {
-	struct world *world = faults_quiet_world(mem, engine, seed);
+	struct simulation *simulation =
+		faults_simulation_without_faults(mem, engine, seed);
 
-	world_run_until(world, END_US);
-	checker_finish_run(&world->checker, world->now_us);
-	return world;
+	simulation_run_until(simulation, END_US);
+	checker_finish_run(&simulation->checker, simulation->now_us);
+	return simulation;
 }
 
-static const struct checker_intent *intent_of(struct world *world, guint i)
+static const struct checker_intent *intent_of(struct simulation *simulation,
+					      guint i)
 {
-	return checker_intent_get(&world->checker, i);
+	return checker_intent_get(&simulation->checker, i);
 }
 
 /*
@@ -43,8 +45,8 @@
 
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
 		void *mem = talloc_new(NULL);
-		struct world *core = run(mem, &engine_core, seed);
-		struct world *naive = run(mem, &engine_naive, seed);
+		struct simulation *core = run(mem, &engine_core, seed);
+		struct simulation *naive = run(mem, &engine_reference, seed);
 
 		g_assert_cmpuint(core->callers->len, ==, naive->callers->len);
 		g_assert_cmpuint(checker_violations(&core->checker), ==, 0);
--- a/src/test_libradishjunction/test_faults.c
+++ b/src/test_libradishjunction/test_faults.c
@@ -7,27 +7,27 @@
 
 /* Violations of `promise` in its own profile's first seeds. */
 static uint32_t violations_of(const struct engine_ops *engine,
-			      enum promise promise)
+			      enum invariant invariant)
 {
 	struct faults_result result;
 	uint32_t count;
 
 	faults_result_init(&result);
 	for (uint64_t seed = 1; seed <= SEEDS; seed++)
-		faults_run(engine, promise, seed, NULL, &result);
-	g_assert_cmpuint(result.checks[promise], >, 0);
-	count = result.violations[promise];
+		faults_run(engine, invariant, seed, NULL, &result);
+	g_assert_cmpuint(result.checks[invariant], >, 0);
+	count = result.violations[invariant];
 	if (count)
-		g_test_message("%s", result.first[promise]);
+		g_test_message("%s", result.first[invariant]);
 	faults_result_finish(&result);
 	return count;
 }
 
 static void test_promise_holds(gconstpointer data)
 {
-	enum promise promise = GPOINTER_TO_UINT(data);
+	enum invariant invariant = GPOINTER_TO_UINT(data);
 
-	g_assert_cmpuint(violations_of(&engine_core, promise), ==, 0);
+	g_assert_cmpuint(violations_of(&engine_core, invariant), ==, 0);
 }
 
 /*
@@ -36,19 +36,19 @@
  */
 static void test_naive_version_breaks_promise(gconstpointer data)
 {
-	enum promise promise = GPOINTER_TO_UINT(data);
+	enum invariant invariant = GPOINTER_TO_UINT(data);
 
-	g_assert_cmpuint(violations_of(&engine_naive, promise), >, 0);
+	g_assert_cmpuint(violations_of(&engine_reference, invariant), >, 0);
 }
 
 /* A seed that once failed: nothing at all may be violated in it. */
-static void check_seed(enum promise promise, uint64_t seed)
+static void check_seed(enum invariant invariant, uint64_t seed)
 {
 	struct faults_result result;
 
 	faults_result_init(&result);
-	faults_run(&engine_core, promise, seed, NULL, &result);
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
+	faults_run(&engine_core, invariant, seed, NULL, &result);
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
 		g_assert_cmpstr(result.first[i], ==, "");
 	faults_result_finish(&result);
 }
@@ -61,8 +61,8 @@
  */
 static void test_job_known_from_its_claim_is_not_started(void)
 {
-	check_seed(PROMISE_ONCE, 277);
-	check_seed(PROMISE_NOT_RUN, 73);
+	check_seed(INVARIANT_ONCE, 277);
+	check_seed(INVARIANT_NOT_RUN, 73);
 }
 
 /*
@@ -73,8 +73,8 @@
  */
 static void test_lost_start_is_not_a_failed_run(void)
 {
-	check_seed(PROMISE_GANG, 49);
-	check_seed(PROMISE_NOT_RUN, 87);
+	check_seed(INVARIANT_GANG, 49);
+	check_seed(INVARIANT_NOT_RUN, 87);
 }
 
 /*
@@ -85,7 +85,7 @@
  */
 static void test_lookup_of_a_cancelled_job_waits_for_the_log(void)
 {
-	check_seed(PROMISE_ANSWER, 265);
+	check_seed(INVARIANT_ANSWER, 265);
 }
 
 /*
@@ -96,7 +96,7 @@
  */
 static void test_sleeper_starts_nothing_accepted_before_it_has_read(void)
 {
-	check_seed(PROMISE_NOT_RUN, 316);
+	check_seed(INVARIANT_NOT_RUN, 316);
 }
 
 /*
@@ -106,8 +106,8 @@
  */
 static void test_sleeper_does_not_know_that_a_key_is_new(void)
 {
-	check_seed(PROMISE_NOT_RUN, 894);
-	check_seed(PROMISE_ONCE, 919);
+	check_seed(INVARIANT_NOT_RUN, 894);
+	check_seed(INVARIANT_ONCE, 919);
 }
 
 /*
@@ -117,7 +117,7 @@
  */
 static void test_cancelled_in_an_outage_is_not_said_not_to_have_run(void)
 {
-	check_seed(PROMISE_ACCEPTED, 501);
+	check_seed(INVARIANT_ACCEPTED, 501);
 }
 
 /*
@@ -129,7 +129,7 @@
  */
 static void test_one_lost_read_is_no_outage(void)
 {
-	check_seed(PROMISE_ACCEPTED, 937);
+	check_seed(INVARIANT_ACCEPTED, 937);
 }
 
 /*
@@ -140,7 +140,7 @@
  */
 static void test_started_in_an_outage_is_claimed_after_it(void)
 {
-	check_seed(PROMISE_NOT_RUN, 554);
+	check_seed(INVARIANT_NOT_RUN, 554);
 }
 
 /*
@@ -151,9 +151,9 @@
  */
 static void test_summary_before_the_list_is_not_lost(void)
 {
-	check_seed(PROMISE_ACCEPTED, 136);
-	check_seed(PROMISE_NOT_RUN, 194);
-	check_seed(PROMISE_GUARANTEE, 19);
+	check_seed(INVARIANT_ACCEPTED, 136);
+	check_seed(INVARIANT_NOT_RUN, 194);
+	check_seed(INVARIANT_GUARANTEE, 19);
 }
 
 /*
@@ -164,8 +164,8 @@
  */
 static void test_outcome_after_a_lost_void_is_read(void)
 {
-	check_seed(PROMISE_ACCEPTED, 359);
-	check_seed(PROMISE_NOT_RUN, 500);
+	check_seed(INVARIANT_ACCEPTED, 359);
+	check_seed(INVARIANT_NOT_RUN, 500);
 }
 
 /*
@@ -177,7 +177,7 @@
  */
 static void test_watched_job_that_is_settled_stays_accepted(void)
 {
-	check_seed(PROMISE_ACCEPTED, 58);
+	check_seed(INVARIANT_ACCEPTED, 58);
 }
 
 /*
@@ -189,8 +189,8 @@
  */
 static void test_who_reclaims_has_placed(void)
 {
-	check_seed(PROMISE_GUARANTEE, 38);
-	check_seed(PROMISE_GUARANTEE, 17);
+	check_seed(INVARIANT_GUARANTEE, 38);
+	check_seed(INVARIANT_GUARANTEE, 17);
 }
 
 /*
@@ -202,7 +202,7 @@
  */
 static void test_leases_of_abandoned_attempts_are_cleared(void)
 {
-	check_seed(PROMISE_GUARANTEE, 32);
+	check_seed(INVARIANT_GUARANTEE, 32);
 }
 
 /*
@@ -213,8 +213,8 @@
  */
 static void test_entitled_job_stays_in_its_domain(void)
 {
-	check_seed(PROMISE_GUARANTEE, 1);
-	check_seed(PROMISE_GUARANTEE, 79);
+	check_seed(INVARIANT_GUARANTEE, 1);
+	check_seed(INVARIANT_GUARANTEE, 79);
 }
 
 /*
@@ -226,7 +226,7 @@
  */
 static void test_lookup_during_a_drain_is_sent_on(void)
 {
-	check_seed(PROMISE_NOT_RUN, 770);
+	check_seed(INVARIANT_NOT_RUN, 770);
 }
 
 /*
@@ -237,7 +237,7 @@
  */
 static void test_outcome_outlives_its_claim(void)
 {
-	check_seed(PROMISE_ONCE, 894);
+	check_seed(INVARIANT_ONCE, 894);
 }
 
 /*
@@ -248,8 +248,8 @@
  */
 static void test_forward_without_an_answer_is_taken_back(void)
 {
-	check_seed(PROMISE_ANSWER, 64);
-	check_seed(PROMISE_STOP, 75);
+	check_seed(INVARIANT_ANSWER, 64);
+	check_seed(INVARIANT_STOP, 75);
 }
 
 /*
@@ -261,7 +261,7 @@
  */
 static void test_forward_lost_on_a_standing_link(void)
 {
-	check_seed(PROMISE_STOP, 8745);
+	check_seed(INVARIANT_STOP, 8745);
 }
 
 /*
@@ -274,9 +274,9 @@
  */
 static void test_work_of_an_interim_owner_is_reclaimed(void)
 {
-	check_seed(PROMISE_GUARANTEE, 337);
-	check_seed(PROMISE_GUARANTEE, 788);
-	check_seed(PROMISE_GUARANTEE, 857);
+	check_seed(INVARIANT_GUARANTEE, 337);
+	check_seed(INVARIANT_GUARANTEE, 788);
+	check_seed(INVARIANT_GUARANTEE, 857);
 }
 
 /*
@@ -287,7 +287,7 @@
  */
 static void test_tasks_seen_before_the_configuration_are_reclaimed(void)
 {
-	check_seed(PROMISE_GUARANTEE, 4642);
+	check_seed(INVARIANT_GUARANTEE, 4642);
 }
 
 /*
@@ -298,10 +298,10 @@
  */
 static void test_freed_shape_is_not_lost_again(void)
 {
-	check_seed(PROMISE_GUARANTEE, 101);
-	check_seed(PROMISE_GUARANTEE, 153);
-	check_seed(PROMISE_GUARANTEE, 301);
-	check_seed(PROMISE_GUARANTEE, 1445);
+	check_seed(INVARIANT_GUARANTEE, 101);
+	check_seed(INVARIANT_GUARANTEE, 153);
+	check_seed(INVARIANT_GUARANTEE, 301);
+	check_seed(INVARIANT_GUARANTEE, 1445);
 }
 
 /*
@@ -312,32 +312,32 @@
  */
 static void test_job_waits_at_the_owner_of_its_shape(void)
 {
-	check_seed(PROMISE_GUARANTEE, 862);
-	check_seed(PROMISE_GUARANTEE, 1732);
-	check_seed(PROMISE_GUARANTEE, 1968);
+	check_seed(INVARIANT_GUARANTEE, 862);
+	check_seed(INVARIANT_GUARANTEE, 1732);
+	check_seed(INVARIANT_GUARANTEE, 1968);
 }
 
 /* Promises that the core keeps in every seed that was run. */
-static const enum promise held[] = { PROMISE_GUARANTEE, PROMISE_GANG,
-				     PROMISE_ANSWER,	PROMISE_NOT_RUN,
-				     PROMISE_CONFIG,	PROMISE_ONCE,
-				     PROMISE_LEAVING,	PROMISE_STOP,
-				     PROMISE_ACCEPTED };
+static const enum invariant held[] = { INVARIANT_GUARANTEE, INVARIANT_GANG,
+				       INVARIANT_ANSWER,    INVARIANT_NOT_RUN,
+				       INVARIANT_CONFIG,    INVARIANT_ONCE,
+				       INVARIANT_LEAVING,   INVARIANT_STOP,
+				       INVARIANT_ACCEPTED };
 
 /* Promises that the naive version breaks within the seeds of this test. */
-static const enum promise broken[] = { PROMISE_GUARANTEE, PROMISE_GANG,
-				       PROMISE_ANSWER,	  PROMISE_NOT_RUN,
-				       PROMISE_ONCE,	  PROMISE_LEAVING,
-				       PROMISE_STOP,	  PROMISE_CONFIG,
-				       PROMISE_ACCEPTED };
+static const enum invariant broken[] = { INVARIANT_GUARANTEE, INVARIANT_GANG,
+					 INVARIANT_ANSWER,    INVARIANT_NOT_RUN,
+					 INVARIANT_ONCE,      INVARIANT_LEAVING,
+					 INVARIANT_STOP,      INVARIANT_CONFIG,
+					 INVARIANT_ACCEPTED };
 
-static void add_promise(const char *prefix, enum promise promise,
+static void add_promise(const char *prefix, enum invariant invariant,
 			GTestDataFunc test)
 {
 	char *path = g_strdup_printf("/faults/%s/%s", prefix,
-				     promise_string[promise]);
+				     invariant_string[invariant]);
 
-	g_test_add_data_func(path, GUINT_TO_POINTER(promise), test);
+	g_test_add_data_func(path, GUINT_TO_POINTER(invariant), test);
 	g_free(path);
 }
 
--- a/src/test_libradishjunction/test_faults_large.c
+++ b/src/test_libradishjunction/test_faults_large.c
@@ -8,15 +8,15 @@
 #define APART_SEEDS 3
 
 /* Nothing at all may be violated in this run. */
-static void check_seed(enum fault_place place, enum promise promise,
+static void check_seed(enum fault_setup_kind place, enum invariant invariant,
 		       uint64_t seed)
 {
 	struct faults_result result;
 
 	faults_result_init(&result);
-	faults_run_at(&engine_core, place, promise, seed, NULL, &result);
-	g_assert_cmpuint(result.checks[promise], >, 0);
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
+	faults_run_at(&engine_core, place, invariant, seed, NULL, &result);
+	g_assert_cmpuint(result.checks[invariant], >, 0);
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
 		g_assert_cmpstr(result.first[i], ==, "");
 	faults_result_finish(&result);
 }
@@ -31,7 +31,7 @@
 static void test_large(gconstpointer data)
 {
 	for (uint64_t seed = 1; seed <= SEEDS; seed++)
-		check_seed(FAULT_PLACE_LARGE, GPOINTER_TO_UINT(data), seed);
+		check_seed(FAULT_SETUP_LARGE, GPOINTER_TO_UINT(data), seed);
 }
 
 /*
@@ -45,23 +45,23 @@
 
 	faults_result_init(&result);
 	for (uint64_t seed = 1; seed <= APART_SEEDS; seed++)
-		faults_apart(&engine_core, seed, NULL, &result);
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
+		faults_run_isolated_region(&engine_core, seed, NULL, &result);
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
 		g_assert_cmpstr(result.first[i], ==, "");
 	g_assert_cmpuint(result.unsettled, ==, 0);
 	faults_result_finish(&result);
 }
 
 /* What the log dropped before anybody alive had read it, nobody knows. */
-static void check_trimmed(enum promise promise, uint64_t seed)
+static void check_trimmed(enum invariant invariant, uint64_t seed)
 {
 	struct faults_result result;
 
 	faults_result_init(&result);
-	faults_run_at(&engine_core, FAULT_PLACE_TRIMMED, promise, seed, NULL,
+	faults_run_at(&engine_core, FAULT_SETUP_TRIMMED, invariant, seed, NULL,
 		      &result);
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
-		if (i != PROMISE_ACCEPTED)
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
+		if (i != INVARIANT_ACCEPTED)
 			g_assert_cmpstr(result.first[i], ==, "");
 	faults_result_finish(&result);
 }
@@ -87,7 +87,7 @@
  */
 static void test_ran_before_it_was_handed_on(void)
 {
-	check_trimmed(PROMISE_GANG, 75);
+	check_trimmed(INVARIANT_GANG, 75);
 }
 
 /*
@@ -99,24 +99,25 @@
  */
 static void test_settled_attempt_was_not_the_first(void)
 {
-	check_trimmed(PROMISE_ACCEPTED, 93);
+	check_trimmed(INVARIANT_ACCEPTED, 93);
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++) {
-		char *path =
-			g_strdup_printf("/faults_large/%s", promise_string[i]);
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++) {
+		char *path = g_strdup_printf("/faults_large/%s",
+					     invariant_string[i]);
 
 		g_test_add_data_func(path, GUINT_TO_POINTER(i), test_large);
 		g_free(path);
 	}
 	g_test_add_func("/faults_apart/hour", test_region_apart_for_an_hour);
 	g_test_add_data_func("/faults_trimmed/once",
-			     GUINT_TO_POINTER(PROMISE_ONCE), test_trimmed_log);
+			     GUINT_TO_POINTER(INVARIANT_ONCE),
+			     test_trimmed_log);
 	g_test_add_data_func("/faults_trimmed/not_run",
-			     GUINT_TO_POINTER(PROMISE_NOT_RUN),
+			     GUINT_TO_POINTER(INVARIANT_NOT_RUN),
 			     test_trimmed_log);
 	g_test_add_func("/faults_trimmed/handed_on",
 			test_ran_before_it_was_handed_on);
--- a/src/test_libradishjunction/test_foreign.c
+++ b/src/test_libradishjunction/test_foreign.c
@@ -31,13 +31,14 @@
 }
 
 /* A job that takes a whole worker for a long time. */
-static struct caller_plan whole_worker(const struct world *world)
+static struct fake_caller_options
+whole_worker(const struct simulation *simulation)
 {
-	return (struct caller_plan){
+	return (struct fake_caller_options){
 		.class_name = "preview",
-		.account = WORLD_OTHER_ACCOUNT,
+		.account = SIMULATION_OTHER_ACCOUNT,
 		.tasks = 1,
-		.accelerators = world->workers[0].capacity.accelerators,
+		.accelerators = simulation->workers[0].capacity.accelerators,
 		.run_us = LONG_RUN_US,
 		.idempotent = true,
 		.waits = true,
@@ -45,13 +46,13 @@
 }
 
 /* A job on the account's guarantee. */
-static struct caller_plan guaranteed(void)
+static struct fake_caller_options guaranteed(void)
 {
-	return (struct caller_plan){
+	return (struct fake_caller_options){
 		.class_name = "pack",
-		.account = WORLD_GUARANTEED_ACCOUNT,
+		.account = SIMULATION_GUARANTEED_ACCOUNT,
 		.key = 9,
-		.tasks = WORLD_GUARANTEED_TASKS,
+		.tasks = SIMULATION_GUARANTEED_TASKS,
 		.accelerators = 4,
 		.adjacent = true,
 		.run_us = RJ_US_PER_S,
@@ -71,48 +72,52 @@
 	char *text = NULL;
 	size_t size = 0;
 	FILE *transcript = open_memstream(&text, &size);
-	struct world_options options = { .engine = &engine_core,
-					 .seed = seed,
-					 .domains = 1,
-					 .nodes_per_domain = 2,
-					 .racks_per_domain = 1,
-					 .workers_per_rack = 4,
-					 .transcript = transcript };
-	struct world *world = world_create(NULL, &options);
-	struct caller_plan preview = whole_worker(world);
-	struct caller_plan quote = preview;
-	struct caller_plan pack = guaranteed();
+	struct simulation_options options = { .engine = &engine_core,
+					      .seed = seed,
+					      .domains = 1,
+					      .nodes_per_domain = 2,
+					      .racks_per_domain = 1,
+					      .workers_per_rack = 4,
+					      .transcript = transcript };
+	struct simulation *simulation = simulation_create(NULL, &options);
+	struct fake_caller_options preview = whole_worker(simulation);
+	struct fake_caller_options quote = preview;
+	struct fake_caller_options pack = guaranteed();
 	const struct fake_caller *priced;
 
-	fake_log_publish(world, 0, "first", world_config_text(world, world, 0));
-	world_run_until(world, SETTLED_US);
-	node_kill(world, dead);
-	world_run_until(world, SETTLED_US + MOVED_US);
+	fake_log_publish(simulation, 0, "first",
+			 simulation_config_text(simulation, simulation, 0));
+	simulation_run_until(simulation, SETTLED_US);
+	node_kill(simulation, dead);
+	simulation_run_until(simulation, SETTLED_US + MOVED_US);
 	quote.class_name = "quote";
 	quote.key = 7;
 	quote.idempotent = false;
-	priced = fake_caller_add(world, 0, &quote);
+	priced = fake_caller_add(simulation, 0, &quote);
 	for (uint32_t i = 0; i < 3; i++)
-		fake_caller_add(world, FILLED_US / 2, &preview);
-	world_run_until(world, SETTLED_US + MOVED_US + FILLED_US);
-	node_start(world, dead);
-	world_run_until(world, SETTLED_US + 2 * MOVED_US);
-	world->links[0][1].cut = cut;
-	world_run_until(world, SETTLED_US + 3 * MOVED_US);
-	world->checker.calm_us = 0;
-	fake_caller_add(world, 0, &pack);
-	world_run_until(world, SETTLED_US + 3 * MOVED_US + LONG_RUN_US);
-	g_assert_cmpuint(world->checker.checks[PROMISE_GUARANTEE], ==, 1);
+		fake_caller_add(simulation, FILLED_US / 2, &preview);
+	simulation_run_until(simulation, SETTLED_US + MOVED_US + FILLED_US);
+	node_start(simulation, dead);
+	simulation_run_until(simulation, SETTLED_US + 2 * MOVED_US);
+	simulation->links[0][1].cut = cut;
+	simulation_run_until(simulation, SETTLED_US + 3 * MOVED_US);
+	simulation->checker.recovered_us = 0;
+	fake_caller_add(simulation, 0, &pack);
+	simulation_run_until(simulation,
+			     SETTLED_US + 3 * MOVED_US + LONG_RUN_US);
+	g_assert_cmpuint(simulation->checker.checks[INVARIANT_GUARANTEE], ==,
+			 1);
 	g_assert_cmpuint(
-		checker_intent_get(&world->checker, priced->intent)->completed,
+		checker_intent_get(&simulation->checker, priced->intent)
+			->completed,
 		==, 1);
-	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
-		g_assert_cmpstr(world->checker.first[i], ==, "");
+	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
+		g_assert_cmpstr(simulation->checker.first[i], ==, "");
 	fflush(transcript);
 	ways->asked += count(text, "> peer_send d0-n0 cancel") +
 		       count(text, "> peer_send d0-n1 cancel");
 	ways->stopped += count(text, "> worker_call stop");
-	talloc_free(world);
+	talloc_free(simulation);
 	fclose(transcript);
 	free(text);
 }
--- a/src/test_libradishjunction/test_golden.c
+++ b/src/test_libradishjunction/test_golden.c
@@ -12,13 +12,13 @@
 /* A session: what happens in a small world of one rack and two instances. */
 struct session {
 	const char *name;
-	void (*happens)(struct world *world);
+	void (*happens)(struct simulation *simulation);
 	uint64_t end_us;
 };
 
-static const struct caller_plan preview = {
+static const struct fake_caller_options preview = {
 	.class_name = "preview",
-	.account = WORLD_OTHER_ACCOUNT,
+	.account = SIMULATION_OTHER_ACCOUNT,
 	.tasks = 1,
 	.accelerators = 1,
 	.run_us = 300 * RJ_US_PER_MS,
@@ -26,9 +26,9 @@
 	.waits = true,
 };
 
-static const struct caller_plan quote = {
+static const struct fake_caller_options quote = {
 	.class_name = "quote",
-	.account = WORLD_OTHER_ACCOUNT,
+	.account = SIMULATION_OTHER_ACCOUNT,
 	.key = 1,
 	.tasks = 1,
 	.accelerators = 1,
@@ -37,66 +37,69 @@
 };
 
 /* A preview is asked for, run and answered, and the log is not touched. */
-static void idempotent_job(struct world *world)
+static void idempotent_job(struct simulation *simulation)
 {
-	(void)fake_caller_add(world, 3 * RJ_US_PER_S, &preview);
+	(void)fake_caller_add(simulation, 3 * RJ_US_PER_S, &preview);
 }
 
 /* A buyer asks for a quote, and asks another instance with the same key. */
-static void repeated_quote(struct world *world)
+static void repeated_quote(struct simulation *simulation)
 {
-	struct caller_plan doubled = quote;
+	struct fake_caller_options duplicated = quote;
 
-	doubled.doubled = true;
-	(void)fake_caller_add(world, 3 * RJ_US_PER_S, &doubled);
+	duplicated.duplicated = true;
+	(void)fake_caller_add(simulation, 3 * RJ_US_PER_S, &duplicated);
 }
 
 /* A gang on two workers: leases, held starts, then all are let run. */
-static void gang(struct world *world)
+static void gang(struct simulation *simulation)
 {
-	struct caller_plan plan = preview;
+	struct fake_caller_options plan = preview;
 
 	plan.class_name = "pack";
 	plan.tasks = 2;
 	plan.accelerators = 8;
-	(void)fake_caller_add(world, 3 * RJ_US_PER_S, &plan);
+	(void)fake_caller_add(simulation, 3 * RJ_US_PER_S, &plan);
 }
 
 /* The platform is down: a preview is served, a quote is told when to come
    back, and is priced once the platform is there again. */
-static void platform_outage(struct world *world)
+static void platform_outage(struct simulation *simulation)
 {
-	world_run_until(world, 3 * RJ_US_PER_S);
-	world->log.down = true;
-	(void)fake_caller_add(world, 3 * RJ_US_PER_S, &preview);
-	(void)fake_caller_add(world, 4 * RJ_US_PER_S, &quote);
-	world_run_until(world, 9 * RJ_US_PER_S);
-	world->log.down = false;
+	simulation_run_until(simulation, 3 * RJ_US_PER_S);
+	simulation->log.down = true;
+	(void)fake_caller_add(simulation, 3 * RJ_US_PER_S, &preview);
+	(void)fake_caller_add(simulation, 4 * RJ_US_PER_S, &quote);
+	simulation_run_until(simulation, 9 * RJ_US_PER_S);
+	simulation->log.down = false;
 }
 
 /* An instance is asked to stop while it serves a quote. */
-static void graceful_stop(struct world *world)
+static void graceful_stop(struct simulation *simulation)
 {
-	struct caller_plan plan = quote;
+	struct fake_caller_options plan = quote;
 
 	plan.run_us = 2 * RJ_US_PER_S;
-	(void)fake_caller_add(world, 3 * RJ_US_PER_S, &plan);
-	world_run_until(world, 3500 * RJ_US_PER_MS);
-	for (uint32_t i = 0; i < world->node_count; i++) {
-		const struct fake_caller *caller = world->callers->pdata[0];
+	(void)fake_caller_add(simulation, 3 * RJ_US_PER_S, &plan);
+	simulation_run_until(simulation, 3500 * RJ_US_PER_MS);
+	for (uint32_t i = 0; i < simulation->node_count; i++) {
+		const struct fake_caller *caller =
+			simulation->callers->pdata[0];
 
 		if (caller->node == i)
-			node_stop(world, i);
+			node_stop(simulation, i);
 	}
 }
 
 /* Two operators publish from the same revision: one wins everywhere. */
-static void config_race(struct world *world)
+static void config_race(struct simulation *simulation)
 {
-	world_run_until(world, 3 * RJ_US_PER_S);
-	fake_log_publish(world, 1, "one", world_config_text(world, world, 1));
-	fake_log_publish(world, 1, "two", world_config_text(world, world, 2));
-	fake_log_publish(world, 2, "bad", "{\"domains\":7}");
+	simulation_run_until(simulation, 3 * RJ_US_PER_S);
+	fake_log_publish(simulation, 1, "one",
+			 simulation_config_text(simulation, simulation, 1));
+	fake_log_publish(simulation, 1, "two",
+			 simulation_config_text(simulation, simulation, 2));
+	fake_log_publish(simulation, 2, "bad", "{\"domains\":7}");
 }
 
 static const struct session sessions[] = {
@@ -111,7 +114,7 @@
 /* Play a session; the caller frees the transcript. */
 static char *play(const struct session *session)
 {
-	struct world_options options = {
+	struct simulation_options options = {
 		.engine = &engine_core,
 		.seed = 1,
 		.domains = 1,
@@ -121,17 +124,17 @@
 		.brief = true,
 	};
 	void *mem = talloc_new(NULL);
-	struct world *world;
+	struct simulation *simulation;
 	char *text = NULL;
 	size_t size = 0;
 
 	options.transcript = open_memstream(&text, &size);
 	g_assert_nonnull(options.transcript);
-	world = world_create(mem, &options);
-	session->happens(world);
-	world_run_until(world, session->end_us);
-	checker_finish_run(&world->checker, world->now_us);
-	g_assert_cmpuint(checker_violations(&world->checker), ==, 0);
+	simulation = simulation_create(mem, &options);
+	session->happens(simulation);
+	simulation_run_until(simulation, session->end_us);
+	checker_finish_run(&simulation->checker, simulation->now_us);
+	g_assert_cmpuint(checker_violations(&simulation->checker), ==, 0);
 	talloc_free(mem);
 	(void)fclose(options.transcript);
 	return text;
--- a/src/test_libradishjunction/test_http_callers.c
+++ b/src/test_libradishjunction/test_http_callers.c
@@ -14,7 +14,7 @@
 		"\"declared_ms\":5,\"deadline_ms\":7,\"wait\":false,"
 		"\"body\": {\"b\": [1, 2], \"a\": null}}";
 	struct callers_server server;
-	const struct rj_job_spec *spec = &server.asked.spec;
+	const struct rj_job_spec *spec = &server.last_request.spec;
 	const char *result = "{\"price\":12}";
 
 	callers_server_init(&server, 8, 8);
@@ -26,8 +26,8 @@
 		&server, callers_post(body), 200,
 		"{\"answer\":\"done\",\"reason\":\"none\","
 		"\"job\":\"0000000000000abc\",\"result\":{\"price\":12}}");
-	g_assert_cmpint(server.asked.op, ==, RJ_REQUEST_SUBMIT);
-	g_assert_cmpstr(server.asked.token, ==, "t");
+	g_assert_cmpint(server.last_request.op, ==, RJ_REQUEST_SUBMIT);
+	g_assert_cmpstr(server.last_request.token, ==, "t");
 	g_assert_cmpstr(spec->key, ==, "k-1");
 	g_assert_cmpstr(spec->class_name, ==, "quote");
 	g_assert_cmpuint(spec->shape.tasks, ==, 2);
@@ -53,20 +53,21 @@
 		&server,
 		callers_post("{\"class\":\"q\",\"body\":{\"a\":1,\"b\":2}}"),
 		200, "done");
-	memcpy(first, server.asked.spec.digest, sizeof(first));
+	memcpy(first, server.last_request.spec.digest, sizeof(first));
 	callers_expect(
 		&server,
 		callers_post(
 			"{ \"body\": {\"b\":2, \"a\":1}, \"class\": \"q\"}"),
 		200, "done");
-	g_assert_cmpmem(first, sizeof(first), server.asked.spec.digest,
+	g_assert_cmpmem(first, sizeof(first), server.last_request.spec.digest,
 			RJ_DIGEST_BYTES);
 	callers_expect(
 		&server,
 		callers_post("{\"class\":\"q\",\"body\":{\"a\":1,\"b\":3}}"),
 		200, "done");
-	g_assert_cmpint(memcmp(first, server.asked.spec.digest, sizeof(first)),
-			!=, 0);
+	g_assert_cmpint(
+		memcmp(first, server.last_request.spec.digest, sizeof(first)),
+		!=, 0);
 	callers_server_finish(&server);
 }
 
@@ -111,7 +112,7 @@
 		       "path: ");
 	callers_expect(&server, callers_request("PUT /v1/jobs", token, ""), 404,
 		       "path: ");
-	g_assert_cmpuint(server.asked_count, ==, 0);
+	g_assert_cmpuint(server.request_count, ==, 0);
 	callers_server_finish(&server);
 }
 
@@ -127,7 +128,7 @@
 	server.answer.reason = RJ_REASON_IN_PROGRESS;
 	callers_expect(&server, callers_request(line, token, ""), 200,
 		       "{\"explained\":255}");
-	g_assert_cmpint(server.asked.op, ==, RJ_REQUEST_LOOKUP);
+	g_assert_cmpint(server.last_request.op, ==, RJ_REQUEST_LOOKUP);
 	server.answer.kind = RJ_ANSWER_NOT_RUN;
 	server.answer.reason = RJ_REASON_NO_SUCH_JOB;
 	callers_expect(&server, callers_request(line, token, ""), 404,
@@ -150,14 +151,14 @@
 		       callers_request("GET /v1/jobs/00000000000000ff?wait=1",
 				       token, ""),
 		       200, "done");
-	g_assert_cmpint(server.asked.op, ==, RJ_REQUEST_LOOKUP);
-	g_assert_cmpuint(server.asked.job_id, ==, 0xff);
-	g_assert_true(server.asked.wait);
+	g_assert_cmpint(server.last_request.op, ==, RJ_REQUEST_LOOKUP);
+	g_assert_cmpuint(server.last_request.job_id, ==, 0xff);
+	g_assert_true(server.last_request.wait);
 	callers_expect(
 		&server,
 		callers_request("DELETE /v1/jobs/00000000000000ff", token, ""),
 		200, "done");
-	g_assert_cmpint(server.asked.op, ==, RJ_REQUEST_CANCEL);
+	g_assert_cmpint(server.last_request.op, ==, RJ_REQUEST_CANCEL);
 	callers_server_finish(&server);
 }
 
@@ -221,13 +222,13 @@
 	struct callers_client waiting;
 
 	callers_server_init(&server, 8, 8);
-	server.hold = true;
+	server.defer_answers = true;
 	callers_client_init(&waiting, &server,
 			    callers_request(jobs, token, "{\"class\":\"q\"}"));
-	RUN_UNTIL(callers_loop, server.asked_count == 1);
+	RUN_UNTIL(callers_loop, server.request_count == 1);
 	rj_http_callers_close(&server.callers);
 	RUN_UNTIL(callers_loop, waiting.closed);
-	g_assert_nonnull(strstr(waiting.got->str, "\"unknown\""));
+	g_assert_nonnull(strstr(waiting.received->str, "\"unknown\""));
 	callers_expect(&server, callers_post("{\"class\":\"q\"}"), 503,
 		       "\"unknown\"");
 	callers_expect(&server,
@@ -235,7 +236,7 @@
 		       "\"not_run\"");
 	callers_expect(&server, callers_request(job, token, ""), 503,
 		       "\"unknown\"");
-	g_assert_cmpuint(server.asked_count, ==, 1);
+	g_assert_cmpuint(server.request_count, ==, 1);
 	callers_client_finish(&waiting);
 	callers_server_finish(&server);
 }
@@ -253,7 +254,7 @@
 	callers_server_init_as(&server, 8, 8, true);
 	callers_client_init(&early, &server, callers_post("{\"class\":\"q\"}"));
 	RUN_UNTIL(callers_loop, early.sent == early.length);
-	g_assert_cmpuint(server.asked_count, ==, 0);
+	g_assert_cmpuint(server.request_count, ==, 0);
 	server.answer.kind = RJ_ANSWER_DONE;
 	rj_http_callers_serve(&server.callers);
 	RUN_UNTIL(callers_loop, early.closed);
@@ -289,7 +290,7 @@
 	g_assert_cmpuint(callers_client_status(&idle), ==, 200);
 	RUN_UNTIL(callers_loop, late.closed);
 	g_assert_cmpuint(callers_client_status(&late), ==, 0);
-	g_assert_cmpuint(server.asked_count, ==, 1);
+	g_assert_cmpuint(server.request_count, ==, 1);
 	callers_client_finish(&late);
 	callers_client_finish(&idle);
 	callers_server_finish(&server);
--- a/src/test_libradishjunction/test_http_callers_bounds.c
+++ b/src/test_libradishjunction/test_http_callers_bounds.c
@@ -25,7 +25,7 @@
 		       "too_large");
 	callers_expect(&server, callers_request("GET /v1/ready", "", ""), 200,
 		       "true");
-	g_assert_cmpuint(server.asked_count, ==, 0);
+	g_assert_cmpuint(server.request_count, ==, 0);
 	callers_server_finish(&server);
 	g_free(large);
 	g_free(header);
@@ -41,23 +41,23 @@
 	struct rj_answer done = { .kind = RJ_ANSWER_DONE };
 
 	callers_server_init(&server, 8, 1);
-	server.hold = true;
+	server.defer_answers = true;
 	callers_client_init(&first, &server, callers_post("{\"class\":\"q\"}"));
-	RUN_UNTIL(callers_loop, server.asked_count == 1);
+	RUN_UNTIL(callers_loop, server.request_count == 1);
 	callers_expect(&server, callers_post("{\"class\":\"q\"}"), 503,
 		       "Retry-After: 1");
-	g_assert_cmpuint(server.asked_count, ==, 1);
+	g_assert_cmpuint(server.request_count, ==, 1);
 	server.callers.base.ops->answer(&server.callers.base,
-					server.asked.request_id, &done);
+					server.last_request.request_id, &done);
 	RUN_UNTIL(callers_loop, first.closed);
 	g_assert_cmpuint(callers_client_status(&first), ==, 200);
 	callers_client_finish(&first);
 	callers_server_finish(&server);
 
 	callers_server_init(&server, 1, 8);
-	server.hold = true;
+	server.defer_answers = true;
 	callers_client_init(&first, &server, callers_post("{\"class\":\"q\"}"));
-	RUN_UNTIL(callers_loop, server.asked_count == 1);
+	RUN_UNTIL(callers_loop, server.request_count == 1);
 	callers_expect(&server, callers_post("{\"class\":\"q\"}"), 503,
 		       "connections: ");
 	callers_client_finish(&first);
@@ -81,7 +81,7 @@
 	callers_expect(&server, callers_post("{\"class\":\"q\"}"), 200, "done");
 	g_assert_false(stalled.closed);
 	RUN_UNTIL(callers_loop, stalled.closed);
-	g_assert_cmpuint(server.asked_count, ==, 1);
+	g_assert_cmpuint(server.request_count, ==, 1);
 	callers_client_finish(&stalled);
 	callers_server_finish(&server);
 }
@@ -159,7 +159,7 @@
 	g_assert_cmpuint(in_headers.client.sent, <, in_headers.client.length);
 	g_assert_cmpuint(in_body.client.sent, <, in_body.client.length);
 	RUN_UNTIL(callers_loop, !rj_http_callers_connections(&server.callers));
-	g_assert_cmpuint(server.asked_count, ==, 0);
+	g_assert_cmpuint(server.request_count, ==, 0);
 	callers_expect(&server, callers_post("{\"class\":\"q\"}"), 200, "done");
 	dribble_finish(&in_headers);
 	dribble_finish(&in_body);
@@ -173,7 +173,7 @@
 static uint64_t retry_after_ms(const struct callers_client *client)
 {
 	static const char *name = "\"retry_after_ms\":";
-	const char *found = strstr(client->got->str, name);
+	const char *found = strstr(client->received->str, name);
 
 	g_assert_nonnull(found);
 	return strtoull(found + strlen(name), NULL, 10);
@@ -194,9 +194,9 @@
 	uint32_t different = 0;
 
 	callers_server_init(&server, G_N_ELEMENTS(clients) + 1, 1);
-	server.hold = true;
+	server.defer_answers = true;
 	callers_client_init(&held, &server, callers_post("{\"class\":\"q\"}"));
-	RUN_UNTIL(callers_loop, server.asked_count == 1);
+	RUN_UNTIL(callers_loop, server.request_count == 1);
 	for (uint32_t i = 0; i < G_N_ELEMENTS(clients); i++)
 		callers_client_init(&clients[i], &server,
 				    callers_post("{\"class\":\"q\"}"));
@@ -208,7 +208,7 @@
 		after_ms = retry_after_ms(&clients[i]);
 		g_assert_cmpuint(after_ms, >=, 500);
 		g_assert_cmpuint(after_ms, <, G_N_ELEMENTS(seen));
-		g_assert_nonnull(strstr(clients[i].got->str,
+		g_assert_nonnull(strstr(clients[i].received->str,
 					after_ms <= 1000 ?
 						"Retry-After: 1\r\n" :
 						"Retry-After: 2\r\n"));
@@ -217,7 +217,7 @@
 		callers_client_finish(&clients[i]);
 	}
 	g_assert_cmpuint(different, >, G_N_ELEMENTS(clients) / 2);
-	g_assert_cmpuint(server.asked_count, ==, 1);
+	g_assert_cmpuint(server.request_count, ==, 1);
 	callers_client_finish(&held);
 	callers_server_finish(&server);
 }
@@ -230,15 +230,16 @@
 	struct rj_answer done = { .kind = RJ_ANSWER_DONE };
 
 	callers_server_init(&server, 8, 8);
-	server.hold = true;
+	server.defer_answers = true;
 	callers_client_init(&client, &server,
 			    callers_post("{\"class\":\"q\"}"));
-	RUN_UNTIL(callers_loop, server.asked_count == 1);
+	RUN_UNTIL(callers_loop, server.request_count == 1);
 	callers_client_finish(&client);
-	RUN_UNTIL(callers_loop, server.gone_id == server.asked.request_id);
+	RUN_UNTIL(callers_loop,
+		  server.disconnected_id == server.last_request.request_id);
 	server.callers.base.ops->answer(&server.callers.base,
-					server.asked.request_id, &done);
-	server.hold = false;
+					server.last_request.request_id, &done);
+	server.defer_answers = false;
 	callers_expect(&server, callers_post("{\"class\":\"q\"}"), 200, "done");
 	RUN_UNTIL(callers_loop, !rj_http_callers_open(&server.callers));
 	callers_server_finish(&server);
--- a/src/test_libradishjunction/test_late_guarantee.c
+++ b/src/test_libradishjunction/test_late_guarantee.c
@@ -16,8 +16,8 @@
 	struct faults_result result;
 
 	faults_result_init(&result);
-	faults_run(&engine_core, PROMISE_GUARANTEE, SEED, NULL, &result);
-	g_assert_cmpstr(result.first[PROMISE_GUARANTEE], ==, "");
+	faults_run(&engine_core, INVARIANT_GUARANTEE, SEED, NULL, &result);
+	g_assert_cmpstr(result.first[INVARIANT_GUARANTEE], ==, "");
 	faults_result_finish(&result);
 }
 
--- a/src/test_libradishjunction/test_leaving.c
+++ b/src/test_libradishjunction/test_leaving.c
@@ -8,19 +8,20 @@
 #define CALLERS 40
 
 /* Previews that are asked for one after the other, until `until_us`. */
-static void ask_previews(struct world *world, uint64_t until_us)
+static void ask_previews(struct simulation *simulation, uint64_t until_us)
 {
-	struct caller_plan plan = { .class_name = "preview",
-				    .account = WORLD_OTHER_ACCOUNT,
-				    .tasks = 1,
-				    .accelerators = 1,
-				    .run_us = RJ_US_PER_S,
-				    .idempotent = true,
-				    .waits = true };
+	struct fake_caller_options plan = { .class_name = "preview",
+					    .account = SIMULATION_OTHER_ACCOUNT,
+					    .tasks = 1,
+					    .accelerators = 1,
+					    .run_us = RJ_US_PER_S,
+					    .idempotent = true,
+					    .waits = true };
 
 	for (uint32_t i = 0; i < CALLERS; i++)
 		(void)fake_caller_add(
-			world, i * (until_us - world->now_us) / CALLERS, &plan);
+			simulation,
+			i * (until_us - simulation->now_us) / CALLERS, &plan);
 }
 
 /*
@@ -33,27 +34,27 @@
  */
 static void test_leaving_is_told_on_a_new_link(void)
 {
-	struct world_options options = { .engine = &engine_core,
-					 .seed = 11,
-					 .domains = 1,
-					 .nodes_per_domain = 2,
-					 .racks_per_domain = 2,
-					 .workers_per_rack = 4 };
-	struct world *world = world_create(NULL, &options);
+	struct simulation_options options = { .engine = &engine_core,
+					      .seed = 11,
+					      .domains = 1,
+					      .nodes_per_domain = 2,
+					      .racks_per_domain = 2,
+					      .workers_per_rack = 4 };
+	struct simulation *simulation = simulation_create(NULL, &options);
 
-	world_run_until(world, SETTLED_US);
-	for (uint32_t i = 0; i < world->worker_count; i++)
-		world->workers[i].leaving = true;
+	simulation_run_until(simulation, SETTLED_US);
+	for (uint32_t i = 0; i < simulation->worker_count; i++)
+		simulation->workers[i].leaving = true;
 	/* It owns both racks. */
-	world->log.cut_node[0] = true;
-	world_reach_changed(world);
-	world->links[0][1].cut = true;
-	world_run_until(world, SETTLED_US + BREAK_US);
-	fake_peers_mend(world);
-	ask_previews(world, SETTLED_US + 4 * BREAK_US);
-	world_run_until(world, SETTLED_US + 5 * BREAK_US);
-	g_assert_cmpstr(world->checker.first[PROMISE_LEAVING], ==, "");
-	talloc_free(world);
+	simulation->log.cut_node[0] = true;
+	simulation_reachability_changed(simulation);
+	simulation->links[0][1].cut = true;
+	simulation_run_until(simulation, SETTLED_US + BREAK_US);
+	fake_peers_heal(simulation);
+	ask_previews(simulation, SETTLED_US + 4 * BREAK_US);
+	simulation_run_until(simulation, SETTLED_US + 5 * BREAK_US);
+	g_assert_cmpstr(simulation->checker.first[INVARIANT_LEAVING], ==, "");
+	talloc_free(simulation);
 }
 
 int main(int argc, char **argv)
--- a/src/test_libradishjunction/test_lifecycle.c
+++ b/src/test_libradishjunction/test_lifecycle.c
@@ -17,7 +17,7 @@
 
 /* One instance alone, and what it was told and did. */
 struct fixture {
-	struct world *world;
+	struct simulation *simulation;
 	struct fake_caller *caller;
 	FILE *transcript;
 	char *text;
@@ -27,34 +27,36 @@
 /* Start an instance without peers, with a configuration in force. */
 static void setup(struct fixture *fixture, gconstpointer data)
 {
-	struct world_options options = { .engine = &engine_core,
-					 .seed = 1,
-					 .domains = 1,
-					 .nodes_per_domain = 1,
-					 .racks_per_domain = 1,
-					 .workers_per_rack = 4 };
-	struct caller_plan plan = { .class_name = "preview",
-				    .account = WORLD_OTHER_ACCOUNT,
-				    .tasks = 1,
-				    .accelerators = 1,
-				    .run_us = RUN_US,
-				    .idempotent = true,
-				    .waits = true };
+	struct simulation_options options = { .engine = &engine_core,
+					      .seed = 1,
+					      .domains = 1,
+					      .nodes_per_domain = 1,
+					      .racks_per_domain = 1,
+					      .workers_per_rack = 4 };
+	struct fake_caller_options plan = { .class_name = "preview",
+					    .account = SIMULATION_OTHER_ACCOUNT,
+					    .tasks = 1,
+					    .accelerators = 1,
+					    .run_us = RUN_US,
+					    .idempotent = true,
+					    .waits = true };
 
 	(void)data;
 	fixture->transcript = open_memstream(&fixture->text, &fixture->size);
 	options.transcript = fixture->transcript;
-	fixture->world = world_create(NULL, &options);
-	fake_log_publish(fixture->world, 0, "first",
-			 world_config_text(fixture->world, fixture->world, 0));
-	fixture->caller = fake_caller_add(fixture->world, NEVER_ASKS_US, &plan);
-	world_run_until(fixture->world, SETTLED_US);
+	fixture->simulation = simulation_create(NULL, &options);
+	fake_log_publish(fixture->simulation, 0, "first",
+			 simulation_config_text(fixture->simulation,
+						fixture->simulation, 0));
+	fixture->caller =
+		fake_caller_add(fixture->simulation, NEVER_ASKS_US, &plan);
+	simulation_run_until(fixture->simulation, SETTLED_US);
 }
 
 static void teardown(struct fixture *fixture, gconstpointer data)
 {
 	(void)data;
-	talloc_free(fixture->world);
+	talloc_free(fixture->simulation);
 	fclose(fixture->transcript);
 	free(fixture->text);
 }
@@ -63,12 +65,12 @@
 static void submit(struct fixture *fixture, uint64_t delay_us,
 		   uint64_t request_id)
 {
-	struct node *node = &fixture->world->nodes[0];
+	struct node *node = &fixture->simulation->nodes[0];
 
-	node_deliver_after(fixture->world, node, delay_us,
-			   fake_caller_event(fixture->world, fixture->caller,
-					     node, RJ_REQUEST_SUBMIT,
-					     request_id));
+	node_deliver_after(fixture->simulation, node, delay_us,
+			   fake_caller_event(fixture->simulation,
+					     fixture->caller, node,
+					     RJ_REQUEST_SUBMIT, request_id));
 }
 
 /* Whether the transcript holds `part`. */
@@ -90,10 +92,11 @@
 {
 	(void)data;
 	submit(fixture, 1, FIRST_ID);
-	world_run_until(fixture->world, SETTLED_US + 100 * RJ_US_PER_MS);
-	node_stop(fixture->world, 0);
+	simulation_run_until(fixture->simulation,
+			     SETTLED_US + 100 * RJ_US_PER_MS);
+	node_stop(fixture->simulation, 0);
 	submit(fixture, 90 * RJ_US_PER_MS, SECOND_ID);
-	world_run_until(fixture->world, SETTLED_US + 3 * RUN_US);
+	simulation_run_until(fixture->simulation, SETTLED_US + 3 * RUN_US);
 	g_assert_true(told(fixture, "answer id=901 done"));
 	g_assert_true(told(fixture, "answer id=902 done"));
 	g_assert_true(told(fixture, "d0-n0 > exit"));
@@ -110,12 +113,14 @@
 
 	(void)data;
 	submit(fixture, 1, id++);
-	world_run_until(fixture->world, SETTLED_US + 100 * RJ_US_PER_MS);
-	node_stop(fixture->world, 0);
+	simulation_run_until(fixture->simulation,
+			     SETTLED_US + 100 * RJ_US_PER_MS);
+	node_stop(fixture->simulation, 0);
 	for (uint64_t at_us = 0; at_us < 20 * RJ_US_PER_S;
 	     at_us += 500 * RJ_US_PER_MS)
 		submit(fixture, at_us, id++);
-	world_run_until(fixture->world, SETTLED_US + 14 * RJ_US_PER_S);
+	simulation_run_until(fixture->simulation,
+			     SETTLED_US + 14 * RJ_US_PER_S);
 	g_assert_true(told(fixture, "not_run reason=draining"));
 	g_assert_false(told(fixture, "unknown"));
 	g_assert_true(told(fixture, "d0-n0 > exit"));
@@ -193,8 +198,8 @@
 
 	message.u.config.revision = 1;
 	g_strlcpy(message.u.config.id, "first", sizeof(message.u.config.id));
-	message.u.config.text =
-		world_config_text(fixture->world, fixture->world, 0);
+	message.u.config.text = simulation_config_text(fixture->simulation,
+						       fixture->simulation, 0);
 	rj_name_set(offer.u.peer.name, "b");
 	offer.u.peer.message = &message;
 	outage.u.stream = RJ_STREAM_JOBS;
--- a/src/test_libradishjunction/test_log_relay.c
+++ b/src/test_libradishjunction/test_log_relay.c
@@ -10,51 +10,54 @@
 #define CUT 0 /* the failure domain that is cut off from the platform */
 
 /* Two failure domains of one instance each, the first cut off. */
-static struct world *cut_world(void)
+static struct simulation *cut_world(void)
 {
-	struct world_options options = { .engine = &engine_core,
-					 .seed = 3,
-					 .domains = 2,
-					 .nodes_per_domain = 1,
-					 .racks_per_domain = 1,
-					 .workers_per_rack = 4 };
-	struct world *world = world_create(NULL, &options);
+	struct simulation_options options = { .engine = &engine_core,
+					      .seed = 3,
+					      .domains = 2,
+					      .nodes_per_domain = 1,
+					      .racks_per_domain = 1,
+					      .workers_per_rack = 4 };
+	struct simulation *simulation = simulation_create(NULL, &options);
 
-	world_run_until(world, SETTLED_US);
-	world->log.cut[CUT] = true;
-	world_reach_changed(world);
-	world_run_until(world, SETTLED_US + NOTICED_US);
-	return world;
+	simulation_run_until(simulation, SETTLED_US);
+	simulation->log.cut[CUT] = true;
+	simulation_reachability_changed(simulation);
+	simulation_run_until(simulation, SETTLED_US + NOTICED_US);
+	return simulation;
 }
 
 /* A caller in the cut domain asks now. */
-static struct fake_caller *ask(struct world *world, const char *class_name,
-			       bool idempotent, bool waits)
+static struct fake_caller *ask(struct simulation *simulation,
+			       const char *class_name, bool idempotent,
+			       bool waits)
 {
-	struct caller_plan plan = { .class_name = class_name,
-				    .account = WORLD_OTHER_ACCOUNT,
-				    .domain = CUT,
-				    .key = 7,
-				    .tasks = 1,
-				    .accelerators = 1,
-				    .run_us = RUN_US,
-				    .idempotent = idempotent,
-				    .waits = waits };
+	struct fake_caller_options plan = { .class_name = class_name,
+					    .account = SIMULATION_OTHER_ACCOUNT,
+					    .domain = CUT,
+					    .key = 7,
+					    .tasks = 1,
+					    .accelerators = 1,
+					    .run_us = RUN_US,
+					    .idempotent = idempotent,
+					    .waits = waits };
 
-	return fake_caller_add(world, 0, &plan);
+	return fake_caller_add(simulation, 0, &plan);
 }
 
 /* What the caller of a job in the cut domain has been told after a while. */
-static enum rj_answer_kind told(struct world *world, const char *class_name,
-				bool idempotent, bool waits)
+static enum rj_answer_kind told(struct simulation *simulation,
+				const char *class_name, bool idempotent,
+				bool waits)
 {
-	struct fake_caller *caller = ask(world, class_name, idempotent, waits);
+	struct fake_caller *caller =
+		ask(simulation, class_name, idempotent, waits);
 	enum rj_answer_kind kind;
 
-	world_run_until(world, world->now_us + 3 * RJ_US_PER_S);
-	kind = checker_intent_get(&world->checker, caller->intent)->answer;
+	simulation_run_until(simulation, simulation->now_us + 3 * RJ_US_PER_S);
+	kind = checker_intent_get(&simulation->checker, caller->intent)->answer;
 	g_assert_cmpuint(caller->served_us, !=, RJ_NEVER_US);
-	g_assert_cmpuint(checker_violations(&world->checker), ==, 0);
+	g_assert_cmpuint(checker_violations(&simulation->checker), ==, 0);
 	return kind;
 }
 
@@ -68,10 +71,11 @@
  */
 static void test_quote_in_a_cut_domain(void)
 {
-	struct world *world = cut_world();
+	struct simulation *simulation = cut_world();
 
-	g_assert_cmpuint(told(world, "quote", false, true), ==, RJ_ANSWER_DONE);
-	talloc_free(world);
+	g_assert_cmpuint(told(simulation, "quote", false, true), ==,
+			 RJ_ANSWER_DONE);
+	talloc_free(simulation);
 }
 
 /*
@@ -81,10 +85,10 @@
  */
 static void test_render_in_a_cut_domain(void)
 {
-	struct world *world = cut_world();
+	struct simulation *simulation = cut_world();
 
-	told(world, "preview", true, false);
-	talloc_free(world);
+	told(simulation, "preview", true, false);
+	talloc_free(simulation);
 }
 
 /*
@@ -93,18 +97,19 @@
  */
 static void test_nobody_has_the_log(void)
 {
-	struct world *world = cut_world();
+	struct simulation *simulation = cut_world();
 	struct fake_caller *caller;
 
-	world->log.down = true;
-	world_reach_changed(world);
-	world_run_until(world, world->now_us + NOTICED_US);
-	caller = ask(world, "quote", false, true);
-	world_run_until(world, world->now_us + 100 * RJ_US_PER_MS);
+	simulation->log.down = true;
+	simulation_reachability_changed(simulation);
+	simulation_run_until(simulation, simulation->now_us + NOTICED_US);
+	caller = ask(simulation, "quote", false, true);
+	simulation_run_until(simulation,
+			     simulation->now_us + 100 * RJ_US_PER_MS);
 	g_assert_cmpuint(caller->request_id, ==, 0);
 	g_assert_cmpuint(caller->tries, >=, 1);
 	g_assert_cmpuint(caller->served_us, ==, RJ_NEVER_US);
-	talloc_free(world);
+	talloc_free(simulation);
 }
 
 int main(int argc, char **argv)
--- a/src/test_libradishjunction/test_planner_differential.c
+++ b/src/test_libradishjunction/test_planner_differential.c
@@ -266,18 +266,18 @@
 	return &pair->base;
 }
 
-static const struct plan_maker maker = { "pair", make_pair };
+static const struct planner_factory factory = { "pair", make_pair };
 
 /*
  * What the accounts' tasks that cannot be stopped take of each worker, as
  * the world has it.
  */
-static void add_pinned(const struct plan_world *world,
+static void add_pinned(const struct plan_simulation *simulation,
 		       struct rj_resources pinned[][STREAM_ACCOUNTS])
 {
-	for (uint32_t i = 0; i < world->stream->count; i++) {
-		const struct stream_job *truth = &world->stream->jobs[i];
-		const struct world_job *job = &world->jobs[i];
+	for (uint32_t i = 0; i < simulation->stream->count; i++) {
+		const struct stream_job *truth = &simulation->stream->jobs[i];
+		const struct plan_simulation_job *job = &simulation->jobs[i];
 
 		if (truth->plan.stoppable)
 			continue;
@@ -293,17 +293,17 @@
  * find its guaranteed shapes free at their homes, but for what its own work
  * takes of them; and no home is missing.
  */
-static void check_reclaimable(struct plan_world *world)
+static void check_reclaimable(struct plan_simulation *simulation)
 {
 	static struct rj_resources pinned[STREAM_WORKERS][STREAM_ACCOUNTS];
-	const struct pair *pair = (const struct pair *)world->planner;
+	const struct pair *pair = (const struct pair *)simulation->planner;
 	const struct rj_topology_state *state = pair->topology.state;
 	uint64_t homes = 0;
 
-	if (world->instance_down)
+	if (simulation->instance_down)
 		return;
 	memset(pinned, 0, sizeof(pinned));
-	add_pinned(world, pinned);
+	add_pinned(simulation, pinned);
 	for (uint32_t i = 0; i < STREAM_WORKERS; i++) {
 		const struct rj_ledger *ledger =
 			rj_capacity_find(&state->capacity, i)->ledger;
@@ -315,7 +315,7 @@
 				ledger,
 				g_hash_table_lookup(
 					state->accounts,
-					world->stream->accounts[j].name));
+					simulation->stream->accounts[j].name));
 
 			if (share)
 				homes += share->guaranteed.accelerators;
@@ -328,12 +328,12 @@
 			}
 			rj_resources_add(&bound, &most, 1);
 		}
-		g_assert_true(rj_resources_fit(&bound,
-					       &world->stream->domain.worker));
+		g_assert_true(rj_resources_fit(
+			&bound, &simulation->stream->domain.worker));
 	}
 	for (uint32_t i = 0; i < STREAM_ACCOUNTS; i++) {
 		const struct rj_guarantee *guarantee =
-			&world->stream->guarantees[i];
+			&simulation->stream->guarantees[i];
 
 		homes -= (uint64_t)guarantee->count * guarantee->shape.tasks *
 			 guarantee->shape.each.accelerators;
@@ -348,8 +348,8 @@
  */
 static void test_differences_have_reasons(gconstpointer data)
 {
-	struct plan_world_options options = {
-		.maker = &maker,
+	struct plan_simulation_options options = {
+		.factory = &factory,
 		.check = check_reclaimable,
 	};
 	enum stream_users users = GPOINTER_TO_UINT(data) / STREAM_LOAD_COUNT;
@@ -362,7 +362,7 @@
 
 		memset(differences, 0, sizeof(differences));
 		plan_stream_init(&stream, NULL, users, load, seed, HORIZON_US);
-		plan_world_run(&stream, &options, &result);
+		plan_simulation_run(&stream, &options, &result);
 		for (uint32_t i = 0; i < DIFFERENCE_COUNT; i++)
 			count += differences[i];
 		g_assert_cmpuint(count, >, stream.count / 2);
--- a/src/test_libradishjunction/test_planner_queue.c
+++ b/src/test_libradishjunction/test_planner_queue.c
@@ -84,7 +84,7 @@
 	planner_pass(f, 3 * S);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), ==, 32);
 	g_assert_true(f->decisions.list[0].checkpoint);
-	planner_obey(f, 0, 3 * S);
+	planner_apply_reclaims(f, 0, 3 * S);
 	planner_pass(f, 3 * S);
 	g_assert_cmpint(planner_decision_on(f, 200)->reason, ==,
 			RJ_REASON_RECLAIMED);
@@ -121,7 +121,7 @@
 			RJ_REASON_BACKFILL);
 	planner_pass(f, 30 * S);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), ==, 2);
-	planner_obey(f, 0, 30 * S);
+	planner_apply_reclaims(f, 0, 30 * S);
 	planner_pass(f, 30 * S);
 	g_assert_cmpint(planner_decision_on(f, 200)->kind, ==,
 			RJ_DECISION_START);
--- a/src/test_libradishjunction/test_planner_topology.c
+++ b/src/test_libradishjunction/test_planner_topology.c
@@ -27,7 +27,7 @@
 		g_assert_cmpuint(f->decisions.list[i].limit_us, ==,
 				 LIMIT_MS * RJ_US_PER_MS);
 	}
-	planner_obey(f, 0, S + 1);
+	planner_apply_reclaims(f, 0, S + 1);
 	planner_pass(f, S + 1);
 	start = planner_decision_on(f, 10);
 	g_assert_nonnull(start);
@@ -84,7 +84,7 @@
 	planner_submit(f, planner_job_of(21, 'b', 2, 8), S);
 	planner_pass(f, S);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), ==, 6);
-	planner_obey(f, 0, S + 1);
+	planner_apply_reclaims(f, 0, S + 1);
 	planner_pass(f, S + 1);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_START), ==, 2);
 	g_assert_true(planner_is_in_one_rack(planner_decision_on(f, 20)));
@@ -108,7 +108,7 @@
 	planner_pass(f, 0);
 	planner_submit(f, planner_job_of(20, 'b', 1, 2), S);
 	planner_pass(f, S);
-	planner_obey(f, 0, S);
+	planner_apply_reclaims(f, 0, S);
 	planner_pass(f, S);
 	g_assert_cmpint(planner_decision_on(f, 20)->kind, ==,
 			RJ_DECISION_START);
@@ -118,7 +118,7 @@
 	planner_submit(f, planner_job_of(21, 'b', 1, 1), S);
 	planner_pass(f, S);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), ==, 1);
-	planner_obey(f, 0, S);
+	planner_apply_reclaims(f, 0, S);
 	planner_pass(f, S);
 	g_assert_cmpint(planner_decision_on(f, 21)->kind, ==,
 			RJ_DECISION_START);
@@ -146,14 +146,14 @@
 	planner_pass(f, now_us);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), ==, 2);
 	silent = f->decisions.list[0].job_id;
-	planner_obey(f, silent, now_us);
+	planner_apply_reclaims(f, silent, now_us);
 	planner_pass(f, now_us);
 	g_assert_null(planner_decision_on(f, 20));
 	now_us = f->planner->ops->wake_us(f->planner);
 	g_assert_cmpuint(now_us, <=, S + LIMIT_MS * RJ_US_PER_MS + S);
 	planner_pass(f, now_us);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), >=, 1);
-	planner_obey(f, silent, now_us);
+	planner_apply_reclaims(f, silent, now_us);
 	planner_pass(f, now_us);
 	g_assert_cmpint(planner_decision_on(f, 20)->kind, ==,
 			RJ_DECISION_START);
@@ -185,7 +185,7 @@
 					     S);
 	planner_pass(f, S);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), ==, 2);
-	planner_obey(f, 0, S);
+	planner_apply_reclaims(f, 0, S);
 	planner_pass(f, S);
 	g_assert_cmpint(planner_decision_on(f, 20)->kind, ==,
 			RJ_DECISION_START);
@@ -275,7 +275,7 @@
 	planner_submit(f, planner_job_of(20, 'a', 4, 8), S);
 	planner_pass(f, S);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), ==, 4);
-	planner_obey(f, 0, S);
+	planner_apply_reclaims(f, 0, S);
 	planner_pass(f, S);
 	g_assert_cmpint(planner_decision_on(f, 20)->kind, ==,
 			RJ_DECISION_START);
@@ -311,7 +311,7 @@
 	planner_pass(f, 0);
 	planner_submit(f, planner_job_of(20, 'a', 4, 8), S);
 	planner_pass(f, S);
-	planner_obey(f, 0, S);
+	planner_apply_reclaims(f, 0, S);
 	f->planner->ops->ended(f->planner, 20, false, 0, S);
 	planner_submit(f, planner_job_of(21, 'c', 4, 8), S);
 	planner_pass(f, S);
