--- a/src/test_libradishjunction/fuzz/driver.c
+++ b/src/test_libradishjunction/fuzz/driver.c
@@ -1,6 +1,6 @@
 /*
- * The entry points that libFuzzer calls; scripts/fuzz builds this with one
- * target's name in RJ_FUZZ_TARGET.
+ * The libFuzzer entry points. scripts/fuzz builds this file with the name of
+ * one target in RJ_FUZZ_TARGET.
  */
 #include <assert.h>
 #include <sodium.h>
@@ -15,7 +15,7 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length);
 
 /*
- * Start what the parsers use.
+ * Initialises libsodium, which the parsers need. Returns -1 on failure.
  */
 int LLVMFuzzerInitialize(int *argc, char ***argv)
 {
@@ -24,7 +24,7 @@
 }
 
 /*
- * Run one input.
+ * Runs the selected target on one input.
  */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length)
 {
--- a/src/test_libradishjunction/naive/planner_easy.c
+++ b/src/test_libradishjunction/naive/planner_easy.c
@@ -7,39 +7,37 @@
 
 #include "private/plan_table.h"
 
-/* What is taken for a job whose caller declares nothing. */
+/* Run time assumed for a job without a declared one. */
 #define DECLARED_US_DEFAULT (60 * RJ_US_PER_S)
 
-/* How far down the queue backfill looks, as schedulers in use do. */
+/* Queued jobs that one pass considers, as in production schedulers. */
 #define BACKFILL_DEPTH 200
 
-/* So many shapes are remembered, so that equal jobs are not tried again. */
+/* Shapes remembered per pass so that equal jobs are not placed again. */
 #define FAILURES_MAX 16
 
 struct easy_state {
 	struct rj_capacity capacity;
 	struct rj_plan_table table;
-	GQueue queue; /* in order of arrival */
-	GPtrArray *running; /* in order of their start */
+	GQueue queue; /* in arrival order */
+	GPtrArray *running; /* in start order */
 	struct rj_domain domain;
 	uint32_t queue_max;
 	struct rj_plan_member members[RJ_GANG_MAX];
-	struct rj_plan_member reserved[RJ_GANG_MAX]; /* for the head */
+	struct rj_plan_member
+		reserved[RJ_GANG_MAX]; /* for the head of the queue */
 	uint32_t reserved_count;
-	uint64_t shadow_us;
+	uint64_t shadow_us; /* earliest expected start of the head */
 	const struct rj_shape *head;
 };
 
-/*
- * The state behind the vtable.
- */
 static struct easy_state *state_of(const struct rj_planner *planner)
 {
 	return ((const struct planner_easy *)planner)->state;
 }
 
 /*
- * Take over the bound of the queue and the domain's topology.
+ * Applies the queue limit and the topology of the failure domain.
  */
 static void easy_configure(struct rj_planner *planner,
 			   const struct rj_config *config, const char *domain,
@@ -54,7 +52,7 @@
 }
 
 /*
- * A worker is known, or known to have changed.
+ * Adds or updates a worker.
  */
 static void easy_worker(struct rj_planner *planner,
 			const struct rj_plan_worker *worker, uint64_t now_us)
@@ -63,7 +61,7 @@
 }
 
 /*
- * A worker is no more.
+ * Removes a worker.
  */
 static void easy_worker_gone(struct rj_planner *planner, uint32_t worker,
 			     uint64_t now_us)
@@ -72,7 +70,8 @@
 }
 
 /*
- * Queue the job, unless it could never run or the queue is full.
+ * Queues the job. Returns -1 with `*reason` if it can never fit or the queue is
+ * full.
  */
 static int easy_submit(struct rj_planner *planner,
 		       const struct rj_plan_job *job, uint64_t now_us,
@@ -94,7 +93,8 @@
 }
 
 /*
- * The job neither waits nor runs any more.
+ * Removes the job from the queue or from the running jobs, releasing its
+ * capacity.
  */
 static void detach(struct easy_state *state, struct rj_plan_entry *entry)
 {
@@ -107,7 +107,7 @@
 }
 
 /*
- * Forget a job.
+ * Removes a completed job.
  */
 static void easy_ended(struct rj_planner *planner, uint64_t job_id,
 		       bool succeeded, uint64_t ran_us, uint64_t now_us)
@@ -122,7 +122,7 @@
 }
 
 /*
- * The job waits again, at its old place.
+ * Returns the job to its original place in the queue.
  */
 static void easy_requeue(struct rj_planner *planner, uint64_t job_id,
 			 uint64_t not_before_us, uint64_t now_us)
@@ -138,7 +138,7 @@
 }
 
 /*
- * The job runs on the members.
+ * Allocates the members to the job and records it as running.
  */
 static void attach(struct easy_state *state, struct rj_plan_entry *entry,
 		   const struct rj_plan_member *members, uint32_t count,
@@ -149,7 +149,7 @@
 }
 
 /*
- * Take over a job that runs.
+ * Adopts a job that is running already.
  */
 static void easy_adopt(struct rj_planner *planner,
 		       const struct rj_plan_job *job,
@@ -163,7 +163,7 @@
 }
 
 /*
- * The run time that the planner goes by.
+ * Returns the run time that the planner assumes for the job.
  */
 static uint64_t declared_us(const struct rj_plan_entry *entry)
 {
@@ -172,8 +172,8 @@
 }
 
 /*
- * What is free on the worker without what is kept for the head; all that is
- * free for a job that ends before the head may start.
+ * Returns the free capacity of the worker. The reservation of the head is
+ * subtracted unless the job completes before the shadow time.
  */
 static struct rj_resources
 unreserved_capacity(const struct easy_state *state,
@@ -194,7 +194,9 @@
 }
 
 /*
- * Fill the workers of a rack, tightest fit first, after `count` members.
+ * Places up to `*remaining` tasks on the workers of a rack, tightest fit first,
+ * and appends them after `count` members. Returns the new member count and
+ * decrements `*remaining`.
  */
 static uint32_t fill_rack(struct easy_state *state,
 			  const struct rj_capacity_rack *rack,
@@ -234,7 +236,8 @@
 }
 
 /*
- * Where the shape fits: the tightest rack, or several for one that may span.
+ * Places the shape in the rack with the tightest fit, or across racks if it
+ * need not be adjacent. Returns the number of members, 0 if it does not fit.
  */
 static uint32_t find_placement(struct easy_state *state,
 			       const struct rj_shape *shape, bool before_shadow)
@@ -271,7 +274,7 @@
 }
 
 /*
- * Start a waiting job on the first `count` members of the state.
+ * Starts a queued job on the first `count` members of the state.
  */
 static void start_job(struct easy_state *state, struct rj_plan_entry *entry,
 		      uint32_t count, enum rj_reason reason, uint64_t now_us,
@@ -284,7 +287,7 @@
 }
 
 /*
- * The soonest declared end first.
+ * Orders running jobs by expected completion, earliest first.
  */
 static gint compare_completions(gconstpointer a, gconstpointer b)
 {
@@ -301,9 +304,9 @@
 }
 
 /*
- * When and where the head of the queue will fit if all run as declared: the
- * running jobs are taken out in the order of their ends until it does, and
- * put back.
+ * Computes the shadow time and the reservation of the head of the queue.
+ * Running jobs are released in order of expected completion until the head
+ * fits, and are then restored.
  */
 static void find_shadow(struct easy_state *state,
 			const struct rj_plan_entry *head, uint64_t now_us)
@@ -342,7 +345,7 @@
 }
 
 /*
- * Give up a waiting job whose deadline has passed.
+ * Rejects a queued job whose deadline has passed.
  */
 static void reject_expired(struct easy_state *state,
 			   struct rj_plan_entry *entry,
@@ -357,14 +360,15 @@
 	rj_plan_table_remove(&state->table, entry);
 }
 
-/* Shapes that did not fit in this pass, as a job in time or any other. */
+/* Shapes that did not fit in this pass, by whether the job completes before the
+ * shadow time. */
 struct failures {
 	const struct rj_shape *shapes[2][FAILURES_MAX];
 	uint32_t count[2];
 };
 
 /*
- * Whether a job of this shape did not fit before in this pass.
+ * Returns whether a job of this shape failed to fit earlier in this pass.
  */
 static bool has_failed(const struct failures *failures,
 		       const struct rj_shape *shape, bool before_shadow)
@@ -375,9 +379,6 @@
 	return false;
 }
 
-/*
- * Remember a shape that did not fit.
- */
 static void record_failure(struct failures *failures,
 			   const struct rj_shape *shape, bool before_shadow)
 {
@@ -387,8 +388,8 @@
 }
 
 /*
- * Start in order of arrival until one is blocked; keep its place, and start
- * of the others what does not delay it.
+ * Starts queued jobs in arrival order until one does not fit. That job gets a
+ * reservation, and later jobs are backfilled only if they do not delay it.
  */
 static void easy_pass(struct rj_planner *planner, uint64_t now_us,
 		      struct rj_decisions *decisions)
@@ -438,7 +439,7 @@
 }
 
 /*
- * The first deadline or end of a back-off.
+ * Returns the earliest deadline or end of a back-off.
  */
 static uint64_t easy_wake_us(const struct rj_planner *planner)
 {
@@ -446,7 +447,7 @@
 }
 
 /*
- * Count what waits, runs and is free.
+ * Fills the view with queue, running and capacity counts.
  */
 static void easy_view(const struct rj_planner *planner, uint64_t now_us,
 		      struct rj_plan_view *view)
@@ -461,9 +462,6 @@
 	rj_capacity_view(&state->capacity, largest, view);
 }
 
-/*
- * Free the state.
- */
 static void easy_finish(struct rj_planner *planner)
 {
 	struct planner_easy *easy = (struct planner_easy *)planner;
@@ -490,7 +488,7 @@
 };
 
 /*
- * Make the planner; its state is a talloc child of `mem`. Returns 0.
+ * Initialises the planner. Its state is a talloc child of `mem`. Returns 0.
  */
 int planner_easy_init(struct planner_easy *planner, void *mem)
 {
--- a/src/test_libradishjunction/naive/planner_easy.h
+++ b/src/test_libradishjunction/naive/planner_easy.h
@@ -1,9 +1,9 @@
 /*
- * The textbook scheduler: best fit, first come first served, with EASY
- * backfill by the run times that callers declare.
+ * Reference planner: first come, first served with best-fit placement and EASY
+ * backfill, based on the run times that callers declare.
  *
- * Life cycle: as any `struct rj_planner`. Knows no guarantee, priority or
- * share; it is what the planner by topology is measured beside.
+ * Life cycle: as any `struct rj_planner`. It ignores guarantees, priorities and
+ * shares, and serves as the baseline for the topology planner.
  */
 #ifndef NAIVE_PLANNER_EASY_H
 #define NAIVE_PLANNER_EASY_H
--- a/src/test_libradishjunction/naive/reference_core.c
+++ b/src/test_libradishjunction/naive/reference_core.c
@@ -15,7 +15,7 @@
 
 struct member {
 	char worker[RJ_NAME_BYTES];
-	uint64_t call_id; /* the open one; 0: none */
+	uint64_t call_id; /* outstanding call; 0: none */
 	uint64_t token;
 	bool done;
 };
@@ -24,8 +24,8 @@
 	struct job *next;
 	struct rj_job_spec spec;
 	struct rj_attempt attempt;
-	uint64_t request_id; /* who waits; 0: nobody */
-	uint64_t retry_us; /* when to try again */
+	uint64_t request_id; /* request waiting for the outcome; 0: none */
+	uint64_t retry_us; /* time of the next attempt */
 	uint32_t tries;
 	bool ended;
 	struct rj_answer answer;
@@ -48,7 +48,7 @@
 };
 
 /*
- * Make one as a talloc child of `mem`.
+ * Creates a core as a talloc child of `mem`. `options` is copied.
  */
 struct reference_core *
 reference_core_create(void *mem, const struct rj_core_options *options)
@@ -65,7 +65,7 @@
 }
 
 /*
- * When it wants its timer next.
+ * Returns the time at which the core needs its next timer event.
  */
 uint64_t reference_core_wake_us(const struct reference_core *core)
 {
@@ -137,7 +137,7 @@
 	job->request_id = 0;
 }
 
-/* The next worker that the list shows as live. */
+/* Chooses workers round robin, skipping those that are leaving. */
 static bool choose_worker(struct reference_core *core,
 			  char worker[RJ_NAME_BYTES])
 {
@@ -420,7 +420,7 @@
 }
 
 /*
- * Process one event, as rj_core_process does.
+ * Processes one event and appends the resulting actions, like rj_core_process.
  */
 void reference_core_process(struct reference_core *core,
 			    const struct rj_event *event,
--- a/src/test_libradishjunction/naive/reference_core.h
+++ b/src/test_libradishjunction/naive/reference_core.h
@@ -1,14 +1,15 @@
 /*
- * The whole decisions in the plainest way, to differ from: it starts what it
- * is asked at once, tries again on any loss, keeps accepted jobs and keys in
- * its own memory, takes whatever configuration it read last, and stops when
- * told. No claims, no read-back, no fence, no reclaim.
+ * A minimal reference implementation of the decision core, for differential
+ * tests: it starts each job immediately, retries after any loss, keeps accepted
+ * jobs and keys in memory only, applies the configuration that it read last and
+ * exits as soon as it is asked to stop. It has no claims, read-back, fencing or
+ * reclaim.
  *
  * Life cycle: `reference_core_create`, `reference_core_process` for each event,
  * freed with talloc.
  */
-#ifndef NAIVE_CORE_H
-#define NAIVE_CORE_H
+#ifndef NAIVE_REFERENCE_CORE_H
+#define NAIVE_REFERENCE_CORE_H
 
 #include "radishjunction/core.h"
 
--- a/src/test_libradishjunction/support/callers_fixture.c
+++ b/src/test_libradishjunction/support/callers_fixture.c
@@ -65,7 +65,8 @@
 };
 
 /*
- * Listen for callers, or only when told to serve if `deferred`.
+ * Starts the adapter on a free port of the loopback address. With `deferred` it
+ * serves no caller until it is told to.
  */
 void callers_server_init_as(struct callers_server *server, uint32_t connections,
 			    uint32_t requests, bool deferred)
@@ -91,7 +92,7 @@
 }
 
 /*
- * Listen for callers and serve them at once.
+ * Starts the adapter and serves callers immediately.
  */
 void callers_server_init(struct callers_server *server, uint32_t connections,
 			 uint32_t requests)
@@ -99,9 +100,6 @@
 	callers_server_init_as(server, connections, requests, false);
 }
 
-/*
- * Stop the adapter.
- */
 void callers_server_finish(struct callers_server *server)
 {
 	server->callers.base.ops->finish(&server->callers.base);
@@ -134,7 +132,7 @@
 }
 
 /*
- * Connect and send `text`, which outlives the client.
+ * Connects and sends `text`, which must outlive the client.
  */
 void callers_client_init(struct callers_client *client,
 			 const struct callers_server *server, const char *text)
@@ -152,7 +150,7 @@
 }
 
 /*
- * Close the connection of a caller.
+ * Closes the connection and frees the received text.
  */
 void callers_client_finish(struct callers_client *client)
 {
@@ -162,7 +160,7 @@
 }
 
 /*
- * The status line's number, 0 while nothing has come.
+ * Returns the HTTP status code, 0 before the status line has arrived.
  */
 unsigned int callers_client_status(const struct callers_client *client)
 {
@@ -172,7 +170,7 @@
 }
 
 /*
- * Send `text` and check the status and a part of what comes back.
+ * Sends `text` and checks that the response has `status` and contains `part`.
  */
 void callers_expect(struct callers_server *server, const char *text,
 		    unsigned int status, const char *part)
@@ -190,7 +188,7 @@
 }
 
 /*
- * A whole request; the result is freed by the test's end.
+ * Formats a complete request. The text is a talloc child of `callers_loop`.
  */
 const char *callers_request(const char *line, const char *headers,
 			    const char *body)
@@ -202,7 +200,7 @@
 }
 
 /*
- * A whole submission with a key.
+ * Formats the submission of a job with an idempotency key.
  */
 const char *callers_post(const char *body)
 {
--- a/src/test_libradishjunction/support/callers_fixture.h
+++ b/src/test_libradishjunction/support/callers_fixture.h
@@ -1,9 +1,9 @@
 /*
- * The adapter of callers with a core that answers as it is told, and callers
- * on sockets of their own.
+ * The HTTP adapter for callers in front of a scripted core, and callers that
+ * connect to it over TCP.
  *
- * Life cycle: `callers_loop` is set by the test program; `callers_server_init`,
- * then `callers_expect` or clients of the test's, `callers_server_finish`.
+ * Life cycle: the test program sets `callers_loop`; `callers_server_init`, then
+ * `callers_expect` or clients of the test, then `callers_server_finish`.
  */
 #ifndef SUPPORT_CALLERS_FIXTURE_H
 #define SUPPORT_CALLERS_FIXTURE_H
@@ -14,20 +14,20 @@
 
 #define BODY_MAX_BYTES 4096
 
-/* The adapter under test, with a core that answers as it is told. */
+/* The adapter under test with a core that returns `answer`. */
 struct callers_server {
-	struct rj_sink sink; /* first member, always */
+	struct rj_sink sink; /* must be the first member */
 	struct rj_caller_views views;
 	struct rj_http_callers callers;
-	struct rj_request last_request; /* the newest; its body is not kept */
+	struct rj_request last_request; /* its body is not valid; see `body` */
 	char body[64];
 	uint32_t request_count;
 	uint64_t disconnected_id;
-	bool defer_answers; /* do not answer */
+	bool defer_answers; /* leave requests unanswered */
 	struct rj_answer answer;
 };
 
-/* A caller: sends its text, then reads to the end of the connection. */
+/* A caller that sends its text, then reads until the connection closes. */
 struct callers_client {
 	int fd;
 	struct tevent_fd *event;
--- a/src/test_libradishjunction/support/checker.c
+++ b/src/test_libradishjunction/support/checker.c
@@ -15,7 +15,8 @@
 };
 
 /*
- * Count a violation and keep the first one's words.
+ * Counts a violation, keeps the text of the first one of each invariant and
+ * passes the text to `report`.
  */
 void checker_violation(struct checker *checker, uint64_t now_us,
 		       enum invariant invariant, const char *format, ...)
@@ -52,7 +53,7 @@
 	       a->number == b->number;
 }
 
-/* Free what GLib allocated when the talloc parent goes. */
+/* Frees the GLib containers together with the talloc parent. */
 static int checker_release(struct checker **holder)
 {
 	struct checker *checker = *holder;
@@ -67,8 +68,8 @@
 }
 
 /*
- * Start with an empty history. Durations are set to the usual ones and may
- * be changed by the caller.
+ * Initialises a checker with an empty history. The time limits are set to their
+ * defaults; the caller may change them.
  */
 void checker_init(struct checker *checker, void *mem)
 {
@@ -99,7 +100,7 @@
 }
 
 /*
- * Add what a caller wants; its number is what the body names.
+ * Adds an intent and returns its number, which the job's body carries.
  */
 uint32_t checker_intent_add(struct checker *checker,
 			    const struct checker_intent *intent)
@@ -113,7 +114,8 @@
 }
 
 /*
- * The intent of that number; good until the next one is added.
+ * Returns the intent of that number. The pointer is valid until the next intent
+ * is added.
  */
 struct checker_intent *checker_intent_get(struct checker *checker,
 					  uint32_t intent)
@@ -123,7 +125,7 @@
 }
 
 /*
- * Time has passed: judge what had to happen by now.
+ * Checks every invariant that has a time limit.
  */
 void checker_tick(struct checker *checker, uint64_t now_us)
 {
@@ -133,8 +135,8 @@
 }
 
 /*
- * Faults are over and callers have asked for long enough: every accepted
- * job must have an outcome.
+ * Ends the run: every accepted job must have an outcome. Call it once faults
+ * have ended and callers have had time to look up their jobs.
  */
 void checker_finish_run(struct checker *checker, uint64_t now_us)
 {
@@ -152,7 +154,7 @@
 }
 
 /*
- * All violations of the run together.
+ * Returns the number of violations of all invariants.
  */
 uint32_t checker_violations(const struct checker *checker)
 {
--- a/src/test_libradishjunction/support/checker.h
+++ b/src/test_libradishjunction/support/checker.h
@@ -1,12 +1,14 @@
 /*
- * Judges the promises from what workers ran and what callers were told.
+ * Checks the scheduler's invariants from what workers ran and what callers were
+ * answered.
  *
- * It sees nothing of the decisions: only starts, progress and ends at the
- * workers, requests and answers at the callers, and what instances say
- * outwards. Life cycle: `checker_init`, one call for each thing that
- * happened in the order of time, `checker_tick` as time passes,
- * `checker_finish_run` when faults have ended and the world is quiet;
- * memory is a talloc child of init's `mem`.
+ * It does not see the decisions, only starts, progress and completions at the
+ * workers, requests and answers at the callers, and what instances send.
+ *
+ * Life cycle: `checker_init`, one call for each event in order of time,
+ * `checker_tick` as time passes, `checker_finish_run` when all faults have ended
+ * and the simulation is idle. Memory is a talloc child of the `mem` of
+ * `checker_init`.
  */
 #ifndef SUPPORT_CHECKER_H
 #define SUPPORT_CHECKER_H
@@ -33,25 +35,25 @@
 #define CHECKER_NODES_MAX 16
 #define CHECKER_WORKERS_MAX 64
 
-/* What one caller wants done: a key (or none) with one body. */
+/* The job that one caller submits: one body, with or without a key. */
 struct checker_intent {
 	uint32_t key; /* equal for intents that share a key; 0: unkeyed */
 	bool idempotent;
-	bool guaranteed; /* fits the free part of its guarantee */
+	bool guaranteed; /* fits the unused part of the account's guarantee */
 	uint32_t gang;
-	char result[96]; /* what each task of it gives */
-	uint32_t requests; /* submitted */
-	uint32_t refused; /* of these, answered not_run */
+	char result[96]; /* expected result of each task */
+	uint32_t requests; /* submissions */
+	uint32_t refused; /* submissions answered not_run */
 	uint32_t ran; /* attempts that made progress */
-	uint32_t completed; /* attempts of which every member is done */
+	uint32_t completed; /* attempts whose members are all done */
 	uint64_t submitted_us;
 	uint64_t
-		progressed_us; /* all of it made progress; RJ_NEVER_US: never */
-	uint64_t answered_us; /* first final answer; RJ_NEVER_US if none */
-	enum rj_answer_kind answer; /* that answer */
+		progressed_us; /* all members made progress; RJ_NEVER_US: never */
+	uint64_t answered_us; /* first final answer; RJ_NEVER_US: none */
+	enum rj_answer_kind answer; /* kind of the first final answer */
 	bool accepted;
 	bool cancelled;
-	bool late_reported; /* its guarantee's violation is counted */
+	bool late_reported; /* the violation of its guarantee is counted */
 };
 
 struct checker_request {
@@ -60,7 +62,7 @@
 	enum rj_request_op op;
 	uint32_t answers;
 	bool delivered;
-	bool abandoned; /* its caller no longer waits */
+	bool abandoned; /* its caller has stopped waiting */
 };
 
 struct checker_attempt {
@@ -68,36 +70,39 @@
 	uint32_t intent;
 	uint32_t gang;
 	uint32_t started;
-	uint32_t running; /* members that make progress */
-	uint32_t progressed; /* members that have made some */
+	uint32_t running; /* members that make progress now */
+	uint32_t progressed; /* members that have made progress */
 	uint32_t done;
-	uint64_t failed_us; /* a member ended otherwise; RJ_NEVER_US: none */
+	uint64_t
+		failed_us; /* a member ended without being done; RJ_NEVER_US: none */
 	bool ran;
 	bool reported;
 	uint8_t member[RJ_GANG_MAX]; /* bits of enum member_bit */
 };
 
-/* What the checker knows of an instance. */
+/* What the checker knows about an instance. */
 struct checker_node {
 	uint32_t domain;
 	uint64_t incarnation;
 	uint64_t revision;
-	uint64_t platform_since_us; /* since when it reaches the platform */
-	uint64_t peer_since_us; /* since when it hears a peer that does */
-	uint64_t late_reported; /* the revision whose lateness is counted */
-	uint64_t leaving_since_us[CHECKER_WORKERS_MAX]; /* that it is leaving */
+	uint64_t
+		platform_since_us; /* start of its contact with the platform; RJ_NEVER_US: none */
+	uint64_t
+		peer_since_us; /* start of its contact with a peer that reaches the platform */
+	uint64_t late_reported; /* revision whose late activation is counted */
+	uint64_t leaving_since_us
+		[CHECKER_WORKERS_MAX]; /* when each was known to leave */
 	uint64_t leaving_incarnation
-		[CHECKER_WORKERS_MAX]; /* incarnation that leaves */
+		[CHECKER_WORKERS_MAX]; /* which one leaves; 0: none */
 };
 
 struct checker {
 	void *mem;
 	uint64_t lease_life_us;
-	uint64_t guarantee_limit_us; /* checkpoint limit and bound */
-	uint64_t
-		recovered_us; /* when the last fault ended; RJ_NEVER_US: not yet */
+	uint64_t guarantee_limit_us; /* checkpoint limit plus margin */
+	uint64_t recovered_us; /* end of the last fault; RJ_NEVER_US: not yet */
 	uint32_t violations[INVARIANT_COUNT];
-	uint64_t checks[INVARIANT_COUNT]; /* how often each had a say */
+	uint64_t checks[INVARIANT_COUNT]; /* evaluations of each invariant */
 	char first[INVARIANT_COUNT][200];
 	GArray *intents;
 	GHashTable *requests;
@@ -105,20 +110,20 @@
 	GPtrArray *gangs;
 	struct checker_node nodes[CHECKER_NODES_MAX];
 	uint64_t revision;
-	GPtrArray *config_ids; /* of the accepted ones, by revision - 1 */
-	uint64_t revision_us; /* when it was accepted */
-	GArray *settle_us; /* times to be in force at each instance */
+	GPtrArray *config_ids; /* of accepted configurations, by revision - 1 */
+	uint64_t revision_us; /* acceptance of `revision` */
+	GArray *settle_us; /* time from acceptance to activation, per instance */
 	void (*report)(void *data, const char *text);
 	void *report_data;
 };
 
-/* The checkpoint limit of the world's configuration and one second. */
+/* The checkpoint limit of the simulated configuration plus one second. */
 #define CHECKER_GUARANTEE_US (3 * RJ_US_PER_S)
-/* How soon a node that learnt of a leaving worker, or hears from one that
-   did, sends it nothing new. */
+/* Time within which an instance stops sending jobs to a leaving worker once it,
+   or a peer in contact with it, knows that the worker leaves. */
 #define CHECKER_LEAVING_US (5 * RJ_US_PER_S)
 #define CHECKER_CONFIG_US (13 * RJ_US_PER_S)
-/* A gang's owner notices a lapse by its next poll. */
+/* The owner of a gang detects an expired lease at its next poll. */
 #define CHECKER_GANG_MARGIN_US (2 * RJ_US_PER_S)
 
 void checker_init(struct checker *checker, void *mem);
--- a/src/test_libradishjunction/support/checker_answers.c
+++ b/src/test_libradishjunction/support/checker_answers.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /*
- * A request was put to an instance.
+ * Records a request that a caller sends to an instance.
  */
 void checker_request(struct checker *checker, uint64_t now_us,
 		     uint64_t request_id, uint32_t node, uint32_t intent,
@@ -28,7 +28,7 @@
 }
 
 /*
- * The caller has stopped waiting, or its instance died.
+ * Records that the caller has stopped waiting, or that its instance ended.
  */
 void checker_request_abandoned(struct checker *checker, uint64_t request_id)
 {
@@ -40,7 +40,7 @@
 }
 
 /*
- * The request has reached its instance, which owes it an answer from now on.
+ * Records that the request has reached its instance, which must answer it.
  */
 void checker_request_delivered(struct checker *checker, uint64_t request_id)
 {
@@ -61,14 +61,14 @@
 }
 
 /*
- * An instance has ended, and the connections of its callers with it.
+ * Records that an instance has ended, which closes its callers' connections.
  */
 void checker_node_ended(struct checker *checker, uint32_t node)
 {
 	g_hash_table_foreach(checker->requests, mark_abandoned, &node);
 }
 
-/* Whether `result` is one or more whole results of the intent. */
+/* Returns whether `result` is one or more complete results of the intent. */
 static bool result_is_complete(const struct checker_intent *intent,
 			       const struct rj_bytes *result)
 {
@@ -82,7 +82,7 @@
 	return true;
 }
 
-/* An answer that ends the matter: asking again would bring no other. */
+/* Returns whether the answer is final: a later lookup cannot return another. */
 static bool is_final(const struct rj_answer *answer)
 {
 	if (answer->kind == RJ_ANSWER_ACCEPTED)
@@ -95,7 +95,7 @@
 	       answer->reason == RJ_REASON_KEY_EXPIRED;
 }
 
-/* "Not run" must be true of all that has happened so far. */
+/* Checks a not_run answer against everything that has run so far. */
 static void check_not_run(struct checker *checker, uint64_t now_us,
 			  const struct checker_request *request,
 			  struct checker_intent *intent,
@@ -178,7 +178,7 @@
 }
 
 /*
- * An instance says that its stop is complete.
+ * Records that an instance has completed its graceful stop.
  */
 void checker_exit(struct checker *checker, uint64_t now_us, uint32_t node)
 {
--- a/src/test_libradishjunction/support/checker_config.c
+++ b/src/test_libradishjunction/support/checker_config.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 /*
- * The log took a publication that by its order is the accepted one.
+ * Records a publication that the order of the log makes the accepted one.
  */
 void checker_config_accepted(struct checker *checker, uint64_t now_us,
 			     uint64_t revision, const char *id)
@@ -17,7 +17,8 @@
 }
 
 /*
- * An instance hands on what it takes for the accepted one of a revision.
+ * Records that an instance forwards a configuration as the accepted one of a
+ * revision.
  */
 void checker_config_forwarded(struct checker *checker, uint64_t now_us,
 			      uint32_t node, uint64_t revision, const char *id)
@@ -35,7 +36,7 @@
 }
 
 /*
- * An instance says which revision is in force at it.
+ * Records the revision that an instance reports to be in force.
  */
 void checker_config_in_force(struct checker *checker, uint64_t now_us,
 			     uint32_t node, uint64_t incarnation,
@@ -67,7 +68,7 @@
 }
 
 /*
- * An instance can, or cannot, reach the platform.
+ * Records whether an instance can reach the platform.
  */
 void checker_node_platform(struct checker *checker, uint64_t now_us,
 			   uint32_t node, bool reachable)
@@ -81,8 +82,8 @@
 }
 
 /*
- * Since when an instance hears one peer that reached the platform all the
- * while; RJ_NEVER_US when there is none.
+ * Sets the start of an instance's contact with a peer that has reached the
+ * platform ever since; RJ_NEVER_US if there is no such peer.
  */
 void checker_node_peer(struct checker *checker, uint32_t node,
 		       uint64_t since_us)
@@ -91,8 +92,8 @@
 }
 
 /*
- * Time has passed: where should the newest configuration be in force by now,
- * read from the platform or told by a peer?
+ * Checks that each instance runs the newest configuration within
+ * CHECKER_CONFIG_US of being able to read it from the platform or a peer.
  */
 void checker_config_tick(struct checker *checker, uint64_t now_us)
 {
--- a/src/test_libradishjunction/support/checker_guarantee.c
+++ b/src/test_libradishjunction/support/checker_guarantee.c
@@ -3,7 +3,8 @@
 #include <inttypes.h>
 
 /*
- * The account has what it asked for once all of the shape has progressed.
+ * Records that every member of the attempt has made progress, which meets the
+ * guarantee of its intent.
  */
 void checker_guarantee_met(struct checker *checker, uint64_t now_us,
 			   const struct checker_attempt *attempt)
@@ -18,7 +19,8 @@
 }
 
 /*
- * Time has passed: whose guaranteed shape should be running by now?
+ * Checks that each guaranteed shape runs within the time limit, counted from
+ * its submission or from the end of the last fault.
  */
 void checker_guarantee_tick(struct checker *checker, uint64_t now_us)
 {
--- a/src/test_libradishjunction/support/checker_leaving.c
+++ b/src/test_libradishjunction/support/checker_leaving.c
@@ -3,8 +3,8 @@
 #include <inttypes.h>
 
 /*
- * An instance starts empty, or goes on after a pause: what it was told
- * meanwhile it learns only now.
+ * Records that an instance has started with no state (`empty`) or has resumed
+ * after a pause. Messages that arrived during the pause count from now on.
  */
 void checker_node_resumed(struct checker *checker, uint64_t now_us,
 			  uint32_t node, bool empty)
@@ -20,7 +20,7 @@
 }
 
 /*
- * An instance was told that a worker leaves.
+ * Records that an instance was notified that a worker leaves.
  */
 void checker_leaving_known(struct checker *checker, uint64_t now_us,
 			   uint32_t node, uint32_t worker, uint64_t incarnation)
@@ -34,9 +34,9 @@
 }
 
 /*
- * An instance sends new work to a worker that would take it.
- * `contact_us` is since when it has heard each other instance without a break,
- * RJ_NEVER_US where it does not.
+ * Checks a new job that an instance sends to a worker. `contact_us` holds the
+ * start of its uninterrupted contact with each other instance, RJ_NEVER_US where
+ * there is none.
  */
 void checker_job_sent(struct checker *checker, uint64_t now_us, uint32_t node,
 		      uint32_t worker, uint64_t incarnation,
--- a/src/test_libradishjunction/support/checker_private.h
+++ b/src/test_libradishjunction/support/checker_private.h
@@ -1,5 +1,6 @@
 /*
- * What the checker's files share: one file judges one group of promises.
+ * Internals of the checker, which has one source file for each group of
+ * invariants.
  */
 #ifndef SUPPORT_CHECKER_PRIVATE_H
 #define SUPPORT_CHECKER_PRIVATE_H
--- a/src/test_libradishjunction/support/checker_tasks.c
+++ b/src/test_libradishjunction/support/checker_tasks.c
@@ -17,7 +17,7 @@
 }
 
 /*
- * A worker was asked to start a task with a body that no caller had sent.
+ * Records a start with a body that no caller has sent, which is a violation.
  */
 void checker_unknown_body(struct checker *checker, uint64_t now_us,
 			  const struct rj_attempt *id)
@@ -29,7 +29,7 @@
 }
 
 /*
- * A worker started a task; it makes no progress yet.
+ * Records that a worker started a task, which makes no progress yet.
  */
 void checker_task_started(struct checker *checker, uint64_t now_us,
 			  const struct rj_attempt *id, uint32_t intent,
@@ -61,7 +61,7 @@
 	attempt->member[member] |= MEMBER_STARTED;
 }
 
-/* The first progress of an attempt is what counts as a run. */
+/* Checks an attempt at its first progress, from which on it counts as run. */
 static void check_run(struct checker *checker, uint64_t now_us,
 		      struct checker_attempt *attempt)
 {
@@ -94,7 +94,7 @@
 }
 
 /*
- * A started task begins or ceases to make progress.
+ * Records that a started task begins or stops making progress.
  */
 void checker_task_progress(struct checker *checker, uint64_t now_us,
 			   const struct rj_attempt *id, uint32_t member,
@@ -130,7 +130,8 @@
 }
 
 /*
- * A task ended: done, failed, stopped, or lost with its worker (NONE).
+ * Records that a task ended: done, failed, stopped, or lost with its worker
+ * (RJ_TASK_NONE).
  */
 void checker_task_ended(struct checker *checker, uint64_t now_us,
 			const struct rj_attempt *id, uint32_t member,
@@ -153,8 +154,8 @@
 }
 
 /*
- * Time has passed: no member of a gang may run on for long after another
- * member has ended.
+ * Checks that no member of a gang runs on after another member has ended without
+ * being done, beyond the lease lifetime and CHECKER_GANG_MARGIN_US.
  */
 void checker_gang_tick(struct checker *checker, uint64_t now_us)
 {
--- a/src/test_libradishjunction/support/config_stream.c
+++ b/src/test_libradishjunction/support/config_stream.c
@@ -8,7 +8,7 @@
 #define HASH "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
 
 /*
- * An empty stream.
+ * Creates an empty stream. Free it with config_stream_free().
  */
 struct config_stream *config_stream_new(void)
 {
@@ -19,7 +19,7 @@
 }
 
 /*
- * Free the stream with its records.
+ * Frees the stream and its records.
  */
 void config_stream_free(struct config_stream *stream)
 {
@@ -28,7 +28,7 @@
 }
 
 /*
- * Append a record that nobody can make sense of, for the caller to fill.
+ * Appends an empty record, which is malformed until the caller fills it.
  */
 struct rj_record *config_stream_append(struct config_stream *stream)
 {
@@ -41,7 +41,7 @@
 }
 
 /*
- * Publish a whole configuration that was made from revision `base`.
+ * Appends a complete configuration that is based on revision `base`.
  */
 struct rj_record *config_stream_publish(struct config_stream *stream,
 					const char *id, uint64_t base,
@@ -58,8 +58,8 @@
 }
 
 /*
- * Publish the change that makes `text` of revision `base`, whose text its
- * author believes to be `base_text`.
+ * Appends the change from revision `base` to `text`. `base_text` is what the
+ * author takes for the text of that revision.
  */
 struct rj_record *config_stream_change(struct config_stream *stream,
 				       const char *id, uint64_t base,
@@ -75,7 +75,7 @@
 }
 
 /*
- * Append what a reader has in force again.
+ * Appends the reader's configuration in force again, as a carried record.
  */
 void config_stream_carry(struct config_stream *stream,
 			 const struct rj_config_log *log)
@@ -89,8 +89,8 @@
 }
 
 /*
- * Read at most `limit` records from where the reader stands, in one read.
- * Returns the verdict on the last.
+ * Applies at most `limit` records from the reader's position, as one read.
+ * Returns the verdict on the last one.
  */
 enum rj_config_verdict config_stream_read(const struct config_stream *stream,
 					  struct rj_config_log *log,
@@ -110,7 +110,8 @@
 }
 
 /*
- * A valid configuration whose account has that limit.
+ * Formats a valid configuration whose account has the limit `open_max`. The text
+ * is a talloc child of `mem`.
  */
 char *config_stream_text(void *mem, uint32_t open_max)
 {
--- a/src/test_libradishjunction/support/config_stream.h
+++ b/src/test_libradishjunction/support/config_stream.h
@@ -1,6 +1,6 @@
 /*
- * A `config` stream in memory, for tests of the fold over it: records that
- * operators and instances append, of which the oldest may be gone.
+ * An in-memory `config` stream for tests of its replay. Operators and instances
+ * append records, and the oldest ones may have been trimmed.
  */
 #ifndef SUPPORT_CONFIG_STREAM_H
 #define SUPPORT_CONFIG_STREAM_H
@@ -10,10 +10,10 @@
 #define CONFIG_STREAM_MAX 4096
 
 struct config_stream {
-	void *mem; /* what the records point to */
+	void *mem; /* owns what the records point to */
 	struct rj_record records[CONFIG_STREAM_MAX];
 	uint64_t head;
-	uint64_t oldest; /* records before it are gone */
+	uint64_t oldest; /* earlier records are trimmed */
 };
 
 struct config_stream *config_stream_new(void);
--- a/src/test_libradishjunction/support/copy.c
+++ b/src/test_libradishjunction/support/copy.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 /*
- * Copy bytes; none stay none.
+ * Copies the bytes. An empty value has NULL data.
  */
 struct rj_bytes copy_bytes(void *mem, const struct rj_bytes *bytes)
 {
@@ -20,7 +20,7 @@
 }
 
 /*
- * Copy a record with its body, members, result and configuration text.
+ * Copies a record with its body, members, result, configuration text and patch.
  */
 void copy_record(void *mem, struct rj_record *to, const struct rj_record *from)
 {
@@ -42,7 +42,7 @@
 }
 
 /*
- * Copy a peer message with what it points to.
+ * Copies a peer message with the data that it points to.
  */
 struct rj_peer_message *copy_message(void *mem,
 				     const struct rj_peer_message *from)
--- a/src/test_libradishjunction/support/copy.h
+++ b/src/test_libradishjunction/support/copy.h
@@ -1,6 +1,6 @@
 /*
- * Whole copies of what the core's actions point to, for what is delivered
- * later. Each copy's memory is a talloc child of `mem`.
+ * Deep copies of data that the core's actions point to, for delayed delivery.
+ * Each copy is a talloc child of `mem`.
  */
 #ifndef SUPPORT_COPY_H
 #define SUPPORT_COPY_H
--- a/src/test_libradishjunction/support/engine.h
+++ b/src/test_libradishjunction/support/engine.h
@@ -1,8 +1,10 @@
 /*
- * What the world drives: the decision core or a naive version of it.
+ * The interface through which the simulation drives the decision core or its
+ * reference implementation.
  *
- * Life cycle: `create` makes one as a talloc child, `process` and `wake_us`
- * as in core.h, freed with talloc. A killed instance is freed without a word.
+ * Life cycle: `create` returns a talloc child of `mem`; `process` and `wake_us`
+ * work as in core.h; freed with talloc. A killed instance is freed without a
+ * stop event.
  */
 #ifndef SUPPORT_ENGINE_H
 #define SUPPORT_ENGINE_H
@@ -10,7 +12,7 @@
 #include "radishjunction/core.h"
 
 struct engine {
-	const struct engine_ops *ops; /* first member, always */
+	const struct engine_ops *ops; /* must be the first member */
 };
 
 struct engine_ops {
--- a/src/test_libradishjunction/support/engine_core.c
+++ b/src/test_libradishjunction/support/engine_core.c
@@ -20,7 +20,7 @@
 	return 0;
 }
 
-/* Make the core over the planner that `engine` holds already. */
+/* Initialises the core with the planner that `engine` already has. */
 static struct engine *start(struct core_engine *engine,
 			    const struct rj_core_options *options)
 {
--- a/src/test_libradishjunction/support/event_loop.c
+++ b/src/test_libradishjunction/support/event_loop.c
@@ -2,17 +2,17 @@
 
 #include <glib.h>
 
-/* Far above what any test takes: one that hangs fails. */
+/* Far longer than any test takes, so that only a test that hangs fails. */
 #define TIMEOUT_S 30
 
 static void on_patience(struct tevent_context *loop, struct tevent_timer *timer,
 			struct timeval now, void *private_data)
 {
-	g_error("the condition did not come true in %d s", TIMEOUT_S);
+	g_error("condition not met within %d s", TIMEOUT_S);
 }
 
 /*
- * Fail the test in 30 s unless the returned timer is freed before.
+ * Fails the test in 30 s unless the returned timer is freed before then.
  */
 struct tevent_timer *test_timeout_start(struct tevent_context *loop)
 {
@@ -22,7 +22,7 @@
 }
 
 /*
- * Wait for one event and handle it.
+ * Waits for one event and handles it.
  */
 void test_loop_once(struct tevent_context *loop)
 {
--- a/src/test_libradishjunction/support/event_loop.h
+++ b/src/test_libradishjunction/support/event_loop.h
@@ -1,5 +1,5 @@
 /*
- * Waiting for conditions under a real event loop, in tests of adapters.
+ * Waiting for conditions on a real event loop, in tests of adapters.
  */
 #ifndef RADISHJUNCTION_TEST_EVENT_LOOP_H
 #define RADISHJUNCTION_TEST_EVENT_LOOP_H
@@ -7,7 +7,7 @@
 #include <talloc.h>
 #include <tevent.h>
 
-/* Run the loop until the condition holds; the test fails if it never does. */
+/* Runs the loop until the condition holds; the test fails after a timeout. */
 #define RUN_UNTIL(loop, condition)                       \
 	do {                                             \
 		struct tevent_timer *run_until_timeout = \
--- a/src/test_libradishjunction/support/fake_caller.c
+++ b/src/test_libradishjunction/support/fake_caller.c
@@ -6,7 +6,7 @@
 #include <talloc.h>
 
 #define CALLER_DELAY_US RJ_US_PER_MS
-/* A caller that is told to come back without a time does so after this. */
+/* Delay of a retry when the answer does not state one. */
 #define RETRY_DELAY_US RJ_US_PER_S
 #define CALLER_TIMEOUT_US (20 * RJ_US_PER_S)
 #define TRIES_MAX 30
@@ -21,7 +21,9 @@
 	simulation_schedule(simulation, delay_us, send_request)->data = caller;
 }
 
-/* Some live instance; the caller's own failure domain two times in three. */
+/* Chooses a live instance: in the caller's own failure domain two times in
+ * three, otherwise, from the third request on, in a random one. Returns NULL if
+ * it finds none. */
 static struct node *choose_node(struct simulation *simulation,
 				const struct fake_caller *caller)
 {
@@ -61,8 +63,8 @@
 }
 
 /*
- * A caller's request to an instance, which the checker knows of; whoever
- * makes it delivers it.
+ * Creates a caller's request to an instance and records it in the checker. The
+ * event is to be delivered by the function's caller.
  */
 struct rj_event *fake_caller_event(struct simulation *simulation,
 				   const struct fake_caller *caller,
@@ -110,8 +112,8 @@
 }
 
 /*
- * Ask, or ask again: a keyed job is submitted anew with its key, an accepted
- * one is looked up, and one that is neither is given up.
+ * Sends the first request or a retry: an accepted job is looked up, a keyed one
+ * is submitted again with its key, and any other is abandoned.
  */
 static void send_request(struct simulation *simulation,
 			 struct simulation_event *event)
@@ -167,7 +169,8 @@
 }
 
 /*
- * Add a caller that first asks after `delay_us`.
+ * Adds a caller that sends its first request after `delay_us`. The simulation
+ * owns it.
  */
 struct fake_caller *fake_caller_add(struct simulation *simulation,
 				    uint64_t delay_us,
@@ -234,7 +237,8 @@
 }
 
 /*
- * An instance answers a request; the caller does what the answer says.
+ * Delivers an instance's answer: the caller ends, looks up, cancels or retries
+ * accordingly.
  */
 void fake_caller_answer(struct simulation *simulation, struct node *node,
 			uint64_t request_id, const struct rj_answer *answer)
@@ -271,7 +275,7 @@
 }
 
 /*
- * An instance has ended: whoever waited on it knows nothing and asks another.
+ * Handles the end of an instance: callers that waited for it retry at another.
  */
 void fake_caller_node_ended(struct simulation *simulation, struct node *node)
 {
--- a/src/test_libradishjunction/support/fake_log.c
+++ b/src/test_libradishjunction/support/fake_log.c
@@ -8,9 +8,9 @@
 #include "support/copy.h"
 
 #define ROUND_TRIP_US (3 * RJ_US_PER_MS)
-/* A client that hears nothing gives up after this. */
+/* Time after which a client without an answer reports a failure. */
 #define TIMEOUT_US (2 * RJ_US_PER_S)
-/* How late an append may still take effect. */
+/* Longest delay after which an append still takes effect. */
 #define LATE_MAX_US (8 * RJ_US_PER_S)
 #define LIST_PERIOD_US (500 * RJ_US_PER_MS)
 #define LIST_SNAPSHOTS 40
@@ -21,7 +21,7 @@
 	uint64_t at_us;
 };
 
-/* An append on its way. */
+/* An append in transit. */
 struct pending_append {
 	struct rj_append append;
 };
@@ -33,7 +33,7 @@
 };
 
 /*
- * Whether an instance reaches the platform.
+ * Returns whether an instance reaches the platform.
  */
 bool fake_log_reachable(const struct simulation *simulation,
 			const struct node *node)
@@ -96,7 +96,7 @@
 }
 
 /*
- * Start with empty streams; the list lags by a second.
+ * Initialises the log with empty streams. The instance list lags by 1 s.
  */
 void fake_log_init(struct simulation *simulation)
 {
@@ -112,7 +112,7 @@
 }
 
 /*
- * Free what GLib holds for the log.
+ * Frees the GLib containers of the log.
  */
 void fake_log_finish(struct simulation *simulation)
 {
@@ -138,7 +138,7 @@
 	}
 }
 
-/* Answer a read with what the stream holds from `from` on. */
+/* Answers a read with the records from offset `from` on. */
 static void answer_read(struct simulation *simulation, struct node *node,
 			enum rj_stream stream, uint64_t from)
 {
@@ -199,7 +199,8 @@
 	}
 }
 
-/* The config stream's rule, by which the checker knows what was accepted. */
+/* Applies the acceptance rule of the config stream, so that the checker knows
+ * which publications were accepted. */
 static void replay_config(struct simulation *simulation,
 			  const struct rj_record *record)
 {
@@ -301,7 +302,7 @@
 }
 
 /*
- * Append the records together, or not at all.
+ * Appends all records, or none, as an instance does.
  */
 void fake_log_append(struct simulation *simulation, struct node *node,
 		     const struct rj_append *append)
@@ -358,7 +359,7 @@
 		answer_read(simulation, node, read->stream, read->from);
 		return;
 	}
-	/* A long poll: `order` holds the offset, `run` that it still waits. */
+	/* A long poll: `order` is the offset, `run` is set while it waits. */
 	reader = talloc_zero(simulation, struct simulation_event);
 	assert(reader);
 	reader->index = event->index;
@@ -374,7 +375,7 @@
 }
 
 /*
- * Read a stream; waits for something new when there is nothing.
+ * Reads a stream as an instance does, as a long poll if there is no new record.
  */
 void fake_log_read(struct simulation *simulation, struct node *node,
 		   const struct rj_read *read)
@@ -388,8 +389,8 @@
 }
 
 /*
- * Tell an instance the list of instances and workers as it was a while ago;
- * nothing comes when the platform is out of reach.
+ * Sends an instance the list of instances and workers, delayed by the lag of the
+ * list. Sends nothing while the platform is unavailable.
  */
 void fake_log_list(struct simulation *simulation, struct node *node)
 {
@@ -426,7 +427,7 @@
 	node_deliver_after(simulation, node, round_trip_us(simulation), event);
 }
 
-/* Append an operator's publication of `record`, which has its content. */
+/* Appends an operator's publication. `record` has the content already. */
 static void publish(struct simulation *simulation, uint64_t base,
 		    const char *id, struct rj_record *record)
 {
@@ -443,7 +444,8 @@
 }
 
 /*
- * Publish a configuration as an operator does, without a fault on the way.
+ * Publishes a complete configuration as an operator does, without faults in
+ * transit.
  */
 void fake_log_publish(struct simulation *simulation, uint64_t base,
 		      const char *id, const char *text)
@@ -454,7 +456,7 @@
 }
 
 /*
- * Publish what changes the newest accepted configuration into `text`.
+ * Publishes the change from the newest accepted configuration to `text`.
  */
 void fake_log_publish_change(struct simulation *simulation, uint64_t base,
 			     const char *id, const char *text)
--- a/src/test_libradishjunction/support/fake_peers.c
+++ b/src/test_libradishjunction/support/fake_peers.c
@@ -7,7 +7,7 @@
 #include "support/copy.h"
 
 #define CONNECT_PERIOD_US (250 * RJ_US_PER_MS)
-/* A cut is noticed by what is sent into it. */
+/* Time until a cut link is reported down. */
 #define CUT_DETECTION_US (2 * RJ_US_PER_S)
 #define LATE_MAX_US (2 * RJ_US_PER_S)
 
@@ -77,7 +77,7 @@
 		set_link(simulation, event->index, event->other, false);
 }
 
-/* Bring up wanted links, and notice those that nothing passes any more. */
+/* Brings up wanted links and schedules the detection of cut ones. */
 static void maintain_links(struct simulation *simulation,
 			   struct simulation_event *event)
 {
@@ -109,7 +109,7 @@
 }
 
 /*
- * Start without a link.
+ * Starts link maintenance. All links are down at first.
  */
 void fake_peers_init(struct simulation *simulation)
 {
@@ -118,7 +118,7 @@
 }
 
 /*
- * Keep a link from this instance to that peer.
+ * Connects an instance to a peer and keeps the link up.
  */
 void fake_peers_connect(struct simulation *simulation, struct node *node,
 			const char *name)
@@ -130,7 +130,7 @@
 }
 
 /*
- * End the link between this instance and that peer.
+ * Closes the link between an instance and a peer.
  */
 void fake_peers_drop(struct simulation *simulation, struct node *node,
 		     const char *name)
@@ -172,8 +172,8 @@
 }
 
 /*
- * Send a message; one link delivers in order, and loses what is under way
- * when it ends.
+ * Sends a message. A link delivers in order and loses the messages in transit
+ * when it goes down.
  */
 void fake_peers_send(struct simulation *simulation, struct node *node,
 		     const char *name, const struct rj_peer_message *message)
@@ -216,7 +216,7 @@
 }
 
 /*
- * An instance has ended: its links go down.
+ * Takes down all links of an instance that has ended.
  */
 void fake_peers_node_ended(struct simulation *simulation, struct node *node)
 {
@@ -230,9 +230,9 @@
 }
 
 /*
- * Since when an instance has heard each other one without a break;
- * RJ_NEVER_US where it does not. One that goes on after a pause hears, and is
- * heard, only from then on.
+ * Fills `contact_us` with the start of the uninterrupted contact of an instance
+ * with each other one, RJ_NEVER_US where there is none. A pause of either side
+ * interrupts the contact until the resumption.
  */
 void fake_peers_contact(const struct simulation *simulation, uint32_t node,
 			uint64_t contact_us[CHECKER_NODES_MAX])
@@ -257,7 +257,7 @@
 }
 
 /*
- * End every cut between instances and between failure domains.
+ * Heals every cut between instances and between failure domains.
  */
 void fake_peers_heal(struct simulation *simulation)
 {
--- a/src/test_libradishjunction/support/fake_worker.c
+++ b/src/test_libradishjunction/support/fake_worker.c
@@ -8,11 +8,11 @@
 #include "support/fake_worker.h"
 
 #define CHECKPOINT_US (200 * RJ_US_PER_MS)
-/* A worker that fails everything does so at once. */
+/* Run time of a task on a worker that fails every task. */
 #define FAIL_US (5 * RJ_US_PER_MS)
 
 /*
- * Start a worker with 8 slots and 8 accelerators and nothing to do.
+ * Initialises an idle worker with 8 slots and 8 accelerators.
  */
 void fake_worker_init(struct simulation *simulation, uint32_t index)
 {
@@ -30,7 +30,7 @@
 }
 
 /*
- * Free what GLib holds for the worker.
+ * Frees the GLib containers of the worker.
  */
 void fake_worker_finish(struct simulation *simulation, uint32_t index)
 {
@@ -78,7 +78,7 @@
 	fake_worker_answer(simulation, call, &reply);
 }
 
-/* Let a lease live on for a time that the worker's own clock counts. */
+/* Renews a lease for `life_us`, measured by the worker's own clock. */
 static void renew_lease(struct simulation *simulation,
 			const struct fake_worker *worker,
 			struct fake_task *task, uint64_t life_us)
@@ -88,7 +88,7 @@
 	task->lease_until_us = simulation->now_us + life_us - (uint64_t)lost_us;
 }
 
-/* Tell the waiting callers of a task how it ended. */
+/* Ends a task, releases its capacity and answers the calls that wait for it. */
 static void end_task(struct simulation *simulation, struct fake_worker *worker,
 		     struct fake_task *task, enum rj_task_state state)
 {
@@ -131,7 +131,8 @@
 	update_tasks(simulation, worker);
 }
 
-/* By the worker's own clock: end what is done, drop what has lapsed. */
+/* Completes finished tasks, ends those with an expired lease, and schedules the
+ * next update, all by the worker's own clock. */
 static void update_tasks(struct simulation *simulation,
 			 struct fake_worker *worker)
 {
@@ -234,7 +235,8 @@
 	return task;
 }
 
-/* Take a lease, or find the one that this attempt has; NULL: refused. */
+/* Grants a lease, or finds the one that this attempt has already. Returns NULL
+ * after a refusal. */
 static struct fake_task *grant_lease(struct simulation *simulation,
 				     struct fake_worker *worker,
 				     struct fake_call *from)
@@ -263,7 +265,8 @@
 	return task;
 }
 
-/* What the body asks for. A body that no caller sent is no request's own. */
+/* Parses the body of a job. A body that no caller sent is reported to the
+ * checker and refused. */
 static bool parse_body(struct simulation *simulation, struct fake_task *task,
 		       const struct rj_bytes *from)
 {
@@ -307,7 +310,7 @@
 	return task->state != RJ_TASK_HELD && task->state != RJ_TASK_RUNNING;
 }
 
-/* START, and the second half of RUN. */
+/* Serves START and the second half of RUN. */
 static void serve_start(struct simulation *simulation,
 			struct fake_worker *worker, struct fake_call *from,
 			struct fake_task *task, uint32_t percent, bool wait)
@@ -332,8 +335,8 @@
 		task->acknowledged = true;
 }
 
-/* The task that a call names by its token, or, since who asks for a RUN knows
- * none, by its attempt and member: see worker.h. */
+/* Finds the task of a call by its token. The sender of a RUN knows no token and
+ * names the attempt and member instead; see worker.h. */
 static struct fake_task *find_called_task(struct fake_worker *worker,
 					  const struct rj_worker_call *call)
 {
@@ -433,7 +436,7 @@
 	struct fake_task *task =
 		find_task(worker, &call->attempt, call->member);
 
-	/* Remembered, so that a call still on its way starts nothing. */
+	/* Recorded so that a call still in transit starts nothing. */
 	if (!task)
 		task = add_task(simulation, worker, call);
 	if (task->state == RJ_TASK_HELD)
@@ -490,7 +493,7 @@
 }
 
 /*
- * Do what a call asks, by the worker's own clock, and answer it.
+ * Executes a call by the worker's own clock and answers it.
  */
 void fake_worker_serve(struct simulation *simulation,
 		       struct fake_worker *worker, struct fake_call *from)
@@ -530,8 +533,8 @@
 }
 
 /*
- * Freeze a worker with its tasks, or let it go on: leases lapse by its clock,
- * which ran meanwhile, before it hears anything.
+ * Pauses or resumes a worker with its tasks. Its clock runs on during the pause,
+ * so leases expire on resumption before deferred calls are served.
  */
 void fake_worker_pause(struct simulation *simulation, uint32_t index,
 		       bool paused)
@@ -579,7 +582,8 @@
 }
 
 /*
- * End a worker with all its tasks; callers that wait on it see it at once.
+ * Ends a worker with all its tasks. Instances that wait for a reply see the
+ * connection close.
  */
 void fake_worker_kill(struct simulation *simulation, uint32_t index)
 {
@@ -613,7 +617,7 @@
 }
 
 /*
- * Start a worker anew: it has forgotten everything and is not leaving.
+ * Restarts a worker without tasks, with a new incarnation and not leaving.
  */
 void fake_worker_restart(struct simulation *simulation, uint32_t index)
 {
--- a/src/test_libradishjunction/support/fake_worker.h
+++ b/src/test_libradishjunction/support/fake_worker.h
@@ -1,18 +1,18 @@
 /*
- * Between the two halves of the fake workers: what they do with a call, and
- * what the network does to it.
+ * Interface between the two halves of the fake workers: fake_worker.c executes
+ * calls, fake_worker_link.c simulates the network in between.
  */
 #ifndef SUPPORT_FAKE_WORKER_H
 #define SUPPORT_FAKE_WORKER_H
 
 #include "support/simulation.h"
 
-/* A call on its way, or waiting for its task's end. */
+/* A call in transit, or waiting for the completion of its task. */
 struct fake_call {
 	struct rj_worker_call call;
 	uint32_t node;
 	uint32_t worker;
-	uint64_t epoch; /* of the node */
+	uint64_t epoch; /* of the calling instance */
 	bool answered;
 };
 
--- a/src/test_libradishjunction/support/fake_worker_link.c
+++ b/src/test_libradishjunction/support/fake_worker_link.c
@@ -9,7 +9,7 @@
 #define LATE_MAX_US (3 * RJ_US_PER_S)
 
 /*
- * The worker of that name, or NULL.
+ * Returns the worker of that name, or NULL.
  */
 struct fake_worker *fake_worker_find(struct simulation *simulation,
 				     const char *name)
@@ -21,7 +21,7 @@
 }
 
 /*
- * Deliver a reply to the instance that called, if it still lives.
+ * Delivers a reply to the calling instance, unless it has ended since the call.
  */
 void fake_worker_deliver(struct simulation *simulation,
 			 const struct fake_call *call, uint64_t delay_us,
@@ -55,7 +55,7 @@
 }
 
 /*
- * Answer a call, with whatever the network does to the answer.
+ * Sends the reply to a call, subject to the configured network faults.
  */
 void fake_worker_answer(struct simulation *simulation, struct fake_call *call,
 			struct rj_worker_reply *reply)
@@ -133,7 +133,8 @@
 }
 
 /*
- * Call a worker as an instance does; the call ends in an event.
+ * Calls a worker as an instance does. Every call results in a reply event; an
+ * unanswered one is reported lost at its timeout.
  */
 void fake_worker_call(struct simulation *simulation, struct node *node,
 		      const struct rj_worker_call *request)
--- a/src/test_libradishjunction/support/fault_injection.c
+++ b/src/test_libradishjunction/support/fault_injection.c
@@ -4,7 +4,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Long enough for work to reach it after it should have been known. */
+/* Extra duration of FAULT_LEAVING, so that jobs sent after the time limit of the
+ * notification still reach the leaving worker and count as violations. */
 #define LEAVING_DURATION_US (10 * RJ_US_PER_S)
 
 static void restart_node(struct simulation *simulation,
@@ -21,7 +22,7 @@
 }
 
 /*
- * Kill `count` instances from `first` on; each is replaced within 6 s.
+ * Kills `count` instances from index `first` on and restarts each within 6 s.
  */
 void fault_kill_nodes(struct simulation *simulation, uint32_t first,
 		      uint32_t count)
@@ -59,7 +60,7 @@
 		(void)snprintf(id, sizeof(id), "p%" PRIu64 "-%u", base, i);
 		text = simulation_config_text(simulation, simulation,
 					      (uint32_t)base + i);
-		/* Changes race with whole configurations, and follow them. */
+		/* Changes race with complete configurations, and follow them. */
 		if (base && (base + i) % 3)
 			fake_log_publish_change(simulation, base, id, text);
 		else
@@ -125,7 +126,7 @@
 }
 
 /*
- * The platform answers everybody again, and soon.
+ * Ends all faults of the platform: every instance reaches it, without delay.
  */
 void fault_restore_platform(struct simulation *simulation,
 			    struct simulation_event *event)
@@ -140,7 +141,7 @@
 }
 
 /*
- * All links carry messages again.
+ * Ends all cuts of links.
  */
 void fault_restore_links(struct simulation *simulation,
 			 struct simulation_event *event)
@@ -178,7 +179,7 @@
 }
 
 /*
- * Bring about a fault of the platform for `duration_us`.
+ * Injects a fault of the platform for `duration_us`.
  */
 void fault_inject_platform(struct simulation *simulation, enum fault_kind kind,
 			   uint64_t duration_us)
@@ -204,7 +205,8 @@
 }
 
 /*
- * Cut a failure domain off from the others and from the platform at once.
+ * Isolates a failure domain from the others and from the platform together, for
+ * `duration_us`.
  */
 void fault_isolate_domain(struct simulation *simulation, uint32_t domain,
 			  uint64_t duration_us)
@@ -218,8 +220,8 @@
 				  fault_restore_platform);
 }
 
-/* No instance of the domain hears another one of it: each takes itself for
- * the owner of all racks. */
+/* Cuts all links between instances of the domain, so that each of them considers
+ * itself the owner of all racks. */
 static void cut_links_within_domain(struct simulation *simulation,
 				    uint32_t domain)
 {
@@ -232,7 +234,7 @@
 			simulation->links[a][b].cut = true;
 }
 
-/* The log drops all jobs' records that it holds, however young. */
+/* Drops all records of the jobs stream, whatever their age. */
 static void trim_jobs_log(struct simulation *simulation)
 {
 	simulation_trace(simulation, "the log is trimmed before its time");
@@ -241,8 +243,8 @@
 }
 
 /*
- * Bring about the fault of kind `event->other` somewhere, for up to
- * `event->life` beyond a second.
+ * Injects a fault of kind `event->other` at a random target, for 1 s plus a
+ * random duration below `event->epoch` microseconds.
  */
 void fault_inject(struct simulation *simulation, struct simulation_event *event)
 {
@@ -314,7 +316,7 @@
 }
 
 /*
- * Stopped instances are replaced as soon as they have gone.
+ * Replaces gracefully stopped instances after their exit. Reschedules itself.
  */
 void fault_replace_stopped(struct simulation *simulation,
 			   struct simulation_event *event)
@@ -332,7 +334,7 @@
 }
 
 /*
- * Every fault ends, and from now on time limits hold.
+ * Ends every fault. From now on the checker applies its time limits.
  */
 void fault_recover_all(struct simulation *simulation,
 		       struct simulation_event *event)
--- a/src/test_libradishjunction/support/fault_injection.h
+++ b/src/test_libradishjunction/support/fault_injection.h
@@ -1,8 +1,8 @@
 /*
- * How each fault strikes the world, and how it ends.
+ * Injects faults into a simulation and ends them.
  */
-#ifndef SUPPORT_FAULT_STRIKES_H
-#define SUPPORT_FAULT_STRIKES_H
+#ifndef SUPPORT_FAULT_INJECTION_H
+#define SUPPORT_FAULT_INJECTION_H
 
 #include "support/fault_profiles.h"
 
--- a/src/test_libradishjunction/support/fault_load.c
+++ b/src/test_libradishjunction/support/fault_load.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* The shortest time that a caller in a hurry waits on a connection. */
+/* Shortest timeout of an impatient caller. */
 #define IMPATIENT_TIMEOUT_US (2 * RJ_US_PER_S)
 
 static void choose_caller_options(struct simulation *simulation,
@@ -70,7 +70,7 @@
 }
 
 /*
- * Add `callers` callers, whose kinds are drawn by these weights.
+ * Adds `callers` callers whose kinds of load are drawn by `weights`.
  */
 void load_add(struct simulation *simulation, const struct fault_setup *setup,
 	      const uint8_t *weights, uint32_t callers)
@@ -87,8 +87,8 @@
 
 		memset(&options, 0, sizeof(options));
 		choose_caller_options(simulation, kind, &options);
-		/* One shape is guaranteed in each failure domain: its account
-		   asks for no more, since more has no guarantee. */
+		/* One shape is guaranteed in each failure domain. Its account
+		   requests no more, which would not be guaranteed. */
 		if (options.guaranteed && guaranteed[options.domain])
 			options.account = SIMULATION_OTHER_ACCOUNT;
 		options.guaranteed &= !guaranteed[options.domain];
--- a/src/test_libradishjunction/support/fault_load.h
+++ b/src/test_libradishjunction/support/fault_load.h
@@ -1,5 +1,5 @@
 /*
- * The load under which faults strike: what callers want, and when they ask.
+ * The load during fault injection: which jobs callers submit, and when.
  */
 #ifndef SUPPORT_FAULT_LOAD_H
 #define SUPPORT_FAULT_LOAD_H
--- a/src/test_libradishjunction/support/fault_profiles.c
+++ b/src/test_libradishjunction/support/fault_profiles.c
@@ -168,7 +168,7 @@
 };
 
 /*
- * A number below `count`, drawn by these weights.
+ * Draws a number below `count` by these weights.
  */
 uint32_t profile_pick(struct simulation *simulation, const uint8_t *weights,
 		      uint32_t count)
--- a/src/test_libradishjunction/support/fault_result.c
+++ b/src/test_libradishjunction/support/fault_result.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 /*
- * Start an empty result, to which runs are added.
+ * Initialises an empty result, to which runs are added.
  */
 void faults_result_init(struct faults_result *result)
 {
@@ -13,9 +13,6 @@
 	result->config_us = g_array_new(FALSE, TRUE, sizeof(uint64_t));
 }
 
-/*
- * Free a result.
- */
 void faults_result_finish(struct faults_result *result)
 {
 	g_array_unref(result->claim_settle_us);
@@ -30,7 +27,7 @@
 }
 
 /*
- * Add one result to a sum; the sum keeps its own first violations.
+ * Adds a result to a sum. A first violation in the sum is kept.
  */
 void faults_result_add(struct faults_result *sum,
 		       const struct faults_result *one)
@@ -96,10 +93,10 @@
 }
 
 /*
- * Add what came of a world that has run.
+ * Adds the outcome of a completed simulation.
  */
-void faults_result_add_world(struct simulation *simulation,
-			     struct faults_result *result)
+void faults_result_add_simulation(struct simulation *simulation,
+				  struct faults_result *result)
 {
 	const struct checker *checker = &simulation->checker;
 
--- a/src/test_libradishjunction/support/faults.c
+++ b/src/test_libradishjunction/support/faults.c
@@ -8,7 +8,7 @@
 
 #define ISOLATION_US (3600 * RJ_US_PER_S)
 
-/* A little of everything that callers ask for. */
+/* Weights of a load with jobs of most kinds. */
 static const uint8_t mixed_load[LOAD_KIND_COUNT] = {
 	[LOAD_PREVIEW] = 6, [LOAD_QUOTE] = 4,  [LOAD_QUOTE_DUPLICATED] = 1,
 	[LOAD_GANG] = 1,    [LOAD_RENDER] = 2,
@@ -28,7 +28,7 @@
 	const uint32_t *from = (const uint32_t *)limits;
 	uint32_t *to = (uint32_t *)&simulation->rates;
 
-	/* Half of the rates are off in any one run. */
+	/* About half of the rates are 0 in each run. */
 	for (size_t i = 0; i < sizeof(*limits) / sizeof(*from); i++)
 		if (from[i] && simulation_random(simulation, 2) == 0)
 			to[i] = (uint32_t)simulation_random(simulation,
@@ -57,8 +57,8 @@
 	return simulation_create(mem, &options);
 }
 
-/* Where claims, outcomes and configurations matter, the log forgets within
- * the run in two seeds of seven. */
+/* For invariants that depend on claims, outcomes or configurations, the log
+ * trims records during the run in two seeds of seven. */
 static uint64_t retention_us(const struct fault_setup *setup,
 			     enum invariant invariant, uint64_t seed)
 {
@@ -69,7 +69,7 @@
 	return matters && seed % 7 >= 5 ? setup->short_retention_us : 0;
 }
 
-/* Plan the faults of one run: those of the profile and of the place. */
+/* Schedules the faults of one run, from the profile and the setup. */
 static void schedule_faults(struct simulation *simulation,
 			    const struct fault_setup *setup,
 			    const struct fault_profile *profile, uint32_t count)
@@ -93,7 +93,8 @@
 }
 
 /*
- * Run one seed of a promise's profile at a place and add what came of it.
+ * Runs one seed of an invariant's profile in a setup and adds the outcome to
+ * `result`. `transcript` may be NULL.
  */
 void faults_run_at(const struct engine_ops *engine,
 		   enum fault_setup_kind setup_kind, enum invariant invariant,
@@ -122,12 +123,12 @@
 				  fault_recover_all);
 	simulation_run_until(simulation, end_us + setup->extra_us);
 	checker_finish_run(&simulation->checker, simulation->now_us);
-	faults_result_add_world(simulation, result);
+	faults_result_add_simulation(simulation, result);
 	talloc_free(mem);
 }
 
 /*
- * Run one seed of a promise's profile in the small world.
+ * Runs one seed of an invariant's profile in the small setup.
  */
 void faults_run(const struct engine_ops *engine, enum invariant invariant,
 		uint64_t seed, FILE *transcript, struct faults_result *result)
@@ -168,8 +169,8 @@
 }
 
 /*
- * Run mixed load under one kind of trouble, from the load's first third on
- * for about ten seconds, and count what is served.
+ * Runs mixed load under one fault scenario and counts the requests served. The
+ * fault begins in the first third of the load and lasts about ten seconds.
  */
 void faults_run_scenario(const struct engine_ops *engine,
 			 enum fault_scenario fault_scenario, uint64_t seed,
@@ -186,14 +187,14 @@
 	inject_scenario(simulation, fault_scenario);
 	simulation_run_until(simulation, FAULTS_END_US);
 	checker_finish_run(&simulation->checker, simulation->now_us);
-	faults_result_add_world(simulation, result);
+	faults_result_add_simulation(simulation, result);
 	talloc_free(mem);
 }
 
 /*
- * Let one region lose the others and the platform for an hour, in the midst
- * of its load; its links come back in the midst of more of it. Keys live
- * longer than that, and the log keeps its records for two hours.
+ * Isolates one region from the others and from the platform for an hour while it
+ * has load, and reconnects it during further load. Keys live longer than that,
+ * and the log retains records for two hours.
  */
 void faults_run_isolated_region(const struct engine_ops *engine, uint64_t seed,
 				FILE *transcript, struct faults_result *result)
@@ -213,13 +214,13 @@
 				  fault_recover_all);
 	simulation_run_until(simulation, ISOLATION_US + 2 * FAULTS_END_US);
 	checker_finish_run(&simulation->checker, simulation->now_us);
-	faults_result_add_world(simulation, result);
+	faults_result_add_simulation(simulation, result);
 	talloc_free(mem);
 }
 
 /*
- * A world with load and without a fault, to be run by the caller. Nothing is
- * cancelled, and there is room for all.
+ * Creates a simulation with load and without faults, for the caller to run.
+ * Nothing is cancelled, and the capacity suffices for all jobs.
  */
 struct simulation *
 faults_simulation_without_faults(void *mem, const struct engine_ops *engine,
@@ -234,7 +235,8 @@
 	struct simulation *simulation =
 		make_simulation(mem, engine, setup, seed, 0, NULL);
 
-	/* What was drawn so far depends on the engine; the callers must not. */
+	/* The engine affects the numbers drawn so far; reseeding gives every
+	   engine the same callers. */
 	simulation->random = seed;
 	load_add(simulation, setup, light, setup->callers);
 	return simulation;
--- a/src/test_libradishjunction/support/faults.h
+++ b/src/test_libradishjunction/support/faults.h
@@ -1,17 +1,17 @@
 /*
- * Seeded plans of load and faults, one profile for each promise.
+ * Seeded load and fault injection, one profile for each invariant.
  *
- * `faults_run` makes a world, lets load and faults strike it for a while,
- * ends every fault, waits for quiet and judges; nothing is kept but the
- * result. `faults_run_scenario` runs load with one kind of trouble and counts what
- * is still served.
+ * `faults_run` creates a simulation, applies load and faults, ends every fault,
+ * lets the simulation become idle and checks the invariants. Only the result
+ * outlives the call. `faults_run_scenario` runs load under one kind of fault and
+ * counts the requests that are still served.
  */
 #ifndef SUPPORT_FAULTS_H
 #define SUPPORT_FAULTS_H
 
 #include "support/fault_profiles.h"
 
-/* The trouble under which the share of served requests is measured. */
+/* Scenarios in which the share of served requests is counted. */
 enum fault_scenario {
 	FAULT_SCENARIO_NONE,
 	FAULT_SCENARIO_OUTAGE,
@@ -21,7 +21,7 @@
 	FAULT_SCENARIO_COUNT
 };
 
-/* A caller who is served so soon has not noticed any trouble. */
+/* A caller that is served within this time has not noticed the fault. */
 #define FAULTS_PROMPT_US (3 * RJ_US_PER_S)
 
 extern const char *const fault_scenario_string[FAULT_SCENARIO_COUNT];
@@ -32,21 +32,22 @@
 	char first[INVARIANT_COUNT][200];
 	uint64_t faults;
 	uint32_t asked;
-	uint32_t served; /* done or accepted within the patience */
-	uint32_t prompt; /* of these, within FAULTS_PROMPT_US */
+	uint32_t served; /* done or accepted within the caller's timeout */
+	uint32_t prompt; /* done or accepted within FAULTS_PROMPT_US */
 	uint32_t counts[RJ_ANSWER_KIND_COUNT]; /* first final answers */
 	uint32_t unanswered;
-	uint32_t unsettled; /* of these, with a key: they asked again */
-	GArray *claim_settle_us; /* from the death of a claim's owner */
-	GArray *reclaim_us; /* from asking for a guaranteed shape to its run */
-	GArray *config_us; /* from acceptance to being in force at each */
+	uint32_t
+		unsettled; /* unanswered with a key, so their callers retried */
+	GArray *claim_settle_us; /* from the end of the claim's owner */
+	GArray *reclaim_us; /* from submission of a guaranteed shape to its run */
+	GArray *config_us; /* from acceptance to activation at each instance */
 };
 
 void faults_result_init(struct faults_result *result);
 void faults_result_add(struct faults_result *sum,
 		       const struct faults_result *one);
-void faults_result_add_world(struct simulation *simulation,
-			     struct faults_result *result);
+void faults_result_add_simulation(struct simulation *simulation,
+				  struct faults_result *result);
 void faults_result_finish(struct faults_result *result);
 void faults_run(const struct engine_ops *engine, enum invariant invariant,
 		uint64_t seed, FILE *transcript, struct faults_result *result);
--- a/src/test_libradishjunction/support/fuzz_targets.c
+++ b/src/test_libradishjunction/support/fuzz_targets.c
@@ -15,7 +15,8 @@
 #include "wire.h"
 
 /*
- * The bytes as zero-terminated text, as adapters hand them on.
+ * Returns the bytes as null-terminated text, the form in which adapters pass
+ * them on.
  */
 static char *as_text(void *mem, const uint8_t *data, size_t length)
 {
@@ -26,7 +27,7 @@
 }
 
 /*
- * A configuration is refused with an error, or parses again from its own
+ * A configuration is rejected with an error, or can be parsed again from its own
  * text.
  */
 static void fuzz_config(const uint8_t *data, size_t length)
@@ -49,7 +50,7 @@
 }
 
 /*
- * Settings are refused with an error, or are within their bounds.
+ * Settings are rejected with an error, or are within their bounds.
  */
 static void fuzz_settings(const uint8_t *data, size_t length)
 {
@@ -65,8 +66,7 @@
 }
 
 /*
- * A record is refused and left empty, or encodes to a text that decodes to
- * the same.
+ * A record is rejected and left empty, or survives encoding and decoding.
  */
 static void fuzz_record(const uint8_t *data, size_t length)
 {
@@ -87,7 +87,7 @@
 }
 
 /*
- * A peer's message is refused, or can be sent on.
+ * A peer message is rejected, or can be encoded again.
  */
 static void fuzz_peer(const uint8_t *data, size_t length)
 {
@@ -101,7 +101,7 @@
 }
 
 /*
- * A peer's first frame is refused, or can be sent on.
+ * The first frame of a peer is rejected, or can be encoded again.
  */
 static void fuzz_hello(const uint8_t *data, size_t length)
 {
@@ -115,7 +115,7 @@
 }
 
 /*
- * A caller's submission is refused with an error, or has a class.
+ * A submission is rejected with an error, or has a class and at least one task.
  */
 static void fuzz_submit(const uint8_t *data, size_t length)
 {
@@ -133,8 +133,8 @@
 }
 
 /*
- * A change is refused with an error, or is what its author had. The digest is
- * that of the unchanged base.
+ * A configuration change is rejected with an error, or yields its author's text.
+ * The digest is that of the unchanged base, so only such a result is valid.
  */
 static void fuzz_change(const uint8_t *data, size_t length)
 {
@@ -156,8 +156,8 @@
 }
 
 /*
- * A worker's answer to the call of the example is refused, or is of that
- * call's attempt.
+ * A worker's reply to a fixed call is rejected, or belongs to the attempt of that
+ * call.
  */
 static void fuzz_reply(const uint8_t *data, size_t length)
 {
@@ -178,8 +178,8 @@
 }
 
 /*
- * A client's job on the users' platform is refused, or can be kept in the log
- * and read back as it is.
+ * A platform client's job is rejected, or survives encoding and decoding as a log
+ * record.
  */
 static void fuzz_platform_job(const uint8_t *data, size_t length)
 {
@@ -199,7 +199,7 @@
 }
 
 /*
- * What operators and workers put into the platform's log.
+ * Log entries that operators and workers write on the platform.
  */
 static void fuzz_platform_entry(const uint8_t *data, size_t length)
 {
@@ -215,7 +215,7 @@
 }
 
 /*
- * Answers of the platform's log and of its workers.
+ * Responses of the platform's log and of its workers.
  */
 static void fuzz_platform_answer(const uint8_t *data, size_t length)
 {
@@ -233,7 +233,7 @@
 }
 
 /*
- * A record of the jobs' log of the cells.
+ * Records of the job log of the cells.
  */
 static void fuzz_cell_record(const uint8_t *data, size_t length)
 {
@@ -268,7 +268,7 @@
 };
 
 /*
- * The target of that name, or NULL.
+ * Returns the target of that name, or NULL.
  */
 const struct fuzz_target *fuzz_target_find(const char *name)
 {
--- a/src/test_libradishjunction/support/fuzz_targets.h
+++ b/src/test_libradishjunction/support/fuzz_targets.h
@@ -1,9 +1,9 @@
 /*
- * The parsers of whatever comes from outside, each as a function of bytes.
+ * Fuzz targets for the parsers of external input, each a function of bytes.
  *
- * A target parses the bytes and checks that they were taken whole or refused
- * with an error; it keeps nothing. The coverage-guided fuzzer (scripts/fuzz)
- * and the test of the kept inputs share the table.
+ * A target parses the bytes and asserts that they were either accepted as a whole
+ * or rejected with an error. It keeps no state. The coverage-guided fuzzer
+ * (scripts/fuzz) and the test of the seed corpus share the table.
  */
 #ifndef FUZZ_TARGETS_H
 #define FUZZ_TARGETS_H
@@ -12,11 +12,11 @@
 #include <stdint.h>
 
 struct fuzz_target {
-	const char *name; /* also of its folder of kept inputs */
+	const char *name; /* also the name of its corpus directory */
 	void (*run)(const uint8_t *data, size_t length);
 };
 
-extern const struct fuzz_target fuzz_targets[]; /* ends with a NULL name */
+extern const struct fuzz_target fuzz_targets[]; /* terminated by a NULL name */
 const struct fuzz_target *fuzz_target_find(const char *name);
 
 #endif
--- a/src/test_libradishjunction/support/peer_frames.c
+++ b/src/test_libradishjunction/support/peer_frames.c
@@ -9,8 +9,8 @@
 static const uint8_t body[] = { 0x00, 0xff, 'x', 0x93 };
 
 /*
- * A message of each kind with no field left at zero. The recorded frames were
- * made from these values; a new field gets one of its own.
+ * Fills in a message of `kind` with every field non-zero. The recorded frames
+ * encode these values; give a new field a value of its own.
  */
 void peer_frames_fill(struct rj_peer_message *message,
 		      enum rj_peer_message_kind kind)
@@ -75,7 +75,8 @@
 	}
 }
 
-/* The bytes of the line that begins with `name`, a talloc child of `mem`. */
+/* Returns the bytes of the line that begins with `name`, as a talloc child of
+ * `mem`. */
 static struct rj_bytes recorded(void *mem, const char *name)
 {
 	g_autofree char *text = NULL;
@@ -99,8 +100,8 @@
 }
 
 /*
- * The message of `kind` as an instance of the oldest accepted version sends
- * it, a talloc child of `mem`.
+ * Returns the encoded message of `kind` from the oldest accepted version, as a
+ * talloc child of `mem`.
  */
 struct rj_bytes peer_frames_recorded(void *mem, enum rj_peer_message_kind kind)
 {
@@ -108,7 +109,8 @@
 }
 
 /*
- * PEER_FRAMES_HELLO as an instance of the oldest accepted version sends it.
+ * Returns PEER_FRAMES_HELLO as encoded by the oldest accepted version, as a
+ * talloc child of `mem`.
  */
 struct rj_bytes peer_frames_recorded_hello(void *mem)
 {
--- a/src/test_libradishjunction/support/peer_frames.h
+++ b/src/test_libradishjunction/support/peer_frames.h
@@ -1,14 +1,14 @@
 /*
- * Frames between instances as they were recorded from the oldest version that
- * is still accepted, in golden/peer_frames_v1.txt. They stand for an instance
- * of that version, so that its links are tested without its build.
+ * Peer frames recorded from the oldest protocol version that is still accepted,
+ * in golden/peer_frames_v1.txt. Compatibility with instances of that version is
+ * tested with them, without building it.
  */
 #ifndef TEST_SUPPORT_PEER_FRAMES_H
 #define TEST_SUPPORT_PEER_FRAMES_H
 
 #include "private/peer_codec.h"
 
-/* What the recorded hello says. */
+/* The contents of the recorded hello. */
 #define PEER_FRAMES_HELLO                \
 	{                                \
 		1, 1, "c", "lhr-dha", 9, \
--- a/src/test_libradishjunction/support/plan_event.c
+++ b/src/test_libradishjunction/support/plan_event.c
@@ -1,7 +1,7 @@
 #include "support/plan_simulation.h"
 
 /*
- * Whether the event happens before the other.
+ * Returns whether the first event precedes the second.
  */
 static bool is_sooner(const struct plan_event *one,
 		      const struct plan_event *two)
@@ -12,7 +12,7 @@
 }
 
 /*
- * The event at this place of the heap.
+ * Returns the event at index `at` of the heap; index 0 is the earliest.
  */
 struct plan_event *plan_simulation_event(struct plan_simulation *simulation,
 					 uint32_t at)
@@ -20,9 +20,6 @@
 	return &g_array_index(simulation->events, struct plan_event, at);
 }
 
-/*
- * Change the places of two events.
- */
 static void event_swap(struct plan_simulation *simulation, uint32_t a,
 		       uint32_t b)
 {
@@ -34,7 +31,7 @@
 }
 
 /*
- * Let something happen at `at_us`.
+ * Schedules an event at `at_us`.
  */
 void plan_simulation_push(struct plan_simulation *simulation, uint64_t at_us,
 			  enum plan_event_kind kind, uint32_t index,
@@ -54,7 +51,7 @@
 }
 
 /*
- * Take the soonest event out of the heap.
+ * Removes and returns the earliest event. The heap must not be empty.
  */
 struct plan_event plan_simulation_pop(struct plan_simulation *simulation)
 {
--- a/src/test_libradishjunction/support/plan_simulation.c
+++ b/src/test_libradishjunction/support/plan_simulation.c
@@ -6,27 +6,28 @@
 
 #include "support/quantile.h"
 
-/* How long the core takes to stop a task, and a task to be checkpointed. */
+/* Time to stop a task, and to checkpoint one. */
 #define STOP_US (50 * RJ_US_PER_MS)
 #define CHECKPOINT_US RJ_US_PER_S
 
-/* A failing worker fails a task after so long; how the core deals with it. */
+/* Run time of a task on a failing worker, and the core's handling of it: back-off
+ * of the job, failures in a row that exclude the worker, and for how long. */
 #define FAIL_US (200 * RJ_US_PER_MS)
 #define FAIL_BACK_OFF_US RJ_US_PER_S
 #define FAILURES_TO_EXCLUDE 3
 #define EXCLUSION_US (60 * RJ_US_PER_S)
 
-/* A lost instance is replaced, and has read its workers, after so long. */
+/* Time until a lost instance is replaced and has read its workers. */
 #define INSTANCE_REPLACEMENT_US (3 * RJ_US_PER_S)
 
-/* What has not ended after so many horizons counts as if it ended then. */
+/* A job that is unfinished after this many horizons counts as ending then. */
 #define TIME_LIMIT_HORIZONS 4
 
-/* A guaranteed shape is late after the checkpoint limit and this. */
+/* A guaranteed shape is late after the checkpoint limit plus this time. */
 #define LATE_US RJ_US_PER_S
 
 /*
- * When the world ends, whatever still waits.
+ * Returns the time at which the simulation ends even if jobs still wait.
  */
 static uint64_t time_limit_us(const struct plan_simulation *simulation)
 {
@@ -34,7 +35,7 @@
 }
 
 /*
- * The job as the stream has it.
+ * Returns the job's specification in the stream.
  */
 static const struct stream_job *
 stream_job_of(const struct plan_simulation *simulation, uint32_t index)
@@ -43,7 +44,7 @@
 }
 
 /*
- * The accelerators of the job.
+ * Returns the number of accelerators of all tasks together.
  */
 static double job_accelerators(const struct stream_job *stream_job)
 {
@@ -52,7 +53,7 @@
 }
 
 /*
- * Give the workers of a running job back.
+ * Releases the resources of a running job.
  */
 static void release_workers(struct plan_simulation *simulation, uint32_t index)
 {
@@ -70,7 +71,7 @@
 }
 
 /*
- * Whether the job is a gang of the largest shape.
+ * Returns whether the job is a gang of the largest shape.
  */
 static bool is_largest(const struct plan_simulation *simulation,
 		       const struct stream_job *stream_job)
@@ -80,7 +81,8 @@
 }
 
 /*
- * The job has come to its end at `at_us`, whichever it was.
+ * Records that a job finished at `at_us`, with any outcome. Cancelled jobs are
+ * left out of the statistics.
  */
 static void record_completion(struct plan_simulation *simulation,
 			      uint32_t index, uint64_t at_us)
@@ -110,7 +112,7 @@
 }
 
 /*
- * A refused job counts as if it had taken until its deadline.
+ * Records a refused job, which counts as finishing at its deadline.
  */
 static void record_refusal(struct plan_simulation *simulation, uint32_t index)
 {
@@ -124,7 +126,7 @@
 }
 
 /*
- * Hand a job to the planner; while no instance lives it waits outside.
+ * Submits a job to the planner. While no instance is up it waits outside.
  */
 static void submit(struct plan_simulation *simulation, uint32_t index)
 {
@@ -143,7 +145,8 @@
 }
 
 /*
- * A job arrives.
+ * Handles the arrival of a job and determines whether its account's guarantee
+ * covers it.
  */
 static void handle_arrival(struct plan_simulation *simulation, uint32_t index)
 {
@@ -152,7 +155,7 @@
 		&simulation->stream->guarantees[stream_job->account];
 	struct rj_resources all = { 0 };
 
-	/* All that the account has open fits into its guarantee. */
+	/* All unfinished jobs of the account must fit into its guarantee. */
 	rj_resources_add(&simulation->open_resources[stream_job->account],
 			 &stream_job->plan.shape.each,
 			 stream_job->plan.shape.tasks);
@@ -171,7 +174,7 @@
 }
 
 /*
- * The caller cancels the job, wherever it is.
+ * Cancels a job in any state; no effect once it has finished.
  */
 static void handle_cancel(struct plan_simulation *simulation, uint32_t index)
 {
@@ -187,7 +190,7 @@
 }
 
 /*
- * A job has run to its end, unless it was stopped before.
+ * Completes a job, unless it was stopped before.
  */
 static void handle_completion(struct plan_simulation *simulation,
 			      const struct plan_event *event)
@@ -206,7 +209,7 @@
 }
 
 /*
- * Accelerator seconds since the job was started.
+ * Returns the accelerator seconds used since the start of the job.
  */
 static double ran_area(const struct plan_simulation *simulation, uint32_t index)
 {
@@ -217,8 +220,8 @@
 }
 
 /*
- * A reclaimed job has stopped; what it did is kept only if it could be
- * checkpointed.
+ * Requeues a reclaimed job that has stopped. Its progress is kept only if it
+ * supports checkpoints.
  */
 static void handle_stopped(struct plan_simulation *simulation,
 			   const struct plan_event *event)
@@ -246,7 +249,7 @@
 }
 
 /*
- * Tell the planner how a worker is.
+ * Updates the planner's state of a worker.
  */
 static void update_worker(struct plan_simulation *simulation, uint32_t index)
 {
@@ -258,8 +261,8 @@
 }
 
 /*
- * A task failed on a failing worker: the job is tried again after a while,
- * and the worker set aside after several in a row.
+ * Handles a failed task: the job is requeued with a back-off, and a failing
+ * worker is excluded after several failures in a row.
  */
 static void handle_failure(struct plan_simulation *simulation,
 			   const struct plan_event *event)
@@ -293,7 +296,7 @@
 }
 
 /*
- * A worker that was set aside is tried again: one more failure is enough.
+ * Readmits an excluded worker. One more failure excludes it again.
  */
 static void probe_worker(struct plan_simulation *simulation, uint32_t worker)
 {
@@ -304,7 +307,7 @@
 }
 
 /*
- * Make a planner as a new instance would have it.
+ * Creates a planner and configures it as a new instance does.
  */
 static void make_planner(struct plan_simulation *simulation)
 {
@@ -318,7 +321,8 @@
 }
 
 /*
- * A new instance takes over: it adopts what runs and is given what waits.
+ * Replaces the lost instance: the new planner adopts running jobs, and waiting
+ * jobs are submitted to it.
  */
 static void replace_instance(struct plan_simulation *simulation)
 {
@@ -340,7 +344,7 @@
 }
 
 /*
- * Let an event happen.
+ * Dispatches an event to its handler.
  */
 static void handle_event(struct plan_simulation *simulation,
 			 const struct plan_event *event)
@@ -383,7 +387,8 @@
 }
 
 /*
- * Carry out a START: whole gang or nothing, and no worker over its size.
+ * Executes a START decision. Asserts that the gang is whole and that no worker is
+ * over-allocated.
  */
 static void apply_start(struct plan_simulation *simulation,
 			const struct rj_decision *decision)
@@ -443,7 +448,8 @@
 }
 
 /*
- * Carry out a RECLAIM: only what can be stopped, and only once.
+ * Executes a RECLAIM decision. Asserts that the job can be stopped and is not
+ * being stopped already.
  */
 static void apply_reclaim(struct plan_simulation *simulation,
 			  const struct rj_decision *decision)
@@ -464,7 +470,7 @@
 }
 
 /*
- * Let the planner decide, and carry it out.
+ * Runs a planner pass, executes its decisions and schedules its next wake-up.
  */
 static void run_pass(struct plan_simulation *simulation)
 {
@@ -501,7 +507,8 @@
 }
 
 /*
- * Account for the time until `until_us`, in which nothing happens.
+ * Adds the interval up to `until_us`, in which no event occurs, to the
+ * utilisation and fragmentation statistics.
  */
 static void account_time(struct plan_simulation *simulation, uint64_t until_us)
 {
@@ -526,7 +533,7 @@
 }
 
 /*
- * The median, p95 and p99 of the samples.
+ * Computes the median, p95 and p99 of the samples.
  */
 static void quantiles(GArray *samples, double values[PLAN_QUANTILE_COUNT])
 {
@@ -538,7 +545,7 @@
 }
 
 /*
- * Make the world at its first moment, with all arrivals and faults to come.
+ * Initialises a simulation at time 0 and schedules all arrivals and faults.
  */
 static void plan_init(struct plan_simulation *simulation,
 		      const struct plan_stream *stream,
@@ -587,7 +594,7 @@
 }
 
 /*
- * Write the result, and free the world.
+ * Computes the result and frees the simulation.
  */
 static void plan_finish(struct plan_simulation *simulation)
 {
@@ -622,7 +629,8 @@
 }
 
 /*
- * Run the planner over the stream until all jobs are over, or it is given up.
+ * Runs the planner over the stream until all jobs have finished or the time limit
+ * is reached.
  */
 void plan_simulation_run(const struct plan_stream *stream,
 			 const struct plan_simulation_options *options,
--- a/src/test_libradishjunction/support/plan_simulation.h
+++ b/src/test_libradishjunction/support/plan_simulation.h
@@ -1,14 +1,13 @@
 /*
- * Runs a planner over a stream in virtual time, as the core would: it
- * starts, stops, fails and ends jobs and counts what that gave.
+ * Simulates a planner over a job stream in virtual time. As the core would, it
+ * starts, stops, fails and completes jobs, and it collects statistics.
  *
- * Life cycle: `plan_simulation_run` does it all and fills a result on the
- * caller's memory. That no worker is given more than it has and that no part
- * of a gang runs alone is asserted at each decision; `check`, if given, is
- * called after each pass.
+ * Life cycle: `plan_simulation_run` runs the whole stream and fills the caller's
+ * result. It asserts at each decision that no worker is over-allocated and that
+ * gangs start whole. `check`, if set, is called after each pass.
  */
-#ifndef SUPPORT_PLAN_WORLD_H
-#define SUPPORT_PLAN_WORLD_H
+#ifndef SUPPORT_PLAN_SIMULATION_H
+#define SUPPORT_PLAN_SIMULATION_H
 
 #include <glib.h>
 
@@ -27,10 +26,10 @@
 	enum plan_job_state state;
 	uint32_t attempt;
 	uint64_t started_us;
-	uint64_t first_start_us; /* first start, RJ_NEVER_US before it */
-	uint64_t remaining_us; /* of its run time */
+	uint64_t first_start_us; /* RJ_NEVER_US before the first start */
+	uint64_t remaining_us; /* rest of its run time */
 	bool stopping;
-	bool guarantee_due; /* its account may count on its guarantee for it */
+	bool guarantee_due; /* covered by the guarantee of its account */
 	struct rj_plan_member *members;
 	uint32_t member_count;
 };
@@ -51,7 +50,7 @@
 
 struct plan_event {
 	uint64_t at_us;
-	uint64_t number; /* breaks ties in the order of their making */
+	uint64_t number; /* breaks ties in order of creation */
 	enum plan_event_kind kind;
 	uint32_t index; /* of the job or the worker */
 	uint32_t attempt;
@@ -59,7 +58,7 @@
 
 struct plan_simulation;
 
-/* How a planner is made and looked at. */
+/* Creates a planner as a talloc child of `mem`. */
 struct planner_factory {
 	const char *name;
 	struct rj_planner *(*make)(void *mem);
@@ -70,20 +69,20 @@
 	void (*check)(struct plan_simulation *simulation);
 };
 
-/* Seconds, shares of one, and counts; index STREAM_ACCOUNTS is all. */
+/* Seconds, fractions and counts. Index STREAM_ACCOUNTS covers all accounts. */
 struct plan_result {
 	double completion_s[STREAM_CLASSES][STREAM_ACCOUNTS + 1]
 			   [PLAN_QUANTILE_COUNT];
 	double count[STREAM_CLASSES][STREAM_ACCOUNTS + 1];
 	double gang_wait_s[PLAN_QUANTILE_COUNT]; /* of the largest shape */
-	double fragmentation; /* over all of the time */
-	double fragmentation_waiting; /* while some job waits */
-	double utilisation; /* by work that was not lost */
+	double fragmentation; /* mean over the whole horizon */
+	double fragmentation_waiting; /* mean while some job waits */
+	double utilisation; /* without lost work */
 	double guaranteed_due;
 	double guaranteed_late;
 	double guaranteed_wait_max_s;
 	double refusals;
-	double lost_share; /* of the work that was done */
+	double lost_share; /* lost part of the work done */
 	double reclaims;
 	double failures; /* of tasks on failing workers */
 };
@@ -94,7 +93,7 @@
 	struct rj_planner *planner;
 	struct rj_decisions decisions;
 	struct plan_simulation_job *jobs;
-	GArray *events; /* a heap, soonest first */
+	GArray *events; /* a heap, earliest first */
 	uint64_t event_number;
 	uint64_t now_us;
 	struct rj_resources allocated[STREAM_WORKERS];
@@ -102,7 +101,7 @@
 	uint32_t consecutive_failures[STREAM_WORKERS];
 	bool excluded[STREAM_WORKERS];
 	struct rj_resources
-		open_resources[STREAM_ACCOUNTS]; /* asked for, not over */
+		open_resources[STREAM_ACCOUNTS]; /* of unfinished jobs */
 	bool instance_down;
 	uint64_t wake_at_us;
 	uint64_t busy; /* accelerators in use now */
@@ -120,7 +119,7 @@
 			 const struct plan_simulation_options *options,
 			 struct plan_result *result);
 
-/* plan_event.c: what is to happen, as a heap. */
+/* plan_event.c: the event queue, a binary heap. */
 struct plan_event *plan_simulation_event(struct plan_simulation *simulation,
 					 uint32_t at);
 void plan_simulation_push(struct plan_simulation *simulation, uint64_t at_us,
--- a/src/test_libradishjunction/support/plan_stream.c
+++ b/src/test_libradishjunction/support/plan_stream.c
@@ -29,7 +29,7 @@
 	[STREAM_INSTANCE_LOST] = "instance_lost",
 };
 
-/* The load from which each stream starts, in percent of the accelerators. */
+/* Background load of each stream, in percent of the accelerators. */
 static const uint32_t load_percent[STREAM_LOAD_COUNT] = {
 	[STREAM_STEADY] = 50,	      [STREAM_BURST_SMALL] = 60,
 	[STREAM_BURST_LARGE] = 60,    [STREAM_MIXED70] = 70,
@@ -39,17 +39,17 @@
 	[STREAM_INSTANCE_LOST] = 80,
 };
 
-/* What a class is like with one user. */
+/* The jobs of one class of a user. */
 struct class_shape {
 	const char *name;
 	enum rj_priority priority;
 	bool idempotent;
 	bool checkpoint;
-	uint32_t load_percent; /* its part of the load */
-	double median_s; /* of the run times, which are lognormal */
+	uint32_t load_percent; /* share of the background load */
+	double median_s; /* of the lognormal run times */
 	double sigma;
-	struct rj_shape shapes[2]; /* the half of the jobs each */
-	uint64_t deadline_s; /* 0 if none */
+	struct rj_shape shapes[2]; /* half of the jobs each */
+	uint64_t deadline_s; /* 0: none */
 };
 
 #define TASK(accelerators)                                                 \
@@ -137,11 +137,11 @@
 		},
 	};
 
-/* Weights by which jobs fall to the accounts: a few are large. */
+/* Share of the jobs of each account, in percent: a few accounts are large. */
 static const uint32_t account_weight[STREAM_ACCOUNTS] = { 40, 30, 20, 10 };
 
 /*
- * A number from 0 up to 1.
+ * Draws from the uniform distribution over [0, 1).
  */
 static double uniform(struct plan_stream *stream)
 {
@@ -149,7 +149,7 @@
 }
 
 /*
- * A number of the normal distribution.
+ * Draws from the standard normal distribution.
  */
 static double normal(struct plan_stream *stream)
 {
@@ -159,8 +159,8 @@
 }
 
 /*
- * Whose job it is. Under a reclaim storm the accounts with guaranteed gangs
- * are idle until they ask for them, and the others borrow all there is.
+ * Chooses the account of a job. In a reclaim storm the accounts with guaranteed
+ * gangs are idle until they request them, while the others borrow all capacity.
  */
 static uint32_t choose_account(struct plan_stream *stream)
 {
@@ -178,7 +178,8 @@
 }
 
 /*
- * Whether a job is of the guaranteed shape, or asks for less of each task.
+ * Returns whether the guarantee covers the shape: the same gang with at most the
+ * guaranteed resources per task.
  */
 static bool covers(const struct rj_shape *guarantee,
 		   const struct rj_shape *shape)
@@ -189,7 +190,8 @@
 }
 
 /*
- * Add one job of a class that arrives at `at_us`.
+ * Adds a job of a class that arrives at `at_us`. The pointer is valid until the
+ * next call.
  */
 static struct stream_job *add_job(struct plan_stream *stream,
 				  enum stream_class class_index, uint64_t at_us)
@@ -226,7 +228,7 @@
 }
 
 /*
- * Accelerator seconds of an average job of the class.
+ * Returns the mean accelerator seconds of a job of the class.
  */
 static double mean_area(const struct class_shape *class)
 {
@@ -240,7 +242,7 @@
 }
 
 /*
- * Let jobs of each class arrive at random at the load's rate.
+ * Adds the background load: Poisson arrivals of each class at its rate.
  */
 static void add_background(struct plan_stream *stream)
 {
@@ -262,7 +264,7 @@
 }
 
 /*
- * Let `count` jobs of a class arrive together every `every_s`.
+ * Adds bursts of `count` jobs of a class every `every_s` seconds.
  */
 static void add_bursts(struct plan_stream *stream,
 		       enum stream_class class_index, uint32_t count,
@@ -275,7 +277,7 @@
 }
 
 /*
- * Let the accounts with guaranteed gangs ask for them at once, every 300 s.
+ * Adds submissions of all guaranteed gangs at the same time, every 300 s.
  */
 static void add_reclaims(struct plan_stream *stream)
 {
@@ -296,7 +298,8 @@
 }
 
 /*
- * Cancel half of the jobs that came in the last two minutes, in waves.
+ * Cancels, in waves, half of the jobs that arrived within two minutes before the
+ * wave.
  */
 static void add_cancellations(struct plan_stream *stream)
 {
@@ -313,7 +316,7 @@
 }
 
 /*
- * In order of arrival.
+ * Orders jobs by arrival.
  */
 static int compare_jobs(const void *a, const void *b)
 {
@@ -326,7 +329,7 @@
 }
 
 /*
- * The workers, by id in racks of eight; the last rack has but one.
+ * Fills in the workers, by id in racks of eight; the last rack has only one.
  */
 static void make_workers(struct plan_stream *stream)
 {
@@ -341,8 +344,8 @@
 }
 
 /*
- * The shapes that the accounts are guaranteed: a gang for the first, a
- * smaller one for the second, single tasks for the others.
+ * Fills in the guaranteed shapes: a gang for the first account, a smaller one for
+ * the second, single tasks for the others.
  */
 static void make_guarantees(struct plan_stream *stream)
 {
@@ -367,7 +370,7 @@
 }
 
 /*
- * The configuration of the users.
+ * Fills in the configuration of the stream's user.
  */
 static void make_config(struct plan_stream *stream)
 {
@@ -388,7 +391,7 @@
 		stream->classes[i].priority = class->priority;
 		stream->classes[i].idempotent = class->idempotent;
 		stream->classes[i].checkpoint = class->checkpoint;
-		/* What an operator guesses is off by three. */
+		/* Operators' estimates are off by a factor of three. */
 		stream->classes[i].expected_us =
 			(uint64_t)(3 * class->median_s * RJ_US_PER_S);
 	}
@@ -409,9 +412,8 @@
 }
 
 /*
- * Make the whole stream of `users` under `load` from `seed`; jobs arrive until
- * `horizon_us`. All memory is a
- * talloc child of `mem`.
+ * Generates the stream of `users` under `load` from `seed`, with arrivals until
+ * `horizon_us`. All memory is a talloc child of `mem`.
  */
 void plan_stream_init(struct plan_stream *stream, void *mem,
 		      enum stream_users users, enum stream_load load,
@@ -445,24 +447,23 @@
 	}
 }
 
-/*
- * Free the stream.
- */
 void plan_stream_finish(struct plan_stream *stream)
 {
 	TALLOC_FREE(stream->mem);
 }
 
-/* More jobs of a class than this are bounded by their run times alone. */
+/* The bound of a class with more jobs than this uses their run times alone, as
+ * the search over arrival windows is quadratic. */
 #define BOUND_JOBS_MAX 3000
 
 /*
- * A p95 of completion in seconds that no policy can beat for the class, even
- * one that knows all run times, may cut jobs at will and runs nothing else.
+ * Returns a lower bound, in seconds, of the p95 completion time of a class under
+ * any policy, even one that knows all run times, splits jobs freely and runs no
+ * other class.
  *
- * A job takes at least its run time. And whatever arrives between a and b is
- * done by b + p95 but for one job in twenty, which all may lie in this
- * window and be its largest; the rest takes its area on all accelerators.
+ * A job takes at least its run time. All jobs that arrive between a and b are done
+ * by b + p95 except one in twenty. These may all lie in this window and be as
+ * large as the largest job; the rest occupies its area on all accelerators.
  */
 double plan_stream_bound_s(const struct plan_stream *stream,
 			   enum stream_class class_index)
--- a/src/test_libradishjunction/support/plan_stream.h
+++ b/src/test_libradishjunction/support/plan_stream.h
@@ -1,9 +1,10 @@
 /*
- * Seeded streams of jobs and faults, as the two users have them.
+ * Seeded streams of jobs and faults, modelled on the workloads of two users.
  *
- * Life cycle: `plan_stream_init` makes all of it from a seed, `finish` frees
- * it; in between it is only read. The same seed gives the same stream. One
- * failure domain: 17 workers of 8 accelerators in racks of 8.
+ * Life cycle: `plan_stream_init` generates the stream from a seed,
+ * `plan_stream_finish` frees it; in between it is read-only. The same seed gives
+ * the same stream. It is for one failure domain: 17 workers of 8 accelerators in
+ * racks of 8.
  */
 #ifndef SUPPORT_PLAN_STREAM_H
 #define SUPPORT_PLAN_STREAM_H
@@ -16,7 +17,7 @@
 #define STREAM_ACCOUNTS 4
 #define STREAM_CLASSES 4
 #define STREAM_DOMAIN "domain"
-#define STREAM_HORIZON_US (1800 * RJ_US_PER_S) /* of the bench */
+#define STREAM_HORIZON_US (1800 * RJ_US_PER_S) /* in benchmarks */
 
 enum stream_users { STREAM_ASSOCIATION, STREAM_CONVERTER, STREAM_USERS_COUNT };
 
@@ -38,9 +39,9 @@
 extern const char *const stream_users_string[STREAM_USERS_COUNT];
 extern const char *const stream_load_string[STREAM_LOAD_COUNT];
 
-/* The classes of both users, by their part in the load. */
+/* The job classes of both users, by their role in the workload. */
 enum stream_class {
-	STREAM_LESSON, /* the converter's quotes: urgent */
+	STREAM_LESSON, /* urgent; quotes for STREAM_CONVERTER */
 	STREAM_RENDER, /* normal */
 	STREAM_PREVIEW, /* small and many */
 	STREAM_GANG, /* large and adjacent */
@@ -50,13 +51,13 @@
 	struct rj_plan_job plan;
 	enum stream_class class_index;
 	uint32_t account;
-	uint64_t run_us; /* the truth, which no planner is told */
+	uint64_t run_us; /* actual run time, unknown to planners */
 	uint64_t cancel_us; /* RJ_NEVER_US if it is not cancelled */
-	bool guaranteed; /* asks for a shape that its account is guaranteed */
+	bool guaranteed; /* its shape is covered by its account's guarantee */
 };
 
 struct plan_stream {
-	struct stream_job *jobs; /* in order of arrival; job_id is index + 1 */
+	struct stream_job *jobs; /* in arrival order; job_id is index + 1 */
 	uint32_t count;
 	struct rj_config config;
 	struct rj_domain domain;
@@ -67,7 +68,7 @@
 	enum stream_load load;
 	enum stream_users users;
 	uint64_t horizon_us; /* no job arrives after it */
-	uint64_t random; /* while it is being made */
+	uint64_t random; /* generator state during initialisation */
 	void *mem;
 };
 
--- a/src/test_libradishjunction/support/planner_factory.c
+++ b/src/test_libradishjunction/support/planner_factory.c
@@ -5,7 +5,7 @@
 #include "support/plan_simulation.h"
 
 /*
- * First come, first fit, as a child of `mem`.
+ * Creates a first-fit planner.
  */
 static struct rj_planner *make_first_fit(void *mem)
 {
@@ -17,7 +17,7 @@
 }
 
 /*
- * EASY backfill, as a child of `mem`.
+ * Creates an EASY backfill planner.
  */
 static struct rj_planner *make_easy(void *mem)
 {
@@ -28,7 +28,7 @@
 }
 
 /*
- * The planner by topology, as a child of `mem`.
+ * Creates a topology planner.
  */
 static struct rj_planner *make_topology(void *mem)
 {
--- a/src/test_libradishjunction/support/planner_fixture.c
+++ b/src/test_libradishjunction/support/planner_fixture.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 /*
- * Let the planner know the configuration as it is now.
+ * Applies the current configuration of the fixture to the planner.
  */
 void planner_configure(struct planner_fixture *f)
 {
@@ -13,7 +13,7 @@
 }
 
 /*
- * A planner that knows the configuration and no worker.
+ * Initialises the fixture with a configured planner without workers.
  */
 void planner_prepare(struct planner_fixture *f)
 {
@@ -49,7 +49,7 @@
 }
 
 /*
- * Let the planner know of a worker with nothing on it.
+ * Adds an idle worker to the planner.
  */
 void planner_add_worker(struct planner_fixture *f, uint32_t id, uint32_t rack,
 			const char *name)
@@ -67,7 +67,8 @@
 }
 
 /*
- * Guarantee nothing to anybody, and expect of the classes what they say.
+ * Removes all guarantees and sets the job classes. `classes` must outlive the
+ * fixture.
  */
 void planner_configure_classes(struct planner_fixture *f,
 			       struct rj_job_class *classes, uint32_t count)
@@ -80,8 +81,8 @@
 }
 
 /*
- * Two racks of four workers with 8 accelerators. Account a is guaranteed a
- * whole rack, b two adjacent workers, c nothing.
+ * Sets up two racks of four workers with 8 accelerators. Account a is guaranteed
+ * a whole rack, b two adjacent workers, c nothing.
  */
 void planner_setup(struct planner_fixture *f, const void *data)
 {
@@ -91,7 +92,7 @@
 }
 
 /*
- * Free what `planner_setup` or `planner_prepare` made.
+ * Frees the contents of the fixture.
  */
 void planner_teardown(struct planner_fixture *f, const void *data)
 {
@@ -101,7 +102,7 @@
 }
 
 /*
- * A stoppable job of normal priority; tests change what they need.
+ * Returns a stoppable job of normal priority, which tests may modify.
  */
 struct rj_plan_job planner_job_of(uint64_t id, char account, uint32_t tasks,
 				  uint32_t accelerators)
@@ -120,7 +121,7 @@
 }
 
 /*
- * Submit a job; why it was refused, or none.
+ * Submits a job. Returns the reason of a refusal, or RJ_REASON_NONE.
  */
 enum rj_reason planner_submit(struct planner_fixture *f, struct rj_plan_job job,
 			      uint64_t now_us)
@@ -135,7 +136,7 @@
 }
 
 /*
- * Submit so many jobs with ids from that of `job` on.
+ * Submits `count` copies of `job` with consecutive ids. None may be refused.
  */
 void planner_submit_many(struct planner_fixture *f, struct rj_plan_job job,
 			 uint32_t count)
@@ -145,7 +146,7 @@
 }
 
 /*
- * Let the planner decide; what it decided is in `decisions`.
+ * Runs a planner pass. Its decisions replace those in `decisions`.
  */
 void planner_pass(struct planner_fixture *f, uint64_t now_us)
 {
@@ -154,7 +155,7 @@
 }
 
 /*
- * How many decisions of a kind the last pass made.
+ * Returns the number of decisions of a kind in the last pass.
  */
 uint32_t planner_count_of(const struct planner_fixture *f,
 			  enum rj_decision_kind kind)
@@ -167,7 +168,7 @@
 }
 
 /*
- * What the last pass decided on a job, or NULL.
+ * Returns the first decision on a job in the last pass, or NULL.
  */
 const struct rj_decision *planner_decision_on(const struct planner_fixture *f,
 					      uint64_t job_id)
@@ -179,7 +180,7 @@
 }
 
 /*
- * A job has ended well.
+ * Reports to the planner that a job succeeded.
  */
 void planner_ended(struct planner_fixture *f, uint64_t job_id, uint64_t ran_us,
 		   uint64_t now_us)
@@ -188,7 +189,8 @@
 }
 
 /*
- * Stop all that the last pass asked for, but `except`.
+ * Requeues, with a back-off of 600 s, every job that the last pass reclaimed
+ * except the job with id `except`.
  */
 void planner_apply_reclaims(struct planner_fixture *f, uint64_t except,
 			    uint64_t now_us)
@@ -204,7 +206,7 @@
 }
 
 /*
- * Whether a gang was placed in one rack.
+ * Returns whether the whole gang was placed in one rack.
  */
 bool planner_is_in_one_rack(const struct rj_decision *start)
 {
--- a/src/test_libradishjunction/support/planner_fixture.h
+++ b/src/test_libradishjunction/support/planner_fixture.h
@@ -1,9 +1,9 @@
 /*
- * A planner by topology for tests: two racks of four workers with 8
- * accelerators, and three accounts with guarantees or without.
+ * Test fixture with a topology planner, two racks of four workers with 8
+ * accelerators each, and three accounts, two of them with a guarantee.
  *
- * Life cycle: `planner_setup` (or `planner_prepare`, which knows no worker),
- * submissions and passes, `planner_teardown`.
+ * Life cycle: `planner_setup` (or `planner_prepare` for a planner without
+ * workers), submissions and passes, `planner_teardown`.
  */
 #ifndef SUPPORT_PLANNER_FIXTURE_H
 #define SUPPORT_PLANNER_FIXTURE_H
@@ -52,7 +52,7 @@
 			    uint64_t now_us);
 bool planner_is_in_one_rack(const struct rj_decision *start);
 
-/* Add a test that works on a fresh fixture. */
+/* Adds a test that runs on a fresh fixture. */
 #define PLANNER_TEST(name, function)                                        \
 	g_test_add("/planner_topology/" name, struct planner_fixture, NULL, \
 		   planner_setup, function, planner_teardown)
--- a/src/test_libradishjunction/support/quantile.c
+++ b/src/test_libradishjunction/support/quantile.c
@@ -2,9 +2,6 @@
 
 #include <stdlib.h>
 
-/*
- * In rising order.
- */
 static int compare_doubles(const void *a, const void *b)
 {
 	double one = *(const double *)a;
@@ -14,9 +11,8 @@
 }
 
 /*
- * The value that `share` of the values do not exceed, 0 if there are none.
- * Between two values it is the mean of both by their nearness. The values
- * are sorted in place.
+ * Returns the quantile `share` (0 to 1) with linear interpolation, 0 for an empty
+ * sample. Sorts the values in place.
  */
 double quantile_of(double *values, uint32_t count, double share)
 {
--- a/src/test_libradishjunction/support/quantile.h
+++ b/src/test_libradishjunction/support/quantile.h
@@ -1,7 +1,5 @@
 /*
- * Quantiles of measured values.
- *
- * Nothing to make or free: it works on the caller's array.
+ * Quantiles of a sample. No life cycle: works on the caller's array.
  */
 #ifndef SUPPORT_QUANTILE_H
 #define SUPPORT_QUANTILE_H
--- a/src/test_libradishjunction/support/simulation.c
+++ b/src/test_libradishjunction/support/simulation.c
@@ -9,7 +9,8 @@
 #include "support/transcript.h"
 
 #define TICK_US (250 * RJ_US_PER_MS)
-/* Beyond this the same instant repeats: an engine wakes itself for ever. */
+/* More events than this at one instant mean that an engine keeps waking itself
+ * without making progress. */
 #define EVENTS_PER_INSTANT_MAX 1000
 
 static gint queue_order(gconstpointer left, gconstpointer right, gpointer data)
@@ -23,7 +24,7 @@
 }
 
 /*
- * A number from 0 to `below` - 1 from the world's seed.
+ * Draws a number from 0 to `below` - 1 from the seed of the simulation.
  */
 uint64_t simulation_random(struct simulation *simulation, uint64_t below)
 {
@@ -32,8 +33,8 @@
 }
 
 /*
- * Whether a fault of this probability strikes now. Counts those that do, and
- * draws no number for a fault that is switched off.
+ * Returns whether a fault of this probability occurs now, and counts it if so.
+ * Draws no number for a probability of 0.
  */
 bool simulation_chance(struct simulation *simulation, uint32_t thousandths)
 {
@@ -44,7 +45,7 @@
 }
 
 /*
- * How fast a clock that is made now runs; draws nothing without drift.
+ * Draws the drift of a new clock. Draws no number without configured drift.
  */
 int64_t simulation_drift_ppm(struct simulation *simulation)
 {
@@ -57,8 +58,8 @@
 }
 
 /*
- * Have `run` called after `delay_us`. The event is freed when it has run;
- * what hangs on it goes with it.
+ * Schedules a call of `run` after `delay_us`. The event and its talloc children
+ * are freed after the call.
  */
 struct simulation_event *
 simulation_schedule(struct simulation *simulation, uint64_t delay_us,
@@ -77,7 +78,7 @@
 }
 
 /*
- * Write a line of the world's own into the transcript.
+ * Writes a line about the simulation itself to the transcript, if there is one.
  */
 void simulation_trace(struct simulation *simulation, const char *format, ...)
 {
@@ -94,7 +95,7 @@
 }
 
 /*
- * Whether traffic passes between two failure domains.
+ * Returns whether traffic passes between two failure domains.
  */
 bool simulation_domains_connected(const struct simulation *simulation,
 				  uint32_t a, uint32_t b)
@@ -104,8 +105,8 @@
 }
 
 /*
- * One way between two failure domains: about 0.3 ms within one and about 5
- * between two.
+ * Draws a one-way network delay: about 0.3 ms within a failure domain and about
+ * 5 ms between two.
  */
 uint64_t simulation_delay_us(struct simulation *simulation, uint32_t from,
 			     uint32_t to)
@@ -116,8 +117,8 @@
 }
 
 /*
- * The configuration that the world publishes, as JSON. `variation` changes
- * the guarantee and nothing that requests depend on.
+ * Formats the configuration of the simulation as JSON. `variation` changes the
+ * guarantee and nothing that requests depend on.
  */
 char *simulation_config_text(const struct simulation *simulation, void *mem,
 			     uint32_t variation)
@@ -179,7 +180,7 @@
 }
 
 /*
- * A new event for an instance, a talloc child of the world.
+ * Creates an event for an instance as a talloc child of the simulation.
  */
 struct rj_event *node_event(struct simulation *simulation,
 			    enum rj_event_kind kind)
@@ -236,7 +237,7 @@
 static void on_timer(struct simulation *simulation,
 		     struct simulation_event *event);
 
-/* What an instance's clock says at a time of the world. */
+/* Returns an instance's clock at a time of the simulation. */
 static uint64_t node_clock_us(const struct node *node, uint64_t at_us)
 {
 	int64_t gained_us = (int64_t)at_us * node->drift_ppm / SIMULATION_PPM;
@@ -244,7 +245,8 @@
 	return at_us + node->clock_offset_us + (uint64_t)gained_us;
 }
 
-/* The first time at which an instance's clock says `own_us` or more. */
+/* Returns the first simulation time at which an instance's clock shows `own_us`
+ * or more. */
 static uint64_t node_simulation_time_us(const struct node *node,
 					uint64_t own_us)
 {
@@ -257,7 +259,7 @@
 	return (uint64_t)at_us;
 }
 
-/* Arm the instance's one timer, if it has to come earlier than the armed. */
+/* Arms the instance's only timer, unless it is armed for an earlier time. */
 static void arm_timer(struct simulation *simulation, struct node *node)
 {
 	uint64_t wake_us = node->engine->ops->wake_us(node->engine);
@@ -277,7 +279,7 @@
 	event->epoch = node->epoch;
 }
 
-/* Let an instance process one event and carry out its actions. */
+/* Lets an instance process one event and executes the resulting actions. */
 static void process_event(struct simulation *simulation, struct node *node,
 			  struct rj_event *event)
 {
@@ -321,7 +323,7 @@
 		return;
 	node->wake_us = RJ_NEVER_US;
 	if (node->paused)
-		return; /* armed again when it goes on */
+		return; /* armed again on resumption */
 	process_event(simulation, node, &timer);
 }
 
@@ -344,7 +346,8 @@
 }
 
 /*
- * Deliver an event to this life of an instance; the world owns it now.
+ * Delivers an event after `delay_us`, unless the instance has ended or restarted
+ * by then. Takes ownership of the event.
  */
 void node_deliver_after(struct simulation *simulation, struct node *node,
 			uint64_t delay_us, struct rj_event *event)
@@ -358,7 +361,8 @@
 }
 
 /*
- * Tell the checker which instances reach the platform, after that changed.
+ * Informs the checker which instances reach the platform. Call it after every
+ * change.
  */
 void simulation_reachability_changed(struct simulation *simulation)
 {
@@ -373,7 +377,7 @@
 }
 
 /*
- * Start an instance, empty and with a new incarnation.
+ * Starts an instance without state, with a new incarnation.
  */
 void node_start(struct simulation *simulation, uint32_t index)
 {
@@ -424,7 +428,7 @@
 }
 
 /*
- * End an instance without a word; its callers see their connections close.
+ * Ends an instance abruptly, closing its callers' connections and its links.
  */
 void node_kill(struct simulation *simulation, uint32_t index)
 {
@@ -446,8 +450,8 @@
 }
 
 /*
- * Freeze an instance, or let it go on: what came meanwhile reaches it then,
- * all at once.
+ * Pauses or resumes an instance. Events that arrived during the pause are
+ * delivered together on resumption.
  */
 void node_pause(struct simulation *simulation, uint32_t index, bool paused)
 {
@@ -477,7 +481,7 @@
 }
 
 /*
- * Ask an instance to stop gracefully.
+ * Requests a graceful stop of an instance.
  */
 void node_stop(struct simulation *simulation, uint32_t index)
 {
@@ -493,8 +497,8 @@
 			   node_event(simulation, RJ_EVENT_STOP));
 }
 
-/* Since when an instance hears a peer that reaches the platform: by the
- * longest of all ways. */
+/* Returns the start of an instance's longest contact with a peer that reaches
+ * the platform, RJ_NEVER_US if there is none. */
 static uint64_t peer_contact_us(const struct simulation *simulation,
 				uint32_t index)
 {
@@ -590,8 +594,9 @@
 }
 
 /*
- * Make a world and start its instances, each at its own moment of the first
- * half second. The first configuration is in the log already.
+ * Creates a simulation and starts its instances one after another, each up to
+ * 100 ms after the previous one. The first configuration is in the log from the
+ * start.
  */
 struct simulation *simulation_create(void *mem,
 				     const struct simulation_options *options)
@@ -629,7 +634,7 @@
 }
 
 /*
- * Let time pass until `until_us`, running every event in its order.
+ * Advances the virtual clock to `until_us`, running all due events in order.
  */
 void simulation_run_until(struct simulation *simulation, uint64_t until_us)
 {
@@ -650,7 +655,7 @@
 					    events_at_instant + 1 :
 					    0;
 		if (events_at_instant > EVENTS_PER_INSTANT_MAX)
-			g_error("the world stands still at %" PRIu64,
+			g_error("simulation time does not advance at %" PRIu64,
 				simulation->now_us);
 		if (event->at_us > simulation->now_us)
 			simulation->now_us = event->at_us;
--- a/src/test_libradishjunction/support/simulation.h
+++ b/src/test_libradishjunction/support/simulation.h
@@ -1,16 +1,17 @@
 /*
- * A small world for the decision core: a virtual clock, several instances of
- * an engine, and fakes of the log, the workers, the peer links and the
- * callers.
+ * Deterministic simulation around the decision core: a virtual clock, several
+ * instances of an engine, and fakes of the log, the workers, the peer links and
+ * the callers.
  *
- * Life cycle: `simulation_create` makes one as a talloc child and starts its
- * instances, `simulation_run_until` lets time pass, the rest brings faults about;
- * freed with talloc. One seed gives one history. Times are virtual
- * microseconds; each instance's own clock differs from it by a constant, and
- * where `drift_ppm` is set, it and the workers' clocks run fast or slow.
+ * Life cycle: `simulation_create` returns a talloc child with its instances
+ * started, `simulation_run_until` advances time, the other functions inject
+ * faults; freed with talloc. The same seed gives the same history. Times are
+ * virtual microseconds. Each instance's clock differs from them by a constant
+ * offset, and with `drift_ppm` its clock and those of the workers run fast or
+ * slow.
  */
-#ifndef SUPPORT_WORLD_H
-#define SUPPORT_WORLD_H
+#ifndef SUPPORT_SIMULATION_H
+#define SUPPORT_SIMULATION_H
 
 #include <glib.h>
 #include <stdio.h>
@@ -30,28 +31,28 @@
 
 struct simulation_event {
 	uint64_t at_us;
-	uint64_t order; /* events of one time run in the order of making */
+	uint64_t order; /* events of the same time run in order of creation */
 	void (*run)(struct simulation *simulation,
 		    struct simulation_event *event);
-	uint32_t index; /* whatever the event is about */
+	uint32_t index; /* the instance or worker concerned */
 	uint32_t other;
-	uint64_t epoch; /* of the instance or worker; others are dropped */
+	uint64_t epoch; /* of the target; dropped if it has changed */
 	void *data;
 };
 
 /* Probabilities in thousandths; all 0 without faults. */
 struct fault_rates {
 	uint32_t append_refused;
-	uint32_t append_answer_lost; /* takes effect at once */
-	uint32_t append_late; /* answered lost, takes effect later */
+	uint32_t append_answer_lost; /* takes effect immediately */
+	uint32_t append_late; /* reported lost, takes effect later */
 	uint32_t read_failed;
 	uint32_t call_lost;
-	uint32_t call_late; /* takes effect after its timeout */
+	uint32_t call_late; /* may take effect after its timeout */
 	uint32_t reply_lost;
-	uint32_t reply_truncated; /* lost, with a part of the result */
-	uint32_t reply_late; /* after the timeout was told */
+	uint32_t reply_truncated; /* reported lost, with part of the result */
+	uint32_t reply_late; /* after the timeout was reported */
 	uint32_t reply_duplicated;
-	uint32_t reply_mismatched; /* another task's echo under this call */
+	uint32_t reply_mismatched; /* echoes another task than the called one */
 	uint32_t peer_lost;
 	uint32_t peer_late;
 };
@@ -64,14 +65,14 @@
 	struct engine *engine; /* NULL: killed or exited */
 	struct rj_actions actions;
 	uint64_t incarnation;
-	uint64_t epoch; /* rises with each start and end */
+	uint64_t epoch; /* incremented by each start and end */
 	uint64_t clock_offset_us;
 	int64_t drift_ppm; /* its clock runs fast, or slow below 0 */
 	uint64_t wake_us; /* of the armed timer */
 	bool paused;
 	bool stopping;
-	uint64_t resumed_us; /* when it last started or went on */
-	GQueue deferred; /* events that came while it was paused */
+	uint64_t resumed_us; /* last start or resumption */
+	GQueue deferred; /* events that arrived while it was paused */
 };
 
 struct fake_task {
@@ -86,15 +87,15 @@
 	enum rj_task_state state;
 	struct rj_resources each;
 	uint64_t lease_until_us;
-	uint64_t end_us; /* when it is done, if let run; else RJ_NEVER_US */
-	uint64_t counted_us; /* up to when progress is counted */
+	uint64_t end_us; /* completion time; RJ_NEVER_US while throttled to 0 */
+	uint64_t counted_us; /* time up to which progress is counted */
 	uint64_t progress_us;
-	uint64_t work_us; /* progress at its end */
+	uint64_t work_us; /* progress at completion */
 	uint32_t throttle_percent;
 	bool fails;
 	char result[96];
-	bool acknowledged; /* its end has been told; no longer in reports */
-	GSList *waiting; /* struct fake_call: answered at the end */
+	bool acknowledged; /* completion was delivered; left out of reports */
+	GSList *waiting; /* struct fake_call answered on completion */
 };
 
 struct fake_worker {
@@ -105,20 +106,20 @@
 	uint64_t incarnation;
 	struct rj_resources capacity;
 	struct rj_resources free;
-	GPtrArray *tasks; /* struct fake_task, in order of leases */
-	GQueue deferred; /* calls that came while it was paused */
+	GPtrArray *tasks; /* struct fake_task, in order of their leases */
+	GQueue deferred; /* calls that arrived while it was paused */
 	uint64_t next_token;
 	uint64_t timer_us;
 	bool down;
 	bool paused;
-	bool unreachable; /* hears nothing; its own clock runs on */
+	bool unreachable; /* receives no call; its clock runs on */
 	bool fails_all;
 	bool refuses;
-	bool leaving; /* as the platform's list says it, after its lag */
-	bool reports_leaving; /* its own answers say it too */
-	uint64_t slow_us; /* added to each of its answers */
+	bool leaving; /* shown in the platform's list after its lag */
+	bool reports_leaving; /* stated in its own replies too */
+	uint64_t slow_us; /* delay added to each of its replies */
 	int64_t drift_ppm; /* its clock runs fast, or slow below 0 */
-	/* The connections that each instance may have, by its last call. */
+	/* Connection limit of each instance, from its last call. */
 	uint32_t connections_max[CHECKER_NODES_MAX];
 };
 
@@ -126,41 +127,42 @@
 	GPtrArray *streams[RJ_STREAM_COUNT]; /* struct rj_record */
 	uint64_t oldest[RJ_STREAM_COUNT];
 	GQueue *readers[RJ_STREAM_COUNT]; /* long polls */
-	uint64_t revision; /* by replaying the config stream */
+	uint64_t revision; /* from replaying the config stream */
 	char config_id[RJ_CONFIG_ID_BYTES];
-	char *config_text; /* of that revision, whole */
+	char *config_text; /* complete text of that revision */
 	GQueue lists; /* snapshots of the instance list, oldest first */
 	uint64_t list_lag_us;
-	uint64_t slow_us; /* added to each operation */
+	uint64_t slow_us; /* delay added to each operation */
 	bool down;
 	bool cut[SIMULATION_DOMAINS_MAX];
-	bool cut_node[CHECKER_NODES_MAX]; /* one instance alone */
+	bool cut_node[CHECKER_NODES_MAX]; /* single instances */
 };
 
 struct fake_link {
 	bool wanted;
 	bool up;
-	bool cut; /* of this pair alone */
-	uint64_t up_us; /* since when */
-	uint64_t healed_us; /* when a cut that struck it ended */
+	bool cut; /* this link alone */
+	uint64_t up_us; /* when it came up */
+	uint64_t healed_us; /* end of the last cut that affected it */
 	uint64_t last_us[2]; /* arrival of the newest message, each way */
 	uint64_t epoch;
 };
 
-/* One caller's matter: it asks, asks again elsewhere, and looks up. */
+/* A caller with one job: it submits, retries at other instances and looks up
+ * the outcome. */
 struct fake_caller {
 	uint32_t intent;
 	struct rj_job_spec spec;
 	char body[64];
 	uint32_t domain;
-	uint64_t request_id; /* open one; 0: none */
-	uint32_t node; /* that the open request is at */
+	uint64_t request_id; /* outstanding request; 0: none */
+	uint32_t node; /* instance of the outstanding request */
 	uint64_t job_id;
 	uint32_t tries;
 	uint32_t tries_max;
 	uint64_t timeout_us;
 	uint64_t first_us;
-	uint64_t orphaned_us; /* its instance died; 0: none */
+	uint64_t orphaned_us; /* first end of its instance; 0: none */
 	uint64_t served_us; /* first done or accepted; RJ_NEVER_US: none */
 	bool cancels;
 	bool ended;
@@ -175,9 +177,9 @@
 	uint32_t workers_per_rack;
 	uint64_t retention_us; /* 0: SIMULATION_RETENTION_US */
 	uint32_t key_life_s; /* 0: SIMULATION_KEY_LIFE_S */
-	uint32_t drift_ppm; /* the most by which a clock is fast or slow */
+	uint32_t drift_ppm; /* largest clock drift, in either direction */
 	FILE *transcript; /* NULL: none */
-	bool brief; /* the transcript is without upkeep */
+	bool brief; /* leave periodic traffic out of the transcript */
 };
 
 struct simulation {
@@ -190,7 +192,7 @@
 	GSequence *queue;
 	struct checker checker;
 	struct fault_rates rates;
-	uint64_t faults; /* how many were brought about */
+	uint64_t faults; /* faults injected so far */
 	bool domain_cut[SIMULATION_DOMAINS_MAX]; /* from the other domains */
 	uint64_t log_retention_us;
 	struct node nodes[CHECKER_NODES_MAX];
@@ -268,7 +270,7 @@
 			uint64_t contact_us[CHECKER_NODES_MAX]);
 void fake_peers_heal(struct simulation *simulation);
 
-/* What a caller wants. */
+/* The job and the behaviour of a fake caller. */
 struct fake_caller_options {
 	const char *class_name;
 	const char *account;
@@ -284,7 +286,7 @@
 	bool fails;
 	bool waits;
 	bool cancels;
-	bool duplicated; /* the same key at two instances at once */
+	bool duplicated; /* submits the key to two instances concurrently */
 };
 
 struct fake_caller *fake_caller_add(struct simulation *simulation,
--- a/src/test_libradishjunction/support/text_check.c
+++ b/src/test_libradishjunction/support/text_check.c
@@ -7,8 +7,8 @@
 #include <talloc.h>
 
 /*
- * A JSON text, in which single quotes stand for double ones, as a talloc
- * child of `mem`.
+ * Formats a JSON text as a talloc child of `mem`, replacing single quotes with
+ * double quotes.
  */
 char *text_check_json(void *mem, const char *format, ...)
 {
@@ -24,7 +24,8 @@
 }
 
 /*
- * Expect exactly one error, which begins with `start` and holds `remedy`.
+ * Asserts that there is exactly one error, which begins with `start` and contains
+ * `remedy`.
  */
 void text_check_one_error(const struct rj_error_list *errors, const char *start,
 			  const char *remedy)
--- a/src/test_libradishjunction/support/text_check.h
+++ b/src/test_libradishjunction/support/text_check.h
@@ -1,6 +1,6 @@
 /*
- * Texts for the parsers of configuration and settings, and the one error that
- * each is expected to give.
+ * Helpers for tests of the configuration and settings parsers: input texts and
+ * checks of the expected error.
  */
 #ifndef TEST_SUPPORT_TEXT_CHECK_H
 #define TEST_SUPPORT_TEXT_CHECK_H
--- a/src/test_libradishjunction/support/transcript.c
+++ b/src/test_libradishjunction/support/transcript.c
@@ -97,7 +97,7 @@
 }
 
 /*
- * Whether an event comes by itself and over again, and tells no story.
+ * Returns whether an event is periodic traffic, which brief transcripts omit.
  */
 bool transcript_event_is_periodic(const struct rj_event *event)
 {
@@ -118,7 +118,7 @@
 }
 
 /*
- * Whether an action is done by itself and over again, and tells no story.
+ * Returns whether an action is periodic traffic, which brief transcripts omit.
  */
 bool transcript_action_is_periodic(const struct rj_action *action)
 {
@@ -136,7 +136,7 @@
 }
 
 /*
- * Write one event as a line: `time node < kind ...`.
+ * Writes one event as a line: `time node < kind ...`.
  */
 void transcript_event(FILE *out, uint64_t now_us, const char *node,
 		      const struct rj_event *event)
@@ -193,7 +193,7 @@
 }
 
 /*
- * Write one action as a line: `time node > kind ...`.
+ * Writes one action as a line: `time node > kind ...`.
  */
 void transcript_action(FILE *out, uint64_t now_us, const char *node,
 		       const struct rj_action *action)
