--- a/src/test_libradishjunction/naive/planner_easy.c
+++ b/src/test_libradishjunction/naive/planner_easy.c
@@ -13,7 +13,7 @@
 /* Queued jobs that one pass considers, as in production schedulers. */
 #define BACKFILL_DEPTH 200
 
-/* Shapes remembered per pass so that equal jobs are not placed again. */
+/* Shapes recorded per pass so that equal jobs are not placed again. */
 #define FAILURES_MAX 16
 
 struct easy_state {
@@ -24,8 +24,7 @@
 	struct rj_domain domain;
 	uint32_t queue_max;
 	struct rj_plan_member members[RJ_GANG_MAX];
-	struct rj_plan_member
-		reserved[RJ_GANG_MAX]; /* for the head of the queue */
+	struct rj_plan_member reserved[RJ_GANG_MAX]; /* for the queue head */
 	uint32_t reserved_count;
 	uint64_t shadow_us; /* earliest expected start of the head */
 	const struct rj_shape *head;
--- a/src/test_libradishjunction/support/callers_fixture.c
+++ b/src/test_libradishjunction/support/callers_fixture.c
@@ -66,7 +66,7 @@
 
 /*
  * Starts the adapter on a free port of the loopback address. With `deferred` it
- * serves no caller until it is told to.
+ * serves no caller until it is requested to.
  */
 void callers_server_init_as(struct callers_server *server, uint32_t connections,
 			    uint32_t requests, bool deferred)
--- a/src/test_libradishjunction/support/checker.h
+++ b/src/test_libradishjunction/support/checker.h
@@ -1,13 +1,13 @@
 /*
- * Checks the scheduler's invariants from what workers ran and what callers were
- * answered.
+ * Checks the scheduler's invariants from what workers ran and what callers
+ * were answered.
  *
  * It does not see the decisions, only starts, progress and completions at the
  * workers, requests and answers at the callers, and what instances send.
  *
  * Life cycle: `checker_init`, one call for each event in order of time,
- * `checker_tick` as time passes, `checker_finish_run` when all faults have ended
- * and the simulation is idle. Memory is a talloc child of the `mem` of
+ * `checker_tick` as time passes, `checker_finish_run` when all faults have
+ * ended and the simulation is idle. Memory is a talloc child of the `mem` of
  * `checker_init`.
  */
 #ifndef SUPPORT_CHECKER_H
@@ -47,8 +47,7 @@
 	uint32_t ran; /* attempts that made progress */
 	uint32_t completed; /* attempts whose members are all done */
 	uint64_t submitted_us;
-	uint64_t
-		progressed_us; /* all members made progress; RJ_NEVER_US: never */
+	uint64_t progressed_us; /* all members ran; RJ_NEVER_US: never */
 	uint64_t answered_us; /* first final answer; RJ_NEVER_US: none */
 	enum rj_answer_kind answer; /* kind of the first final answer */
 	bool accepted;
@@ -73,27 +72,23 @@
 	uint32_t running; /* members that make progress now */
 	uint32_t progressed; /* members that have made progress */
 	uint32_t done;
-	uint64_t
-		failed_us; /* a member ended without being done; RJ_NEVER_US: none */
+	uint64_t failed_us; /* a member ended undone; RJ_NEVER_US: none */
 	bool ran;
 	bool reported;
 	uint8_t member[RJ_GANG_MAX]; /* bits of enum member_bit */
 };
 
-/* What the checker knows about an instance. */
+/* What the checker knows about an instance. Contacts are the times since when
+ * they last; RJ_NEVER_US: none. */
 struct checker_node {
 	uint32_t domain;
 	uint64_t incarnation;
 	uint64_t revision;
-	uint64_t
-		platform_since_us; /* start of its contact with the platform; RJ_NEVER_US: none */
-	uint64_t
-		peer_since_us; /* start of its contact with a peer that reaches the platform */
+	uint64_t platform_since_us; /* contact with the platform */
+	uint64_t peer_since_us; /* contact with a peer that has such contact */
 	uint64_t late_reported; /* revision whose late activation is counted */
-	uint64_t leaving_since_us
-		[CHECKER_WORKERS_MAX]; /* when each was known to leave */
-	uint64_t leaving_incarnation
-		[CHECKER_WORKERS_MAX]; /* which one leaves; 0: none */
+	uint64_t leaving_since_us[CHECKER_WORKERS_MAX]; /* when known */
+	uint64_t leaving_incarnation[CHECKER_WORKERS_MAX]; /* 0: none */
 };
 
 struct checker {
@@ -112,7 +107,7 @@
 	uint64_t revision;
 	GPtrArray *config_ids; /* of accepted configurations, by revision - 1 */
 	uint64_t revision_us; /* acceptance of `revision` */
-	GArray *settle_us; /* time from acceptance to activation, per instance */
+	GArray *settle_us; /* from acceptance to activation at each instance */
 	void (*report)(void *data, const char *text);
 	void *report_data;
 };
--- a/src/test_libradishjunction/support/checker_answers.c
+++ b/src/test_libradishjunction/support/checker_answers.c
@@ -104,7 +104,7 @@
 	checker->checks[INVARIANT_NOT_RUN]++;
 	if (intent->ran)
 		checker_violation(checker, now_us, INVARIANT_NOT_RUN,
-				  "intent %u was told not_run (%s) and had run",
+				  "intent %u: not_run (%s), but it had run",
 				  request->intent,
 				  rj_reason_string[answer->reason]);
 	if (intent->accepted && answer->reason == RJ_REASON_NO_SUCH_JOB)
@@ -144,12 +144,12 @@
 		if (!result_is_complete(intent, &answer->result))
 			checker_violation(
 				checker, now_us, INVARIANT_ANSWER,
-				"intent %u: the result is not its own whole",
+				"intent %u: the result is foreign or partial",
 				request->intent);
 		if (!intent->completed)
 			checker_violation(
 				checker, now_us, INVARIANT_ANSWER,
-				"intent %u: done, but no run of it ended",
+				"intent %u: done, but no run of it completed",
 				request->intent);
 	}
 	if (answer->kind == RJ_ANSWER_FAILED && !intent->ran)
--- a/src/test_libradishjunction/support/checker_leaving.c
+++ b/src/test_libradishjunction/support/checker_leaving.c
@@ -35,8 +35,8 @@
 
 /*
  * Checks a new job that an instance sends to a worker. `contact_us` holds the
- * start of its uninterrupted contact with each other instance, RJ_NEVER_US where
- * there is none.
+ * start of its uninterrupted contact with each other instance, RJ_NEVER_US
+ * where there is none.
  */
 void checker_job_sent(struct checker *checker, uint64_t now_us, uint32_t node,
 		      uint32_t worker, uint64_t incarnation,
@@ -58,7 +58,7 @@
 		if (now_us > since_us + CHECKER_LEAVING_US)
 			checker_violation(
 				checker, now_us, INVARIANT_LEAVING,
-				"node %u sends work to worker %u, known to "
+				"node %u sends a job to worker %u, known to "
 				"leave for %" PRIu64 " us",
 				node, worker,
 				now_us - other->leaving_since_us[worker]);
--- a/src/test_libradishjunction/support/checker_tasks.c
+++ b/src/test_libradishjunction/support/checker_tasks.c
@@ -154,8 +154,8 @@
 }
 
 /*
- * Checks that no member of a gang runs on after another member has ended without
- * being done, beyond the lease lifetime and CHECKER_GANG_MARGIN_US.
+ * Checks that no member of a gang runs on after another member has ended
+ * without being done, beyond the lease lifetime and CHECKER_GANG_MARGIN_US.
  */
 void checker_gang_tick(struct checker *checker, uint64_t now_us)
 {
--- a/src/test_libradishjunction/support/config_stream.c
+++ b/src/test_libradishjunction/support/config_stream.c
@@ -110,8 +110,8 @@
 }
 
 /*
- * Formats a valid configuration whose account has the limit `open_max`. The text
- * is a talloc child of `mem`.
+ * Formats a valid configuration whose account has the limit `open_max`. The
+ * text is a talloc child of `mem`.
  */
 char *config_stream_text(void *mem, uint32_t open_max)
 {
--- a/src/test_libradishjunction/support/fake_caller.c
+++ b/src/test_libradishjunction/support/fake_caller.c
@@ -237,7 +237,7 @@
 }
 
 /*
- * Delivers an instance's answer: the caller ends, looks up, cancels or retries
+ * Delivers an instance's answer: the caller ends, polls, cancels or retries
  * accordingly.
  */
 void fake_caller_answer(struct simulation *simulation, struct node *node,
--- a/src/test_libradishjunction/support/fake_log.c
+++ b/src/test_libradishjunction/support/fake_log.c
@@ -389,8 +389,8 @@
 }
 
 /*
- * Sends an instance the list of instances and workers, delayed by the lag of the
- * list. Sends nothing while the platform is unavailable.
+ * Sends an instance the list of instances and workers, delayed by the lag of
+ * the list. Sends nothing while the platform is unavailable.
  */
 void fake_log_list(struct simulation *simulation, struct node *node)
 {
--- a/src/test_libradishjunction/support/fake_worker.c
+++ b/src/test_libradishjunction/support/fake_worker.c
@@ -533,8 +533,8 @@
 }
 
 /*
- * Pauses or resumes a worker with its tasks. Its clock runs on during the pause,
- * so leases expire on resumption before deferred calls are served.
+ * Pauses or resumes a worker with its tasks. Its clock runs on during the
+ * pause, so leases expire on resumption before deferred calls are served.
  */
 void fake_worker_pause(struct simulation *simulation, uint32_t index,
 		       bool paused)
--- a/src/test_libradishjunction/support/fault_injection.c
+++ b/src/test_libradishjunction/support/fault_injection.c
@@ -4,8 +4,9 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Extra duration of FAULT_LEAVING, so that jobs sent after the time limit of the
- * notification still reach the leaving worker and count as violations. */
+/* Extra duration of FAULT_LEAVING, so that jobs sent after the time limit
+ * of the notification still reach the leaving worker and count as
+ * violations. */
 #define LEAVING_DURATION_US (10 * RJ_US_PER_S)
 
 static void restart_node(struct simulation *simulation,
@@ -60,7 +61,7 @@
 		(void)snprintf(id, sizeof(id), "p%" PRIu64 "-%u", base, i);
 		text = simulation_config_text(simulation, simulation,
 					      (uint32_t)base + i);
-		/* Changes race with complete configurations, and follow them. */
+		/* Changes race with complete configurations and follow them. */
 		if (base && (base + i) % 3)
 			fake_log_publish_change(simulation, base, id, text);
 		else
@@ -220,8 +221,8 @@
 				  fault_restore_platform);
 }
 
-/* Cuts all links between instances of the domain, so that each of them considers
- * itself the owner of all racks. */
+/* Cuts all links between instances of the domain, so that each of them
+ * considers itself the owner of all racks. */
 static void cut_links_within_domain(struct simulation *simulation,
 				    uint32_t domain)
 {
--- a/src/test_libradishjunction/support/fault_profiles.h
+++ b/src/test_libradishjunction/support/fault_profiles.h
@@ -55,8 +55,7 @@
 	uint32_t callers; /* at least; 0: the number of the setup */
 	bool lossy_peers; /* apply the rates of the setup too */
 	uint64_t end_us; /* 0: FAULTS_END_US */
-	struct fault_rates
-		rates; /* maxima; each run draws its own below them */
+	struct fault_rates rates; /* upper bounds of the rates of a run */
 };
 
 /* Sizes and durations of the simulations in which profiles run. */
--- a/src/test_libradishjunction/support/faults.c
+++ b/src/test_libradishjunction/support/faults.c
@@ -192,9 +192,9 @@
 }
 
 /*
- * Isolates one region from the others and from the platform for an hour while it
- * has load, and reconnects it during further load. Keys live longer than that,
- * and the log retains records for two hours.
+ * Isolates one region from the others and from the platform for an hour while
+ * it has load, and reconnects it during further load. Keys live longer than
+ * that, and the log retains records for two hours.
  */
 void faults_run_isolated_region(const struct engine_ops *engine, uint64_t seed,
 				FILE *transcript, struct faults_result *result)
--- a/src/test_libradishjunction/support/faults.h
+++ b/src/test_libradishjunction/support/faults.h
@@ -1,10 +1,10 @@
 /*
  * Seeded load and fault injection, one profile for each invariant.
  *
- * `faults_run` creates a simulation, applies load and faults, ends every fault,
- * lets the simulation become idle and checks the invariants. Only the result
- * outlives the call. `faults_run_scenario` runs load under one kind of fault and
- * counts the requests that are still served.
+ * `faults_run` creates a simulation, applies load and faults, ends every
+ * fault, lets the simulation become idle and checks the invariants. Only the
+ * result outlives the call. `faults_run_scenario` runs load under one kind of
+ * fault and counts the requests that are still served.
  */
 #ifndef SUPPORT_FAULTS_H
 #define SUPPORT_FAULTS_H
@@ -36,10 +36,9 @@
 	uint32_t prompt; /* done or accepted within FAULTS_PROMPT_US */
 	uint32_t counts[RJ_ANSWER_KIND_COUNT]; /* first final answers */
 	uint32_t unanswered;
-	uint32_t
-		unsettled; /* unanswered with a key, so their callers retried */
+	uint32_t unsettled; /* unanswered, with a key: retried */
 	GArray *claim_settle_us; /* from the end of the claim's owner */
-	GArray *reclaim_us; /* from submission of a guaranteed shape to its run */
+	GArray *reclaim_us; /* from guaranteed submission to run */
 	GArray *config_us; /* from acceptance to activation at each instance */
 };
 
--- a/src/test_libradishjunction/support/fuzz_targets.c
+++ b/src/test_libradishjunction/support/fuzz_targets.c
@@ -27,8 +27,8 @@
 }
 
 /*
- * A configuration is rejected with an error, or can be parsed again from its own
- * text.
+ * A configuration is rejected with an error, or can be parsed again from its
+ * own text.
  */
 static void fuzz_config(const uint8_t *data, size_t length)
 {
@@ -133,8 +133,9 @@
 }
 
 /*
- * A configuration change is rejected with an error, or yields its author's text.
- * The digest is that of the unchanged base, so only such a result is valid.
+ * A configuration change is rejected with an error, or yields its author's
+ * text. The digest is that of the unchanged base, so only such a result is
+ * valid.
  */
 static void fuzz_change(const uint8_t *data, size_t length)
 {
@@ -156,8 +157,8 @@
 }
 
 /*
- * A worker's reply to a fixed call is rejected, or belongs to the attempt of that
- * call.
+ * A worker's reply to a fixed call is rejected, or belongs to the attempt of
+ * that call.
  */
 static void fuzz_reply(const uint8_t *data, size_t length)
 {
@@ -178,8 +179,8 @@
 }
 
 /*
- * A platform client's job is rejected, or survives encoding and decoding as a log
- * record.
+ * A platform client's job is rejected, or survives encoding and decoding as a
+ * log record.
  */
 static void fuzz_platform_job(const uint8_t *data, size_t length)
 {
--- a/src/test_libradishjunction/support/fuzz_targets.h
+++ b/src/test_libradishjunction/support/fuzz_targets.h
@@ -1,9 +1,9 @@
 /*
  * Fuzz targets for the parsers of external input, each a function of bytes.
  *
- * A target parses the bytes and asserts that they were either accepted as a whole
- * or rejected with an error. It keeps no state. The coverage-guided fuzzer
- * (scripts/fuzz) and the test of the seed corpus share the table.
+ * A target parses the bytes and asserts that they were either accepted as a
+ * whole or rejected with an error. It keeps no state. The coverage-guided
+ * fuzzer (scripts/fuzz) and the test of the seed corpus share the table.
  */
 #ifndef FUZZ_TARGETS_H
 #define FUZZ_TARGETS_H
--- a/src/test_libradishjunction/support/plan_simulation.c
+++ b/src/test_libradishjunction/support/plan_simulation.c
@@ -10,8 +10,9 @@
 #define STOP_US (50 * RJ_US_PER_MS)
 #define CHECKPOINT_US RJ_US_PER_S
 
-/* Run time of a task on a failing worker, and the core's handling of it: back-off
- * of the job, failures in a row that exclude the worker, and for how long. */
+/* Run time of a task on a failing worker, and the core's handling of it:
+ * back-off of the job, failures in a row that exclude the worker, and for
+ * how long. */
 #define FAIL_US (200 * RJ_US_PER_MS)
 #define FAIL_BACK_OFF_US RJ_US_PER_S
 #define FAILURES_TO_EXCLUDE 3
@@ -387,8 +388,8 @@
 }
 
 /*
- * Executes a START decision. Asserts that the gang is whole and that no worker is
- * over-allocated.
+ * Executes a START decision. Asserts that the gang is whole and that no worker
+ * is over-allocated.
  */
 static void apply_start(struct plan_simulation *simulation,
 			const struct rj_decision *decision)
@@ -629,8 +630,8 @@
 }
 
 /*
- * Runs the planner over the stream until all jobs have finished or the time limit
- * is reached.
+ * Runs the planner over the stream until all jobs have finished or the time
+ * limit is reached.
  */
 void plan_simulation_run(const struct plan_stream *stream,
 			 const struct plan_simulation_options *options,
--- a/src/test_libradishjunction/support/plan_simulation.h
+++ b/src/test_libradishjunction/support/plan_simulation.h
@@ -2,9 +2,10 @@
  * Simulates a planner over a job stream in virtual time. As the core would, it
  * starts, stops, fails and completes jobs, and it collects statistics.
  *
- * Life cycle: `plan_simulation_run` runs the whole stream and fills the caller's
- * result. It asserts at each decision that no worker is over-allocated and that
- * gangs start whole. `check`, if set, is called after each pass.
+ * Life cycle: `plan_simulation_run` runs the whole stream and fills the
+ * caller's result. It asserts at each decision that no worker is
+ * over-allocated and that gangs start whole. `check`, if set, is called after
+ * each pass.
  */
 #ifndef SUPPORT_PLAN_SIMULATION_H
 #define SUPPORT_PLAN_SIMULATION_H
@@ -100,8 +101,7 @@
 	bool failing[STREAM_WORKERS];
 	uint32_t consecutive_failures[STREAM_WORKERS];
 	bool excluded[STREAM_WORKERS];
-	struct rj_resources
-		open_resources[STREAM_ACCOUNTS]; /* of unfinished jobs */
+	struct rj_resources open_resources[STREAM_ACCOUNTS]; /* unfinished */
 	bool instance_down;
 	uint64_t wake_at_us;
 	uint64_t busy; /* accelerators in use now */
--- a/src/test_libradishjunction/support/plan_stream.c
+++ b/src/test_libradishjunction/support/plan_stream.c
@@ -178,8 +178,8 @@
 }
 
 /*
- * Returns whether the guarantee covers the shape: the same gang with at most the
- * guaranteed resources per task.
+ * Returns whether the guarantee covers the shape: the same gang with at most
+ * the guaranteed resources per task.
  */
 static bool covers(const struct rj_shape *guarantee,
 		   const struct rj_shape *shape)
@@ -298,8 +298,8 @@
 }
 
 /*
- * Cancels, in waves, half of the jobs that arrived within two minutes before the
- * wave.
+ * Cancels, in waves, half of the jobs that arrived within two minutes before
+ * the wave.
  */
 static void add_cancellations(struct plan_stream *stream)
 {
@@ -344,8 +344,8 @@
 }
 
 /*
- * Fills in the guaranteed shapes: a gang for the first account, a smaller one for
- * the second, single tasks for the others.
+ * Fills in the guaranteed shapes: a gang for the first account, a smaller one
+ * for the second, single tasks for the others.
  */
 static void make_guarantees(struct plan_stream *stream)
 {
@@ -457,13 +457,14 @@
 #define BOUND_JOBS_MAX 3000
 
 /*
- * Returns a lower bound, in seconds, of the p95 completion time of a class under
- * any policy, even one that knows all run times, splits jobs freely and runs no
- * other class.
+ * Returns a lower bound, in seconds, of the p95 completion time of a class
+ * under any policy, even one that knows all run times, splits jobs freely and
+ * runs no other class.
  *
- * A job takes at least its run time. All jobs that arrive between a and b are done
- * by b + p95 except one in twenty. These may all lie in this window and be as
- * large as the largest job; the rest occupies its area on all accelerators.
+ * A job takes at least its run time. All jobs that arrive between a and b are
+ * done by b + p95 except one in twenty. These may all lie in this window and
+ * be as large as the largest job; the rest occupies its area on all
+ * accelerators.
  */
 double plan_stream_bound_s(const struct plan_stream *stream,
 			   enum stream_class class_index)
--- a/src/test_libradishjunction/support/plan_stream.h
+++ b/src/test_libradishjunction/support/plan_stream.h
@@ -2,9 +2,9 @@
  * Seeded streams of jobs and faults, modelled on the workloads of two users.
  *
  * Life cycle: `plan_stream_init` generates the stream from a seed,
- * `plan_stream_finish` frees it; in between it is read-only. The same seed gives
- * the same stream. It is for one failure domain: 17 workers of 8 accelerators in
- * racks of 8.
+ * `plan_stream_finish` frees it; in between it is read-only. The same seed
+ * gives the same stream. It is for one failure domain: 17 workers of 8
+ * accelerators in racks of 8.
  */
 #ifndef SUPPORT_PLAN_STREAM_H
 #define SUPPORT_PLAN_STREAM_H
--- a/src/test_libradishjunction/support/planner_fixture.c
+++ b/src/test_libradishjunction/support/planner_fixture.c
@@ -81,8 +81,8 @@
 }
 
 /*
- * Sets up two racks of four workers with 8 accelerators. Account a is guaranteed
- * a whole rack, b two adjacent workers, c nothing.
+ * Sets up two racks of four workers with 8 accelerators. Account a is
+ * guaranteed a whole rack, b two adjacent workers, c nothing.
  */
 void planner_setup(struct planner_fixture *f, const void *data)
 {
--- a/src/test_libradishjunction/support/quantile.c
+++ b/src/test_libradishjunction/support/quantile.c
@@ -11,8 +11,8 @@
 }
 
 /*
- * Returns the quantile `share` (0 to 1) with linear interpolation, 0 for an empty
- * sample. Sorts the values in place.
+ * Returns the quantile `share` (0 to 1) with linear interpolation, 0 for an
+ * empty sample. Sorts the values in place.
  */
 double quantile_of(double *values, uint32_t count, double share)
 {
--- a/src/test_libradishjunction/support/simulation.c
+++ b/src/test_libradishjunction/support/simulation.c
@@ -346,8 +346,8 @@
 }
 
 /*
- * Delivers an event after `delay_us`, unless the instance has ended or restarted
- * by then. Takes ownership of the event.
+ * Delivers an event after `delay_us`, unless the instance has ended or
+ * restarted by then. Takes ownership of the event.
  */
 void node_deliver_after(struct simulation *simulation, struct node *node,
 			uint64_t delay_us, struct rj_event *event)
--- a/src/test_libradishjunction/support/simulation.h
+++ b/src/test_libradishjunction/support/simulation.h
@@ -148,7 +148,7 @@
 	uint64_t epoch;
 };
 
-/* A caller with one job: it submits, retries at other instances and looks up
+/* A caller with one job: it submits, retries at other instances and polls
  * the outcome. */
 struct fake_caller {
 	uint32_t intent;
--- a/src/test_libradishjunction/support/text_check.c
+++ b/src/test_libradishjunction/support/text_check.c
@@ -24,8 +24,8 @@
 }
 
 /*
- * Asserts that there is exactly one error, which begins with `start` and contains
- * `remedy`.
+ * Asserts that there is exactly one error, which begins with `start` and
+ * contains `remedy`.
  */
 void text_check_one_error(const struct rj_error_list *errors, const char *start,
 			  const char *remedy)
--- a/src/test_libradishjunction/support/transcript.h
+++ b/src/test_libradishjunction/support/transcript.h
@@ -1,7 +1,7 @@
 /*
  * Prints events and actions as lines of text, for golden files and for the
- * analysis of a failing seed. Incarnations and ids are printed unmasked, as they
- * are reproducible for a seed.
+ * analysis of a failing seed. Incarnations and ids are printed unmasked, as
+ * they are reproducible for a seed.
  */
 #ifndef SUPPORT_TRANSCRIPT_H
 #define SUPPORT_TRANSCRIPT_H
