--- a/src/test_libradishjunction/naive/reference_core.c
+++ b/src/test_libradishjunction/naive/reference_core.c
@@ -77,6 +77,8 @@
 	return wake_us;
 }
 
+/* Adds a worker call with a new id. `job` may be NULL for a call without a
+ * task. */
 static struct rj_worker_call *call(struct reference_core *core,
 				   struct rj_actions *actions,
 				   const struct job *job, uint32_t member,
@@ -106,6 +108,7 @@
 	return worker_call;
 }
 
+/* Answers a request; no effect for request id 0. */
 static void answer(struct rj_actions *actions, uint64_t request_id,
 		   const struct rj_answer *response)
 {
@@ -118,6 +121,8 @@
 	action->u.answer.answer = *response;
 }
 
+/* Sets the final answer of a job and sends it to a waiting request. Copies
+ * `result`, which may be NULL. */
 static void complete_job(struct job *job, struct rj_actions *actions,
 			 enum rj_answer_kind kind, enum rj_reason reason,
 			 const struct rj_bytes *result)
@@ -154,6 +159,8 @@
 	return false;
 }
 
+/* Requests leases for all tasks of a new attempt, or schedules a retry if
+ * no worker is live. The job fails after TRIES_MAX attempts. */
 static void start_attempt(struct reference_core *core, struct job *job,
 			  uint64_t now_us, struct rj_actions *actions)
 {
@@ -185,6 +192,7 @@
 	return job;
 }
 
+/* Returns the job with that idempotency key, NULL for an empty key. */
 static struct job *find_key(struct reference_core *core, const char *key)
 {
 	struct job *job = core->jobs;
@@ -194,6 +202,7 @@
 	return job;
 }
 
+/* Starts a new job, or answers from the existing one with the same key. */
 static void submit(struct reference_core *core,
 		   const struct rj_request *request, uint64_t now_us,
 		   struct rj_actions *actions)
@@ -227,6 +236,7 @@
 	}
 }
 
+/* Stops all leased tasks and completes the job as cancelled. */
 static void cancel(struct reference_core *core, struct job *job,
 		   struct rj_actions *actions)
 {
@@ -261,6 +271,7 @@
 	answer(actions, request->request_id, &response);
 }
 
+/* Completes the job once all of its members are done. */
 static void member_done(struct job *job, struct member *member,
 			const struct rj_worker_reply *reply,
 			struct rj_actions *actions)
@@ -273,6 +284,8 @@
 		     &reply->result);
 }
 
+/* Advances a member: starts it once leased, ends the job with its outcome,
+ * and retries the job after any refusal or loss. */
 static void handle_member_reply(struct reference_core *core, struct job *job,
 				uint32_t index,
 				const struct rj_worker_reply *reply,
@@ -327,6 +340,7 @@
 	action->u.read.wait_us = 10 * RJ_US_PER_S;
 }
 
+/* Sends a configuration record to all peers. */
 static void forward_config(struct reference_core *core,
 			   const struct rj_record *record,
 			   struct rj_actions *actions)
@@ -391,6 +405,7 @@
 	}
 }
 
+/* Requests a report from each worker, which renews the leases there. */
 static void renew_leases(struct reference_core *core,
 			 struct rj_actions *actions)
 {
--- a/src/test_libradishjunction/support/callers_fixture.c
+++ b/src/test_libradishjunction/support/callers_fixture.c
@@ -13,6 +13,8 @@
 
 struct tevent_context *callers_loop;
 
+/* Records a request or disconnection, and answers unless `defer_answers` is
+ * set. */
 static void on_event(struct rj_sink *sink, struct rj_event *event)
 {
 	struct callers_server *server = (struct callers_server *)sink;
--- a/src/test_libradishjunction/support/checker_answers.c
+++ b/src/test_libradishjunction/support/checker_answers.c
@@ -168,6 +168,8 @@
 	}
 }
 
+/* Returns whether the request is delivered to the instance `*data` and
+ * unanswered while its caller waits. */
 static gboolean is_open_at(gpointer key, gpointer value, gpointer data)
 {
 	const struct checker_request *request = value;
--- a/src/test_libradishjunction/support/event_loop.c
+++ b/src/test_libradishjunction/support/event_loop.c
@@ -5,6 +5,7 @@
 /* Far longer than any test takes, so that only a test that hangs fails. */
 #define TIMEOUT_S 30
 
+/* Fails the test at its timeout. */
 static void on_patience(struct tevent_context *loop, struct tevent_timer *timer,
 			struct timeval now, void *private_data)
 {
--- a/src/test_libradishjunction/support/fake_caller.c
+++ b/src/test_libradishjunction/support/fake_caller.c
@@ -45,6 +45,7 @@
 	return NULL;
 }
 
+/* Closes the caller's connection at its timeout and schedules a retry. */
 static void request_timed_out(struct simulation *simulation,
 			      struct simulation_event *event)
 {
@@ -91,6 +92,8 @@
 	return event;
 }
 
+/* Sends a request to an instance. Except for CANCEL, the caller waits for
+ * the answer until its timeout. */
 static void put_request(struct simulation *simulation,
 			struct fake_caller *caller, struct node *node,
 			enum rj_request_op op)
@@ -153,6 +156,8 @@
 		put_request(simulation, caller, node, RJ_REQUEST_CANCEL);
 }
 
+/* Submits the job to a second instance while the first request is
+ * outstanding. */
 static void send_duplicate(struct simulation *simulation,
 			   struct simulation_event *event)
 {
--- a/src/test_libradishjunction/support/fake_log.c
+++ b/src/test_libradishjunction/support/fake_log.c
@@ -48,6 +48,7 @@
 	       simulation->log.slow_us;
 }
 
+/* Records the instance list for delayed delivery. Reschedules itself. */
 static void take_snapshot(struct simulation *simulation,
 			  struct simulation_event *event)
 {
@@ -123,6 +124,7 @@
 	g_queue_clear(&simulation->log.lists);
 }
 
+/* Trims the records whose retention has ended. */
 static void trim(struct simulation *simulation, enum rj_stream stream)
 {
 	GPtrArray *records = simulation->log.streams[stream];
@@ -169,6 +171,7 @@
 			   event);
 }
 
+/* Reports a failed read after the client's timeout. */
 static void fail_read(struct simulation *simulation, struct node *node,
 		      enum rj_stream stream)
 {
@@ -178,6 +181,7 @@
 	node_deliver_after(simulation, node, TIMEOUT_US, event);
 }
 
+/* Ends all long polls of a stream. */
 static void wake_readers(struct simulation *simulation, enum rj_stream stream)
 {
 	GQueue *readers = simulation->log.readers[stream];
@@ -230,6 +234,8 @@
 				simulation->log.revision, record->config_id);
 }
 
+/* Stores copies of the records and ends the stream's long polls. Returns
+ * the offset of the first record. */
 static uint64_t store(struct simulation *simulation,
 		      const struct rj_append *append)
 {
@@ -261,6 +267,7 @@
 	(void)store(simulation, &pending->append);
 }
 
+/* Applies an append subject to the configured faults, and answers it. */
 static void append_arrives(struct simulation *simulation,
 			   struct simulation_event *event)
 {
@@ -339,6 +346,7 @@
 		fail_read(simulation, node, event->other);
 }
 
+/* Answers a read, or starts a long poll. */
 static void read_arrives(struct simulation *simulation,
 			 struct simulation_event *event)
 {
--- a/src/test_libradishjunction/support/fake_peers.c
+++ b/src/test_libradishjunction/support/fake_peers.c
@@ -25,6 +25,7 @@
 	return NULL;
 }
 
+/* Returns whether messages pass between two instances. */
 static bool is_connected(const struct simulation *simulation, uint32_t a,
 			 uint32_t b)
 {
@@ -49,6 +50,7 @@
 	node_deliver_after(simulation, node, delay_us, event);
 }
 
+/* Changes the state of a link and notifies both instances. */
 static void set_link(struct simulation *simulation, uint32_t a, uint32_t b,
 		     bool up)
 {
--- a/src/test_libradishjunction/support/fake_worker.c
+++ b/src/test_libradishjunction/support/fake_worker.c
@@ -107,6 +107,7 @@
 	task->waiting = NULL;
 }
 
+/* Counts the progress of a running task since the last update. */
 static void update_progress(struct simulation *simulation,
 			    struct fake_task *task)
 {
@@ -172,6 +173,7 @@
 	event->index = worker->index;
 }
 
+/* Sets the speed of a running task, in percent, and its completion time. */
 static void set_throttle(struct simulation *simulation, struct fake_task *task,
 			 uint32_t percent)
 {
@@ -188,6 +190,7 @@
 			      &task->attempt, task->member, percent > 0);
 }
 
+/* Returns the newest task of that attempt and member, or NULL. */
 static struct fake_task *find_task(struct fake_worker *worker,
 				   const struct rj_attempt *attempt,
 				   uint32_t member)
@@ -286,6 +289,7 @@
 	return true;
 }
 
+/* Starts a leased task, with progress from the call's checkpoint. */
 static void start_task(struct simulation *simulation,
 		       struct fake_worker *worker, struct fake_task *task,
 		       const struct rj_worker_call *call, uint32_t percent)
@@ -345,6 +349,7 @@
 	return find_task(worker, &call->attempt, call->member);
 }
 
+/* Answers a checkpoint: the task has stopped, or the limit was exceeded. */
 static void end_checkpoint(struct simulation *simulation,
 			   struct simulation_event *event)
 {
@@ -364,6 +369,7 @@
 		answer_task(simulation, from, task);
 }
 
+/* Checkpoints and stops a task within the limit of the call. */
 static void serve_checkpoint(struct simulation *simulation,
 			     struct fake_worker *worker, struct fake_call *from,
 			     struct fake_task *task)
@@ -384,6 +390,7 @@
 	event->epoch = worker->incarnation;
 }
 
+/* Reports all tasks and renews the leases of the calling instance. */
 static void serve_report(struct simulation *simulation,
 			 struct fake_worker *worker, struct fake_call *from)
 {
@@ -429,6 +436,7 @@
 	fake_worker_answer(simulation, from, &reply);
 }
 
+/* Ends a leased task of the attempt, and prevents a later start of it. */
 static void serve_fence(struct simulation *simulation,
 			struct fake_worker *worker, struct fake_call *from)
 {
@@ -444,6 +452,7 @@
 	answer_task(simulation, from, task);
 }
 
+/* Serves the calls for a task that holds a lease. */
 static void serve_token(struct simulation *simulation,
 			struct fake_worker *worker, struct fake_call *from,
 			struct fake_task *task)
--- a/src/test_libradishjunction/support/fault_injection.c
+++ b/src/test_libradishjunction/support/fault_injection.c
@@ -36,6 +36,8 @@
 	}
 }
 
+/* Publishes one or two configurations based on the same revision, at times
+ * preceded by an invalid one and by one based on an old revision. */
 static void publish_race(struct simulation *simulation)
 {
 	uint32_t racers = 1 + (uint32_t)simulation_random(simulation, 2);
@@ -101,6 +103,7 @@
 	}
 }
 
+/* Ends all faults of a worker, restarting it if it is down or leaving. */
 static void recover_worker(struct simulation *simulation,
 			   struct fake_worker *worker)
 {
--- a/src/test_libradishjunction/support/fault_load.c
+++ b/src/test_libradishjunction/support/fault_load.c
@@ -5,6 +5,7 @@
 /* Shortest timeout of an impatient caller. */
 #define IMPATIENT_TIMEOUT_US (2 * RJ_US_PER_S)
 
+/* Draws a job of the given kind. */
 static void choose_caller_options(struct simulation *simulation,
 				  enum load_kind kind,
 				  struct fake_caller_options *options)
--- a/src/test_libradishjunction/support/faults.c
+++ b/src/test_libradishjunction/support/faults.c
@@ -22,6 +22,8 @@
 	[FAULT_SCENARIO_ROLLING_REPLACEMENT] = "rolling_replacement",
 };
 
+/* Draws the fault rates of a run below their limits. struct fault_rates is
+ * read as an array, as it has only uint32_t members. */
 static void draw_rates(struct simulation *simulation,
 		       const struct fault_rates *limits)
 {
@@ -143,6 +145,7 @@
 	node_stop(simulation, event->index);
 }
 
+/* Injects the fault of a scenario. */
 static void inject_scenario(struct simulation *simulation,
 			    enum fault_scenario fault_scenario)
 {
--- a/src/test_libradishjunction/support/simulation.c
+++ b/src/test_libradishjunction/support/simulation.c
@@ -13,6 +13,7 @@
  * without making progress. */
 #define EVENTS_PER_INSTANT_MAX 1000
 
+/* Orders events by time, then by creation. */
 static gint queue_order(gconstpointer left, gconstpointer right, gpointer data)
 {
 	const struct simulation_event *a = left;
@@ -198,6 +199,7 @@
 	node_kill(simulation, node->index);
 }
 
+/* Passes an action to the fake that it addresses. */
 static void execute_action(struct simulation *simulation, struct node *node,
 			   const struct rj_action *action)
 {
@@ -517,6 +519,7 @@
 	return since_us;
 }
 
+/* Runs the periodic checks. Reschedules itself. */
 static void check_tick(struct simulation *simulation,
 		       struct simulation_event *event)
 {
