--- a/src/test_libradishjunction/naive/reference_core.c
+++ b/src/test_libradishjunction/naive/reference_core.c
@@ -79,10 +79,9 @@
 
 /* Adds a worker call with a new id. `job` may be NULL for a call without a
  * task. */
-static struct rj_worker_call *call(struct reference_core *core,
-				   struct rj_actions *actions,
-				   const struct job *job, uint32_t member,
-				   enum rj_worker_op op)
+static struct rj_worker_call *
+add_worker_call(struct reference_core *core, struct rj_actions *actions,
+		const struct job *job, uint32_t member, enum rj_worker_op op)
 {
 	struct rj_action *action =
 		rj_actions_add(actions, RJ_ACTION_WORKER_CALL);
@@ -109,8 +108,8 @@
 }
 
 /* Answers a request; no effect for request id 0. */
-static void answer(struct rj_actions *actions, uint64_t request_id,
-		   const struct rj_answer *response)
+static void send_answer(struct rj_actions *actions, uint64_t request_id,
+			const struct rj_answer *response)
 {
 	struct rj_action *action;
 
@@ -138,7 +137,7 @@
 			talloc_memdup(job, result->data, result->length);
 		job->answer.result.length = result->length;
 	}
-	answer(actions, job->request_id, &job->answer);
+	send_answer(actions, job->request_id, &job->answer);
 	job->request_id = 0;
 }
 
@@ -147,20 +146,20 @@
 			  char worker[RJ_NAME_BYTES])
 {
 	for (uint32_t i = 0; i < core->worker_count; i++) {
-		const struct rj_instance *line =
+		const struct rj_instance *entry =
 			&core->workers[core->next_worker++ %
 				       core->worker_count];
 
-		if (line->leaving)
+		if (entry->leaving)
 			continue;
-		memcpy(worker, line->name, RJ_NAME_BYTES);
+		memcpy(worker, entry->name, RJ_NAME_BYTES);
 		return true;
 	}
 	return false;
 }
 
 /* Requests leases for all tasks of a new attempt, or schedules a retry if
- * no worker is live. The job fails after TRIES_MAX attempts. */
+ * no worker is live. After TRIES_MAX attempts the job ends as not run. */
 static void start_attempt(struct reference_core *core, struct job *job,
 			  uint64_t now_us, struct rj_actions *actions)
 {
@@ -179,7 +178,7 @@
 			job->retry_us = now_us + RETRY_DELAY_US;
 			return;
 		}
-		(void)call(core, actions, job, i, RJ_WORKER_LEASE);
+		(void)add_worker_call(core, actions, job, i, RJ_WORKER_LEASE);
 	}
 }
 
@@ -225,14 +224,14 @@
 		start_attempt(core, job, now_us, actions);
 	}
 	if (job->ended) {
-		answer(actions, request->request_id, &job->answer);
+		send_answer(actions, request->request_id, &job->answer);
 	} else if (request->spec.wait) {
 		job->request_id = request->request_id;
 	} else {
 		struct rj_answer response = { .kind = RJ_ANSWER_ACCEPTED };
 
 		response.job_id = job->attempt.job_id;
-		answer(actions, request->request_id, &response);
+		send_answer(actions, request->request_id, &response);
 	}
 }
 
@@ -242,7 +241,8 @@
 {
 	for (uint32_t i = 0; i < job->spec.shape.tasks; i++)
 		if (job->members[i].token)
-			(void)call(core, actions, job, i, RJ_WORKER_STOP);
+			(void)add_worker_call(core, actions, job, i,
+					      RJ_WORKER_STOP);
 	complete_job(job, actions, RJ_ANSWER_NOT_RUN, RJ_REASON_CANCELLED,
 		     NULL);
 }
@@ -268,7 +268,7 @@
 		response.kind = RJ_ANSWER_UNKNOWN;
 		response.reason = RJ_REASON_IN_PROGRESS;
 	}
-	answer(actions, request->request_id, &response);
+	send_answer(actions, request->request_id, &response);
 }
 
 /* Completes the job once all of its members are done. */
@@ -301,7 +301,8 @@
 	}
 	if (reply->op == RJ_WORKER_LEASE) {
 		member->token = reply->token;
-		start = call(core, actions, job, index, RJ_WORKER_START);
+		start = add_worker_call(core, actions, job, index,
+					RJ_WORKER_START);
 		start->wait = true;
 		start->throttle_percent = 100;
 		start->timeout_us = RUN_TIMEOUT_US;
@@ -410,8 +411,8 @@
 			 struct rj_actions *actions)
 {
 	for (uint32_t i = 0; i < core->worker_count; i++) {
-		struct rj_worker_call *report =
-			call(core, actions, NULL, 0, RJ_WORKER_REPORT);
+		struct rj_worker_call *report = add_worker_call(
+			core, actions, NULL, 0, RJ_WORKER_REPORT);
 
 		memcpy(report->worker, core->workers[i].name, RJ_NAME_BYTES);
 	}
--- a/src/test_libradishjunction/support/checker_guarantee.c
+++ b/src/test_libradishjunction/support/checker_guarantee.c
@@ -41,7 +41,7 @@
 		intent->late_reported = true;
 		checker_violation(
 			checker, now_us, INVARIANT_GUARANTEE,
-			"intent %u has waited for its guaranteed shape since "
+			"intent %u waits for its guaranteed shape since "
 			"%" PRIu64,
 			i, since_us);
 	}
--- a/src/test_libradishjunction/support/fake_log.c
+++ b/src/test_libradishjunction/support/fake_log.c
@@ -49,8 +49,8 @@
 }
 
 /* Records the instance list for delayed delivery. Reschedules itself. */
-static void take_snapshot(struct simulation *simulation,
-			  struct simulation_event *event)
+static void record_snapshot(struct simulation *simulation,
+			    struct simulation_event *event)
 {
 	struct list_snapshot *snapshot =
 		talloc_zero(simulation, struct list_snapshot);
@@ -93,7 +93,7 @@
 	g_queue_push_tail(&simulation->log.lists, snapshot);
 	if (g_queue_get_length(&simulation->log.lists) > LIST_SNAPSHOTS)
 		talloc_free(g_queue_pop_head(&simulation->log.lists));
-	(void)simulation_schedule(simulation, LIST_PERIOD_US, take_snapshot);
+	(void)simulation_schedule(simulation, LIST_PERIOD_US, record_snapshot);
 }
 
 /*
@@ -109,7 +109,7 @@
 	}
 	g_queue_init(&log->lists);
 	log->list_lag_us = RJ_US_PER_S;
-	(void)simulation_schedule(simulation, 0, take_snapshot);
+	(void)simulation_schedule(simulation, 0, record_snapshot);
 }
 
 /*
@@ -125,7 +125,7 @@
 }
 
 /* Trims the records whose retention has ended. */
-static void trim(struct simulation *simulation, enum rj_stream stream)
+static void trim_expired(struct simulation *simulation, enum rj_stream stream)
 {
 	GPtrArray *records = simulation->log.streams[stream];
 
@@ -148,7 +148,7 @@
 	struct rj_event *event = node_event(simulation, RJ_EVENT_RECORDS);
 	struct rj_records *records = &event->u.records;
 
-	trim(simulation, stream);
+	trim_expired(simulation, stream);
 	records->stream = stream;
 	records->from = from;
 	records->oldest = simulation->log.oldest[stream];
@@ -236,8 +236,8 @@
 
 /* Stores copies of the records and ends the stream's long polls. Returns
  * the offset of the first record. */
-static uint64_t store(struct simulation *simulation,
-		      const struct rj_append *append)
+static uint64_t store_records(struct simulation *simulation,
+			      const struct rj_append *append)
 {
 	GPtrArray *records = simulation->log.streams[append->stream];
 	uint64_t first = records->len;
@@ -264,7 +264,7 @@
 	const struct pending_append *pending = event->data;
 
 	simulation_trace(simulation, "a late append takes effect");
-	(void)store(simulation, &pending->append);
+	(void)store_records(simulation, &pending->append);
 }
 
 /* Applies an append subject to the configured faults, and answers it. */
@@ -294,7 +294,8 @@
 		appended->status = RJ_APPEND_LOST;
 		delay_us = TIMEOUT_US;
 	} else {
-		appended->first_offset = store(simulation, &pending->append);
+		appended->first_offset =
+			store_records(simulation, &pending->append);
 		if (simulation_chance(simulation,
 				      simulation->rates.append_answer_lost)) {
 			appended->status = RJ_APPEND_LOST;
@@ -448,7 +449,7 @@
 	record->revision = base + 1;
 	(void)snprintf(record->config_id, sizeof(record->config_id), "%s", id);
 	(void)rj_name_set(record->author, "operator");
-	(void)store(simulation, &append);
+	(void)store_records(simulation, &append);
 }
 
 /*
--- a/src/test_libradishjunction/support/fault_injection.c
+++ b/src/test_libradishjunction/support/fault_injection.c
@@ -38,9 +38,9 @@
 
 /* Publishes one or two configurations based on the same revision, at times
  * preceded by an invalid one and by one based on an old revision. */
-static void publish_race(struct simulation *simulation)
+static void publish_concurrently(struct simulation *simulation)
 {
-	uint32_t racers = 1 + (uint32_t)simulation_random(simulation, 2);
+	uint32_t publications = 1 + (uint32_t)simulation_random(simulation, 2);
 	uint64_t base = simulation->log.revision;
 
 	if (simulation_random(simulation, 4) == 0) {
@@ -56,7 +56,7 @@
 			"stale",
 			simulation_config_text(simulation, simulation, 0));
 	}
-	for (uint32_t i = 0; i < racers; i++) {
+	for (uint32_t i = 0; i < publications; i++) {
 		char id[RJ_CONFIG_ID_BYTES];
 		const char *text;
 
@@ -293,7 +293,7 @@
 					  fault_restore_links);
 		break;
 	case FAULT_PUBLISH:
-		publish_race(simulation);
+		publish_concurrently(simulation);
 		break;
 	case FAULT_ISOLATE_DOMAIN:
 		fault_isolate_domain(simulation, simulation->nodes[node].domain,
--- a/src/test_libradishjunction/support/simulation.c
+++ b/src/test_libradishjunction/support/simulation.c
@@ -50,12 +50,13 @@
  */
 int64_t simulation_drift_ppm(struct simulation *simulation)
 {
-	int64_t most = simulation->options.drift_ppm;
+	int64_t limit_ppm = simulation->options.drift_ppm;
 
-	if (!most)
+	if (!limit_ppm)
 		return 0;
-	return (int64_t)simulation_random(simulation, 2 * (uint64_t)most + 1) -
-	       most;
+	return (int64_t)simulation_random(simulation,
+					  2 * (uint64_t)limit_ppm + 1) -
+	       limit_ppm;
 }
 
 /*
