--- a/src/test_libradishjunction/naive/planner_easy.c
+++ b/src/test_libradishjunction/naive/planner_easy.c
@@ -7,39 +7,36 @@
 
 #include "private/plan_table.h"
 
-/* What is taken for a job whose caller declares nothing. */
+/* Run time assumed for a job without a declared one. */
 #define DECLARED_US_DEFAULT (60 * RJ_US_PER_S)
 
-/* How far down the queue backfill looks, as schedulers in use do. */
+/* Queued jobs that one pass considers, as in production schedulers. */
 #define BACKFILL_DEPTH 200
 
-/* So many shapes are remembered, so that equal jobs are not tried again. */
+/* Shapes recorded per pass so that equal jobs are not placed again. */
 #define FAILURES_MAX 16
 
 struct easy_state {
 	struct rj_capacity capacity;
 	struct rj_plan_table table;
-	GQueue queue; /* in order of arrival */
-	GPtrArray *running; /* in order of their start */
+	GQueue queue; /* in arrival order */
+	GPtrArray *running; /* in start order */
 	struct rj_domain domain;
 	uint32_t queue_max;
 	struct rj_plan_member members[RJ_GANG_MAX];
-	struct rj_plan_member kept[RJ_GANG_MAX]; /* for the head */
-	uint32_t kept_count;
-	uint64_t shadow_us;
+	struct rj_plan_member reserved[RJ_GANG_MAX]; /* for the queue head */
+	uint32_t reserved_count;
+	uint64_t shadow_us; /* earliest expected start of the head */
 	const struct rj_shape *head;
 };
 
-/*
- * The state behind the vtable.
- */
 static struct easy_state *state_of(const struct rj_planner *planner)
 {
 	return ((const struct planner_easy *)planner)->state;
 }
 
 /*
- * Take over the bound of the queue and the domain's topology.
+ * Applies the queue limit and the topology of the failure domain.
  */
 static void easy_configure(struct rj_planner *planner,
 			   const struct rj_config *config, const char *domain,
@@ -54,7 +51,7 @@
 }
 
 /*
- * A worker is known, or known to have changed.
+ * Adds or updates a worker.
  */
 static void easy_worker(struct rj_planner *planner,
 			const struct rj_plan_worker *worker, uint64_t now_us)
@@ -63,7 +60,7 @@
 }
 
 /*
- * A worker is no more.
+ * Removes a worker.
  */
 static void easy_worker_gone(struct rj_planner *planner, uint32_t worker,
 			     uint64_t now_us)
@@ -72,7 +69,8 @@
 }
 
 /*
- * Queue the job, unless it could never run or the queue is full.
+ * Queues the job. Returns -1 with `*reason` if it can never fit or the queue is
+ * full.
  */
 static int easy_submit(struct rj_planner *planner,
 		       const struct rj_plan_job *job, uint64_t now_us,
@@ -94,7 +92,8 @@
 }
 
 /*
- * The job neither waits nor runs any more.
+ * Removes the job from the queue or from the running jobs, releasing its
+ * capacity.
  */
 static void detach(struct easy_state *state, struct rj_plan_entry *entry)
 {
@@ -107,7 +106,7 @@
 }
 
 /*
- * Forget a job.
+ * Removes a completed job.
  */
 static void easy_ended(struct rj_planner *planner, uint64_t job_id,
 		       bool succeeded, uint64_t ran_us, uint64_t now_us)
@@ -122,7 +121,7 @@
 }
 
 /*
- * The job waits again, at its old place.
+ * Returns the job to its original place in the queue.
  */
 static void easy_requeue(struct rj_planner *planner, uint64_t job_id,
 			 uint64_t not_before_us, uint64_t now_us)
@@ -138,7 +137,7 @@
 }
 
 /*
- * The job runs on the members.
+ * Allocates the members to the job and records it as running.
  */
 static void attach(struct easy_state *state, struct rj_plan_entry *entry,
 		   const struct rj_plan_member *members, uint32_t count,
@@ -149,7 +148,7 @@
 }
 
 /*
- * Take over a job that runs.
+ * Adopts a job that is running already.
  */
 static void easy_adopt(struct rj_planner *planner,
 		       const struct rj_plan_job *job,
@@ -163,7 +162,7 @@
 }
 
 /*
- * The run time that the planner goes by.
+ * Returns the run time that the planner assumes for the job.
  */
 static uint64_t declared_us(const struct rj_plan_entry *entry)
 {
@@ -172,46 +171,48 @@
 }
 
 /*
- * What is free on the worker without what is kept for the head; all that is
- * free for a job that ends before the head may start.
+ * Returns the free capacity of the worker. The reservation of the head is
+ * subtracted unless the job completes before the shadow time.
  */
-static struct rj_resources room_of(const struct easy_state *state,
-				   const struct rj_capacity_worker *worker,
-				   bool in_time)
+static struct rj_resources
+unreserved_capacity(const struct easy_state *state,
+		    const struct rj_capacity_worker *worker, bool before_shadow)
 {
-	struct rj_resources room = worker->free;
+	struct rj_resources available = worker->free;
 
-	for (uint32_t i = 0; !in_time && i < state->kept_count; i++) {
-		struct rj_resources kept = { 0 };
+	for (uint32_t i = 0; !before_shadow && i < state->reserved_count; i++) {
+		struct rj_resources reserved = { 0 };
 
-		if (state->kept[i].worker != worker->plan.id)
+		if (state->reserved[i].worker != worker->plan.id)
 			continue;
-		rj_resources_add(&kept, &state->head->each,
-				 state->kept[i].tasks);
-		rj_resources_subtract_saturating(&room, &kept);
+		rj_resources_add(&reserved, &state->head->each,
+				 state->reserved[i].tasks);
+		rj_resources_subtract_saturating(&available, &reserved);
 	}
-	return room;
+	return available;
 }
 
 /*
- * Fill the workers of a rack, tightest fit first, after `count` members.
+ * Places up to `*remaining` tasks on the workers of a rack, tightest fit first,
+ * and appends them after `count` members. Returns the new member count and
+ * decrements `*remaining`.
  */
 static uint32_t fill_rack(struct easy_state *state,
 			  const struct rj_capacity_rack *rack,
-			  const struct rj_shape *shape, bool in_time,
-			  uint32_t count, uint32_t *want)
+			  const struct rj_shape *shape, bool before_shadow,
+			  uint32_t count, uint32_t *remaining)
 {
 	uint32_t first = count;
 
-	while (*want) {
+	while (*remaining) {
 		uint32_t best = rack->count;
 		uint32_t best_tasks = 0;
 
 		for (uint32_t i = 0; i < rack->count; i++) {
-			struct rj_resources room =
-				room_of(state, rack->workers[i], in_time);
+			struct rj_resources available = unreserved_capacity(
+				state, rack->workers[i], before_shadow);
 			uint32_t tasks = rj_resources_fit_count(
-				&shape->each, &room, RJ_GANG_MAX);
+				&shape->each, &available, RJ_GANG_MAX);
 			bool used = false;
 
 			for (uint32_t j = first; j < count; j++)
@@ -226,22 +227,23 @@
 		if (best == rack->count)
 			return count;
 		state->members[count].worker = rack->workers[best]->plan.id;
-		state->members[count].tasks = MIN(best_tasks, *want);
-		*want -= state->members[count].tasks;
+		state->members[count].tasks = MIN(best_tasks, *remaining);
+		*remaining -= state->members[count].tasks;
 		count++;
 	}
 	return count;
 }
 
 /*
- * Where the shape fits: the tightest rack, or several for one that may span.
+ * Places the shape in the rack with the tightest fit, or across racks if it
+ * need not be adjacent. Returns the number of members, 0 if it does not fit.
  */
-static uint32_t place(struct easy_state *state, const struct rj_shape *shape,
-		      bool in_time)
+static uint32_t find_placement(struct easy_state *state,
+			       const struct rj_shape *shape, bool before_shadow)
 {
 	uint32_t best = state->capacity.rack_count;
 	uint32_t best_fits = UINT32_MAX;
-	uint32_t want = shape->tasks;
+	uint32_t remaining = shape->tasks;
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < state->capacity.rack_count; i++) {
@@ -249,10 +251,10 @@
 		uint32_t fits = 0;
 
 		for (uint32_t j = 0; j < rack->count; j++) {
-			struct rj_resources room =
-				room_of(state, rack->workers[j], in_time);
+			struct rj_resources available = unreserved_capacity(
+				state, rack->workers[j], before_shadow);
 
-			fits += rj_resources_fit_count(&shape->each, &room,
+			fits += rj_resources_fit_count(&shape->each, &available,
 						       RJ_GANG_MAX);
 		}
 		if (fits < shape->tasks || fits >= best_fits)
@@ -262,20 +264,20 @@
 	}
 	if (best < state->capacity.rack_count)
 		return fill_rack(state, state->capacity.racks[best], shape,
-				 in_time, 0, &want);
+				 before_shadow, 0, &remaining);
 	for (uint32_t i = 0; !shape->adjacent && i < state->capacity.rack_count;
 	     i++)
 		count = fill_rack(state, state->capacity.racks[i], shape,
-				  in_time, count, &want);
-	return want ? 0 : count;
+				  before_shadow, count, &remaining);
+	return remaining ? 0 : count;
 }
 
 /*
- * Start a waiting job on the first `count` members of the state.
+ * Starts a queued job on the first `count` members of the state.
  */
-static void start(struct easy_state *state, struct rj_plan_entry *entry,
-		  uint32_t count, enum rj_reason reason, uint64_t now_us,
-		  struct rj_decisions *decisions)
+static void start_job(struct easy_state *state, struct rj_plan_entry *entry,
+		      uint32_t count, enum rj_reason reason, uint64_t now_us,
+		      struct rj_decisions *decisions)
 {
 	rj_decisions_add_start(decisions, entry->job.job_id, reason,
 			       state->members, count);
@@ -284,9 +286,9 @@
 }
 
 /*
- * The soonest declared end first.
+ * Orders running jobs by expected completion, earliest first.
  */
-static gint compare_ends(gconstpointer a, gconstpointer b)
+static gint compare_completions(gconstpointer a, gconstpointer b)
 {
 	const struct rj_plan_entry *one =
 		*(const struct rj_plan_entry *const *)a;
@@ -301,49 +303,52 @@
 }
 
 /*
- * When and where the head of the queue will fit if all run as declared: the
- * running jobs are taken out in the order of their ends until it does, and
- * put back.
+ * Computes the shadow time and the reservation of the head of the queue.
+ * Running jobs are released in order of expected completion until the head
+ * fits, and are then restored.
  */
 static void find_shadow(struct easy_state *state,
 			const struct rj_plan_entry *head, uint64_t now_us)
 {
-	GPtrArray *ends = g_ptr_array_copy(state->running, NULL, NULL);
+	GPtrArray *by_completion = g_ptr_array_copy(state->running, NULL, NULL);
 	uint32_t count = 0;
-	uint32_t out = 0;
+	uint32_t released = 0;
 
-	g_ptr_array_sort(ends, compare_ends);
+	g_ptr_array_sort(by_completion, compare_completions);
 	state->shadow_us = RJ_NEVER_US;
-	while (out < ends->len && !count) {
+	while (released < by_completion->len && !count) {
 		const struct rj_plan_entry *entry =
-			g_ptr_array_index(ends, out);
+			g_ptr_array_index(by_completion, released);
 
 		rj_capacity_release(&state->capacity, &entry->job.shape.each,
 				    entry->members, entry->member_count);
 		state->shadow_us =
 			MAX(entry->started_us + declared_us(entry), now_us);
-		count = place(state, &head->job.shape, true);
-		out++;
+		count = find_placement(state, &head->job.shape, true);
+		released++;
 	}
-	for (uint32_t i = 0; i < out; i++) {
-		const struct rj_plan_entry *entry = g_ptr_array_index(ends, i);
+	for (uint32_t i = 0; i < released; i++) {
+		const struct rj_plan_entry *entry =
+			g_ptr_array_index(by_completion, i);
 
 		rj_capacity_allocate(&state->capacity, &entry->job.shape.each,
 				     entry->members, entry->member_count);
 	}
-	g_ptr_array_free(ends, TRUE);
+	g_ptr_array_free(by_completion, TRUE);
 	if (!count)
 		return;
-	memcpy(state->kept, state->members, sizeof(*state->kept) * count);
-	state->kept_count = count;
+	memcpy(state->reserved, state->members,
+	       sizeof(*state->reserved) * count);
+	state->reserved_count = count;
 	state->head = &head->job.shape;
 }
 
 /*
- * Give up a waiting job whose deadline has passed.
+ * Rejects a queued job whose deadline has passed.
  */
-static void refuse_late(struct easy_state *state, struct rj_plan_entry *entry,
-			struct rj_decisions *decisions)
+static void reject_expired(struct easy_state *state,
+			   struct rj_plan_entry *entry,
+			   struct rj_decisions *decisions)
 {
 	struct rj_decision *decision =
 		rj_decisions_add(decisions, RJ_DECISION_REFUSE);
@@ -354,37 +359,36 @@
 	rj_plan_table_remove(&state->table, entry);
 }
 
-/* Shapes that did not fit in this pass, as a job in time or any other. */
+/* Shapes that did not fit in this pass, by whether the job completes before the
+ * shadow time. */
 struct failures {
 	const struct rj_shape *shapes[2][FAILURES_MAX];
 	uint32_t count[2];
 };
 
 /*
- * Whether a job of this shape did not fit before in this pass.
+ * Returns whether a job of this shape failed to fit earlier in this pass.
  */
 static bool has_failed(const struct failures *failures,
-		       const struct rj_shape *shape, bool in_time)
+		       const struct rj_shape *shape, bool before_shadow)
 {
-	for (uint32_t i = 0; i < failures->count[in_time]; i++)
-		if (rj_shape_equal(failures->shapes[in_time][i], shape))
+	for (uint32_t i = 0; i < failures->count[before_shadow]; i++)
+		if (rj_shape_equal(failures->shapes[before_shadow][i], shape))
 			return true;
 	return false;
 }
 
-/*
- * Remember a shape that did not fit.
- */
-static void note_failure(struct failures *failures,
-			 const struct rj_shape *shape, bool in_time)
+static void record_failure(struct failures *failures,
+			   const struct rj_shape *shape, bool before_shadow)
 {
-	if (failures->count[in_time] < FAILURES_MAX)
-		failures->shapes[in_time][failures->count[in_time]++] = shape;
+	if (failures->count[before_shadow] < FAILURES_MAX)
+		failures->shapes[before_shadow]
+				[failures->count[before_shadow]++] = shape;
 }
 
 /*
- * Start in order of arrival until one is blocked; keep its place, and start
- * of the others what does not delay it.
+ * Starts queued jobs in arrival order until one does not fit. That job gets a
+ * reservation, and later jobs are backfilled only if they do not delay it.
  */
 static void easy_pass(struct rj_planner *planner, uint64_t now_us,
 		      struct rj_decisions *decisions)
@@ -395,44 +399,46 @@
 	uint32_t depth = 0;
 	GList *next;
 
-	state->kept_count = 0;
+	state->reserved_count = 0;
 	for (GList *at = state->queue.head; at; at = next) {
 		struct rj_plan_entry *entry = at->data;
-		bool in_time = !failed ||
-			       now_us + declared_us(entry) <= state->shadow_us;
+		bool before_shadow = !failed || now_us + declared_us(entry) <=
+							state->shadow_us;
 		uint32_t count;
 
 		next = at->next;
 		if (entry->job.deadline_us <= now_us) {
-			refuse_late(state, entry, decisions);
+			reject_expired(state, entry, decisions);
 			continue;
 		}
 		if (entry->not_before_us > now_us || depth == BACKFILL_DEPTH)
 			continue;
 		entry->not_before_us = 0;
 		depth++;
-		if (has_failed(&failures, &entry->job.shape, in_time))
+		if (has_failed(&failures, &entry->job.shape, before_shadow))
 			continue;
-		count = place(state, &entry->job.shape, in_time);
+		count = find_placement(state, &entry->job.shape, before_shadow);
 		if (count) {
 			depth--;
-			start(state, entry, count,
-			      failed ? RJ_REASON_BACKFILL : RJ_REASON_BEST_FIT,
-			      now_us, decisions);
+			start_job(state, entry, count,
+				  failed ? RJ_REASON_BACKFILL :
+					   RJ_REASON_BEST_FIT,
+				  now_us, decisions);
 			continue;
 		}
 		if (failed) {
-			note_failure(&failures, &entry->job.shape, in_time);
+			record_failure(&failures, &entry->job.shape,
+				       before_shadow);
 			continue;
 		}
 		failed = entry;
 		find_shadow(state, entry, now_us);
 	}
-	state->kept_count = 0;
+	state->reserved_count = 0;
 }
 
 /*
- * The first deadline or end of a back-off.
+ * Returns the earliest deadline or end of a back-off.
  */
 static uint64_t easy_wake_us(const struct rj_planner *planner)
 {
@@ -440,7 +446,7 @@
 }
 
 /*
- * Count what waits, runs and is free.
+ * Fills the view with queue, running and capacity counts.
  */
 static void easy_view(const struct rj_planner *planner, uint64_t now_us,
 		      struct rj_plan_view *view)
@@ -455,9 +461,6 @@
 	rj_capacity_view(&state->capacity, largest, view);
 }
 
-/*
- * Free the state.
- */
 static void easy_finish(struct rj_planner *planner)
 {
 	struct planner_easy *easy = (struct planner_easy *)planner;
@@ -484,7 +487,7 @@
 };
 
 /*
- * Make the planner; its state is a talloc child of `mem`. Returns 0.
+ * Initialises the planner. Its state is a talloc child of `mem`. Returns 0.
  */
 int planner_easy_init(struct planner_easy *planner, void *mem)
 {
--- a/src/test_libradishjunction/support/callers_fixture.c
+++ b/src/test_libradishjunction/support/callers_fixture.c
@@ -13,26 +13,28 @@
 
 struct tevent_context *callers_loop;
 
+/* Records a request or disconnection, and answers unless `defer_answers` is
+ * set. */
 static void on_event(struct rj_sink *sink, struct rj_event *event)
 {
 	struct callers_server *server = (struct callers_server *)sink;
 	const struct rj_bytes *body = &event->u.request.spec.body;
 
 	if (event->kind == RJ_EVENT_CALLER_DISCONNECTED) {
-		server->gone_id = event->u.request_id;
+		server->disconnected_id = event->u.request_id;
 		return;
 	}
 	g_assert_cmpint(event->kind, ==, RJ_EVENT_REQUEST);
-	server->asked = event->u.request;
+	server->last_request = event->u.request;
 	memset(server->body, 0, sizeof(server->body));
 	if (body->length)
 		memcpy(server->body, body->data,
 		       MIN(body->length, sizeof(server->body) - 1));
-	server->asked_count++;
-	if (!server->hold)
-		server->callers.base.ops->answer(&server->callers.base,
-						 server->asked.request_id,
-						 &server->answer);
+	server->request_count++;
+	if (!server->defer_answers)
+		server->callers.base.ops->answer(
+			&server->callers.base, server->last_request.request_id,
+			&server->answer);
 }
 
 static bool view_ready(struct rj_caller_views *views)
@@ -65,7 +67,8 @@
 };
 
 /*
- * Listen for callers, or only when told to serve if `deferred`.
+ * Starts the adapter on a free port of the loopback address. With `deferred` it
+ * serves no caller until it is requested to.
  */
 void callers_server_init_as(struct callers_server *server, uint32_t connections,
 			    uint32_t requests, bool deferred)
@@ -91,7 +94,7 @@
 }
 
 /*
- * Listen for callers and serve them at once.
+ * Starts the adapter and serves callers immediately.
  */
 void callers_server_init(struct callers_server *server, uint32_t connections,
 			 uint32_t requests)
@@ -99,9 +102,6 @@
 	callers_server_init_as(server, connections, requests, false);
 }
 
-/*
- * Stop the adapter.
- */
 void callers_server_finish(struct callers_server *server)
 {
 	server->callers.base.ops->finish(&server->callers.base);
@@ -126,7 +126,7 @@
 		return;
 	done = recv(client->fd, data, sizeof(data), 0);
 	if (done > 0)
-		g_string_append_len(client->got, data, done);
+		g_string_append_len(client->received, data, done);
 	if (done == 0)
 		client->closed = true;
 	if (client->closed)
@@ -134,7 +134,7 @@
 }
 
 /*
- * Connect and send `text`, which outlives the client.
+ * Connects and sends `text`, which must outlive the client.
  */
 void callers_client_init(struct callers_client *client,
 			 const struct callers_server *server, const char *text)
@@ -144,7 +144,7 @@
 	memset(client, 0, sizeof(*client));
 	client->text = text;
 	client->length = strlen(text);
-	client->got = g_string_new(NULL);
+	client->received = g_string_new(NULL);
 	client->fd = rj_tcp_connect(&address, NULL);
 	client->event = tevent_add_fd(callers_loop, callers_loop, client->fd,
 				      TEVENT_FD_READ | TEVENT_FD_WRITE,
@@ -152,26 +152,27 @@
 }
 
 /*
- * Close the connection of a caller.
+ * Closes the connection and frees the received text.
  */
 void callers_client_finish(struct callers_client *client)
 {
 	talloc_free(client->event);
 	close(client->fd);
-	g_string_free(client->got, TRUE);
+	g_string_free(client->received, TRUE);
 }
 
 /*
- * The status line's number, 0 while nothing has come.
+ * Returns the HTTP status code, 0 before the status line has arrived.
  */
 unsigned int callers_client_status(const struct callers_client *client)
 {
-	return client->got->len < 12 ? 0 :
-				       (unsigned int)atoi(client->got->str + 9);
+	return client->received->len < 12 ?
+		       0 :
+		       (unsigned int)atoi(client->received->str + 9);
 }
 
 /*
- * Send `text` and check the status and a part of what comes back.
+ * Sends `text` and checks that the response has `status` and contains `part`.
  */
 void callers_expect(struct callers_server *server, const char *text,
 		    unsigned int status, const char *part)
@@ -181,15 +182,15 @@
 	callers_client_init(&client, server, text);
 	RUN_UNTIL(callers_loop, client.closed);
 	if (callers_client_status(&client) != status ||
-	    !strstr(client.got->str, part))
-		g_test_message("sent %s\ngot %s", text, client.got->str);
+	    !strstr(client.received->str, part))
+		g_test_message("sent %s\ngot %s", text, client.received->str);
 	g_assert_cmpuint(callers_client_status(&client), ==, status);
-	g_assert_nonnull(strstr(client.got->str, part));
+	g_assert_nonnull(strstr(client.received->str, part));
 	callers_client_finish(&client);
 }
 
 /*
- * A whole request; the result is freed by the test's end.
+ * Formats a complete request. The text is a talloc child of `callers_loop`.
  */
 const char *callers_request(const char *line, const char *headers,
 			    const char *body)
@@ -201,7 +202,7 @@
 }
 
 /*
- * A whole submission with a key.
+ * Formats the submission of a job with an idempotency key.
  */
 const char *callers_post(const char *body)
 {
--- a/src/test_libradishjunction/support/checker_answers.c
+++ b/src/test_libradishjunction/support/checker_answers.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /*
- * A request was put to an instance.
+ * Records a request that a caller sends to an instance.
  */
 void checker_request(struct checker *checker, uint64_t now_us,
 		     uint64_t request_id, uint32_t node, uint32_t intent,
@@ -28,7 +28,7 @@
 }
 
 /*
- * The caller has stopped waiting, or its instance died.
+ * Records that the caller has stopped waiting, or that its instance ended.
  */
 void checker_request_abandoned(struct checker *checker, uint64_t request_id)
 {
@@ -36,11 +36,11 @@
 		g_hash_table_lookup(checker->requests, &request_id);
 
 	if (request)
-		request->gone = true;
+		request->abandoned = true;
 }
 
 /*
- * The request has reached its instance, which owes it an answer from now on.
+ * Records that the request has reached its instance, which must answer it.
  */
 void checker_request_delivered(struct checker *checker, uint64_t request_id)
 {
@@ -51,26 +51,26 @@
 		request->delivered = true;
 }
 
-static void mark_gone(gpointer key, gpointer value, gpointer data)
+static void mark_abandoned(gpointer key, gpointer value, gpointer data)
 {
 	struct checker_request *request = value;
 	const uint32_t *node = data;
 
 	if (request->node == *node)
-		request->gone = true;
+		request->abandoned = true;
 }
 
 /*
- * An instance has ended, and the connections of its callers with it.
+ * Records that an instance has ended, which closes its callers' connections.
  */
 void checker_node_ended(struct checker *checker, uint32_t node)
 {
-	g_hash_table_foreach(checker->requests, mark_gone, &node);
+	g_hash_table_foreach(checker->requests, mark_abandoned, &node);
 }
 
-/* Whether `result` is one or more whole results of the intent. */
-static bool result_is_whole(const struct checker_intent *intent,
-			    const struct rj_bytes *result)
+/* Returns whether `result` is one or more complete results of the intent. */
+static bool result_is_complete(const struct checker_intent *intent,
+			       const struct rj_bytes *result)
 {
 	uint32_t length = (uint32_t)strlen(intent->result);
 
@@ -82,7 +82,7 @@
 	return true;
 }
 
-/* An answer that ends the matter: asking again would bring no other. */
+/* Returns whether the answer is final: a later lookup cannot return another. */
 static bool is_final(const struct rj_answer *answer)
 {
 	if (answer->kind == RJ_ANSWER_ACCEPTED)
@@ -95,7 +95,7 @@
 	       answer->reason == RJ_REASON_KEY_EXPIRED;
 }
 
-/* "Not run" must be true of all that has happened so far. */
+/* Checks a not_run answer against everything that has run so far. */
 static void check_not_run(struct checker *checker, uint64_t now_us,
 			  const struct checker_request *request,
 			  struct checker_intent *intent,
@@ -104,7 +104,7 @@
 	checker->checks[INVARIANT_NOT_RUN]++;
 	if (intent->ran)
 		checker_violation(checker, now_us, INVARIANT_NOT_RUN,
-				  "intent %u was told not_run (%s) and had run",
+				  "intent %u: not_run (%s), but it had run",
 				  request->intent,
 				  rj_reason_string[answer->reason]);
 	if (intent->accepted && answer->reason == RJ_REASON_NO_SUCH_JOB)
@@ -141,15 +141,15 @@
 				  "request %" PRIu64 " was answered twice",
 				  request_id);
 	if (answer->kind == RJ_ANSWER_DONE) {
-		if (!result_is_whole(intent, &answer->result))
+		if (!result_is_complete(intent, &answer->result))
 			checker_violation(
 				checker, now_us, INVARIANT_ANSWER,
-				"intent %u: the result is not its own whole",
+				"intent %u: the result is foreign or partial",
 				request->intent);
 		if (!intent->completed)
 			checker_violation(
 				checker, now_us, INVARIANT_ANSWER,
-				"intent %u: done, but no run of it ended",
+				"intent %u: done, but no run of it completed",
 				request->intent);
 	}
 	if (answer->kind == RJ_ANSWER_FAILED && !intent->ran)
@@ -161,24 +161,26 @@
 		check_not_run(checker, now_us, request, intent, answer);
 	if (answer->kind == RJ_ANSWER_ACCEPTED)
 		intent->accepted = true;
-	if (!request->gone && is_final(answer) &&
+	if (!request->abandoned && is_final(answer) &&
 	    intent->answered_us == RJ_NEVER_US) {
 		intent->answered_us = now_us;
 		intent->answer = answer->kind;
 	}
 }
 
+/* Returns whether the request is delivered to the instance `*data` and
+ * unanswered while its caller waits. */
 static gboolean is_open_at(gpointer key, gpointer value, gpointer data)
 {
 	const struct checker_request *request = value;
 	const uint32_t *node = data;
 
 	return request->node == *node && request->delivered &&
-	       !request->answers && !request->gone;
+	       !request->answers && !request->abandoned;
 }
 
 /*
- * An instance says that its stop is complete.
+ * Records that an instance has completed its graceful stop.
  */
 void checker_exit(struct checker *checker, uint64_t now_us, uint32_t node)
 {
--- a/src/test_libradishjunction/support/checker_config.c
+++ b/src/test_libradishjunction/support/checker_config.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 /*
- * The log took a publication that by its order is the accepted one.
+ * Records a publication that the order of the log makes the accepted one.
  */
 void checker_config_accepted(struct checker *checker, uint64_t now_us,
 			     uint64_t revision, const char *id)
@@ -17,7 +17,8 @@
 }
 
 /*
- * An instance hands on what it takes for the accepted one of a revision.
+ * Records that an instance forwards a configuration as the accepted one of a
+ * revision.
  */
 void checker_config_forwarded(struct checker *checker, uint64_t now_us,
 			      uint32_t node, uint64_t revision, const char *id)
@@ -35,74 +36,75 @@
 }
 
 /*
- * An instance says which revision is in force at it.
+ * Records the revision that an instance reports to be in force.
  */
 void checker_config_in_force(struct checker *checker, uint64_t now_us,
 			     uint32_t node, uint64_t incarnation,
 			     uint64_t revision)
 {
-	struct checker_node *seen = &checker->nodes[node];
+	struct checker_node *known = &checker->nodes[node];
 
 	checker->checks[INVARIANT_CONFIG]++;
-	if (seen->incarnation != incarnation) {
-		seen->incarnation = incarnation;
-		seen->revision = 0;
+	if (known->incarnation != incarnation) {
+		known->incarnation = incarnation;
+		known->revision = 0;
 	}
 	if (revision > checker->revision)
 		checker_violation(checker, now_us, INVARIANT_CONFIG,
 				  "node %u has revision %" PRIu64
 				  ", which was not accepted",
 				  node, revision);
-	if (revision < seen->revision)
+	if (revision < known->revision)
 		checker_violation(checker, now_us, INVARIANT_CONFIG,
 				  "node %u went back from revision %" PRIu64
 				  " to %" PRIu64,
-				  node, seen->revision, revision);
-	if (revision > seen->revision && revision == checker->revision) {
+				  node, known->revision, revision);
+	if (revision > known->revision && revision == checker->revision) {
 		uint64_t took_us = now_us - checker->revision_us;
 
 		g_array_append_val(checker->settle_us, took_us);
 	}
-	seen->revision = revision;
+	known->revision = revision;
 }
 
 /*
- * An instance can, or cannot, reach the platform.
+ * Records whether an instance can reach the platform.
  */
 void checker_node_platform(struct checker *checker, uint64_t now_us,
-			   uint32_t node, bool reached)
+			   uint32_t node, bool reachable)
 {
-	struct checker_node *seen = &checker->nodes[node];
+	struct checker_node *known = &checker->nodes[node];
 
-	if (!reached)
-		seen->reached_us = RJ_NEVER_US;
-	else if (seen->reached_us == RJ_NEVER_US)
-		seen->reached_us = now_us;
+	if (!reachable)
+		known->platform_since_us = RJ_NEVER_US;
+	else if (known->platform_since_us == RJ_NEVER_US)
+		known->platform_since_us = now_us;
 }
 
 /*
- * Since when an instance hears one peer that reached the platform all the
- * while; RJ_NEVER_US when there is none.
+ * Sets the start of an instance's contact with a peer that has reached the
+ * platform ever since; RJ_NEVER_US if there is no such peer.
  */
 void checker_node_peer(struct checker *checker, uint32_t node,
 		       uint64_t since_us)
 {
-	checker->nodes[node].peer_us = since_us;
+	checker->nodes[node].peer_since_us = since_us;
 }
 
 /*
- * Time has passed: where should the newest configuration be in force by now,
- * read from the platform or told by a peer?
+ * Checks that each instance runs the newest configuration within
+ * CHECKER_CONFIG_US of being able to read it from the platform or a peer.
  */
 void checker_config_tick(struct checker *checker, uint64_t now_us)
 {
 	for (uint32_t i = 0; i < CHECKER_NODES_MAX; i++) {
-		struct checker_node *seen = &checker->nodes[i];
-		uint64_t since_us = MIN(seen->reached_us, seen->peer_us);
+		struct checker_node *known = &checker->nodes[i];
+		uint64_t since_us =
+			MIN(known->platform_since_us, known->peer_since_us);
 
 		if (since_us == RJ_NEVER_US ||
-		    seen->revision >= checker->revision ||
-		    seen->late_told == checker->revision)
+		    known->revision >= checker->revision ||
+		    known->late_reported == checker->revision)
 			continue;
 		since_us = MAX(since_us, checker->revision_us);
 		if (now_us <= since_us + CHECKER_CONFIG_US)
@@ -110,7 +112,7 @@
 		checker_violation(checker, now_us, INVARIANT_CONFIG,
 				  "node %u has revision %" PRIu64
 				  ", not %" PRIu64,
-				  i, seen->revision, checker->revision);
-		seen->late_told = checker->revision;
+				  i, known->revision, checker->revision);
+		known->late_reported = checker->revision;
 	}
 }
--- a/src/test_libradishjunction/support/checker_guarantee.c
+++ b/src/test_libradishjunction/support/checker_guarantee.c
@@ -3,7 +3,8 @@
 #include <inttypes.h>
 
 /*
- * The account has what it asked for once all of the shape has progressed.
+ * Records that every member of the attempt has made progress, which meets the
+ * guarantee of its intent.
  */
 void checker_guarantee_met(struct checker *checker, uint64_t now_us,
 			   const struct checker_attempt *attempt)
@@ -11,14 +12,15 @@
 	struct checker_intent *intent =
 		checker_intent_get(checker, attempt->intent);
 
-	if (intent->whole_us != RJ_NEVER_US)
+	if (intent->progressed_us != RJ_NEVER_US)
 		return;
-	intent->whole_us = now_us;
+	intent->progressed_us = now_us;
 	checker->checks[INVARIANT_GUARANTEE] += intent->guaranteed;
 }
 
 /*
- * Time has passed: whose guaranteed shape should be running by now?
+ * Checks that each guaranteed shape runs within the time limit, counted from
+ * its submission or from the end of the last fault.
  */
 void checker_guarantee_tick(struct checker *checker, uint64_t now_us)
 {
@@ -27,16 +29,16 @@
 		uint64_t since_us = intent->submitted_us;
 
 		if (!intent->guaranteed || !intent->requests ||
-		    intent->whole_us != RJ_NEVER_US || intent->late_told ||
-		    intent->cancelled)
+		    intent->progressed_us != RJ_NEVER_US ||
+		    intent->late_reported || intent->cancelled)
 			continue;
-		if (checker->calm_us == RJ_NEVER_US)
+		if (checker->recovered_us == RJ_NEVER_US)
 			continue;
-		if (checker->calm_us > since_us)
-			since_us = checker->calm_us;
+		if (checker->recovered_us > since_us)
+			since_us = checker->recovered_us;
 		if (now_us <= since_us + checker->guarantee_limit_us)
 			continue;
-		intent->late_told = true;
+		intent->late_reported = true;
 		checker_violation(
 			checker, now_us, INVARIANT_GUARANTEE,
 			"intent %u waits for its guaranteed shape since "
--- a/src/test_libradishjunction/support/event_loop.c
+++ b/src/test_libradishjunction/support/event_loop.c
@@ -2,27 +2,28 @@
 
 #include <glib.h>
 
-/* Far above what any test takes: one that hangs fails. */
-#define PATIENCE_S 30
+/* Far longer than any test takes, so that only a test that hangs fails. */
+#define TIMEOUT_S 30
 
+/* Fails the test at its timeout. */
 static void on_patience(struct tevent_context *loop, struct tevent_timer *timer,
 			struct timeval now, void *private_data)
 {
-	g_error("the condition did not come true in %d s", PATIENCE_S);
+	g_error("condition not met within %d s", TIMEOUT_S);
 }
 
 /*
- * Fail the test in 30 s unless the returned timer is freed before.
+ * Fails the test in 30 s unless the returned timer is freed before then.
  */
 struct tevent_timer *test_timeout_start(struct tevent_context *loop)
 {
 	return tevent_add_timer(loop, loop,
-				tevent_timeval_current_ofs(PATIENCE_S, 0),
+				tevent_timeval_current_ofs(TIMEOUT_S, 0),
 				on_patience, NULL);
 }
 
 /*
- * Wait for one event and handle it.
+ * Waits for one event and handles it.
  */
 void test_loop_once(struct tevent_context *loop)
 {
--- a/src/test_libradishjunction/support/fault_injection.c
+++ b/src/test_libradishjunction/support/fault_injection.c
@@ -4,74 +4,87 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Long enough for work to reach it after it should have been known. */
-#define LEAVING_LASTS_US (10 * RJ_US_PER_S)
+/* Extra duration of FAULT_LEAVING, so that jobs sent after the time limit
+ * of the notification still reach the leaving worker and count as
+ * violations. */
+#define LEAVING_DURATION_US (10 * RJ_US_PER_S)
 
-static void node_back(struct world *world, struct simulation_event *event)
+static void restart_node(struct simulation *simulation,
+			 struct simulation_event *event)
 {
-	if (!world->nodes[event->index].engine)
-		node_start(world, event->index);
+	if (!simulation->nodes[event->index].engine)
+		node_start(simulation, event->index);
 }
 
-static void node_back_after(struct world *world, uint32_t index,
-			    uint64_t delay_us)
+static void restart_node_after(struct simulation *simulation, uint32_t index,
+			       uint64_t delay_us)
 {
-	simulation_schedule(world, delay_us, node_back)->index = index;
+	simulation_schedule(simulation, delay_us, restart_node)->index = index;
 }
 
 /*
- * Kill `count` instances from `first` on; each is replaced within 6 s.
+ * Kills `count` instances from index `first` on and restarts each within 6 s.
  */
-void fault_kill_nodes(struct world *world, uint32_t first, uint32_t count)
+void fault_kill_nodes(struct simulation *simulation, uint32_t first,
+		      uint32_t count)
 {
 	for (uint32_t i = first; i < first + count; i++) {
-		node_kill(world, i);
-		node_back_after(world, i,
-				simulation_random(world, 6 * RJ_US_PER_S));
+		node_kill(simulation, i);
+		restart_node_after(
+			simulation, i,
+			simulation_random(simulation, 6 * RJ_US_PER_S));
 	}
 }
 
-static void publish_race(struct world *world)
+/* Publishes one or two configurations based on the same revision, at times
+ * preceded by an invalid one and by one based on an old revision. */
+static void publish_concurrently(struct simulation *simulation)
 {
-	uint32_t racers = 1 + (uint32_t)simulation_random(world, 2);
-	uint64_t base = world->log.revision;
+	uint32_t publications = 1 + (uint32_t)simulation_random(simulation, 2);
+	uint64_t base = simulation->log.revision;
 
-	if (simulation_random(world, 4) == 0) {
-		simulation_trace(world, "a bad configuration is published");
-		fake_log_publish(world, base, "bad", "{\"domains\":7}");
+	if (simulation_random(simulation, 4) == 0) {
+		simulation_trace(simulation,
+				 "a bad configuration is published");
+		fake_log_publish(simulation, base, "bad", "{\"domains\":7}");
 	}
-	if (base && simulation_random(world, 4) == 0) {
-		simulation_trace(world, "a configuration made from an old one");
-		fake_log_publish(world, simulation_random(world, base), "stale",
-				 simulation_config_text(world, world, 0));
+	if (base && simulation_random(simulation, 4) == 0) {
+		simulation_trace(simulation,
+				 "a configuration made from an old one");
+		fake_log_publish(
+			simulation, simulation_random(simulation, base),
+			"stale",
+			simulation_config_text(simulation, simulation, 0));
 	}
-	for (uint32_t i = 0; i < racers; i++) {
+	for (uint32_t i = 0; i < publications; i++) {
 		char id[RJ_CONFIG_ID_BYTES];
 		const char *text;
 
 		(void)snprintf(id, sizeof(id), "p%" PRIu64 "-%u", base, i);
-		text = simulation_config_text(world, world, (uint32_t)base + i);
-		/* Changes race with whole configurations, and follow them. */
+		text = simulation_config_text(simulation, simulation,
+					      (uint32_t)base + i);
+		/* Changes race with complete configurations and follow them. */
 		if (base && (base + i) % 3)
-			fake_log_publish_change(world, base, id, text);
+			fake_log_publish_change(simulation, base, id, text);
 		else
-			fake_log_publish(world, base, id, text);
+			fake_log_publish(simulation, base, id, text);
 	}
 }
 
-static void strike_worker(struct world *world, enum fault_kind kind,
-			  struct fake_worker *worker)
+static void inject_worker_fault(struct simulation *simulation,
+				enum fault_kind kind,
+				struct fake_worker *worker)
 {
-	simulation_trace(world, "fault %d at %s", kind, worker->name);
+	simulation_trace(simulation, "fault %d at %s", kind, worker->name);
 	switch (kind) {
 	case FAULT_WORKER_KILL:
-		fake_worker_kill(world, worker->index);
+		fake_worker_kill(simulation, worker->index);
 		break;
 	case FAULT_WORKER_PAUSE:
-		fake_worker_pause(world, worker->index, true);
+		fake_worker_pause(simulation, worker->index, true);
 		break;
 	case FAULT_WORKER_UNREACHABLE:
-		worker->silent = true;
+		worker->unreachable = true;
 		break;
 	case FAULT_WORKER_FAILS:
 		worker->fails_all = true;
@@ -80,241 +93,266 @@
 		worker->refuses = true;
 		break;
 	case FAULT_WORKER_SLOW:
-		worker->slow_us = simulation_random(world, 3 * RJ_US_PER_S);
+		worker->slow_us =
+			simulation_random(simulation, 3 * RJ_US_PER_S);
 		break;
 	default:
 		worker->leaving = true;
-		worker->reports_leaving = simulation_random(world, 2) == 0;
+		worker->reports_leaving = simulation_random(simulation, 2) == 0;
 		break;
 	}
 }
 
-static void mend_worker(struct world *world, struct fake_worker *worker)
+/* Ends all faults of a worker, restarting it if it is down or leaving. */
+static void recover_worker(struct simulation *simulation,
+			   struct fake_worker *worker)
 {
 	if (worker->down || worker->leaving)
-		fake_worker_restart(world, worker->index);
-	fake_worker_pause(world, worker->index, false);
-	worker->silent = false;
+		fake_worker_restart(simulation, worker->index);
+	fake_worker_pause(simulation, worker->index, false);
+	worker->unreachable = false;
 	worker->fails_all = false;
 	worker->refuses = false;
 	worker->slow_us = 0;
 }
 
-static void worker_back(struct world *world, struct simulation_event *event)
+static void restore_worker(struct simulation *simulation,
+			   struct simulation_event *event)
 {
-	mend_worker(world, &world->workers[event->index]);
+	recover_worker(simulation, &simulation->workers[event->index]);
 }
 
-static void node_goes_on(struct world *world, struct simulation_event *event)
+static void resume_node(struct simulation *simulation,
+			struct simulation_event *event)
 {
-	if (world->nodes[event->index].life == event->life)
-		node_pause(world, event->index, false);
+	if (simulation->nodes[event->index].epoch == event->epoch)
+		node_pause(simulation, event->index, false);
 }
 
 /*
- * The platform answers everybody again, and soon.
+ * Ends all faults of the platform: every instance reaches it, without delay.
  */
-void fault_restore_platform(struct world *world, struct simulation_event *event)
+void fault_restore_platform(struct simulation *simulation,
+			    struct simulation_event *event)
 {
-	simulation_trace(world, "the platform is in reach");
-	world->log.down = false;
-	world->log.slow_us = 0;
-	world->log.list_lag_us = RJ_US_PER_S;
-	memset(world->log.cut, 0, sizeof(world->log.cut));
-	memset(world->log.cut_node, 0, sizeof(world->log.cut_node));
-	simulation_reachability_changed(world);
+	simulation_trace(simulation, "the platform is in reach");
+	simulation->log.down = false;
+	simulation->log.slow_us = 0;
+	simulation->log.list_lag_us = RJ_US_PER_S;
+	memset(simulation->log.cut, 0, sizeof(simulation->log.cut));
+	memset(simulation->log.cut_node, 0, sizeof(simulation->log.cut_node));
+	simulation_reachability_changed(simulation);
 }
 
 /*
- * All links carry messages again.
+ * Ends all cuts of links.
  */
-void fault_restore_links(struct world *world, struct simulation_event *event)
+void fault_restore_links(struct simulation *simulation,
+			 struct simulation_event *event)
 {
-	simulation_trace(world, "links are whole");
-	fake_peers_heal(world);
+	simulation_trace(simulation, "links are whole");
+	fake_peers_heal(simulation);
 }
 
-static void strike_node(struct world *world, enum fault_kind kind,
-			uint32_t node, uint64_t lasts_us)
+static void inject_node_fault(struct simulation *simulation,
+			      enum fault_kind kind, uint32_t node,
+			      uint64_t duration_us)
 {
 	struct simulation_event *event;
-	uint32_t per_domain = world->options.nodes_per_domain;
+	uint32_t per_domain = simulation->options.nodes_per_domain;
 
 	switch (kind) {
 	case FAULT_KILL:
-		fault_kill_nodes(world, node, 1);
+		fault_kill_nodes(simulation, node, 1);
 		break;
 	case FAULT_KILL_DOMAIN:
-		fault_kill_nodes(world, node / per_domain * per_domain,
+		fault_kill_nodes(simulation, node / per_domain * per_domain,
 				 per_domain);
 		break;
 	case FAULT_PAUSE:
-		node_pause(world, node, true);
-		event = simulation_schedule(world, lasts_us, node_goes_on);
+		node_pause(simulation, node, true);
+		event = simulation_schedule(simulation, duration_us,
+					    resume_node);
 		event->index = node;
-		event->life = world->nodes[node].life;
+		event->epoch = simulation->nodes[node].epoch;
 		break;
 	default:
-		node_stop(world, node);
+		node_stop(simulation, node);
 		break;
 	}
 }
 
 /*
- * Bring about a fault of the platform for `lasts_us`.
+ * Injects a fault of the platform for `duration_us`.
  */
-void fault_inject_platform(struct world *world, enum fault_kind kind,
-			   uint64_t lasts_us)
+void fault_inject_platform(struct simulation *simulation, enum fault_kind kind,
+			   uint64_t duration_us)
 {
-	simulation_trace(world, "fault %d at the platform", kind);
+	simulation_trace(simulation, "fault %d at the platform", kind);
 	if (kind == FAULT_OUTAGE)
-		world->log.down = true;
+		simulation->log.down = true;
 	else if (kind == FAULT_SLOW_LOG)
-		world->log.slow_us = simulation_random(world, 4 * RJ_US_PER_S);
+		simulation->log.slow_us =
+			simulation_random(simulation, 4 * RJ_US_PER_S);
 	else if (kind == FAULT_LIST_LAG)
-		world->log.list_lag_us =
-			simulation_random(world, 15 * RJ_US_PER_S);
+		simulation->log.list_lag_us =
+			simulation_random(simulation, 15 * RJ_US_PER_S);
 	else if (kind == FAULT_CUT_INSTANCE)
-		world->log
-			.cut_node[simulation_random(world, world->node_count)] =
-			true;
+		simulation->log.cut_node[simulation_random(
+			simulation, simulation->node_count)] = true;
 	else
-		world->log
-			.cut[simulation_random(world, world->options.domains)] =
-			true;
-	simulation_reachability_changed(world);
-	(void)simulation_schedule(world, lasts_us, fault_restore_platform);
+		simulation->log.cut[simulation_random(
+			simulation, simulation->options.domains)] = true;
+	simulation_reachability_changed(simulation);
+	(void)simulation_schedule(simulation, duration_us,
+				  fault_restore_platform);
 }
 
 /*
- * Cut a failure domain off from the others and from the platform at once.
+ * Isolates a failure domain from the others and from the platform together, for
+ * `duration_us`.
  */
-void fault_isolate_domain(struct world *world, uint32_t domain,
-			  uint64_t lasts_us)
+void fault_isolate_domain(struct simulation *simulation, uint32_t domain,
+			  uint64_t duration_us)
 {
-	simulation_trace(world, "domain %u is cut off", domain);
-	world->domain_cut[domain] = true;
-	world->log.cut[domain] = true;
-	simulation_reachability_changed(world);
-	(void)simulation_schedule(world, lasts_us, fault_restore_links);
-	(void)simulation_schedule(world, lasts_us, fault_restore_platform);
+	simulation_trace(simulation, "domain %u is cut off", domain);
+	simulation->domain_cut[domain] = true;
+	simulation->log.cut[domain] = true;
+	simulation_reachability_changed(simulation);
+	(void)simulation_schedule(simulation, duration_us, fault_restore_links);
+	(void)simulation_schedule(simulation, duration_us,
+				  fault_restore_platform);
 }
 
-/* No instance of the domain hears another one of it: each takes itself for
- * the owner of all racks. */
-static void cut_within(struct world *world, uint32_t domain)
+/* Cuts all links between instances of the domain, so that each of them
+ * considers itself the owner of all racks. */
+static void cut_links_within_domain(struct simulation *simulation,
+				    uint32_t domain)
 {
-	uint32_t per_domain = world->options.nodes_per_domain;
+	uint32_t per_domain = simulation->options.nodes_per_domain;
 	uint32_t first = domain * per_domain;
 
-	simulation_trace(world, "links within domain %u are cut", domain);
+	simulation_trace(simulation, "links within domain %u are cut", domain);
 	for (uint32_t a = first; a < first + per_domain; a++)
 		for (uint32_t b = a + 1; b < first + per_domain; b++)
-			world->links[a][b].cut = true;
+			simulation->links[a][b].cut = true;
 }
 
-/* The log drops all jobs' records that it holds, however young. */
-static void trim(struct world *world)
+/* Drops all records of the jobs stream, whatever their age. */
+static void trim_jobs_log(struct simulation *simulation)
 {
-	simulation_trace(world, "the log is trimmed before its time");
-	world->log.oldest[RJ_STREAM_JOBS] =
-		world->log.streams[RJ_STREAM_JOBS]->len;
+	simulation_trace(simulation, "the log is trimmed before its time");
+	simulation->log.oldest[RJ_STREAM_JOBS] =
+		simulation->log.streams[RJ_STREAM_JOBS]->len;
 }
 
 /*
- * Bring about the fault of kind `event->other` somewhere, for up to
- * `event->life` beyond a second.
+ * Injects a fault of kind `event->other` at a random target, for 1 s plus a
+ * random duration below `event->epoch` microseconds.
  */
-void fault_inject(struct world *world, struct simulation_event *event)
+void fault_inject(struct simulation *simulation, struct simulation_event *event)
 {
 	enum fault_kind kind = event->other;
-	uint64_t lasts_us =
-		RJ_US_PER_S + simulation_random(world, (uint64_t)event->life);
-	uint32_t node = (uint32_t)simulation_random(world, world->node_count);
-	uint32_t other = (uint32_t)simulation_random(world, world->node_count);
-	uint32_t worker =
-		(uint32_t)simulation_random(world, world->worker_count);
+	uint64_t duration_us =
+		RJ_US_PER_S +
+		simulation_random(simulation, (uint64_t)event->epoch);
+	uint32_t node =
+		(uint32_t)simulation_random(simulation, simulation->node_count);
+	uint32_t other =
+		(uint32_t)simulation_random(simulation, simulation->node_count);
+	uint32_t worker = (uint32_t)simulation_random(simulation,
+						      simulation->worker_count);
 
-	world->faults++;
+	simulation->faults++;
 	switch (kind) {
 	case FAULT_KILL:
 	case FAULT_KILL_DOMAIN:
 	case FAULT_PAUSE:
 	case FAULT_STOP:
-		strike_node(world, kind, node, lasts_us);
+		inject_node_fault(simulation, kind, node, duration_us);
 		break;
 	case FAULT_OUTAGE:
 	case FAULT_SLOW_LOG:
 	case FAULT_LIST_LAG:
 	case FAULT_CUT_PLATFORM:
 	case FAULT_CUT_INSTANCE:
-		fault_inject_platform(world, kind, lasts_us);
+		fault_inject_platform(simulation, kind, duration_us);
 		break;
 	case FAULT_CUT_DOMAIN:
-		world->domain_cut[world->nodes[node].domain] = true;
-		(void)simulation_schedule(world, lasts_us, fault_restore_links);
+		simulation->domain_cut[simulation->nodes[node].domain] = true;
+		(void)simulation_schedule(simulation, duration_us,
+					  fault_restore_links);
 		break;
 	case FAULT_CUT_LINK:
 		if (node != other)
-			world->links[node < other ? node : other]
-				    [node < other ? other : node]
-					    .cut = true;
-		(void)simulation_schedule(world, lasts_us, fault_restore_links);
+			simulation
+				->links[node < other ? node : other]
+				       [node < other ? other : node]
+				.cut = true;
+		(void)simulation_schedule(simulation, duration_us,
+					  fault_restore_links);
 		break;
 	case FAULT_PUBLISH:
-		publish_race(world);
+		publish_concurrently(simulation);
 		break;
 	case FAULT_ISOLATE_DOMAIN:
-		fault_isolate_domain(world, world->nodes[node].domain,
-				     lasts_us);
+		fault_isolate_domain(simulation, simulation->nodes[node].domain,
+				     duration_us);
 		break;
 	case FAULT_CUT_WITHIN:
-		cut_within(world, world->nodes[node].domain);
-		(void)simulation_schedule(world, lasts_us, fault_restore_links);
+		cut_links_within_domain(simulation,
+					simulation->nodes[node].domain);
+		(void)simulation_schedule(simulation, duration_us,
+					  fault_restore_links);
 		break;
 	case FAULT_TRIM:
-		trim(world);
+		trim_jobs_log(simulation);
 		break;
 	default:
-		strike_worker(world, kind, &world->workers[worker]);
+		inject_worker_fault(simulation, kind,
+				    &simulation->workers[worker]);
 		if (kind == FAULT_LEAVING)
-			lasts_us += LEAVING_LASTS_US;
-		simulation_schedule(world, lasts_us, worker_back)->index =
-			worker;
+			duration_us += LEAVING_DURATION_US;
+		simulation_schedule(simulation, duration_us, restore_worker)
+			->index = worker;
 		break;
 	}
 }
 
 /*
- * Stopped instances are replaced as soon as they have gone.
+ * Replaces gracefully stopped instances after their exit. Reschedules itself.
  */
-void fault_replace_stopped(struct world *world, struct simulation_event *event)
+void fault_replace_stopped(struct simulation *simulation,
+			   struct simulation_event *event)
 {
-	for (uint32_t i = 0; i < world->node_count; i++)
-		if (world->nodes[i].stopping && !world->nodes[i].engine) {
-			world->nodes[i].stopping = false;
-			node_back_after(world, i,
-					simulation_random(world, RJ_US_PER_S));
+	for (uint32_t i = 0; i < simulation->node_count; i++)
+		if (simulation->nodes[i].stopping &&
+		    !simulation->nodes[i].engine) {
+			simulation->nodes[i].stopping = false;
+			restart_node_after(
+				simulation, i,
+				simulation_random(simulation, RJ_US_PER_S));
 		}
-	(void)simulation_schedule(world, RJ_US_PER_S / 2,
+	(void)simulation_schedule(simulation, RJ_US_PER_S / 2,
 				  fault_replace_stopped);
 }
 
 /*
- * Every fault ends, and from now on time limits hold.
+ * Ends every fault. From now on the checker applies its time limits.
  */
-void fault_recover_all(struct world *world, struct simulation_event *event)
+void fault_recover_all(struct simulation *simulation,
+		       struct simulation_event *event)
 {
-	simulation_trace(world, "faults have ended");
-	memset(&world->rates, 0, sizeof(world->rates));
-	fault_restore_platform(world, event);
-	fault_restore_links(world, event);
-	for (uint32_t i = 0; i < world->node_count; i++) {
-		node_pause(world, i, false);
-		if (!world->nodes[i].engine)
-			node_start(world, i);
+	simulation_trace(simulation, "faults have ended");
+	memset(&simulation->rates, 0, sizeof(simulation->rates));
+	fault_restore_platform(simulation, event);
+	fault_restore_links(simulation, event);
+	for (uint32_t i = 0; i < simulation->node_count; i++) {
+		node_pause(simulation, i, false);
+		if (!simulation->nodes[i].engine)
+			node_start(simulation, i);
 	}
-	for (uint32_t i = 0; i < world->worker_count; i++)
-		mend_worker(world, &world->workers[i]);
-	world->checker.calm_us = world->now_us;
+	for (uint32_t i = 0; i < simulation->worker_count; i++)
+		recover_worker(simulation, &simulation->workers[i]);
+	simulation->checker.recovered_us = simulation->now_us;
 }
--- a/src/test_libradishjunction/support/fault_profiles.c
+++ b/src/test_libradishjunction/support/fault_profiles.c
@@ -3,9 +3,10 @@
 #define RATES_OF_LOG                                                         \
 	.append_refused = 30, .append_answer_lost = 150, .append_late = 100, \
 	.read_failed = 50
-#define RATES_OF_WORKERS                                                     \
-	.call_lost = 30, .call_late = 30, .reply_lost = 50, .reply_cut = 30, \
-	.reply_late = 30, .reply_doubled = 50, .reply_crossed = 30
+#define RATES_OF_WORKERS                                                 \
+	.call_lost = 30, .call_late = 30, .reply_lost = 50,              \
+	.reply_truncated = 30, .reply_late = 30, .reply_duplicated = 50, \
+	.reply_mismatched = 30
 
 const struct fault_profile fault_profiles[INVARIANT_COUNT] = {
 	[INVARIANT_GUARANTEE] = {
@@ -59,7 +60,7 @@
 		.rates = { RATES_OF_LOG, RATES_OF_WORKERS },
 	},
 	[INVARIANT_LEAVING] = {
-		.peers_lose = true,
+		.lossy_peers = true,
 		.faults = { [FAULT_LEAVING] = 8, [FAULT_LIST_LAG] = 5,
 			    [FAULT_OUTAGE] = 2, [FAULT_CUT_PLATFORM] = 2,
 			    [FAULT_PAUSE] = 1, [FAULT_CUT_LINK] = 2,
@@ -80,7 +81,7 @@
 		.rates = { RATES_OF_LOG, .reply_lost = 20 },
 	},
 	[INVARIANT_CONFIG] = {
-		.peers_lose = true,
+		.lossy_peers = true,
 		.faults = { [FAULT_PUBLISH] = 8, [FAULT_OUTAGE] = 3,
 			    [FAULT_KILL] = 3, [FAULT_KILL_DOMAIN] = 2,
 			    [FAULT_CUT_PLATFORM] = 3, [FAULT_PAUSE] = 2,
@@ -110,8 +111,8 @@
 		.callers = 24,
 		.faults_max = 8,
 		.load_until_us = 20 * RJ_US_PER_S,
-		.calm_us = 24 * RJ_US_PER_S,
-		.lasts_max_us = 8 * RJ_US_PER_S,
+		.recovery_us = 24 * RJ_US_PER_S,
+		.duration_max_us = 8 * RJ_US_PER_S,
 		.short_retention_us = 20 * RJ_US_PER_S,
 	},
 	[FAULT_SETUP_TRIMMED] = {
@@ -121,14 +122,14 @@
 		.racks_per_domain = 2,
 		.workers_per_rack = 4,
 		.callers = 24,
-		.hasty = true,
+		.impatient = true,
 		.faults_max = 8,
 		.faults = { [FAULT_TRIM] = 8 },
 		.tries = 120,
-		.more_us = 140 * RJ_US_PER_S,
+		.extra_us = 140 * RJ_US_PER_S,
 		.load_until_us = 20 * RJ_US_PER_S,
-		.calm_us = 24 * RJ_US_PER_S,
-		.lasts_max_us = 8 * RJ_US_PER_S,
+		.recovery_us = 24 * RJ_US_PER_S,
+		.duration_max_us = 8 * RJ_US_PER_S,
 		.short_retention_us = 20 * RJ_US_PER_S,
 	},
 	[FAULT_SETUP_ISOLATED] = {
@@ -141,9 +142,9 @@
 		.key_life_s = 7200,
 		.callers = 48,
 		.tries = 4000,
-		.hasty = true,
+		.impatient = true,
 		.load_until_us = 20 * RJ_US_PER_S,
-		.calm_us = 24 * RJ_US_PER_S,
+		.recovery_us = 24 * RJ_US_PER_S,
 	},
 	[FAULT_SETUP_LARGE] = {
 		.name = "large",
@@ -153,23 +154,23 @@
 		.workers_per_rack = 4,
 		.drift_ppm = 500,
 		.callers = 90,
-		.hasty = true,
+		.impatient = true,
 		.faults_max = 24,
 		.faults = { [FAULT_ISOLATE_DOMAIN] = 2, [FAULT_CUT_WITHIN] = 2,
 			    [FAULT_CUT_INSTANCE] = 2 },
 		.rates = { .peer_lost = 100, .peer_late = 100 },
 		.load_until_us = 60 * RJ_US_PER_S,
-		.calm_us = 66 * RJ_US_PER_S,
-		.lasts_max_us = 15 * RJ_US_PER_S,
+		.recovery_us = 66 * RJ_US_PER_S,
+		.duration_max_us = 15 * RJ_US_PER_S,
 		.short_retention_us = 40 * RJ_US_PER_S,
-		.more_us = 60 * RJ_US_PER_S,
+		.extra_us = 60 * RJ_US_PER_S,
 	},
 };
 
 /*
- * A number below `count`, drawn by these weights.
+ * Draws a number below `count` by these weights.
  */
-uint32_t profile_pick(struct world *world, const uint8_t *weights,
+uint32_t profile_pick(struct simulation *simulation, const uint8_t *weights,
 		      uint32_t count)
 {
 	uint32_t sum = 0;
@@ -177,7 +178,7 @@
 
 	for (uint32_t i = 0; i < count; i++)
 		sum += weights[i];
-	at = (uint32_t)simulation_random(world, sum);
+	at = (uint32_t)simulation_random(simulation, sum);
 	for (uint32_t i = 0;; i++) {
 		if (at < weights[i])
 			return i;
--- a/src/test_libradishjunction/support/faults.c
+++ b/src/test_libradishjunction/support/faults.c
@@ -6,10 +6,10 @@
 #include "support/fault_load.h"
 #include "support/fault_injection.h"
 
-#define APART_US (3600 * RJ_US_PER_S)
+#define ISOLATION_US (3600 * RJ_US_PER_S)
 
-/* A little of everything that callers ask for. */
-static const uint8_t mixed[LOAD_KIND_COUNT] = {
+/* Weights of a load with jobs of most kinds. */
+static const uint8_t mixed_load[LOAD_KIND_COUNT] = {
 	[LOAD_PREVIEW] = 6, [LOAD_QUOTE] = 4,  [LOAD_QUOTE_DUPLICATED] = 1,
 	[LOAD_GANG] = 1,    [LOAD_RENDER] = 2,
 };
@@ -22,132 +22,148 @@
 	[FAULT_SCENARIO_ROLLING_REPLACEMENT] = "rolling_replacement",
 };
 
-static void share_rates(struct world *world, const struct fault_rates *most)
+/* Draws the fault rates of a run below their limits. struct fault_rates is
+ * read as an array, as it has only uint32_t members. */
+static void draw_rates(struct simulation *simulation,
+		       const struct fault_rates *limits)
 {
-	const uint32_t *from = (const uint32_t *)most;
-	uint32_t *to = (uint32_t *)&world->rates;
-
-	/* Half of the rates are off in any one run. */
-	for (size_t i = 0; i < sizeof(*most) / sizeof(*from); i++)
-		if (from[i] && simulation_random(world, 2) == 0)
-			to[i] = (uint32_t)simulation_random(world, from[i]);
+	const uint32_t *from = (const uint32_t *)limits;
+	uint32_t *to = (uint32_t *)&simulation->rates;
+
+	/* About half of the rates are 0 in each run. */
+	for (size_t i = 0; i < sizeof(*limits) / sizeof(*from); i++)
+		if (from[i] && simulation_random(simulation, 2) == 0)
+			to[i] = (uint32_t)simulation_random(simulation,
+							    from[i]);
 }
 
-static struct world *make_world(void *mem, const struct engine_ops *engine,
-				const struct fault_setup *place, uint64_t seed,
-				uint64_t retention_us, FILE *transcript)
+static struct simulation *make_simulation(void *mem,
+					  const struct engine_ops *engine,
+					  const struct fault_setup *setup,
+					  uint64_t seed, uint64_t retention_us,
+					  FILE *transcript)
 {
 	struct simulation_options options = {
 		.engine = engine,
 		.seed = rj_hash64(&seed, sizeof(seed), 1),
-		.domains = place->domains,
-		.nodes_per_domain = place->nodes_per_domain,
-		.racks_per_domain = place->racks_per_domain,
-		.workers_per_rack = place->workers_per_rack,
+		.domains = setup->domains,
+		.nodes_per_domain = setup->nodes_per_domain,
+		.racks_per_domain = setup->racks_per_domain,
+		.workers_per_rack = setup->workers_per_rack,
 		.retention_us = retention_us,
-		.key_life_s = place->key_life_s,
-		.drift_ppm = place->drift_ppm,
+		.key_life_s = setup->key_life_s,
+		.drift_ppm = setup->drift_ppm,
 		.transcript = transcript,
 	};
 
 	return simulation_create(mem, &options);
 }
 
-/* Where claims, outcomes and configurations matter, the log forgets within
- * the run in two seeds of seven. */
-static uint64_t retention_us(const struct fault_setup *place,
-			     enum promise promise, uint64_t seed)
+/* For invariants that depend on claims, outcomes or configurations, the log
+ * trims records during the run in two seeds of seven. */
+static uint64_t retention_us(const struct fault_setup *setup,
+			     enum invariant invariant, uint64_t seed)
 {
-	bool matters = promise == INVARIANT_ONCE ||
-		       promise == INVARIANT_CONFIG ||
-		       promise == INVARIANT_ACCEPTED;
+	bool matters = invariant == INVARIANT_ONCE ||
+		       invariant == INVARIANT_CONFIG ||
+		       invariant == INVARIANT_ACCEPTED;
 
-	return matters && seed % 7 >= 5 ? place->short_retention_us : 0;
+	return matters && seed % 7 >= 5 ? setup->short_retention_us : 0;
 }
 
-/* Plan the faults of one run: those of the profile and of the place. */
-static void add_faults(struct world *world, const struct fault_setup *place,
-		       const struct fault_profile *profile, uint32_t count)
+/* Schedules the faults of one run, from the profile and the setup. */
+static void schedule_faults(struct simulation *simulation,
+			    const struct fault_setup *setup,
+			    const struct fault_profile *profile, uint32_t count)
 {
 	uint8_t weights[FAULT_KIND_COUNT];
 
 	for (uint32_t i = 0; i < FAULT_KIND_COUNT; i++)
-		weights[i] = profile->faults[i] + place->faults[i];
+		weights[i] = profile->faults[i] + setup->faults[i];
 	for (uint32_t i = 0; i < count; i++) {
-		uint64_t span_us = place->load_until_us - FAULTS_LOAD_FROM_US;
+		uint64_t span_us = setup->load_until_us - FAULTS_LOAD_FROM_US;
 		struct simulation_event *event = simulation_schedule(
-			world,
-			FAULTS_LOAD_FROM_US + simulation_random(world, span_us),
+			simulation,
+			FAULTS_LOAD_FROM_US +
+				simulation_random(simulation, span_us),
 			fault_inject);
 
-		event->other = profile_pick(world, weights, FAULT_KIND_COUNT);
-		event->life = place->lasts_max_us;
+		event->other =
+			profile_pick(simulation, weights, FAULT_KIND_COUNT);
+		event->epoch = setup->duration_max_us;
 	}
 }
 
 /*
- * Run one seed of a promise's profile at a place and add what came of it.
+ * Runs one seed of an invariant's profile in a setup and adds the outcome to
+ * `result`. `transcript` may be NULL.
  */
-void faults_run_at(const struct engine_ops *engine, enum fault_setup_kind where,
-		   enum promise promise, uint64_t seed, FILE *transcript,
+void faults_run_at(const struct engine_ops *engine,
+		   enum fault_setup_kind setup_kind, enum invariant invariant,
+		   uint64_t seed, FILE *transcript,
 		   struct faults_result *result)
 {
-	const struct fault_setup *place = &fault_setups[where];
-	const struct fault_profile *profile = &fault_profiles[promise];
+	const struct fault_setup *setup = &fault_setups[setup_kind];
+	const struct fault_profile *profile = &fault_profiles[invariant];
 	uint64_t end_us = profile->end_us ? profile->end_us : FAULTS_END_US;
 	void *mem = talloc_new(NULL);
-	struct world *world =
-		make_world(mem, engine, place, seed,
-			   retention_us(place, promise, seed), transcript);
+	struct simulation *simulation = make_simulation(
+		mem, engine, setup, seed, retention_us(setup, invariant, seed),
+		transcript);
 	uint32_t count =
-		1 + (uint32_t)simulation_random(world, place->faults_max);
-
-	share_rates(world, &profile->rates);
-	if (profile->peers_lose)
-		share_rates(world, &place->rates);
-	load_add(world, place, profile->load,
-		 profile->callers > place->callers ? profile->callers :
-						     place->callers);
-	add_faults(world, place, profile, count);
-	(void)simulation_schedule(world, 0, fault_replace_stopped);
-	(void)simulation_schedule(world, place->calm_us, fault_recover_all);
-	simulation_run_until(world, end_us + place->more_us);
-	checker_finish_run(&world->checker, world->now_us);
-	faults_result_add_simulation(world, result);
+		1 + (uint32_t)simulation_random(simulation, setup->faults_max);
+
+	draw_rates(simulation, &profile->rates);
+	if (profile->lossy_peers)
+		draw_rates(simulation, &setup->rates);
+	load_add(simulation, setup, profile->load,
+		 profile->callers > setup->callers ? profile->callers :
+						     setup->callers);
+	schedule_faults(simulation, setup, profile, count);
+	(void)simulation_schedule(simulation, 0, fault_replace_stopped);
+	(void)simulation_schedule(simulation, setup->recovery_us,
+				  fault_recover_all);
+	simulation_run_until(simulation, end_us + setup->extra_us);
+	checker_finish_run(&simulation->checker, simulation->now_us);
+	faults_result_add_simulation(simulation, result);
 	talloc_free(mem);
 }
 
 /*
- * Run one seed of a promise's profile in the small world.
+ * Runs one seed of an invariant's profile in the small setup.
  */
-void faults_run(const struct engine_ops *engine, enum promise promise,
+void faults_run(const struct engine_ops *engine, enum invariant invariant,
 		uint64_t seed, FILE *transcript, struct faults_result *result)
 {
-	faults_run_at(engine, FAULT_SETUP_SMALL, promise, seed, transcript,
+	faults_run_at(engine, FAULT_SETUP_SMALL, invariant, seed, transcript,
 		      result);
 }
 
-static void stop_one(struct world *world, struct simulation_event *event)
+static void stop_node(struct simulation *simulation,
+		      struct simulation_event *event)
 {
-	node_stop(world, event->index);
+	node_stop(simulation, event->index);
 }
 
-static void cause(struct world *world, enum trouble trouble)
+/* Injects the fault of a scenario. */
+static void inject_scenario(struct simulation *simulation,
+			    enum fault_scenario fault_scenario)
 {
-	switch (trouble) {
+	switch (fault_scenario) {
 	case FAULT_SCENARIO_OUTAGE:
-		fault_inject_platform(world, FAULT_OUTAGE, 10 * RJ_US_PER_S);
+		fault_inject_platform(simulation, FAULT_OUTAGE,
+				      10 * RJ_US_PER_S);
 		break;
 	case FAULT_SCENARIO_CUT_DOMAIN:
-		fault_isolate_domain(world, 0, 10 * RJ_US_PER_S);
+		fault_isolate_domain(simulation, 0, 10 * RJ_US_PER_S);
 		break;
 	case FAULT_SCENARIO_KILLED_INSTANCE:
-		fault_kill_nodes(world, 0, 1);
+		fault_kill_nodes(simulation, 0, 1);
 		break;
 	case FAULT_SCENARIO_ROLLING_REPLACEMENT:
-		for (uint32_t i = 0; i < world->node_count; i++)
-			simulation_schedule(world, i * 3 * RJ_US_PER_S,
-					    stop_one)
+		for (uint32_t i = 0; i < simulation->node_count; i++)
+			simulation_schedule(simulation, i * 3 * RJ_US_PER_S,
+					    stop_node)
 				->index = i;
 		break;
 	default:
@@ -156,70 +172,75 @@
 }
 
 /*
- * Run mixed load under one kind of trouble, from the load's first third on
- * for about ten seconds, and count what is served.
+ * Runs mixed load under one fault scenario and counts the requests served. The
+ * fault begins in the first third of the load and lasts about ten seconds.
  */
-void faults_run_scenario(const struct engine_ops *engine, enum trouble trouble,
-			 uint64_t seed, struct faults_result *result)
+void faults_run_scenario(const struct engine_ops *engine,
+			 enum fault_scenario fault_scenario, uint64_t seed,
+			 struct faults_result *result)
 {
-	const struct fault_setup *place = &fault_setups[FAULT_SETUP_SMALL];
+	const struct fault_setup *setup = &fault_setups[FAULT_SETUP_SMALL];
 	void *mem = talloc_new(NULL);
-	struct world *world = make_world(mem, engine, place, seed, 0, NULL);
-
-	load_add(world, place, mixed, 2 * place->callers);
-	(void)simulation_schedule(world, 0, fault_replace_stopped);
-	simulation_run_until(world, 8 * RJ_US_PER_S);
-	cause(world, trouble);
-	simulation_run_until(world, FAULTS_END_US);
-	checker_finish_run(&world->checker, world->now_us);
-	faults_result_add_simulation(world, result);
+	struct simulation *simulation =
+		make_simulation(mem, engine, setup, seed, 0, NULL);
+
+	load_add(simulation, setup, mixed_load, 2 * setup->callers);
+	(void)simulation_schedule(simulation, 0, fault_replace_stopped);
+	simulation_run_until(simulation, 8 * RJ_US_PER_S);
+	inject_scenario(simulation, fault_scenario);
+	simulation_run_until(simulation, FAULTS_END_US);
+	checker_finish_run(&simulation->checker, simulation->now_us);
+	faults_result_add_simulation(simulation, result);
 	talloc_free(mem);
 }
 
 /*
- * Let one region lose the others and the platform for an hour, in the midst
- * of its load; its links come back in the midst of more of it. Keys live
- * longer than that, and the log keeps its records for two hours.
+ * Isolates one region from the others and from the platform for an hour while
+ * it has load, and reconnects it during further load. Keys live longer than
+ * that, and the log retains records for two hours.
  */
 void faults_run_isolated_region(const struct engine_ops *engine, uint64_t seed,
 				FILE *transcript, struct faults_result *result)
 {
-	const struct fault_setup *place = &fault_setups[FAULT_SETUP_ISOLATED];
-	const uint64_t cut_us = place->load_until_us / 2;
+	const struct fault_setup *setup = &fault_setups[FAULT_SETUP_ISOLATED];
+	const uint64_t cut_us = setup->load_until_us / 2;
 	void *mem = talloc_new(NULL);
-	struct world *world =
-		make_world(mem, engine, place, seed, 2 * APART_US, transcript);
-
-	load_add(world, place, mixed, place->callers);
-	simulation_run_until(world, cut_us);
-	fault_isolate_domain(world, 0, APART_US);
-	simulation_run_until(world, APART_US);
-	load_add(world, place, mixed, place->callers);
-	(void)simulation_schedule(world, place->calm_us, fault_recover_all);
-	simulation_run_until(world, APART_US + 2 * FAULTS_END_US);
-	checker_finish_run(&world->checker, world->now_us);
-	faults_result_add_simulation(world, result);
+	struct simulation *simulation = make_simulation(
+		mem, engine, setup, seed, 2 * ISOLATION_US, transcript);
+
+	load_add(simulation, setup, mixed_load, setup->callers);
+	simulation_run_until(simulation, cut_us);
+	fault_isolate_domain(simulation, 0, ISOLATION_US);
+	simulation_run_until(simulation, ISOLATION_US);
+	load_add(simulation, setup, mixed_load, setup->callers);
+	(void)simulation_schedule(simulation, setup->recovery_us,
+				  fault_recover_all);
+	simulation_run_until(simulation, ISOLATION_US + 2 * FAULTS_END_US);
+	checker_finish_run(&simulation->checker, simulation->now_us);
+	faults_result_add_simulation(simulation, result);
 	talloc_free(mem);
 }
 
 /*
- * A world with load and without a fault, to be run by the caller. Nothing is
- * cancelled, and there is room for all.
+ * Creates a simulation with load and without faults, for the caller to run.
+ * Nothing is cancelled, and the capacity suffices for all jobs.
  */
-struct world *faults_simulation_without_faults(void *mem,
-					       const struct engine_ops *engine,
-					       uint64_t seed)
+struct simulation *
+faults_simulation_without_faults(void *mem, const struct engine_ops *engine,
+				 uint64_t seed)
 {
 	static const uint8_t light[LOAD_KIND_COUNT] = {
 		[LOAD_PREVIEW] = 4,
 		[LOAD_QUOTE] = 3,
 		[LOAD_QUOTE_DUPLICATED] = 2,
 	};
-	const struct fault_setup *place = &fault_setups[FAULT_SETUP_SMALL];
-	struct world *world = make_world(mem, engine, place, seed, 0, NULL);
-
-	/* What was drawn so far depends on the engine; the callers must not. */
-	world->random = seed;
-	load_add(world, place, light, place->callers);
-	return world;
+	const struct fault_setup *setup = &fault_setups[FAULT_SETUP_SMALL];
+	struct simulation *simulation =
+		make_simulation(mem, engine, setup, seed, 0, NULL);
+
+	/* The engine affects the numbers drawn so far; reseeding gives every
+	   engine the same callers. */
+	simulation->random = seed;
+	load_add(simulation, setup, light, setup->callers);
+	return simulation;
 }
--- a/src/test_libradishjunction/support/transcript.c
+++ b/src/test_libradishjunction/support/transcript.c
@@ -90,14 +90,14 @@
 	}
 }
 
-static bool message_is_upkeep(const struct rj_peer_message *message)
+static bool message_is_periodic(const struct rj_peer_message *message)
 {
 	return message->kind == RJ_PEER_HEARTBEAT ||
 	       message->kind == RJ_PEER_SUMMARY;
 }
 
 /*
- * Whether an event comes by itself and over again, and tells no story.
+ * Returns whether an event is periodic traffic, which brief transcripts omit.
  */
 bool transcript_event_is_periodic(const struct rj_event *event)
 {
@@ -111,14 +111,14 @@
 		return event->u.worker_reply.op == RJ_WORKER_REPORT &&
 		       event->u.worker_reply.status == RJ_REPLY_OK;
 	case RJ_EVENT_PEER_MESSAGE:
-		return message_is_upkeep(event->u.peer.message);
+		return message_is_periodic(event->u.peer.message);
 	default:
 		return false;
 	}
 }
 
 /*
- * Whether an action is done by itself and over again, and tells no story.
+ * Returns whether an action is periodic traffic, which brief transcripts omit.
  */
 bool transcript_action_is_periodic(const struct rj_action *action)
 {
@@ -129,14 +129,14 @@
 	case RJ_ACTION_WORKER_CALL:
 		return action->u.worker_call.op == RJ_WORKER_REPORT;
 	case RJ_ACTION_PEER_SEND:
-		return message_is_upkeep(action->u.peer.message);
+		return message_is_periodic(action->u.peer.message);
 	default:
 		return false;
 	}
 }
 
 /*
- * Write one event as a line: `time node < kind ...`.
+ * Writes one event as a line: `time node < kind ...`.
  */
 void transcript_event(FILE *out, uint64_t now_us, const char *node,
 		      const struct rj_event *event)
@@ -193,7 +193,7 @@
 }
 
 /*
- * Write one action as a line: `time node > kind ...`.
+ * Writes one action as a line: `time node > kind ...`.
  */
 void transcript_action(FILE *out, uint64_t now_us, const char *node,
 		       const struct rj_action *action)
