--- a/src/radishjunction/answers.c
+++ b/src/radishjunction/answers.c
@@ -119,7 +119,7 @@
 /*
  * The JSON text of the answers.
  */
-char *answers_text(void *mem, const struct answers *answers)
+char *answers_encode(void *mem, const struct answers *answers)
 {
 	return json_text(mem, rj_schema_encode(&answers_schema, answers));
 }
@@ -146,9 +146,9 @@
  * one named by `renew`; each other gets a token, which `tokens` tells. Both
  * `earlier` and `renew` may be NULL.
  */
-char *answers_config(void *mem, struct answers *answers,
-		     const struct rj_config *earlier, const char *renew,
-		     struct new_token **tokens, uint32_t *token_count)
+char *answers_make_config(void *mem, struct answers *answers,
+			  const struct rj_config *earlier, const char *renew,
+			  struct new_token **tokens, uint32_t *token_count)
 {
 	struct rj_config config = {
 		.domains = answers->domains,
@@ -216,7 +216,8 @@
 	char *text;
 
 	assert(mem);
-	text = answers_config(mem, answers, NULL, NULL, &tokens, &token_count);
+	text = answers_make_config(mem, answers, NULL, NULL, &tokens,
+				   &token_count);
 	config = rj_config_parse(mem, config_compact(mem, text), errors);
 	check_instances(answers, errors);
 	if (config && errors->count == before)
@@ -229,9 +230,9 @@
  * The settings of the instance `name`, as JSON text, or NULL with `err` of
  * kind RJ_ERR_NOT_FOUND. Every other instance is named as a peer.
  */
-char *answers_settings(void *mem, const struct answers *answers,
-		       const char *name, const char *peer_key,
-		       struct rj_error *err)
+char *answers_make_settings(void *mem, const struct answers *answers,
+			    const char *name, const char *peer_key,
+			    struct rj_error *err)
 {
 	const struct answer_instance *self = NULL;
 	struct rj_settings settings;
--- a/src/radishjunction/ask.c
+++ b/src/radishjunction/ask.c
@@ -5,7 +5,7 @@
 
 #include "answers.h"
 #include "command.h"
-#include "interview.h"
+#include "prompt.h"
 
 #define COUNT(questions) (sizeof(questions) / sizeof((questions)[0]))
 
@@ -78,20 +78,18 @@
 /*
  * Ask what each worker of the failure domain has.
  */
-static int ask_worker(struct interview *interview, void *element, bool known)
+static int ask_worker(struct prompter *prompter, void *element, bool known)
 {
 	struct rj_domain *domain = element;
 
-	return interview_struct(interview, &rj_resources_schema,
-				worker_questions, COUNT(worker_questions),
-				&domain->worker, known);
+	return prompt_struct(prompter, &rj_resources_schema, worker_questions,
+			     COUNT(worker_questions), &domain->worker, known);
 }
 
 /*
  * Ask for the guarantees of the client account.
  */
-static int ask_guarantees(struct interview *interview, void *element,
-			  bool known)
+static int ask_guarantees(struct prompter *prompter, void *element, bool known)
 {
 	static const struct question_list list = {
 		.text = "guarantees",
@@ -103,14 +101,14 @@
 	};
 	struct rj_account *account = element;
 
-	return interview_list(interview, &list, (void *)&account->guarantees,
-			      &account->guarantee_count);
+	return prompt_list(prompter, &list, (void *)&account->guarantees,
+			   &account->guarantee_count);
 }
 
 /*
  * Ask everything, in the order in which a team thinks of it.
  */
-static int ask_all(struct interview *interview, struct answers *answers,
+static int ask_all(struct prompter *prompter, struct answers *answers,
 		   bool known)
 {
 	static const struct question_list domains = {
@@ -121,7 +119,7 @@
 		.question_count = COUNT(domain_questions),
 		.min = 1,
 		.max = 64,
-		.fallback_count = 1,
+		.default_count = 1,
 		.more = ask_worker,
 	};
 	static const struct question_list accounts = {
@@ -132,7 +130,7 @@
 		.question_count = COUNT(account_questions),
 		.min = 1,
 		.max = 1024,
-		.fallback_count = 1,
+		.default_count = 1,
 		.more = ask_guarantees,
 	};
 	static const struct question_list kinds = {
@@ -143,7 +141,7 @@
 		.question_count = COUNT(kind_questions),
 		.min = 1,
 		.max = 256,
-		.fallback_count = 1,
+		.default_count = 1,
 	};
 	static const struct question_list instances = {
 		.text = "entry instances",
@@ -154,24 +152,22 @@
 		.max = 1024,
 	};
 
-	if (interview_struct(interview, &answers_schema, team_questions,
-			     COUNT(team_questions), answers, known) ||
-	    interview_list(interview, &domains, (void *)&answers->domains,
-			   &answers->domain_count) ||
-	    interview_list(interview, &accounts, (void *)&answers->accounts,
-			   &answers->account_count) ||
-	    interview_list(interview, &kinds, (void *)&answers->job_kinds,
-			   &answers->job_kind_count))
+	if (prompt_struct(prompter, &answers_schema, team_questions,
+			  COUNT(team_questions), answers, known) ||
+	    prompt_list(prompter, &domains, (void *)&answers->domains,
+			&answers->domain_count) ||
+	    prompt_list(prompter, &accounts, (void *)&answers->accounts,
+			&answers->account_count) ||
+	    prompt_list(prompter, &kinds, (void *)&answers->job_kinds,
+			&answers->job_kind_count))
 		return -1;
-	if (interview_struct(interview, &rj_limits_schema, limits_questions,
-			     COUNT(limits_questions), &answers->limits,
-			     known) ||
-	    interview_struct(interview, &answers_schema, platform_questions,
-			     COUNT(platform_questions), answers, known))
+	if (prompt_struct(prompter, &rj_limits_schema, limits_questions,
+			  COUNT(limits_questions), &answers->limits, known) ||
+	    prompt_struct(prompter, &answers_schema, platform_questions,
+			  COUNT(platform_questions), answers, known))
 		return -1;
-	return interview_list(interview, &instances,
-			      (void *)&answers->instances,
-			      &answers->instance_count);
+	return prompt_list(prompter, &instances, (void *)&answers->instances,
+			   &answers->instance_count);
 }
 
 /*
@@ -203,7 +199,7 @@
  * work. Answers with errors are written all the same: they are the start of
  * the next round.
  */
-static int ask(struct interview *interview, const char *earlier,
+static int ask(struct prompter *prompter, const char *earlier,
 	       const char *output)
 {
 	struct rj_error_list errors;
@@ -211,18 +207,18 @@
 	struct rj_error err;
 	bool wrong = false;
 
-	if (load_earlier(interview->mem, earlier, &answers))
+	if (load_earlier(prompter->mem, earlier, &answers))
 		return EXIT_REFUSED;
-	if (ask_all(interview, &answers, earlier != NULL)) {
+	if (ask_all(prompter, &answers, earlier != NULL)) {
 		fprintf(stderr,
 			"radishjunction ask: the answers ended early; give "
 			"the rest, or --defaults to take the defaults\n");
 		return EXIT_REFUSED;
 	}
-	if (file_write(output, answers_text(interview->mem, &answers), false,
+	if (file_write(output, answers_encode(prompter->mem, &answers), false,
 		       &err))
 		return print_error("ask", &err);
-	rj_error_list_init(&errors, interview->mem);
+	rj_error_list_init(&errors, prompter->mem);
 	answers_check(&answers, &errors);
 	fprintf(stderr, "\n");
 	print_errors("answers", &errors);
@@ -257,7 +253,7 @@
 		NULL, "defaults", "take the defaults when the input ends");
 	struct options options;
 	struct options_result result;
-	struct interview interview = { .in = stdin, .out = stderr };
+	struct prompter prompter = { .in = stdin, .out = stderr };
 	int code;
 
 	options_init(&options);
@@ -266,14 +262,14 @@
 	result =
 		options_parse(&options, command_find("ask"), argc, argv, table);
 	code = result.exit_code;
-	if (result.go_on) {
-		interview.mem = talloc_new(NULL);
-		assert(interview.mem);
-		interview.defaults_at_end = defaults->count > 0;
-		interview.echo = !isatty(STDIN_FILENO);
-		code = ask(&interview, option_file(earlier),
+	if (result.proceed) {
+		prompter.mem = talloc_new(NULL);
+		assert(prompter.mem);
+		prompter.defaults_at_end = defaults->count > 0;
+		prompter.echo = !isatty(STDIN_FILENO);
+		code = ask(&prompter, option_file(earlier),
 			   output->count ? option_file(output) : "-");
-		talloc_free(interview.mem);
+		talloc_free(prompter.mem);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
--- a/src/radishjunction/caller.c
+++ b/src/radishjunction/caller.c
@@ -7,7 +7,7 @@
 #include <talloc.h>
 
 #include "command.h"
-#include "words.h"
+#include "descriptions.h"
 
 #define TIMEOUT_S 60
 
@@ -129,7 +129,7 @@
  * Print an answer as JSON, what its reason means on standard error, and give
  * its exit code.
  */
-int caller_report(const struct http_answer *answer)
+int caller_print_answer(const struct http_answer *answer)
 {
 	const json_t *json = answer->json;
 	const char *kind = json_string_value(json_object_get(json, "answer"));
--- a/src/radishjunction/check.c
+++ b/src/radishjunction/check.c
@@ -115,19 +115,19 @@
 	result = options_parse(&options, command_find("check"), argc, argv,
 			       table);
 	sort = option_string(as, NULL);
-	for (uint32_t i = 0; result.go_on && sort; i++) {
+	for (uint32_t i = 0; result.proceed && sort; i++) {
 		if (i == SORT_COUNT) {
 			fprintf(stderr,
 				"radishjunction check: --as %s: not known; "
 				"use config, settings or answers\n",
 				sort);
-			result.go_on = false;
+			result.proceed = false;
 			result.exit_code = EXIT_USAGE;
 		} else if (!strcmp(sorts[i].name, sort)) {
 			break;
 		}
 	}
-	if (result.go_on)
+	if (result.proceed)
 		result.exit_code = check(option_file(file), sort);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return result.exit_code;
--- a/src/radishjunction/words.c
+++ b/src/radishjunction/descriptions.c
@@ -1,4 +1,4 @@
-#include "words.h"
+#include "descriptions.h"
 
 #include <glib.h>
 #include <string.h>
--- a/src/radishjunction/generate.c
+++ b/src/radishjunction/generate.c
@@ -83,8 +83,8 @@
 
 	if (load_earlier(mem, options->earlier, &earlier))
 		return EXIT_REFUSED;
-	text = answers_config(mem, answers, earlier, options->renew, &tokens,
-			      &count);
+	text = answers_make_config(mem, answers, earlier, options->renew,
+				   &tokens, &count);
 	rj_error_list_init(&errors, mem);
 	config = rj_config_parse(mem, config_compact(mem, text), &errors);
 	if (!config) {
@@ -138,8 +138,8 @@
 	char *key = peer_key(mem, options->peer_key_file, &err);
 
 	if (key)
-		text = answers_settings(mem, answers, options->settings_for,
-					key, &err);
+		text = answers_make_settings(mem, answers,
+					     options->settings_for, key, &err);
 	if (!text)
 		return print_error("generate", &err);
 	rj_error_list_init(&errors, mem);
@@ -210,7 +210,7 @@
 			  options.version, options.end };
 	result = options_parse(&options, command_find("generate"), argc, argv,
 			       table);
-	if (result.go_on) {
+	if (result.proceed) {
 		struct generate_options chosen = {
 			.answers = option_file(answers),
 			.output = output->count ? option_file(output) : "-",
--- a/src/radishjunction/instances.h
+++ b/src/radishjunction/instance_status.h
@@ -14,12 +14,12 @@
 	char detail[128]; /* why not */
 };
 
-void instances_status(const struct targets *targets,
-		      struct instance_status *statuses);
-void instances_revision(const struct targets *targets,
-			struct instance_status *statuses);
-void instances_status_finish(struct instance_status *statuses, uint32_t count);
-bool instance_takes_changes(const struct instance_status *status);
+void instances_get_status(const struct targets *targets,
+			  struct instance_status *statuses);
+void instances_get_revision(const struct targets *targets,
+			    struct instance_status *statuses);
+void instances_release_status(struct instance_status *statuses, uint32_t count);
+bool instance_accepts_changes(const struct instance_status *status);
 uint64_t instance_revision(const struct instance_status *status);
 
 #endif
--- a/src/radishjunction/job.c
+++ b/src/radishjunction/job.c
@@ -8,7 +8,7 @@
 
 #include "caller.h"
 #include "command.h"
-#include "words.h"
+#include "descriptions.h"
 #include "radishjunction/settings.h"
 
 /* What differs between them. */
@@ -61,11 +61,11 @@
 	};
 	result = options_parse(&options, command_find(verb->name), argc, argv,
 			       table);
-	if (result.go_on && (caller_load(&caller, mem, &own, &err) ||
-			     caller_job_id(job->sval[0], &id, &err))) {
+	if (result.proceed && (caller_load(&caller, mem, &own, &err) ||
+			       caller_job_id(job->sval[0], &id, &err))) {
 		print_error(verb->name, &err);
 		result.exit_code = EXIT_USAGE;
-	} else if (result.go_on) {
+	} else if (result.proceed) {
 		result.exit_code = verb->run(&caller, job->sval[0]);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
@@ -83,7 +83,7 @@
 
 	if (code)
 		return code;
-	code = caller_report(&answer);
+	code = caller_print_answer(&answer);
 	json_decref(answer.json);
 	return code;
 }
@@ -110,7 +110,7 @@
 
 	if (code)
 		return code;
-	code = caller_report(&answer);
+	code = caller_print_answer(&answer);
 	reason = json_string_value(json_object_get(answer.json, "reason"));
 	if (reason && !strcmp(reason, rj_reason_string[RJ_REASON_CANCELLED]))
 		code = EXIT_DONE;
--- a/src/radishjunction/load.c
+++ b/src/radishjunction/load.c
@@ -415,7 +415,7 @@
 
 	assert(load);
 	load_run(load, load, plan);
-	if (load_account(load, load, &err)) {
+	if (load_verify(load, load, &err)) {
 		print_error("load", &err);
 		result = EXIT_UNREACHABLE;
 	} else {
@@ -455,7 +455,7 @@
 	parsed = options_parse(&options, command_find("load"), argc, argv,
 			       table);
 	result = parsed.exit_code;
-	if (parsed.go_on)
+	if (parsed.proceed)
 		result = read_plan(mem, option_file(plan_file),
 				   option_file(tokens), targets,
 				   option_string(platform, ""), &plan) ?
--- a/src/radishjunction/load.h
+++ b/src/radishjunction/load.h
@@ -3,7 +3,7 @@
  * account of what became of each job.
  *
  * Life cycle: `load_plan_parse` reads what to send, `load_run` sends it and
- * settles every answer, `load_account` compares the answers with what the
+ * settles every answer, `load_verify` compares the answers with what the
  * workers say they ran. All are talloc children of one context.
  */
 #ifndef LOAD_H
@@ -88,6 +88,6 @@
 int load_plan_parse(void *mem, const char *text, const char *tokens,
 		    struct load_plan *plan, struct rj_error_list *errors);
 void load_run(struct load *load, void *mem, const struct load_plan *plan);
-int load_account(struct load *load, void *mem, struct rj_error *err);
+int load_verify(struct load *load, void *mem, struct rj_error *err);
 
 #endif
--- a/src/radishjunction/load_account.c
+++ b/src/radishjunction/load_verify.c
@@ -205,7 +205,7 @@
  * Returns 0, or -1 with `err` of kind RJ_ERR_UNAVAILABLE when the platform or
  * a worker does not tell.
  */
-int load_account(struct load *load, void *mem, struct rj_error *err)
+int load_verify(struct load *load, void *mem, struct rj_error *err)
 {
 	GHashTable *table = g_hash_table_new(g_str_hash, g_str_equal);
 	int failed = collect_ran(load, mem, table, err);
--- a/src/radishjunction/interview.h
+++ b/src/radishjunction/prompt.h
@@ -13,7 +13,7 @@
 
 #include "private/schema.h"
 
-struct interview {
+struct prompter {
 	FILE *in;
 	FILE *out; /* questions and errors */
 	void *mem;
@@ -37,17 +37,15 @@
 	uint32_t question_count;
 	uint32_t min;
 	uint32_t max;
-	uint32_t fallback_count;
+	uint32_t default_count;
 	/* What else is asked about an element, or NULL. */
-	int (*more)(struct interview *interview, void *element, bool known);
+	int (*more)(struct prompter *prompter, void *element, bool known);
 };
 
-int interview_struct(struct interview *interview,
-		     const struct rj_schema *schema,
-		     const struct question *questions, uint32_t count,
-		     void *fields, bool known);
-int interview_list(struct interview *interview,
-		   const struct question_list *list, void *elements,
-		   uint32_t *count);
+int prompt_struct(struct prompter *prompter, const struct rj_schema *schema,
+		  const struct question *questions, uint32_t count,
+		  void *fields, bool known);
+int prompt_list(struct prompter *prompter, const struct question_list *list,
+		void *elements, uint32_t *count);
 
 #endif
--- a/src/radishjunction/publish.c
+++ b/src/radishjunction/publish.c
@@ -9,7 +9,7 @@
 
 #include "answers.h"
 #include "command.h"
-#include "instances.h"
+#include "instance_status.h"
 #include "stream.h"
 #include "radishjunction/settings.h"
 
@@ -69,11 +69,11 @@
 	own->base = rj_config_log_revision(&own->stream.log);
 	if (!own->stream.log.gap)
 		return 0;
-	instances_revision(&own->targets, own->statuses);
+	instances_get_revision(&own->targets, own->statuses);
 	for (uint32_t i = 0; i < own->targets.count; i++)
 		if (instance_revision(&own->statuses[i]) > own->base)
 			own->base = instance_revision(&own->statuses[i]);
-	instances_status_finish(own->statuses, own->targets.count);
+	instances_release_status(own->statuses, own->targets.count);
 	if (own->base || own->restart)
 		return 0;
 	return rj_error_set(err, RJ_ERR_NOT_FOUND,
@@ -95,10 +95,10 @@
 {
 	bool all = own->targets.count > 0;
 
-	instances_revision(&own->targets, own->statuses);
+	instances_get_revision(&own->targets, own->statuses);
 	for (uint32_t i = 0; i < own->targets.count; i++)
-		all = all && instance_takes_changes(&own->statuses[i]);
-	instances_status_finish(own->statuses, own->targets.count);
+		all = all && instance_accepts_changes(&own->statuses[i]);
+	instances_release_status(own->statuses, own->targets.count);
 	return all;
 }
 
@@ -145,7 +145,7 @@
 	/* Nobody can judge it by what is gone, so it says where to start. */
 	record.carried = own->restart && own->stream.log.gap;
 	record.as_of = own->stream.log.next;
-	own->stream.wanted_id = own->id;
+	own->stream.awaited_id = own->id;
 	return stream_append(&own->stream, &record, err);
 }
 
@@ -275,13 +275,13 @@
 	for (;;) {
 		uint32_t done = 0;
 
-		instances_revision(&own->targets, own->statuses);
+		instances_get_revision(&own->targets, own->statuses);
 		for (uint32_t i = 0; i < own->targets.count; i++)
 			done += in_force(own, &own->statuses[i]);
 		if (done != told || is_past(&own->deadline))
 			print_progress(own, done);
 		told = done;
-		instances_status_finish(own->statuses, own->targets.count);
+		instances_release_status(own->statuses, own->targets.count);
 		if (done == own->targets.count)
 			return EXIT_DONE;
 		if (is_past(&own->deadline)) {
@@ -442,7 +442,7 @@
 			  options.end };
 	result = options_parse(&options, command_find("publish"), argc, argv,
 			       table);
-	if (result.go_on)
+	if (result.proceed)
 		result.exit_code = run(&own);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return result.exit_code;
--- a/src/radishjunction/status.c
+++ b/src/radishjunction/status.c
@@ -6,8 +6,8 @@
 
 #include "command.h"
 #include "http.h"
-#include "instances.h"
-#include "picture.h"
+#include "instance_status.h"
+#include "status_display.h"
 #include "radishjunction/settings.h"
 
 /*
@@ -53,14 +53,14 @@
 	statuses =
 		talloc_zero_array(mem, struct instance_status, targets.count);
 	assert(statuses);
-	instances_status(&targets, statuses);
+	instances_get_status(&targets, statuses);
 	for (uint32_t i = 0; i < targets.count; i++)
 		answered += statuses[i].json != NULL;
 	if (json)
 		print_json(&targets, statuses);
 	else
-		picture_print(stdout, &targets, statuses);
-	instances_status_finish(statuses, targets.count);
+		status_print(stdout, &targets, statuses);
+	instances_release_status(statuses, targets.count);
 	code = answered ? EXIT_DONE : EXIT_UNREACHABLE;
 out:
 	talloc_free(mem);
@@ -83,7 +83,7 @@
 			  options.help,	     options.version, options.end };
 	result = options_parse(&options, command_find("status"), argc, argv,
 			       table);
-	if (result.go_on)
+	if (result.proceed)
 		result.exit_code = status(&targets, json->count > 0);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return result.exit_code;
--- a/src/radishjunction/picture.c
+++ b/src/radishjunction/status_display.c
@@ -1,4 +1,4 @@
-#include "picture.h"
+#include "status_display.h"
 
 #include <inttypes.h>
 #include <stdlib.h>
@@ -258,8 +258,8 @@
 /*
  * Print the instances and then each failure domain with its racks.
  */
-void picture_print(FILE *out, const struct targets *targets,
-		   const struct instance_status *statuses)
+void status_print(FILE *out, const struct targets *targets,
+		  const struct instance_status *statuses)
 {
 	json_t *views = choose_views(statuses, targets->count);
 
--- a/src/radishjunction/picture.h
+++ b/src/radishjunction/status_display.h
@@ -7,9 +7,9 @@
 
 #include <stdio.h>
 
-#include "instances.h"
+#include "instance_status.h"
 
-void picture_print(FILE *out, const struct targets *targets,
-		   const struct instance_status *statuses);
+void status_print(FILE *out, const struct targets *targets,
+		  const struct instance_status *statuses);
 
 #endif
--- a/src/radishjunction/stream.c
+++ b/src/radishjunction/stream.c
@@ -45,9 +45,9 @@
 		memcpy(stream->winner_author, record.author,
 		       sizeof(stream->winner_author));
 	}
-	if (stream->wanted_id && !stream->found &&
+	if (stream->awaited_id && !stream->found &&
 	    verdict != RJ_CONFIG_READ_AGAIN &&
-	    !strcmp(record.config_id, stream->wanted_id)) {
+	    !strcmp(record.config_id, stream->awaited_id)) {
 		stream->found = true;
 		stream->verdict = verdict;
 	}
--- a/src/radishjunction/submit.c
+++ b/src/radishjunction/submit.c
@@ -128,7 +128,7 @@
 	}
 	code = caller_call(&caller, &call, &answer);
 	if (!code) {
-		code = caller_report(&answer);
+		code = caller_print_answer(&answer);
 		json_decref(answer.json);
 	}
 	if (code == EXIT_PENDING && options->no_wait->count)
@@ -169,7 +169,7 @@
 			  options.end };
 	result = options_parse(&options, command_find("submit"), argc, argv,
 			       table);
-	if (result.go_on)
+	if (result.proceed)
 		result.exit_code = submit(&own);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return result.exit_code;
