--- a/src/radishjunction/answers.c
+++ b/src/radishjunction/answers.c
@@ -119,7 +119,7 @@
 /*
  * The JSON text of the answers.
  */
-char *answers_text(void *mem, const struct answers *answers)
+char *answers_encode(void *mem, const struct answers *answers)
 {
 	return json_text(mem, rj_schema_encode(&answers_schema, answers));
 }
@@ -146,9 +146,10 @@
  * one named by `renew`; each other gets a token, which `tokens` tells. Both
  * `earlier` and `renew` may be NULL.
  */
-char *answers_config(void *mem, struct answers *answers,
-		     const struct rj_config *earlier, const char *renew,
-		     struct new_token **tokens, uint32_t *token_count)
+char *answers_make_config(void *mem, struct answers *answers,
+			  const struct rj_config *earlier,
+			  const char *renew_account, struct new_token **tokens,
+			  uint32_t *token_count)
 {
 	struct rj_config config = {
 		.domains = answers->domains,
@@ -166,12 +167,13 @@
 	assert(*tokens);
 	for (uint32_t i = 0; i < answers->account_count; i++) {
 		struct rj_account *account = &answers->accounts[i];
-		const struct rj_account *known = NULL;
+		const struct rj_account *existing = NULL;
 
-		if (earlier && !(renew && !strcmp(renew, account->name)))
-			known = rj_config_account(earlier, account->name);
-		if (known)
-			memcpy(account->token_hash, known->token_hash,
+		if (earlier &&
+		    !(renew_account && !strcmp(renew_account, account->name)))
+			existing = rj_config_account(earlier, account->name);
+		if (existing)
+			memcpy(account->token_hash, existing->token_hash,
 			       RJ_TOKEN_HASH_BYTES);
 		else
 			make_token(account, &(*tokens)[(*token_count)++]);
@@ -187,12 +189,13 @@
 {
 	for (uint32_t i = 0; i < answers->instance_count; i++) {
 		const char *domain = answers->instances[i].domain;
-		bool known = false;
+		bool domain_found = false;
 
 		for (uint32_t j = 0; j < answers->domain_count; j++)
-			known = known ||
+			domain_found =
+				domain_found ||
 				!strcmp(answers->domains[j].name, domain);
-		if (!known)
+		if (!domain_found)
 			rj_error_list_add(errors, RJ_ERR_INVALID,
 					  "instances[%u].domain: \"%s\" is no "
 					  "failure domain; add it to "
@@ -216,7 +219,8 @@
 	char *text;
 
 	assert(mem);
-	text = answers_config(mem, answers, NULL, NULL, &tokens, &token_count);
+	text = answers_make_config(mem, answers, NULL, NULL, &tokens,
+				   &token_count);
 	config = rj_config_parse(mem, config_compact(mem, text), errors);
 	check_instances(answers, errors);
 	if (config && errors->count == before)
@@ -229,9 +233,9 @@
  * The settings of the instance `name`, as JSON text, or NULL with `err` of
  * kind RJ_ERR_NOT_FOUND. Every other instance is named as a peer.
  */
-char *answers_settings(void *mem, const struct answers *answers,
-		       const char *name, const char *peer_key,
-		       struct rj_error *err)
+char *answers_make_settings(void *mem, const struct answers *answers,
+			    const char *name, const char *peer_key,
+			    struct rj_error *err)
 {
 	const struct answer_instance *self = NULL;
 	struct rj_settings settings;
@@ -242,17 +246,17 @@
 					   answers->instance_count + 1);
 	assert(settings.peers);
 	for (uint32_t i = 0; i < answers->instance_count; i++) {
-		const struct answer_instance *one = &answers->instances[i];
+		const struct answer_instance *instance = &answers->instances[i];
 		struct rj_instance *peer;
 
-		if (!strcmp(one->name, name)) {
-			self = one;
+		if (!strcmp(instance->name, name)) {
+			self = instance;
 			continue;
 		}
 		peer = &settings.peers[settings.peer_count++];
-		memcpy(peer->name, one->name, sizeof(peer->name));
-		memcpy(peer->domain, one->domain, sizeof(peer->domain));
-		peer->address = one->peer_address;
+		memcpy(peer->name, instance->name, sizeof(peer->name));
+		memcpy(peer->domain, instance->domain, sizeof(peer->domain));
+		peer->address = instance->peer_address;
 	}
 	if (!self) {
 		rj_error_set(err, RJ_ERR_NOT_FOUND,
--- a/src/radishjunction/answers.h
+++ b/src/radishjunction/answers.h
@@ -46,14 +46,15 @@
 
 int answers_parse(struct answers *answers, void *mem, const char *text,
 		  struct rj_error_list *errors);
-char *answers_text(void *mem, const struct answers *answers);
-char *answers_config(void *mem, struct answers *answers,
-		     const struct rj_config *earlier, const char *renew,
-		     struct new_token **tokens, uint32_t *token_count);
+char *answers_encode(void *mem, const struct answers *answers);
+char *answers_make_config(void *mem, struct answers *answers,
+			  const struct rj_config *earlier,
+			  const char *renew_account, struct new_token **tokens,
+			  uint32_t *token_count);
 void answers_check(struct answers *answers, struct rj_error_list *errors);
-char *answers_settings(void *mem, const struct answers *answers,
-		       const char *name, const char *peer_key,
-		       struct rj_error *err);
+char *answers_make_settings(void *mem, const struct answers *answers,
+			    const char *name, const char *peer_key,
+			    struct rj_error *err);
 char *config_compact(void *mem, const char *text);
 char *json_text(void *mem, json_t *json);
 
--- a/src/radishjunction/ask.c
+++ b/src/radishjunction/ask.c
@@ -5,7 +5,7 @@
 
 #include "answers.h"
 #include "command.h"
-#include "interview.h"
+#include "prompt.h"
 
 #define COUNT(questions) (sizeof(questions) / sizeof((questions)[0]))
 
@@ -78,20 +78,20 @@
 /*
  * Ask what each worker of the failure domain has.
  */
-static int ask_worker(struct interview *interview, void *element, bool known)
+static int ask_worker(struct prompter *prompter, void *element, bool prefilled)
 {
 	struct rj_domain *domain = element;
 
-	return interview_struct(interview, &rj_resources_schema,
-				worker_questions, COUNT(worker_questions),
-				&domain->worker, known);
+	return prompt_struct(prompter, &rj_resources_schema, worker_questions,
+			     COUNT(worker_questions), &domain->worker,
+			     prefilled);
 }
 
 /*
  * Ask for the guarantees of the client account.
  */
-static int ask_guarantees(struct interview *interview, void *element,
-			  bool known)
+static int ask_guarantees(struct prompter *prompter, void *element,
+			  bool prefilled)
 {
 	static const struct question_list list = {
 		.text = "guarantees",
@@ -103,15 +103,15 @@
 	};
 	struct rj_account *account = element;
 
-	return interview_list(interview, &list, (void *)&account->guarantees,
-			      &account->guarantee_count);
+	return prompt_list(prompter, &list, (void *)&account->guarantees,
+			   &account->guarantee_count);
 }
 
 /*
  * Ask everything, in the order in which a team thinks of it.
  */
-static int ask_all(struct interview *interview, struct answers *answers,
-		   bool known)
+static int ask_all(struct prompter *prompter, struct answers *answers,
+		   bool prefilled)
 {
 	static const struct question_list domains = {
 		.text = "failure domains",
@@ -121,8 +121,8 @@
 		.question_count = COUNT(domain_questions),
 		.min = 1,
 		.max = 64,
-		.fallback_count = 1,
-		.more = ask_worker,
+		.default_count = 1,
+		.ask_more = ask_worker,
 	};
 	static const struct question_list accounts = {
 		.text = "client accounts",
@@ -132,8 +132,8 @@
 		.question_count = COUNT(account_questions),
 		.min = 1,
 		.max = 1024,
-		.fallback_count = 1,
-		.more = ask_guarantees,
+		.default_count = 1,
+		.ask_more = ask_guarantees,
 	};
 	static const struct question_list kinds = {
 		.text = "job kinds",
@@ -143,7 +143,7 @@
 		.question_count = COUNT(kind_questions),
 		.min = 1,
 		.max = 256,
-		.fallback_count = 1,
+		.default_count = 1,
 	};
 	static const struct question_list instances = {
 		.text = "entry instances",
@@ -154,24 +154,23 @@
 		.max = 1024,
 	};
 
-	if (interview_struct(interview, &answers_schema, team_questions,
-			     COUNT(team_questions), answers, known) ||
-	    interview_list(interview, &domains, (void *)&answers->domains,
-			   &answers->domain_count) ||
-	    interview_list(interview, &accounts, (void *)&answers->accounts,
-			   &answers->account_count) ||
-	    interview_list(interview, &kinds, (void *)&answers->job_kinds,
-			   &answers->job_kind_count))
+	if (prompt_struct(prompter, &answers_schema, team_questions,
+			  COUNT(team_questions), answers, prefilled) ||
+	    prompt_list(prompter, &domains, (void *)&answers->domains,
+			&answers->domain_count) ||
+	    prompt_list(prompter, &accounts, (void *)&answers->accounts,
+			&answers->account_count) ||
+	    prompt_list(prompter, &kinds, (void *)&answers->job_kinds,
+			&answers->job_kind_count))
 		return -1;
-	if (interview_struct(interview, &rj_limits_schema, limits_questions,
-			     COUNT(limits_questions), &answers->limits,
-			     known) ||
-	    interview_struct(interview, &answers_schema, platform_questions,
-			     COUNT(platform_questions), answers, known))
+	if (prompt_struct(prompter, &rj_limits_schema, limits_questions,
+			  COUNT(limits_questions), &answers->limits,
+			  prefilled) ||
+	    prompt_struct(prompter, &answers_schema, platform_questions,
+			  COUNT(platform_questions), answers, prefilled))
 		return -1;
-	return interview_list(interview, &instances,
-			      (void *)&answers->instances,
-			      &answers->instance_count);
+	return prompt_list(prompter, &instances, (void *)&answers->instances,
+			   &answers->instance_count);
 }
 
 /*
@@ -203,34 +202,34 @@
  * work. Answers with errors are written all the same: they are the start of
  * the next round.
  */
-static int ask(struct interview *interview, const char *earlier,
-	       const char *output)
+static int run_questionnaire(struct prompter *prompter, const char *earlier,
+			     const char *output)
 {
 	struct rj_error_list errors;
 	struct answers answers;
 	struct rj_error err;
-	bool wrong = false;
+	bool has_errors = false;
 
-	if (load_earlier(interview->mem, earlier, &answers))
+	if (load_earlier(prompter->mem, earlier, &answers))
 		return EXIT_REFUSED;
-	if (ask_all(interview, &answers, earlier != NULL)) {
+	if (ask_all(prompter, &answers, earlier != NULL)) {
 		fprintf(stderr,
 			"radishjunction ask: the answers ended early; give "
 			"the rest, or --defaults to take the defaults\n");
 		return EXIT_REFUSED;
 	}
-	if (file_write(output, answers_text(interview->mem, &answers), false,
+	if (file_write(output, answers_encode(prompter->mem, &answers), false,
 		       &err))
 		return print_error("ask", &err);
-	rj_error_list_init(&errors, interview->mem);
+	rj_error_list_init(&errors, prompter->mem);
 	answers_check(&answers, &errors);
 	fprintf(stderr, "\n");
 	print_errors("answers", &errors);
 	for (uint32_t i = 0; i < errors.count; i++)
-		wrong = wrong || errors.errors[i].kind != RJ_ERR_NONE;
+		has_errors = has_errors || errors.errors[i].kind != RJ_ERR_NONE;
 	if (!output)
 		output = "FILE";
-	if (wrong)
+	if (has_errors)
 		fprintf(stderr,
 			"Mend them with `radishjunction ask --answers %s "
 			"--output %s`.\n",
@@ -240,7 +239,7 @@
 			"Next: `radishjunction generate %s --output "
 			"config.json --tokens tokens.json`.\n",
 			output);
-	return wrong ? EXIT_REFUSED : EXIT_DONE;
+	return has_errors ? EXIT_REFUSED : EXIT_DONE;
 }
 
 /*
@@ -257,7 +256,7 @@
 		NULL, "defaults", "take the defaults when the input ends");
 	struct options options;
 	struct options_result result;
-	struct interview interview = { .in = stdin, .out = stderr };
+	struct prompter prompter = { .in = stdin, .out = stderr };
 	int code;
 
 	options_init(&options);
@@ -266,14 +265,15 @@
 	result =
 		options_parse(&options, command_find("ask"), argc, argv, table);
 	code = result.exit_code;
-	if (result.go_on) {
-		interview.mem = talloc_new(NULL);
-		assert(interview.mem);
-		interview.defaults_at_end = defaults->count > 0;
-		interview.echo = !isatty(STDIN_FILENO);
-		code = ask(&interview, option_file(earlier),
-			   output->count ? option_file(output) : "-");
-		talloc_free(interview.mem);
+	if (result.proceed) {
+		prompter.mem = talloc_new(NULL);
+		assert(prompter.mem);
+		prompter.defaults_at_end = defaults->count > 0;
+		prompter.echo = !isatty(STDIN_FILENO);
+		code = run_questionnaire(&prompter, option_file(earlier),
+					 output->count ? option_file(output) :
+							 "-");
+		talloc_free(prompter.mem);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
--- a/src/radishjunction/caller.c
+++ b/src/radishjunction/caller.c
@@ -7,9 +7,9 @@
 #include <talloc.h>
 
 #include "command.h"
-#include "words.h"
+#include "descriptions.h"
 
-#define TIMEOUT_S 60
+#define DEFAULT_TIMEOUT_S 60
 
 /*
  * Make the options; the subcommand puts all of them into its table.
@@ -66,7 +66,7 @@
 	const char *path = option_file(options->tokens);
 	int timeout_s = options->timeout_s->count ?
 				options->timeout_s->ival[0] :
-				TIMEOUT_S;
+				DEFAULT_TIMEOUT_S;
 
 	memset(caller, 0, sizeof(*caller));
 	if (timeout_s < 1 || timeout_s > 24 * 3600)
@@ -129,7 +129,7 @@
  * Print an answer as JSON, what its reason means on standard error, and give
  * its exit code.
  */
-int caller_report(const struct http_answer *answer)
+int caller_print_answer(const struct http_answer *answer)
 {
 	const json_t *json = answer->json;
 	const char *kind = json_string_value(json_object_get(json, "answer"));
--- a/src/radishjunction/caller.h
+++ b/src/radishjunction/caller.h
@@ -34,7 +34,7 @@
 		const struct caller_options *options, struct rj_error *err);
 int caller_call(const struct caller *caller, struct http_call *call,
 		struct http_answer *answer);
-int caller_report(const struct http_answer *answer);
+int caller_print_answer(const struct http_answer *answer);
 int caller_job_id(const char *job, uint64_t *id, struct rj_error *err);
 const char *token_find(void *mem, const char *path, const char *account,
 		       struct rj_error *err);
--- a/src/radishjunction/check.c
+++ b/src/radishjunction/check.c
@@ -13,25 +13,25 @@
 static const struct {
 	const char *name;
 	const char *field;
-} sorts[] = {
+} document_types[] = {
 	{ "settings", "peer_key" },	  { "settings", "peer_address" },
 	{ "settings", "caller_address" }, { "answers", "job_kinds" },
 	{ "answers", "instances" },	  { "config", "classes" },
 };
 
-#define SORT_COUNT (sizeof(sorts) / sizeof(sorts[0]))
+#define DOCUMENT_TYPE_COUNT (sizeof(document_types) / sizeof(document_types[0]))
 
 /*
  * What the text is, by the fields it has; a configuration if unsure.
  */
-static const char *guess_sort(const char *text)
+static const char *detect_type(const char *text)
 {
 	json_t *json = json_loads(text, 0, NULL);
 	const char *found = "config";
 
-	for (uint32_t i = 0; i < SORT_COUNT; i++) {
-		if (json_object_get(json, sorts[i].field)) {
-			found = sorts[i].name;
+	for (uint32_t i = 0; i < DOCUMENT_TYPE_COUNT; i++) {
+		if (json_object_get(json, document_types[i].field)) {
+			found = document_types[i].name;
 			break;
 		}
 	}
@@ -43,15 +43,15 @@
  * Check `text` and add its errors, or else its notes. Returns whether it is
  * good.
  */
-static bool check_text(void *mem, const char *sort, const char *text,
+static bool check_text(void *mem, const char *type, const char *text,
 		       struct rj_error_list *errors)
 {
 	struct rj_config *config;
 	struct answers answers;
 
-	if (!strcmp(sort, "settings"))
+	if (!strcmp(type, "settings"))
 		return rj_settings_parse(mem, text, errors) != NULL;
-	if (!strcmp(sort, "answers")) {
+	if (!strcmp(type, "answers")) {
 		if (answers_parse(&answers, mem, text, errors))
 			return false;
 		answers_check(&answers, errors);
@@ -70,7 +70,7 @@
 /*
  * Check one file, as `sort` or as what its fields tell, and say what it is.
  */
-static int check(const char *path, const char *sort)
+static int check(const char *path, const char *type)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error_list errors;
@@ -84,12 +84,12 @@
 	if (!text) {
 		code = print_error("check", &err);
 	} else {
-		if (!sort)
-			sort = guess_sort(text);
-		if (check_text(mem, sort, text, &errors))
+		if (!type)
+			type = detect_type(text);
+		if (check_text(mem, type, text, &errors))
 			code = EXIT_DONE;
 		print_errors(path, &errors);
-		printf("%s: %s %s\n", path, code ? "bad" : "good", sort);
+		printf("%s: %s %s\n", path, code ? "bad" : "good", type);
 	}
 	talloc_free(mem);
 	return code;
@@ -102,33 +102,34 @@
 {
 	struct arg_file *file = arg_file1(NULL, NULL, "FILE",
 					  "configuration, settings or answers");
-	struct arg_str *as = arg_str0(NULL, "as", "SORT",
-				      "config, settings or answers; told by "
-				      "its fields if left out");
+	struct arg_str *type_option =
+		arg_str0(NULL, "as", "SORT",
+			 "config, settings or answers; told by "
+			 "its fields if left out");
 	struct options options;
 	struct options_result result;
-	const char *sort;
+	const char *type;
 
 	options_init(&options);
-	void *table[] = { file, as, options.help, options.version,
+	void *table[] = { file, type_option, options.help, options.version,
 			  options.end };
 	result = options_parse(&options, command_find("check"), argc, argv,
 			       table);
-	sort = option_string(as, NULL);
-	for (uint32_t i = 0; result.go_on && sort; i++) {
-		if (i == SORT_COUNT) {
+	type = option_string(type_option, NULL);
+	for (uint32_t i = 0; result.proceed && type; i++) {
+		if (i == DOCUMENT_TYPE_COUNT) {
 			fprintf(stderr,
 				"radishjunction check: --as %s: not known; "
 				"use config, settings or answers\n",
-				sort);
-			result.go_on = false;
+				type);
+			result.proceed = false;
 			result.exit_code = EXIT_USAGE;
-		} else if (!strcmp(sorts[i].name, sort)) {
+		} else if (!strcmp(document_types[i].name, type)) {
 			break;
 		}
 	}
-	if (result.go_on)
-		result.exit_code = check(option_file(file), sort);
+	if (result.proceed)
+		result.exit_code = check(option_file(file), type);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return result.exit_code;
 }
--- a/src/radishjunction/command.h
+++ b/src/radishjunction/command.h
@@ -39,7 +39,7 @@
 
 /* Whether the subcommand is to go on; else it returns `exit_code`. */
 struct options_result {
-	bool go_on;
+	bool proceed;
 	int exit_code;
 };
 
--- a/src/radishjunction/words.c
+++ b/src/radishjunction/descriptions.c
@@ -1,4 +1,4 @@
-#include "words.h"
+#include "descriptions.h"
 
 #include <glib.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 static const struct {
 	const char *alone;
 	const char *with_target;
-} event_words[RJ_LOG_EVENT_COUNT] = {
+} event_texts[RJ_LOG_EVENT_COUNT] = {
 	[RJ_LOG_ADMIT] = { "admitted", "admitted from" },
 	[RJ_LOG_REFUSE] = { "refused", "refused by" },
 	[RJ_LOG_ROUTE] = { "handed on", "handed to" },
@@ -33,7 +33,7 @@
 static const struct {
 	const char *meaning;
 	const char *remedy;
-} reason_words[RJ_REASON_COUNT] = {
+} reason_texts[RJ_REASON_COUNT] = {
 	[RJ_REASON_NONE] = { "no special reason", "nothing to do" },
 	[RJ_REASON_BAD_REQUEST] = { "the request is not well formed",
 				    "mend the field that `detail` names" },
@@ -124,8 +124,8 @@
 /* Where a job is, by the state's name in an explanation. */
 static const struct {
 	const char *state;
-	const char *words;
-} state_words[] = {
+	const char *text;
+} state_texts[] = {
 	{ "accepting", "its acceptance is being written to the log" },
 	{ "queued", "waiting to be placed" },
 	{ "holding", "taking the leases of its place" },
@@ -141,7 +141,7 @@
 /*
  * The index of `name` in a table of strings, or `count`.
  */
-static uint32_t find_word(const char *const *strings, uint32_t count,
+static uint32_t find_name(const char *const *strings, uint32_t count,
 			  const char *name)
 {
 	uint32_t i = 0;
@@ -154,7 +154,7 @@
 /*
  * A text of a decision, or "" when it is missing.
  */
-static const char *text_of(const json_t *object, const char *name)
+static const char *get_text(const json_t *object, const char *name)
 {
 	const char *text = json_string_value(json_object_get(object, name));
 
@@ -164,7 +164,7 @@
 /*
  * A number of a decision, or 0 when it is missing.
  */
-static json_int_t number_of(const json_t *object, const char *name)
+static json_int_t get_number(const json_t *object, const char *name)
 {
 	return json_integer_value(json_object_get(object, name));
 }
@@ -181,33 +181,34 @@
 /*
  * Print where a job is now, and what it waits for.
  */
-static void print_now(FILE *out, const json_t *now)
+static void print_state(FILE *out, const json_t *entry)
 {
-	const char *state = text_of(now, "state");
-	const char *words = state;
+	const char *state = get_text(entry, "state");
+	const char *text = state;
 
-	for (uint32_t i = 0; i < sizeof(state_words) / sizeof(*state_words);
+	for (uint32_t i = 0; i < sizeof(state_texts) / sizeof(*state_texts);
 	     i++)
-		if (!strcmp(state_words[i].state, state))
-			words = state_words[i].words;
-	fprintf(out, "now %s", words);
+		if (!strcmp(state_texts[i].state, state))
+			text = state_texts[i].text;
+	fprintf(out, "now %s", text);
 	if (!strcmp(state, "queued")) {
 		fputs(": ", out);
-		print_count(out, number_of(now, "tasks"), "task");
+		print_count(out, get_number(entry, "tasks"), "task");
 		fputs(" of ", out);
-		print_count(out, number_of(now, "accelerators"), "accelerator");
-		if (json_is_true(json_object_get(now, "adjacent")))
+		print_count(out, get_number(entry, "accelerators"),
+			    "accelerator");
+		if (json_is_true(json_object_get(entry, "adjacent")))
 			fputs(" in one rack", out);
 		fprintf(out,
 			"; %" JSON_INTEGER_FORMAT " of %" JSON_INTEGER_FORMAT
 			" accelerators that this instance plans are free, and ",
-			number_of(now, "accelerators_free"),
-			number_of(now, "accelerators_here"));
-		print_count(out, number_of(now, "waiting_here"), "job");
+			get_number(entry, "accelerators_free"),
+			get_number(entry, "accelerators_here"));
+		print_count(out, get_number(entry, "waiting_here"), "job");
 		fputs(" in all waiting here", out);
 	}
 	fprintf(out, "; %" JSON_INTEGER_FORMAT " ms since it came\n",
-		number_of(now, "waited_ms"));
+		get_number(entry, "waited_ms"));
 }
 
 /*
@@ -216,31 +217,31 @@
  */
 void print_decision(FILE *out, const json_t *decision)
 {
-	const char *event = text_of(decision, "event");
-	const char *why = text_of(decision, "why");
-	const char *target = text_of(decision, "target");
-	json_int_t waited_ms = number_of(decision, "waited_ms");
-	json_int_t considered = number_of(decision, "considered");
+	const char *event = get_text(decision, "event");
+	const char *why = get_text(decision, "why");
+	const char *target = get_text(decision, "target");
+	json_int_t waited_ms = get_number(decision, "waited_ms");
+	json_int_t considered = get_number(decision, "considered");
 	uint32_t event_index =
-		find_word(rj_decision_event_string, RJ_LOG_EVENT_COUNT, event);
-	uint32_t why_index = find_word(rj_reason_string, RJ_REASON_COUNT, why);
+		find_name(rj_decision_event_string, RJ_LOG_EVENT_COUNT, event);
+	uint32_t why_index = find_name(rj_reason_string, RJ_REASON_COUNT, why);
 
 	if (json_object_get(decision, "state")) {
-		print_now(out, decision);
+		print_state(out, decision);
 		return;
 	}
 	if (event_index == RJ_LOG_EVENT_COUNT)
 		fputs(event, out);
 	else if (target[0])
-		fputs(event_words[event_index].with_target, out);
+		fputs(event_texts[event_index].with_target, out);
 	else
-		fputs(event_words[event_index].alone, out);
+		fputs(event_texts[event_index].alone, out);
 	if (target[0])
 		fprintf(out, " %s", target);
 	if (why_index != RJ_REASON_NONE)
 		fprintf(out, ": %s (%s)",
 			why_index < RJ_REASON_COUNT ?
-				reason_words[why_index].meaning :
+				reason_texts[why_index].meaning :
 				"a reason that this version does not know",
 			why);
 	if (waited_ms)
@@ -259,13 +260,13 @@
  */
 void print_reason(FILE *out, const char *reason)
 {
-	uint32_t index = find_word(rj_reason_string, RJ_REASON_COUNT, reason);
+	uint32_t index = find_name(rj_reason_string, RJ_REASON_COUNT, reason);
 
 	if (index != RJ_REASON_COUNT &&
-	    !g_str_has_prefix(reason_words[index].remedy, "nothing to do"))
+	    !g_str_has_prefix(reason_texts[index].remedy, "nothing to do"))
 		fprintf(out, "%s: %s; %s\n", reason,
-			reason_words[index].meaning,
-			reason_words[index].remedy);
+			reason_texts[index].meaning,
+			reason_texts[index].remedy);
 }
 
 /*
@@ -277,5 +278,5 @@
 	fprintf(out, "| reason | meaning | remedy |\n|---|---|---|\n");
 	for (uint32_t i = 0; i < RJ_REASON_COUNT; i++)
 		fprintf(out, "| `%s` | %s | %s |\n", rj_reason_string[i],
-			reason_words[i].meaning, reason_words[i].remedy);
+			reason_texts[i].meaning, reason_texts[i].remedy);
 }
--- a/src/radishjunction/words.h
+++ b/src/radishjunction/descriptions.h
@@ -1,8 +1,8 @@
 /*
  * What decisions and reasons mean, in words for a person.
  */
-#ifndef WORDS_H
-#define WORDS_H
+#ifndef DESCRIPTIONS_H
+#define DESCRIPTIONS_H
 
 #include <jansson.h>
 #include <stdio.h>
--- a/src/radishjunction/file.c
+++ b/src/radishjunction/file.c
@@ -12,7 +12,7 @@
 /* Several times the largest configuration. */
 #define FILE_MAX_BYTES (4 * 1024 * 1024)
 #define MODE_SECRET 0600
-#define MODE_OPEN 0644
+#define MODE_PUBLIC 0644
 
 /*
  * Read a whole file, or standard input for "-", as a talloc child of `mem`.
@@ -59,7 +59,7 @@
 
 	if (strcmp(path, "-") != 0) {
 		fd = open(path, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC,
-			  secret ? MODE_SECRET : MODE_OPEN);
+			  secret ? MODE_SECRET : MODE_PUBLIC);
 		file = fd < 0 ? NULL : fdopen(fd, "w");
 	}
 	if (!file)
--- a/src/radishjunction/generate.c
+++ b/src/radishjunction/generate.c
@@ -15,7 +15,7 @@
 	const char *answers;
 	const char *output;
 	const char *earlier; /* NULL without */
-	const char *renew; /* NULL without */
+	const char *renew_account; /* NULL without */
 	const char *tokens; /* NULL: standard error */
 	const char *settings_for; /* NULL: a configuration */
 	const char *peer_key_file;
@@ -24,9 +24,9 @@
 /*
  * Print the new tokens, once: only their hashes are kept.
  */
-static int tell_tokens(void *mem, const char *path,
-		       const struct new_token *tokens, uint32_t count,
-		       struct rj_error *err)
+static int print_tokens(void *mem, const char *path,
+			const struct new_token *tokens, uint32_t count,
+			struct rj_error *err)
 {
 	json_t *json;
 
@@ -83,8 +83,8 @@
 
 	if (load_earlier(mem, options->earlier, &earlier))
 		return EXIT_REFUSED;
-	text = answers_config(mem, answers, earlier, options->renew, &tokens,
-			      &count);
+	text = answers_make_config(mem, answers, earlier,
+				   options->renew_account, &tokens, &count);
 	rj_error_list_init(&errors, mem);
 	config = rj_config_parse(mem, config_compact(mem, text), &errors);
 	if (!config) {
@@ -93,7 +93,7 @@
 	}
 	rj_config_notes(config, &errors);
 	print_errors(options->answers, &errors);
-	if (tell_tokens(mem, options->tokens, tokens, count, &err) ||
+	if (print_tokens(mem, options->tokens, tokens, count, &err) ||
 	    file_write(options->output, text, false, &err))
 		return print_error("generate", &err);
 	return EXIT_DONE;
@@ -138,8 +138,8 @@
 	char *key = peer_key(mem, options->peer_key_file, &err);
 
 	if (key)
-		text = answers_settings(mem, answers, options->settings_for,
-					key, &err);
+		text = answers_make_settings(mem, answers,
+					     options->settings_for, key, &err);
 	if (!text)
 		return print_error("generate", &err);
 	rj_error_list_init(&errors, mem);
@@ -191,8 +191,8 @@
 	struct arg_file *earlier =
 		arg_file0(NULL, "earlier", "FILE",
 			  "earlier configuration, whose tokens stay good");
-	struct arg_str *renew = arg_str0(NULL, "new-token", "ACCOUNT",
-					 "make this account a new token");
+	struct arg_str *renew_account = arg_str0(
+		NULL, "new-token", "ACCOUNT", "make this account a new token");
 	struct arg_file *tokens =
 		arg_file0(NULL, "tokens", "FILE",
 			  "where to write new tokens (standard error)");
@@ -205,17 +205,17 @@
 	struct options_result result;
 
 	options_init(&options);
-	void *table[] = { answers,	   output,     earlier, renew,
+	void *table[] = { answers,	   output,     earlier, renew_account,
 			  tokens,	   name,       key,	options.help,
 			  options.version, options.end };
 	result = options_parse(&options, command_find("generate"), argc, argv,
 			       table);
-	if (result.go_on) {
+	if (result.proceed) {
 		struct generate_options chosen = {
 			.answers = option_file(answers),
 			.output = output->count ? option_file(output) : "-",
 			.earlier = option_file(earlier),
-			.renew = option_string(renew, NULL),
+			.renew_account = option_string(renew_account, NULL),
 			.tokens = option_file(tokens),
 			.settings_for = option_string(name, NULL),
 			.peer_key_file =
--- a/src/radishjunction/http.c
+++ b/src/radishjunction/http.c
@@ -11,7 +11,7 @@
 #define ANSWER_MAX_BYTES (64 * 1024 * 1024)
 #define CONNECT_TIMEOUT_MS 2000L
 
-struct received {
+struct response {
 	char *text; /* talloc */
 	size_t length;
 };
@@ -20,19 +20,19 @@
  * Keep one more piece of the answer; libcurl fails the call on a short
  * return.
  */
-static size_t receive(char *data, size_t size, size_t count, void *user)
+static size_t append_body(char *data, size_t size, size_t count, void *user)
 {
-	struct received *received = user;
+	struct response *response = user;
 	size_t length = size * count;
 
-	if (received->length + length > ANSWER_MAX_BYTES)
+	if (response->length + length > ANSWER_MAX_BYTES)
 		return 0;
-	received->text = talloc_realloc(NULL, received->text, char,
-					received->length + length + 1);
-	assert(received->text);
-	memcpy(received->text + received->length, data, length);
-	received->length += length;
-	received->text[received->length] = 0;
+	response->text = talloc_realloc(NULL, response->text, char,
+					response->length + length + 1);
+	assert(response->text);
+	memcpy(response->text + response->length, data, length);
+	response->length += length;
+	response->text[response->length] = 0;
 	return length;
 }
 
@@ -80,26 +80,26 @@
 void http_call(const struct http_call *call, struct http_answer *answer)
 {
 	void *mem = talloc_new(NULL);
-	struct received received = { NULL, 0 };
+	struct response response = { NULL, 0 };
 	struct curl_slist *headers = make_headers(mem, call);
-	char where[RJ_ADDRESS_BYTES];
+	char address[RJ_ADDRESS_BYTES];
 	CURL *easy = curl_easy_init();
 	CURLcode code;
 
 	assert(easy);
 	memset(answer, 0, sizeof(*answer));
-	rj_address_format(where, &call->address);
+	rj_address_format(address, &call->address);
 	curl_easy_setopt(
 		easy, CURLOPT_URL,
-		talloc_asprintf(mem, "http://%s%s", where, call->path));
+		talloc_asprintf(mem, "http://%s%s", address, call->path));
 	curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
 	curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, (long)call->timeout_ms);
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, receive);
-	curl_easy_setopt(easy, CURLOPT_WRITEDATA, &received);
+	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_body);
+	curl_easy_setopt(easy, CURLOPT_WRITEDATA, &response);
 	if (call->body)
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, call->body);
 	curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, call->method);
@@ -108,17 +108,17 @@
 		answer->outcome = HTTP_ANSWERED;
 		curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE,
 				  &answer->status);
-		answer->json = json_loads(received.text ? received.text : "",
+		answer->json = json_loads(response.text ? response.text : "",
 					  JSON_DECODE_ANY, NULL);
 	} else {
 		answer->outcome = never_connected(easy, code) ?
 					  HTTP_UNREACHABLE :
 					  HTTP_LOST;
 		snprintf(answer->detail, sizeof(answer->detail), "%s: %s",
-			 where, curl_easy_strerror(code));
+			 address, curl_easy_strerror(code));
 	}
 	curl_easy_cleanup(easy);
 	curl_slist_free_all(headers);
-	talloc_free(received.text);
+	talloc_free(response.text);
 	talloc_free(mem);
 }
--- a/src/radishjunction/instances.c
+++ b/src/radishjunction/instance_status.c
@@ -1,4 +1,4 @@
-#include "instances.h"
+#include "instance_status.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -10,8 +10,8 @@
 /*
  * Ask one instance for `path`.
  */
-static void ask(const struct rj_address *instance, const char *path,
-		struct instance_status *status)
+static void request_status(const struct rj_address *instance, const char *path,
+			   struct instance_status *status)
 {
 	struct http_call call = { .method = "GET",
 				  .address = *instance,
@@ -34,11 +34,12 @@
 /*
  * Ask every instance in turn; `statuses` has room for all of them.
  */
-void instances_status(const struct targets *targets,
-		      struct instance_status *statuses)
+void instances_get_status(const struct targets *targets,
+			  struct instance_status *statuses)
 {
 	for (uint32_t i = 0; i < targets->count; i++)
-		ask(&targets->instances[i], "/v1/status", &statuses[i]);
+		request_status(&targets->instances[i], "/v1/status",
+			       &statuses[i]);
 }
 
 /*
@@ -46,16 +47,18 @@
  * more: its whole status names every worker. An older version knows no such
  * question and is asked for its status.
  */
-void instances_revision(const struct targets *targets,
-			struct instance_status *statuses)
+void instances_get_revision(const struct targets *targets,
+			    struct instance_status *statuses)
 {
 	for (uint32_t i = 0; i < targets->count; i++) {
-		ask(&targets->instances[i], "/v1/revision", &statuses[i]);
+		request_status(&targets->instances[i], "/v1/revision",
+			       &statuses[i]);
 		if (!statuses[i].json ||
 		    json_object_get(statuses[i].json, "revision"))
 			continue;
 		json_decref(statuses[i].json);
-		ask(&targets->instances[i], "/v1/status", &statuses[i]);
+		request_status(&targets->instances[i], "/v1/status",
+			       &statuses[i]);
 	}
 }
 
@@ -63,7 +66,7 @@
  * Whether an instance takes publications that hold the change alone. An
  * older version does not say so, nor does one that gives no answer.
  */
-bool instance_takes_changes(const struct instance_status *status)
+bool instance_accepts_changes(const struct instance_status *status)
 {
 	return json_is_true(json_object_get(status->json, "config_changes"));
 }
@@ -71,7 +74,7 @@
 /*
  * Give the answers back.
  */
-void instances_status_finish(struct instance_status *statuses, uint32_t count)
+void instances_release_status(struct instance_status *statuses, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++)
 		json_decref(statuses[i].json);
--- a/src/radishjunction/job.c
+++ b/src/radishjunction/job.c
@@ -8,11 +8,11 @@
 
 #include "caller.h"
 #include "command.h"
-#include "words.h"
+#include "descriptions.h"
 #include "radishjunction/settings.h"
 
 /* What differs between them. */
-struct job_verb {
+struct job_command {
 	const char *name;
 	/* Returns an exit code, told. */
 	int (*run)(const struct caller *caller, const char *job);
@@ -22,11 +22,11 @@
  * Call one instance about the job; `rest` follows the id in the path. Gives
  * the answer's JSON in `answer` and returns 0, or an exit code, told.
  */
-static int call_about(const struct caller *caller, const char *method,
-		      const char *job, const char *rest,
-		      struct http_answer *answer)
+static int call_job(const struct caller *caller, const char *method,
+		    const char *job, const char *path_suffix,
+		    struct http_answer *answer)
 {
-	char *path = talloc_asprintf(NULL, "/v1/jobs/%s%s", job, rest);
+	char *path = talloc_asprintf(NULL, "/v1/jobs/%s%s", job, path_suffix);
 	struct http_call call = { .method = method, .path = path };
 	int code;
 
@@ -39,11 +39,12 @@
 /*
  * Parse the arguments of a subcommand about one job, and run it.
  */
-static int run_verb(const struct job_verb *verb, int argc, char **argv)
+static int run_job_command(const struct job_command *command, int argc,
+			   char **argv)
 {
 	struct arg_str *job = arg_str1(NULL, NULL, "JOB",
 				       "id of the job, as its answer gave it");
-	struct caller_options own;
+	struct caller_options caller_opts;
 	struct options options;
 	struct options_result result;
 	struct caller caller;
@@ -52,21 +53,25 @@
 	uint64_t id;
 
 	assert(mem);
-	caller_options(&own);
+	caller_options(&caller_opts);
 	options_init(&options);
-	void *table[] = {
-		job,	      own.targets.instances, own.targets.answers,
-		own.tokens,   own.account,	     own.timeout_s,
-		options.help, options.version,	     options.end
-	};
-	result = options_parse(&options, command_find(verb->name), argc, argv,
-			       table);
-	if (result.go_on && (caller_load(&caller, mem, &own, &err) ||
-			     caller_job_id(job->sval[0], &id, &err))) {
-		print_error(verb->name, &err);
+	void *table[] = { job,
+			  caller_opts.targets.instances,
+			  caller_opts.targets.answers,
+			  caller_opts.tokens,
+			  caller_opts.account,
+			  caller_opts.timeout_s,
+			  options.help,
+			  options.version,
+			  options.end };
+	result = options_parse(&options, command_find(command->name), argc,
+			       argv, table);
+	if (result.proceed && (caller_load(&caller, mem, &caller_opts, &err) ||
+			       caller_job_id(job->sval[0], &id, &err))) {
+		print_error(command->name, &err);
 		result.exit_code = EXIT_USAGE;
-	} else if (result.go_on) {
-		result.exit_code = verb->run(&caller, job->sval[0]);
+	} else if (result.proceed) {
+		result.exit_code = command->run(&caller, job->sval[0]);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	talloc_free(mem);
@@ -79,11 +84,11 @@
 static int wait_for_job(const struct caller *caller, const char *job)
 {
 	struct http_answer answer;
-	int code = call_about(caller, "GET", job, "?wait=1", &answer);
+	int code = call_job(caller, "GET", job, "?wait=1", &answer);
 
 	if (code)
 		return code;
-	code = caller_report(&answer);
+	code = caller_print_answer(&answer);
 	json_decref(answer.json);
 	return code;
 }
@@ -93,9 +98,9 @@
  */
 int command_wait(int argc, char **argv)
 {
-	static const struct job_verb verb = { "wait", wait_for_job };
+	static const struct job_command command = { "wait", wait_for_job };
 
-	return run_verb(&verb, argc, argv);
+	return run_job_command(&command, argc, argv);
 }
 
 /*
@@ -106,11 +111,11 @@
 {
 	struct http_answer answer;
 	const char *reason;
-	int code = call_about(caller, "DELETE", job, "", &answer);
+	int code = call_job(caller, "DELETE", job, "", &answer);
 
 	if (code)
 		return code;
-	code = caller_report(&answer);
+	code = caller_print_answer(&answer);
 	reason = json_string_value(json_object_get(answer.json, "reason"));
 	if (reason && !strcmp(reason, rj_reason_string[RJ_REASON_CANCELLED]))
 		code = EXIT_DONE;
@@ -123,9 +128,9 @@
  */
 int command_cancel(int argc, char **argv)
 {
-	static const struct job_verb verb = { "cancel", cancel_job };
+	static const struct job_command command = { "cancel", cancel_job };
 
-	return run_verb(&verb, argc, argv);
+	return run_job_command(&command, argc, argv);
 }
 
 /*
@@ -135,13 +140,13 @@
 static void print_decisions(const struct rj_address *address,
 			    const json_t *list)
 {
-	char where[RJ_ADDRESS_BYTES];
+	char address_text[RJ_ADDRESS_BYTES];
 	json_int_t first_us = 0;
 	json_t *entry;
 	size_t i;
 
-	rj_address_format(where, address);
-	printf("at %s\n", where);
+	rj_address_format(address_text, address);
+	printf("at %s\n", address_text);
 	json_array_foreach(list, i, entry)
 	{
 		json_int_t at_us =
@@ -160,32 +165,33 @@
  */
 static int explain_job(const struct caller *caller, const char *job)
 {
-	uint32_t told = 0;
+	uint32_t explained = 0;
 	uint32_t answered = 0;
 
 	for (uint32_t i = 0; i < caller->targets.count; i++) {
-		struct caller one = *caller;
+		struct caller single_target = *caller;
 		struct http_answer answer;
 
-		one.targets.instances = &caller->targets.instances[i];
-		one.targets.count = 1;
-		if (call_about(&one, "GET", job, "/explain", &answer))
+		single_target.targets.instances = &caller->targets.instances[i];
+		single_target.targets.count = 1;
+		if (call_job(&single_target, "GET", job, "/explain", &answer))
 			continue;
 		answered++;
 		if (json_array_size(answer.json)) {
-			print_decisions(one.targets.instances, answer.json);
-			told++;
+			print_decisions(single_target.targets.instances,
+					answer.json);
+			explained++;
 		}
 		json_decref(answer.json);
 	}
 	if (!answered)
 		return EXIT_UNREACHABLE;
-	if (!told)
+	if (!explained)
 		fprintf(stderr,
 			"radishjunction explain: no instance that was asked "
 			"remembers this job of this account; check the id, "
 			"the token and --instances\n");
-	return told ? EXIT_DONE : EXIT_REFUSED;
+	return explained ? EXIT_DONE : EXIT_REFUSED;
 }
 
 /*
@@ -193,7 +199,7 @@
  */
 int command_explain(int argc, char **argv)
 {
-	static const struct job_verb verb = { "explain", explain_job };
+	static const struct job_command command = { "explain", explain_job };
 
-	return run_verb(&verb, argc, argv);
+	return run_job_command(&command, argc, argv);
 }
--- a/src/radishjunction/load.c
+++ b/src/radishjunction/load.c
@@ -14,17 +14,17 @@
 #include "radishjunction/settings.h"
 
 /* Jobs that are due are sent so often. */
-#define TICK_US (5 * RJ_US_PER_MS)
+#define SEND_INTERVAL_US (5 * RJ_US_PER_MS)
 #define ANSWER_MAX_BYTES (512 * 1024)
 /* After a lost answer, and when no time to come back was told. */
-#define RETRY_US (200 * RJ_US_PER_MS)
+#define DEFAULT_RETRY_DELAY_US (200 * RJ_US_PER_MS)
 /* Connections to one instance, as many callers behind a balancer hold. */
 #define CONNECTIONS_MAX 256
 #define TARGETS_MAX 64
 #define HEADER_BYTES 128
 
 /* One caller that waits for the answer to one job. */
-struct ask {
+struct request {
 	struct load *load;
 	struct load_job *job;
 	bool posted; /* the newest request was a submission */
@@ -33,18 +33,18 @@
 	bool in_doubt; /* a submission without a key was not answered */
 };
 
-static void ask_send(struct ask *ask);
+static void request_send(struct request *request);
 
 /* The caller has its final answer, or has given up with `unknown`. */
-static void ask_end(struct ask *ask, enum rj_answer_kind answer,
-		    enum rj_reason reason)
+static void request_finish(struct request *request, enum rj_answer_kind answer,
+			   enum rj_reason reason)
 {
-	struct load_job *job = ask->job;
+	struct load_job *job = request->job;
 
-	job->asking--;
-	ask->load->asking--;
+	job->open_requests--;
+	request->load->open_requests--;
 	if (!job->answered || job->answer == RJ_ANSWER_UNKNOWN) {
-		job->took_us = rj_clock_now_us() - ask->load->began_us;
+		job->latency_us = rj_clock_now_us() - request->load->started_us;
 		job->answer = answer;
 		job->reason = reason;
 	} else if (answer != RJ_ANSWER_UNKNOWN && answer != job->answer) {
@@ -53,37 +53,39 @@
 			rj_reason_string[job->reason],
 			rj_answer_kind_string[answer],
 			rj_reason_string[reason]);
-		job->wrong = true;
+		job->inconsistent = true;
 	}
 	job->answered = true;
-	talloc_free(ask);
+	talloc_free(request);
 }
 
 /* Whether it is too late to ask again. */
-static bool too_late(const struct load *load)
+static bool is_past_limit(const struct load *load)
 {
 	return rj_clock_now_us() >
-	       load->began_us + load->plan->limit_s * RJ_US_PER_S;
+	       load->started_us + load->plan->limit_s * RJ_US_PER_S;
 }
 
 /* The time to ask again has come. */
 static void on_again(struct tevent_context *loop, struct tevent_timer *timer,
 		     struct timeval now, void *private_data)
 {
-	ask_send(private_data);
+	request_send(private_data);
 }
 
 /* Ask again at another instance, or give up when time is over. */
-static void ask_again(struct ask *ask, uint64_t delay_us, enum rj_reason reason)
+static void request_retry(struct request *request, uint64_t delay_us,
+			  enum rj_reason reason)
 {
 	struct tevent_timer *timer;
 
-	if (too_late(ask->load)) {
-		ask_end(ask, RJ_ANSWER_UNKNOWN, reason);
+	if (is_past_limit(request->load)) {
+		request_finish(request, RJ_ANSWER_UNKNOWN, reason);
 		return;
 	}
-	timer = tevent_add_timer(ask->load->loop, ask,
-				 rj_clock_timeval_in(delay_us), on_again, ask);
+	timer = tevent_add_timer(request->load->loop, request,
+				 rj_clock_timeval_in(delay_us), on_again,
+				 request);
 	assert(timer);
 	(void)timer;
 }
@@ -101,16 +103,16 @@
 }
 
 /* Whether a result is the whole result of this job. */
-static bool is_own_result(const struct ask *ask, const json_t *json)
+static bool is_own_result(const struct request *request, const json_t *json)
 {
 	const json_t *result = json_object_get(json, "result");
 	const char *echo = json_string_value(json_object_get(result, "echo"));
 
-	return echo && strcmp(echo, ask->job->echo) == 0;
+	return echo && strcmp(echo, request->job->echo) == 0;
 }
 
 /* Take the id that an answer names; false if it is another than before. */
-static bool take_job_id(struct ask *ask, const json_t *json)
+static bool record_job_id(struct request *request, const json_t *json)
 {
 	uint64_t job_id;
 	const char *text = json_string_value(json_object_get(json, "job"));
@@ -119,10 +121,10 @@
 		return true;
 	if (rj_caller_parse_job_id(&job_id, text))
 		return false;
-	if (ask->job_id && ask->job_id != job_id)
+	if (request->job_id && request->job_id != job_id)
 		return false;
-	ask->job_id = job_id;
-	ask->job->job_id = job_id;
+	request->job_id = job_id;
+	request->job->job_id = job_id;
 	return true;
 }
 
@@ -133,67 +135,68 @@
 
 	return json_is_integer(retry) ?
 		       (uint64_t)json_integer_value(retry) * RJ_US_PER_MS :
-		       RETRY_US;
+		       DEFAULT_RETRY_DELAY_US;
 }
 
 /* Act on a whole answer. */
-static void take_answer(struct ask *ask, const json_t *json)
+static void handle_answer(struct request *request, const json_t *json)
 {
 	uint32_t answer = enum_value(json, "answer", rj_answer_kind_string,
 				     RJ_ANSWER_KIND_COUNT);
 	uint32_t reason =
 		enum_value(json, "reason", rj_reason_string, RJ_REASON_COUNT);
 
-	if (reason == RJ_REASON_COUNT || !take_job_id(ask, json))
-		ask->job->wrong = true;
+	if (reason == RJ_REASON_COUNT || !record_job_id(request, json))
+		request->job->inconsistent = true;
 	switch (answer) {
 	case RJ_ANSWER_DONE:
-		if (!is_own_result(ask, json))
-			ask->job->wrong = true;
-		ask_end(ask, answer, reason);
+		if (!is_own_result(request, json))
+			request->job->inconsistent = true;
+		request_finish(request, answer, reason);
 		return;
 	case RJ_ANSWER_FAILED:
-		ask_end(ask, answer, reason);
+		request_finish(request, answer, reason);
 		return;
 	case RJ_ANSWER_NOT_RUN:
 		/* True of this submission; the lost one may have run. */
-		ask_end(ask, ask->in_doubt ? RJ_ANSWER_UNKNOWN : answer,
-			reason);
+		request_finish(request,
+			       request->in_doubt ? RJ_ANSWER_UNKNOWN : answer,
+			       reason);
 		return;
 	case RJ_ANSWER_ACCEPTED:
-		ask->accepted = true;
-		ask->job->accepted = true;
-		ask_again(ask, 0, reason);
+		request->accepted = true;
+		request->job->accepted = true;
+		request_retry(request, 0, reason);
 		return;
 	case RJ_ANSWER_UNKNOWN:
 		/* An instance may not have read an accepted job's record. */
-		if (ask->job->kind->keyed || ask->accepted ||
-		    (ask->job_id && reason != RJ_REASON_NO_SUCH_JOB))
-			ask_again(ask, retry_delay_us(json), reason);
+		if (request->job->kind->keyed || request->accepted ||
+		    (request->job_id && reason != RJ_REASON_NO_SUCH_JOB))
+			request_retry(request, retry_delay_us(json), reason);
 		else
-			ask_end(ask, answer, reason);
+			request_finish(request, answer, reason);
 		return;
 	default:
-		ask->job->wrong = true;
-		ask_end(ask, RJ_ANSWER_UNKNOWN, RJ_REASON_NONE);
+		request->job->inconsistent = true;
+		request_finish(request, RJ_ANSWER_UNKNOWN, RJ_REASON_NONE);
 	}
 }
 
 /* An answer has come, or the connection was lost. */
 static void on_answer(void *private_data, const struct rj_http_result *result)
 {
-	struct ask *ask = *(struct ask **)private_data;
+	struct request *request = *(struct request **)private_data;
 	json_t *json = NULL;
 
 	if (result->outcome == RJ_HTTP_ANSWERED)
 		json = json_loadb(result->body, result->length, 0, NULL);
-	if (result->outcome == RJ_HTTP_LOST && !ask->job->kind->keyed &&
-	    !ask->job_id)
-		ask->in_doubt = true;
+	if (result->outcome == RJ_HTTP_LOST && !request->job->kind->keyed &&
+	    !request->job_id)
+		request->in_doubt = true;
 	if (json)
-		take_answer(ask, json);
+		handle_answer(request, json);
 	else
-		ask_again(ask, RETRY_US, RJ_REASON_NONE);
+		request_retry(request, DEFAULT_RETRY_DELAY_US, RJ_REASON_NONE);
 	json_decref(json);
 }
 
@@ -201,23 +204,23 @@
  * Submit the job, or ask for it by its id, at the next instance. A job with
  * a key is always submitted again: the key is what makes that safe.
  */
-static void ask_send(struct ask *ask)
+static void request_send(struct request *request)
 {
-	struct load *load = ask->load;
-	const struct load_kind *kind = ask->job->kind;
+	struct load *load = request->load;
+	const struct load_kind *kind = request->job->kind;
 	const struct rj_address *target =
 		&load->plan->targets[load->next_target++ %
 				     load->plan->target_count];
 	char token[HEADER_BYTES];
 	char key[HEADER_BYTES];
 	const char *headers[] = { token, key };
-	bool post = !ask->accepted && (kind->keyed || !ask->job_id);
-	struct ask **slot = talloc(load, struct ask *);
+	bool post = !request->accepted && (kind->keyed || !request->job_id);
+	struct request **slot = talloc(load, struct request *);
 	char *url;
 	struct rj_http_send send = {
 		.method = post ? "POST" : "GET",
-		.body = post ? ask->job->text : "",
-		.length = post ? strlen(ask->job->text) : 0,
+		.body = post ? request->job->submission : "",
+		.length = post ? strlen(request->job->submission) : 0,
 		.timeout_us = load->plan->answer_limit_s * RJ_US_PER_S,
 		.answer_max_bytes = ANSWER_MAX_BYTES,
 		.headers = headers,
@@ -227,31 +230,31 @@
 	};
 
 	assert(slot);
-	*slot = ask;
+	*slot = request;
 	snprintf(token, sizeof(token), "Authorization: Bearer %s", kind->token);
-	snprintf(key, sizeof(key), "Idempotency-Key: %s", ask->job->key);
+	snprintf(key, sizeof(key), "Idempotency-Key: %s", request->job->key);
 	if (post)
 		url = talloc_asprintf(slot, "http://%s:%u/v1/jobs", target->ip,
 				      target->port);
 	else
 		url = talloc_asprintf(
 			slot, "http://%s:%u/v1/jobs/%016llx?wait=1", target->ip,
-			target->port, (unsigned long long)ask->job_id);
+			target->port, (unsigned long long)request->job_id);
 	send.url = url;
 	rj_http_client_send(&load->client, &send);
 }
 
 /* One more caller asks for the job. */
-static void ask_begin(struct load *load, struct load_job *job)
+static void request_start(struct load *load, struct load_job *job)
 {
-	struct ask *ask = talloc_zero(load, struct ask);
-
-	assert(ask);
-	ask->load = load;
-	ask->job = job;
-	job->asking++;
-	load->asking++;
-	ask_send(ask);
+	struct request *request = talloc_zero(load, struct request);
+
+	assert(request);
+	request->load = load;
+	request->job = job;
+	job->open_requests++;
+	load->open_requests++;
+	request_send(request);
 }
 
 /* Send what is due by the rate. */
@@ -259,21 +262,22 @@
 		    struct timeval now, void *private_data)
 {
 	struct load *load = private_data;
-	uint64_t due = (rj_clock_now_us() - load->began_us) * load->plan->rate /
-		       RJ_US_PER_S;
+	uint64_t due = (rj_clock_now_us() - load->started_us) *
+		       load->plan->rate / RJ_US_PER_S;
 
 	while (load->sent < load->job_count && load->sent < due) {
-		uint32_t index = load->order[load->sent++];
+		uint32_t index = load->send_order[load->sent++];
 		struct load_job *job = &load->jobs[index];
 		uint32_t every = job->kind->repeat_every;
 
-		ask_begin(load, job);
+		request_start(load, job);
 		if (every && index % every == 0)
-			ask_begin(load, job);
+			request_start(load, job);
 	}
 	if (load->sent < load->job_count)
-		tevent_add_timer(loop, load, rj_clock_timeval_in(TICK_US),
-				 on_tick, load);
+		tevent_add_timer(loop, load,
+				 rj_clock_timeval_in(SEND_INTERVAL_US), on_tick,
+				 load);
 }
 
 /* Write the submission of a job and the digest of its body. */
@@ -287,7 +291,7 @@
 
 	job->kind = kind;
 	snprintf(job->echo, sizeof(job->echo), "%u-%u-%llx", load->plan->seed,
-		 index, (unsigned long long)load->random);
+		 index, (unsigned long long)load->random_state);
 	snprintf(job->key, sizeof(job->key), "load-%s", job->echo);
 	body = json_pack("{s:i, s:s}", "run_ms", (int)kind->run_ms, "echo",
 			 job->echo);
@@ -302,7 +306,7 @@
 			 "adjacent", kind->adjacent, "declared_ms",
 			 (int)kind->run_ms, "wait", kind->wait, "body", body);
 	assert(json);
-	job->text = json_text(load, json);
+	job->submission = json_text(load, json);
 	free(body_text);
 }
 
@@ -315,18 +319,18 @@
 	for (uint32_t i = 0; i < plan->kind_count; i++)
 		load->job_count += plan->kinds[i].count;
 	load->jobs = talloc_zero_array(load, struct load_job, load->job_count);
-	load->order = talloc_array(load, uint32_t, load->job_count);
-	assert(load->jobs && load->order);
+	load->send_order = talloc_array(load, uint32_t, load->job_count);
+	assert(load->jobs && load->send_order);
 	for (uint32_t i = 0; i < plan->kind_count; i++)
 		for (uint32_t j = 0; j < plan->kinds[i].count; j++, index++)
 			fill_job(load, &load->jobs[index], &plan->kinds[i],
 				 index);
 	for (uint32_t i = 0; i < load->job_count; i++) {
 		uint32_t other =
-			(uint32_t)(rj_random64(&load->random) % (i + 1));
+			(uint32_t)(rj_random64(&load->random_state) % (i + 1));
 
-		load->order[i] = load->order[other];
-		load->order[other] = i;
+		load->send_order[i] = load->send_order[other];
+		load->send_order[other] = i;
 	}
 }
 
@@ -338,15 +342,15 @@
 {
 	load->loop = tevent_context_init(mem);
 	load->plan = plan;
-	load->random = plan->seed;
+	load->random_state = plan->seed;
 	make_jobs(load);
 	if (rj_http_client_init(&load->client, load, load->loop, NULL,
 				CONNECTIONS_MAX, NULL))
 		assert(!"the client starts");
-	load->began_us = rj_clock_now_us();
+	load->started_us = rj_clock_now_us();
 	tevent_add_timer(load->loop, load, rj_clock_timeval_in(0), on_tick,
 			 load);
-	while (load->sent < load->job_count || load->asking)
+	while (load->sent < load->job_count || load->open_requests)
 		tevent_loop_once(load->loop);
 }
 
@@ -362,7 +366,7 @@
 	       totals->answers[RJ_ANSWER_FAILED],
 	       totals->answers[RJ_ANSWER_NOT_RUN],
 	       totals->answers[RJ_ANSWER_UNKNOWN], totals->lost,
-	       totals->doubled, totals->wrong_answer);
+	       totals->duplicated, totals->wrong_answer);
 	fflush(stdout);
 }
 
@@ -415,12 +419,12 @@
 
 	assert(load);
 	load_run(load, load, plan);
-	if (load_account(load, load, &err)) {
+	if (load_verify(load, load, &err)) {
 		print_error("load", &err);
 		result = EXIT_UNREACHABLE;
 	} else {
 		print_totals(load);
-		if (load->totals.lost || load->totals.doubled ||
+		if (load->totals.lost || load->totals.duplicated ||
 		    load->totals.wrong_answer)
 			result = EXIT_REFUSED;
 	}
@@ -455,7 +459,7 @@
 	parsed = options_parse(&options, command_find("load"), argc, argv,
 			       table);
 	result = parsed.exit_code;
-	if (parsed.go_on)
+	if (parsed.proceed)
 		result = read_plan(mem, option_file(plan_file),
 				   option_file(tokens), targets,
 				   option_string(platform, ""), &plan) ?
--- a/src/radishjunction/load.h
+++ b/src/radishjunction/load.h
@@ -3,7 +3,7 @@
  * account of what became of each job.
  *
  * Life cycle: `load_plan_parse` reads what to send, `load_run` sends it and
- * settles every answer, `load_account` compares the answers with what the
+ * settles every answer, `load_verify` compares the answers with what the
  * workers say they ran. All are talloc children of one context.
  */
 #ifndef LOAD_H
@@ -51,22 +51,22 @@
 	const struct load_kind *kind;
 	char key[RJ_KEY_BYTES];
 	char echo[LOAD_TEXT_BYTES]; /* that the result must hold */
-	char *text; /* the submission */
+	char *submission; /* the submission */
 	uint8_t digest[RJ_DIGEST_BYTES]; /* of the body, as workers tell it */
-	uint32_t asking; /* callers that still wait */
+	uint32_t open_requests; /* callers that still wait */
 	bool answered;
 	enum rj_answer_kind answer;
 	enum rj_reason reason;
 	uint64_t job_id;
 	bool accepted;
-	bool wrong; /* an answer that is not its own, or contradicts another */
-	uint64_t took_us; /* to the first final answer */
+	bool inconsistent; /* an answer that is not its own, or contradicts another */
+	uint64_t latency_us; /* to the first final answer */
 };
 
 struct load_totals {
 	uint32_t answers[RJ_ANSWER_KIND_COUNT];
 	uint32_t lost; /* accepted or awaited, and no answer came */
-	uint32_t doubled; /* ran more than once, and must not */
+	uint32_t duplicated; /* ran more than once, and must not */
 	uint32_t wrong_answer;
 };
 
@@ -76,18 +76,18 @@
 	const struct load_plan *plan;
 	struct load_job *jobs;
 	uint32_t job_count;
-	uint32_t *order; /* in which they are sent */
+	uint32_t *send_order; /* in which they are sent */
 	uint32_t sent;
-	uint32_t asking; /* callers that still wait, of all jobs */
+	uint32_t open_requests; /* callers that still wait, of all jobs */
 	uint32_t next_target;
-	uint64_t began_us;
-	uint64_t random;
+	uint64_t started_us;
+	uint64_t random_state;
 	struct load_totals totals;
 };
 
 int load_plan_parse(void *mem, const char *text, const char *tokens,
 		    struct load_plan *plan, struct rj_error_list *errors);
 void load_run(struct load *load, void *mem, const struct load_plan *plan);
-int load_account(struct load *load, void *mem, struct rj_error *err);
+int load_verify(struct load *load, void *mem, struct rj_error *err);
 
 #endif
--- a/src/radishjunction/load_account.c
+++ b/src/radishjunction/load_verify.c
@@ -9,13 +9,13 @@
 #include "load.h"
 #include "radishjunction/event.h"
 
-#define ANSWER_LIMIT_US (10 * RJ_US_PER_S)
+#define ANSWER_TIMEOUT_US (10 * RJ_US_PER_S)
 /* Every task that a worker ever ran, with room for many. */
 #define ANSWER_MAX_BYTES (64 * 1024 * 1024)
 #define DIGEST_HEX_BYTES (2 * RJ_DIGEST_BYTES + 1)
 
 /* What the workers ran of one job. */
-struct ran {
+struct runs {
 	char digest[DIGEST_HEX_BYTES];
 	uint32_t starts; /* of the first member, in all attempts */
 	uint32_t done; /* members that ended well */
@@ -23,16 +23,16 @@
 
 /* One GET that is waited for. */
 struct get {
-	bool ended;
+	bool finished;
 	json_t *json;
 };
 
 /* The answer to a GET, or none. */
-static void on_got(void *private_data, const struct rj_http_result *result)
+static void on_get_done(void *private_data, const struct rj_http_result *result)
 {
 	struct get *get = *(struct get **)private_data;
 
-	get->ended = true;
+	get->finished = true;
 	if (result->outcome == RJ_HTTP_ANSWERED)
 		get->json = json_loadb(result->body, result->length, 0, NULL);
 }
@@ -48,22 +48,22 @@
 		.url = talloc_asprintf(slot, "http://%s:%u%s", address->ip,
 				       address->port, path),
 		.body = "",
-		.timeout_us = ANSWER_LIMIT_US,
+		.timeout_us = ANSWER_TIMEOUT_US,
 		.answer_max_bytes = ANSWER_MAX_BYTES,
-		.done = on_got,
+		.done = on_get_done,
 		.private_data = slot,
 	};
 
 	assert(slot);
 	*slot = &get;
 	rj_http_client_send(&load->client, &send);
-	while (!get.ended)
+	while (!get.finished)
 		tevent_loop_once(load->loop);
 	return get.json;
 }
 
 /* Add what one worker ran; 0, or -1 if an entry cannot be read. */
-static int add_ran(GHashTable *table, void *mem, const json_t *list)
+static int add_runs(GHashTable *runs_by_digest, void *mem, const json_t *list)
 {
 	size_t index;
 	json_t *entry;
@@ -76,29 +76,29 @@
 			json_string_value(json_object_get(entry, "state"));
 		const json_t *member = json_object_get(entry, "member");
 		const json_t *starts = json_object_get(entry, "starts");
-		struct ran *ran;
+		struct runs *runs;
 
 		if (!digest || !state || strlen(digest) >= DIGEST_HEX_BYTES ||
 		    !json_is_integer(member) || !json_is_integer(starts))
 			return -1;
-		ran = g_hash_table_lookup(table, digest);
-		if (!ran) {
-			ran = talloc_zero(mem, struct ran);
-			assert(ran);
-			g_strlcpy(ran->digest, digest, sizeof(ran->digest));
-			g_hash_table_insert(table, ran->digest, ran);
+		runs = g_hash_table_lookup(runs_by_digest, digest);
+		if (!runs) {
+			runs = talloc_zero(mem, struct runs);
+			assert(runs);
+			g_strlcpy(runs->digest, digest, sizeof(runs->digest));
+			g_hash_table_insert(runs_by_digest, runs->digest, runs);
 		}
 		if (!json_integer_value(member))
-			ran->starts += (uint32_t)json_integer_value(starts);
+			runs->starts += (uint32_t)json_integer_value(starts);
 		if (!strcmp(state, rj_task_state_string[RJ_TASK_DONE]))
-			ran->done++;
+			runs->done++;
 	}
 	return 0;
 }
 
 /* Ask every worker of the platform's list what it ran. */
-static int collect_ran(struct load *load, void *mem, GHashTable *table,
-		       struct rj_error *err)
+static int collect_runs(struct load *load, void *mem,
+			GHashTable *runs_by_digest, struct rj_error *err)
 {
 	json_t *list = get_json(load, &load->plan->platform, "/v1/instances");
 	size_t index;
@@ -118,7 +118,7 @@
 		const char *ip =
 			json_string_value(json_object_get(entry, "ip"));
 		struct rj_address address = { .port = 0 };
-		json_t *ran;
+		json_t *runs;
 
 		if (!role || !ip ||
 		    strcmp(role, rj_instance_role_string[RJ_ROLE_WORKER]) != 0)
@@ -126,10 +126,10 @@
 		g_strlcpy(address.ip, ip, sizeof(address.ip));
 		address.port = (uint16_t)json_integer_value(
 			json_object_get(entry, "port"));
-		ran = get_json(load, &address, "/v1/ran");
-		failed = !ran ||
-			 add_ran(table, mem, json_object_get(ran, "ran"));
-		json_decref(ran);
+		runs = get_json(load, &address, "/v1/ran");
+		failed = !runs || add_runs(runs_by_digest, mem,
+					   json_object_get(runs, "ran"));
+		json_decref(runs);
 		if (failed) {
 			rj_error_set(err, RJ_ERR_UNAVAILABLE,
 				     "worker %s:%u: did not say what it ran; "
@@ -143,12 +143,12 @@
 }
 
 /* Whether the answer contradicts what the workers ran. */
-static bool contradicts(const struct load_job *job, const struct ran *ran)
+static bool contradicts(const struct load_job *job, const struct runs *runs)
 {
-	uint32_t starts = ran ? ran->starts : 0;
+	uint32_t starts = runs ? runs->starts : 0;
 
 	if (job->answer == RJ_ANSWER_DONE)
-		return !ran || !ran->done;
+		return !runs || !runs->done;
 	if (job->answer == RJ_ANSWER_NOT_RUN)
 		return starts && job->reason != RJ_REASON_CANCELLED;
 	return false;
@@ -156,9 +156,9 @@
 
 /* Count one job. */
 static void count_job(struct load_totals *totals, const struct load_job *job,
-		      const struct ran *ran)
+		      const struct runs *runs)
 {
-	const char *said = rj_answer_kind_string[job->answer];
+	const char *answer_name = rj_answer_kind_string[job->answer];
 
 	if (job->accepted && job->answer == RJ_ANSWER_UNKNOWN) {
 		totals->lost++;
@@ -168,23 +168,23 @@
 	} else {
 		totals->answers[job->answer]++;
 	}
-	if (job->kind->keyed && ran && ran->starts > 1) {
-		totals->doubled++;
+	if (job->kind->keyed && runs && runs->starts > 1) {
+		totals->duplicated++;
 		fprintf(stderr, "load: doubled: %s started %u times\n",
-			job->echo, ran->starts);
+			job->echo, runs->starts);
 	}
-	if (job->wrong || contradicts(job, ran)) {
+	if (job->inconsistent || contradicts(job, runs)) {
 		totals->wrong_answer++;
 		fprintf(stderr,
 			"load: wrong answer: %s job %016llx %s (%s), started "
 			"%u times\n",
-			job->echo, (unsigned long long)job->job_id, said,
-			rj_reason_string[job->reason], ran ? ran->starts : 0);
+			job->echo, (unsigned long long)job->job_id, answer_name,
+			rj_reason_string[job->reason], runs ? runs->starts : 0);
 	}
 }
 
 /* Tell how many jobs were not done, by answer and reason. */
-static void tell_reasons(const struct load *load)
+static void print_reason_counts(const struct load *load)
 {
 	uint32_t counts[RJ_ANSWER_KIND_COUNT][RJ_REASON_COUNT] = { { 0 } };
 
@@ -205,10 +205,10 @@
  * Returns 0, or -1 with `err` of kind RJ_ERR_UNAVAILABLE when the platform or
  * a worker does not tell.
  */
-int load_account(struct load *load, void *mem, struct rj_error *err)
+int load_verify(struct load *load, void *mem, struct rj_error *err)
 {
-	GHashTable *table = g_hash_table_new(g_str_hash, g_str_equal);
-	int failed = collect_ran(load, mem, table, err);
+	GHashTable *runs_by_digest = g_hash_table_new(g_str_hash, g_str_equal);
+	int failed = collect_runs(load, mem, runs_by_digest, err);
 
 	for (uint32_t i = 0; !failed && i < load->job_count; i++) {
 		const struct load_job *job = &load->jobs[i];
@@ -217,9 +217,9 @@
 		sodium_bin2hex(digest, sizeof(digest), job->digest,
 			       RJ_DIGEST_BYTES);
 		count_job(&load->totals, job,
-			  g_hash_table_lookup(table, digest));
+			  g_hash_table_lookup(runs_by_digest, digest));
 	}
-	g_hash_table_destroy(table);
-	tell_reasons(load);
+	g_hash_table_destroy(runs_by_digest);
+	print_reason_counts(load);
 	return failed;
 }
--- a/src/radishjunction/options.c
+++ b/src/radishjunction/options.c
@@ -48,7 +48,7 @@
 		result.exit_code = EXIT_USAGE;
 		return result;
 	}
-	result.go_on = true;
+	result.proceed = true;
 	return result;
 }
 
--- a/src/radishjunction/interview.c
+++ b/src/radishjunction/prompt.c
@@ -1,4 +1,4 @@
-#include "interview.h"
+#include "prompt.h"
 
 #include <assert.h>
 #include <stdlib.h>
@@ -12,20 +12,20 @@
 /*
  * Read one line without blanks at its ends. Returns 0, or -1 at the end.
  */
-static int read_line(struct interview *interview, char line[LINE_BYTES])
+static int read_line(struct prompter *prompter, char line[LINE_BYTES])
 {
 	char *start = line;
 	size_t length;
 
-	if (!fgets(line, LINE_BYTES, interview->in))
+	if (!fgets(line, LINE_BYTES, prompter->in))
 		return -1;
 	length = strlen(line);
 	while (length && strchr(" \t\r\n", line[length - 1]))
 		line[--length] = 0;
 	start += strspn(line, " \t");
 	memmove(line, start, strlen(start) + 1);
-	if (interview->echo)
-		fprintf(interview->out, "%s\n", line);
+	if (prompter->echo)
+		fprintf(prompter->out, "%s\n", line);
 	return 0;
 }
 
@@ -33,7 +33,8 @@
  * What was typed as the JSON that the field's type expects: "yes" as true,
  * digits as a number, all else as a string.
  */
-static json_t *typed_json(const struct rj_schema_field *field, const char *text)
+static json_t *answer_to_json(const struct rj_schema_field *field,
+			      const char *text)
 {
 	bool number =
 		field->type == &rj_schema_u32 || field->type == &rj_schema_u64;
@@ -57,16 +58,16 @@
 /*
  * The field's present value as a person would type it, or NULL.
  */
-static char *typed_text(void *mem, const struct rj_schema_field *field,
-			const void *member)
+static char *value_to_text(void *mem, const struct rj_schema_field *field,
+			   const void *member)
 {
 	/* As a required field also the fallback itself is encoded. */
-	struct rj_schema_field shown = *field;
+	struct rj_schema_field required = *field;
 	json_t *json;
 	char *text = NULL;
 
-	shown.optional = false;
-	json = field->type->encode(&shown, member);
+	required.optional = false;
+	json = field->type->encode(&required, member);
 	if (json_is_string(json))
 		text = talloc_strdup(mem, json_string_value(json));
 	else if (json_is_integer(json))
@@ -81,22 +82,22 @@
 /*
  * Check one answer and store it. Returns 0, or -1 with the errors told.
  */
-static int store(struct interview *interview,
-		 const struct rj_schema_field *field, const char *text,
-		 void *member)
+static int store_answer(struct prompter *prompter,
+			const struct rj_schema_field *field, const char *text,
+			void *member)
 {
 	struct rj_error_list errors;
-	struct rj_schema_check check = { interview->mem, &errors, false };
+	struct rj_schema_check check = { prompter->mem, &errors, false };
 	struct rj_schema_path path = { NULL, field->name, 0 };
-	json_t *json = typed_json(field, text);
+	json_t *json = answer_to_json(field, text);
 
-	rj_error_list_init(&errors, interview->mem);
+	rj_error_list_init(&errors, prompter->mem);
 	if (!json)
 		rj_schema_report(&check, &path, "not UTF-8; type it anew");
 	else
 		field->type->decode(&check, field, &path, json, member);
 	for (uint32_t i = 0; i < errors.count; i++)
-		fprintf(interview->out, "  %s\n", errors.errors[i].message);
+		fprintf(prompter->out, "  %s\n", errors.errors[i].message);
 	rj_error_list_finish(&errors);
 	json_decref(json);
 	return check.failed ? -1 : 0;
@@ -106,31 +107,32 @@
  * Ask for one field until the answer is good. Returns 0, or -1 when the
  * input ended before that.
  */
-static int ask_field(struct interview *interview,
-		     const struct rj_schema_field *field, const char *text,
-		     const char *fallback, void *member)
+static int prompt_field(struct prompter *prompter,
+			const struct rj_schema_field *field, const char *text,
+			const char *default_text, void *member)
 {
 	char line[LINE_BYTES];
-	bool ended;
+	bool at_eof;
 
 	for (;;) {
-		fprintf(interview->out, "%s%s%s%s: ", text,
-			fallback ? " [" : "", fallback ? fallback : "",
-			fallback ? "]" : "");
-		fflush(interview->out);
-		ended = read_line(interview, line) < 0;
-		if (ended && !(interview->defaults_at_end && fallback)) {
-			fprintf(interview->out, "\n");
+		fprintf(prompter->out, "%s%s%s%s: ", text,
+			default_text ? " [" : "",
+			default_text ? default_text : "",
+			default_text ? "]" : "");
+		fflush(prompter->out);
+		at_eof = read_line(prompter, line) < 0;
+		if (at_eof && !(prompter->defaults_at_end && default_text)) {
+			fprintf(prompter->out, "\n");
 			return -1;
 		}
-		if (ended)
-			fprintf(interview->out, "\n");
-		if (ended || (!line[0] && fallback))
-			snprintf(line, sizeof(line), "%s", fallback);
-		if (!store(interview, field, line, member))
+		if (at_eof)
+			fprintf(prompter->out, "\n");
+		if (at_eof || (!line[0] && default_text))
+			snprintf(line, sizeof(line), "%s", default_text);
+		if (!store_answer(prompter, field, line, member))
 			return 0;
 		/* A default that is wrong must not be asked for ever. */
-		if (ended)
+		if (at_eof)
 			return -1;
 	}
 }
@@ -140,15 +142,14 @@
  * earlier answers offers its own values as defaults. Returns 0, or -1 when
  * the input ended.
  */
-int interview_struct(struct interview *interview,
-		     const struct rj_schema *schema,
-		     const struct question *questions, uint32_t count,
-		     void *fields, bool known)
+int prompt_struct(struct prompter *prompter, const struct rj_schema *schema,
+		  const struct question *questions, uint32_t count,
+		  void *fields, bool prefilled)
 {
 	for (uint32_t i = 0; i < count; i++) {
 		const struct rj_schema_field *field = NULL;
 		char *member;
-		char *now = NULL;
+		char *current = NULL;
 		int result;
 
 		for (uint32_t j = 0; j < schema->field_count && !field; j++)
@@ -156,11 +157,12 @@
 				field = &schema->fields[j];
 		assert(field);
 		member = (char *)fields + field->offset;
-		if (known)
-			now = typed_text(interview->mem, field, member);
-		result = ask_field(interview, field, questions[i].text,
-				   now ? now : questions[i].fallback, member);
-		talloc_free(now);
+		if (prefilled)
+			current = value_to_text(prompter->mem, field, member);
+		result = prompt_field(
+			prompter, field, questions[i].text,
+			current ? current : questions[i].default_text, member);
+		talloc_free(current);
 		if (result)
 			return -1;
 	}
@@ -173,46 +175,46 @@
  * Elements beyond the new count are dropped, from the end. Returns 0, or -1
  * when the input ended.
  */
-int interview_list(struct interview *interview,
-		   const struct question_list *list, void *elements,
-		   uint32_t *count)
+int prompt_list(struct prompter *prompter, const struct question_list *list,
+		void *elements, uint32_t *count)
 {
 	struct rj_schema_field field = { .type = &rj_schema_u32,
 					 .name = list->text,
 					 .min = list->min,
 					 .max = list->max };
 	char *question =
-		talloc_asprintf(interview->mem, "How many %s?", list->text);
-	char *fallback = talloc_asprintf(
-		interview->mem, "%u", *count ? *count : list->fallback_count);
+		talloc_asprintf(prompter->mem, "How many %s?", list->text);
+	char *default_text = talloc_asprintf(
+		prompter->mem, "%u", *count ? *count : list->default_count);
 	size_t size = list->schema->size;
-	uint32_t wanted = 0;
+	uint32_t new_count = 0;
 	char *array;
 	char *earlier;
 
-	assert(question && fallback);
-	if (ask_field(interview, &field, question, fallback, &wanted))
+	assert(question && default_text);
+	if (prompt_field(prompter, &field, question, default_text, &new_count))
 		return -1;
 	memcpy(&earlier, elements, sizeof(earlier));
-	array = talloc_zero_size(interview->mem, size * wanted + 1);
+	array = talloc_zero_size(prompter->mem, size * new_count + 1);
 	assert(array);
-	for (uint32_t i = 0; i < wanted; i++) {
+	for (uint32_t i = 0; i < new_count; i++) {
 		char *element = array + i * size;
-		bool known = i < *count;
+		bool prefilled = i < *count;
 
-		if (known)
+		if (prefilled)
 			memcpy(element, earlier + i * size, size);
 		else
 			rj_schema_defaults(list->schema, element);
-		fprintf(interview->out, "\n%s %u of %u\n", list->element, i + 1,
-			wanted);
-		if (interview_struct(interview, list->schema, list->questions,
-				     list->question_count, element, known))
+		fprintf(prompter->out, "\n%s %u of %u\n", list->element, i + 1,
+			new_count);
+		if (prompt_struct(prompter, list->schema, list->questions,
+				  list->question_count, element, prefilled))
 			return -1;
-		if (list->more && list->more(interview, element, known))
+		if (list->ask_more &&
+		    list->ask_more(prompter, element, prefilled))
 			return -1;
 	}
 	memcpy(elements, &array, sizeof(array));
-	*count = wanted;
+	*count = new_count;
 	return 0;
 }
--- a/src/radishjunction/interview.h
+++ b/src/radishjunction/prompt.h
@@ -6,14 +6,14 @@
  * has to be finished. Each answer is checked by the field's schema; a wrong
  * one is told and asked for again.
  */
-#ifndef INTERVIEW_H
-#define INTERVIEW_H
+#ifndef PROMPT_H
+#define PROMPT_H
 
 #include <stdio.h>
 
 #include "private/schema.h"
 
-struct interview {
+struct prompter {
 	FILE *in;
 	FILE *out; /* questions and errors */
 	void *mem;
@@ -25,7 +25,7 @@
 struct question {
 	const char *field;
 	const char *text;
-	const char *fallback;
+	const char *default_text;
 };
 
 /* A list of elements and what is asked about each. */
@@ -37,17 +37,16 @@
 	uint32_t question_count;
 	uint32_t min;
 	uint32_t max;
-	uint32_t fallback_count;
+	uint32_t default_count;
 	/* What else is asked about an element, or NULL. */
-	int (*more)(struct interview *interview, void *element, bool known);
+	int (*ask_more)(struct prompter *prompter, void *element,
+			bool prefilled);
 };
 
-int interview_struct(struct interview *interview,
-		     const struct rj_schema *schema,
-		     const struct question *questions, uint32_t count,
-		     void *fields, bool known);
-int interview_list(struct interview *interview,
-		   const struct question_list *list, void *elements,
-		   uint32_t *count);
+int prompt_struct(struct prompter *prompter, const struct rj_schema *schema,
+		  const struct question *questions, uint32_t count,
+		  void *fields, bool prefilled);
+int prompt_list(struct prompter *prompter, const struct question_list *list,
+		void *elements, uint32_t *count);
 
 #endif
--- a/src/radishjunction/publish.c
+++ b/src/radishjunction/publish.c
@@ -9,12 +9,12 @@
 
 #include "answers.h"
 #include "command.h"
-#include "instances.h"
+#include "instance_status.h"
 #include "stream.h"
 #include "radishjunction/settings.h"
 
-#define TIMEOUT_S 60
-#define POLL_MS 300
+#define DEFAULT_TIMEOUT_S 60
+#define POLL_INTERVAL_MS 300
 #define ID_RANDOM_BYTES 8
 
 struct publication {
@@ -50,7 +50,7 @@
  */
 static void pause_between_polls(void)
 {
-	struct timespec pause = { 0, POLL_MS * 1000000L };
+	struct timespec pause = { 0, POLL_INTERVAL_MS * 1000000L };
 
 	nanosleep(&pause, NULL);
 }
@@ -62,19 +62,22 @@
  * Returns 0, or -1 with `err` set: the platform gives no answer, or nobody
  * knows any configuration although there were some.
  */
-static int find_base(struct publication *own, struct rj_error *err)
+static int find_base(struct publication *publication, struct rj_error *err)
 {
-	if (stream_read_all(&own->stream, err))
+	if (stream_read_all(&publication->stream, err))
 		return -1;
-	own->base = rj_config_log_revision(&own->stream.log);
-	if (!own->stream.log.gap)
+	publication->base = rj_config_log_revision(&publication->stream.log);
+	if (!publication->stream.log.gap)
 		return 0;
-	instances_revision(&own->targets, own->statuses);
-	for (uint32_t i = 0; i < own->targets.count; i++)
-		if (instance_revision(&own->statuses[i]) > own->base)
-			own->base = instance_revision(&own->statuses[i]);
-	instances_status_finish(own->statuses, own->targets.count);
-	if (own->base || own->restart)
+	instances_get_revision(&publication->targets, publication->statuses);
+	for (uint32_t i = 0; i < publication->targets.count; i++)
+		if (instance_revision(&publication->statuses[i]) >
+		    publication->base)
+			publication->base =
+				instance_revision(&publication->statuses[i]);
+	instances_release_status(publication->statuses,
+				 publication->targets.count);
+	if (publication->base || publication->restart)
 		return 0;
 	return rj_error_set(err, RJ_ERR_NOT_FOUND,
 			    "config stream: its beginning is gone, and no "
@@ -91,14 +94,16 @@
  * of the same base that all others have refused. It holds for the instances
  * that are named to this command, so that all have to be.
  */
-static bool all_take_changes(struct publication *own)
+static bool all_accept_changes(struct publication *publication)
 {
-	bool all = own->targets.count > 0;
-
-	instances_revision(&own->targets, own->statuses);
-	for (uint32_t i = 0; i < own->targets.count; i++)
-		all = all && instance_takes_changes(&own->statuses[i]);
-	instances_status_finish(own->statuses, own->targets.count);
+	bool all = publication->targets.count > 0;
+
+	instances_get_revision(&publication->targets, publication->statuses);
+	for (uint32_t i = 0; i < publication->targets.count; i++)
+		all = all &&
+		      instance_accepts_changes(&publication->statuses[i]);
+	instances_release_status(publication->statuses,
+				 publication->targets.count);
 	return all;
 }
 
@@ -106,47 +111,50 @@
  * Make the change from the base, if it may be published instead of the whole
  * configuration and is shorter.
  */
-static void make_change(struct publication *own)
+static void make_change(struct publication *publication)
 {
-	const struct rj_config_log *log = &own->stream.log;
+	const struct rj_config_log *log = &publication->stream.log;
 
-	if (own->whole || own->restart || log->gap || !log->config ||
-	    log->config->revision != own->base || !all_take_changes(own))
+	if (publication->whole || publication->restart || log->gap ||
+	    !log->config || log->config->revision != publication->base ||
+	    !all_accept_changes(publication))
 		return;
-	if (rj_config_change_make(own->mem, log->config->text, own->text,
-				  &own->change))
-		own->change.patch = NULL;
+	if (rj_config_change_make(publication->mem, log->config->text,
+				  publication->text, &publication->change))
+		publication->change.patch = NULL;
 	else
 		printf("a change of %zu bytes to revision %" PRIu64 "\n",
-		       strlen(own->change.patch), own->base);
+		       strlen(publication->change.patch), publication->base);
 }
 
 /*
  * Append the publication. Returns whether it may have taken effect; `err` is
  * set unless it surely has.
  */
-static enum http_outcome append(struct publication *own, struct rj_error *err)
+static enum http_outcome append(struct publication *publication,
+				struct rj_error *err)
 {
 	struct rj_record record;
 	uint8_t random[ID_RANDOM_BYTES];
 
 	randombytes_buf(random, sizeof(random));
-	sodium_bin2hex(own->id, sizeof(own->id), random, sizeof(random));
+	sodium_bin2hex(publication->id, sizeof(publication->id), random,
+		       sizeof(random));
 	memset(&record, 0, sizeof(record));
 	record.kind = RJ_RECORD_CONFIG;
-	memcpy(record.config_id, own->id, sizeof(own->id));
-	rj_name_set(record.author, own->author);
-	record.base_revision = own->base;
-	record.revision = own->base + 1;
-	if (own->change.patch)
-		record.config_change = own->change;
+	memcpy(record.config_id, publication->id, sizeof(publication->id));
+	rj_name_set(record.author, publication->author);
+	record.base_revision = publication->base;
+	record.revision = publication->base + 1;
+	if (publication->change.patch)
+		record.config_change = publication->change;
 	else
-		record.config_text = own->text;
+		record.config_text = publication->text;
 	/* Nobody can judge it by what is gone, so it says where to start. */
-	record.carried = own->restart && own->stream.log.gap;
-	record.as_of = own->stream.log.next;
-	own->stream.wanted_id = own->id;
-	return stream_append(&own->stream, &record, err);
+	record.carried = publication->restart && publication->stream.log.gap;
+	record.as_of = publication->stream.log.next;
+	publication->stream.awaited_id = publication->id;
+	return stream_append(&publication->stream, &record, err);
 }
 
 /*
@@ -154,21 +162,21 @@
  * became of an append whose answer was lost. Returns an exit code, told
  * unless it is EXIT_DONE.
  */
-static int await_verdict(struct publication *own)
+static int await_verdict(struct publication *publication)
 {
-	struct stream *stream = &own->stream;
+	struct stream *stream = &publication->stream;
 	struct rj_error err;
 
 	while (!stream->found) {
 		if (!stream_read_all(stream, &err) && stream->found)
 			break;
-		if (is_past(&own->deadline)) {
+		if (is_past(&publication->deadline)) {
 			fprintf(stderr,
 				"radishjunction publish: publication %s does "
 				"not show in the log, and may yet: see "
 				"`radishjunction status`, then publish again; "
 				"if both show, the second is refused\n",
-				own->id);
+				publication->id);
 			return EXIT_UNKNOWN;
 		}
 		pause_between_polls();
@@ -177,12 +185,12 @@
 	case RJ_CONFIG_ACCEPTED:
 	case RJ_CONFIG_REPEATED:
 		printf("accepted as revision %" PRIu64 " (publication %s)\n",
-		       own->base + 1, own->id);
+		       publication->base + 1, publication->id);
 		return EXIT_DONE;
 	case RJ_CONFIG_UNJUDGED:
 		printf("in the log as revision %" PRIu64 " (publication %s); "
 		       "the instances judge it\n",
-		       own->base + 1, own->id);
+		       publication->base + 1, publication->id);
 		return EXIT_DONE;
 	case RJ_CONFIG_STALE:
 		fprintf(stderr,
@@ -198,7 +206,7 @@
 		fprintf(stderr,
 			"radishjunction publish: refused: the change does not "
 			"fit revision %" PRIu64 "; publish with --whole\n",
-			own->base);
+			publication->base);
 		return EXIT_REFUSED;
 	default:
 		fprintf(stderr,
@@ -212,36 +220,37 @@
 /*
  * Whether the publication, or one made from it, is in force at an instance.
  */
-static bool in_force(const struct publication *own,
+static bool in_force(const struct publication *publication,
 		     const struct instance_status *status)
 {
 	const char *id =
 		json_string_value(json_object_get(status->json, "publication"));
 
-	if (instance_revision(status) > own->base + 1)
+	if (instance_revision(status) > publication->base + 1)
 		return true;
-	return instance_revision(status) == own->base + 1 && id &&
-	       !strcmp(id, own->id);
+	return instance_revision(status) == publication->base + 1 && id &&
+	       !strcmp(id, publication->id);
 }
 
 /*
  * Tell where the publication is in force and where not yet.
  */
-static void print_progress(const struct publication *own, uint32_t done)
+static void print_progress(const struct publication *publication, uint32_t done)
 {
-	printf("in force at %u of %u", done, own->targets.count);
-	for (uint32_t i = 0; i < own->targets.count; i++) {
-		const struct instance_status *status = &own->statuses[i];
-		char where[RJ_ADDRESS_BYTES];
+	printf("in force at %u of %u", done, publication->targets.count);
+	for (uint32_t i = 0; i < publication->targets.count; i++) {
+		const struct instance_status *status =
+			&publication->statuses[i];
+		char address[RJ_ADDRESS_BYTES];
 
-		if (in_force(own, status))
+		if (in_force(publication, status))
 			continue;
-		rj_address_format(where, &own->targets.instances[i]);
+		rj_address_format(address, &publication->targets.instances[i]);
 		if (status->json)
-			printf("; not yet at %s (revision %" PRIu64 ")", where,
-			       instance_revision(status));
+			printf("; not yet at %s (revision %" PRIu64 ")",
+			       address, instance_revision(status));
 		else
-			printf("; no answer of %s", where);
+			printf("; no answer of %s", address);
 	}
 	printf("\n");
 	fflush(stdout);
@@ -252,9 +261,10 @@
  * time. One that no reader can judge never comes into force: all of them
  * missed records, so that none can carry the configuration for the others.
  */
-static void print_not_everywhere(const struct publication *own, uint32_t done)
+static void print_not_everywhere(const struct publication *publication,
+				 uint32_t done)
 {
-	if (!done && own->stream.verdict == RJ_CONFIG_UNJUDGED)
+	if (!done && publication->stream.verdict == RJ_CONFIG_UNJUDGED)
 		fprintf(stderr,
 			"radishjunction publish: no instance has judged it; "
 			"if every one answers and shows the same revision, all "
@@ -268,24 +278,27 @@
 /*
  * Wait until every instance has it in force, telling each change.
  */
-static int await_force(struct publication *own)
+static int await_in_force(struct publication *publication)
 {
-	uint32_t told = UINT32_MAX;
+	uint32_t reported = UINT32_MAX;
 
 	for (;;) {
 		uint32_t done = 0;
 
-		instances_revision(&own->targets, own->statuses);
-		for (uint32_t i = 0; i < own->targets.count; i++)
-			done += in_force(own, &own->statuses[i]);
-		if (done != told || is_past(&own->deadline))
-			print_progress(own, done);
-		told = done;
-		instances_status_finish(own->statuses, own->targets.count);
-		if (done == own->targets.count)
+		instances_get_revision(&publication->targets,
+				       publication->statuses);
+		for (uint32_t i = 0; i < publication->targets.count; i++)
+			done += in_force(publication,
+					 &publication->statuses[i]);
+		if (done != reported || is_past(&publication->deadline))
+			print_progress(publication, done);
+		reported = done;
+		instances_release_status(publication->statuses,
+					 publication->targets.count);
+		if (done == publication->targets.count)
 			return EXIT_DONE;
-		if (is_past(&own->deadline)) {
-			print_not_everywhere(own, done);
+		if (is_past(&publication->deadline)) {
+			print_not_everywhere(publication, done);
 			return EXIT_PENDING;
 		}
 		pause_between_polls();
@@ -295,44 +308,44 @@
 /*
  * Append, find out what became of it, and wait until it is in force.
  */
-static int publish(struct publication *own)
+static int publish(struct publication *publication)
 {
 	enum http_outcome outcome;
 	struct rj_error err;
 	int code;
 
-	if (find_base(own, &err))
+	if (find_base(publication, &err))
 		return print_error("publish", &err);
-	make_change(own);
-	outcome = append(own, &err);
+	make_change(publication);
+	outcome = append(publication, &err);
 	if (outcome == HTTP_UNREACHABLE)
 		return print_error("publish", &err);
 	if (outcome == HTTP_LOST)
 		printf("the append's answer was lost (%s); reading the log "
 		       "for publication %s\n",
-		       err.message, own->id);
-	code = await_verdict(own);
-	return code ? code : await_force(own);
+		       err.message, publication->id);
+	code = await_verdict(publication);
+	return code ? code : await_in_force(publication);
 }
 
 /*
  * Read and check the configuration, before anything is asked of anybody.
  */
-static int load_text(struct publication *own, const char *path)
+static int load_text(struct publication *publication, const char *path)
 {
 	struct rj_error_list errors;
 	struct rj_error err;
-	char *text = file_read(own->mem, path, &err);
+	char *text = file_read(publication->mem, path, &err);
 
 	if (!text)
 		return print_error("publish", &err);
-	rj_error_list_init(&errors, own->mem);
-	text = config_compact(own->mem, text);
-	if (!rj_config_parse(own->mem, text, &errors)) {
+	rj_error_list_init(&errors, publication->mem);
+	text = config_compact(publication->mem, text);
+	if (!rj_config_parse(publication->mem, text, &errors)) {
 		print_errors(path, &errors);
 		return EXIT_REFUSED;
 	}
-	own->text = text;
+	publication->text = text;
 	return EXIT_DONE;
 }
 
@@ -367,42 +380,48 @@
  */
 static int run(const struct publish_options *options)
 {
-	struct publication own = { .restart = options->restart->count > 0,
-				   .whole = options->whole->count > 0 };
+	struct publication publication = { .restart =
+						   options->restart->count > 0,
+					   .whole = options->whole->count > 0 };
 	const char *platform = option_string(options->platform, NULL);
 	struct rj_error err;
 	int code;
 
-	own.mem = talloc_new(NULL);
-	assert(own.mem);
-	own.author = operator_name(option_string(options->author, NULL));
-	clock_gettime(CLOCK_MONOTONIC, &own.deadline);
-	own.deadline.tv_sec += options->timeout_s->count ?
-				       options->timeout_s->ival[0] :
-				       TIMEOUT_S;
-	code = load_text(&own, option_file(options->file));
+	publication.mem = talloc_new(NULL);
+	assert(publication.mem);
+	publication.author =
+		operator_name(option_string(options->author, NULL));
+	clock_gettime(CLOCK_MONOTONIC, &publication.deadline);
+	publication.deadline.tv_sec += options->timeout_s->count ?
+					       options->timeout_s->ival[0] :
+					       DEFAULT_TIMEOUT_S;
+	code = load_text(&publication, option_file(options->file));
 	if (code)
 		goto out;
 	code = EXIT_USAGE;
-	if (targets_load(&own.targets, own.mem, &options->targets, &err)) {
+	if (targets_load(&publication.targets, publication.mem,
+			 &options->targets, &err)) {
 		print_error("publish", &err);
 		goto out;
 	}
-	if (platform && rj_address_parse(&own.targets.platform, platform))
-		own.targets.platform.port = 0;
-	if (!own.targets.platform.port) {
+	if (platform &&
+	    rj_address_parse(&publication.targets.platform, platform))
+		publication.targets.platform.port = 0;
+	if (!publication.targets.platform.port) {
 		fprintf(stderr, "radishjunction publish: platform: no address; "
 				"give --platform IP:PORT or --answers FILE\n");
 		goto out;
 	}
-	own.statuses = talloc_zero_array(own.mem, struct instance_status,
-					 own.targets.count);
-	assert(own.statuses);
-	stream_init(&own.stream, own.mem, &own.targets.platform);
-	code = publish(&own);
-	stream_finish(&own.stream);
+	publication.statuses =
+		talloc_zero_array(publication.mem, struct instance_status,
+				  publication.targets.count);
+	assert(publication.statuses);
+	stream_init(&publication.stream, publication.mem,
+		    &publication.targets.platform);
+	code = publish(&publication);
+	stream_finish(&publication.stream);
 out:
-	talloc_free(own.mem);
+	talloc_free(publication.mem);
 	return code;
 }
 
@@ -412,38 +431,41 @@
  */
 int command_publish(int argc, char **argv)
 {
-	struct publish_options own;
+	struct publish_options publish_opts;
 	struct options options;
 	struct options_result result;
 
-	own.file = arg_file1(NULL, NULL, "FILE", "configuration");
-	targets_options(&own.targets);
-	own.platform =
+	publish_opts.file = arg_file1(NULL, NULL, "FILE", "configuration");
+	targets_options(&publish_opts.targets);
+	publish_opts.platform =
 		arg_str0(NULL, "platform", "IP:PORT", "the platform's log");
-	own.author = arg_str0(NULL, "author", "NAME",
-			      "whose publication it is ($USER)");
-	own.timeout_s = arg_int0(NULL, "timeout", "S",
-				 "wait so long for it to be in force (60)");
-	own.restart = arg_lit0(NULL, "restart",
-			       "the log lost every configuration: start anew");
-	own.whole = arg_lit0(NULL, "whole",
-			     "not the change alone, though all could take it");
+	publish_opts.author = arg_str0(NULL, "author", "NAME",
+				       "whose publication it is ($USER)");
+	publish_opts.timeout_s =
+		arg_int0(NULL, "timeout", "S",
+			 "wait so long for it to be in force (60)");
+	publish_opts.restart =
+		arg_lit0(NULL, "restart",
+			 "the log lost every configuration: start anew");
+	publish_opts.whole =
+		arg_lit0(NULL, "whole",
+			 "not the change alone, though all could take it");
 	options_init(&options);
-	void *table[] = { own.file,
-			  own.platform,
-			  own.targets.instances,
-			  own.targets.answers,
-			  own.author,
-			  own.timeout_s,
-			  own.restart,
-			  own.whole,
+	void *table[] = { publish_opts.file,
+			  publish_opts.platform,
+			  publish_opts.targets.instances,
+			  publish_opts.targets.answers,
+			  publish_opts.author,
+			  publish_opts.timeout_s,
+			  publish_opts.restart,
+			  publish_opts.whole,
 			  options.help,
 			  options.version,
 			  options.end };
 	result = options_parse(&options, command_find("publish"), argc, argv,
 			       table);
-	if (result.go_on)
-		result.exit_code = run(&own);
+	if (result.proceed)
+		result.exit_code = run(&publish_opts);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return result.exit_code;
 }
--- a/src/radishjunction/reasons.c
+++ b/src/radishjunction/reasons.c
@@ -1,7 +1,7 @@
 #include <stdio.h>
 
 #include "command.h"
-#include "words.h"
+#include "descriptions.h"
 
 /*
  * `radishjunction reasons`: what each reason of an answer or of a decision
@@ -16,7 +16,7 @@
 	void *table[] = { options.help, options.version, options.end };
 	result = options_parse(&options, command_find("reasons"), argc, argv,
 			       table);
-	if (result.go_on)
+	if (result.proceed)
 		print_reasons(stdout);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return result.exit_code;
--- a/src/radishjunction/status.c
+++ b/src/radishjunction/status.c
@@ -6,8 +6,8 @@
 
 #include "command.h"
 #include "http.h"
-#include "instances.h"
-#include "picture.h"
+#include "instance_status.h"
+#include "status_display.h"
 #include "radishjunction/settings.h"
 
 /*
@@ -19,10 +19,10 @@
 	json_t *object = json_object();
 
 	for (uint32_t i = 0; i < targets->count; i++) {
-		char where[RJ_ADDRESS_BYTES];
+		char address[RJ_ADDRESS_BYTES];
 
-		rj_address_format(where, &targets->instances[i]);
-		json_object_set_new(object, where,
+		rj_address_format(address, &targets->instances[i]);
+		json_object_set_new(object, address,
 				    statuses[i].json ?
 					    json_incref(statuses[i].json) :
 					    json_null());
@@ -36,7 +36,7 @@
  * Ask all instances and show what they say. Instances that give no answer
  * are part of the picture; it is an error only if none does.
  */
-static int status(const struct targets_options *options, bool json)
+static int show_status(const struct targets_options *options, bool json)
 {
 	void *mem = talloc_new(NULL);
 	struct instance_status *statuses;
@@ -53,14 +53,14 @@
 	statuses =
 		talloc_zero_array(mem, struct instance_status, targets.count);
 	assert(statuses);
-	instances_status(&targets, statuses);
+	instances_get_status(&targets, statuses);
 	for (uint32_t i = 0; i < targets.count; i++)
 		answered += statuses[i].json != NULL;
 	if (json)
 		print_json(&targets, statuses);
 	else
-		picture_print(stdout, &targets, statuses);
-	instances_status_finish(statuses, targets.count);
+		status_print(stdout, &targets, statuses);
+	instances_release_status(statuses, targets.count);
 	code = answered ? EXIT_DONE : EXIT_UNREACHABLE;
 out:
 	talloc_free(mem);
@@ -83,8 +83,8 @@
 			  options.help,	     options.version, options.end };
 	result = options_parse(&options, command_find("status"), argc, argv,
 			       table);
-	if (result.go_on)
-		result.exit_code = status(&targets, json->count > 0);
+	if (result.proceed)
+		result.exit_code = show_status(&targets, json->count > 0);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return result.exit_code;
 }
--- a/src/radishjunction/picture.c
+++ b/src/radishjunction/status_display.c
@@ -1,4 +1,4 @@
-#include "picture.h"
+#include "status_display.h"
 
 #include <inttypes.h>
 #include <stdlib.h>
@@ -14,7 +14,7 @@
 /*
  * A text of a status, or "?" when it is missing.
  */
-static const char *text_of(const json_t *object, const char *name)
+static const char *get_text(const json_t *object, const char *name)
 {
 	const char *text = json_string_value(json_object_get(object, name));
 
@@ -24,7 +24,7 @@
 /*
  * A number of a status, 0 when it is missing.
  */
-static json_int_t number_of(const json_t *object, const char *name)
+static json_int_t get_number(const json_t *object, const char *name)
 {
 	return json_integer_value(json_object_get(object, name));
 }
@@ -32,7 +32,7 @@
 /*
  * Whether a flag of a status is true.
  */
-static bool is_set(const json_t *object, const char *name)
+static bool get_flag(const json_t *object, const char *name)
 {
 	return json_is_true(json_object_get(object, name));
 }
@@ -40,17 +40,17 @@
 /*
  * How many of the peers an instance believes alive, of how many.
  */
-static void count_peers(const json_t *status, uint32_t *alive, uint32_t *all)
+static void count_peers(const json_t *status, uint32_t *alive, uint32_t *total)
 {
 	json_t *peer;
 	size_t i;
 
 	*alive = 0;
-	*all = 0;
+	*total = 0;
 	json_array_foreach(json_object_get(status, "peers"), i, peer)
 	{
-		*alive += is_set(peer, "alive");
-		*all += 1;
+		*alive += get_flag(peer, "alive");
+		*total += 1;
 	}
 }
 
@@ -65,30 +65,31 @@
 		"state");
 	for (uint32_t i = 0; i < targets->count; i++) {
 		const json_t *status = statuses[i].json;
-		char where[RJ_ADDRESS_BYTES];
+		char address[RJ_ADDRESS_BYTES];
 		uint32_t alive;
-		uint32_t all;
+		uint32_t total;
 
 		if (!status) {
-			rj_address_format(where, &targets->instances[i]);
-			fprintf(out, "%-16s no answer: %s\n", where,
+			rj_address_format(address, &targets->instances[i]);
+			fprintf(out, "%-16s no answer: %s\n", address,
 				statuses[i].detail);
 			continue;
 		}
-		count_peers(status, &alive, &all);
+		count_peers(status, &alive, &total);
 		fprintf(out,
 			"%-16s %-14s %8" JSON_INTEGER_FORMAT
 			" %7" JSON_INTEGER_FORMAT " %7" JSON_INTEGER_FORMAT
 			" %6" JSON_INTEGER_FORMAT " %3u/%-3u  %s%s%s%s\n",
-			text_of(status, "name"), text_of(status, "domain"),
-			number_of(status, "revision"),
-			number_of(status, "queued"),
-			number_of(status, "running"),
-			number_of(status, "open_requests"), alive, all,
-			is_set(status, "ready") ? "ready" : "not ready",
-			is_set(status, "stopping") ? ", stopping" : "",
-			is_set(status, "platform_up") ? "" : ", platform down",
-			is_set(status, "log_usable") ? "" : ", log gap");
+			get_text(status, "name"), get_text(status, "domain"),
+			get_number(status, "revision"),
+			get_number(status, "queued"),
+			get_number(status, "running"),
+			get_number(status, "open_requests"), alive, total,
+			get_flag(status, "ready") ? "ready" : "not ready",
+			get_flag(status, "stopping") ? ", stopping" : "",
+			get_flag(status, "platform_up") ? "" :
+							  ", platform down",
+			get_flag(status, "log_usable") ? "" : ", log gap");
 	}
 }
 
@@ -96,7 +97,7 @@
  * By each worker's name, what the instance says of it that is to be drawn: an
  * owner's view if there is one, else the first. A new reference.
  */
-static json_t *choose_views(const struct instance_status *statuses,
+static json_t *select_views(const struct instance_status *statuses,
 			    uint32_t count)
 {
 	json_t *views = json_object();
@@ -109,9 +110,9 @@
 
 		json_array_foreach(list, j, worker)
 		{
-			const char *name = text_of(worker, "name");
+			const char *name = get_text(worker, "name");
 
-			if (is_set(worker, "owned") ||
+			if (get_flag(worker, "owned") ||
 			    !json_object_get(views, name))
 				json_object_set(views, name, worker);
 		}
@@ -125,23 +126,23 @@
  */
 static void print_worker(FILE *out, const json_t *worker)
 {
-	json_int_t all = number_of(worker, "accelerators");
-	json_int_t free_now = number_of(worker, "free");
-	const char *health = text_of(worker, "health");
+	json_int_t total = get_number(worker, "accelerators");
+	json_int_t free_count = get_number(worker, "free");
+	const char *health = get_text(worker, "health");
 
-	fprintf(out, "    %-20s ", text_of(worker, "name"));
-	if (all <= BAR_ACCELERATORS_MAX) {
+	fprintf(out, "    %-20s ", get_text(worker, "name"));
+	if (total <= BAR_ACCELERATORS_MAX) {
 		fputc('[', out);
-		for (json_int_t i = 0; i < all; i++)
-			fputc(i < all - free_now ? '#' : '.', out);
+		for (json_int_t i = 0; i < total; i++)
+			fputc(i < total - free_count ? '#' : '.', out);
 		fputc(']', out);
 	} else {
 		fprintf(out,
 			"%" JSON_INTEGER_FORMAT " of %" JSON_INTEGER_FORMAT
 			" in use",
-			all - free_now, all);
+			total - free_count, total);
 	}
-	if (is_set(worker, "leaving"))
+	if (get_flag(worker, "leaving"))
 		fprintf(out, " leaving");
 	if (strcmp(health, "healthy") != 0)
 		fprintf(out, " %s", health);
@@ -156,7 +157,7 @@
 	const json_t *const *a = first;
 	const json_t *const *b = second;
 
-	return strcmp(text_of(*a, "name"), text_of(*b, "name"));
+	return strcmp(get_text(*a, "name"), get_text(*b, "name"));
 }
 
 /*
@@ -176,13 +177,13 @@
 		json_t *worker;
 		size_t j;
 
-		if (strcmp(text_of(statuses[i].json, "domain"), domain) != 0)
+		if (strcmp(get_text(statuses[i].json, "domain"), domain) != 0)
 			continue;
 		json_array_foreach(list, j, worker)
 		{
-			if (number_of(worker, "rack") == rack &&
+			if (get_number(worker, "rack") == rack &&
 			    found < RJ_RACK_WORKERS_MAX &&
-			    json_object_get(views, text_of(worker, "name")) ==
+			    json_object_get(views, get_text(worker, "name")) ==
 				    worker)
 				workers[found++] = worker;
 		}
@@ -206,13 +207,13 @@
 		json_t *worker;
 		size_t j;
 
-		if (strcmp(text_of(statuses[i].json, "domain"), domain) != 0)
+		if (strcmp(get_text(statuses[i].json, "domain"), domain) != 0)
 			continue;
 		json_array_foreach(json_object_get(statuses[i].json, "workers"),
 				   j, worker)
 		{
-			if (number_of(worker, "rack") > last)
-				last = number_of(worker, "rack");
+			if (get_number(worker, "rack") > last)
+				last = get_number(worker, "rack");
 		}
 	}
 	return last;
@@ -232,11 +233,11 @@
 			"  guaranteed to %s: %" JSON_INTEGER_FORMAT
 			" x (%" JSON_INTEGER_FORMAT
 			" tasks of %" JSON_INTEGER_FORMAT " accelerators%s)\n",
-			text_of(guarantee, "account"),
-			number_of(guarantee, "count"),
-			number_of(guarantee, "tasks"),
-			number_of(guarantee, "accelerators"),
-			is_set(guarantee, "adjacent") ? ", adjacent" : "");
+			get_text(guarantee, "account"),
+			get_number(guarantee, "count"),
+			get_number(guarantee, "tasks"),
+			get_number(guarantee, "accelerators"),
+			get_flag(guarantee, "adjacent") ? ", adjacent" : "");
 	}
 }
 
@@ -246,7 +247,7 @@
 static void print_domain(FILE *out, const struct instance_status *statuses,
 			 uint32_t count, const json_t *views, uint32_t first)
 {
-	const char *domain = text_of(statuses[first].json, "domain");
+	const char *domain = get_text(statuses[first].json, "domain");
 	json_int_t racks = last_rack(statuses, count, domain);
 
 	fprintf(out, "\n%s\n", domain);
@@ -258,10 +259,10 @@
 /*
  * Print the instances and then each failure domain with its racks.
  */
-void picture_print(FILE *out, const struct targets *targets,
-		   const struct instance_status *statuses)
+void status_print(FILE *out, const struct targets *targets,
+		  const struct instance_status *statuses)
 {
-	json_t *views = choose_views(statuses, targets->count);
+	json_t *views = select_views(statuses, targets->count);
 
 	print_instances(out, targets, statuses);
 	for (uint32_t i = 0; i < targets->count; i++) {
@@ -269,8 +270,8 @@
 
 		for (uint32_t j = 0; j < i && first; j++)
 			first = !statuses[j].json ||
-				strcmp(text_of(statuses[j].json, "domain"),
-				       text_of(statuses[i].json, "domain")) !=
+				strcmp(get_text(statuses[j].json, "domain"),
+				       get_text(statuses[i].json, "domain")) !=
 					0;
 		if (first)
 			print_domain(out, statuses, targets->count, views, i);
--- /dev/null
+++ b/src/radishjunction/status_display.h
@@ -0,0 +1,15 @@
+/*
+ * The picture of the whole system in a terminal, from what each instance
+ * says.
+ */
+#ifndef STATUS_DISPLAY_H
+#define STATUS_DISPLAY_H
+
+#include <stdio.h>
+
+#include "instance_status.h"
+
+void status_print(FILE *out, const struct targets *targets,
+		  const struct instance_status *statuses);
+
+#endif
--- a/src/radishjunction/stream.c
+++ b/src/radishjunction/stream.c
@@ -24,7 +24,7 @@
  * Fold one record that came as text, and note whose publication won and what
  * became of the wanted one. The first verdict on an id is the one that holds.
  */
-static void fold_record(struct stream *stream, const json_t *json)
+static void apply_record(struct stream *stream, const json_t *json)
 {
 	void *mem = talloc_new(NULL);
 	const char *text = json_string_value(json_object_get(json, "text"));
@@ -45,9 +45,9 @@
 		memcpy(stream->winner_author, record.author,
 		       sizeof(stream->winner_author));
 	}
-	if (stream->wanted_id && !stream->found &&
+	if (stream->awaited_id && !stream->found &&
 	    verdict != RJ_CONFIG_READ_AGAIN &&
-	    !strcmp(record.config_id, stream->wanted_id)) {
+	    !strcmp(record.config_id, stream->awaited_id)) {
 		stream->found = true;
 		stream->verdict = verdict;
 	}
@@ -91,7 +91,7 @@
 	stream->head = (uint64_t)json_integer_value(
 		json_object_get(answer.json, "head"));
 	rj_config_log_skip(&stream->log, stream->head);
-	json_array_foreach(records, i, record) fold_record(stream, record);
+	json_array_foreach(records, i, record) apply_record(stream, record);
 out:
 	json_decref(answer.json);
 	return result;
--- a/src/radishjunction/stream.h
+++ b/src/radishjunction/stream.h
@@ -16,7 +16,7 @@
 	struct rj_config_log log;
 	uint64_t head; /* one past the newest offset, at the last read */
 	/* A publication that is looked for, and what became of it. */
-	const char *wanted_id;
+	const char *awaited_id;
 	bool found;
 	enum rj_config_verdict verdict;
 	char winner_id[RJ_CONFIG_ID_BYTES]; /* the newest accepted */
--- a/src/radishjunction/submit.c
+++ b/src/radishjunction/submit.c
@@ -62,12 +62,12 @@
  * The submission as JSON text; what was not given is left out, so that the
  * instance's defaults and its errors hold.
  */
-static char *submission(void *mem, const struct submit_options *options,
-			struct rj_error *err)
+static char *make_submission(void *mem, const struct submit_options *options,
+			     struct rj_error *err)
 {
 	const char *path = option_file(options->body);
 	json_t *json = json_object();
-	json_error_t where;
+	json_error_t json_error;
 	json_t *body;
 	char *dumped;
 	char *text;
@@ -87,11 +87,12 @@
 		json_object_set_new(json, "wait", json_false());
 	if (path) {
 		text = file_read(mem, path, err);
-		body = text ? json_loads(text, JSON_DECODE_ANY, &where) : NULL;
+		body = text ? json_loads(text, JSON_DECODE_ANY, &json_error) :
+			      NULL;
 		if (text && !body)
 			rj_error_set(err, RJ_ERR_INVALID,
 				     "%s: line %d: %s; give JSON", path,
-				     where.line, where.text);
+				     json_error.line, json_error.text);
 		if (!body) {
 			json_decref(json);
 			return NULL;
@@ -120,7 +121,7 @@
 
 	assert(mem);
 	call.key = option_string(options->key, NULL);
-	call.body = submission(mem, options, &err);
+	call.body = make_submission(mem, options, &err);
 	if (!call.body || caller_load(&caller, mem, &options->caller, &err)) {
 		print_error("submit", &err);
 		talloc_free(mem);
@@ -128,7 +129,7 @@
 	}
 	code = caller_call(&caller, &call, &answer);
 	if (!code) {
-		code = caller_report(&answer);
+		code = caller_print_answer(&answer);
 		json_decref(answer.json);
 	}
 	if (code == EXIT_PENDING && options->no_wait->count)
@@ -142,35 +143,35 @@
  */
 int command_submit(int argc, char **argv)
 {
-	struct submit_options own;
+	struct submit_options submit_opts;
 	struct options options;
 	struct options_result result;
 
-	make_options(&own);
+	make_options(&submit_opts);
 	options_init(&options);
-	void *table[] = { own.body,
-			  own.class_name,
-			  own.tasks,
-			  own.accelerators,
-			  own.cores,
-			  own.memory_mb,
-			  own.adjacent,
-			  own.declared_ms,
-			  own.deadline_ms,
-			  own.key,
-			  own.no_wait,
-			  own.caller.targets.instances,
-			  own.caller.targets.answers,
-			  own.caller.tokens,
-			  own.caller.account,
-			  own.caller.timeout_s,
+	void *table[] = { submit_opts.body,
+			  submit_opts.class_name,
+			  submit_opts.tasks,
+			  submit_opts.accelerators,
+			  submit_opts.cores,
+			  submit_opts.memory_mb,
+			  submit_opts.adjacent,
+			  submit_opts.declared_ms,
+			  submit_opts.deadline_ms,
+			  submit_opts.key,
+			  submit_opts.no_wait,
+			  submit_opts.caller.targets.instances,
+			  submit_opts.caller.targets.answers,
+			  submit_opts.caller.tokens,
+			  submit_opts.caller.account,
+			  submit_opts.caller.timeout_s,
 			  options.help,
 			  options.version,
 			  options.end };
 	result = options_parse(&options, command_find("submit"), argc, argv,
 			       table);
-	if (result.go_on)
-		result.exit_code = submit(&own);
+	if (result.proceed)
+		result.exit_code = submit(&submit_opts);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return result.exit_code;
 }
--- a/src/radishjunction/targets.c
+++ b/src/radishjunction/targets.c
@@ -36,25 +36,25 @@
 /*
  * Add the addresses of a list with commas.
  */
-static int load_list(struct targets *targets, void *mem, const char *list,
-		     struct rj_error *err)
+static int parse_list(struct targets *targets, void *mem, const char *list,
+		      struct rj_error *err)
 {
 	char *copy = talloc_strdup(mem, list);
 	char *rest = copy;
-	char *one;
+	char *item;
 
 	assert(copy);
-	while ((one = strsep(&rest, ",")) != NULL) {
+	while ((item = strsep(&rest, ",")) != NULL) {
 		struct rj_address address;
 
-		if (!one[0])
+		if (!item[0])
 			continue;
-		if (rj_address_parse(&address, one) || !address.port)
+		if (rj_address_parse(&address, item) || !address.port)
 			return rj_error_set(
 				err, RJ_ERR_INVALID,
 				"instances: \"%s\" is no address; give an IP "
 				"number and a port, such as 127.0.0.1:7001",
-				one);
+				item);
 		add_instance(targets, mem, &address);
 	}
 	return 0;
@@ -103,7 +103,7 @@
 		list = getenv(INSTANCES_VARIABLE);
 	if (!result && list) {
 		targets->count = 0;
-		result = load_list(targets, mem, list, err);
+		result = parse_list(targets, mem, list, err);
 	}
 	if (!result && !targets->count)
 		result = rj_error_set(err, RJ_ERR_INVALID,
