--- a/src/radishjunction/answers.c
+++ b/src/radishjunction/answers.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <talloc.h>
 
-/* 256 random bits are out of reach of guessing. */
+/* 256 random bits cannot be guessed. */
 #define TOKEN_RANDOM_BYTES 32
 #define INSTANCES_MAX 1024
 #define ACCOUNTS_MAX 1024
@@ -73,8 +73,8 @@
 };
 
 /*
- * Indented JSON text that ends a line, a talloc child of `mem`; takes the
- * reference to `json`.
+ * Formats `json` as indented text with a final newline, a talloc child of
+ * `mem`. Takes over the reference to `json`.
  */
 char *json_text(void *mem, json_t *json)
 {
@@ -90,9 +90,10 @@
 }
 
 /*
- * The text of a configuration without white space, as it is published: every
- * instance reads and keeps it. A text that is no JSON comes back unchanged,
- * for the check to tell where.
+ * Returns the text of a configuration without white space, a talloc child of
+ * `mem`. It is published in this form because every instance reads and stores
+ * it. A text that is not JSON is returned unchanged, so that the later check
+ * can report the position of the error.
  */
 char *config_compact(void *mem, const char *text)
 {
@@ -107,8 +108,9 @@
 }
 
 /*
- * Read answers from JSON text. Returns 0, or -1 with every error added to
- * `errors`; only form is checked, for `answers_check` does the rest.
+ * Parses answers from JSON text and checks them against the schema only;
+ * `answers_check` checks their meaning. Returns 0, or -1 with every error
+ * added to `errors`.
  */
 int answers_parse(struct answers *answers, void *mem, const char *text,
 		  struct rj_error_list *errors)
@@ -117,7 +119,7 @@
 }
 
 /*
- * The JSON text of the answers.
+ * Returns the answers as JSON text, a talloc child of `mem`.
  */
 char *answers_encode(void *mem, const struct answers *answers)
 {
@@ -125,7 +127,7 @@
 }
 
 /*
- * Make a token and put its hash into the account.
+ * Creates a random token in `made` and stores its hash in the account.
  */
 static void make_token(struct rj_account *account, struct new_token *made)
 {
@@ -140,11 +142,12 @@
 }
 
 /*
- * The configuration made from the answers, as JSON text.
+ * Returns the configuration generated from the answers as JSON text, a talloc
+ * child of `mem`.
  *
- * An account that `earlier` knows keeps its token's hash, unless it is the
- * one named by `renew`; each other gets a token, which `tokens` tells. Both
- * `earlier` and `renew` may be NULL.
+ * An account that is in `earlier` keeps its token hash, unless it is named by
+ * `renew_account`. Every other account gets a new token, listed in `tokens`.
+ * Both `earlier` and `renew_account` may be NULL.
  */
 char *answers_make_config(void *mem, struct answers *answers,
 			  const struct rj_config *earlier,
@@ -182,7 +185,7 @@
 }
 
 /*
- * Report each instance whose failure domain the answers do not have.
+ * Adds an error for each instance whose failure domain is not in the answers.
  */
 static void check_instances(const struct answers *answers,
 			    struct rj_error_list *errors)
@@ -205,9 +208,9 @@
 }
 
 /*
- * Check that a good configuration can be made from the answers. Paths in the
- * errors are those of the answers, with "classes" for "job_kinds"; notes are
- * added too when there are no errors.
+ * Checks that a valid configuration can be generated from the answers. Errors
+ * give paths within the answers, but with "classes" for "job_kinds". If there
+ * are no errors, notes about the configuration are added.
  */
 void answers_check(struct answers *answers, struct rj_error_list *errors)
 {
@@ -230,8 +233,9 @@
 }
 
 /*
- * The settings of the instance `name`, as JSON text, or NULL with `err` of
- * kind RJ_ERR_NOT_FOUND. Every other instance is named as a peer.
+ * Returns the settings of the instance `name` as JSON text, a talloc child of
+ * `mem`, with every other instance as a peer. Returns NULL with `err` of kind
+ * RJ_ERR_NOT_FOUND if the answers have no such instance.
  */
 char *answers_make_settings(void *mem, const struct answers *answers,
 			    const char *name, const char *peer_key,
--- a/src/radishjunction/answers.h
+++ b/src/radishjunction/answers.h
@@ -1,9 +1,10 @@
 /*
- * A team's answers to the questionnaire, and what is made from them.
+ * A team's answers to the questionnaire, and the configuration and settings
+ * generated from them.
  *
- * Answers hold no secrets, so that they can be kept and reviewed like any
- * text: tokens are made with the configuration, and only their hashes are in
- * it.
+ * Answers hold no secrets, so they can be kept under version control. Tokens
+ * are created when the configuration is generated, which holds only their
+ * hashes.
  */
 #ifndef ANSWERS_H
 #define ANSWERS_H
@@ -34,7 +35,7 @@
 	uint32_t instance_count;
 };
 
-/* A token made for an account; shown once and kept by nobody. */
+/* A token created for an account: printed once and never stored. */
 struct new_token {
 	char account[RJ_NAME_BYTES];
 	char token[RJ_TOKEN_BYTES];
--- a/src/radishjunction/ask.c
+++ b/src/radishjunction/ask.c
@@ -76,7 +76,7 @@
 };
 
 /*
- * Ask what each worker of the failure domain has.
+ * Asks for the resources of each worker of the failure domain.
  */
 static int ask_worker(struct prompter *prompter, void *element, bool prefilled)
 {
@@ -88,7 +88,7 @@
 }
 
 /*
- * Ask for the guarantees of the client account.
+ * Asks for the guarantees of the client account.
  */
 static int ask_guarantees(struct prompter *prompter, void *element,
 			  bool prefilled)
@@ -108,7 +108,7 @@
 }
 
 /*
- * Ask everything, in the order in which a team thinks of it.
+ * Runs the whole questionnaire. Returns 0, or -1 if the input ended early.
  */
 static int ask_all(struct prompter *prompter, struct answers *answers,
 		   bool prefilled)
@@ -174,7 +174,8 @@
 }
 
 /*
- * Start from the answers in `path`, or from nothing when it is NULL.
+ * Loads the earlier answers from `path`, or the schema defaults if it is NULL.
+ * Returns 0, or -1 with the errors printed.
  */
 static int load_earlier(void *mem, const char *path, struct answers *answers)
 {
@@ -198,9 +199,9 @@
 }
 
 /*
- * Run the questionnaire, write the answers and say what in them does not
- * work. Answers with errors are written all the same: they are the start of
- * the next round.
+ * Runs the questionnaire, writes the answers and prints their errors. Answers
+ * with errors are written too, as the start for the next run. Returns an exit
+ * code.
  */
 static int run_questionnaire(struct prompter *prompter, const char *earlier,
 			     const char *output)
@@ -231,7 +232,7 @@
 		output = "FILE";
 	if (has_errors)
 		fprintf(stderr,
-			"Mend them with `radishjunction ask --answers %s "
+			"Correct them with `radishjunction ask --answers %s "
 			"--output %s`.\n",
 			output, output);
 	else
@@ -243,7 +244,8 @@
 }
 
 /*
- * `radishjunction ask`: the questionnaire, on standard input and error.
+ * `radishjunction ask`: runs the questionnaire on standard input and standard
+ * error.
  */
 int command_ask(int argc, char **argv)
 {
--- a/src/radishjunction/caller.c
+++ b/src/radishjunction/caller.c
@@ -12,7 +12,7 @@
 #define DEFAULT_TIMEOUT_S 60
 
 /*
- * Make the options; the subcommand puts all of them into its table.
+ * Creates the options; the subcommand adds all of them to its argtable.
  */
 void caller_options(struct caller_options *options)
 {
@@ -21,16 +21,17 @@
 		arg_file0(NULL, "tokens", "FILE",
 			  "tokens that `generate --tokens` wrote; otherwise "
 			  "the token is in $" TOKEN_VARIABLE);
-	options->account =
-		arg_str0(NULL, "account", "NAME", "whose token of these");
+	options->account = arg_str0(NULL, "account", "NAME",
+				    "account whose token is used");
 	options->timeout_s = arg_int0(NULL, "timeout", "S",
-				      "wait so long for the answer (60)");
+				      "seconds to wait for the answer (60)");
 	assert(options->tokens && options->account && options->timeout_s);
 }
 
 /*
- * The token of `account` in a file of tokens, as a talloc child of `mem`, or
- * NULL with `err` set. Without an account, the only token of the file.
+ * Reads the token of `account` from a file of tokens; if `account` is NULL,
+ * the file must hold exactly one. Returns the token as a talloc child of
+ * `mem`, or NULL with `err` set.
  */
 const char *token_find(void *mem, const char *path, const char *account,
 		       struct rj_error *err)
@@ -50,15 +51,16 @@
 		token = talloc_strdup(mem, token);
 	else
 		rj_error_set(err, RJ_ERR_NOT_FOUND,
-			     "%s: no token of \"%s\"; name an account that it "
-			     "holds with --account",
+			     "%s: no token of \"%s\"; name an account of "
+			     "this file with --account",
 			     path, account ? account : "");
 	json_decref(json);
 	return token;
 }
 
 /*
- * Take instances and token from the options. Returns 0, or -1 with `err`.
+ * Reads the instances, the token and the timeout from the options and the
+ * environment. Returns 0, or -1 with `err` set.
  */
 int caller_load(struct caller *caller, void *mem,
 		const struct caller_options *options, struct rj_error *err)
@@ -91,9 +93,10 @@
 }
 
 /*
- * Call the first instance that can be reached. Another one is tried only
- * where this one surely did not receive the call. Returns 0 with an answer,
- * or an exit code, told.
+ * Calls the first instance that can be reached. The next one is tried only if
+ * the previous one certainly did not receive the call, so that the call does
+ * not take effect twice. Returns 0 with an answer whose `json` the caller
+ * releases, or an exit code after printing the error.
  */
 int caller_call(const struct caller *caller, struct http_call *call,
 		struct http_answer *answer)
@@ -120,14 +123,14 @@
 	fprintf(stderr,
 		"radishjunction: %s; it may have been received: ask again%s\n",
 		answer->outcome == HTTP_LOST ? answer->detail :
-					       "the answer is no JSON",
+					       "the answer is not JSON",
 		call->key ? " with the same key" : "");
 	return EXIT_UNKNOWN;
 }
 
 /*
- * Print an answer as JSON, what its reason means on standard error, and give
- * its exit code.
+ * Prints an answer as JSON on standard output and the meaning of its reason on
+ * standard error. Returns the exit code of the answer.
  */
 int caller_print_answer(const struct http_answer *answer)
 {
@@ -156,7 +159,7 @@
 }
 
 /*
- * Read the id of a job. Returns 0, or -1 with `err` set.
+ * Parses a job id of 16 hexadecimal digits. Returns 0, or -1 with `err` set.
  */
 int caller_job_id(const char *job, uint64_t *id, struct rj_error *err)
 {
--- a/src/radishjunction/caller.h
+++ b/src/radishjunction/caller.h
@@ -1,9 +1,9 @@
 /*
- * A caller of the system: its token, its instances, and what an answer
- * means for the exit code.
+ * A client of the entry instances: its token, the instances it calls, and the
+ * mapping of answers to exit codes.
  *
- * `caller_options` makes the options; `caller_load` fills memory of the
- * caller, whose pointers are talloc children of `mem`.
+ * `caller_options` creates the command line options; `caller_load` fills a
+ * `struct caller` whose pointers are talloc children of `mem`.
  */
 #ifndef CALLER_H
 #define CALLER_H
@@ -13,7 +13,7 @@
 #include "http.h"
 #include "targets.h"
 
-/* A token on the command line would stand in the list of processes. */
+/* An environment variable: an argument would show in the process list. */
 #define TOKEN_VARIABLE "RADISHJUNCTION_TOKEN"
 
 struct caller_options {
--- a/src/radishjunction/check.c
+++ b/src/radishjunction/check.c
@@ -7,8 +7,8 @@
 #include "command.h"
 
 /*
- * The sorts of text, and the fields by which each is told from the others,
- * also where one of them is what is missing.
+ * The document types and the fields that identify each. Several fields are
+ * listed for a type, so that it is recognised even if one of them is missing.
  */
 static const struct {
 	const char *name;
@@ -22,7 +22,8 @@
 #define DOCUMENT_TYPE_COUNT (sizeof(document_types) / sizeof(document_types[0]))
 
 /*
- * What the text is, by the fields it has; a configuration if unsure.
+ * Returns the document type of the text by the fields it has, "config" if none
+ * matches.
  */
 static const char *detect_type(const char *text)
 {
@@ -40,8 +41,8 @@
 }
 
 /*
- * Check `text` and add its errors, or else its notes. Returns whether it is
- * good.
+ * Checks `text` as a document of this type. Returns whether it is valid; adds
+ * its errors, or its notes if it has none.
  */
 static bool check_text(void *mem, const char *type, const char *text,
 		       struct rj_error_list *errors)
@@ -68,7 +69,8 @@
 }
 
 /*
- * Check one file, as `sort` or as what its fields tell, and say what it is.
+ * Checks one file as a document of `type`, or of the type detected from its
+ * fields if that is NULL, and prints the result. Returns an exit code.
  */
 static int check(const char *path, const char *type)
 {
@@ -96,7 +98,7 @@
 }
 
 /*
- * `radishjunction check`: every error of a text at once.
+ * `radishjunction check`: reports every error of a document at once.
  */
 int command_check(int argc, char **argv)
 {
@@ -104,8 +106,8 @@
 					  "configuration, settings or answers");
 	struct arg_str *type_option =
 		arg_str0(NULL, "as", "SORT",
-			 "config, settings or answers; told by "
-			 "its fields if left out");
+			 "config, settings or answers; detected "
+			 "from its fields if left out");
 	struct options options;
 	struct options_result result;
 	const char *type;
--- a/src/radishjunction/command.h
+++ b/src/radishjunction/command.h
@@ -1,10 +1,9 @@
 /*
- * What the subcommands share: their table, their options and exit codes,
- * and reading and writing files.
+ * Shared by the subcommands: their table, common options, exit codes, file
+ * access and printing of errors.
  *
- * A subcommand is one function in one file, found in the table of main.c. It
- * builds its argtable, calls `options_parse`, does its work and returns an
- * exit code.
+ * Each subcommand is a function listed in the table of main.c. It builds its
+ * argtable, calls `options_parse`, does its work and returns an exit code.
  */
 #ifndef COMMAND_H
 #define COMMAND_H
@@ -16,12 +15,12 @@
 
 /* The exit codes of every subcommand; radishjunction(1) lists them. */
 enum exit_code {
-	EXIT_DONE, /* did what was asked */
-	EXIT_REFUSED, /* refused, failed or in error; did not take effect */
+	EXIT_DONE, /* succeeded */
+	EXIT_REFUSED, /* refused, failed or invalid; did not take effect */
 	EXIT_USAGE, /* wrong options */
-	EXIT_UNREACHABLE, /* the other side gave no answer */
-	EXIT_UNKNOWN, /* may have taken effect: ask again */
-	EXIT_PENDING, /* taken on, and not at its end yet */
+	EXIT_UNREACHABLE, /* no answer from an instance or the platform */
+	EXIT_UNKNOWN, /* may have taken effect; retry to find out */
+	EXIT_PENDING, /* accepted, not completed yet */
 };
 
 struct command {
@@ -37,7 +36,7 @@
 	struct arg_end *end;
 };
 
-/* Whether the subcommand is to go on; else it returns `exit_code`. */
+/* If `proceed` is false, the subcommand returns `exit_code` at once. */
 struct options_result {
 	bool proceed;
 	int exit_code;
--- a/src/radishjunction/descriptions.c
+++ b/src/radishjunction/descriptions.c
@@ -6,7 +6,7 @@
 #include "radishjunction/action.h"
 #include "radishjunction/types.h"
 
-/* What happened, without a target and before its name. */
+/* Descriptions of events, for use alone and before the name of a target. */
 static const struct {
 	const char *alone;
 	const char *with_target;
@@ -29,7 +29,7 @@
 			   "handed on before a stop to" },
 };
 
-/* What a reason means, and what a caller or an operator can do. */
+/* The meaning of each reason, and what a caller or an operator can do. */
 static const struct {
 	const char *meaning;
 	const char *remedy;
@@ -121,7 +121,7 @@
 				    "taken back" },
 };
 
-/* Where a job is, by the state's name in an explanation. */
+/* Descriptions of job states by the name used in an explanation. */
 static const struct {
 	const char *state;
 	const char *text;
@@ -139,7 +139,7 @@
 };
 
 /*
- * The index of `name` in a table of strings, or `count`.
+ * Returns the index of `name` in a table of strings, or `count`.
  */
 static uint32_t find_name(const char *const *strings, uint32_t count,
 			  const char *name)
@@ -152,7 +152,7 @@
 }
 
 /*
- * A text of a decision, or "" when it is missing.
+ * Returns a string of a decision, or "" if it is missing.
  */
 static const char *get_text(const json_t *object, const char *name)
 {
@@ -162,7 +162,7 @@
 }
 
 /*
- * A number of a decision, or 0 when it is missing.
+ * Returns a number of a decision, or 0 if it is missing.
  */
 static json_int_t get_number(const json_t *object, const char *name)
 {
@@ -170,7 +170,7 @@
 }
 
 /*
- * Print a number of things: "1 place", "2 places".
+ * Prints a count with its noun: "1 place", "2 places".
  */
 static void print_count(FILE *out, json_int_t count, const char *thing)
 {
@@ -179,7 +179,7 @@
 }
 
 /*
- * Print where a job is now, and what it waits for.
+ * Prints the current state of a job and what it waits for.
  */
 static void print_state(FILE *out, const json_t *entry)
 {
@@ -212,8 +212,8 @@
 }
 
 /*
- * Print one decision as a sentence. What a newer instance may say that this
- * version does not know is printed as it came.
+ * Prints one decision as a sentence. Names that a newer instance uses and this
+ * version does not know are printed unchanged.
  */
 void print_decision(FILE *out, const json_t *decision)
 {
@@ -255,8 +255,8 @@
 }
 
 /*
- * Tell what a reason means and what to do about it, in a line; nothing for
- * one that this version does not know or that needs nothing.
+ * Prints the meaning and the remedy of a reason on one line. Prints nothing for
+ * a reason that this version does not know or that needs no remedy.
  */
 void print_reason(FILE *out, const char *reason)
 {
@@ -270,8 +270,8 @@
 }
 
 /*
- * Print every reason with its meaning and its remedy, as a table in
- * Markdown: docs/OPERATIONS.md holds it.
+ * Prints every reason with its meaning and remedy as a Markdown table, which
+ * docs/OPERATIONS.md contains.
  */
 void print_reasons(FILE *out)
 {
--- a/src/radishjunction/descriptions.h
+++ b/src/radishjunction/descriptions.h
@@ -1,5 +1,5 @@
 /*
- * What decisions and reasons mean, in words for a person.
+ * Descriptions of decisions and reasons for people.
  */
 #ifndef DESCRIPTIONS_H
 #define DESCRIPTIONS_H
--- a/src/radishjunction/file.c
+++ b/src/radishjunction/file.c
@@ -9,14 +9,14 @@
 
 #include "command.h"
 
-/* Several times the largest configuration. */
+/* Several times the size of the largest configuration. */
 #define FILE_MAX_BYTES (4 * 1024 * 1024)
 #define MODE_SECRET 0600
 #define MODE_PUBLIC 0644
 
 /*
- * Read a whole file, or standard input for "-", as a talloc child of `mem`.
- * Returns NULL with `err` set.
+ * Reads a whole file, or standard input for "-", into a NUL-terminated talloc
+ * child of `mem`. Returns NULL with `err` set on failure.
  */
 char *file_read(void *mem, const char *path, struct rj_error *err)
 {
@@ -47,8 +47,9 @@
 }
 
 /*
- * Write a whole file, or standard output for "-". A `secret` file is for its
- * owner only. Returns 0, or -1 with `err` set.
+ * Writes `text` to a file, replacing its content, or to standard output for
+ * "-". With `secret`, a new file is accessible to its owner only. Returns 0,
+ * or -1 with `err` set.
  */
 int file_write(const char *path, const char *text, bool secret,
 	       struct rj_error *err)
@@ -76,7 +77,7 @@
 }
 
 /*
- * Print one error and return the exit code that goes with its kind.
+ * Prints one error of a subcommand and returns the exit code for its kind.
  */
 int print_error(const char *command, const struct rj_error *err)
 {
@@ -86,7 +87,7 @@
 }
 
 /*
- * Print every error or note of a check, each on its line after `what`.
+ * Prints every error and note of a check, one per line, prefixed by `what`.
  */
 void print_errors(const char *what, const struct rj_error_list *errors)
 {
--- a/src/radishjunction/generate.c
+++ b/src/radishjunction/generate.c
@@ -14,15 +14,17 @@
 struct generate_options {
 	const char *answers;
 	const char *output;
-	const char *earlier; /* NULL without */
-	const char *renew_account; /* NULL without */
+	const char *earlier; /* NULL if not given */
+	const char *renew_account; /* NULL if not given */
 	const char *tokens; /* NULL: standard error */
-	const char *settings_for; /* NULL: a configuration */
+	const char *settings_for; /* NULL: generate a configuration */
 	const char *peer_key_file;
 };
 
 /*
- * Print the new tokens, once: only their hashes are kept.
+ * Writes the new tokens to the file `path`, or prints them if it is NULL. This
+ * is their only output, as the configuration holds only hashes. Returns 0, or
+ * -1 with `err` set.
  */
 static int print_tokens(void *mem, const char *path,
 			const struct new_token *tokens, uint32_t count,
@@ -38,14 +40,14 @@
 		return file_write(path, json_text(mem, json), true, err);
 	}
 	for (uint32_t i = 0; i < count; i++)
-		fprintf(stderr, "token of %s (told only now): %s\n",
+		fprintf(stderr, "token of %s (shown only once): %s\n",
 			tokens[i].account, tokens[i].token);
 	return 0;
 }
 
 /*
- * The earlier configuration, whose accounts keep their tokens. Returns 0
- * with NULL when none was named, or -1 with the errors told.
+ * Loads the earlier configuration, whose accounts keep their tokens. Returns 0
+ * with a NULL `*config` if `path` is NULL, or -1 with the errors printed.
  */
 static int load_earlier(void *mem, const char *path, struct rj_config **config)
 {
@@ -68,7 +70,8 @@
 }
 
 /*
- * Make the configuration, and write nothing unless it is good.
+ * Generates the configuration. Writes nothing unless it is valid. Returns an
+ * exit code.
  */
 static int generate_config(void *mem, struct answers *answers,
 			   const struct generate_options *options)
@@ -100,7 +103,9 @@
 }
 
 /*
- * Read the peers' shared key, or make it when the file does not exist yet.
+ * Reads the shared key of the peers from a file, which is created with a random
+ * key if it does not exist. Returns a talloc child of `mem`, or NULL with `err`
+ * set.
  */
 static char *peer_key(void *mem, const char *path, struct rj_error *err)
 {
@@ -127,7 +132,7 @@
 }
 
 /*
- * Make the settings of one instance.
+ * Generates the settings of one instance. Returns an exit code.
  */
 static int generate_settings(void *mem, struct answers *answers,
 			     const struct generate_options *options)
@@ -153,7 +158,8 @@
 }
 
 /*
- * Read the answers and make what the options ask for.
+ * Reads the answers and generates the configuration or the settings. Returns an
+ * exit code.
  */
 static int generate(const struct generate_options *options)
 {
@@ -180,7 +186,8 @@
 }
 
 /*
- * `radishjunction generate`: a configuration, or the settings of a daemon.
+ * `radishjunction generate`: generates a configuration, or the settings of a
+ * daemon.
  */
 int command_generate(int argc, char **argv)
 {
@@ -190,7 +197,7 @@
 					    "where to write (standard output)");
 	struct arg_file *earlier =
 		arg_file0(NULL, "earlier", "FILE",
-			  "earlier configuration, whose tokens stay good");
+			  "earlier configuration, whose tokens stay valid");
 	struct arg_str *renew_account = arg_str0(
 		NULL, "new-token", "ACCOUNT", "make this account a new token");
 	struct arg_file *tokens =
@@ -199,8 +206,8 @@
 	struct arg_str *name = arg_str0(NULL, "settings-for", "NAME",
 					"make the settings of this instance");
 	struct arg_file *key = arg_file0(NULL, "peer-key-file", "FILE",
-					 "the instances' shared key; made if "
-					 "there is none (peer.key)");
+					 "the instances' shared key; created "
+					 "if it does not exist (peer.key)");
 	struct options options;
 	struct options_result result;
 
--- a/src/radishjunction/http.c
+++ b/src/radishjunction/http.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <talloc.h>
 
-/* The largest answers are pages of the config stream. */
+/* Pages of the config stream are the largest answers. */
 #define ANSWER_MAX_BYTES (64 * 1024 * 1024)
 #define CONNECT_TIMEOUT_MS 2000L
 
@@ -17,8 +17,8 @@
 };
 
 /*
- * Keep one more piece of the answer; libcurl fails the call on a short
- * return.
+ * Write callback of libcurl: appends a chunk of the answer. A return value
+ * below the chunk's length makes libcurl fail the call.
  */
 static size_t append_body(char *data, size_t size, size_t count, void *user)
 {
@@ -37,11 +37,14 @@
 }
 
 /*
- * The headers of a call, for the caller to free.
+ * Returns the headers of a call; the caller frees the list.
  */
 static struct curl_slist *make_headers(void *mem, const struct http_call *call)
 {
-	/* Without "Expect:" libcurl waits a second before a long body. */
+	/*
+	 * An empty "Expect:" stops libcurl from waiting a second for a
+	 * 100-continue response before it sends a long body.
+	 */
 	struct curl_slist *headers = curl_slist_append(NULL, "Expect:");
 
 	headers = curl_slist_append(headers, "Content-Type: application/json");
@@ -59,7 +62,8 @@
 }
 
 /*
- * Whether the failed call surely had no effect: no connection stood.
+ * Whether the failed call certainly had no effect, as no connection was
+ * established.
  */
 static bool never_connected(CURL *easy, CURLcode code)
 {
@@ -72,10 +76,10 @@
 }
 
 /*
- * Send one request and wait for its answer.
+ * Sends one request and waits for its answer.
  *
- * Each call has a connection of its own: on a kept one that the other side
- * has just closed, libcurl would send the request a second time.
+ * Each call uses a new connection: on a reused one that the server has just
+ * closed, libcurl would send the request a second time.
  */
 void http_call(const struct http_call *call, struct http_answer *answer)
 {
--- a/src/radishjunction/instance_status.c
+++ b/src/radishjunction/instance_status.c
@@ -8,7 +8,7 @@
 #define STATUS_TIMEOUT_MS 5000
 
 /*
- * Ask one instance for `path`.
+ * Requests the JSON object at `path` from one instance.
  */
 static void request_status(const struct rj_address *instance, const char *path,
 			   struct instance_status *status)
@@ -26,13 +26,15 @@
 		return;
 	}
 	snprintf(status->detail, sizeof(status->detail), "%s",
-		 answer.outcome == HTTP_ANSWERED ? "its answer is no status" :
-						   answer.detail);
+		 answer.outcome == HTTP_ANSWERED ?
+			 "its answer is not a status object" :
+			 answer.detail);
 	json_decref(answer.json);
 }
 
 /*
- * Ask every instance in turn; `statuses` has room for all of them.
+ * Requests the status of every instance in turn; `statuses` has an element for
+ * each of them.
  */
 void instances_get_status(const struct targets *targets,
 			  struct instance_status *statuses)
@@ -43,9 +45,9 @@
 }
 
 /*
- * Ask every instance in turn which configuration it has in force, and no
- * more: its whole status names every worker. An older version knows no such
- * question and is asked for its status.
+ * Requests from every instance in turn only the configuration in force, as the
+ * whole status lists every worker. An older version without this request is
+ * asked for its status instead.
  */
 void instances_get_revision(const struct targets *targets,
 			    struct instance_status *statuses)
@@ -63,8 +65,8 @@
 }
 
 /*
- * Whether an instance takes publications that hold the change alone. An
- * older version does not say so, nor does one that gives no answer.
+ * Whether an instance accepts publications that hold only the change. False
+ * for an older version, which does not report this, and without an answer.
  */
 bool instance_accepts_changes(const struct instance_status *status)
 {
@@ -72,7 +74,7 @@
 }
 
 /*
- * Give the answers back.
+ * Releases the JSON of the answers.
  */
 void instances_release_status(struct instance_status *statuses, uint32_t count)
 {
@@ -81,7 +83,8 @@
 }
 
 /*
- * The revision in force at an instance; 0 for none, or without an answer.
+ * Returns the revision in force at an instance; 0 if it has none or gave no
+ * answer.
  */
 uint64_t instance_revision(const struct instance_status *status)
 {
--- a/src/radishjunction/instance_status.h
+++ b/src/radishjunction/instance_status.h
@@ -1,5 +1,5 @@
 /*
- * What the entry instances say of themselves.
+ * Status and configuration revision as reported by the entry instances.
  */
 #ifndef INSTANCE_STATUS_H
 #define INSTANCE_STATUS_H
@@ -10,8 +10,8 @@
 
 /* One instance's answer to GET /v1/status or GET /v1/revision. */
 struct instance_status {
-	json_t *json; /* NULL when it gave no answer */
-	char detail[128]; /* why not */
+	json_t *json; /* NULL without an answer */
+	char detail[128]; /* error text, without an answer */
 };
 
 void instances_get_status(const struct targets *targets,
--- a/src/radishjunction/job.c
+++ b/src/radishjunction/job.c
@@ -1,5 +1,5 @@
 /*
- * The subcommands that ask about one job: wait, cancel and explain.
+ * The subcommands for one job: wait, cancel and explain.
  */
 #include <assert.h>
 #include <stdio.h>
@@ -11,16 +11,17 @@
 #include "descriptions.h"
 #include "radishjunction/settings.h"
 
-/* What differs between them. */
+/* A subcommand for one job. */
 struct job_command {
 	const char *name;
-	/* Returns an exit code, told. */
+	/* Prints the result or the error and returns an exit code. */
 	int (*run)(const struct caller *caller, const char *job);
 };
 
 /*
- * Call one instance about the job; `rest` follows the id in the path. Gives
- * the answer's JSON in `answer` and returns 0, or an exit code, told.
+ * Sends one request about the job; `path_suffix` follows the id in the path.
+ * Returns 0 with `answer`, whose `json` the caller releases, or an exit code
+ * after printing the error.
  */
 static int call_job(const struct caller *caller, const char *method,
 		    const char *job, const char *path_suffix,
@@ -37,13 +38,14 @@
 }
 
 /*
- * Parse the arguments of a subcommand about one job, and run it.
+ * Parses the arguments of a subcommand for one job and runs it. Returns an exit
+ * code.
  */
 static int run_job_command(const struct job_command *command, int argc,
 			   char **argv)
 {
-	struct arg_str *job = arg_str1(NULL, NULL, "JOB",
-				       "id of the job, as its answer gave it");
+	struct arg_str *job = arg_str1(
+		NULL, NULL, "JOB", "id of the job, the \"job\" of its answer");
 	struct caller_options caller_opts;
 	struct options options;
 	struct options_result result;
@@ -79,7 +81,7 @@
 }
 
 /*
- * Wait for the job's end and report its answer.
+ * Waits until the job is complete and prints its answer. Returns an exit code.
  */
 static int wait_for_job(const struct caller *caller, const char *job)
 {
@@ -94,7 +96,7 @@
 }
 
 /*
- * `radishjunction wait`: the answer of a job, when it has ended.
+ * `radishjunction wait`: prints the answer of a job once it is complete.
  */
 int command_wait(int argc, char **argv)
 {
@@ -104,8 +106,8 @@
 }
 
 /*
- * Cancel the job and report what became of it: that it was cancelled is what
- * was asked for.
+ * Cancels the job and prints its answer. Returns an exit code, EXIT_DONE if the
+ * job was cancelled.
  */
 static int cancel_job(const struct caller *caller, const char *job)
 {
@@ -124,7 +126,7 @@
 }
 
 /*
- * `radishjunction cancel`: end a job without (more) running of it.
+ * `radishjunction cancel`: cancels a job, which is stopped if it runs.
  */
 int command_cancel(int argc, char **argv)
 {
@@ -134,8 +136,8 @@
 }
 
 /*
- * Tell the decisions of one instance in words, each with its time after the
- * first; clocks of two instances cannot be compared.
+ * Prints the decisions of one instance, each with its time since the first one
+ * of this instance, as the clocks of two instances cannot be compared.
  */
 static void print_decisions(const struct rj_address *address,
 			    const json_t *list)
@@ -160,8 +162,8 @@
 }
 
 /*
- * Ask every instance what it decided about the job: a job that was handed on
- * has a part of its story at each.
+ * Prints what every instance decided about the job, as each instance that
+ * forwarded or served it knows only its own decisions. Returns an exit code.
  */
 static int explain_job(const struct caller *caller, const char *job)
 {
@@ -195,7 +197,7 @@
 }
 
 /*
- * `radishjunction explain`: why a job is where it is.
+ * `radishjunction explain`: prints every decision about a job.
  */
 int command_explain(int argc, char **argv)
 {
--- a/src/radishjunction/load.c
+++ b/src/radishjunction/load.c
@@ -13,29 +13,32 @@
 #include "private/caller_json.h"
 #include "radishjunction/settings.h"
 
-/* Jobs that are due are sent so often. */
+/* Interval at which due jobs are sent. */
 #define SEND_INTERVAL_US (5 * RJ_US_PER_MS)
 #define ANSWER_MAX_BYTES (512 * 1024)
-/* After a lost answer, and when no time to come back was told. */
+/* After a lost answer, and for answers without `retry_after_ms`. */
 #define DEFAULT_RETRY_DELAY_US (200 * RJ_US_PER_MS)
-/* Connections to one instance, as many callers behind a balancer hold. */
+/* Connections to one instance, as held by many callers behind a balancer. */
 #define CONNECTIONS_MAX 256
 #define TARGETS_MAX 64
 #define HEADER_BYTES 128
 
-/* One caller that waits for the answer to one job. */
+/* One caller's request for a job, until its final answer. */
 struct request {
 	struct load *load;
 	struct load_job *job;
-	bool posted; /* the newest request was a submission */
-	uint64_t job_id; /* 0 until an answer named it */
+	bool posted; /* not used */
+	uint64_t job_id; /* 0 until an answer gives it */
 	bool accepted;
-	bool in_doubt; /* a submission without a key was not answered */
+	bool in_doubt; /* the answer to a submission without a key was lost */
 };
 
 static void request_send(struct request *request);
 
-/* The caller has its final answer, or has given up with `unknown`. */
+/*
+ * Records the final answer of a request and frees it; RJ_ANSWER_UNKNOWN if the
+ * request was abandoned.
+ */
 static void request_finish(struct request *request, enum rj_answer_kind answer,
 			   enum rj_reason reason)
 {
@@ -48,7 +51,8 @@
 		job->answer = answer;
 		job->reason = reason;
 	} else if (answer != RJ_ANSWER_UNKNOWN && answer != job->answer) {
-		fprintf(stderr, "load: job %s was told %s (%s), then %s (%s)\n",
+		fprintf(stderr,
+			"load: job %s was answered %s (%s), then %s (%s)\n",
 			job->echo, rj_answer_kind_string[job->answer],
 			rj_reason_string[job->reason],
 			rj_answer_kind_string[answer],
@@ -59,21 +63,24 @@
 	talloc_free(request);
 }
 
-/* Whether it is too late to ask again. */
+/* Whether the time limit of the run has passed, so that requests stop. */
 static bool is_past_limit(const struct load *load)
 {
 	return rj_clock_now_us() >
 	       load->started_us + load->plan->limit_s * RJ_US_PER_S;
 }
 
-/* The time to ask again has come. */
+/* Timer callback: sends the request again. */
 static void on_again(struct tevent_context *loop, struct tevent_timer *timer,
 		     struct timeval now, void *private_data)
 {
 	request_send(private_data);
 }
 
-/* Ask again at another instance, or give up when time is over. */
+/*
+ * Sends the request again to the next instance after `delay_us`, or abandons it
+ * if the time limit of the run has passed.
+ */
 static void request_retry(struct request *request, uint64_t delay_us,
 			  enum rj_reason reason)
 {
@@ -90,7 +97,7 @@
 	(void)timer;
 }
 
-/* A string of an answer as a value of its enum, or `count`. */
+/* Returns the enum value of a string field in an answer, or `count`. */
 static uint32_t enum_value(const json_t *json, const char *field,
 			   const char *const *strings, uint32_t count)
 {
@@ -102,7 +109,7 @@
 	return count;
 }
 
-/* Whether a result is the whole result of this job. */
+/* Whether the answer holds the complete result of this job. */
 static bool is_own_result(const struct request *request, const json_t *json)
 {
 	const json_t *result = json_object_get(json, "result");
@@ -111,7 +118,10 @@
 	return echo && strcmp(echo, request->job->echo) == 0;
 }
 
-/* Take the id that an answer names; false if it is another than before. */
+/*
+ * Records the job id of an answer, if any. Returns false if it is malformed or
+ * differs from that of an earlier answer.
+ */
 static bool record_job_id(struct request *request, const json_t *json)
 {
 	uint64_t job_id;
@@ -128,7 +138,7 @@
 	return true;
 }
 
-/* How long the answer says to wait before asking again. */
+/* Returns the delay before a retry, from `retry_after_ms` or the default. */
 static uint64_t retry_delay_us(const json_t *json)
 {
 	const json_t *retry = json_object_get(json, "retry_after_ms");
@@ -138,7 +148,7 @@
 		       DEFAULT_RETRY_DELAY_US;
 }
 
-/* Act on a whole answer. */
+/* Processes an answer: completes the request or schedules a retry. */
 static void handle_answer(struct request *request, const json_t *json)
 {
 	uint32_t answer = enum_value(json, "answer", rj_answer_kind_string,
@@ -158,7 +168,7 @@
 		request_finish(request, answer, reason);
 		return;
 	case RJ_ANSWER_NOT_RUN:
-		/* True of this submission; the lost one may have run. */
+		/* Holds for this submission; the lost one may have run. */
 		request_finish(request,
 			       request->in_doubt ? RJ_ANSWER_UNKNOWN : answer,
 			       reason);
@@ -169,7 +179,10 @@
 		request_retry(request, 0, reason);
 		return;
 	case RJ_ANSWER_UNKNOWN:
-		/* An instance may not have read an accepted job's record. */
+		/*
+		 * An accepted job may be unknown to an instance that has not
+		 * read its record yet.
+		 */
 		if (request->job->kind->keyed || request->accepted ||
 		    (request->job_id && reason != RJ_REASON_NO_SUCH_JOB))
 			request_retry(request, retry_delay_us(json), reason);
@@ -182,7 +195,7 @@
 	}
 }
 
-/* An answer has come, or the connection was lost. */
+/* HTTP callback: an answer arrived, or the request failed. */
 static void on_answer(void *private_data, const struct rj_http_result *result)
 {
 	struct request *request = *(struct request **)private_data;
@@ -201,8 +214,8 @@
 }
 
 /*
- * Submit the job, or ask for it by its id, at the next instance. A job with
- * a key is always submitted again: the key is what makes that safe.
+ * Submits the job to the next instance, or requests its answer by its id. A job
+ * with a key is always submitted again, which the key makes safe.
  */
 static void request_send(struct request *request)
 {
@@ -244,7 +257,7 @@
 	rj_http_client_send(&load->client, &send);
 }
 
-/* One more caller asks for the job. */
+/* Starts a request for the job by another caller. */
 static void request_start(struct load *load, struct load_job *job)
 {
 	struct request *request = talloc_zero(load, struct request);
@@ -257,7 +270,7 @@
 	request_send(request);
 }
 
-/* Send what is due by the rate. */
+/* Timer callback: sends the jobs that are due at the plan's rate. */
 static void on_tick(struct tevent_context *loop, struct tevent_timer *timer,
 		    struct timeval now, void *private_data)
 {
@@ -280,7 +293,7 @@
 				 load);
 }
 
-/* Write the submission of a job and the digest of its body. */
+/* Fills a job with its submission and the digest of the body. */
 static void fill_job(struct load *load, struct load_job *job,
 		     const struct load_kind *kind, uint32_t index)
 {
@@ -310,7 +323,7 @@
 	free(body_text);
 }
 
-/* Make all jobs, and mix their order by the seed. */
+/* Creates all jobs and shuffles their order by the seed. */
 static void make_jobs(struct load *load)
 {
 	const struct load_plan *plan = load->plan;
@@ -335,8 +348,9 @@
 }
 
 /*
- * Send the whole plan, and wait until every caller has its answer or the
- * plan's limit is over. `load` is a talloc context of its own.
+ * Sends all jobs of the plan and waits until each request has its final answer
+ * or was abandoned after the plan's time limit. `load` is a zeroed talloc
+ * context.
  */
 void load_run(struct load *load, void *mem, const struct load_plan *plan)
 {
@@ -346,7 +360,7 @@
 	make_jobs(load);
 	if (rj_http_client_init(&load->client, load, load->loop, NULL,
 				CONNECTIONS_MAX, NULL))
-		assert(!"the client starts");
+		assert(!"the HTTP client failed to start");
 	load->started_us = rj_clock_now_us();
 	tevent_add_timer(load->loop, load, rj_clock_timeval_in(0), on_tick,
 			 load);
@@ -354,7 +368,7 @@
 		tevent_loop_once(load->loop);
 }
 
-/* Print the account as one JSON line. */
+/* Prints the totals as one line of JSON. */
 static void print_totals(const struct load *load)
 {
 	const struct load_totals *totals = &load->totals;
@@ -370,7 +384,7 @@
 	fflush(stdout);
 }
 
-/* Read the addresses; adds an error for each that is none. */
+/* Parses the addresses of the options; adds an error for each invalid one. */
 static void parse_addresses(struct load_plan *plan, void *mem,
 			    const struct arg_str *targets, const char *platform,
 			    struct rj_error_list *errors)
@@ -389,7 +403,7 @@
 				  "--platform: \"%s\"; give IP:PORT", platform);
 }
 
-/* Read the files and addresses; 0, or -1 with all errors told. */
+/* Reads the files and addresses. Returns 0, or -1 with all errors printed. */
 static int read_plan(void *mem, const char *plan_path, const char *tokens_path,
 		     const struct arg_str *targets, const char *platform,
 		     struct load_plan *plan)
@@ -410,7 +424,7 @@
 	return errors.count ? -1 : 0;
 }
 
-/* Run a plan and print its account. */
+/* Runs a plan and prints its totals. Returns an exit code. */
 static int run_plan(void *mem, const struct load_plan *plan)
 {
 	struct load *load = talloc_zero(mem, struct load);
@@ -433,8 +447,8 @@
 }
 
 /*
- * `radishjunction load`: send a mixed load and account for every job. Exit
- * code 0 only if none was lost, doubled or answered wrongly.
+ * `radishjunction load`: sends a mixed load and verifies every answer. The exit
+ * code is 0 only if no job was lost, run twice or answered wrongly.
  */
 int command_load(int argc, char **argv)
 {
@@ -446,7 +460,7 @@
 		arg_strn(NULL, "target", "IP:PORT", 1, TARGETS_MAX,
 			 "an instance; give each once");
 	struct arg_str *platform = arg_str1(NULL, "platform", "IP:PORT",
-					    "lists the workers to ask");
+					    "platform that lists the workers");
 	struct options options;
 	struct options_result parsed;
 	struct load_plan plan = { 0 };
--- a/src/radishjunction/load_plan.c
+++ b/src/radishjunction/load_plan.c
@@ -57,8 +57,8 @@
 };
 
 /*
- * Read a plan, and the accounts' tokens as `generate --tokens` writes them:
- * an object of account and token. Targets and platform are left empty.
+ * Parses a plan and the accounts' tokens, a JSON object of token by account as
+ * written by `generate --tokens`. Does not set the targets and the platform.
  *
  * Returns 0, or -1 with every error added to `errors`.
  */
--- a/src/radishjunction/load_verify.c
+++ b/src/radishjunction/load_verify.c
@@ -10,24 +10,24 @@
 #include "radishjunction/event.h"
 
 #define ANSWER_TIMEOUT_US (10 * RJ_US_PER_S)
-/* Every task that a worker ever ran, with room for many. */
+/* The list of all tasks that a worker has run can be long. */
 #define ANSWER_MAX_BYTES (64 * 1024 * 1024)
 #define DIGEST_HEX_BYTES (2 * RJ_DIGEST_BYTES + 1)
 
-/* What the workers ran of one job. */
+/* Runs of one job on all workers. */
 struct runs {
 	char digest[DIGEST_HEX_BYTES];
-	uint32_t starts; /* of the first member, in all attempts */
-	uint32_t done; /* members that ended well */
+	uint32_t starts; /* starts of the first member, over all attempts */
+	uint32_t done; /* members that ended in state done */
 };
 
-/* One GET that is waited for. */
+/* A blocking GET request. */
 struct get {
 	bool finished;
 	json_t *json;
 };
 
-/* The answer to a GET, or none. */
+/* HTTP callback: stores the answer's JSON, or NULL. */
 static void on_get_done(void *private_data, const struct rj_http_result *result)
 {
 	struct get *get = *(struct get **)private_data;
@@ -37,7 +37,7 @@
 		get->json = json_loadb(result->body, result->length, 0, NULL);
 }
 
-/* GET a JSON value: a new reference, or NULL. */
+/* Requests a JSON value and waits for it. Returns a new reference, or NULL. */
 static json_t *get_json(struct load *load, const struct rj_address *address,
 			const char *path)
 {
@@ -62,7 +62,7 @@
 	return get.json;
 }
 
-/* Add what one worker ran; 0, or -1 if an entry cannot be read. */
+/* Adds the runs of one worker. Returns 0, or -1 for an invalid entry. */
 static int add_runs(GHashTable *runs_by_digest, void *mem, const json_t *list)
 {
 	size_t index;
@@ -96,7 +96,10 @@
 	return 0;
 }
 
-/* Ask every worker of the platform's list what it ran. */
+/*
+ * Collects the runs of every worker that the platform lists. Returns 0, or -1
+ * with `err` set if the platform or a worker does not report.
+ */
 static int collect_runs(struct load *load, void *mem,
 			GHashTable *runs_by_digest, struct rj_error *err)
 {
@@ -106,11 +109,11 @@
 	int failed = 0;
 
 	if (!list)
-		return rj_error_set(err, RJ_ERR_UNAVAILABLE,
-				    "platform %s:%u: no list of instances; see "
-				    "whether it runs",
-				    load->plan->platform.ip,
-				    load->plan->platform.port);
+		return rj_error_set(
+			err, RJ_ERR_UNAVAILABLE,
+			"platform %s:%u: no list of instances; check "
+			"that it is running",
+			load->plan->platform.ip, load->plan->platform.port);
 	json_array_foreach(json_object_get(list, "instances"), index, entry)
 	{
 		const char *role =
@@ -132,8 +135,8 @@
 		json_decref(runs);
 		if (failed) {
 			rj_error_set(err, RJ_ERR_UNAVAILABLE,
-				     "worker %s:%u: did not say what it ran; "
-				     "see whether it runs",
+				     "worker %s:%u: did not report its runs; "
+				     "check that it is running",
 				     address.ip, address.port);
 			break;
 		}
@@ -142,7 +145,7 @@
 	return failed ? -1 : 0;
 }
 
-/* Whether the answer contradicts what the workers ran. */
+/* Whether the answer contradicts the runs that the workers report. */
 static bool contradicts(const struct load_job *job, const struct runs *runs)
 {
 	uint32_t starts = runs ? runs->starts : 0;
@@ -154,7 +157,7 @@
 	return false;
 }
 
-/* Count one job. */
+/* Adds one job to the totals and prints a line for each fault found. */
 static void count_job(struct load_totals *totals, const struct load_job *job,
 		      const struct runs *runs)
 {
@@ -183,7 +186,7 @@
 	}
 }
 
-/* Tell how many jobs were not done, by answer and reason. */
+/* Prints the number of jobs by answer and reason, except those done. */
 static void print_reason_counts(const struct load *load)
 {
 	uint32_t counts[RJ_ANSWER_KIND_COUNT][RJ_REASON_COUNT] = { { 0 } };
@@ -199,11 +202,11 @@
 }
 
 /*
- * Compare every answer with what the workers say they ran, and fill the
- * totals; what is wrong is told on standard error, a line each.
+ * Compares every answer with the runs that the workers report and fills the
+ * totals. Prints a line on standard error for each fault.
  *
- * Returns 0, or -1 with `err` of kind RJ_ERR_UNAVAILABLE when the platform or
- * a worker does not tell.
+ * Returns 0, or -1 with `err` of kind RJ_ERR_UNAVAILABLE if the platform or a
+ * worker does not report.
  */
 int load_verify(struct load *load, void *mem, struct rj_error *err)
 {
--- a/src/radishjunction/main.c
+++ b/src/radishjunction/main.c
@@ -16,19 +16,19 @@
 	  command_publish },
 	{ "status", "show instances, racks, guarantees and queues",
 	  command_status },
-	{ "submit", "send one job and tell its answer", command_submit },
+	{ "submit", "send one job and print its answer", command_submit },
 	{ "wait", "wait for the answer of a job", command_wait },
 	{ "cancel", "cancel a job", command_cancel },
-	{ "explain", "tell every decision about a job in words",
+	{ "explain", "print every decision about a job in words",
 	  command_explain },
-	{ "reasons", "tell what each reason means and its remedy",
+	{ "reasons", "print what each reason means and its remedy",
 	  command_reasons },
-	{ "load", "send a mixed load and account for every job", command_load },
+	{ "load", "send a mixed load and verify every answer", command_load },
 	{ NULL, NULL, NULL },
 };
 
 /*
- * The subcommand of that name, or NULL.
+ * Returns the subcommand of that name, or NULL.
  */
 const struct command *command_find(const char *name)
 {
@@ -39,7 +39,7 @@
 }
 
 /*
- * Print the table of subcommands.
+ * Prints the table of subcommands and the exit codes.
  */
 static void print_help(FILE *out)
 {
@@ -47,13 +47,13 @@
 	for (const struct command *command = commands; command->name; command++)
 		fprintf(out, "  %-10s %s\n", command->name, command->summary);
 	fprintf(out,
-		"\n`radishjunction SUBCOMMAND --help` tells the options.\n"
+		"\n`radishjunction SUBCOMMAND --help` prints the options.\n"
 		"Exit codes: 0 done, 1 refused or failed, 2 wrong options,\n"
-		"3 unreachable, 4 unknown (ask again), 5 not at its end yet.\n");
+		"3 unreachable, 4 unknown (ask again), 5 not completed yet.\n");
 }
 
 /*
- * Find the subcommand, start the libraries it may need, and run it.
+ * Finds the subcommand, initialises the libraries and runs it.
  */
 int main(int argc, char **argv)
 {
@@ -77,7 +77,8 @@
 		return EXIT_USAGE;
 	}
 	if (sodium_init() < 0 || curl_global_init(CURL_GLOBAL_DEFAULT)) {
-		fprintf(stderr, "radishjunction: libraries do not start\n");
+		fprintf(stderr,
+			"radishjunction: libsodium or libcurl failed to start\n");
 		return EXIT_REFUSED;
 	}
 	result = command->run(argc - 1, argv + 1);
--- a/src/radishjunction/options.c
+++ b/src/radishjunction/options.c
@@ -3,23 +3,25 @@
 
 #include "command.h"
 
-/* So many wrong options are named at once. */
+/* Limit of wrong options reported at once. */
 #define ERRORS_MAX 20
 
 /*
- * Make the options that every subcommand has; the subcommand puts them into
- * its table, `end` last.
+ * Creates the common options; the subcommand adds them to its argtable, `end`
+ * last.
  */
 void options_init(struct options *options)
 {
-	options->help = arg_lit0(NULL, "help", "tell the options and exit");
-	options->version = arg_lit0(NULL, "version", "tell the version");
+	options->help = arg_lit0(NULL, "help", "print the options and exit");
+	options->version =
+		arg_lit0(NULL, "version", "print the version and exit");
 	options->end = arg_end(ERRORS_MAX);
 	assert(options->help && options->version && options->end);
 }
 
 /*
- * Parse the arguments of a subcommand and serve --help and --version.
+ * Parses the arguments of a subcommand. Handles --help, --version and wrong
+ * options, after which the subcommand must not run.
  */
 struct options_result options_parse(const struct options *options,
 				    const struct command *command, int argc,
@@ -53,7 +55,7 @@
 }
 
 /*
- * The last value of an option, or `fallback` when it was not given.
+ * Returns the last value of an option, or `fallback` if it was not given.
  */
 const char *option_string(const struct arg_str *option, const char *fallback)
 {
@@ -61,7 +63,7 @@
 }
 
 /*
- * The last file of an option, or NULL when it was not given.
+ * Returns the last file of an option, or NULL if it was not given.
  */
 const char *option_file(const struct arg_file *option)
 {
--- a/src/radishjunction/prompt.c
+++ b/src/radishjunction/prompt.c
@@ -10,7 +10,8 @@
 #define LINE_BYTES 512
 
 /*
- * Read one line without blanks at its ends. Returns 0, or -1 at the end.
+ * Reads one line and trims white space at both ends. Returns 0, or -1 at the
+ * end of the input.
  */
 static int read_line(struct prompter *prompter, char line[LINE_BYTES])
 {
@@ -30,8 +31,9 @@
 }
 
 /*
- * What was typed as the JSON that the field's type expects: "yes" as true,
- * digits as a number, all else as a string.
+ * Converts an answer to the JSON type that the field expects: "yes" to true,
+ * digits to a number, anything else to a string. Returns a new reference, or
+ * NULL if the answer is not UTF-8.
  */
 static json_t *answer_to_json(const struct rj_schema_field *field,
 			      const char *text)
@@ -56,12 +58,13 @@
 }
 
 /*
- * The field's present value as a person would type it, or NULL.
+ * Returns the field's current value as a person would type it, a talloc child
+ * of `mem`, or NULL if it has no such form.
  */
 static char *value_to_text(void *mem, const struct rj_schema_field *field,
 			   const void *member)
 {
-	/* As a required field also the fallback itself is encoded. */
+	/* An optional field equal to its default would not be encoded. */
 	struct rj_schema_field required = *field;
 	json_t *json;
 	char *text = NULL;
@@ -80,7 +83,8 @@
 }
 
 /*
- * Check one answer and store it. Returns 0, or -1 with the errors told.
+ * Checks one answer and stores it in `member`. Returns 0, or -1 with the errors
+ * printed.
  */
 static int store_answer(struct prompter *prompter,
 			const struct rj_schema_field *field, const char *text,
@@ -93,7 +97,7 @@
 
 	rj_error_list_init(&errors, prompter->mem);
 	if (!json)
-		rj_schema_report(&check, &path, "not UTF-8; type it anew");
+		rj_schema_report(&check, &path, "not UTF-8; type it again");
 	else
 		field->type->decode(&check, field, &path, json, member);
 	for (uint32_t i = 0; i < errors.count; i++)
@@ -104,8 +108,8 @@
 }
 
 /*
- * Ask for one field until the answer is good. Returns 0, or -1 when the
- * input ended before that.
+ * Asks for one field until the answer is valid. Returns 0, or -1 if the input
+ * ended before that.
  */
 static int prompt_field(struct prompter *prompter,
 			const struct rj_schema_field *field, const char *text,
@@ -131,16 +135,16 @@
 			snprintf(line, sizeof(line), "%s", default_text);
 		if (!store_answer(prompter, field, line, member))
 			return 0;
-		/* A default that is wrong must not be asked for ever. */
+		/* An invalid default would be read again forever. */
 		if (at_eof)
 			return -1;
 	}
 }
 
 /*
- * Ask for the fields that `questions` name. A struct that is `known` from
- * earlier answers offers its own values as defaults. Returns 0, or -1 when
- * the input ended.
+ * Asks for the fields named by `questions`. If the struct is `prefilled` from
+ * earlier answers, its values are the defaults. Returns 0, or -1 if the input
+ * ended.
  */
 int prompt_struct(struct prompter *prompter, const struct rj_schema *schema,
 		  const struct question *questions, uint32_t count,
@@ -170,10 +174,10 @@
 }
 
 /*
- * Ask how many elements there are and then for each. `elements` points to
- * the array's pointer; it is replaced by a talloc child of the interview.
- * Elements beyond the new count are dropped, from the end. Returns 0, or -1
- * when the input ended.
+ * Asks for the number of elements and for the fields of each. `elements`
+ * points to the array's pointer, which is replaced by a talloc child of the
+ * prompter's `mem`. Elements beyond the new count are dropped. Returns 0, or
+ * -1 if the input ended.
  */
 int prompt_list(struct prompter *prompter, const struct question_list *list,
 		void *elements, uint32_t *count)
--- a/src/radishjunction/prompt.h
+++ b/src/radishjunction/prompt.h
@@ -1,10 +1,10 @@
 /*
- * Asking a person, or a script on standard input, for the fields of a
+ * Prompts a person, or a script on standard input, for the fields of a
  * struct.
  *
- * `in`, `out` and `mem` belong to the caller, who fills the struct; nothing
- * has to be finished. Each answer is checked by the field's schema; a wrong
- * one is told and asked for again.
+ * The caller fills `struct prompter` and owns `in`, `out` and `mem`; there is
+ * nothing to release. Each answer is checked by the field's schema; after an
+ * invalid one the error is printed and the question asked again.
  */
 #ifndef PROMPT_H
 #define PROMPT_H
@@ -15,30 +15,30 @@
 
 struct prompter {
 	FILE *in;
-	FILE *out; /* questions and errors */
+	FILE *out; /* for questions and errors */
 	void *mem;
-	bool echo; /* `in` is no terminal: print what was read */
-	bool defaults_at_end; /* when `in` ends, defaults answer the rest */
+	bool echo; /* print what was read, as `in` is not a terminal */
+	bool defaults_at_end; /* use the defaults after the end of `in` */
 };
 
-/* One field: what is asked, and the default of a new element or NULL. */
+/* The question for one field. */
 struct question {
 	const char *field;
 	const char *text;
-	const char *default_text;
+	const char *default_text; /* for a new element, or NULL */
 };
 
-/* A list of elements and what is asked about each. */
+/* A list of elements and the questions for each. */
 struct question_list {
-	const char *text; /* "client accounts" */
-	const char *element; /* "client account" */
+	const char *text; /* plural, such as "client accounts" */
+	const char *element; /* singular, such as "Client account" */
 	const struct rj_schema *schema;
 	const struct question *questions;
 	uint32_t question_count;
 	uint32_t min;
 	uint32_t max;
 	uint32_t default_count;
-	/* What else is asked about an element, or NULL. */
+	/* Asks further questions about an element; 0 or -1. May be NULL. */
 	int (*ask_more)(struct prompter *prompter, void *element,
 			bool prefilled);
 };
--- a/src/radishjunction/publish.c
+++ b/src/radishjunction/publish.c
@@ -22,19 +22,16 @@
 	struct targets targets;
 	struct stream stream;
 	struct instance_status *statuses;
-	const char *text;
+	const char *text; /* the configuration, compact JSON */
 	const char *author;
 	char id[2 * ID_RANDOM_BYTES + 1];
-	uint64_t base;
+	uint64_t base; /* revision that the publication replaces */
 	bool restart;
-	bool whole; /* asked for by the operator */
-	struct rj_config_change change; /* its patch is NULL without one */
+	bool whole; /* the operator requested a whole publication */
+	struct rj_config_change change; /* patch is NULL: publish it whole */
 	struct timespec deadline;
 };
 
-/*
- * Whether the time to wait is over.
- */
 static bool is_past(const struct timespec *deadline)
 {
 	struct timespec now;
@@ -46,7 +43,7 @@
 }
 
 /*
- * Leave the platform and the instances alone for a moment.
+ * Sleeps for the poll interval, to limit the load on platform and instances.
  */
 static void pause_between_polls(void)
 {
@@ -56,11 +53,11 @@
 }
 
 /*
- * Which revision this publication is made from: the one in force by the log,
- * or by the instances where the log's beginning is gone.
+ * Sets the base revision: the one in force by the log, or by the instances if
+ * the log no longer has its beginning.
  *
- * Returns 0, or -1 with `err` set: the platform gives no answer, or nobody
- * knows any configuration although there were some.
+ * Returns 0, or -1 with `err` set: the platform gave no answer, or the log has
+ * a gap, no configuration is known and `restart` is not set.
  */
 static int find_base(struct publication *publication, struct rj_error *err)
 {
@@ -81,18 +78,17 @@
 		return 0;
 	return rj_error_set(err, RJ_ERR_NOT_FOUND,
 			    "config stream: its beginning is gone, and no "
-			    "instance knows a configuration; if all of them "
-			    "were asked, start anew with --restart");
+			    "instance knows a configuration; if all instances "
+			    "were named, publish with --restart");
 }
 
 /*
- * Whether every instance says that it takes publications that hold the
- * change alone.
+ * Whether every instance accepts publications that hold only the change.
  *
- * Guards against an instance of an older version during a rolling
- * replacement: it passes over a change, and would accept a whole publication
- * of the same base that all others have refused. It holds for the instances
- * that are named to this command, so that all have to be.
+ * During a rolling replacement an instance of an older version skips a change,
+ * and would then accept a whole publication of the same base that all others
+ * have refused. Only the instances named to this command are asked, so the
+ * operator has to name all of them.
  */
 static bool all_accept_changes(struct publication *publication)
 {
@@ -108,8 +104,8 @@
 }
 
 /*
- * Make the change from the base, if it may be published instead of the whole
- * configuration and is shorter.
+ * Creates the change from the base revision, if it may be published instead of
+ * the whole configuration and is shorter.
  */
 static void make_change(struct publication *publication)
 {
@@ -128,8 +124,8 @@
 }
 
 /*
- * Append the publication. Returns whether it may have taken effect; `err` is
- * set unless it surely has.
+ * Appends the publication to the config stream. Returns whether it may have
+ * taken effect; `err` is set unless the outcome is HTTP_ANSWERED.
  */
 static enum http_outcome append(struct publication *publication,
 				struct rj_error *err)
@@ -150,7 +146,10 @@
 		record.config_change = publication->change;
 	else
 		record.config_text = publication->text;
-	/* Nobody can judge it by what is gone, so it says where to start. */
+	/*
+	 * After a gap no reader can check the publication against its base, so
+	 * the record states the offset from which it holds.
+	 */
 	record.carried = publication->restart && publication->stream.log.gap;
 	record.as_of = publication->stream.log.next;
 	publication->stream.awaited_id = publication->id;
@@ -158,9 +157,9 @@
 }
 
 /*
- * Read on until the publication shows in the log, which also tells what
- * became of an append whose answer was lost. Returns an exit code, told
- * unless it is EXIT_DONE.
+ * Reads the log until the publication appears or the deadline has passed. This
+ * also settles an append whose answer was lost. Prints the verdict and returns
+ * an exit code.
  */
 static int await_verdict(struct publication *publication)
 {
@@ -218,7 +217,7 @@
 }
 
 /*
- * Whether the publication, or one made from it, is in force at an instance.
+ * Whether the publication, or a later revision, is in force at an instance.
  */
 static bool in_force(const struct publication *publication,
 		     const struct instance_status *status)
@@ -233,7 +232,8 @@
 }
 
 /*
- * Tell where the publication is in force and where not yet.
+ * Prints at how many instances the publication is in force, and which ones lack
+ * it.
  */
 static void print_progress(const struct publication *publication, uint32_t done)
 {
@@ -257,9 +257,10 @@
 }
 
 /*
- * Say what to do about a publication that is not in force everywhere in
- * time. One that no reader can judge never comes into force: all of them
- * missed records, so that none can carry the configuration for the others.
+ * Prints the remedy for a publication that is not in force everywhere by the
+ * deadline. One that no reader can judge never comes into force: all instances
+ * missed records of the log, so none can republish the configuration for the
+ * others.
  */
 static void print_not_everywhere(const struct publication *publication,
 				 uint32_t done)
@@ -276,7 +277,8 @@
 }
 
 /*
- * Wait until every instance has it in force, telling each change.
+ * Waits until the publication is in force at every instance, and prints each
+ * change in their number. Returns an exit code.
  */
 static int await_in_force(struct publication *publication)
 {
@@ -306,7 +308,8 @@
 }
 
 /*
- * Append, find out what became of it, and wait until it is in force.
+ * Appends the publication, awaits the verdict, and waits until it is in force
+ * everywhere. Returns an exit code.
  */
 static int publish(struct publication *publication)
 {
@@ -329,7 +332,8 @@
 }
 
 /*
- * Read and check the configuration, before anything is asked of anybody.
+ * Reads and checks the configuration before any request is sent. Returns an
+ * exit code.
  */
 static int load_text(struct publication *publication, const char *path)
 {
@@ -350,7 +354,8 @@
 }
 
 /*
- * The name that other operators read when they lose a race.
+ * Returns the author's name, which an operator sees whose concurrent
+ * publication is refused.
  */
 static const char *operator_name(const char *given)
 {
@@ -376,7 +381,7 @@
 };
 
 /*
- * Read the options, then publish.
+ * Reads the options and publishes. Returns an exit code.
  */
 static int run(const struct publish_options *options)
 {
@@ -426,8 +431,8 @@
 }
 
 /*
- * `radishjunction publish`: put a configuration in force, and say where it
- * is and where not yet.
+ * `radishjunction publish`: puts a configuration in force and prints at which
+ * instances it is.
  */
 int command_publish(int argc, char **argv)
 {
@@ -440,16 +445,15 @@
 	publish_opts.platform =
 		arg_str0(NULL, "platform", "IP:PORT", "the platform's log");
 	publish_opts.author = arg_str0(NULL, "author", "NAME",
-				       "whose publication it is ($USER)");
+				       "author of the publication ($USER)");
 	publish_opts.timeout_s =
 		arg_int0(NULL, "timeout", "S",
-			 "wait so long for it to be in force (60)");
+			 "seconds to wait for it to be in force (60)");
 	publish_opts.restart =
 		arg_lit0(NULL, "restart",
-			 "the log lost every configuration: start anew");
-	publish_opts.whole =
-		arg_lit0(NULL, "whole",
-			 "not the change alone, though all could take it");
+			 "restart after the log lost every configuration");
+	publish_opts.whole = arg_lit0(
+		NULL, "whole", "publish it whole, even if a change would do");
 	options_init(&options);
 	void *table[] = { publish_opts.file,
 			  publish_opts.platform,
--- a/src/radishjunction/reasons.c
+++ b/src/radishjunction/reasons.c
@@ -4,8 +4,8 @@
 #include "descriptions.h"
 
 /*
- * `radishjunction reasons`: what each reason of an answer or of a decision
- * means, and what to do about it.
+ * `radishjunction reasons`: prints the meaning and the remedy of each reason of
+ * an answer or a decision.
  */
 int command_reasons(int argc, char **argv)
 {
--- a/src/radishjunction/status.c
+++ b/src/radishjunction/status.c
@@ -11,7 +11,7 @@
 #include "radishjunction/settings.h"
 
 /*
- * Print all answers as one JSON object by address; null for no answer.
+ * Prints all answers as one JSON object by address; null for no answer.
  */
 static void print_json(const struct targets *targets,
 		       const struct instance_status *statuses)
@@ -33,8 +33,9 @@
 }
 
 /*
- * Ask all instances and show what they say. Instances that give no answer
- * are part of the picture; it is an error only if none does.
+ * Requests the status of all instances and prints it. Instances without an
+ * answer are listed as such. Returns an exit code, EXIT_UNREACHABLE only if no
+ * instance answered.
  */
 static int show_status(const struct targets_options *options, bool json)
 {
@@ -68,7 +69,7 @@
 }
 
 /*
- * `radishjunction status`: instances, racks, guarantees and queues.
+ * `radishjunction status`: prints instances, racks, guarantees and queues.
  */
 int command_status(int argc, char **argv)
 {
--- a/src/radishjunction/status_display.c
+++ b/src/radishjunction/status_display.c
@@ -8,11 +8,11 @@
 #include "radishjunction/peer_message.h"
 #include "radishjunction/settings.h"
 
-/* Wider workers are drawn as numbers. */
+/* Workers with more accelerators are shown as numbers. */
 #define BAR_ACCELERATORS_MAX 16
 
 /*
- * A text of a status, or "?" when it is missing.
+ * Returns a string of a status, or "?" if it is missing.
  */
 static const char *get_text(const json_t *object, const char *name)
 {
@@ -22,23 +22,20 @@
 }
 
 /*
- * A number of a status, 0 when it is missing.
+ * Returns a number of a status, or 0 if it is missing.
  */
 static json_int_t get_number(const json_t *object, const char *name)
 {
 	return json_integer_value(json_object_get(object, name));
 }
 
-/*
- * Whether a flag of a status is true.
- */
 static bool get_flag(const json_t *object, const char *name)
 {
 	return json_is_true(json_object_get(object, name));
 }
 
 /*
- * How many of the peers an instance believes alive, of how many.
+ * Counts the peers that an instance reports as alive, and all its peers.
  */
 static void count_peers(const json_t *status, uint32_t *alive, uint32_t *total)
 {
@@ -55,7 +52,7 @@
 }
 
 /*
- * One line for each instance: revision, queues, peers, what is wrong.
+ * Prints a line for each instance: revision, queues, peers and state.
  */
 static void print_instances(FILE *out, const struct targets *targets,
 			    const struct instance_status *statuses)
@@ -94,8 +91,8 @@
 }
 
 /*
- * By each worker's name, what the instance says of it that is to be drawn: an
- * owner's view if there is one, else the first. A new reference.
+ * Selects the view of each worker to display: that of its owner, else the first
+ * one. Returns a new reference to an object of views by worker name.
  */
 static json_t *select_views(const struct instance_status *statuses,
 			    uint32_t count)
@@ -121,8 +118,8 @@
 }
 
 /*
- * One worker: a mark for each accelerator, '#' in use and '.' free, and what
- * keeps new work away.
+ * Prints one worker: a mark for each accelerator, '#' in use and '.' free, and
+ * why it gets no new jobs, if so.
  */
 static void print_worker(FILE *out, const json_t *worker)
 {
@@ -150,7 +147,7 @@
 }
 
 /*
- * By name, as `qsort` wants it.
+ * Comparison function for `qsort`: by worker name.
  */
 static int compare_workers(const void *first, const void *second)
 {
@@ -161,8 +158,8 @@
 }
 
 /*
- * Print the workers of one rack of one failure domain by name, after a line
- * for the rack if there is any.
+ * Prints the workers of one rack of a failure domain, sorted by name, after a
+ * line for the rack. Prints nothing for a rack without workers.
  */
 static void print_rack(FILE *out, const struct instance_status *statuses,
 		       uint32_t count, const json_t *views, const char *domain,
@@ -196,7 +193,8 @@
 }
 
 /*
- * The highest rack number that an instance of the domain names, or -1.
+ * Returns the highest rack number reported by an instance of the failure
+ * domain, or -1.
  */
 static json_int_t last_rack(const struct instance_status *statuses,
 			    uint32_t count, const char *domain)
@@ -220,7 +218,7 @@
 }
 
 /*
- * A line for each guarantee in the failure domain of an instance.
+ * Prints a line for each guarantee in the failure domain of an instance.
  */
 static void print_guarantees(FILE *out, const json_t *status)
 {
@@ -242,7 +240,7 @@
 }
 
 /*
- * One failure domain, drawn when its first instance comes up.
+ * Prints one failure domain, given the index of its first instance.
  */
 static void print_domain(FILE *out, const struct instance_status *statuses,
 			 uint32_t count, const json_t *views, uint32_t first)
@@ -257,7 +255,7 @@
 }
 
 /*
- * Print the instances and then each failure domain with its racks.
+ * Prints the instances, then each failure domain with its racks.
  */
 void status_print(FILE *out, const struct targets *targets,
 		  const struct instance_status *statuses)
--- a/src/radishjunction/status_display.h
+++ b/src/radishjunction/status_display.h
@@ -1,6 +1,5 @@
 /*
- * The picture of the whole system in a terminal, from what each instance
- * says.
+ * Terminal display of the whole system, from the status of each instance.
  */
 #ifndef STATUS_DISPLAY_H
 #define STATUS_DISPLAY_H
--- a/src/radishjunction/stream.c
+++ b/src/radishjunction/stream.c
@@ -10,7 +10,7 @@
 #define PAGE_RECORDS 100
 
 /*
- * Start at the beginning of the platform's config stream.
+ * Initialises `stream` at the beginning of the platform's config stream.
  */
 void stream_init(struct stream *stream, void *mem,
 		 const struct rj_address *platform)
@@ -21,8 +21,8 @@
 }
 
 /*
- * Fold one record that came as text, and note whose publication won and what
- * became of the wanted one. The first verdict on an id is the one that holds.
+ * Applies one record to the config log. Records the newest accepted publication
+ * and the verdict on the awaited one, of which the first verdict counts.
  */
 static void apply_record(struct stream *stream, const json_t *json)
 {
@@ -55,8 +55,8 @@
 }
 
 /*
- * Read and fold one page. Returns 0, or -1 with `err` of kind
- * RJ_ERR_UNAVAILABLE when the platform gave no answer.
+ * Reads and applies one page. Returns 0, or -1 with `err` of kind
+ * RJ_ERR_UNAVAILABLE if the platform gave no valid answer.
  */
 int stream_read(struct stream *stream, struct rj_error *err)
 {
@@ -79,7 +79,7 @@
 	if (answer.outcome != HTTP_ANSWERED || !json_is_array(records)) {
 		result = rj_error_set(err, RJ_ERR_UNAVAILABLE,
 				      "platform: %s; check its address and "
-				      "whether it runs",
+				      "that it is running",
 				      answer.outcome == HTTP_ANSWERED ?
 					      "no records in its answer" :
 					      answer.detail);
@@ -98,7 +98,8 @@
 }
 
 /*
- * Read and fold up to the head of the stream.
+ * Reads and applies all pages up to the head of the stream, or to the last one
+ * that the platform serves now. Returns 0, or -1 with `err` as `stream_read`.
  */
 int stream_read_all(struct stream *stream, struct rj_error *err)
 {
@@ -107,7 +108,7 @@
 
 		if (stream_read(stream, err))
 			return -1;
-		/* A page without progress: the rest is not served now. */
+		/* No progress: the platform does not serve the rest now. */
 		if (stream->log.next == before)
 			break;
 	} while (stream->log.next < stream->head);
@@ -115,8 +116,8 @@
 }
 
 /*
- * Append one record. Only HTTP_UNREACHABLE says that it surely had no effect;
- * `err` is set unless it was answered.
+ * Appends one record. Only HTTP_UNREACHABLE guarantees that the append had no
+ * effect. `err` is set unless the outcome is HTTP_ANSWERED.
  */
 enum http_outcome stream_append(const struct stream *stream,
 				const struct rj_record *record,
@@ -137,10 +138,10 @@
 	if (answer.outcome == HTTP_ANSWERED &&
 	    !json_object_get(answer.json, "first_offset")) {
 		rj_error_set(err, RJ_ERR_UNAVAILABLE,
-			     "platform: status %ld to an append; come back "
-			     "when it takes some",
+			     "platform: status %ld to an append; retry "
+			     "when it accepts appends",
 			     answer.status);
-		/* The protocol says that a refused append has no effect. */
+		/* By the protocol, a refused append has no effect. */
 		answer.outcome = answer.status >= 400 && answer.status < 500 ?
 					 HTTP_UNREACHABLE :
 					 HTTP_LOST;
@@ -156,7 +157,7 @@
 }
 
 /*
- * Give back what the fold holds.
+ * Releases the config log.
  */
 void stream_finish(struct stream *stream)
 {
--- a/src/radishjunction/stream.h
+++ b/src/radishjunction/stream.h
@@ -1,9 +1,9 @@
 /*
- * The platform's log as the command reads and writes it; the protocol is in
- * docs/PLATFORM-PROTOCOL.md.
+ * Blocking client of the config stream in the platform's log; the protocol is
+ * in docs/PLATFORM-PROTOCOL.md.
  *
- * `stream_init` on the caller's memory, `stream_finish`; in between
- * `stream_read` folds one page of the config stream.
+ * Life cycle: `stream_init` on the caller's memory, `stream_read` for each page
+ * of the stream, `stream_finish`.
  */
 #ifndef STREAM_H
 #define STREAM_H
@@ -14,12 +14,11 @@
 struct stream {
 	struct rj_address platform;
 	struct rj_config_log log;
-	uint64_t head; /* one past the newest offset, at the last read */
-	/* A publication that is looked for, and what became of it. */
-	const char *awaited_id;
-	bool found;
-	enum rj_config_verdict verdict;
-	char winner_id[RJ_CONFIG_ID_BYTES]; /* the newest accepted */
+	uint64_t head; /* one past the newest offset, as of the last read */
+	const char *awaited_id; /* publication to look for, or NULL */
+	bool found; /* whether the awaited publication was read */
+	enum rj_config_verdict verdict; /* on the awaited publication */
+	char winner_id[RJ_CONFIG_ID_BYTES]; /* newest accepted publication */
 	char winner_author[RJ_NAME_BYTES];
 };
 
--- a/src/radishjunction/submit.c
+++ b/src/radishjunction/submit.c
@@ -23,7 +23,7 @@
 };
 
 /*
- * Make the options; `command_submit` puts all of them into its table.
+ * Creates the options; `command_submit` adds all of them to its argtable.
  */
 static void make_options(struct submit_options *options)
 {
@@ -32,7 +32,7 @@
 				  "JSON file, or - for standard input");
 	options->class_name = arg_str1("c", "class", "NAME", "job class");
 	options->tasks = arg_int0(NULL, "tasks", "N",
-				  "tasks that run only together (1)");
+				  "tasks that only run together (1)");
 	options->accelerators =
 		arg_int0(NULL, "accelerators", "N", "of each task (0)");
 	options->cores = arg_int0(NULL, "cores", "N", "of each task (1)");
@@ -40,16 +40,16 @@
 	options->adjacent = arg_lit0(NULL, "adjacent", "all tasks in one rack");
 	options->declared_ms =
 		arg_int0(NULL, "declared-ms", "MS", "expected run time");
-	options->deadline_ms =
-		arg_int0(NULL, "deadline-ms", "MS", "of no use after this");
+	options->deadline_ms = arg_int0(NULL, "deadline-ms", "MS",
+					"must be complete after this time");
 	options->key = arg_str0("k", "key", "KEY",
-				"idempotency key: the same for every try");
+				"idempotency key: the same for every retry");
 	options->no_wait =
-		arg_lit0(NULL, "no-wait", "be content with `accepted`");
+		arg_lit0(NULL, "no-wait", "exit once the job is accepted");
 }
 
 /*
- * Set a field from an option if that was given.
+ * Sets a field from an option if it was given.
  */
 static void set_number(json_t *json, const char *name,
 		       const struct arg_int *option)
@@ -59,8 +59,9 @@
 }
 
 /*
- * The submission as JSON text; what was not given is left out, so that the
- * instance's defaults and its errors hold.
+ * Returns the submission as JSON text, a talloc child of `mem`, or NULL with
+ * `err` set. Options that were not given are left out, so that the instance
+ * applies its defaults and reports missing fields.
  */
 static char *make_submission(void *mem, const struct submit_options *options,
 			     struct rj_error *err)
@@ -108,7 +109,7 @@
 }
 
 /*
- * Send the job and report its answer.
+ * Submits the job and prints its answer. Returns an exit code.
  */
 static int submit(const struct submit_options *options)
 {
@@ -139,7 +140,7 @@
 }
 
 /*
- * `radishjunction submit`: one job, and its answer.
+ * `radishjunction submit`: submits one job and prints its answer.
  */
 int command_submit(int argc, char **argv)
 {
--- a/src/radishjunction/targets.c
+++ b/src/radishjunction/targets.c
@@ -9,7 +9,7 @@
 #include "command.h"
 
 /*
- * Make the options; the subcommand puts both into its table.
+ * Creates the options; the subcommand adds both to its argtable.
  */
 void targets_options(struct targets_options *options)
 {
@@ -21,9 +21,6 @@
 	assert(options->instances && options->answers);
 }
 
-/*
- * Add one address to the list.
- */
 static void add_instance(struct targets *targets, void *mem,
 			 const struct rj_address *address)
 {
@@ -34,7 +31,8 @@
 }
 
 /*
- * Add the addresses of a list with commas.
+ * Adds the addresses of a comma-separated list. Returns 0, or -1 with `err`
+ * set.
  */
 static int parse_list(struct targets *targets, void *mem, const char *list,
 		      struct rj_error *err)
@@ -52,8 +50,8 @@
 		if (rj_address_parse(&address, item) || !address.port)
 			return rj_error_set(
 				err, RJ_ERR_INVALID,
-				"instances: \"%s\" is no address; give an IP "
-				"number and a port, such as 127.0.0.1:7001",
+				"instances: \"%s\" is not an address; give an IP "
+				"address and a port, such as 127.0.0.1:7001",
 				item);
 		add_instance(targets, mem, &address);
 	}
@@ -61,7 +59,8 @@
 }
 
 /*
- * Take the platform and every instance from answers.
+ * Reads the addresses of the platform and of every instance from an answers
+ * file. Returns 0, or -1 with `err` set.
  */
 static int load_answers(struct targets *targets, void *mem, const char *path,
 			struct rj_error *err)
@@ -85,9 +84,9 @@
 }
 
 /*
- * Take the addresses from the option, else from the answers, else from the
- * environment. Returns 0, or -1 with `err` set when an address is wrong or
- * there is none.
+ * Reads the addresses from the option, else from the answers, else from the
+ * environment. Returns 0, or -1 with `err` set if an address is invalid or
+ * there is no instance.
  */
 int targets_load(struct targets *targets, void *mem,
 		 const struct targets_options *options, struct rj_error *err)
--- a/src/radishjunction/targets.h
+++ b/src/radishjunction/targets.h
@@ -1,9 +1,9 @@
 /*
- * Which instances, and which platform, a subcommand talks to: named one by
- * one or taken from the answers of the questionnaire.
+ * The addresses of the instances and of the platform that a subcommand calls,
+ * given by options or taken from the answers to the questionnaire.
  *
- * `targets_options` makes the options; `targets_load` fills memory of the
- * caller, whose pointers are talloc children of `mem`.
+ * `targets_options` creates the options; `targets_load` fills a
+ * `struct targets` whose pointers are talloc children of `mem`.
  */
 #ifndef TARGETS_H
 #define TARGETS_H
@@ -13,7 +13,7 @@
 #include "radishjunction/error.h"
 #include "radishjunction/types.h"
 
-/* Where to find addresses that no option gives. */
+/* Environment variable with the instances if no option gives them. */
 #define INSTANCES_VARIABLE "RADISHJUNCTION_INSTANCES"
 
 struct targets_options {
@@ -22,7 +22,7 @@
 };
 
 struct targets {
-	struct rj_address platform; /* port 0: not known */
+	struct rj_address platform; /* port 0: unknown */
 	struct rj_address *instances;
 	uint32_t count;
 };
