--- a/src/radishjunction/http.h
+++ b/src/radishjunction/http.h
@@ -14,7 +14,7 @@
 enum http_outcome {
 	HTTP_ANSWERED, /* a complete answer of any status */
 	HTTP_UNREACHABLE, /* certainly not received by the server */
-	HTTP_LOST, /* no answer; may have taken effect */
+	HTTP_LOST, /* no usable answer; may have taken effect */
 };
 
 struct http_call {
--- a/src/radishjunction/job.c
+++ b/src/radishjunction/job.c
@@ -44,8 +44,8 @@
 static int run_job_command(const struct job_command *command, int argc,
 			   char **argv)
 {
-	struct arg_str *job = arg_str1(
-		NULL, NULL, "JOB", "id of the job, the \"job\" of its answer");
+	struct arg_str *job = arg_str1(NULL, NULL, "JOB",
+				       "id of the job, as given in its answer");
 	struct caller_options caller_opts;
 	struct options options;
 	struct options_result result;
--- a/src/radishjunction/load.c
+++ b/src/radishjunction/load.c
@@ -47,7 +47,8 @@
 	job->open_requests--;
 	request->load->open_requests--;
 	if (!job->answered || job->answer == RJ_ANSWER_UNKNOWN) {
-		job->latency_us = rj_clock_now_us() - request->load->started_us;
+		job->answered_us =
+			rj_clock_now_us() - request->load->started_us;
 		job->answer = answer;
 		job->reason = reason;
 	} else if (answer != RJ_ANSWER_UNKNOWN && answer != job->answer) {
--- a/src/radishjunction/load.h
+++ b/src/radishjunction/load.h
@@ -60,8 +60,7 @@
 	uint64_t job_id;
 	bool accepted;
 	bool inconsistent; /* an answer for another job, or two that differ */
-	uint64_t
-		latency_us; /* since the start of the run, to its final answer */
+	uint64_t answered_us; /* time of the answer, from `started_us` */
 };
 
 struct load_totals {
--- a/src/radishjunction/main.c
+++ b/src/radishjunction/main.c
@@ -77,8 +77,7 @@
 		return EXIT_USAGE;
 	}
 	if (sodium_init() < 0 || curl_global_init(CURL_GLOBAL_DEFAULT)) {
-		fprintf(stderr,
-			"radishjunction: libsodium or libcurl failed to start\n");
+		fprintf(stderr, "radishjunction: libraries do not start\n");
 		return EXIT_REFUSED;
 	}
 	result = command->run(argc - 1, argv + 1);
--- a/src/radishjunction/publish.c
+++ b/src/radishjunction/publish.c
@@ -262,8 +262,8 @@
  * missed records of the log, so none can republish the configuration for the
  * others.
  */
-static void print_not_everywhere(const struct publication *publication,
-				 uint32_t done)
+static void print_not_in_force(const struct publication *publication,
+			       uint32_t done)
 {
 	if (!done && publication->stream.verdict == RJ_CONFIG_UNJUDGED)
 		fprintf(stderr,
@@ -300,7 +300,7 @@
 		if (done == publication->targets.count)
 			return EXIT_DONE;
 		if (is_past(&publication->deadline)) {
-			print_not_everywhere(publication, done);
+			print_not_in_force(publication, done);
 			return EXIT_PENDING;
 		}
 		pause_between_polls();
@@ -383,7 +383,7 @@
 /*
  * Reads the options and publishes. Returns an exit code.
  */
-static int run(const struct publish_options *options)
+static int run_publish(const struct publish_options *options)
 {
 	struct publication publication = { .restart =
 						   options->restart->count > 0,
@@ -453,7 +453,7 @@
 		arg_lit0(NULL, "restart",
 			 "restart after the log lost every configuration");
 	publish_opts.whole = arg_lit0(
-		NULL, "whole", "publish it whole, even if a change would do");
+		NULL, "whole", "publish the whole configuration, not a change");
 	options_init(&options);
 	void *table[] = { publish_opts.file,
 			  publish_opts.platform,
@@ -469,7 +469,7 @@
 	result = options_parse(&options, command_find("publish"), argc, argv,
 			       table);
 	if (result.proceed)
-		result.exit_code = run(&publish_opts);
+		result.exit_code = run_publish(&publish_opts);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return result.exit_code;
 }
--- a/src/radishjunction/submit.c
+++ b/src/radishjunction/submit.c
@@ -32,7 +32,7 @@
 				  "JSON file, or - for standard input");
 	options->class_name = arg_str1("c", "class", "NAME", "job class");
 	options->tasks = arg_int0(NULL, "tasks", "N",
-				  "tasks that only run together (1)");
+				  "tasks that run only together (1)");
 	options->accelerators =
 		arg_int0(NULL, "accelerators", "N", "of each task (0)");
 	options->cores = arg_int0(NULL, "cores", "N", "of each task (1)");
@@ -41,9 +41,9 @@
 	options->declared_ms =
 		arg_int0(NULL, "declared-ms", "MS", "expected run time");
 	options->deadline_ms = arg_int0(NULL, "deadline-ms", "MS",
-					"must be complete after this time");
+					"time within which it must complete");
 	options->key = arg_str0("k", "key", "KEY",
-				"idempotency key: the same for every retry");
+				"idempotency key: the same for every attempt");
 	options->no_wait =
 		arg_lit0(NULL, "no-wait", "exit once the job is accepted");
 }
