--- a/src/radishjunction/ask.c
+++ b/src/radishjunction/ask.c
@@ -76,20 +76,22 @@
 };
 
 /*
- * Ask what each worker of the failure domain has.
+ * Asks for the resources of each worker of the failure domain.
  */
-static int ask_worker(struct prompter *prompter, void *element, bool known)
+static int ask_worker(struct prompter *prompter, void *element, bool prefilled)
 {
 	struct rj_domain *domain = element;
 
 	return prompt_struct(prompter, &rj_resources_schema, worker_questions,
-			     COUNT(worker_questions), &domain->worker, known);
+			     COUNT(worker_questions), &domain->worker,
+			     prefilled);
 }
 
 /*
- * Ask for the guarantees of the client account.
+ * Asks for the guarantees of the client account.
  */
-static int ask_guarantees(struct prompter *prompter, void *element, bool known)
+static int ask_guarantees(struct prompter *prompter, void *element,
+			  bool prefilled)
 {
 	static const struct question_list list = {
 		.text = "guarantees",
@@ -106,10 +108,10 @@
 }
 
 /*
- * Ask everything, in the order in which a team thinks of it.
+ * Runs the whole questionnaire. Returns 0, or -1 if the input ended early.
  */
 static int ask_all(struct prompter *prompter, struct answers *answers,
-		   bool known)
+		   bool prefilled)
 {
 	static const struct question_list domains = {
 		.text = "failure domains",
@@ -120,7 +122,7 @@
 		.min = 1,
 		.max = 64,
 		.default_count = 1,
-		.more = ask_worker,
+		.ask_more = ask_worker,
 	};
 	static const struct question_list accounts = {
 		.text = "client accounts",
@@ -131,7 +133,7 @@
 		.min = 1,
 		.max = 1024,
 		.default_count = 1,
-		.more = ask_guarantees,
+		.ask_more = ask_guarantees,
 	};
 	static const struct question_list kinds = {
 		.text = "job kinds",
@@ -153,7 +155,7 @@
 	};
 
 	if (prompt_struct(prompter, &answers_schema, team_questions,
-			  COUNT(team_questions), answers, known) ||
+			  COUNT(team_questions), answers, prefilled) ||
 	    prompt_list(prompter, &domains, (void *)&answers->domains,
 			&answers->domain_count) ||
 	    prompt_list(prompter, &accounts, (void *)&answers->accounts,
@@ -162,16 +164,18 @@
 			&answers->job_kind_count))
 		return -1;
 	if (prompt_struct(prompter, &rj_limits_schema, limits_questions,
-			  COUNT(limits_questions), &answers->limits, known) ||
+			  COUNT(limits_questions), &answers->limits,
+			  prefilled) ||
 	    prompt_struct(prompter, &answers_schema, platform_questions,
-			  COUNT(platform_questions), answers, known))
+			  COUNT(platform_questions), answers, prefilled))
 		return -1;
 	return prompt_list(prompter, &instances, (void *)&answers->instances,
 			   &answers->instance_count);
 }
 
 /*
- * Start from the answers in `path`, or from nothing when it is NULL.
+ * Loads the earlier answers from `path`, or the schema defaults if it is NULL.
+ * Returns 0, or -1 with the errors printed.
  */
 static int load_earlier(void *mem, const char *path, struct answers *answers)
 {
@@ -195,17 +199,17 @@
 }
 
 /*
- * Run the questionnaire, write the answers and say what in them does not
- * work. Answers with errors are written all the same: they are the start of
- * the next round.
+ * Runs the questionnaire, writes the answers and prints their errors. Answers
+ * with errors are written too, as the start for the next run. Returns an exit
+ * code.
  */
-static int ask(struct prompter *prompter, const char *earlier,
-	       const char *output)
+static int run_questionnaire(struct prompter *prompter, const char *earlier,
+			     const char *output)
 {
 	struct rj_error_list errors;
 	struct answers answers;
 	struct rj_error err;
-	bool wrong = false;
+	bool has_errors = false;
 
 	if (load_earlier(prompter->mem, earlier, &answers))
 		return EXIT_REFUSED;
@@ -223,12 +227,12 @@
 	fprintf(stderr, "\n");
 	print_errors("answers", &errors);
 	for (uint32_t i = 0; i < errors.count; i++)
-		wrong = wrong || errors.errors[i].kind != RJ_ERR_NONE;
+		has_errors = has_errors || errors.errors[i].kind != RJ_ERR_NONE;
 	if (!output)
 		output = "FILE";
-	if (wrong)
+	if (has_errors)
 		fprintf(stderr,
-			"Mend them with `radishjunction ask --answers %s "
+			"Correct them with `radishjunction ask --answers %s "
 			"--output %s`.\n",
 			output, output);
 	else
@@ -236,11 +240,12 @@
 			"Next: `radishjunction generate %s --output "
 			"config.json --tokens tokens.json`.\n",
 			output);
-	return wrong ? EXIT_REFUSED : EXIT_DONE;
+	return has_errors ? EXIT_REFUSED : EXIT_DONE;
 }
 
 /*
- * `radishjunction ask`: the questionnaire, on standard input and error.
+ * `radishjunction ask`: runs the questionnaire on standard input and standard
+ * error.
  */
 int command_ask(int argc, char **argv)
 {
@@ -267,8 +272,9 @@
 		assert(prompter.mem);
 		prompter.defaults_at_end = defaults->count > 0;
 		prompter.echo = !isatty(STDIN_FILENO);
-		code = ask(&prompter, option_file(earlier),
-			   output->count ? option_file(output) : "-");
+		code = run_questionnaire(&prompter, option_file(earlier),
+					 output->count ? option_file(output) :
+							 "-");
 		talloc_free(prompter.mem);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
--- a/src/radishjunction/descriptions.h
+++ b/src/radishjunction/descriptions.h
@@ -1,8 +1,8 @@
 /*
- * What decisions and reasons mean, in words for a person.
+ * Descriptions of decisions and reasons for people.
  */
-#ifndef WORDS_H
-#define WORDS_H
+#ifndef DESCRIPTIONS_H
+#define DESCRIPTIONS_H
 
 #include <jansson.h>
 #include <stdio.h>
--- a/src/radishjunction/generate.c
+++ b/src/radishjunction/generate.c
@@ -14,19 +14,21 @@
 struct generate_options {
 	const char *answers;
 	const char *output;
-	const char *earlier; /* NULL without */
-	const char *renew; /* NULL without */
+	const char *earlier; /* NULL if not given */
+	const char *renew_account; /* NULL if not given */
 	const char *tokens; /* NULL: standard error */
-	const char *settings_for; /* NULL: a configuration */
+	const char *settings_for; /* NULL: generate a configuration */
 	const char *peer_key_file;
 };
 
 /*
- * Print the new tokens, once: only their hashes are kept.
+ * Writes the new tokens to the file `path`, or prints them if it is NULL. This
+ * is their only output, as the configuration holds only hashes. Returns 0, or
+ * -1 with `err` set.
  */
-static int tell_tokens(void *mem, const char *path,
-		       const struct new_token *tokens, uint32_t count,
-		       struct rj_error *err)
+static int print_tokens(void *mem, const char *path,
+			const struct new_token *tokens, uint32_t count,
+			struct rj_error *err)
 {
 	json_t *json;
 
@@ -38,14 +40,14 @@
 		return file_write(path, json_text(mem, json), true, err);
 	}
 	for (uint32_t i = 0; i < count; i++)
-		fprintf(stderr, "token of %s (told only now): %s\n",
+		fprintf(stderr, "token of %s (shown only once): %s\n",
 			tokens[i].account, tokens[i].token);
 	return 0;
 }
 
 /*
- * The earlier configuration, whose accounts keep their tokens. Returns 0
- * with NULL when none was named, or -1 with the errors told.
+ * Loads the earlier configuration, whose accounts keep their tokens. Returns 0
+ * with a NULL `*config` if `path` is NULL, or -1 with the errors printed.
  */
 static int load_earlier(void *mem, const char *path, struct rj_config **config)
 {
@@ -68,7 +70,8 @@
 }
 
 /*
- * Make the configuration, and write nothing unless it is good.
+ * Generates the configuration. Writes nothing unless it is valid. Returns an
+ * exit code.
  */
 static int generate_config(void *mem, struct answers *answers,
 			   const struct generate_options *options)
@@ -83,8 +86,8 @@
 
 	if (load_earlier(mem, options->earlier, &earlier))
 		return EXIT_REFUSED;
-	text = answers_make_config(mem, answers, earlier, options->renew,
-				   &tokens, &count);
+	text = answers_make_config(mem, answers, earlier,
+				   options->renew_account, &tokens, &count);
 	rj_error_list_init(&errors, mem);
 	config = rj_config_parse(mem, config_compact(mem, text), &errors);
 	if (!config) {
@@ -93,14 +96,16 @@
 	}
 	rj_config_warnings(config, &errors);
 	print_errors(options->answers, &errors);
-	if (tell_tokens(mem, options->tokens, tokens, count, &err) ||
+	if (print_tokens(mem, options->tokens, tokens, count, &err) ||
 	    file_write(options->output, text, false, &err))
 		return print_error("generate", &err);
 	return EXIT_DONE;
 }
 
 /*
- * Read the peers' shared key, or make it when the file does not exist yet.
+ * Reads the shared key of the peers from a file, which is created with a random
+ * key if it does not exist. Returns a talloc child of `mem`, or NULL with `err`
+ * set.
  */
 static char *peer_key(void *mem, const char *path, struct rj_error *err)
 {
@@ -127,7 +132,7 @@
 }
 
 /*
- * Make the settings of one instance.
+ * Generates the settings of one instance. Returns an exit code.
  */
 static int generate_settings(void *mem, struct answers *answers,
 			     const struct generate_options *options)
@@ -153,7 +158,8 @@
 }
 
 /*
- * Read the answers and make what the options ask for.
+ * Reads the answers and generates the configuration or the settings. Returns an
+ * exit code.
  */
 static int generate(const struct generate_options *options)
 {
@@ -180,7 +186,8 @@
 }
 
 /*
- * `radishjunction generate`: a configuration, or the settings of a daemon.
+ * `radishjunction generate`: generates a configuration, or the settings of a
+ * daemon.
  */
 int command_generate(int argc, char **argv)
 {
@@ -190,22 +197,22 @@
 					    "where to write (standard output)");
 	struct arg_file *earlier =
 		arg_file0(NULL, "earlier", "FILE",
-			  "earlier configuration, whose tokens stay good");
-	struct arg_str *renew = arg_str0(NULL, "new-token", "ACCOUNT",
-					 "make this account a new token");
+			  "earlier configuration, whose tokens stay valid");
+	struct arg_str *renew_account = arg_str0(
+		NULL, "new-token", "ACCOUNT", "make this account a new token");
 	struct arg_file *tokens =
 		arg_file0(NULL, "tokens", "FILE",
 			  "where to write new tokens (standard error)");
 	struct arg_str *name = arg_str0(NULL, "settings-for", "NAME",
 					"make the settings of this instance");
 	struct arg_file *key = arg_file0(NULL, "peer-key-file", "FILE",
-					 "the instances' shared key; made if "
-					 "there is none (peer.key)");
+					 "the instances' shared key; created "
+					 "if it does not exist (peer.key)");
 	struct options options;
 	struct options_result result;
 
 	options_init(&options);
-	void *table[] = { answers,	   output,     earlier, renew,
+	void *table[] = { answers,	   output,     earlier, renew_account,
 			  tokens,	   name,       key,	options.help,
 			  options.version, options.end };
 	result = options_parse(&options, command_find("generate"), argc, argv,
@@ -215,7 +222,7 @@
 			.answers = option_file(answers),
 			.output = output->count ? option_file(output) : "-",
 			.earlier = option_file(earlier),
-			.renew = option_string(renew, NULL),
+			.renew_account = option_string(renew_account, NULL),
 			.tokens = option_file(tokens),
 			.settings_for = option_string(name, NULL),
 			.peer_key_file =
--- a/src/radishjunction/http.c
+++ b/src/radishjunction/http.c
@@ -7,41 +7,44 @@
 #include <string.h>
 #include <talloc.h>
 
-/* The largest answers are pages of the config stream. */
+/* Pages of the config stream are the largest answers. */
 #define ANSWER_MAX_BYTES (64 * 1024 * 1024)
 #define CONNECT_TIMEOUT_MS 2000L
 
-struct received {
+struct response {
 	char *text; /* talloc */
 	size_t length;
 };
 
 /*
- * Keep one more piece of the answer; libcurl fails the call on a short
- * return.
+ * Write callback of libcurl: appends a chunk of the answer. A return value
+ * below the chunk's length makes libcurl fail the call.
  */
-static size_t receive(char *data, size_t size, size_t count, void *user)
+static size_t append_body(char *data, size_t size, size_t count, void *user)
 {
-	struct received *received = user;
+	struct response *response = user;
 	size_t length = size * count;
 
-	if (received->length + length > ANSWER_MAX_BYTES)
+	if (response->length + length > ANSWER_MAX_BYTES)
 		return 0;
-	received->text = talloc_realloc(NULL, received->text, char,
-					received->length + length + 1);
-	assert(received->text);
-	memcpy(received->text + received->length, data, length);
-	received->length += length;
-	received->text[received->length] = 0;
+	response->text = talloc_realloc(NULL, response->text, char,
+					response->length + length + 1);
+	assert(response->text);
+	memcpy(response->text + response->length, data, length);
+	response->length += length;
+	response->text[response->length] = 0;
 	return length;
 }
 
 /*
- * The headers of a call, for the caller to free.
+ * Returns the headers of a call; the caller frees the list.
  */
 static struct curl_slist *make_headers(void *mem, const struct http_call *call)
 {
-	/* Without "Expect:" libcurl waits a second before a long body. */
+	/*
+	 * An empty "Expect:" stops libcurl from waiting a second for a
+	 * 100-continue response before it sends a long body.
+	 */
 	struct curl_slist *headers = curl_slist_append(NULL, "Expect:");
 
 	headers = curl_slist_append(headers, "Content-Type: application/json");
@@ -59,7 +62,8 @@
 }
 
 /*
- * Whether the failed call surely had no effect: no connection stood.
+ * Whether the failed call certainly had no effect, as no connection was
+ * established.
  */
 static bool never_connected(CURL *easy, CURLcode code)
 {
@@ -72,34 +76,34 @@
 }
 
 /*
- * Send one request and wait for its answer.
+ * Sends one request and waits for its answer.
  *
- * Each call has a connection of its own: on a kept one that the other side
- * has just closed, libcurl would send the request a second time.
+ * Each call uses a new connection: on a reused one that the server has just
+ * closed, libcurl would send the request a second time.
  */
 void http_call(const struct http_call *call, struct http_answer *answer)
 {
 	void *mem = talloc_new(NULL);
-	struct received received = { NULL, 0 };
+	struct response response = { NULL, 0 };
 	struct curl_slist *headers = make_headers(mem, call);
-	char where[RJ_ADDRESS_BYTES];
+	char address[RJ_ADDRESS_BYTES];
 	CURL *easy = curl_easy_init();
 	CURLcode code;
 
 	assert(easy);
 	memset(answer, 0, sizeof(*answer));
-	rj_address_format(where, &call->address);
+	rj_address_format(address, &call->address);
 	curl_easy_setopt(
 		easy, CURLOPT_URL,
-		talloc_asprintf(mem, "http://%s%s", where, call->path));
+		talloc_asprintf(mem, "http://%s%s", address, call->path));
 	curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
 	curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, (long)call->timeout_ms);
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, receive);
-	curl_easy_setopt(easy, CURLOPT_WRITEDATA, &received);
+	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_body);
+	curl_easy_setopt(easy, CURLOPT_WRITEDATA, &response);
 	if (call->body)
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, call->body);
 	curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, call->method);
@@ -108,17 +112,17 @@
 		answer->outcome = HTTP_ANSWERED;
 		curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE,
 				  &answer->status);
-		answer->json = json_loads(received.text ? received.text : "",
+		answer->json = json_loads(response.text ? response.text : "",
 					  JSON_DECODE_ANY, NULL);
 	} else {
 		answer->outcome = never_connected(easy, code) ?
 					  HTTP_UNREACHABLE :
 					  HTTP_LOST;
 		snprintf(answer->detail, sizeof(answer->detail), "%s: %s",
-			 where, curl_easy_strerror(code));
+			 address, curl_easy_strerror(code));
 	}
 	curl_easy_cleanup(easy);
 	curl_slist_free_all(headers);
-	talloc_free(received.text);
+	talloc_free(response.text);
 	talloc_free(mem);
 }
--- a/src/radishjunction/job.c
+++ b/src/radishjunction/job.c
@@ -1,5 +1,5 @@
 /*
- * The subcommands that ask about one job: wait, cancel and explain.
+ * The subcommands for one job: wait, cancel and explain.
  */
 #include <assert.h>
 #include <stdio.h>
@@ -11,22 +11,23 @@
 #include "descriptions.h"
 #include "radishjunction/settings.h"
 
-/* What differs between them. */
-struct job_verb {
+/* A subcommand for one job. */
+struct job_command {
 	const char *name;
-	/* Returns an exit code, told. */
+	/* Prints the result or the error and returns an exit code. */
 	int (*run)(const struct caller *caller, const char *job);
 };
 
 /*
- * Call one instance about the job; `rest` follows the id in the path. Gives
- * the answer's JSON in `answer` and returns 0, or an exit code, told.
+ * Sends one request about the job; `path_suffix` follows the id in the path.
+ * Returns 0 with `answer`, whose `json` the caller releases, or an exit code
+ * after printing the error.
  */
-static int call_about(const struct caller *caller, const char *method,
-		      const char *job, const char *rest,
-		      struct http_answer *answer)
+static int call_job(const struct caller *caller, const char *method,
+		    const char *job, const char *path_suffix,
+		    struct http_answer *answer)
 {
-	char *path = talloc_asprintf(NULL, "/v1/jobs/%s%s", job, rest);
+	char *path = talloc_asprintf(NULL, "/v1/jobs/%s%s", job, path_suffix);
 	struct http_call call = { .method = method, .path = path };
 	int code;
 
@@ -37,13 +38,15 @@
 }
 
 /*
- * Parse the arguments of a subcommand about one job, and run it.
+ * Parses the arguments of a subcommand for one job and runs it. Returns an exit
+ * code.
  */
-static int run_verb(const struct job_verb *verb, int argc, char **argv)
+static int run_job_command(const struct job_command *command, int argc,
+			   char **argv)
 {
 	struct arg_str *job = arg_str1(NULL, NULL, "JOB",
-				       "id of the job, as its answer gave it");
-	struct caller_options own;
+				       "id of the job, as given in its answer");
+	struct caller_options caller_opts;
 	struct options options;
 	struct options_result result;
 	struct caller caller;
@@ -52,21 +55,25 @@
 	uint64_t id;
 
 	assert(mem);
-	caller_options(&own);
+	caller_options(&caller_opts);
 	options_init(&options);
-	void *table[] = {
-		job,	      own.targets.instances, own.targets.answers,
-		own.tokens,   own.account,	     own.timeout_s,
-		options.help, options.version,	     options.end
-	};
-	result = options_parse(&options, command_find(verb->name), argc, argv,
-			       table);
-	if (result.proceed && (caller_load(&caller, mem, &own, &err) ||
+	void *table[] = { job,
+			  caller_opts.targets.instances,
+			  caller_opts.targets.answers,
+			  caller_opts.tokens,
+			  caller_opts.account,
+			  caller_opts.timeout_s,
+			  options.help,
+			  options.version,
+			  options.end };
+	result = options_parse(&options, command_find(command->name), argc,
+			       argv, table);
+	if (result.proceed && (caller_load(&caller, mem, &caller_opts, &err) ||
 			       caller_job_id(job->sval[0], &id, &err))) {
-		print_error(verb->name, &err);
+		print_error(command->name, &err);
 		result.exit_code = EXIT_USAGE;
 	} else if (result.proceed) {
-		result.exit_code = verb->run(&caller, job->sval[0]);
+		result.exit_code = command->run(&caller, job->sval[0]);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	talloc_free(mem);
@@ -74,12 +81,12 @@
 }
 
 /*
- * Wait for the job's end and report its answer.
+ * Waits until the job is complete and prints its answer. Returns an exit code.
  */
 static int wait_for_job(const struct caller *caller, const char *job)
 {
 	struct http_answer answer;
-	int code = call_about(caller, "GET", job, "?wait=1", &answer);
+	int code = call_job(caller, "GET", job, "?wait=1", &answer);
 
 	if (code)
 		return code;
@@ -89,24 +96,24 @@
 }
 
 /*
- * `radishjunction wait`: the answer of a job, when it has ended.
+ * `radishjunction wait`: prints the answer of a job once it is complete.
  */
 int command_wait(int argc, char **argv)
 {
-	static const struct job_verb verb = { "wait", wait_for_job };
+	static const struct job_command command = { "wait", wait_for_job };
 
-	return run_verb(&verb, argc, argv);
+	return run_job_command(&command, argc, argv);
 }
 
 /*
- * Cancel the job and report what became of it: that it was cancelled is what
- * was asked for.
+ * Cancels the job and prints its answer. Returns an exit code, EXIT_DONE if the
+ * job was cancelled.
  */
 static int cancel_job(const struct caller *caller, const char *job)
 {
 	struct http_answer answer;
 	const char *reason;
-	int code = call_about(caller, "DELETE", job, "", &answer);
+	int code = call_job(caller, "DELETE", job, "", &answer);
 
 	if (code)
 		return code;
@@ -119,29 +126,29 @@
 }
 
 /*
- * `radishjunction cancel`: end a job without (more) running of it.
+ * `radishjunction cancel`: cancels a job, which is stopped if it runs.
  */
 int command_cancel(int argc, char **argv)
 {
-	static const struct job_verb verb = { "cancel", cancel_job };
+	static const struct job_command command = { "cancel", cancel_job };
 
-	return run_verb(&verb, argc, argv);
+	return run_job_command(&command, argc, argv);
 }
 
 /*
- * Tell the decisions of one instance in words, each with its time after the
- * first; clocks of two instances cannot be compared.
+ * Prints the decisions of one instance, each with its time since the first one
+ * of this instance, as the clocks of two instances cannot be compared.
  */
 static void print_decisions(const struct rj_address *address,
 			    const json_t *list)
 {
-	char where[RJ_ADDRESS_BYTES];
+	char address_text[RJ_ADDRESS_BYTES];
 	json_int_t first_us = 0;
 	json_t *entry;
 	size_t i;
 
-	rj_address_format(where, address);
-	printf("at %s\n", where);
+	rj_address_format(address_text, address);
+	printf("at %s\n", address_text);
 	json_array_foreach(list, i, entry)
 	{
 		json_int_t at_us =
@@ -155,45 +162,46 @@
 }
 
 /*
- * Ask every instance what it decided about the job: a job that was handed on
- * has a part of its story at each.
+ * Prints what every instance decided about the job, as each instance that
+ * forwarded or served it knows only its own decisions. Returns an exit code.
  */
 static int explain_job(const struct caller *caller, const char *job)
 {
-	uint32_t told = 0;
+	uint32_t explained = 0;
 	uint32_t answered = 0;
 
 	for (uint32_t i = 0; i < caller->targets.count; i++) {
-		struct caller one = *caller;
+		struct caller single_target = *caller;
 		struct http_answer answer;
 
-		one.targets.instances = &caller->targets.instances[i];
-		one.targets.count = 1;
-		if (call_about(&one, "GET", job, "/explain", &answer))
+		single_target.targets.instances = &caller->targets.instances[i];
+		single_target.targets.count = 1;
+		if (call_job(&single_target, "GET", job, "/explain", &answer))
 			continue;
 		answered++;
 		if (json_array_size(answer.json)) {
-			print_decisions(one.targets.instances, answer.json);
-			told++;
+			print_decisions(single_target.targets.instances,
+					answer.json);
+			explained++;
 		}
 		json_decref(answer.json);
 	}
 	if (!answered)
 		return EXIT_UNREACHABLE;
-	if (!told)
+	if (!explained)
 		fprintf(stderr,
 			"radishjunction explain: no instance that was asked "
 			"remembers this job of this account; check the id, "
 			"the token and --instances\n");
-	return told ? EXIT_DONE : EXIT_REFUSED;
+	return explained ? EXIT_DONE : EXIT_REFUSED;
 }
 
 /*
- * `radishjunction explain`: why a job is where it is.
+ * `radishjunction explain`: prints every decision about a job.
  */
 int command_explain(int argc, char **argv)
 {
-	static const struct job_verb verb = { "explain", explain_job };
+	static const struct job_command command = { "explain", explain_job };
 
-	return run_verb(&verb, argc, argv);
+	return run_job_command(&command, argc, argv);
 }
--- a/src/radishjunction/load.c
+++ b/src/radishjunction/load.c
@@ -13,82 +13,92 @@
 #include "private/caller_json.h"
 #include "radishjunction/settings.h"
 
-/* Jobs that are due are sent so often. */
-#define TICK_US (5 * RJ_US_PER_MS)
+/* Interval at which due jobs are sent. */
+#define SEND_INTERVAL_US (5 * RJ_US_PER_MS)
 #define ANSWER_MAX_BYTES (512 * 1024)
-/* After a lost answer, and when no time to come back was told. */
-#define RETRY_US (200 * RJ_US_PER_MS)
-/* Connections to one instance, as many callers behind a balancer hold. */
+/* After a lost answer, and for answers without `retry_after_ms`. */
+#define DEFAULT_RETRY_DELAY_US (200 * RJ_US_PER_MS)
+/* Connections to one instance, as held by many callers behind a balancer. */
 #define CONNECTIONS_MAX 256
 #define TARGETS_MAX 64
 #define HEADER_BYTES 128
 
-/* One caller that waits for the answer to one job. */
-struct ask {
+/* One caller's request for a job, until its final answer. */
+struct request {
 	struct load *load;
 	struct load_job *job;
-	bool posted; /* the newest request was a submission */
-	uint64_t job_id; /* 0 until an answer named it */
+	bool posted; /* not used */
+	uint64_t job_id; /* 0 until an answer gives it */
 	bool accepted;
-	bool in_doubt; /* a submission without a key was not answered */
+	bool in_doubt; /* the answer to a submission without a key was lost */
 };
 
-static void ask_send(struct ask *ask);
+static void request_send(struct request *request);
 
-/* The caller has its final answer, or has given up with `unknown`. */
-static void ask_end(struct ask *ask, enum rj_answer_kind answer,
-		    enum rj_reason reason)
+/*
+ * Records the final answer of a request and frees it; RJ_ANSWER_UNKNOWN if the
+ * request was abandoned.
+ */
+static void request_finish(struct request *request, enum rj_answer_kind answer,
+			   enum rj_reason reason)
 {
-	struct load_job *job = ask->job;
+	struct load_job *job = request->job;
 
-	job->asking--;
-	ask->load->asking--;
+	job->open_requests--;
+	request->load->open_requests--;
 	if (!job->answered || job->answer == RJ_ANSWER_UNKNOWN) {
-		job->took_us = rj_clock_now_us() - ask->load->began_us;
+		job->answered_us =
+			rj_clock_now_us() - request->load->started_us;
 		job->answer = answer;
 		job->reason = reason;
 	} else if (answer != RJ_ANSWER_UNKNOWN && answer != job->answer) {
-		fprintf(stderr, "load: job %s was told %s (%s), then %s (%s)\n",
+		fprintf(stderr,
+			"load: job %s was answered %s (%s), then %s (%s)\n",
 			job->echo, rj_answer_kind_string[job->answer],
 			rj_reason_string[job->reason],
 			rj_answer_kind_string[answer],
 			rj_reason_string[reason]);
-		job->wrong = true;
+		job->inconsistent = true;
 	}
 	job->answered = true;
-	talloc_free(ask);
+	talloc_free(request);
 }
 
-/* Whether it is too late to ask again. */
-static bool too_late(const struct load *load)
+/* Whether the time limit of the run has passed, so that requests stop. */
+static bool is_past_limit(const struct load *load)
 {
 	return rj_clock_now_us() >
-	       load->began_us + load->plan->limit_s * RJ_US_PER_S;
+	       load->started_us + load->plan->limit_s * RJ_US_PER_S;
 }
 
-/* The time to ask again has come. */
+/* Timer callback: sends the request again. */
 static void on_again(struct tevent_context *loop, struct tevent_timer *timer,
 		     struct timeval now, void *private_data)
 {
-	ask_send(private_data);
+	request_send(private_data);
 }
 
-/* Ask again at another instance, or give up when time is over. */
-static void ask_again(struct ask *ask, uint64_t delay_us, enum rj_reason reason)
+/*
+ * Sends the request again to the next instance after `delay_us`, or abandons it
+ * if the time limit of the run has passed.
+ */
+static void request_retry(struct request *request, uint64_t delay_us,
+			  enum rj_reason reason)
 {
 	struct tevent_timer *timer;
 
-	if (too_late(ask->load)) {
-		ask_end(ask, RJ_ANSWER_UNKNOWN, reason);
+	if (is_past_limit(request->load)) {
+		request_finish(request, RJ_ANSWER_UNKNOWN, reason);
 		return;
 	}
-	timer = tevent_add_timer(ask->load->loop, ask,
-				 rj_clock_timeval_in(delay_us), on_again, ask);
+	timer = tevent_add_timer(request->load->loop, request,
+				 rj_clock_timeval_in(delay_us), on_again,
+				 request);
 	assert(timer);
 	(void)timer;
 }
 
-/* A string of an answer as a value of its enum, or `count`. */
+/* Returns the enum value of a string field in an answer, or `count`. */
 static uint32_t enum_value(const json_t *json, const char *field,
 			   const char *const *strings, uint32_t count)
 {
@@ -100,17 +110,20 @@
 	return count;
 }
 
-/* Whether a result is the whole result of this job. */
-static bool is_own_result(const struct ask *ask, const json_t *json)
+/* Whether the answer holds the complete result of this job. */
+static bool is_own_result(const struct request *request, const json_t *json)
 {
 	const json_t *result = json_object_get(json, "result");
 	const char *echo = json_string_value(json_object_get(result, "echo"));
 
-	return echo && strcmp(echo, ask->job->echo) == 0;
+	return echo && strcmp(echo, request->job->echo) == 0;
 }
 
-/* Take the id that an answer names; false if it is another than before. */
-static bool take_job_id(struct ask *ask, const json_t *json)
+/*
+ * Records the job id of an answer, if any. Returns false if it is malformed or
+ * differs from that of an earlier answer.
+ */
+static bool record_job_id(struct request *request, const json_t *json)
 {
 	uint64_t job_id;
 	const char *text = json_string_value(json_object_get(json, "job"));
@@ -119,105 +132,109 @@
 		return true;
 	if (rj_caller_parse_job_id(&job_id, text))
 		return false;
-	if (ask->job_id && ask->job_id != job_id)
+	if (request->job_id && request->job_id != job_id)
 		return false;
-	ask->job_id = job_id;
-	ask->job->job_id = job_id;
+	request->job_id = job_id;
+	request->job->job_id = job_id;
 	return true;
 }
 
-/* How long the answer says to wait before asking again. */
+/* Returns the delay before a retry, from `retry_after_ms` or the default. */
 static uint64_t retry_delay_us(const json_t *json)
 {
 	const json_t *retry = json_object_get(json, "retry_after_ms");
 
 	return json_is_integer(retry) ?
 		       (uint64_t)json_integer_value(retry) * RJ_US_PER_MS :
-		       RETRY_US;
+		       DEFAULT_RETRY_DELAY_US;
 }
 
-/* Act on a whole answer. */
-static void take_answer(struct ask *ask, const json_t *json)
+/* Processes an answer: completes the request or schedules a retry. */
+static void handle_answer(struct request *request, const json_t *json)
 {
 	uint32_t answer = enum_value(json, "answer", rj_answer_kind_string,
 				     RJ_ANSWER_KIND_COUNT);
 	uint32_t reason =
 		enum_value(json, "reason", rj_reason_string, RJ_REASON_COUNT);
 
-	if (reason == RJ_REASON_COUNT || !take_job_id(ask, json))
-		ask->job->wrong = true;
+	if (reason == RJ_REASON_COUNT || !record_job_id(request, json))
+		request->job->inconsistent = true;
 	switch (answer) {
 	case RJ_ANSWER_DONE:
-		if (!is_own_result(ask, json))
-			ask->job->wrong = true;
-		ask_end(ask, answer, reason);
+		if (!is_own_result(request, json))
+			request->job->inconsistent = true;
+		request_finish(request, answer, reason);
 		return;
 	case RJ_ANSWER_FAILED:
-		ask_end(ask, answer, reason);
+		request_finish(request, answer, reason);
 		return;
 	case RJ_ANSWER_NOT_RUN:
-		/* True of this submission; the lost one may have run. */
-		ask_end(ask, ask->in_doubt ? RJ_ANSWER_UNKNOWN : answer,
-			reason);
+		/* Holds for this submission; the lost one may have run. */
+		request_finish(request,
+			       request->in_doubt ? RJ_ANSWER_UNKNOWN : answer,
+			       reason);
 		return;
 	case RJ_ANSWER_ACCEPTED:
-		ask->accepted = true;
-		ask->job->accepted = true;
-		ask_again(ask, 0, reason);
+		request->accepted = true;
+		request->job->accepted = true;
+		request_retry(request, 0, reason);
 		return;
 	case RJ_ANSWER_UNKNOWN:
-		/* An instance may not have read an accepted job's record. */
-		if (ask->job->kind->keyed || ask->accepted ||
-		    (ask->job_id && reason != RJ_REASON_NO_SUCH_JOB))
-			ask_again(ask, retry_delay_us(json), reason);
+		/*
+		 * An accepted job may be unknown to an instance that has not
+		 * read its record yet.
+		 */
+		if (request->job->kind->keyed || request->accepted ||
+		    (request->job_id && reason != RJ_REASON_NO_SUCH_JOB))
+			request_retry(request, retry_delay_us(json), reason);
 		else
-			ask_end(ask, answer, reason);
+			request_finish(request, answer, reason);
 		return;
 	default:
-		ask->job->wrong = true;
-		ask_end(ask, RJ_ANSWER_UNKNOWN, RJ_REASON_NONE);
+		request->job->inconsistent = true;
+		request_finish(request, RJ_ANSWER_UNKNOWN, RJ_REASON_NONE);
 	}
 }
 
-/* An answer has come, or the connection was lost. */
+/* HTTP callback: an answer arrived, or the request failed. */
 static void on_answer(void *private_data, const struct rj_http_result *result)
 {
-	struct ask *ask = *(struct ask **)private_data;
+	struct request *request = *(struct request **)private_data;
 	json_t *json = NULL;
 
 	if (result->outcome == RJ_HTTP_ANSWERED)
 		json = json_loadb(result->body, result->length, 0, NULL);
-	if (result->outcome == RJ_HTTP_LOST && !ask->job->kind->keyed &&
-	    !ask->job_id)
-		ask->in_doubt = true;
+	if (result->outcome == RJ_HTTP_LOST && !request->job->kind->keyed &&
+	    !request->job_id)
+		request->in_doubt = true;
 	if (json)
-		take_answer(ask, json);
+		handle_answer(request, json);
 	else
-		ask_again(ask, RETRY_US, RJ_REASON_NONE);
+		request_retry(request, DEFAULT_RETRY_DELAY_US, RJ_REASON_NONE);
 	json_decref(json);
 }
 
 /*
- * Submit the job, or ask for it by its id, at the next instance. A job with
- * a key is always submitted again: the key is what makes that safe.
+ * Submits the job to the next instance, or requests its answer by its id. A job
+ * with a key is always submitted again, which the key makes safe.
  */
-static void ask_send(struct ask *ask)
+static void request_send(struct request *request)
 {
-	struct load *load = ask->load;
-	const struct load_kind *kind = ask->job->kind;
+	struct load *load = request->load;
+	const struct load_kind *kind = request->job->kind;
 	const struct rj_address *target =
 		&load->plan->targets[load->next_target++ %
 				     load->plan->target_count];
 	char token[HEADER_BYTES];
 	char key[HEADER_BYTES];
 	const char *headers[] = { token, key };
-	bool post = !ask->accepted && (kind->keyed || !ask->job_id);
-	struct ask **slot = talloc(load, struct ask *);
+	bool post = !request->accepted && (kind->keyed || !request->job_id);
+	struct request **slot = talloc(load, struct request *);
 	char *url;
 	struct rj_http_request send = {
 		.method = post ? "POST" : "GET",
-		.body = post ? ask->job->text : "",
-		.length = post ? strlen(ask->job->text) : 0,
+		.body = post ? request->job->submission : "",
+		.length = post ? strlen(request->job->submission) : 0,
 		.timeout_us = load->plan->answer_limit_s * RJ_US_PER_S,
 		.response_max_bytes = ANSWER_MAX_BYTES,
 		.headers = headers,
@@ -227,56 +244,57 @@
 	};
 
 	assert(slot);
-	*slot = ask;
+	*slot = request;
 	snprintf(token, sizeof(token), "Authorization: Bearer %s", kind->token);
-	snprintf(key, sizeof(key), "Idempotency-Key: %s", ask->job->key);
+	snprintf(key, sizeof(key), "Idempotency-Key: %s", request->job->key);
 	if (post)
 		url = talloc_asprintf(slot, "http://%s:%u/v1/jobs", target->ip,
 				      target->port);
 	else
 		url = talloc_asprintf(
 			slot, "http://%s:%u/v1/jobs/%016llx?wait=1", target->ip,
-			target->port, (unsigned long long)ask->job_id);
+			target->port, (unsigned long long)request->job_id);
 	send.url = url;
 	rj_http_client_send(&load->client, &send);
 }
 
-/* One more caller asks for the job. */
-static void ask_begin(struct load *load, struct load_job *job)
+/* Starts a request for the job by another caller. */
+static void request_start(struct load *load, struct load_job *job)
 {
-	struct ask *ask = talloc_zero(load, struct ask);
-
-	assert(ask);
-	ask->load = load;
-	ask->job = job;
-	job->asking++;
-	load->asking++;
-	ask_send(ask);
+	struct request *request = talloc_zero(load, struct request);
+
+	assert(request);
+	request->load = load;
+	request->job = job;
+	job->open_requests++;
+	load->open_requests++;
+	request_send(request);
 }
 
-/* Send what is due by the rate. */
+/* Timer callback: sends the jobs that are due at the plan's rate. */
 static void on_tick(struct tevent_context *loop, struct tevent_timer *timer,
 		    struct timeval now, void *private_data)
 {
 	struct load *load = private_data;
-	uint64_t due = (rj_clock_now_us() - load->began_us) * load->plan->rate /
-		       RJ_US_PER_S;
+	uint64_t due = (rj_clock_now_us() - load->started_us) *
+		       load->plan->rate / RJ_US_PER_S;
 
 	while (load->sent < load->job_count && load->sent < due) {
-		uint32_t index = load->order[load->sent++];
+		uint32_t index = load->send_order[load->sent++];
 		struct load_job *job = &load->jobs[index];
 		uint32_t every = job->kind->repeat_every;
 
-		ask_begin(load, job);
+		request_start(load, job);
 		if (every && index % every == 0)
-			ask_begin(load, job);
+			request_start(load, job);
 	}
 	if (load->sent < load->job_count)
-		tevent_add_timer(loop, load, rj_clock_timeval_in(TICK_US),
-				 on_tick, load);
+		tevent_add_timer(loop, load,
+				 rj_clock_timeval_in(SEND_INTERVAL_US), on_tick,
+				 load);
 }
 
-/* Write the submission of a job and the digest of its body. */
+/* Fills a job with its submission and the digest of the body. */
 static void fill_job(struct load *load, struct load_job *job,
 		     const struct load_kind *kind, uint32_t index)
 {
@@ -287,7 +305,7 @@
 
 	job->kind = kind;
 	snprintf(job->echo, sizeof(job->echo), "%u-%u-%llx", load->plan->seed,
-		 index, (unsigned long long)load->random);
+		 index, (unsigned long long)load->random_state);
 	snprintf(job->key, sizeof(job->key), "load-%s", job->echo);
 	body = json_pack("{s:i, s:s}", "run_ms", (int)kind->run_ms, "echo",
 			 job->echo);
@@ -302,11 +320,11 @@
 			 "adjacent", kind->adjacent, "declared_ms",
 			 (int)kind->run_ms, "wait", kind->wait, "body", body);
 	assert(json);
-	job->text = json_text(load, json);
+	job->submission = json_text(load, json);
 	free(body_text);
 }
 
-/* Make all jobs, and mix their order by the seed. */
+/* Creates all jobs and shuffles their order by the seed. */
 static void make_jobs(struct load *load)
 {
 	const struct load_plan *plan = load->plan;
@@ -315,42 +333,43 @@
 	for (uint32_t i = 0; i < plan->kind_count; i++)
 		load->job_count += plan->kinds[i].count;
 	load->jobs = talloc_zero_array(load, struct load_job, load->job_count);
-	load->order = talloc_array(load, uint32_t, load->job_count);
-	assert(load->jobs && load->order);
+	load->send_order = talloc_array(load, uint32_t, load->job_count);
+	assert(load->jobs && load->send_order);
 	for (uint32_t i = 0; i < plan->kind_count; i++)
 		for (uint32_t j = 0; j < plan->kinds[i].count; j++, index++)
 			fill_job(load, &load->jobs[index], &plan->kinds[i],
 				 index);
 	for (uint32_t i = 0; i < load->job_count; i++) {
 		uint32_t other =
-			(uint32_t)(rj_random64(&load->random) % (i + 1));
+			(uint32_t)(rj_random64(&load->random_state) % (i + 1));
 
-		load->order[i] = load->order[other];
-		load->order[other] = i;
+		load->send_order[i] = load->send_order[other];
+		load->send_order[other] = i;
 	}
 }
 
 /*
- * Send the whole plan, and wait until every caller has its answer or the
- * plan's limit is over. `load` is a talloc context of its own.
+ * Sends all jobs of the plan and waits until each request has its final answer
+ * or was abandoned after the plan's time limit. `load` is a zeroed talloc
+ * context.
  */
 void load_run(struct load *load, void *mem, const struct load_plan *plan)
 {
 	load->loop = tevent_context_init(mem);
 	load->plan = plan;
-	load->random = plan->seed;
+	load->random_state = plan->seed;
 	make_jobs(load);
 	if (rj_http_client_init(&load->client, load, load->loop, NULL,
 				CONNECTIONS_MAX, NULL))
-		assert(!"the client starts");
-	load->began_us = rj_clock_now_us();
+		assert(!"the HTTP client failed to start");
+	load->started_us = rj_clock_now_us();
 	tevent_add_timer(load->loop, load, rj_clock_timeval_in(0), on_tick,
 			 load);
-	while (load->sent < load->job_count || load->asking)
+	while (load->sent < load->job_count || load->open_requests)
 		tevent_loop_once(load->loop);
 }
 
-/* Print the account as one JSON line. */
+/* Prints the totals as one line of JSON. */
 static void print_totals(const struct load *load)
 {
 	const struct load_totals *totals = &load->totals;
@@ -362,11 +381,11 @@
 	       totals->answers[RJ_ANSWER_FAILED],
 	       totals->answers[RJ_ANSWER_NOT_RUN],
 	       totals->answers[RJ_ANSWER_UNKNOWN], totals->lost,
-	       totals->doubled, totals->wrong_answer);
+	       totals->duplicated, totals->wrong_answer);
 	fflush(stdout);
 }
 
-/* Read the addresses; adds an error for each that is none. */
+/* Parses the addresses of the options; adds an error for each invalid one. */
 static void parse_addresses(struct load_plan *plan, void *mem,
 			    const struct arg_str *targets, const char *platform,
 			    struct rj_error_list *errors)
@@ -385,7 +404,7 @@
 				  "--platform: \"%s\"; give IP:PORT", platform);
 }
 
-/* Read the files and addresses; 0, or -1 with all errors told. */
+/* Reads the files and addresses. Returns 0, or -1 with all errors printed. */
 static int read_plan(void *mem, const char *plan_path, const char *tokens_path,
 		     const struct arg_str *targets, const char *platform,
 		     struct load_plan *plan)
@@ -406,7 +425,7 @@
 	return errors.count ? -1 : 0;
 }
 
-/* Run a plan and print its account. */
+/* Runs a plan and prints its totals. Returns an exit code. */
 static int run_plan(void *mem, const struct load_plan *plan)
 {
 	struct load *load = talloc_zero(mem, struct load);
@@ -420,7 +439,7 @@
 		result = EXIT_UNREACHABLE;
 	} else {
 		print_totals(load);
-		if (load->totals.lost || load->totals.doubled ||
+		if (load->totals.lost || load->totals.duplicated ||
 		    load->totals.wrong_answer)
 			result = EXIT_REFUSED;
 	}
@@ -429,8 +448,8 @@
 }
 
 /*
- * `radishjunction load`: send a mixed load and account for every job. Exit
- * code 0 only if none was lost, doubled or answered wrongly.
+ * `radishjunction load`: sends a mixed load and verifies every answer. The exit
+ * code is 0 only if no job was lost, run twice or answered wrongly.
  */
 int command_load(int argc, char **argv)
 {
@@ -442,7 +461,7 @@
 		arg_strn(NULL, "target", "IP:PORT", 1, TARGETS_MAX,
 			 "an instance; give each once");
 	struct arg_str *platform = arg_str1(NULL, "platform", "IP:PORT",
-					    "lists the workers to ask");
+					    "platform that lists the workers");
 	struct options options;
 	struct options_result parsed;
 	struct load_plan plan = { 0 };
--- a/src/radishjunction/prompt.c
+++ b/src/radishjunction/prompt.c
@@ -10,7 +10,8 @@
 #define LINE_BYTES 512
 
 /*
- * Read one line without blanks at its ends. Returns 0, or -1 at the end.
+ * Reads one line and trims white space at both ends. Returns 0, or -1 at the
+ * end of the input.
  */
 static int read_line(struct prompter *prompter, char line[LINE_BYTES])
 {
@@ -30,10 +31,12 @@
 }
 
 /*
- * What was typed as the JSON that the field's type expects: "yes" as true,
- * digits as a number, all else as a string.
+ * Converts an answer to the JSON type that the field expects: "yes" to true,
+ * digits to a number, anything else to a string. Returns a new reference, or
+ * NULL if the answer is not UTF-8.
  */
-static json_t *typed_json(const struct rj_schema_field *field, const char *text)
+static json_t *answer_to_json(const struct rj_schema_field *field,
+			      const char *text)
 {
 	bool number =
 		field->type == &rj_schema_u32 || field->type == &rj_schema_u64;
@@ -55,18 +58,19 @@
 }
 
 /*
- * The field's present value as a person would type it, or NULL.
+ * Returns the field's current value as a person would type it, a talloc child
+ * of `mem`, or NULL if it has no such form.
  */
-static char *typed_text(void *mem, const struct rj_schema_field *field,
-			const void *member)
+static char *value_to_text(void *mem, const struct rj_schema_field *field,
+			   const void *member)
 {
-	/* As a required field also the fallback itself is encoded. */
-	struct rj_schema_field shown = *field;
+	/* An optional field equal to its default would not be encoded. */
+	struct rj_schema_field required = *field;
 	json_t *json;
 	char *text = NULL;
 
-	shown.optional = false;
-	json = field->type->encode(&shown, member);
+	required.optional = false;
+	json = field->type->encode(&required, member);
 	if (json_is_string(json))
 		text = talloc_strdup(mem, json_string_value(json));
 	else if (json_is_integer(json))
@@ -79,19 +83,21 @@
 }
 
 /*
- * Check one answer and store it. Returns 0, or -1 with the errors told.
+ * Checks one answer and stores it in `member`. Returns 0, or -1 with the errors
+ * printed.
  */
-static int store(struct prompter *prompter, const struct rj_schema_field *field,
-		 const char *text, void *member)
+static int store_answer(struct prompter *prompter,
+			const struct rj_schema_field *field, const char *text,
+			void *member)
 {
 	struct rj_error_list errors;
 	struct rj_schema_check check = { prompter->mem, &errors, false };
 	struct rj_schema_path path = { NULL, field->name, 0 };
-	json_t *json = typed_json(field, text);
+	json_t *json = answer_to_json(field, text);
 
 	rj_error_list_init(&errors, prompter->mem);
 	if (!json)
-		rj_schema_report(&check, &path, "not UTF-8; type it anew");
+		rj_schema_report(&check, &path, "not UTF-8; type it again");
 	else
 		field->type->decode(&check, field, &path, json, member);
 	for (uint32_t i = 0; i < errors.count; i++)
@@ -102,50 +108,52 @@
 }
 
 /*
- * Ask for one field until the answer is good. Returns 0, or -1 when the
- * input ended before that.
+ * Asks for one field until the answer is valid. Returns 0, or -1 if the input
+ * ended before that.
  */
-static int ask_field(struct prompter *prompter,
-		     const struct rj_schema_field *field, const char *text,
-		     const char *fallback, void *member)
+static int prompt_field(struct prompter *prompter,
+			const struct rj_schema_field *field, const char *text,
+			const char *default_text, void *member)
 {
 	char line[LINE_BYTES];
-	bool ended;
+	bool at_eof;
 
 	for (;;) {
-		fprintf(prompter->out, "%s%s%s%s: ", text, fallback ? " [" : "",
-			fallback ? fallback : "", fallback ? "]" : "");
+		fprintf(prompter->out, "%s%s%s%s: ", text,
+			default_text ? " [" : "",
+			default_text ? default_text : "",
+			default_text ? "]" : "");
 		fflush(prompter->out);
-		ended = read_line(prompter, line) < 0;
-		if (ended && !(prompter->defaults_at_end && fallback)) {
+		at_eof = read_line(prompter, line) < 0;
+		if (at_eof && !(prompter->defaults_at_end && default_text)) {
 			fprintf(prompter->out, "\n");
 			return -1;
 		}
-		if (ended)
+		if (at_eof)
 			fprintf(prompter->out, "\n");
-		if (ended || (!line[0] && fallback))
-			snprintf(line, sizeof(line), "%s", fallback);
-		if (!store(prompter, field, line, member))
+		if (at_eof || (!line[0] && default_text))
+			snprintf(line, sizeof(line), "%s", default_text);
+		if (!store_answer(prompter, field, line, member))
 			return 0;
-		/* A default that is wrong must not be asked for ever. */
-		if (ended)
+		/* An invalid default would be read again forever. */
+		if (at_eof)
 			return -1;
 	}
 }
 
 /*
- * Ask for the fields that `questions` name. A struct that is `known` from
- * earlier answers offers its own values as defaults. Returns 0, or -1 when
- * the input ended.
+ * Asks for the fields named by `questions`. If the struct is `prefilled` from
+ * earlier answers, its values are the defaults. Returns 0, or -1 if the input
+ * ended.
  */
 int prompt_struct(struct prompter *prompter, const struct rj_schema *schema,
 		  const struct question *questions, uint32_t count,
-		  void *fields, bool known)
+		  void *fields, bool prefilled)
 {
 	for (uint32_t i = 0; i < count; i++) {
 		const struct rj_schema_field *field = NULL;
 		char *member;
-		char *now = NULL;
+		char *current = NULL;
 		int result;
 
 		for (uint32_t j = 0; j < schema->field_count && !field; j++)
@@ -153,11 +161,12 @@
 				field = &schema->fields[j];
 		assert(field);
 		member = (char *)fields + field->offset;
-		if (known)
-			now = typed_text(prompter->mem, field, member);
-		result = ask_field(prompter, field, questions[i].text,
-				   now ? now : questions[i].fallback, member);
-		talloc_free(now);
+		if (prefilled)
+			current = value_to_text(prompter->mem, field, member);
+		result = prompt_field(
+			prompter, field, questions[i].text,
+			current ? current : questions[i].default_text, member);
+		talloc_free(current);
 		if (result)
 			return -1;
 	}
@@ -165,10 +174,10 @@
 }
 
 /*
- * Ask how many elements there are and then for each. `elements` points to
- * the array's pointer; it is replaced by a talloc child of the interview.
- * Elements beyond the new count are dropped, from the end. Returns 0, or -1
- * when the input ended.
+ * Asks for the number of elements and for the fields of each. `elements`
+ * points to the array's pointer, which is replaced by a talloc child of the
+ * prompter's `mem`. Elements beyond the new count are dropped. Returns 0, or
+ * -1 if the input ended.
  */
 int prompt_list(struct prompter *prompter, const struct question_list *list,
 		void *elements, uint32_t *count)
@@ -179,36 +188,37 @@
 					 .max = list->max };
 	char *question =
 		talloc_asprintf(prompter->mem, "How many %s?", list->text);
-	char *fallback = talloc_asprintf(prompter->mem, "%u",
-					 *count ? *count : list->default_count);
+	char *default_text = talloc_asprintf(
+		prompter->mem, "%u", *count ? *count : list->default_count);
 	size_t size = list->schema->size;
-	uint32_t wanted = 0;
+	uint32_t new_count = 0;
 	char *array;
 	char *earlier;
 
-	assert(question && fallback);
-	if (ask_field(prompter, &field, question, fallback, &wanted))
+	assert(question && default_text);
+	if (prompt_field(prompter, &field, question, default_text, &new_count))
 		return -1;
 	memcpy(&earlier, elements, sizeof(earlier));
-	array = talloc_zero_size(prompter->mem, size * wanted + 1);
+	array = talloc_zero_size(prompter->mem, size * new_count + 1);
 	assert(array);
-	for (uint32_t i = 0; i < wanted; i++) {
+	for (uint32_t i = 0; i < new_count; i++) {
 		char *element = array + i * size;
-		bool known = i < *count;
+		bool prefilled = i < *count;
 
-		if (known)
+		if (prefilled)
 			memcpy(element, earlier + i * size, size);
 		else
 			rj_schema_defaults(list->schema, element);
 		fprintf(prompter->out, "\n%s %u of %u\n", list->element, i + 1,
-			wanted);
+			new_count);
 		if (prompt_struct(prompter, list->schema, list->questions,
-				  list->question_count, element, known))
+				  list->question_count, element, prefilled))
 			return -1;
-		if (list->more && list->more(prompter, element, known))
+		if (list->ask_more &&
+		    list->ask_more(prompter, element, prefilled))
 			return -1;
 	}
 	memcpy(elements, &array, sizeof(array));
-	*count = wanted;
+	*count = new_count;
 	return 0;
 }
--- a/src/radishjunction/status.c
+++ b/src/radishjunction/status.c
@@ -11,7 +11,7 @@
 #include "radishjunction/settings.h"
 
 /*
- * Print all answers as one JSON object by address; null for no answer.
+ * Prints all answers as one JSON object by address; null for no answer.
  */
 static void print_json(const struct targets *targets,
 		       const struct instance_status *statuses)
@@ -19,10 +19,10 @@
 	json_t *object = json_object();
 
 	for (uint32_t i = 0; i < targets->count; i++) {
-		char where[RJ_ADDRESS_BYTES];
+		char address[RJ_ADDRESS_BYTES];
 
-		rj_address_format(where, &targets->instances[i]);
-		json_object_set_new(object, where,
+		rj_address_format(address, &targets->instances[i]);
+		json_object_set_new(object, address,
 				    statuses[i].json ?
 					    json_incref(statuses[i].json) :
 					    json_null());
@@ -33,10 +33,11 @@
 }
 
 /*
- * Ask all instances and show what they say. Instances that give no answer
- * are part of the picture; it is an error only if none does.
+ * Requests the status of all instances and prints it. Instances without an
+ * answer are listed as such. Returns an exit code, EXIT_UNREACHABLE only if no
+ * instance answered.
  */
-static int status(const struct targets_options *options, bool json)
+static int show_status(const struct targets_options *options, bool json)
 {
 	void *mem = talloc_new(NULL);
 	struct instance_status *statuses;
@@ -68,7 +69,7 @@
 }
 
 /*
- * `radishjunction status`: instances, racks, guarantees and queues.
+ * `radishjunction status`: prints instances, racks, guarantees and queues.
  */
 int command_status(int argc, char **argv)
 {
@@ -84,7 +85,7 @@
 	result = options_parse(&options, command_find("status"), argc, argv,
 			       table);
 	if (result.proceed)
-		result.exit_code = status(&targets, json->count > 0);
+		result.exit_code = show_status(&targets, json->count > 0);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return result.exit_code;
 }
--- a/src/radishjunction/status_display.c
+++ b/src/radishjunction/status_display.c
@@ -8,13 +8,13 @@
 #include "radishjunction/peer_message.h"
 #include "radishjunction/settings.h"
 
-/* Wider workers are drawn as numbers. */
+/* Workers with more accelerators are shown as numbers. */
 #define BAR_ACCELERATORS_MAX 16
 
 /*
- * A text of a status, or "?" when it is missing.
+ * Returns a string of a status, or "?" if it is missing.
  */
-static const char *text_of(const json_t *object, const char *name)
+static const char *get_text(const json_t *object, const char *name)
 {
 	const char *text = json_string_value(json_object_get(object, name));
 
@@ -22,40 +22,37 @@
 }
 
 /*
- * A number of a status, 0 when it is missing.
+ * Returns a number of a status, or 0 if it is missing.
  */
-static json_int_t number_of(const json_t *object, const char *name)
+static json_int_t get_number(const json_t *object, const char *name)
 {
 	return json_integer_value(json_object_get(object, name));
 }
 
-/*
- * Whether a flag of a status is true.
- */
-static bool is_set(const json_t *object, const char *name)
+static bool get_flag(const json_t *object, const char *name)
 {
 	return json_is_true(json_object_get(object, name));
 }
 
 /*
- * How many of the peers an instance believes alive, of how many.
+ * Counts the peers that an instance reports as alive, and all its peers.
  */
-static void count_peers(const json_t *status, uint32_t *alive, uint32_t *all)
+static void count_peers(const json_t *status, uint32_t *alive, uint32_t *total)
 {
 	json_t *peer;
 	size_t i;
 
 	*alive = 0;
-	*all = 0;
+	*total = 0;
 	json_array_foreach(json_object_get(status, "peers"), i, peer)
 	{
-		*alive += is_set(peer, "alive");
-		*all += 1;
+		*alive += get_flag(peer, "alive");
+		*total += 1;
 	}
 }
 
 /*
- * One line for each instance: revision, queues, peers, what is wrong.
+ * Prints a line for each instance: revision, queues, peers and state.
  */
 static void print_instances(FILE *out, const struct targets *targets,
 			    const struct instance_status *statuses)
@@ -65,38 +62,39 @@
 		"state");
 	for (uint32_t i = 0; i < targets->count; i++) {
 		const json_t *status = statuses[i].json;
-		char where[RJ_ADDRESS_BYTES];
+		char address[RJ_ADDRESS_BYTES];
 		uint32_t alive;
-		uint32_t all;
+		uint32_t total;
 
 		if (!status) {
-			rj_address_format(where, &targets->instances[i]);
-			fprintf(out, "%-16s no answer: %s\n", where,
+			rj_address_format(address, &targets->instances[i]);
+			fprintf(out, "%-16s no answer: %s\n", address,
 				statuses[i].detail);
 			continue;
 		}
-		count_peers(status, &alive, &all);
+		count_peers(status, &alive, &total);
 		fprintf(out,
 			"%-16s %-14s %8" JSON_INTEGER_FORMAT
 			" %7" JSON_INTEGER_FORMAT " %7" JSON_INTEGER_FORMAT
 			" %6" JSON_INTEGER_FORMAT " %3u/%-3u  %s%s%s%s\n",
-			text_of(status, "name"), text_of(status, "domain"),
-			number_of(status, "revision"),
-			number_of(status, "queued"),
-			number_of(status, "running"),
-			number_of(status, "open_requests"), alive, all,
-			is_set(status, "ready") ? "ready" : "not ready",
-			is_set(status, "stopping") ? ", stopping" : "",
-			is_set(status, "platform_up") ? "" : ", platform down",
-			is_set(status, "log_usable") ? "" : ", log gap");
+			get_text(status, "name"), get_text(status, "domain"),
+			get_number(status, "revision"),
+			get_number(status, "queued"),
+			get_number(status, "running"),
+			get_number(status, "open_requests"), alive, total,
+			get_flag(status, "ready") ? "ready" : "not ready",
+			get_flag(status, "stopping") ? ", stopping" : "",
+			get_flag(status, "platform_up") ? "" :
+							  ", platform down",
+			get_flag(status, "log_usable") ? "" : ", log gap");
 	}
 }
 
 /*
- * By each worker's name, what the instance says of it that is to be drawn: an
- * owner's view if there is one, else the first. A new reference.
+ * Selects the view of each worker to display: that of its owner, else the first
+ * one. Returns a new reference to an object of views by worker name.
  */
-static json_t *choose_views(const struct instance_status *statuses,
+static json_t *select_views(const struct instance_status *statuses,
 			    uint32_t count)
 {
 	json_t *views = json_object();
@@ -109,9 +107,9 @@
 
 		json_array_foreach(list, j, worker)
 		{
-			const char *name = text_of(worker, "name");
+			const char *name = get_text(worker, "name");
 
-			if (is_set(worker, "owned") ||
+			if (get_flag(worker, "owned") ||
 			    !json_object_get(views, name))
 				json_object_set(views, name, worker);
 		}
@@ -120,28 +118,28 @@
 }
 
 /*
- * One worker: a mark for each accelerator, '#' in use and '.' free, and what
- * keeps new work away.
+ * Prints one worker: a mark for each accelerator, '#' in use and '.' free, and
+ * why it gets no new jobs, if so.
  */
 static void print_worker(FILE *out, const json_t *worker)
 {
-	json_int_t all = number_of(worker, "accelerators");
-	json_int_t free_now = number_of(worker, "free");
-	const char *health = text_of(worker, "health");
+	json_int_t total = get_number(worker, "accelerators");
+	json_int_t free_count = get_number(worker, "free");
+	const char *health = get_text(worker, "health");
 
-	fprintf(out, "    %-20s ", text_of(worker, "name"));
-	if (all <= BAR_ACCELERATORS_MAX) {
+	fprintf(out, "    %-20s ", get_text(worker, "name"));
+	if (total <= BAR_ACCELERATORS_MAX) {
 		fputc('[', out);
-		for (json_int_t i = 0; i < all; i++)
-			fputc(i < all - free_now ? '#' : '.', out);
+		for (json_int_t i = 0; i < total; i++)
+			fputc(i < total - free_count ? '#' : '.', out);
 		fputc(']', out);
 	} else {
 		fprintf(out,
 			"%" JSON_INTEGER_FORMAT " of %" JSON_INTEGER_FORMAT
 			" in use",
-			all - free_now, all);
+			total - free_count, total);
 	}
-	if (is_set(worker, "leaving"))
+	if (get_flag(worker, "leaving"))
 		fprintf(out, " leaving");
 	if (strcmp(health, "healthy") != 0)
 		fprintf(out, " %s", health);
@@ -149,19 +147,19 @@
 }
 
 /*
- * By name, as `qsort` wants it.
+ * Comparison function for `qsort`: by worker name.
  */
 static int compare_workers(const void *first, const void *second)
 {
 	const json_t *const *a = first;
 	const json_t *const *b = second;
 
-	return strcmp(text_of(*a, "name"), text_of(*b, "name"));
+	return strcmp(get_text(*a, "name"), get_text(*b, "name"));
 }
 
 /*
- * Print the workers of one rack of one failure domain by name, after a line
- * for the rack if there is any.
+ * Prints the workers of one rack of a failure domain, sorted by name, after a
+ * line for the rack. Prints nothing for a rack without workers.
  */
 static void print_rack(FILE *out, const struct instance_status *statuses,
 		       uint32_t count, const json_t *views, const char *domain,
@@ -176,13 +174,13 @@
 		json_t *worker;
 		size_t j;
 
-		if (strcmp(text_of(statuses[i].json, "domain"), domain) != 0)
+		if (strcmp(get_text(statuses[i].json, "domain"), domain) != 0)
 			continue;
 		json_array_foreach(list, j, worker)
 		{
-			if (number_of(worker, "rack") == rack &&
+			if (get_number(worker, "rack") == rack &&
 			    found < RJ_RACK_WORKERS_MAX &&
-			    json_object_get(views, text_of(worker, "name")) ==
+			    json_object_get(views, get_text(worker, "name")) ==
 				    worker)
 				workers[found++] = worker;
 		}
@@ -195,7 +193,8 @@
 }
 
 /*
- * The highest rack number that an instance of the domain names, or -1.
+ * Returns the highest rack number reported by an instance of the failure
+ * domain, or -1.
  */
 static json_int_t last_rack(const struct instance_status *statuses,
 			    uint32_t count, const char *domain)
@@ -206,20 +205,20 @@
 		json_t *worker;
 		size_t j;
 
-		if (strcmp(text_of(statuses[i].json, "domain"), domain) != 0)
+		if (strcmp(get_text(statuses[i].json, "domain"), domain) != 0)
 			continue;
 		json_array_foreach(json_object_get(statuses[i].json, "workers"),
 				   j, worker)
 		{
-			if (number_of(worker, "rack") > last)
-				last = number_of(worker, "rack");
+			if (get_number(worker, "rack") > last)
+				last = get_number(worker, "rack");
 		}
 	}
 	return last;
 }
 
 /*
- * A line for each guarantee in the failure domain of an instance.
+ * Prints a line for each guarantee in the failure domain of an instance.
  */
 static void print_guarantees(FILE *out, const json_t *status)
 {
@@ -232,21 +231,21 @@
 			"  guaranteed to %s: %" JSON_INTEGER_FORMAT
 			" x (%" JSON_INTEGER_FORMAT
 			" tasks of %" JSON_INTEGER_FORMAT " accelerators%s)\n",
-			text_of(guarantee, "account"),
-			number_of(guarantee, "count"),
-			number_of(guarantee, "tasks"),
-			number_of(guarantee, "accelerators"),
-			is_set(guarantee, "adjacent") ? ", adjacent" : "");
+			get_text(guarantee, "account"),
+			get_number(guarantee, "count"),
+			get_number(guarantee, "tasks"),
+			get_number(guarantee, "accelerators"),
+			get_flag(guarantee, "adjacent") ? ", adjacent" : "");
 	}
 }
 
 /*
- * One failure domain, drawn when its first instance comes up.
+ * Prints one failure domain, given the index of its first instance.
  */
 static void print_domain(FILE *out, const struct instance_status *statuses,
 			 uint32_t count, const json_t *views, uint32_t first)
 {
-	const char *domain = text_of(statuses[first].json, "domain");
+	const char *domain = get_text(statuses[first].json, "domain");
 	json_int_t racks = last_rack(statuses, count, domain);
 
 	fprintf(out, "\n%s\n", domain);
@@ -256,12 +255,12 @@
 }
 
 /*
- * Print the instances and then each failure domain with its racks.
+ * Prints the instances, then each failure domain with its racks.
  */
 void status_print(FILE *out, const struct targets *targets,
 		  const struct instance_status *statuses)
 {
-	json_t *views = choose_views(statuses, targets->count);
+	json_t *views = select_views(statuses, targets->count);
 
 	print_instances(out, targets, statuses);
 	for (uint32_t i = 0; i < targets->count; i++) {
@@ -269,8 +268,8 @@
 
 		for (uint32_t j = 0; j < i && first; j++)
 			first = !statuses[j].json ||
-				strcmp(text_of(statuses[j].json, "domain"),
-				       text_of(statuses[i].json, "domain")) !=
+				strcmp(get_text(statuses[j].json, "domain"),
+				       get_text(statuses[i].json, "domain")) !=
 					0;
 		if (first)
 			print_domain(out, statuses, targets->count, views, i);
--- a/src/radishjunction/status_display.h
+++ b/src/radishjunction/status_display.h
@@ -1,9 +1,8 @@
 /*
- * The picture of the whole system in a terminal, from what each instance
- * says.
+ * Terminal display of the whole system, from the status of each instance.
  */
-#ifndef PICTURE_H
-#define PICTURE_H
+#ifndef STATUS_DISPLAY_H
+#define STATUS_DISPLAY_H
 
 #include <stdio.h>
 
