--- a/src/bench/control_site.c
+++ b/src/bench/control_site.c
@@ -399,10 +399,10 @@
 		at = control->replaced++ * 7919 % control->instance_count;
 		line = &control->instances[at];
 	} while (line->role != RJ_ROLE_WORKER);
-	rj_standin_history_note(control->history,
-				rj_instances_version(control->instances,
-						     control->instance_count),
-				line->name);
+	rj_standin_history_record(control->history,
+				  rj_instances_version(control->instances,
+						       control->instance_count),
+				  line->name);
 	line->address.port ^= 1;
 }
 
--- a/src/libstandin/gate.c
+++ b/src/libstandin/fault_injector.c
@@ -1,4 +1,4 @@
-#include "gate.h"
+#include "fault_injector.h"
 
 #include <assert.h>
 #include <string.h>
@@ -9,7 +9,7 @@
 /* A request on its way through the gate; child of the request. */
 struct entry {
 	struct rj_list link;
-	struct rj_gate *gate;
+	struct rj_fault_injector *gate;
 	struct rj_http_exchange *request;
 };
 
@@ -23,10 +23,11 @@
 /*
  * Start a gate without faults that hands requests to `pass`.
  */
-void rj_gate_init(struct rj_gate *gate, void *mem, struct tevent_context *ev,
-		  void (*pass)(void *private_data,
-			       struct rj_http_exchange *request),
-		  void *private_data)
+void rj_fault_injector_init(struct rj_fault_injector *gate, void *mem,
+			    struct tevent_context *ev,
+			    void (*pass)(void *private_data,
+					 struct rj_http_exchange *request),
+			    void *private_data)
 {
 	memset(gate, 0, sizeof(*gate));
 	gate->ev = ev;
@@ -39,7 +40,8 @@
 /*
  * Whether the client that sent `request` is cut off from here.
  */
-bool rj_gate_cuts(const struct rj_gate *gate, struct rj_http_exchange *request)
+bool rj_fault_injector_blocks(const struct rj_fault_injector *gate,
+			      struct rj_http_exchange *request)
 {
 	const char *name = rj_http_exchange_header(request, "X-Instance");
 	const json_t *cut;
@@ -56,7 +58,7 @@
 /* Let a request take effect, unless its client has gone meanwhile. */
 static void pass(struct entry *entry)
 {
-	struct rj_gate *gate = entry->gate;
+	struct rj_fault_injector *gate = entry->gate;
 	struct rj_http_exchange *request = entry->request;
 
 	talloc_free(entry);
@@ -91,11 +93,12 @@
 /*
  * Apply the faults to a request that has just come in.
  */
-void rj_gate_enter(struct rj_gate *gate, struct rj_http_exchange *request)
+void rj_fault_injector_submit(struct rj_fault_injector *gate,
+			      struct rj_http_exchange *request)
 {
 	struct entry *entry;
 
-	if (gate->outage || rj_gate_cuts(gate, request)) {
+	if (gate->outage || rj_fault_injector_blocks(gate, request)) {
 		rj_http_exchange_abort(request);
 		return;
 	}
@@ -116,7 +119,7 @@
 }
 
 /* Let what came during the pause take effect, in its order. */
-static void end_pause(struct rj_gate *gate)
+static void end_pause(struct rj_fault_injector *gate)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -130,7 +133,8 @@
 }
 
 /* Close what the clients that are now cut off have open. */
-static void abort_cut(struct rj_gate *gate, struct rj_http_server *server,
+static void abort_cut(struct rj_fault_injector *gate,
+		      struct rj_http_server *server,
 		      const struct rj_http_exchange *asking)
 {
 	struct rj_list *at;
@@ -140,7 +144,8 @@
 		struct rj_http_exchange *request =
 			RJ_CONTAINER(at, struct rj_http_exchange, link);
 
-		if (request != asking && rj_gate_cuts(gate, request))
+		if (request != asking &&
+		    rj_fault_injector_blocks(gate, request))
 			rj_http_exchange_abort(request);
 	}
 }
@@ -162,7 +167,7 @@
  * Read a boolean of `faults` into `value`, which stays when it is left out.
  * Returns -1 when the field has another type.
  */
-int rj_fault_flag(const json_t *faults, const char *field, bool *value)
+int rj_fault_read_bool(const json_t *faults, const char *field, bool *value)
 {
 	const json_t *flag = json_object_get(faults, field);
 
@@ -175,9 +180,10 @@
 }
 
 /*
- * As rj_fault_flag, for a count from 0.
+ * As rj_fault_read_bool, for a count from 0.
  */
-int rj_fault_count(const json_t *faults, const char *field, uint64_t *value)
+int rj_fault_read_count(const json_t *faults, const char *field,
+			uint64_t *value)
 {
 	const json_t *count = json_object_get(faults, field);
 
@@ -194,8 +200,10 @@
  * cut_from. `asking` is the request that carries them and is spared.
  * Returns 0, or -1 when a field has another type; nothing changes then.
  */
-int rj_gate_set(struct rj_gate *gate, struct rj_http_server *server,
-		const json_t *faults, const struct rj_http_exchange *asking)
+int rj_fault_injector_configure(struct rj_fault_injector *gate,
+				struct rj_http_server *server,
+				const json_t *faults,
+				const struct rj_http_exchange *asking)
 {
 	json_t *cut_from = json_object_get(faults, "cut_from");
 	uint64_t slow_ms = gate->slow_us / RJ_US_PER_MS;
@@ -203,9 +211,9 @@
 	bool paused = gate->paused;
 
 	if (!json_is_object(faults) ||
-	    rj_fault_flag(faults, "outage", &outage) ||
-	    rj_fault_flag(faults, "pause", &paused) ||
-	    rj_fault_count(faults, "slow_ms", &slow_ms) ||
+	    rj_fault_read_bool(faults, "outage", &outage) ||
+	    rj_fault_read_bool(faults, "pause", &paused) ||
+	    rj_fault_read_count(faults, "slow_ms", &slow_ms) ||
 	    (cut_from && !is_name_list(cut_from)))
 		return -1;
 	gate->slow_us = slow_ms * RJ_US_PER_MS;
@@ -226,7 +234,7 @@
 /*
  * Forget the faults. The server must have been finished before.
  */
-void rj_gate_finish(struct rj_gate *gate)
+void rj_fault_injector_finish(struct rj_fault_injector *gate)
 {
 	assert(gate->waiting.next == &gate->waiting);
 	json_decref(gate->cut_from);
--- a/src/libstandin/platform.c
+++ b/src/libstandin/platform.c
@@ -240,10 +240,11 @@
 	uint32_t index = list_index(platform, change->instance.name);
 	bool listed = index < platform->instance_count;
 
-	rj_standin_history_note(&platform->history,
-				rj_instances_version(platform->instances,
-						     platform->instance_count),
-				change->instance.name);
+	rj_standin_history_record(
+		&platform->history,
+		rj_instances_version(platform->instances,
+				     platform->instance_count),
+		change->instance.name);
 	if (change->gone && listed) {
 		platform->instance_count--;
 		platform->instances[index] =
@@ -322,9 +323,10 @@
 	uint64_t lose = platform->lose_answers;
 	uint64_t drop = platform->drop_appends;
 
-	if (rj_fault_count(faults, "lose_next_append_answers", &lose) ||
-	    rj_fault_count(faults, "drop_next_appends", &drop) ||
-	    rj_gate_set(&platform->gate, &platform->server, faults, request)) {
+	if (rj_fault_read_count(faults, "lose_next_append_answers", &lose) ||
+	    rj_fault_read_count(faults, "drop_next_appends", &drop) ||
+	    rj_fault_injector_configure(&platform->gate, &platform->server,
+					faults, request)) {
 		rj_http_exchange_error(request, MHD_HTTP_BAD_REQUEST,
 				       "fault: a field has the wrong type; see "
 				       "the platform protocol");
@@ -407,7 +409,7 @@
 	if (!strcmp(request->path, "/v1/fault"))
 		handle_fault(platform, request);
 	else
-		rj_gate_enter(&platform->gate, request);
+		rj_fault_injector_submit(&platform->gate, request);
 }
 
 /*
@@ -437,7 +439,8 @@
 		return -1;
 	platform->mem = talloc_named_const(mem, 0, "platform");
 	assert(platform->mem);
-	rj_gate_init(&platform->gate, platform->mem, ev, dispatch, platform);
+	rj_fault_injector_init(&platform->gate, platform->mem, ev, dispatch,
+			       platform);
 	platform->streams =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return 0;
@@ -451,7 +454,7 @@
 	if (!platform->mem)
 		return;
 	rj_http_server_finish(&platform->server);
-	rj_gate_finish(&platform->gate);
+	rj_fault_injector_finish(&platform->gate);
 	g_hash_table_destroy(platform->streams);
 	TALLOC_FREE(platform->mem);
 }
--- a/src/libstandin/task_ops.c
+++ b/src/libstandin/task_ops.c
@@ -47,7 +47,7 @@
 		return NULL;
 	}
 	task = rj_task_new(tasks, call);
-	rj_task_hold(tasks, task, call, now_us);
+	rj_task_reserve(tasks, task, call, now_us);
 	return task;
 }
 
@@ -237,7 +237,7 @@
  * Carry out one call at `now_us` and fill `reply` with what is true now; its
  * report is left to rj_tasks_report. Returns the task that the call is
  * about, or NULL. Whoever wants the end of a task waits until it is no
- * longer active and then calls rj_tasks_tell.
+ * longer active and then calls rj_tasks_fill_reply.
  */
 struct rj_task *rj_tasks_call(struct rj_tasks *tasks,
 			      const struct rj_worker_call *call,
@@ -264,15 +264,15 @@
 		task = act(tasks, call, now_us, reply);
 	rj_tasks_advance(tasks, now_us);
 	if (task)
-		rj_tasks_tell(tasks, task, now_us, reply);
+		rj_tasks_fill_reply(tasks, task, now_us, reply);
 	return task;
 }
 
 /*
  * Put what is known of `task` at `now_us` into `reply`.
  */
-void rj_tasks_tell(struct rj_tasks *tasks, struct rj_task *task,
-		   uint64_t now_us, struct rj_worker_reply *reply)
+void rj_tasks_fill_reply(struct rj_tasks *tasks, struct rj_task *task,
+			 uint64_t now_us, struct rj_worker_reply *reply)
 {
 	rj_task_count_progress(task, now_us);
 	reply->leaving = tasks->leaving;
--- a/src/libstandin/tasks.c
+++ b/src/libstandin/tasks.c
@@ -144,8 +144,8 @@
 /*
  * Reserve what the call asks for, which must be free.
  */
-void rj_task_hold(struct rj_tasks *tasks, struct rj_task *task,
-		  const struct rj_worker_call *call, uint64_t now_us)
+void rj_task_reserve(struct rj_tasks *tasks, struct rj_task *task,
+		     const struct rj_worker_call *call, uint64_t now_us)
 {
 	assert(task->state == RJ_TASK_NONE && !task->fenced);
 	rj_resources_subtract(&tasks->unused, &call->each, 1);
@@ -192,10 +192,11 @@
 static void note_start(struct rj_tasks *tasks, const struct rj_task *task,
 		       const uint8_t digest[RJ_DIGEST_BYTES])
 {
-	struct rj_task_ran *ran = g_hash_table_lookup(tasks->ran, &task->key);
+	struct rj_task_start_record *ran =
+		g_hash_table_lookup(tasks->ran, &task->key);
 
 	if (!ran) {
-		ran = talloc_zero(tasks->mem, struct rj_task_ran);
+		ran = talloc_zero(tasks->mem, struct rj_task_start_record);
 		assert(ran);
 		ran->key = task->key;
 		g_hash_table_insert(tasks->ran, &ran->key, ran);
@@ -271,7 +272,7 @@
 void rj_task_end(struct rj_tasks *tasks, struct rj_task *task,
 		 enum rj_task_state state, uint64_t now_us)
 {
-	struct rj_task_ran *ran;
+	struct rj_task_start_record *ran;
 
 	assert(!rj_task_is_active(task) || state != task->state);
 	rj_task_count_progress(task, now_us);
@@ -291,7 +292,7 @@
 /*
  * Forget an ended task.
  */
-void rj_task_forget(struct rj_tasks *tasks, struct rj_task *task)
+void rj_task_remove(struct rj_tasks *tasks, struct rj_task *task)
 {
 	assert(!rj_task_is_active(task));
 	rj_list_remove(&task->link);
@@ -343,7 +344,7 @@
 		if (tasks->ended_count <= ENDED_KEPT_MAX &&
 		    task->ended_at_us + ENDED_KEPT_US > now_us)
 			break;
-		rj_task_forget(tasks, task);
+		rj_task_remove(tasks, task);
 	}
 }
 
@@ -440,7 +441,7 @@
 /*
  * Every task that was ever started here, with how often.
  */
-json_t *rj_tasks_ran(const struct rj_tasks *tasks)
+json_t *rj_tasks_starts_json(const struct rj_tasks *tasks)
 {
 	json_t *list = json_array();
 	char hex[2 * RJ_DIGEST_BYTES + 1];
@@ -449,7 +450,7 @@
 
 	g_hash_table_iter_init(&iter, tasks->ran);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct rj_task_ran *ran = value;
+		const struct rj_task_start_record *ran = value;
 		json_t *item;
 
 		sodium_bin2hex(hex, sizeof(hex), ran->digest, RJ_DIGEST_BYTES);
--- a/src/libstandin/tasks.h
+++ b/src/libstandin/tasks.h
@@ -61,11 +61,12 @@
 	struct rj_list active; /* held or running */
 	struct rj_list ended; /* oldest end first */
 	uint32_t ended_count;
-	GHashTable *ran; /* key -> struct rj_task_ran; outlives a restart */
+	GHashTable *
+		ran; /* key -> struct rj_task_start_record; outlives a restart */
 };
 
 /* Every task that was ever started here. */
-struct rj_task_ran {
+struct rj_task_start_record {
 	struct rj_task_key key;
 	uint32_t starts;
 	enum rj_task_state state;
@@ -77,8 +78,8 @@
 struct rj_task *rj_tasks_call(struct rj_tasks *tasks,
 			      const struct rj_worker_call *call,
 			      uint64_t now_us, struct rj_worker_reply *reply);
-void rj_tasks_tell(struct rj_tasks *tasks, struct rj_task *task,
-		   uint64_t now_us, struct rj_worker_reply *reply);
+void rj_tasks_fill_reply(struct rj_tasks *tasks, struct rj_task *task,
+			 uint64_t now_us, struct rj_worker_reply *reply);
 struct rj_task *rj_tasks_find(const struct rj_tasks *tasks,
 			      const struct rj_worker_call *call);
 void rj_tasks_advance(struct rj_tasks *tasks, uint64_t now_us);
@@ -86,7 +87,7 @@
 bool rj_task_is_active(const struct rj_task *task);
 void rj_tasks_report(const struct rj_tasks *tasks, void *mem, uint64_t now_us,
 		     struct rj_worker_report *report);
-json_t *rj_tasks_ran(const struct rj_tasks *tasks);
+json_t *rj_tasks_starts_json(const struct rj_tasks *tasks);
 void rj_tasks_restart(struct rj_tasks *tasks);
 void rj_tasks_finish(struct rj_tasks *tasks);
 
--- a/src/libstandin/worker.c
+++ b/src/libstandin/worker.c
@@ -63,9 +63,11 @@
 		    rj_task_is_active(task))
 			continue;
 		rj_list_remove(at);
-		rj_tasks_tell(&worker->tasks, task, now_us, &waiter->reply);
+		rj_tasks_fill_reply(&worker->tasks, task, now_us,
+				    &waiter->reply);
 		if (waiter->call.op != RJ_WORKER_CHECKPOINT)
-			task->told = !rj_http_exchange_gone(waiter->request);
+			task->told =
+				!rj_http_exchange_disconnected(waiter->request);
 		send_answer(worker, waiter->request, &waiter->call,
 			    &waiter->reply);
 		talloc_free(waiter);
@@ -195,7 +197,7 @@
 		       struct rj_http_exchange *request)
 {
 	json_t *object = json_pack("{s:s, s:o}", "worker", worker->options.name,
-				   "ran", rj_tasks_ran(&worker->tasks));
+				   "ran", rj_tasks_starts_json(&worker->tasks));
 	char *text = rj_wire_text(request, object);
 
 	json_decref(object);
@@ -209,16 +211,18 @@
 	uint64_t lag_ms = worker->report_lag_us / RJ_US_PER_MS;
 	bool restart = false;
 
-	if (rj_fault_flag(faults, "fail_all", &worker->tasks.fail_all) ||
-	    rj_fault_flag(faults, "leaving", &worker->tasks.leaving) ||
-	    rj_fault_flag(faults, "restart", &restart) ||
-	    rj_fault_count(faults, "report_lag_ms", &lag_ms) ||
-	    rj_fault_count(faults, "lose_next_answers",
-			   &worker->lose_answers) ||
-	    rj_fault_count(faults, "cut_next_answers", &worker->cut_answers) ||
-	    rj_fault_count(faults, "cross_next_answers",
-			   &worker->cross_answers) ||
-	    rj_gate_set(&worker->gate, &worker->server, faults, request))
+	if (rj_fault_read_bool(faults, "fail_all", &worker->tasks.fail_all) ||
+	    rj_fault_read_bool(faults, "leaving", &worker->tasks.leaving) ||
+	    rj_fault_read_bool(faults, "restart", &restart) ||
+	    rj_fault_read_count(faults, "report_lag_ms", &lag_ms) ||
+	    rj_fault_read_count(faults, "lose_next_answers",
+				&worker->lose_answers) ||
+	    rj_fault_read_count(faults, "cut_next_answers",
+				&worker->cut_answers) ||
+	    rj_fault_read_count(faults, "cross_next_answers",
+				&worker->cross_answers) ||
+	    rj_fault_injector_configure(&worker->gate, &worker->server, faults,
+					request))
 		return -1;
 	worker->report_lag_us = lag_ms * RJ_US_PER_MS;
 	if (restart) {
@@ -286,7 +290,7 @@
 	else if (!strcmp(request->path, "/v1/ran"))
 		handle_ran(worker, request);
 	else if (!strncmp(request->path, "/v1/", strlen("/v1/")))
-		rj_gate_enter(&worker->gate, request);
+		rj_fault_injector_submit(&worker->gate, request);
 	else
 		rj_http_exchange_error(
 			request, MHD_HTTP_NOT_FOUND,
@@ -318,7 +322,8 @@
 		return -1;
 	worker->mem = talloc_named_const(mem, 0, "worker");
 	assert(worker->mem);
-	rj_gate_init(&worker->gate, worker->mem, ev, dispatch, worker);
+	rj_fault_injector_init(&worker->gate, worker->mem, ev, dispatch,
+			       worker);
 	rj_tasks_init(&worker->tasks, worker->mem, options->name,
 		      &options->capacity);
 	return 0;
@@ -332,7 +337,7 @@
 	if (!worker->mem)
 		return;
 	rj_http_server_finish(&worker->server);
-	rj_gate_finish(&worker->gate);
+	rj_fault_injector_finish(&worker->gate);
 	rj_tasks_finish(&worker->tasks);
 	TALLOC_FREE(worker->mem);
 }
--- a/src/libstandin/worker.h
+++ b/src/libstandin/worker.h
@@ -8,7 +8,7 @@
 #ifndef RADISHJUNCTION_STANDIN_WORKER_H
 #define RADISHJUNCTION_STANDIN_WORKER_H
 
-#include "gate.h"
+#include "fault_injector.h"
 #include "http_server.h"
 #include "tasks.h"
 
@@ -28,7 +28,7 @@
 	void *mem;
 	struct tevent_context *ev;
 	struct rj_http_server server;
-	struct rj_gate gate;
+	struct rj_fault_injector gate;
 	struct rj_tasks tasks;
 	struct tevent_timer *timer; /* for rj_tasks_due_us */
 	struct rj_list waiting; /* requests that wait for a task's end */
--- a/src/radishjunctiond/shell.c
+++ b/src/radishjunctiond/core_runner.c
@@ -1,4 +1,4 @@
-#include "shell.h"
+#include "core_runner.h"
 
 #include <assert.h>
 #include <errno.h>
@@ -215,7 +215,7 @@
 			rj_tcp_peers_close_count(shell->links, i));
 	g_string_append_printf(text,
 			       "radishjunction_log_lines_lost %" PRIu64 "\n",
-			       rj_log_writer_lost());
+			       rj_log_writer_dropped());
 }
 
 static const struct rj_caller_views_ops views_ops = {
--- a/src/radishjunctiond/main.c
+++ b/src/radishjunctiond/main.c
@@ -21,7 +21,7 @@
 #include "radishjunction/http_workers.h"
 #include "radishjunction/planner_topology.h"
 #include "radishjunction/settings.h"
-#include "shell.h"
+#include "core_runner.h"
 
 /* The exit status; --help and the man page list the same. */
 enum exit_code {
--- a/src/share/http_server.c
+++ b/src/share/http_server.c
@@ -37,7 +37,7 @@
 /*
  * Whether the client of an open request has closed its connection.
  */
-bool rj_http_exchange_gone(const struct rj_http_exchange *request)
+bool rj_http_exchange_disconnected(const struct rj_http_exchange *request)
 {
 	char byte;
 	ssize_t got = recv(socket_of(request), &byte, sizeof(byte),
@@ -60,7 +60,7 @@
 	struct rj_http_exchange *request = private_data;
 
 	TALLOC_FREE(request->watch);
-	if (rj_http_exchange_gone(request))
+	if (rj_http_exchange_disconnected(request))
 		rj_http_exchange_abort(request);
 }
 
@@ -357,7 +357,7 @@
  * Clients are to go elsewhere: from now on each answer ends its connection.
  * `requests` tells when all answers have been sent.
  */
-void rj_http_server_leave(struct rj_http_server *server)
+void rj_http_server_drain(struct rj_http_server *server)
 {
 	server->leaving = true;
 }
--- a/src/share/http_server.h
+++ b/src/share/http_server.h
@@ -77,10 +77,10 @@
 void rj_http_exchange_error(struct rj_http_exchange *request,
 			    unsigned int status, const char *message);
 void rj_http_exchange_abort(struct rj_http_exchange *request);
-bool rj_http_exchange_gone(const struct rj_http_exchange *request);
+bool rj_http_exchange_disconnected(const struct rj_http_exchange *request);
 void rj_http_server_abort_open(struct rj_http_server *server,
 			       const struct rj_http_exchange *except);
-void rj_http_server_leave(struct rj_http_server *server);
+void rj_http_server_drain(struct rj_http_server *server);
 void rj_http_server_finish(struct rj_http_server *server);
 
 #endif
--- a/src/share/log_writer.c
+++ b/src/share/log_writer.c
@@ -292,7 +292,7 @@
 /*
  * Lines that were dropped because the reader of the log had stalled.
  */
-uint64_t rj_log_writer_lost(void)
+uint64_t rj_log_writer_dropped(void)
 {
 	return logger.lost;
 }
