--- a/src/bench/bench.h
+++ b/src/bench/bench.h
@@ -9,7 +9,7 @@
 
 struct bench_command {
 	const char *name;
-	const char *what;
+	const char *description;
 	/* argv[0] is the subcommand; returns the exit status. */
 	int (*run)(int argc, char **argv);
 };
--- a/src/bench/cell.c
+++ b/src/bench/cell.c
@@ -20,7 +20,7 @@
 #define STEP_US (100 * MS)
 #define STEPS_PER_S 10.0 /* one second over STEP_US */
 /* A job of the users' urgent kind has about so many tasks. */
-#define TASKS_A_JOB 5
+#define TASKS_PER_JOB 5
 #define TASK_MS 2500
 
 static const uint32_t worker_counts[] = { 50, 100, 350, 1000, 3000, 7500 };
@@ -33,7 +33,7 @@
 };
 
 /* One kind of a mixed load. */
-struct kind {
+struct job_kind {
 	const char *queue;
 	uint32_t tasks; /* of a job */
 	uint32_t task_ms;
@@ -44,14 +44,14 @@
 };
 
 /* Short urgent gangs, longer ones, and wide jobs of small tasks. */
-static const struct kind kinds[] = {
+static const struct job_kind job_kinds[] = {
 	{ "urgent", 8, 2500, 7500, 8, 19, true },
 	{ "normal", 26, 8500, 26000, 8, 20, true },
 	{ "bulk", 78, 6100, 7500, 1, 61, false },
 };
 
 /* What was counted up to some moment. */
-struct counted {
+struct counters {
 	uint64_t owner_ns;
 	uint64_t all_ns;
 	uint64_t polls;
@@ -62,37 +62,37 @@
 };
 
 /* Hand in the jobs of one step of the load. */
-static void hand_in(struct cell_world *world, const struct load *load,
-		    double *due)
+static void submit_step(struct cell_world *sim, const struct load *load,
+			double *due)
 {
 	static const char *const queues[] = { "urgent", "normal", "bulk" };
 
-	*due += (double)load->tasks_per_s / TASKS_A_JOB / STEPS_PER_S;
+	*due += (double)load->tasks_per_s / TASKS_PER_JOB / STEPS_PER_S;
 	for (; *due >= 1; (*due)--) {
-		uint32_t number = world->job_count;
-		struct rj_cell_step step =
-			cell_world_step(TASKS_A_JOB, 1U << number % 4, TASK_MS);
+		uint32_t number = sim->job_count;
+		struct rj_cell_step step = cell_world_step(
+			TASKS_PER_JOB, 1U << number % 4, TASK_MS);
 
 		step.gang = load->gangs && number % 2;
 		step.one_rack = step.gang;
-		cell_world_submit(world, number % INSTANCES,
-				  cell_world_job(world, queues[number % 3],
+		cell_world_submit(sim, number % INSTANCES,
+				  cell_world_job(sim, queues[number % 3],
 						 number % 2 ? "a" : "b", &step,
 						 1, TASK_MS * MS));
 	}
 }
 
 /* Hand in the jobs of one step of a mixed load. */
-static void hand_in_mixed(struct cell_world *world, const struct load *load,
-			  double due[G_N_ELEMENTS(kinds)])
+static void submit_step_mixed(struct cell_world *sim, const struct load *load,
+			      double due[G_N_ELEMENTS(job_kinds)])
 {
-	for (guint i = 0; i < G_N_ELEMENTS(kinds); i++) {
-		const struct kind *kind = &kinds[i];
+	for (guint i = 0; i < G_N_ELEMENTS(job_kinds); i++) {
+		const struct job_kind *kind = &job_kinds[i];
 
 		due[i] += (double)load->tasks_per_s * kind->share / 100 /
 			  kind->tasks / STEPS_PER_S;
 		for (; due[i] >= 1; due[i]--) {
-			uint32_t number = world->job_count;
+			uint32_t number = sim->job_count;
 			struct rj_cell_step step = cell_world_step(
 				kind->tasks,
 				MIN(kind->accelerators_max, 1U << number % 4),
@@ -103,8 +103,8 @@
 			step.each.memory_mb = kind->memory_mb;
 			if (!kind->gang && number % 8 == 0)
 				step.per_worker_max = 1;
-			cell_world_submit(world, number % INSTANCES,
-					  cell_world_job(world, kind->queue,
+			cell_world_submit(sim, number % INSTANCES,
+					  cell_world_job(sim, kind->queue,
 							 number % 2 ? "a" : "b",
 							 &step, 1,
 							 kind->task_ms * MS));
@@ -113,49 +113,48 @@
 }
 
 /* Play on under the load. */
-static void play(struct cell_world *world, const struct load *load,
-		 uint64_t for_us)
+static void run_load(struct cell_world *sim, const struct load *load,
+		     uint64_t for_us)
 {
-	uint64_t end_us = world->now_us + for_us;
-	double due[G_N_ELEMENTS(kinds)] = { 0 };
+	uint64_t end_us = sim->now_us + for_us;
+	double due[G_N_ELEMENTS(job_kinds)] = { 0 };
 
-	while (world->now_us < end_us) {
+	while (sim->now_us < end_us) {
 		if (load->mixed)
-			hand_in_mixed(world, load, due);
+			submit_step_mixed(sim, load, due);
 		else
-			hand_in(world, load, &due[0]);
-		cell_world_run(world, STEP_US);
+			submit_step(sim, load, &due[0]);
+		cell_world_run(sim, STEP_US);
 	}
 }
 
 /* Read all counters. */
-static struct counted count(const struct cell_world *world)
+static struct counters read_counters(const struct cell_world *sim)
 {
-	int owner = cell_world_owner(world);
-	struct counted counted = { .appends = world->log.appends,
-				   .reads = world->log.reads,
-				   .jobs = world->job_count };
+	int owner = cell_world_owner(sim);
+	struct counters counters = { .appends = sim->log.appends,
+				     .reads = sim->log.reads,
+				     .jobs = sim->job_count };
 
 	g_assert_cmpint(owner, >=, 0);
-	counted.owner_ns = world->nodes[owner].cpu_ns;
-	counted.polls = world->nodes[owner].node.owner.counters.polls;
-	counted.plans = world->nodes[owner].node.owner.counters.plans;
+	counters.owner_ns = sim->nodes[owner].cpu_ns;
+	counters.polls = sim->nodes[owner].node.owner.counters.polls;
+	counters.plans = sim->nodes[owner].node.owner.counters.plans;
 	for (uint32_t i = 0; i < INSTANCES; i++)
-		counted.all_ns += world->nodes[i].cpu_ns;
-	return counted;
+		counters.all_ns += sim->nodes[i].cpu_ns;
+	return counters;
 }
 
 /* How long jobs handed in since `first` waited for their first step, in
  * milliseconds; a job that has not begun has waited until now. */
-static double wait_ms(const struct cell_world *world, uint32_t first, double at)
+static double wait_ms(const struct cell_world *sim, uint32_t first, double at)
 {
 	GArray *waits = g_array_new(FALSE, FALSE, sizeof(double));
 	double result;
 
-	for (guint i = first; i < world->job_list->len; i++) {
-		const struct cell_client_job *job = world->job_list->pdata[i];
-		uint64_t begun_us =
-			job->begun_us ? job->begun_us : world->now_us;
+	for (guint i = first; i < sim->job_list->len; i++) {
+		const struct cell_client_job *job = sim->job_list->pdata[i];
+		uint64_t begun_us = job->begun_us ? job->begun_us : sim->now_us;
 		double ms = (double)(begun_us - job->sent_us) / MS;
 
 		if (job->accepted)
@@ -179,17 +178,17 @@
 		.capacity = { 64000, 64000, 8 },
 		.guaranteed = load->workers * 2,
 	};
-	struct cell_world *world = g_new0(struct cell_world, 1);
+	struct cell_world *sim = g_new0(struct cell_world, 1);
 	double seconds = (double)MEASURED_US / S;
-	struct counted before;
-	struct counted after;
-
-	cell_world_init(world, &plan);
-	cell_world_run(world, 3 * S);
-	play(world, load, WARM_UP_US);
-	before = count(world);
-	play(world, load, MEASURED_US);
-	after = count(world);
+	struct counters before;
+	struct counters after;
+
+	cell_world_init(sim, &plan);
+	cell_world_run(sim, 3 * S);
+	run_load(sim, load, WARM_UP_US);
+	before = read_counters(sim);
+	run_load(sim, load, MEASURED_US);
+	after = read_counters(sim);
 	printf("{\"bench\":\"cell\",\"workers\":%u,\"tasks_per_s\":%u,"
 	       "\"gangs\":%s,\"mixed\":%s,\"owner_cpu_percent\":%.2f,"
 	       "\"other_cpu_percent\":%.2f,\"polls_per_s\":%.0f,"
@@ -206,12 +205,11 @@
 	       (double)(after.plans - before.plans) / seconds,
 	       (double)(after.appends - before.appends) / seconds,
 	       (double)(after.reads - before.reads) / seconds,
-	       talloc_total_size(world->nodes[cell_world_owner(world)].mem),
-	       wait_ms(world, before.jobs, 0.5),
-	       wait_ms(world, before.jobs, 0.99));
+	       talloc_total_size(sim->nodes[cell_world_owner(sim)].mem),
+	       wait_ms(sim, before.jobs, 0.5), wait_ms(sim, before.jobs, 0.99));
 	fflush(stdout);
-	cell_world_finish(world);
-	g_free(world);
+	cell_world_finish(sim);
+	g_free(sim);
 }
 
 /*
--- a/src/bench/control.c
+++ b/src/bench/control.c
@@ -41,9 +41,9 @@
 		  double used_us, size_t state_bytes)
 {
 	double seconds = (double)measured_us / RJ_US_PER_S;
-	const struct tally *all[] = { &control->reports, &control->peers,
-				      &control->log, &control->list_tally,
-				      &control->publications };
+	const struct traffic *all[] = { &control->reports, &control->peers,
+					&control->log, &control->list_traffic,
+					&control->publications };
 	static const char *const names[] = { "reports", "peers", "log", "list",
 					     "publications" };
 	double sum = 0;
@@ -71,9 +71,10 @@
  */
 static void measure(const struct control_load *load)
 {
-	uint64_t measured_us = load->changes_a_day || load->replacements_a_day ?
-				       MEASURED_LOAD_US :
-				       MEASURED_US;
+	uint64_t measured_us =
+		load->changes_per_day || load->replacements_per_day ?
+			MEASURED_LOAD_US :
+			MEASURED_US;
 	struct control control;
 	double started_us;
 
@@ -91,9 +92,10 @@
 /*
  * An option's number, or what it is when left out.
  */
-static uint32_t number(const struct arg_int *option, uint32_t otherwise)
+static uint32_t option_value(const struct arg_int *option,
+			     uint32_t default_value)
 {
-	return option->count ? (uint32_t)option->ival[0] : otherwise;
+	return option->count ? (uint32_t)option->ival[0] : default_value;
 }
 
 /*
@@ -121,13 +123,13 @@
 			  replacements, whole,	 help,	   end };
 	int errors = arg_parse(argc, argv, table);
 	struct control_load load = {
-		.site = { .domains = number(domains, 1),
-			  .workers = number(workers, 0),
+		.site = { .domains = option_value(domains, 1),
+			  .workers = option_value(workers, 0),
 			  .instances = CONTROL_INSTANCES,
-			  .accounts = number(accounts, 1),
-			  .guarantees = number(accounts, 1) > 1 },
-		.changes_a_day = number(changes, 0),
-		.replacements_a_day = number(replacements, 0),
+			  .accounts = option_value(accounts, 1),
+			  .guarantees = option_value(accounts, 1) > 1 },
+		.changes_per_day = option_value(changes, 0),
+		.replacements_per_day = option_value(replacements, 0),
 		.whole = whole->count > 0
 	};
 	int status = 0;
--- a/src/bench/control_site.c
+++ b/src/bench/control_site.c
@@ -11,25 +11,26 @@
 #include "radishjunction/config_log.h"
 
 /* 33,000 tasks on 7,500 workers are 4.4. */
-#define TASKS_A_WORKER 4
+#define TASKS_PER_WORKER 4
 /* Request line, status line and headers of one exchange, both ways, as curl
  * and libmicrohttpd send them. */
-#define HTTP_BYTES 330
+#define HTTP_HEADER_BYTES 330
 #define FRAME_BYTES 48 /* length, sequence number and MAC of a peer frame */
 /* Of the instances of another failure domain that keep no link from here, so
  * many to one keep a link to here: each chooses 2 of 8. */
-#define LINK_ONE_OF 4
+#define INBOUND_LINK_STRIDE 4
 #define PAGE_RECORDS 500
 
 /*
  * Count one exchange, once the warm-up is over.
  */
-static void count(struct control *control, struct tally *tally, size_t bytes)
+static void count_exchange(struct control *control, struct traffic *traffic,
+			   size_t bytes)
 {
 	if (!control->measuring)
 		return;
-	tally->exchanges++;
-	tally->bytes += bytes;
+	traffic->exchanges++;
+	traffic->bytes += bytes;
 }
 
 /*
@@ -67,9 +68,10 @@
 	reply->report.capacity =
 		(struct rj_resources){ LARGE_SITE_SLOTS,
 				       LARGE_SITE_ACCELERATORS, 128, 524288 };
-	tasks = talloc_zero_array(event, struct rj_task_report, TASKS_A_WORKER);
+	tasks = talloc_zero_array(event, struct rj_task_report,
+				  TASKS_PER_WORKER);
 	g_assert(tasks);
-	for (uint32_t i = 0; i < TASKS_A_WORKER; i++) {
+	for (uint32_t i = 0; i < TASKS_PER_WORKER; i++) {
 		tasks[i].attempt.job_id = 1000 + i;
 		tasks[i].attempt.owner = 77;
 		tasks[i].attempt.number = 1;
@@ -82,12 +84,12 @@
 		g_strlcpy(tasks[i].class_name, "render", RJ_NAME_BYTES);
 	}
 	reply->report.tasks = tasks;
-	reply->report.task_count = TASKS_A_WORKER;
+	reply->report.task_count = TASKS_PER_WORKER;
 	rj_worker_report_seal(&reply->report, call->known_version);
 	out = rj_worker_wire_encode_call(event, call);
 	in = rj_worker_wire_encode_reply(event, call, reply);
-	count(control, &control->reports,
-	      strlen(out) + strlen(in) + HTTP_BYTES);
+	count_exchange(control, &control->reports,
+		       strlen(out) + strlen(in) + HTTP_HEADER_BYTES);
 }
 
 /*
@@ -119,14 +121,15 @@
 	}
 	records->count = page.count;
 	records->next = read->from + page.count;
-	count(control, page.count ? &control->publications : &control->log,
-	      HTTP_BYTES + strlen(rj_log_page_encode(event, &page)));
+	count_exchange(
+		control, page.count ? &control->publications : &control->log,
+		HTTP_HEADER_BYTES + strlen(rj_log_page_encode(event, &page)));
 }
 
 /*
  * End the long polls of the `config` stream, which has a new record.
  */
-static void end_config_polls(struct control *control)
+static void answer_config_polls(struct control *control)
 {
 	for (guint i = control->reads->len; i > 0; i--) {
 		struct waiting_read waiting = g_array_index(
@@ -151,7 +154,7 @@
 	g_assert(copy);
 	copy->offset = control->config->len;
 	g_ptr_array_add(control->config, copy);
-	end_config_polls(control);
+	answer_config_polls(control);
 }
 
 /*
@@ -169,8 +172,9 @@
 		record.config_text =
 			talloc_strdup(control->mem, record.config_text);
 		append_config(control, &record);
-		count(control, &control->publications,
-		      HTTP_BYTES + strlen(rj_record_encode(event, &record)));
+		count_exchange(control, &control->publications,
+			       HTTP_HEADER_BYTES + strlen(rj_record_encode(
+							   event, &record)));
 	}
 }
 
@@ -199,7 +203,8 @@
 		event->kind = RJ_EVENT_TIMER; /* nothing is delivered */
 	event->u.instances.list = control->list.lines;
 	event->u.instances.count = control->list.count;
-	count(control, &control->list_tally, strlen(text) + HTTP_BYTES);
+	count_exchange(control, &control->list_traffic,
+		       strlen(text) + HTTP_HEADER_BYTES);
 }
 
 /*
@@ -210,10 +215,11 @@
 {
 	void *mem = talloc_new(NULL);
 
-	count(control,
-	      message->kind == RJ_PEER_CONFIG ? &control->publications :
-						&control->peers,
-	      rj_peer_encode(mem, message).length + FRAME_BYTES);
+	count_exchange(control,
+		       message->kind == RJ_PEER_CONFIG ?
+			       &control->publications :
+			       &control->peers,
+		       rj_peer_encode(mem, message).length + FRAME_BYTES);
 	talloc_free(mem);
 }
 
@@ -221,7 +227,7 @@
  * Carry out what the core asked for. A long poll is answered when it ends,
  * to the second.
  */
-static void carry_out(struct control *control)
+static void execute_actions(struct control *control)
 {
 	for (uint32_t i = 0; i < control->actions.count; i++) {
 		struct rj_action *action = &control->actions.list[i];
@@ -247,11 +253,11 @@
 			answer_append(control, &action->u.append);
 			break;
 		case RJ_ACTION_PEER_CONNECT:
-			g_hash_table_add(control->wanted,
+			g_hash_table_add(control->linked_peers,
 					 g_strdup(action->u.peer.name));
 			break;
 		case RJ_ACTION_PEER_DROP:
-			g_hash_table_remove(control->wanted,
+			g_hash_table_remove(control->linked_peers,
 					    action->u.peer.name);
 			break;
 		case RJ_ACTION_LIST:
@@ -270,7 +276,7 @@
 /*
  * Answer the long polls that have waited long enough.
  */
-static void end_polls(struct control *control)
+static void expire_polls(struct control *control)
 {
 	for (guint i = control->reads->len; i > 0; i--) {
 		struct waiting_read waiting = g_array_index(
@@ -287,9 +293,9 @@
  * A message that is delivered to the core; NULL for an instance that has no
  * link with it.
  */
-static struct rj_peer_message *message_from(struct control *control,
-					    uint32_t index,
-					    enum rj_peer_message_kind kind)
+static struct rj_peer_message *
+queue_peer_message(struct control *control, uint32_t index,
+		   enum rj_peer_message_kind kind)
 {
 	const struct rj_instance *line = &control->instances[index];
 	struct rj_peer_message *message;
@@ -297,8 +303,8 @@
 
 	if (!index || line->role != RJ_ROLE_ENTRY ||
 	    (strcmp(line->domain, LARGE_SITE_DOMAIN) != 0 &&
-	     index % LINK_ONE_OF &&
-	     !g_hash_table_contains(control->wanted, line->name)))
+	     index % INBOUND_LINK_STRIDE &&
+	     !g_hash_table_contains(control->linked_peers, line->name)))
 		return NULL;
 	event = queue_event(control, RJ_EVENT_PEER_MESSAGE);
 	message = talloc_zero(event, struct rj_peer_message);
@@ -313,11 +319,11 @@
  * The heartbeats of the peers, each second; they are alive from the first.
  * Those of other failure domains send as seldom as this instance does.
  */
-static void peers_round(struct control *control)
+static void send_heartbeats(struct control *control)
 {
 	uint32_t every =
 		rj_membership_beats_between(control->load->site.domains);
-	bool others = control->beats++ % every == 0;
+	bool others = control->heartbeat_rounds++ % every == 0;
 
 	for (uint32_t i = 0; i < control->instance_count; i++) {
 		const char *domain = control->instances[i].domain;
@@ -326,7 +332,7 @@
 		if (!others &&
 		    strcmp(domain, control->instances[0].domain) != 0)
 			continue;
-		message = message_from(control, i, RJ_PEER_HEARTBEAT);
+		message = queue_peer_message(control, i, RJ_PEER_HEARTBEAT);
 		if (!message)
 			continue;
 		g_strlcpy(message->u.heartbeat.domain,
@@ -343,11 +349,12 @@
  * Every peer has read the newest publication and tells this instance of it,
  * whose heartbeat with that revision has not come yet.
  */
-static void peers_tell(struct control *control, const struct rj_record *record)
+static void send_config_offers(struct control *control,
+			       const struct rj_record *record)
 {
 	for (uint32_t i = 0; i < control->instance_count; i++) {
 		struct rj_peer_message *message =
-			message_from(control, i, RJ_PEER_CONFIG);
+			queue_peer_message(control, i, RJ_PEER_CONFIG);
 		struct rj_peer_config *offer;
 
 		if (!message)
@@ -384,7 +391,7 @@
 		g_error("the change cannot be made");
 	control->text = text;
 	append_config(control, &record);
-	peers_tell(control, &record);
+	send_config_offers(control, &record);
 }
 
 /*
@@ -399,10 +406,10 @@
 		at = control->replaced++ * 7919 % control->instance_count;
 		line = &control->instances[at];
 	} while (line->role != RJ_ROLE_WORKER);
-	rj_standin_history_note(control->history,
-				rj_instances_version(control->instances,
-						     control->instance_count),
-				line->name);
+	rj_standin_history_record(control->history,
+				  rj_instances_version(control->instances,
+						       control->instance_count),
+				  line->name);
 	line->address.port ^= 1;
 }
 
@@ -413,24 +420,26 @@
 {
 	event->now_us = control->now_us;
 	rj_core_process(&control->core, event, &control->actions);
-	carry_out(control);
+	execute_actions(control);
 }
 
 /*
  * What is due of the load at a time when the peers' round is.
  */
-static void load_round(struct control *control)
+static void apply_load(struct control *control)
 {
 	const struct control_load *load = control->load;
 
-	if (load->changes_a_day && control->now_us >= control->change_due_us) {
-		control->change_due_us += CONTROL_DAY_US / load->changes_a_day;
+	if (load->changes_per_day &&
+	    control->now_us >= control->change_due_us) {
+		control->change_due_us +=
+			CONTROL_DAY_US / load->changes_per_day;
 		publish(control);
 	}
-	if (load->replacements_a_day &&
+	if (load->replacements_per_day &&
 	    control->now_us >= control->replace_due_us) {
 		control->replace_due_us +=
-			CONTROL_DAY_US / load->replacements_a_day;
+			CONTROL_DAY_US / load->replacements_per_day;
 		replace_worker(control);
 	}
 }
@@ -451,9 +460,9 @@
 			talloc_free(event);
 		}
 		if (control->now_us >= control->peers_due_us) {
-			peers_round(control);
-			load_round(control);
-			end_polls(control);
+			send_heartbeats(control);
+			apply_load(control);
+			expire_polls(control);
 			control->peers_due_us += RJ_US_PER_S;
 			continue;
 		}
@@ -486,7 +495,7 @@
 	control->change_due_us = CONTROL_START_US + CONTROL_WARM_UP_US;
 	control->replace_due_us = CONTROL_START_US + CONTROL_WARM_UP_US;
 	control->config = g_ptr_array_new();
-	control->wanted =
+	control->linked_peers =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	control->reads = g_array_new(FALSE, FALSE, sizeof(struct waiting_read));
 	g_queue_init(&control->pending);
@@ -515,7 +524,7 @@
 	control->planner.base.ops->finish(&control->planner.base);
 	g_queue_clear(&control->pending);
 	g_array_free(control->reads, TRUE);
-	g_hash_table_destroy(control->wanted);
+	g_hash_table_destroy(control->linked_peers);
 	g_ptr_array_free(control->config, TRUE);
 	talloc_free(control->mem);
 }
--- a/src/bench/control_site.h
+++ b/src/bench/control_site.h
@@ -23,12 +23,12 @@
 /* What goes on beside the reports and heartbeats. */
 struct control_load {
 	struct large_site site;
-	uint32_t changes_a_day; /* of the configuration */
-	uint32_t replacements_a_day; /* of workers, all over the site */
+	uint32_t changes_per_day; /* of the configuration */
+	uint32_t replacements_per_day; /* of workers, all over the site */
 	bool whole; /* configurations and lists are sent whole */
 };
 
-struct tally {
+struct traffic {
 	uint64_t exchanges;
 	uint64_t bytes;
 };
@@ -51,7 +51,7 @@
 	const struct control_load *load;
 	struct large_site site; /* with the configuration as it is now */
 	GPtrArray *config; /* struct rj_record of the `config` stream */
-	GHashTable *wanted; /* names of peers that the core links to */
+	GHashTable *linked_peers; /* names of peers that the core links to */
 	GArray *reads; /* struct waiting_read */
 	char *text; /* of the configuration in force */
 	uint64_t change_due_us;
@@ -59,14 +59,14 @@
 	uint32_t replaced; /* so far */
 	uint64_t now_us;
 	uint64_t peers_due_us;
-	uint32_t beats; /* rounds of heartbeats so far */
+	uint32_t heartbeat_rounds; /* rounds of heartbeats so far */
 	GQueue pending; /* struct rj_event, to be delivered next */
 	bool measuring;
-	struct tally reports;
-	struct tally peers;
-	struct tally log;
-	struct tally list_tally;
-	struct tally publications; /* in peers' messages and in the log */
+	struct traffic reports;
+	struct traffic peers;
+	struct traffic log;
+	struct traffic list_traffic;
+	struct traffic publications; /* in peers' messages and in the log */
 };
 
 void control_init(struct control *control, const struct control_load *load);
--- a/src/bench/cost.c
+++ b/src/bench/cost.c
@@ -100,8 +100,8 @@
 /*
  * A stoppable job with the next id, of one of three accounts.
  */
-static struct rj_plan_job job_of(struct site *site, uint32_t tasks,
-				 uint32_t accelerators, bool adjacent)
+static struct rj_plan_job job_new(struct site *site, uint32_t tasks,
+				  uint32_t accelerators, bool adjacent)
 {
 	struct rj_plan_job job = {
 		.job_id = ++site->next_id,
@@ -144,7 +144,7 @@
 		site->planner->ops->worker(site->planner, &worker, 0);
 	}
 	for (uint32_t i = 0; i < workers * tasks_running; i++) {
-		struct rj_plan_job job = job_of(site, 1, 1, false);
+		struct rj_plan_job job = job_new(site, 1, 1, false);
 		struct rj_plan_member member = { i % workers, 1 };
 
 		site->planner->ops->adopt(site->planner, &job, &member, 1, 0);
@@ -170,15 +170,15 @@
 {
 	uint64_t retry_after_us;
 	enum rj_reason reason;
-	double from_ns;
-	double took_ns;
+	double start_ns;
+	double elapsed_ns;
 
 	rj_decisions_clear(&site->decisions);
-	from_ns = cost_now_ns();
+	start_ns = cost_now_ns();
 	site->planner->ops->submit(site->planner, &job, site->now_us, &reason,
 				   &retry_after_us);
 	site->planner->ops->pass(site->planner, site->now_us, &site->decisions);
-	took_ns = cost_now_ns() - from_ns;
+	elapsed_ns = cost_now_ns() - start_ns;
 	if (!site->decisions.count ||
 	    (site->decisions.list[0].kind == RJ_DECISION_RECLAIM) != reclaims) {
 		(void)fprintf(stderr, "cost: the job was not decided on\n");
@@ -186,7 +186,7 @@
 	}
 	site->planner->ops->ended(site->planner, job.job_id, true, RJ_US_PER_S,
 				  site->now_us);
-	return took_ns;
+	return elapsed_ns;
 }
 
 /*
@@ -194,7 +194,7 @@
  */
 static double cost_small(struct site *site)
 {
-	return time_job(site, job_of(site, 1, 1, false), false);
+	return time_job(site, job_new(site, 1, 1, false), false);
 }
 
 /*
@@ -202,7 +202,7 @@
  */
 static double cost_gang(struct site *site)
 {
-	return time_job(site, job_of(site, GANG_TASKS, 1, false), false);
+	return time_job(site, job_new(site, GANG_TASKS, 1, false), false);
 }
 
 /*
@@ -210,10 +210,10 @@
  */
 static double cost_reclaim(struct site *site)
 {
-	struct rj_plan_job job = job_of(site, 4, 8, true);
+	struct rj_plan_job job = job_new(site, 4, 8, true);
 
 	for (uint32_t i = 0; i < site->workers; i++) {
-		struct rj_plan_job filler = job_of(
+		struct rj_plan_job filler = job_new(
 			site, 1, WORKER_ACCELERATORS - TASKS_RUNNING, false);
 		struct rj_plan_member member = { i, 1 };
 
@@ -231,10 +231,10 @@
 static double cost_wave(struct site *site)
 {
 	uint64_t first = site->next_id + 1;
-	double from_ns;
+	double start_ns;
 
 	for (uint32_t i = 0; i < WAVE_JOBS; i++) {
-		struct rj_plan_job job = job_of(site, 1, 1 + i % 8, false);
+		struct rj_plan_job job = job_new(site, 1, 1 + i % 8, false);
 		uint64_t retry_after_us;
 		enum rj_reason reason;
 
@@ -244,13 +244,13 @@
 			site->planner->ops->pass(site->planner, site->now_us,
 						 &site->decisions);
 	}
-	from_ns = cost_now_ns();
+	start_ns = cost_now_ns();
 	for (uint64_t id = first; id < first + WAVE_JOBS; id++)
 		site->planner->ops->ended(site->planner, id, false, 0,
 					  site->now_us);
 	rj_decisions_clear(&site->decisions);
 	site->planner->ops->pass(site->planner, site->now_us, &site->decisions);
-	return (cost_now_ns() - from_ns) / WAVE_JOBS;
+	return (cost_now_ns() - start_ns) / WAVE_JOBS;
 }
 
 /*
@@ -264,11 +264,11 @@
 		.owned = true,
 		.foreign = { .cores = (uint32_t)(++site->next_id % 2) },
 	};
-	double from_ns = cost_now_ns();
+	double start_ns = cost_now_ns();
 
 	site->planner->ops->worker(site->planner, &worker, site->now_us);
 	site->planner->ops->pass(site->planner, site->now_us, &site->decisions);
-	return cost_now_ns() - from_ns;
+	return cost_now_ns() - start_ns;
 }
 
 /*
@@ -276,12 +276,12 @@
  */
 static double cost_configure(struct site *site)
 {
-	double from_ns = cost_now_ns();
+	double start_ns = cost_now_ns();
 
 	site->planner->ops->configure(site->planner, &site->config, "domain",
 				      site->now_us);
 	site->planner->ops->pass(site->planner, site->now_us, &site->decisions);
-	return cost_now_ns() - from_ns;
+	return cost_now_ns() - start_ns;
 }
 
 static const struct cost costs[] = {
@@ -300,7 +300,7 @@
 static double measure(const struct cost *cost, uint32_t workers,
 		      uint32_t accounts, uint32_t sites)
 {
-	double took[REPEATS_MAX];
+	double samples[REPEATS_MAX];
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < sites; i++) {
@@ -309,10 +309,10 @@
 		site_init(&site, workers, accounts, TASKS_RUNNING);
 		for (uint32_t j = 0; j < cost->repeats && count < REPEATS_MAX;
 		     j++)
-			took[count++] = cost->run(&site);
+			samples[count++] = cost->run(&site);
 		site_finish(&site);
 	}
-	return quantile_of(took, count, 0.5) / 1000;
+	return quantile_of(samples, count, 0.5) / 1000;
 }
 
 /*
@@ -344,7 +344,7 @@
  * so many of `unit`, and so many for each worker more.
  */
 void cost_print_slope(const char *name, const char *unit, uint32_t accounts,
-		      const double *took, uint32_t from)
+		      const double *samples, uint32_t from)
 {
 	double n = 0;
 	double x = 0;
@@ -358,9 +358,9 @@
 
 		n++;
 		x += workers;
-		y += took[i];
+		y += samples[i];
 		xx += workers * workers;
-		xy += workers * took[i];
+		xy += workers * samples[i];
 	}
 	slope = (n * xy - x * y) / (n * xx - x * x);
 	printf("{\"bench\":\"cost\",\"measure\":\"slope\",\"of\":\"%s\","
@@ -373,7 +373,7 @@
  */
 static void run_cost(const struct cost *cost, uint32_t accounts, uint32_t sites)
 {
-	double took[COST_SIZES] = { 0 };
+	double samples[COST_SIZES] = { 0 };
 	uint32_t from = 0;
 
 	for (uint32_t i = 0; i < COST_SIZES; i++) {
@@ -381,13 +381,14 @@
 			from = i + 1;
 			continue;
 		}
-		took[i] = measure(cost, cost_worker_counts[i], accounts, sites);
+		samples[i] =
+			measure(cost, cost_worker_counts[i], accounts, sites);
 		printf("{\"bench\":\"cost\",\"measure\":\"%s\",\"workers\":%u,"
 		       "\"accounts\":%u,\"us\":%.2f}\n",
-		       cost->name, cost_worker_counts[i], accounts, took[i]);
+		       cost->name, cost_worker_counts[i], accounts, samples[i]);
 		(void)fflush(stdout);
 	}
-	cost_print_slope(cost->name, "us", accounts, took, from);
+	cost_print_slope(cost->name, "us", accounts, samples, from);
 }
 
 /*
--- a/src/bench/cost_read.c
+++ b/src/bench/cost_read.c
@@ -23,7 +23,7 @@
 
 /* The size of the letter: jobs a day, and the tasks of one of them when
  * 33,000 run, most for hours (some 1,850 jobs of 6 hours at a time). */
-#define JOBS_A_DAY 7400
+#define JOBS_PER_DAY 7400
 #define MEMBERS 4 /* workers that a claimed job is on */
 #define MEMBER_TASKS 4
 #define BODY_BYTES 1024
@@ -64,12 +64,12 @@
 static double process_at(struct reader *reader, struct rj_event *event,
 			 uint64_t now_us)
 {
-	double from_ns = cost_now_ns();
+	double start_ns = cost_now_ns();
 
 	event->now_us = now_us;
 	rj_core_process(&reader->core, event, &reader->actions);
 	rj_actions_clear(&reader->actions);
-	return cost_now_ns() - from_ns;
+	return cost_now_ns() - start_ns;
 }
 
 /*
@@ -208,7 +208,7 @@
 	struct rj_event event = { .kind = RJ_EVENT_RECORDS };
 	struct rj_records *records = &event.u.records;
 	void *mem = talloc_new(NULL);
-	double from_ns = cost_now_ns();
+	double start_ns = cost_now_ns();
 	struct rj_log_page page;
 	double decoded_ns;
 
@@ -229,7 +229,7 @@
 		record->age_us = page.records[i].age_ms * RJ_US_PER_MS;
 	}
 	decoded_ns = cost_now_ns();
-	cost->decode_ns += decoded_ns - from_ns;
+	cost->decode_ns += decoded_ns - start_ns;
 	cost->core_ns += process(reader, &event);
 	cost->bytes += strlen(text);
 	talloc_free(mem);
@@ -251,7 +251,7 @@
  */
 void cost_read(uint32_t accounts, uint32_t repeats)
 {
-	double took[JOB_KINDS][COST_SIZES];
+	double samples[JOB_KINDS][COST_SIZES];
 
 	repeats = MIN(repeats, PAGES_MAX);
 	for (uint32_t size = 0; size < COST_SIZES; size++) {
@@ -280,17 +280,17 @@
 			reader_finish(&reader);
 		}
 		for (uint32_t kind = 0; kind < JOB_KINDS; kind++) {
-			took[kind][size] =
+			samples[kind][size] =
 				quantile_of(pages[kind], repeats, 0.5) / 1000;
 			printf("{\"bench\":\"cost\",\"measure\":\"%s\","
 			       "\"workers\":%u,\"accounts\":%u,\"us\":%.2f}\n",
 			       measure_names[kind], cost_worker_counts[size],
-			       accounts, took[kind][size]);
+			       accounts, samples[kind][size]);
 		}
 	}
 	for (uint32_t kind = 0; kind < JOB_KINDS; kind++)
 		cost_print_slope(measure_names[kind], "us", accounts,
-				 took[kind], 0);
+				 samples[kind], 0);
 }
 
 /*
@@ -308,7 +308,7 @@
  */
 void cost_catch_up(uint32_t accounts)
 {
-	uint64_t jobs = (uint64_t)RETENTION_DAYS * JOBS_A_DAY;
+	uint64_t jobs = (uint64_t)RETENTION_DAYS * JOBS_PER_DAY;
 	uint64_t total = jobs * JOB_KINDS;
 	struct rj_event timer = { .kind = RJ_EVENT_TIMER };
 	struct page_cost cost = { 0 };
@@ -359,7 +359,7 @@
 				   .accounts = accounts,
 				   .guarantees = true };
 	void *mem = talloc_new(NULL);
-	double took[PUBLICATIONS];
+	double samples[PUBLICATIONS];
 	char *before = NULL;
 	struct rj_config_log log;
 	struct rj_error_list errors;
@@ -379,11 +379,11 @@
 		else if (rj_config_change_make(mem, before, text,
 					       &record.config_change))
 			g_error("the change cannot be made");
-		took[i] = cost_now_ns();
+		samples[i] = cost_now_ns();
 		if (rj_config_log_apply(&log, &record, START_US, &errors) !=
 		    RJ_CONFIG_ACCEPTED)
 			g_error("the publication is not accepted");
-		took[i] = cost_now_ns() - took[i];
+		samples[i] = cost_now_ns() - samples[i];
 		before = text;
 		site.open_max++;
 	}
@@ -391,7 +391,7 @@
 	       "\"config_bytes\":%zu,\"us\":%.0f}\n",
 	       whole ? "publication_whole" : "publication_change", accounts,
 	       strlen(before),
-	       quantile_of(took + 1, PUBLICATIONS - 1, 0.5) / 1000);
+	       quantile_of(samples + 1, PUBLICATIONS - 1, 0.5) / 1000);
 	rj_config_log_finish(&log);
 	talloc_free(mem);
 }
--- a/src/bench/faults.c
+++ b/src/bench/faults.c
@@ -30,7 +30,7 @@
  * An assertion of the core fails in one seed of thousands: name the seed, so
  * that it can be replayed. Only async-signal-safe calls.
  */
-static void name_seed(int signal_number)
+static void print_failing_seed(int signal_number)
 {
 	char digits[24];
 	size_t at = sizeof(digits);
@@ -49,22 +49,22 @@
 	(void)raise(signal_number);
 }
 
-static void merge(struct sweep *sweep, uint64_t seed,
-		  const struct faults_result *one)
+static void merge_result(struct sweep *sweep, uint64_t seed,
+			 const struct faults_result *result)
 {
 	struct faults_result *sum = &sweep->sum;
 
 	g_mutex_lock(&sweep->lock);
 	for (uint32_t i = 0; i < PROMISE_COUNT; i++) {
-		if (one->violations[i] &&
+		if (result->violations[i] &&
 		    (!sweep->failed[i] || seed < sweep->first_seed[i])) {
 			sweep->failed[i] = true;
 			sweep->first_seed[i] = seed;
-			memcpy(sum->first[i], one->first[i],
+			memcpy(sum->first[i], result->first[i],
 			       sizeof(sum->first[i]));
 		}
 	}
-	faults_result_add(sum, one);
+	faults_result_add(sum, result);
 	g_mutex_unlock(&sweep->lock);
 }
 
@@ -72,21 +72,21 @@
 {
 	struct sweep *sweep = user_data;
 	uint64_t seed = GPOINTER_TO_SIZE(data);
-	struct faults_result one;
+	struct faults_result result;
 
 	running_seed = seed;
 	running_promise = sweep->promise;
-	faults_result_init(&one);
+	faults_result_init(&result);
 	if (sweep->place == FAULT_PLACE_APART)
-		faults_apart(sweep->engine, seed, NULL, &one);
+		faults_apart(sweep->engine, seed, NULL, &result);
 	else
 		faults_run_at(sweep->engine, sweep->place, sweep->promise, seed,
-			      NULL, &one);
-	merge(sweep, seed, &one);
-	faults_result_finish(&one);
+			      NULL, &result);
+	merge_result(sweep, seed, &result);
+	faults_result_finish(&result);
 }
 
-static void print(json_t *line)
+static void print_line(json_t *line)
 {
 	char *text = json_dumps(line, JSON_COMPACT);
 
@@ -96,7 +96,7 @@
 	json_decref(line);
 }
 
-static gint by_size(gconstpointer left, gconstpointer right)
+static gint compare_u64(gconstpointer left, gconstpointer right)
 {
 	uint64_t a = *(const uint64_t *)left;
 	uint64_t b = *(const uint64_t *)right;
@@ -109,8 +109,8 @@
 {
 	if (!times->len)
 		return;
-	g_array_sort(times, by_size);
-	print(json_pack(
+	g_array_sort(times, compare_u64);
+	print_line(json_pack(
 		"{s:s,s:s,s:s,s:s,s:i,s:I,s:I,s:I}", "bench", "faults",
 		"engine", sweep->engine->name, "measure", measure, "promise",
 		promise_string[sweep->promise], "samples", (int)times->len,
@@ -155,7 +155,7 @@
 		json_object_set_new(line, "first",
 				    json_string(sum->first[promise]));
 	}
-	print(line);
+	print_line(line);
 	print_times(sweep, "claim_settled", sum->claim_settle_us);
 	print_times(sweep, "shape_reclaimed", sum->reclaim_us);
 	print_times(sweep, "config_in_force", sum->config_us);
@@ -195,15 +195,15 @@
 	faults_result_init(&sum);
 	for (uint64_t i = 0; i < seeds; i++)
 		faults_served(engine, trouble, from + i, &sum);
-	print(json_pack("{s:s,s:s,s:s,s:s,s:I,s:i,s:i,s:f,s:f,s:i,s:i}",
-			"bench", "faults", "engine", engine->name, "measure",
-			"served", "trouble", trouble_string[trouble], "runs",
-			(json_int_t)seeds, "asked", (int)sum.asked, "served",
-			(int)sum.served, "share",
-			(double)sum.served / sum.asked, "share_prompt",
-			(double)sum.prompt / sum.asked, "not_run",
-			(int)sum.counts[RJ_ANSWER_NOT_RUN], "unanswered",
-			(int)sum.unanswered));
+	print_line(json_pack("{s:s,s:s,s:s,s:s,s:I,s:i,s:i,s:f,s:f,s:i,s:i}",
+			     "bench", "faults", "engine", engine->name,
+			     "measure", "served", "trouble",
+			     trouble_string[trouble], "runs", (json_int_t)seeds,
+			     "asked", (int)sum.asked, "served", (int)sum.served,
+			     "share", (double)sum.served / sum.asked,
+			     "share_prompt", (double)sum.prompt / sum.asked,
+			     "not_run", (int)sum.counts[RJ_ANSWER_NOT_RUN],
+			     "unanswered", (int)sum.unanswered));
 	faults_result_finish(&sum);
 }
 
@@ -227,10 +227,11 @@
 		if (!result.violations[i])
 			continue;
 		status = 1;
-		print(json_pack("{s:s,s:I,s:I,s:s}", "promise",
-				promise_string[i], "seed", (json_int_t)seed,
-				"violations", (json_int_t)result.violations[i],
-				"first", result.first[i]));
+		print_line(json_pack("{s:s,s:I,s:I,s:s}", "promise",
+				     promise_string[i], "seed",
+				     (json_int_t)seed, "violations",
+				     (json_int_t)result.violations[i], "first",
+				     result.first[i]));
 	}
 	faults_result_finish(&result);
 	return status;
@@ -346,9 +347,9 @@
 			    stderr);
 		goto out;
 	}
-	(void)signal(SIGABRT, name_seed);
-	(void)signal(SIGTRAP, name_seed);
-	(void)signal(SIGSEGV, name_seed);
+	(void)signal(SIGABRT, print_failing_seed);
+	(void)signal(SIGTRAP, print_failing_seed);
+	(void)signal(SIGSEGV, print_failing_seed);
 	if (seed->count)
 		status = run_one(ops, where, only, (uint64_t)seed->ival[0],
 				 transcript->count);
--- a/src/bench/large_site.c
+++ b/src/bench/large_site.c
@@ -7,9 +7,9 @@
 #include <talloc.h>
 
 /* Leases that live long enough for rare reports: docs/CONFIGURATION.md. */
-#define LEASE_A_WORKER_MS 750
-#define LEASE_LEAST_MS 5000
-#define LEASE_MOST_MS 600000 /* as a configuration may have it */
+#define LEASE_PER_WORKER_MS 750
+#define LEASE_MIN_MS 5000
+#define LEASE_MAX_MS 600000 /* as a configuration may have it */
 
 /*
  * The name of a failure domain; the first is the one that is measured.
@@ -86,9 +86,9 @@
 		domains, "accounts", accounts, "classes", "name", "render",
 		"priority", "normal", "idempotent", 1, "checkpoint", 1,
 		"expected_ms", 1000, "limits", "lease_life_ms",
-		(int)MIN(LEASE_MOST_MS,
-			 LEASE_A_WORKER_MS * site->workers / site->instances +
-				 LEASE_LEAST_MS));
+		(int)MIN(LEASE_MAX_MS,
+			 LEASE_PER_WORKER_MS * site->workers / site->instances +
+				 LEASE_MIN_MS));
 	text = json_dumps(json, JSON_COMPACT);
 	g_assert(text);
 	result = talloc_strdup(mem, text);
--- a/src/bench/load.c
+++ b/src/bench/load.c
@@ -13,7 +13,7 @@
 #define ANSWER_MAX_BYTES (1024UL * 1024)
 
 /* One request; owned by the client. */
-struct shot {
+struct request {
 	struct load *load;
 	uint64_t due_us; /* when it should have been sent */
 };
@@ -21,13 +21,14 @@
 static void send_due(struct load *load);
 
 /* Count an answer and send what it made room for. */
-static void shot_done(void *private_data, const struct rj_http_result *result)
+static void request_done(void *private_data,
+			 const struct rj_http_result *result)
 {
-	const struct shot *shot = private_data;
-	struct load *load = shot->load;
+	const struct request *request = private_data;
+	struct load *load = request->load;
 	uint64_t now_us = rj_clock_now_us();
 
-	load->took_us[load->ended++] = (uint32_t)(now_us - shot->due_us);
+	load->took_us[load->ended++] = (uint32_t)(now_us - request->due_us);
 	load->ended_us = now_us;
 	if (result->outcome != RJ_HTTP_ANSWERED ||
 	    !load->options.check(load, result->body))
@@ -36,28 +37,28 @@
 }
 
 /* Send the next request, whose time counts from `due_us`. */
-static void shoot(struct load *load, uint64_t due_us)
+static void send_request(struct load *load, uint64_t due_us)
 {
-	struct shot *shot = talloc_zero(NULL, struct shot);
+	struct request *request = talloc_zero(NULL, struct request);
 	struct rj_http_send send = {
 		.method = "POST",
 		.timeout_us = load->options.timeout_us,
 		.answer_max_bytes = ANSWER_MAX_BYTES,
-		.done = shot_done,
-		.private_data = shot,
+		.done = request_done,
+		.private_data = request,
 	};
 
-	assert(shot);
-	shot->load = load;
-	shot->due_us = due_us;
-	load->options.make(load, shot, load->sent++, &send);
+	assert(request);
+	request->load = load;
+	request->due_us = due_us;
+	load->options.make(load, request, load->sent++, &send);
 	rj_http_client_send(&load->client, &send);
 }
 
 /* When the request after those sent is due at the rate. */
 static uint64_t next_due_us(const struct load *load)
 {
-	return load->began_us +
+	return load->started_us +
 	       (uint64_t)load->sent * RJ_US_PER_S / load->options.rate;
 }
 
@@ -76,7 +77,7 @@
 
 		if (due_us > now_us)
 			return;
-		shoot(load, due_us);
+		send_request(load, due_us);
 	}
 }
 
@@ -148,7 +149,7 @@
 	}
 	if (options->header)
 		rj_http_client_add_header(&load->client, options->header);
-	load->began_us = rj_clock_now_us();
+	load->started_us = rj_clock_now_us();
 	if (!options->rate)
 		send_due(load);
 	while (load->ended < options->count)
@@ -174,7 +175,7 @@
 double load_per_second(const struct load *load)
 {
 	return (double)load->ended * (double)RJ_US_PER_S /
-	       (double)(load->ended_us - load->began_us);
+	       (double)(load->ended_us - load->started_us);
 }
 
 /*
--- a/src/bench/load.h
+++ b/src/bench/load.h
@@ -33,11 +33,11 @@
 	uint32_t sent;
 	uint32_t ended;
 	uint32_t wrong; /* without the answer that was wanted */
-	uint64_t began_us;
+	uint64_t started_us;
 	uint64_t ended_us;
 	/* Of the daemon, set by the caller: */
-	uint64_t processor_us;
-	uint64_t without_core_us; /* ready to run, and no core was free */
+	uint64_t cpu_us;
+	uint64_t run_delay_us; /* ready to run, and no core was free */
 	uint32_t *took_us; /* sorted once all have ended */
 };
 
--- a/src/bench/main.c
+++ b/src/bench/main.c
@@ -23,7 +23,7 @@
 	(void)fputs("usage: rj-bench COMMAND [OPTIONS]; COMMAND --help\n", out);
 	for (size_t i = 0; i < COMMAND_COUNT; i++)
 		(void)fprintf(out, "  %-10s %s\n", commands[i].name,
-			      commands[i].what);
+			      commands[i].description);
 	return out == stderr ? 2 : 0;
 }
 
--- a/src/bench/ownership.c
+++ b/src/bench/ownership.c
@@ -23,9 +23,9 @@
 #define ACCELERATORS (RACKS * RACK_WORKERS * 8)
 /* Of a job of the mix below: what it occupies, in microseconds. */
 #define MEAN_ACCELERATOR_US (6300 * RJ_US_PER_MS)
-#define HTTP_BYTES 330 /* as in `bench control` */
+#define HTTP_HEADER_BYTES 330 /* as in `bench control` */
 #define FRAME_BYTES 48
-#define LOAD_FROM_US (10 * RJ_US_PER_S)
+#define LOAD_START_US (10 * RJ_US_PER_S)
 #define LOAD_US (60 * RJ_US_PER_S)
 #define END_US (130 * RJ_US_PER_S)
 /* In the mode `cut`: links fail for so long, in each such period. */
@@ -37,7 +37,7 @@
 
 static const char *const mode_string[MODE_COUNT] = { "owned", "cut", "any" };
 
-struct tally {
+struct counts {
 	uint64_t calls;
 	uint64_t reports;
 	uint64_t report_bytes;
@@ -48,18 +48,18 @@
 };
 
 /* A core whose actions and replies are counted. */
-struct counted {
+struct counting_engine {
 	struct engine base;
 	struct engine *inner;
 	GHashTable *calls; /* call_id -> struct rj_worker_call, reports */
 	GHashTable *workers; /* names of those called */
-	struct tally tally;
+	struct counts counts;
 };
 
-static int counted_release(struct counted *counted)
+static int counted_release(struct counting_engine *counting_engine)
 {
-	g_hash_table_destroy(counted->calls);
-	g_hash_table_destroy(counted->workers);
+	g_hash_table_destroy(counting_engine->calls);
+	g_hash_table_destroy(counting_engine->workers);
 	return 0;
 }
 
@@ -69,66 +69,68 @@
 static struct engine *counted_create(void *mem,
 				     const struct rj_core_options *options)
 {
-	struct counted *counted = talloc_zero(mem, struct counted);
-
-	g_assert(counted);
-	counted->base.ops = &engine_counted;
-	counted->inner = engine_core.create(counted, options);
-	counted->calls = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-					       NULL, g_free);
-	counted->workers =
+	struct counting_engine *counting_engine =
+		talloc_zero(mem, struct counting_engine);
+
+	g_assert(counting_engine);
+	counting_engine->base.ops = &engine_counted;
+	counting_engine->inner = engine_core.create(counting_engine, options);
+	counting_engine->calls = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, NULL, g_free);
+	counting_engine->workers =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	talloc_set_destructor(counted, counted_release);
-	return &counted->base;
+	talloc_set_destructor(counting_engine, counted_release);
+	return &counting_engine->base;
 }
 
 /* Count a call to a worker; a report is kept until its answer comes. */
-static void count_call(struct counted *counted,
+static void count_call(struct counting_engine *counting_engine,
 		       const struct rj_worker_call *call)
 {
 	struct rj_worker_call *copy;
 	void *mem;
 
-	counted->tally.calls++;
-	g_hash_table_add(counted->workers, g_strdup(call->worker));
+	counting_engine->counts.calls++;
+	g_hash_table_add(counting_engine->workers, g_strdup(call->worker));
 	if (call->op != RJ_WORKER_REPORT)
 		return;
 	mem = talloc_new(NULL);
-	counted->tally.reports++;
-	counted->tally.report_bytes +=
-		strlen(rj_worker_wire_encode_call(mem, call)) + HTTP_BYTES;
+	counting_engine->counts.reports++;
+	counting_engine->counts.report_bytes +=
+		strlen(rj_worker_wire_encode_call(mem, call)) +
+		HTTP_HEADER_BYTES;
 	talloc_free(mem);
 	copy = g_memdup2(call, sizeof(*call));
-	g_hash_table_insert(counted->calls, &copy->call_id, copy);
+	g_hash_table_insert(counting_engine->calls, &copy->call_id, copy);
 }
 
 /* Count the answer to a call. */
-static void count_reply(struct counted *counted,
+static void count_reply(struct counting_engine *counting_engine,
 			const struct rj_worker_reply *reply)
 {
 	const struct rj_worker_call *call =
-		g_hash_table_lookup(counted->calls, &reply->call_id);
+		g_hash_table_lookup(counting_engine->calls, &reply->call_id);
 	void *mem;
 
-	counted->tally.refused += reply->status == RJ_REPLY_REFUSED;
+	counting_engine->counts.refused += reply->status == RJ_REPLY_REFUSED;
 	if (!call)
 		return;
 	if (reply->status == RJ_REPLY_OK) {
 		mem = talloc_new(NULL);
-		counted->tally.report_bytes +=
+		counting_engine->counts.report_bytes +=
 			strlen(rj_worker_wire_encode_reply(mem, call, reply));
 		talloc_free(mem);
 	}
-	g_hash_table_remove(counted->calls, &reply->call_id);
+	g_hash_table_remove(counting_engine->calls, &reply->call_id);
 }
 
 /* Count what goes to a peer. */
-static void count_message(struct counted *counted,
+static void count_message(struct counting_engine *counting_engine,
 			  const struct rj_peer_message *message)
 {
 	void *mem = talloc_new(NULL);
 
-	counted->tally.peer_bytes +=
+	counting_engine->counts.peer_bytes +=
 		rj_peer_encode(mem, message).length + FRAME_BYTES;
 	talloc_free(mem);
 }
@@ -137,29 +139,32 @@
 static void counted_process(struct engine *base, const struct rj_event *event,
 			    struct rj_actions *actions)
 {
-	struct counted *counted = (struct counted *)base;
+	struct counting_engine *counting_engine =
+		(struct counting_engine *)base;
 
 	if (event->kind == RJ_EVENT_WORKER_REPLY)
-		count_reply(counted, &event->u.worker_reply);
-	counted->inner->ops->process(counted->inner, event, actions);
+		count_reply(counting_engine, &event->u.worker_reply);
+	counting_engine->inner->ops->process(counting_engine->inner, event,
+					     actions);
 	for (uint32_t i = 0; i < actions->count; i++) {
 		const struct rj_action *action = &actions->list[i];
 
 		if (action->kind == RJ_ACTION_WORKER_CALL)
-			count_call(counted, &action->u.worker_call);
+			count_call(counting_engine, &action->u.worker_call);
 		else if (action->kind == RJ_ACTION_PEER_SEND)
-			count_message(counted, action->u.peer.message);
+			count_message(counting_engine, action->u.peer.message);
 		else if (action->kind == RJ_ACTION_LOG)
-			counted->tally.claims_lost +=
+			counting_engine->counts.claims_lost +=
 				action->u.log.why == RJ_REASON_CLAIM_LOST;
 	}
 }
 
 static uint64_t counted_wake_us(const struct engine *base)
 {
-	const struct counted *counted = (const struct counted *)base;
+	const struct counting_engine *counting_engine =
+		(const struct counting_engine *)base;
 
-	return counted->inner->ops->wake_us(counted->inner);
+	return counting_engine->inner->ops->wake_us(counting_engine->inner);
 }
 
 static const struct engine_ops engine_counted = {
@@ -209,7 +214,7 @@
 			plan.run_us *= 3;
 		}
 		fake_caller_add(world,
-				LOAD_FROM_US + world_random(world, LOAD_US),
+				LOAD_START_US + world_random(world, LOAD_US),
 				&plan);
 	}
 }
@@ -220,29 +225,30 @@
 	cut_links(world, mode == MODE_ANY);
 	for (uint64_t at_us = 0; mode == MODE_CUT && at_us < LOAD_US;
 	     at_us += CUT_PERIOD_US) {
-		world_run_until(world, LOAD_FROM_US + at_us);
+		world_run_until(world, LOAD_START_US + at_us);
 		cut_links(world, true);
-		world_run_until(world, LOAD_FROM_US + at_us + CUT_US);
+		world_run_until(world, LOAD_START_US + at_us + CUT_US);
 		cut_links(world, false);
 	}
 	world_run_until(world, END_US);
 }
 
 /* Add one instance's counts. */
-static void add_tally(struct tally *sum, const struct counted *counted)
+static void add_counts(struct counts *sum,
+		       const struct counting_engine *counting_engine)
 {
-	sum->calls += counted->tally.calls;
-	sum->reports += counted->tally.reports;
-	sum->report_bytes += counted->tally.report_bytes;
-	sum->refused += counted->tally.refused;
-	sum->claims_lost += counted->tally.claims_lost;
-	sum->peer_bytes += counted->tally.peer_bytes;
-	sum->links += g_hash_table_size(counted->workers);
+	sum->calls += counting_engine->counts.calls;
+	sum->reports += counting_engine->counts.reports;
+	sum->report_bytes += counting_engine->counts.report_bytes;
+	sum->refused += counting_engine->counts.refused;
+	sum->claims_lost += counting_engine->counts.claims_lost;
+	sum->peer_bytes += counting_engine->counts.peer_bytes;
+	sum->links += g_hash_table_size(counting_engine->workers);
 }
 
 /* What several runs of one mode came to. */
 struct outcome {
-	struct tally tally;
+	struct counts counts;
 	GArray *small_ms; /* double: completion of previews and quotes */
 	GArray *gang_ms;
 	uint32_t asked;
@@ -265,8 +271,8 @@
 	add_callers(world, load_percent);
 	run_mode(world, mode);
 	for (uint32_t i = 0; i < world->node_count; i++)
-		add_tally(&outcome->tally,
-			  (struct counted *)world->nodes[i].engine);
+		add_counts(&outcome->counts,
+			   (struct counting_engine *)world->nodes[i].engine);
 	for (guint i = 0; i < world->callers->len; i++) {
 		const struct fake_caller *caller = world->callers->pdata[i];
 		double took_ms =
@@ -301,7 +307,7 @@
 static void print(const struct outcome *outcome, enum mode mode,
 		  uint32_t instances, uint32_t seeds)
 {
-	const struct tally *tally = &outcome->tally;
+	const struct counts *counts = &outcome->counts;
 	double seconds = (double)END_US / RJ_US_PER_S * seeds;
 	double each = seconds * instances;
 
@@ -315,11 +321,11 @@
 	       "\"small_p95_ms\":%.0f,\"gang_p50_ms\":%.0f,"
 	       "\"gang_p95_ms\":%.0f,\"violations\":%" G_GUINT64_FORMAT "}\n",
 	       mode_string[mode], instances, RACKS * RACK_WORKERS, seeds,
-	       (double)tally->links / (RACKS * RACK_WORKERS) / seeds,
-	       (double)tally->reports / seconds / (RACKS * RACK_WORKERS),
-	       (double)tally->report_bytes / each,
-	       (double)tally->peer_bytes / each, tally->calls, tally->refused,
-	       tally->claims_lost, outcome->asked,
+	       (double)counts->links / (RACKS * RACK_WORKERS) / seeds,
+	       (double)counts->reports / seconds / (RACKS * RACK_WORKERS),
+	       (double)counts->report_bytes / each,
+	       (double)counts->peer_bytes / each, counts->calls,
+	       counts->refused, counts->claims_lost, outcome->asked,
 	       outcome->small_ms->len + outcome->gang_ms->len,
 	       quantile(outcome->small_ms, 0.5),
 	       quantile(outcome->small_ms, 0.95),
--- a/src/bench/path.c
+++ b/src/bench/path.c
@@ -18,9 +18,9 @@
 /* Half of the load that one instance is to carry. */
 #define HALF_LOAD_PER_S 2500
 /* Held open long enough to read the daemon's memory. */
-#define HELD_RUN_MS 1000
+#define OPEN_JOB_RUN_MS 1000
 /* Enough that the memory of each tells from the allocator's steps. */
-#define HELD_REQUESTS 1000
+#define OPEN_REQUESTS 1000
 /* Enough points to tell a slope from a level that is reached. */
 #define SOAK_STEPS 10
 #define SMALL_BODY "{\"run_ms\":0,\"echo\":\"preview\"}"
@@ -109,7 +109,7 @@
 }
 
 /* Processor time of a process so far in microseconds, or 0. */
-static uint64_t processor_us(int pid)
+static uint64_t cpu_us(int pid)
 {
 	char name[32];
 	uint64_t user = 0;
@@ -135,7 +135,7 @@
  * microseconds, or 0. On a machine that does other work as well this tells
  * the daemon's latency from the machine's.
  */
-static uint64_t without_core_us(int pid)
+static uint64_t run_delay_us(int pid)
 {
 	char name[32];
 	uint64_t waited_ns = 0;
@@ -178,61 +178,62 @@
 		"p50_us", (int)load_percentile_us(load, 500), "p99_us",
 		(int)load_percentile_us(load, 990), "max_us",
 		(int)load_percentile_us(load, 1000), "daemon_cpu_us_each",
-		(double)load->processor_us / (double)load->ended,
+		(double)load->cpu_us / (double)load->ended,
 		"daemon_without_core_us_each",
-		(double)load->without_core_us / (double)load->ended);
+		(double)load->run_delay_us / (double)load->ended);
 }
 
 /* How a request goes: through the daemon, or straight to a worker. */
-struct way {
+struct route {
 	const char *name;
 	void (*make)(const struct load *load, void *mem, uint32_t index,
 		     struct rj_http_send *send);
 	bool (*check)(const struct load *load, const char *answer);
 };
 
-static const struct way through = { "through", make_submit, check_submit };
-static const struct way direct = { "direct", make_run, check_run };
+static const struct route via_daemon = { "through", make_submit, check_submit };
+static const struct route to_worker = { "direct", make_run, check_run };
 
 /* Run one load, print it and add its wrong answers to `wrong`. */
-static int measure(struct path *path, const struct way *way, uint32_t rate,
+static int measure(struct path *path, const struct route *route, uint32_t rate,
 		   struct load *load, uint32_t *wrong)
 {
 	struct load_options options = {
-		.make = way->make,
-		.check = way->check,
+		.make = route->make,
+		.check = route->check,
 		.data = path,
-		.header = way == &through ? path->header : NULL,
+		.header = route == &via_daemon ? path->header : NULL,
 		.count = path->count,
 		.concurrency = path->concurrency,
 		.rate = rate,
 		.timeout_us = TIMEOUT_US,
 	};
-	uint64_t before_us = processor_us(path->pid);
-	uint64_t waited_us = without_core_us(path->pid);
+	uint64_t before_us = cpu_us(path->pid);
+	uint64_t waited_us = run_delay_us(path->pid);
 	char name[64];
 
 	path->run_id++;
 	if (load_run(load, &options))
 		return -1;
 	*wrong += load->wrong;
-	load->processor_us = processor_us(path->pid) - before_us;
-	load->without_core_us = without_core_us(path->pid) - waited_us;
-	snprintf(name, sizeof(name), "%s_%s", way->name,
+	load->cpu_us = cpu_us(path->pid) - before_us;
+	load->run_delay_us = run_delay_us(path->pid) - waited_us;
+	snprintf(name, sizeof(name), "%s_%s", route->name,
 		 rate ? "at_rate" : "at_most");
 	print_measure(name, load_values(load));
 	return 0;
 }
 
 /* The latency that the daemon adds, both ways at the same rate. */
-static int measure_added(struct path *path, uint32_t rate, uint32_t *wrong)
+static int measure_added_latency(struct path *path, uint32_t rate,
+				 uint32_t *wrong)
 {
 	struct load one;
 	struct load two;
 
-	if (measure(path, &direct, rate, &one, wrong))
+	if (measure(path, &to_worker, rate, &one, wrong))
 		return -1;
-	if (measure(path, &through, rate, &two, wrong)) {
+	if (measure(path, &via_daemon, rate, &two, wrong)) {
 		load_finish(&one);
 		return -1;
 	}
@@ -250,32 +251,32 @@
 }
 
 /* Requests a second, as fast as the answers come. */
-static int measure_most(struct path *path, const struct way *way,
-			uint32_t *wrong)
+static int measure_throughput(struct path *path, const struct route *route,
+			      uint32_t *wrong)
 {
 	struct load load;
 
-	if (measure(path, way, 0, &load, wrong))
+	if (measure(path, route, 0, &load, wrong))
 		return -1;
 	load_finish(&load);
 	return 0;
 }
 
 /* A job that stays open while the memory is read. */
-static void make_held(const struct load *load, void *mem, uint32_t index,
-		      struct rj_http_send *send)
+static void make_open_job(const struct load *load, void *mem, uint32_t index,
+			  struct rj_http_send *send)
 {
 	const struct path *path = load->options.data;
 
 	send->url = rj_http_url(mem, &path->daemon, "/v1/jobs");
 	send->body = talloc_asprintf(
 		mem, "{\"class\":\"%s\",\"body\":{\"run_ms\":%d}}",
-		path->class_name, HELD_RUN_MS);
+		path->class_name, OPEN_JOB_RUN_MS);
 	send->length = strlen(send->body);
 }
 
 /* The memory is read when the first of the held jobs has been answered. */
-static bool check_held(const struct load *load, const char *answer)
+static bool check_open_job(const struct load *load, const char *answer)
 {
 	const struct path *path = load->options.data;
 	uint64_t bytes;
@@ -293,15 +294,15 @@
 }
 
 /* The memory of the daemon while it holds many open requests. */
-static int measure_held(struct path *path)
+static int measure_open_memory(struct path *path)
 {
 	struct load_options options = {
-		.make = make_held,
-		.check = check_held,
+		.make = make_open_job,
+		.check = check_open_job,
 		.data = path,
 		.header = path->header,
-		.count = HELD_REQUESTS,
-		.concurrency = HELD_REQUESTS,
+		.count = OPEN_REQUESTS,
+		.concurrency = OPEN_REQUESTS,
 		.timeout_us = TIMEOUT_US,
 	};
 	struct load load;
@@ -322,7 +323,7 @@
 
 	path->count = requests / SOAK_STEPS;
 	for (uint32_t step = 1; step <= SOAK_STEPS; step++) {
-		if (measure_most(path, &through, &wrong))
+		if (measure_throughput(path, &via_daemon, &wrong))
 			return EXIT_FAILURE;
 		print_measure("memory_soak",
 			      json_pack("{s:I, s:I}", "requests",
@@ -374,10 +375,10 @@
 	path->idle_bytes = resident_bytes(path->pid);
 	print_measure("memory_idle", json_pack("{s:I}", "resident_bytes",
 					       (json_int_t)path->idle_bytes));
-	if (measure_held(path) ||
-	    measure_added(path, HALF_LOAD_PER_S, &wrong) ||
-	    measure_most(path, &direct, &wrong) ||
-	    measure_most(path, &through, &wrong))
+	if (measure_open_memory(path) ||
+	    measure_added_latency(path, HALF_LOAD_PER_S, &wrong) ||
+	    measure_throughput(path, &to_worker, &wrong) ||
+	    measure_throughput(path, &via_daemon, &wrong))
 		return EXIT_FAILURE;
 	print_measure("memory_after",
 		      json_pack("{s:I}", "resident_bytes",
--- a/src/bench/policy.c
+++ b/src/bench/policy.c
@@ -11,17 +11,17 @@
 #define SEEDS_MAX 200
 #define SEED_DEFAULT 1
 
-enum contender {
-	CONTENDER_TOPOLOGY,
-	CONTENDER_FIRST_FIT,
-	CONTENDER_EASY,
-	CONTENDER_COUNT
+enum planner_kind {
+	PLANNER_TOPOLOGY,
+	PLANNER_FIRST_FIT,
+	PLANNER_EASY,
+	PLANNER_COUNT
 };
 
-static const struct plan_maker *const makers[CONTENDER_COUNT] = {
-	[CONTENDER_TOPOLOGY] = &plan_maker_topology,
-	[CONTENDER_FIRST_FIT] = &plan_maker_first_fit,
-	[CONTENDER_EASY] = &plan_maker_easy,
+static const struct plan_maker *const factories[PLANNER_COUNT] = {
+	[PLANNER_TOPOLOGY] = &plan_maker_topology,
+	[PLANNER_FIRST_FIT] = &plan_maker_first_fit,
+	[PLANNER_EASY] = &plan_maker_easy,
 };
 
 /* One load with its results for each seed. */
@@ -29,7 +29,7 @@
 	enum stream_users users;
 	enum stream_load load;
 	uint32_t seeds;
-	struct plan_result results[CONTENDER_COUNT][SEEDS_MAX];
+	struct plan_result results[PLANNER_COUNT][SEEDS_MAX];
 	double bound_s[STREAM_CLASSES][SEEDS_MAX];
 	char class_names[STREAM_CLASSES][RJ_NAME_BYTES];
 };
@@ -48,20 +48,20 @@
 /*
  * The median over the seeds of the member at `offset` of the result.
  */
-static double median_at(const struct series *series, enum contender contender,
-			size_t offset)
+static double median_at(const struct series *series,
+			enum planner_kind planner_kind, size_t offset)
 {
 	double values[SEEDS_MAX];
 
 	for (uint32_t i = 0; i < series->seeds; i++)
 		memcpy(&values[i],
-		       (const char *)&series->results[contender][i] + offset,
+		       (const char *)&series->results[planner_kind][i] + offset,
 		       sizeof(values[i]));
 	return median_of(values, series->seeds);
 }
 
-#define MEDIAN(series, contender, member) \
-	median_at(series, contender, offsetof(struct plan_result, member))
+#define MEDIAN(series, planner_kind, member) \
+	median_at(series, planner_kind, offsetof(struct plan_result, member))
 
 /*
  * Begin a line; the caller adds the measure and ends it.
@@ -78,23 +78,25 @@
  * Print the completion times of each class and account.
  */
 static void print_completions(const struct series *series,
-			      enum contender contender)
+			      enum planner_kind planner_kind)
 {
 	for (uint32_t i = 0; i < STREAM_CLASSES; i++)
 		for (uint32_t j = 0; j <= STREAM_ACCOUNTS; j++) {
 			char account[16];
 
 			snprintf(account, sizeof(account), "account%u", j);
-			line_begin(series, makers[contender]->name);
+			line_begin(series, factories[planner_kind]->name);
 			printf("\"measure\":\"completion_s\",\"class\":\"%s\","
 			       "\"account\":\"%s\",\"jobs\":%.0f,"
 			       "\"p50\":%.2f,\"p95\":%.2f,\"p99\":%.2f}\n",
 			       series->class_names[i],
 			       j == STREAM_ACCOUNTS ? "all" : account,
-			       MEDIAN(series, contender, count[i][j]),
-			       MEDIAN(series, contender, completion_s[i][j][0]),
-			       MEDIAN(series, contender, completion_s[i][j][1]),
-			       MEDIAN(series, contender,
+			       MEDIAN(series, planner_kind, count[i][j]),
+			       MEDIAN(series, planner_kind,
+				      completion_s[i][j][0]),
+			       MEDIAN(series, planner_kind,
+				      completion_s[i][j][1]),
+			       MEDIAN(series, planner_kind,
 				      completion_s[i][j][2]));
 		}
 }
@@ -102,8 +104,8 @@
 /*
  * Print all that was measured of one planner.
  */
-static void print_contender(const struct series *series,
-			    enum contender contender)
+static void print_planner(const struct series *series,
+			  enum planner_kind planner_kind)
 {
 	const struct {
 		const char *name;
@@ -126,17 +128,17 @@
 		{ "failures", offsetof(struct plan_result, failures) },
 	};
 
-	print_completions(series, contender);
-	line_begin(series, makers[contender]->name);
+	print_completions(series, planner_kind);
+	line_begin(series, factories[planner_kind]->name);
 	printf("\"measure\":\"largest_gang_wait_s\",\"p50\":%.2f,\"p95\":%.2f,"
 	       "\"p99\":%.2f}\n",
-	       MEDIAN(series, contender, gang_wait_s[0]),
-	       MEDIAN(series, contender, gang_wait_s[1]),
-	       MEDIAN(series, contender, gang_wait_s[2]));
+	       MEDIAN(series, planner_kind, gang_wait_s[0]),
+	       MEDIAN(series, planner_kind, gang_wait_s[1]),
+	       MEDIAN(series, planner_kind, gang_wait_s[2]));
 	for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
-		line_begin(series, makers[contender]->name);
+		line_begin(series, factories[planner_kind]->name);
 		printf("\"measure\":\"%s\",\"value\":%.4f}\n", rows[i].name,
-		       median_at(series, contender, rows[i].offset));
+		       median_at(series, planner_kind, rows[i].offset));
 	}
 }
 
@@ -146,7 +148,7 @@
 static void print_target(const struct series *series, const char *name,
 			 double value, double limit, bool at_most)
 {
-	line_begin(series, makers[CONTENDER_TOPOLOGY]->name);
+	line_begin(series, factories[PLANNER_TOPOLOGY]->name);
 	printf("\"measure\":\"target\",\"name\":\"%s\",\"value\":%.3f,"
 	       "\"%s\":%.3f,\"reached\":%s}\n",
 	       name, value, at_most ? "at_most" : "at_least", limit,
@@ -168,20 +170,21 @@
  */
 static void print_targets(const struct series *series)
 {
-	double urgent = MEDIAN(series, CONTENDER_TOPOLOGY,
+	double urgent = MEDIAN(series, PLANNER_TOPOLOGY,
 			       completion_s[STREAM_LESSON][STREAM_ACCOUNTS][1]);
-	double naive = MEDIAN(series, CONTENDER_FIRST_FIT,
-			      completion_s[STREAM_LESSON][STREAM_ACCOUNTS][1]);
-	double best = MAX(MEDIAN(series, CONTENDER_FIRST_FIT, utilisation),
-			  MEDIAN(series, CONTENDER_EASY, utilisation));
+	double first_fit =
+		MEDIAN(series, PLANNER_FIRST_FIT,
+		       completion_s[STREAM_LESSON][STREAM_ACCOUNTS][1]);
+	double best = MAX(MEDIAN(series, PLANNER_FIRST_FIT, utilisation),
+			  MEDIAN(series, PLANNER_EASY, utilisation));
 	double late = 0;
 
 	for (uint32_t i = 0; i < series->seeds; i++)
-		late += series->results[CONTENDER_TOPOLOGY][i].guaranteed_late;
+		late += series->results[PLANNER_TOPOLOGY][i].guaranteed_late;
 	if (series->load == STREAM_BURST_SMALL ||
 	    series->load == STREAM_BURST_LARGE)
 		print_target(series, "urgent_p95_to_first_fit",
-			     ratio(urgent, naive), 0.5, true);
+			     ratio(urgent, first_fit), 0.5, true);
 	if (series->load == STREAM_MIXED90)
 		print_target(
 			series, "urgent_p95_to_bound",
@@ -189,17 +192,16 @@
 						series->seeds)),
 			1.25, true);
 	print_target(series, "largest_gang_wait_p95_to_first_fit",
-		     ratio(MEDIAN(series, CONTENDER_TOPOLOGY, gang_wait_s[1]),
-			   MEDIAN(series, CONTENDER_FIRST_FIT, gang_wait_s[1])),
+		     ratio(MEDIAN(series, PLANNER_TOPOLOGY, gang_wait_s[1]),
+			   MEDIAN(series, PLANNER_FIRST_FIT, gang_wait_s[1])),
 		     1.0 / 3, true);
 	print_target(series, "fragmentation_to_first_fit",
-		     ratio(MEDIAN(series, CONTENDER_TOPOLOGY, fragmentation),
-			   MEDIAN(series, CONTENDER_FIRST_FIT, fragmentation)),
+		     ratio(MEDIAN(series, PLANNER_TOPOLOGY, fragmentation),
+			   MEDIAN(series, PLANNER_FIRST_FIT, fragmentation)),
 		     0.5, true);
-	print_target(
-		series, "utilisation_to_best_baseline",
-		ratio(MEDIAN(series, CONTENDER_TOPOLOGY, utilisation), best),
-		0.97, false);
+	print_target(series, "utilisation_to_best_baseline",
+		     ratio(MEDIAN(series, PLANNER_TOPOLOGY, utilisation), best),
+		     0.97, false);
 	print_target(series, "guaranteed_late_all_seeds", late, 0, true);
 }
 
@@ -213,9 +215,9 @@
 
 		plan_stream_init(&stream, NULL, series->users, series->load,
 				 seed + i, STREAM_HORIZON_US);
-		for (uint32_t j = 0; j < CONTENDER_COUNT; j++) {
+		for (uint32_t j = 0; j < PLANNER_COUNT; j++) {
 			struct plan_world_options options = {
-				.maker = makers[j],
+				.maker = factories[j],
 			};
 
 			plan_world_run(&stream, &options,
@@ -315,8 +317,8 @@
 	series->load = load_index;
 	run_series(series,
 		   seed->count ? (uint64_t)seed->ival[0] : SEED_DEFAULT);
-	for (uint32_t i = 0; i < CONTENDER_COUNT; i++)
-		print_contender(series, i);
+	for (uint32_t i = 0; i < PLANNER_COUNT; i++)
+		print_planner(series, i);
 	print_bound(series);
 	print_targets(series);
 	status = 0;
--- a/src/libstandin/list_history.c
+++ b/src/libstandin/list_history.c
@@ -7,12 +7,12 @@
 /*
  * Note a change of the line of `name` in the list of version `before`.
  */
-void rj_standin_history_note(struct rj_standin_history *history,
-			     uint64_t before, const char *name)
+void rj_standin_history_record(struct rj_standin_history *history,
+			       uint64_t version_before, const char *name)
 {
-	uint64_t at = history->count++ % RJ_STANDIN_HISTORY_KEPT;
+	uint64_t at = history->count++ % RJ_STANDIN_HISTORY_MAX;
 
-	history->changes[at].before = before;
+	history->changes[at].version_before = version_before;
 	(void)rj_name_set(history->changes[at].name, name);
 }
 
@@ -40,14 +40,14 @@
 			      uint32_t count,
 			      struct rj_instances_answer *answer)
 {
-	uint64_t oldest = history->count > RJ_STANDIN_HISTORY_KEPT ?
-				  history->count - RJ_STANDIN_HISTORY_KEPT :
+	uint64_t oldest = history->count > RJ_STANDIN_HISTORY_MAX ?
+				  history->count - RJ_STANDIN_HISTORY_MAX :
 				  0;
 	uint64_t from = history->count;
 
 	while (from > oldest &&
-	       history->changes[(from - 1) % RJ_STANDIN_HISTORY_KEPT].before !=
-		       known)
+	       history->changes[(from - 1) % RJ_STANDIN_HISTORY_MAX]
+			       .version_before != known)
 		from--;
 	if (from-- == oldest || !known)
 		return false;
@@ -61,9 +61,8 @@
 					 history->count - from);
 	assert(answer->instances && answer->gone);
 	for (; from < history->count; from++)
-		add_change(
-			answer,
-			history->changes[from % RJ_STANDIN_HISTORY_KEPT].name,
-			instances, count);
+		add_change(answer,
+			   history->changes[from % RJ_STANDIN_HISTORY_MAX].name,
+			   instances, count);
 	return true;
 }
--- a/src/libstandin/platform.c
+++ b/src/libstandin/platform.c
@@ -17,7 +17,7 @@
 #define APPEND_BURST_US (RJ_US_PER_S / 10)
 
 /* A long poll; child of its request. */
-struct reader {
+struct pending_read {
 	struct rj_list link;
 	struct rj_standin_platform *platform;
 	struct rj_http_exchange *request;
@@ -30,7 +30,7 @@
 struct list_change {
 	struct rj_standin_platform *platform;
 	struct rj_instance instance;
-	bool gone; /* taken from the list */
+	bool removed; /* taken from the list */
 };
 
 /* Answer with a body of the protocol. */
@@ -77,29 +77,32 @@
 }
 
 /* Answer a read with what the stream holds now. */
-static void read_answer(struct reader *reader)
+static void answer_read(struct pending_read *pending_read)
 {
-	struct rj_http_exchange *request = reader->request;
+	struct rj_http_exchange *request = pending_read->request;
 	struct rj_log_page page;
 
-	rj_standin_stream_read(reader->stream, reader, reader->from,
-			       reader->max, rj_clock_now_us(), &page);
+	rj_standin_stream_read(pending_read->stream, pending_read,
+			       pending_read->from, pending_read->max,
+			       rj_clock_now_us(), &page);
 	answer(request, rj_log_page_encode(request, &page));
-	talloc_free(reader);
+	talloc_free(pending_read);
 }
 
 /* Answer the long polls that waited for what was appended. */
-static void wake_readers(struct rj_standin_platform *platform,
-			 const struct rj_standin_stream *stream)
+static void answer_pending_reads(struct rj_standin_platform *platform,
+				 const struct rj_standin_stream *stream)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	RJ_FOR_EACH (at, next, &platform->readers) {
-		struct reader *reader = RJ_CONTAINER(at, struct reader, link);
+	RJ_FOR_EACH (at, next, &platform->pending_reads) {
+		struct pending_read *pending_read =
+			RJ_CONTAINER(at, struct pending_read, link);
 
-		if (reader->stream == stream && reader->from < stream->head)
-			read_answer(reader);
+		if (pending_read->stream == stream &&
+		    pending_read->from < stream->head)
+			answer_read(pending_read);
 	}
 }
 
@@ -164,7 +167,7 @@
 	} else {
 		answer(request, rj_append_answer_encode(request, first));
 	}
-	wake_readers(platform, stream);
+	answer_pending_reads(platform, stream);
 }
 
 /* A number of the query, at most `max`; `missing` when it is left out. */
@@ -178,9 +181,9 @@
 }
 
 /* A long poll whose request ends is no longer in the list. */
-static int reader_destructor(struct reader *reader)
+static int reader_destructor(struct pending_read *pending_read)
 {
-	rj_list_remove(&reader->link);
+	rj_list_remove(&pending_read->link);
 	return 0;
 }
 
@@ -189,36 +192,37 @@
 			   struct tevent_timer *timer, struct timeval now,
 			   void *private_data)
 {
-	read_answer(private_data);
+	answer_read(private_data);
 }
 
 /* GET /v1/streams/NAME: at once, or when something is appended. */
 static void handle_read(struct rj_standin_platform *platform,
 			struct rj_http_exchange *request, const char *name)
 {
-	struct reader *reader = talloc_zero(request, struct reader);
+	struct pending_read *pending_read =
+		talloc_zero(request, struct pending_read);
 	uint64_t wait_ms = argument(request, "wait_ms", 0, READ_WAIT_MAX_MS);
 	struct tevent_timer *timer;
 
-	assert(reader);
-	rj_list_init(&reader->link);
-	talloc_set_destructor(reader, reader_destructor);
-	reader->platform = platform;
-	reader->request = request;
-	reader->stream = get_stream(platform, name);
-	reader->from = argument(request, "from", 0, UINT64_MAX);
-	reader->max =
+	assert(pending_read);
+	rj_list_init(&pending_read->link);
+	talloc_set_destructor(pending_read, reader_destructor);
+	pending_read->platform = platform;
+	pending_read->request = request;
+	pending_read->stream = get_stream(platform, name);
+	pending_read->from = argument(request, "from", 0, UINT64_MAX);
+	pending_read->max =
 		argument(request, "max", RJ_LOG_PAGE_MAX, RJ_LOG_PAGE_MAX);
-	if (reader->from < reader->stream->head || !wait_ms) {
-		read_answer(reader);
+	if (pending_read->from < pending_read->stream->head || !wait_ms) {
+		answer_read(pending_read);
 		return;
 	}
-	timer = tevent_add_timer(platform->ev, reader,
+	timer = tevent_add_timer(platform->ev, pending_read,
 				 rj_clock_timeval_in(wait_ms * RJ_US_PER_MS),
-				 reader_timeout, reader);
+				 reader_timeout, pending_read);
 	assert(timer);
 	(void)timer;
-	rj_list_append(&platform->readers, &reader->link);
+	rj_list_append(&platform->pending_reads, &pending_read->link);
 }
 
 /* Where `name` stands in the list, or instance_count. */
@@ -240,15 +244,16 @@
 	uint32_t index = list_index(platform, change->instance.name);
 	bool listed = index < platform->instance_count;
 
-	rj_standin_history_note(&platform->history,
-				rj_instances_version(platform->instances,
-						     platform->instance_count),
-				change->instance.name);
-	if (change->gone && listed) {
+	rj_standin_history_record(
+		&platform->history,
+		rj_instances_version(platform->instances,
+				     platform->instance_count),
+		change->instance.name);
+	if (change->removed && listed) {
 		platform->instance_count--;
 		platform->instances[index] =
 			platform->instances[platform->instance_count];
-	} else if (!change->gone) {
+	} else if (!change->removed) {
 		if (!listed)
 			platform->instances = talloc_realloc(
 				platform->mem, platform->instances,
@@ -268,7 +273,7 @@
 
 /* Change the list, which shows it after its lag. */
 static void change_list(struct rj_standin_platform *platform,
-			const struct rj_instance *instance, bool gone)
+			const struct rj_instance *instance, bool removed)
 {
 	struct list_change *change =
 		talloc_zero(platform->mem, struct list_change);
@@ -277,7 +282,7 @@
 	assert(change);
 	change->platform = platform;
 	change->instance = *instance;
-	change->gone = gone;
+	change->removed = removed;
 	if (!platform->options.list_lag_us) {
 		apply_change(change);
 		return;
@@ -294,12 +299,13 @@
 static void handle_instance(struct rj_standin_platform *platform,
 			    struct rj_http_exchange *request, const char *name)
 {
-	bool gone = !strcmp(request->method, "DELETE");
+	bool removed = !strcmp(request->method, "DELETE");
 	struct rj_instance instance;
 	struct rj_error err;
 
 	memset(&instance, 0, sizeof(instance));
-	if (!gone && rj_instance_decode(request->body.data, &instance, &err)) {
+	if (!removed &&
+	    rj_instance_decode(request->body.data, &instance, &err)) {
 		rj_http_exchange_error(request, MHD_HTTP_BAD_REQUEST,
 				       err.message);
 		return;
@@ -309,7 +315,7 @@
 				       "name: too long; give a shorter one");
 		return;
 	}
-	change_list(platform, &instance, gone);
+	change_list(platform, &instance, removed);
 	answer(request, "{}");
 }
 
@@ -322,9 +328,10 @@
 	uint64_t lose = platform->lose_answers;
 	uint64_t drop = platform->drop_appends;
 
-	if (rj_fault_count(faults, "lose_next_append_answers", &lose) ||
-	    rj_fault_count(faults, "drop_next_appends", &drop) ||
-	    rj_gate_set(&platform->gate, &platform->server, faults, request)) {
+	if (rj_fault_read_count(faults, "lose_next_append_answers", &lose) ||
+	    rj_fault_read_count(faults, "drop_next_appends", &drop) ||
+	    rj_fault_injector_configure(&platform->fault_injector,
+					&platform->server, faults, request)) {
 		rj_http_exchange_error(request, MHD_HTTP_BAD_REQUEST,
 				       "fault: a field has the wrong type; see "
 				       "the platform protocol");
@@ -407,7 +414,7 @@
 	if (!strcmp(request->path, "/v1/fault"))
 		handle_fault(platform, request);
 	else
-		rj_gate_enter(&platform->gate, request);
+		rj_fault_injector_submit(&platform->fault_injector, request);
 }
 
 /*
@@ -431,13 +438,14 @@
 	platform->options = *options;
 	platform->ev = ev;
 	platform->credited_at_us = rj_clock_now_us();
-	rj_list_init(&platform->readers);
+	rj_list_init(&platform->pending_reads);
 	if (rj_http_server_init(&platform->server, mem, ev, &server_options,
 				err))
 		return -1;
 	platform->mem = talloc_named_const(mem, 0, "platform");
 	assert(platform->mem);
-	rj_gate_init(&platform->gate, platform->mem, ev, dispatch, platform);
+	rj_fault_injector_init(&platform->fault_injector, platform->mem, ev,
+			       dispatch, platform);
 	platform->streams =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return 0;
@@ -451,7 +459,7 @@
 	if (!platform->mem)
 		return;
 	rj_http_server_finish(&platform->server);
-	rj_gate_finish(&platform->gate);
+	rj_fault_injector_finish(&platform->fault_injector);
 	g_hash_table_destroy(platform->streams);
 	TALLOC_FREE(platform->mem);
 }
--- a/src/libstandin/platform.h
+++ b/src/libstandin/platform.h
@@ -12,7 +12,7 @@
 #include <glib.h>
 
 #include "list_history.h"
-#include "gate.h"
+#include "fault_injector.h"
 #include "http_server.h"
 #include "radishjunction/event.h"
 
@@ -28,9 +28,9 @@
 	void *mem;
 	struct tevent_context *ev;
 	struct rj_http_server server;
-	struct rj_gate gate;
+	struct rj_fault_injector fault_injector;
 	GHashTable *streams; /* name -> struct rj_standin_stream */
-	struct rj_list readers; /* long polls that wait for an append */
+	struct rj_list pending_reads; /* long polls that wait for an append */
 	struct rj_instance *instances; /* as listed, talloc array */
 	uint32_t instance_count;
 	struct rj_standin_history history; /* of the list */
--- a/src/libstandin/stream.c
+++ b/src/libstandin/stream.c
@@ -19,7 +19,7 @@
 }
 
 /* Make room for one more record behind the newest. */
-static void make_room(struct rj_standin_stream *stream)
+static void reserve_slot(struct rj_standin_stream *stream)
 {
 	uint32_t count = (uint32_t)(stream->head - stream->oldest);
 
@@ -47,7 +47,7 @@
 {
 	struct rj_standin_record *record;
 
-	make_room(stream);
+	reserve_slot(stream);
 	record =
 		&stream->records[stream->first + stream->head - stream->oldest];
 	record->text = talloc_strdup(stream, text);
--- a/src/libstandin/task_ops.c
+++ b/src/libstandin/task_ops.c
@@ -13,7 +13,8 @@
 /*
  * Whether the call may act on `task`: it names its token, or none.
  */
-static bool owns(const struct rj_worker_call *call, const struct rj_task *task)
+static bool token_matches(const struct rj_worker_call *call,
+			  const struct rj_task *task)
 {
 	return !call->token || call->token == task->token;
 }
@@ -47,7 +48,7 @@
 		return NULL;
 	}
 	task = rj_task_new(tasks, call);
-	rj_task_hold(tasks, task, call, now_us);
+	rj_task_reserve(tasks, task, call, now_us);
 	return task;
 }
 
@@ -93,7 +94,7 @@
 {
 	struct rj_task *task = rj_tasks_find(tasks, call);
 
-	if (!task || !owns(call, task) || task->fenced ||
+	if (!task || !token_matches(call, task) || task->fenced ||
 	    task->state == RJ_TASK_DEAD) {
 		refuse(reply, RJ_REASON_LEASE_LAPSED);
 		return task;
@@ -116,10 +117,10 @@
 		return;
 	rj_task_count_progress(task, now_us);
 	task->saving = true;
-	task->checkpoint_fits = task->checkpoint_us <= call->limit_us;
+	task->checkpoint_completes = task->checkpoint_us <= call->limit_us;
 	task->checkpoint_until_us =
-		now_us +
-		(task->checkpoint_fits ? task->checkpoint_us : call->limit_us);
+		now_us + (task->checkpoint_completes ? task->checkpoint_us :
+						       call->limit_us);
 }
 
 /* Progress is counted up to now before the speed changes. */
@@ -195,15 +196,16 @@
 }
 
 /* The operations on a task that is already known. */
-static struct rj_task *act(struct rj_tasks *tasks,
-			   const struct rj_worker_call *call, uint64_t now_us,
-			   struct rj_worker_reply *reply)
+static struct rj_task *act_on_task(struct rj_tasks *tasks,
+				   const struct rj_worker_call *call,
+				   uint64_t now_us,
+				   struct rj_worker_reply *reply)
 {
 	struct rj_task *task = rj_tasks_find(tasks, call);
 
 	if (!task)
 		return NULL;
-	if (!owns(call, task)) {
+	if (!token_matches(call, task)) {
 		refuse(reply, RJ_REASON_LEASE_LAPSED);
 		return task;
 	}
@@ -237,7 +239,7 @@
  * Carry out one call at `now_us` and fill `reply` with what is true now; its
  * report is left to rj_tasks_report. Returns the task that the call is
  * about, or NULL. Whoever wants the end of a task waits until it is no
- * longer active and then calls rj_tasks_tell.
+ * longer active and then calls rj_tasks_fill_reply.
  */
 struct rj_task *rj_tasks_call(struct rj_tasks *tasks,
 			      const struct rj_worker_call *call,
@@ -261,18 +263,18 @@
 	else if (call->op == RJ_WORKER_REPORT)
 		renew_holder(tasks, call, now_us);
 	else
-		task = act(tasks, call, now_us, reply);
+		task = act_on_task(tasks, call, now_us, reply);
 	rj_tasks_advance(tasks, now_us);
 	if (task)
-		rj_tasks_tell(tasks, task, now_us, reply);
+		rj_tasks_fill_reply(tasks, task, now_us, reply);
 	return task;
 }
 
 /*
  * Put what is known of `task` at `now_us` into `reply`.
  */
-void rj_tasks_tell(struct rj_tasks *tasks, struct rj_task *task,
-		   uint64_t now_us, struct rj_worker_reply *reply)
+void rj_tasks_fill_reply(struct rj_tasks *tasks, struct rj_task *task,
+			 uint64_t now_us, struct rj_worker_reply *reply)
 {
 	rj_task_count_progress(task, now_us);
 	reply->leaving = tasks->leaving;
--- a/src/libstandin/tasks.c
+++ b/src/libstandin/tasks.c
@@ -10,7 +10,7 @@
 #include "task_ops.h"
 
 /* How long, and how many of, the ended tasks are remembered. */
-#define ENDED_KEPT_US (600 * RJ_US_PER_S)
+#define ENDED_RETENTION_US (600 * RJ_US_PER_S)
 #define ENDED_KEPT_MAX 1000
 #define FULL_SPEED_PERCENT 100
 
@@ -54,7 +54,7 @@
 }
 
 /* What a worker knows when its process has just started. */
-static void start_empty(struct rj_tasks *tasks)
+static void reset_state(struct rj_tasks *tasks)
 {
 	tasks->unused = tasks->capacity;
 	tasks->incarnation = random_id();
@@ -82,7 +82,7 @@
 	tasks->capacity = *capacity;
 	tasks->ran =
 		g_hash_table_new_full(key_hash, key_equal, NULL, free_talloc);
-	start_empty(tasks);
+	reset_state(tasks);
 }
 
 /*
@@ -92,7 +92,7 @@
 void rj_tasks_restart(struct rj_tasks *tasks)
 {
 	g_hash_table_destroy(tasks->by_key);
-	start_empty(tasks);
+	reset_state(tasks);
 }
 
 /*
@@ -144,8 +144,8 @@
 /*
  * Reserve what the call asks for, which must be free.
  */
-void rj_task_hold(struct rj_tasks *tasks, struct rj_task *task,
-		  const struct rj_worker_call *call, uint64_t now_us)
+void rj_task_reserve(struct rj_tasks *tasks, struct rj_task *task,
+		     const struct rj_worker_call *call, uint64_t now_us)
 {
 	assert(task->state == RJ_TASK_NONE && !task->fenced);
 	rj_resources_take(&tasks->unused, &call->each, 1);
@@ -189,13 +189,14 @@
 }
 
 /* Count a start, so that a check can find one too many. */
-static void note_start(struct rj_tasks *tasks, const struct rj_task *task,
-		       const uint8_t digest[RJ_DIGEST_BYTES])
+static void record_start(struct rj_tasks *tasks, const struct rj_task *task,
+			 const uint8_t digest[RJ_DIGEST_BYTES])
 {
-	struct rj_task_ran *ran = g_hash_table_lookup(tasks->ran, &task->key);
+	struct rj_task_start_record *ran =
+		g_hash_table_lookup(tasks->ran, &task->key);
 
 	if (!ran) {
-		ran = talloc_zero(tasks->mem, struct rj_task_ran);
+		ran = talloc_zero(tasks->mem, struct rj_task_start_record);
 		assert(ran);
 		ran->key = task->key;
 		g_hash_table_insert(tasks->ran, &ran->key, ran);
@@ -228,7 +229,7 @@
 	task->counted_at_us = now_us;
 	make_result(task, body, digest);
 	json_decref(body);
-	note_start(tasks, task, digest);
+	record_start(tasks, task, digest);
 	if (tasks->fail_all)
 		rj_task_end(tasks, task, RJ_TASK_FAILED, now_us);
 	else
@@ -250,7 +251,7 @@
 }
 
 /* When the task, as it goes now, reaches its end. */
-static uint64_t run_end_us(const struct rj_task *task)
+static uint64_t run_completes_us(const struct rj_task *task)
 {
 	uint64_t left_us;
 
@@ -271,7 +272,7 @@
 void rj_task_end(struct rj_tasks *tasks, struct rj_task *task,
 		 enum rj_task_state state, uint64_t now_us)
 {
-	struct rj_task_ran *ran;
+	struct rj_task_start_record *ran;
 
 	assert(!rj_task_is_active(task) || state != task->state);
 	rj_task_count_progress(task, now_us);
@@ -291,7 +292,7 @@
 /*
  * Forget an ended task.
  */
-void rj_task_forget(struct rj_tasks *tasks, struct rj_task *task)
+void rj_task_remove(struct rj_tasks *tasks, struct rj_task *task)
 {
 	assert(!rj_task_is_active(task));
 	rj_list_remove(&task->link);
@@ -303,25 +304,25 @@
 static void advance_task(struct rj_tasks *tasks, struct rj_task *task,
 			 uint64_t now_us)
 {
-	uint64_t end_us = run_end_us(task);
-	uint64_t lapse_us = task->lease_until_us;
+	uint64_t completes_us = run_completes_us(task);
+	uint64_t expires_us = task->lease_until_us;
 
 	if (task->saving && task->checkpoint_until_us <= now_us &&
-	    task->checkpoint_until_us <= lapse_us) {
-		if (task->checkpoint_fits)
+	    task->checkpoint_until_us <= expires_us) {
+		if (task->checkpoint_completes)
 			task->saved_us = task->progress_us;
 		task->progress_us = task->saved_us;
 		rj_task_end(tasks, task, RJ_TASK_STOPPED,
 			    task->checkpoint_until_us);
-	} else if (end_us <= now_us && end_us <= lapse_us) {
+	} else if (completes_us <= now_us && completes_us <= expires_us) {
 		rj_task_end(tasks, task,
 			    task->fails ? RJ_TASK_FAILED : RJ_TASK_DONE,
-			    end_us);
-	} else if (lapse_us <= now_us) {
+			    completes_us);
+	} else if (expires_us <= now_us) {
 		rj_task_end(tasks, task,
 			    task->state == RJ_TASK_HELD ? RJ_TASK_DEAD :
 							  RJ_TASK_STOPPED,
-			    lapse_us);
+			    expires_us);
 	}
 }
 
@@ -341,9 +342,9 @@
 		struct rj_task *task = RJ_CONTAINER(at, struct rj_task, link);
 
 		if (tasks->ended_count <= ENDED_KEPT_MAX &&
-		    task->ended_at_us + ENDED_KEPT_US > now_us)
+		    task->ended_at_us + ENDED_RETENTION_US > now_us)
 			break;
-		rj_task_forget(tasks, task);
+		rj_task_remove(tasks, task);
 	}
 }
 
@@ -359,11 +360,12 @@
 	RJ_FOR_EACH (at, next, &tasks->active) {
 		const struct rj_task *task =
 			RJ_CONTAINER(at, struct rj_task, link);
-		uint64_t end_us = task->saving ? task->checkpoint_until_us :
-						 run_end_us(task);
+		uint64_t completes_us = task->saving ?
+						task->checkpoint_until_us :
+						run_completes_us(task);
 
-		if (end_us < due_us)
-			due_us = end_us;
+		if (completes_us < due_us)
+			due_us = completes_us;
 		if (task->lease_until_us < due_us)
 			due_us = task->lease_until_us;
 	}
@@ -397,7 +399,7 @@
 /* An ended task is listed until its end has been told. */
 static bool is_listed(const struct rj_task *task)
 {
-	return !task->told &&
+	return !task->end_reported &&
 	       (task->state == RJ_TASK_DONE || task->state == RJ_TASK_FAILED ||
 		task->state == RJ_TASK_STOPPED);
 }
@@ -440,7 +442,7 @@
 /*
  * Every task that was ever started here, with how often.
  */
-json_t *rj_tasks_ran(const struct rj_tasks *tasks)
+json_t *rj_tasks_starts_json(const struct rj_tasks *tasks)
 {
 	json_t *list = json_array();
 	char hex[2 * RJ_DIGEST_BYTES + 1];
@@ -449,7 +451,7 @@
 
 	g_hash_table_iter_init(&iter, tasks->ran);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct rj_task_ran *ran = value;
+		const struct rj_task_start_record *ran = value;
 		json_t *item;
 
 		sodium_bin2hex(hex, sizeof(hex), ran->digest, RJ_DIGEST_BYTES);
--- a/src/libstandin/tasks.h
+++ b/src/libstandin/tasks.h
@@ -27,7 +27,7 @@
 	struct rj_task_key key;
 	enum rj_task_state state;
 	bool fenced; /* never starts; see rj_tasks_call */
-	bool told; /* its end has been told by an answer */
+	bool end_reported; /* its end has been told by an answer */
 	bool saving; /* a checkpoint is under way */
 	bool fails;
 	uint64_t holder;
@@ -44,7 +44,7 @@
 	uint32_t throttle_percent;
 	uint64_t checkpoint_us; /* how long a checkpoint takes */
 	uint64_t checkpoint_until_us;
-	bool checkpoint_fits; /* it is saved before its limit */
+	bool checkpoint_completes; /* it is saved before its limit */
 	uint64_t ended_at_us;
 	struct rj_bytes result;
 };
@@ -61,11 +61,12 @@
 	struct rj_list active; /* held or running */
 	struct rj_list ended; /* oldest end first */
 	uint32_t ended_count;
-	GHashTable *ran; /* key -> struct rj_task_ran; outlives a restart */
+	GHashTable *
+		ran; /* key -> struct rj_task_start_record; outlives a restart */
 };
 
 /* Every task that was ever started here. */
-struct rj_task_ran {
+struct rj_task_start_record {
 	struct rj_task_key key;
 	uint32_t starts;
 	enum rj_task_state state;
@@ -77,8 +78,8 @@
 struct rj_task *rj_tasks_call(struct rj_tasks *tasks,
 			      const struct rj_worker_call *call,
 			      uint64_t now_us, struct rj_worker_reply *reply);
-void rj_tasks_tell(struct rj_tasks *tasks, struct rj_task *task,
-		   uint64_t now_us, struct rj_worker_reply *reply);
+void rj_tasks_fill_reply(struct rj_tasks *tasks, struct rj_task *task,
+			 uint64_t now_us, struct rj_worker_reply *reply);
 struct rj_task *rj_tasks_find(const struct rj_tasks *tasks,
 			      const struct rj_worker_call *call);
 void rj_tasks_advance(struct rj_tasks *tasks, uint64_t now_us);
@@ -86,7 +87,7 @@
 bool rj_task_is_active(const struct rj_task *task);
 void rj_tasks_report(const struct rj_tasks *tasks, void *mem, uint64_t now_us,
 		     struct rj_worker_report *report);
-json_t *rj_tasks_ran(const struct rj_tasks *tasks);
+json_t *rj_tasks_starts_json(const struct rj_tasks *tasks);
 void rj_tasks_restart(struct rj_tasks *tasks);
 void rj_tasks_finish(struct rj_tasks *tasks);
 
--- a/src/libstandin/worker.c
+++ b/src/libstandin/worker.c
@@ -19,7 +19,7 @@
 	struct rj_worker_reply reply;
 };
 
-static void arm(struct rj_standin_worker *worker);
+static void arm_timer(struct rj_standin_worker *worker);
 
 /* Send an answer, unless a fault takes its place. */
 static void send_answer(struct rj_standin_worker *worker,
@@ -63,9 +63,11 @@
 		    rj_task_is_active(task))
 			continue;
 		rj_list_remove(at);
-		rj_tasks_tell(&worker->tasks, task, now_us, &waiter->reply);
+		rj_tasks_fill_reply(&worker->tasks, task, now_us,
+				    &waiter->reply);
 		if (waiter->call.op != RJ_WORKER_CHECKPOINT)
-			task->told = !rj_http_exchange_gone(waiter->request);
+			task->end_reported =
+				!rj_http_exchange_disconnected(waiter->request);
 		send_answer(worker, waiter->request, &waiter->call,
 			    &waiter->reply);
 		talloc_free(waiter);
@@ -81,13 +83,13 @@
 
 	worker->timer = NULL;
 	rj_tasks_advance(&worker->tasks, now_us);
-	if (!worker->gate.paused)
+	if (!worker->fault_injector.paused)
 		answer_waiters(worker, now_us);
-	arm(worker);
+	arm_timer(worker);
 }
 
 /* Set the timer for what is due next. */
-static void arm(struct rj_standin_worker *worker)
+static void arm_timer(struct rj_standin_worker *worker)
 {
 	uint64_t due_us = rj_tasks_due_us(&worker->tasks);
 	uint64_t now_us = rj_clock_now_us();
@@ -144,23 +146,24 @@
 			uint64_t now_us, struct rj_worker_report *report)
 {
 	bool fresh =
-		worker->old_report_mem &&
-		worker->old_report.incarnation == worker->tasks.incarnation &&
-		now_us < worker->old_report_at_us + worker->report_lag_us;
+		worker->cached_report_mem &&
+		worker->cached_report.incarnation ==
+			worker->tasks.incarnation &&
+		now_us < worker->cached_report_at_us + worker->report_lag_us;
 
 	if (!worker->report_lag_us) {
 		rj_tasks_report(&worker->tasks, mem, now_us, report);
 		return;
 	}
 	if (!fresh) {
-		talloc_free(worker->old_report_mem);
-		worker->old_report_mem =
+		talloc_free(worker->cached_report_mem);
+		worker->cached_report_mem =
 			talloc_named_const(worker->mem, 0, "report");
-		rj_tasks_report(&worker->tasks, worker->old_report_mem, now_us,
-				&worker->old_report);
-		worker->old_report_at_us = now_us;
+		rj_tasks_report(&worker->tasks, worker->cached_report_mem,
+				now_us, &worker->cached_report);
+		worker->cached_report_at_us = now_us;
 	}
-	*report = worker->old_report;
+	*report = worker->cached_report;
 }
 
 /* Carry out a call that the faults let pass, and answer it now or later. */
@@ -182,11 +185,11 @@
 		wait_for_end(worker, request, call, &reply);
 	} else {
 		if (waits && call->op != RJ_WORKER_CHECKPOINT)
-			task->told = true;
+			task->end_reported = true;
 		send_answer(worker, request, call, &reply);
 	}
 	answer_waiters(worker, now_us);
-	arm(worker);
+	arm_timer(worker);
 }
 
 /* GET /v1/ran: what a check compares with what callers were told. */
@@ -194,7 +197,7 @@
 		       struct rj_http_exchange *request)
 {
 	json_t *object = json_pack("{s:s, s:o}", "worker", worker->options.name,
-				   "ran", rj_tasks_ran(&worker->tasks));
+				   "ran", rj_tasks_starts_json(&worker->tasks));
 	char *text = rj_wire_text(request, object);
 
 	json_decref(object);
@@ -208,16 +211,18 @@
 	uint64_t lag_ms = worker->report_lag_us / RJ_US_PER_MS;
 	bool restart = false;
 
-	if (rj_fault_flag(faults, "fail_all", &worker->tasks.fail_all) ||
-	    rj_fault_flag(faults, "leaving", &worker->tasks.leaving) ||
-	    rj_fault_flag(faults, "restart", &restart) ||
-	    rj_fault_count(faults, "report_lag_ms", &lag_ms) ||
-	    rj_fault_count(faults, "lose_next_answers",
-			   &worker->lose_answers) ||
-	    rj_fault_count(faults, "cut_next_answers", &worker->cut_answers) ||
-	    rj_fault_count(faults, "cross_next_answers",
-			   &worker->cross_answers) ||
-	    rj_gate_set(&worker->gate, &worker->server, faults, request))
+	if (rj_fault_read_bool(faults, "fail_all", &worker->tasks.fail_all) ||
+	    rj_fault_read_bool(faults, "leaving", &worker->tasks.leaving) ||
+	    rj_fault_read_bool(faults, "restart", &restart) ||
+	    rj_fault_read_count(faults, "report_lag_ms", &lag_ms) ||
+	    rj_fault_read_count(faults, "lose_next_answers",
+				&worker->lose_answers) ||
+	    rj_fault_read_count(faults, "cut_next_answers",
+				&worker->cut_answers) ||
+	    rj_fault_read_count(faults, "cross_next_answers",
+				&worker->cross_answers) ||
+	    rj_fault_injector_configure(&worker->fault_injector,
+					&worker->server, faults, request))
 		return -1;
 	worker->report_lag_us = lag_ms * RJ_US_PER_MS;
 	if (restart) {
@@ -244,9 +249,9 @@
 	json_decref(faults);
 	rj_http_exchange_answer(request, MHD_HTTP_OK, "{}", 2);
 	rj_tasks_advance(&worker->tasks, rj_clock_now_us());
-	if (!worker->gate.paused)
+	if (!worker->fault_injector.paused)
 		answer_waiters(worker, rj_clock_now_us());
-	arm(worker);
+	arm_timer(worker);
 	if (worker->options.changed)
 		worker->options.changed(worker);
 }
@@ -285,7 +290,7 @@
 	else if (!strcmp(request->path, "/v1/ran"))
 		handle_ran(worker, request);
 	else if (!strncmp(request->path, "/v1/", strlen("/v1/")))
-		rj_gate_enter(&worker->gate, request);
+		rj_fault_injector_submit(&worker->fault_injector, request);
 	else
 		rj_http_exchange_error(
 			request, MHD_HTTP_NOT_FOUND,
@@ -317,7 +322,8 @@
 		return -1;
 	worker->mem = talloc_named_const(mem, 0, "worker");
 	assert(worker->mem);
-	rj_gate_init(&worker->gate, worker->mem, ev, dispatch, worker);
+	rj_fault_injector_init(&worker->fault_injector, worker->mem, ev,
+			       dispatch, worker);
 	rj_tasks_init(&worker->tasks, worker->mem, options->name,
 		      &options->capacity);
 	return 0;
@@ -331,7 +337,7 @@
 	if (!worker->mem)
 		return;
 	rj_http_server_finish(&worker->server);
-	rj_gate_finish(&worker->gate);
+	rj_fault_injector_finish(&worker->fault_injector);
 	rj_tasks_finish(&worker->tasks);
 	TALLOC_FREE(worker->mem);
 }
--- a/src/libstandin/worker.h
+++ b/src/libstandin/worker.h
@@ -8,7 +8,7 @@
 #ifndef RADISHJUNCTION_STANDIN_WORKER_H
 #define RADISHJUNCTION_STANDIN_WORKER_H
 
-#include "gate.h"
+#include "fault_injector.h"
 #include "http_server.h"
 #include "tasks.h"
 
@@ -28,14 +28,14 @@
 	void *mem;
 	struct tevent_context *ev;
 	struct rj_http_server server;
-	struct rj_gate gate;
+	struct rj_fault_injector fault_injector;
 	struct rj_tasks tasks;
 	struct tevent_timer *timer; /* for rj_tasks_due_us */
 	struct rj_list waiting; /* requests that wait for a task's end */
 	uint64_t report_lag_us;
-	void *old_report_mem;
-	struct rj_worker_report old_report; /* told while the report lags */
-	uint64_t old_report_at_us;
+	void *cached_report_mem;
+	struct rj_worker_report cached_report; /* told while the report lags */
+	uint64_t cached_report_at_us;
 	uint64_t lose_answers; /* calls to come whose answer is lost */
 	uint64_t cut_answers; /* calls to come whose answer is cut short */
 	uint64_t cross_answers; /* calls to come with the answer before */
--- /dev/null
+++ b/src/radishjunctiond/core_runner.h
@@ -0,0 +1,48 @@
+/*
+ * The shell around the decision core: events in from the adapters, actions
+ * out to them. It decides nothing.
+ *
+ * Life cycle: `core_runner_init`, then the adapters with `&shell->sink` as their
+ * sink, then `core_runner_start`; the event loop runs until `exiting`;
+ * `core_runner_finish` before the adapters.
+ */
+#ifndef RADISHJUNCTIOND_CORE_RUNNER_H
+#define RADISHJUNCTIOND_CORE_RUNNER_H
+
+#include "radishjunction/adapter.h"
+#include "radishjunction/core.h"
+#include "radishjunction/http_callers.h"
+#include "radishjunction/tcp_peers.h"
+
+struct tevent_context;
+struct tevent_fd;
+struct action_batch;
+
+struct core_runner {
+	struct rj_sink sink; /* first member, always */
+	struct rj_caller_views views;
+	struct tevent_context *loop;
+	struct rj_core core;
+	struct rj_platform *platform;
+	struct rj_workers *workers;
+	struct rj_peers *peers;
+	struct rj_callers *callers;
+	const struct rj_tcp_peers *tcp_peers; /* for the metrics */
+	struct action_batch *first; /* actions to carry out, in order */
+	struct action_batch *last;
+	struct action_batch *free_batches;
+	bool executing;
+	bool exiting; /* a stop was asked for, and nothing is open */
+	int timer_fd;
+	struct tevent_fd *timer_event;
+	uint64_t armed_us;
+};
+
+int core_runner_init(struct core_runner *runner, struct tevent_context *loop,
+		     const struct rj_core_options *options,
+		     struct rj_error *err);
+void core_runner_start(struct core_runner *runner);
+void core_runner_stop(struct core_runner *runner);
+void core_runner_finish(struct core_runner *runner);
+
+#endif
--- a/src/radishjunctiond/main.c
+++ b/src/radishjunctiond/main.c
@@ -21,7 +21,7 @@
 #include "radishjunction/http_workers.h"
 #include "radishjunction/planner_topology.h"
 #include "radishjunction/settings.h"
-#include "shell.h"
+#include "core_runner.h"
 
 /* The exit status; --help and the man page list the same. */
 enum exit_code {
@@ -37,7 +37,7 @@
  * way out; see linger. */
 #define LINGER_US (500 * RJ_US_PER_MS)
 /* Peers and the log give a configuration and the first read well within it. */
-#define START_PATIENCE_US (1 * RJ_US_PER_S)
+#define START_READY_TIMEOUT_US (1 * RJ_US_PER_S)
 /* Low bits of an incarnation that are left to chance. */
 #define INCARNATION_RANDOM_BITS 20
 
@@ -47,13 +47,13 @@
 	const struct rj_settings *settings;
 	uint64_t incarnation;
 	struct rj_planner_topology planner;
-	struct shell shell;
+	struct core_runner runner;
 	struct rj_http_platform platform;
 	struct rj_http_workers workers;
 	struct rj_tcp_peers peers;
 	struct rj_http_callers callers;
 	bool stopping;
-	struct tevent_timer *limit; /* of the stop, then of lingering */
+	struct tevent_timer *timeout_timer; /* of the stop, then of lingering */
 	bool timed_out;
 };
 
@@ -90,7 +90,7 @@
 	rj_name_set(options.domain, settings->domain);
 	if (rj_planner_topology_init(&daemon->planner, daemon->loop))
 		return rj_error_set(err, RJ_ERR_IO, "planner: no memory");
-	if (shell_init(&daemon->shell, daemon->loop, &options, err)) {
+	if (core_runner_init(&daemon->runner, daemon->loop, &options, err)) {
 		daemon->planner.base.ops->finish(&daemon->planner.base);
 		return -1;
 	}
@@ -103,7 +103,7 @@
 	const struct rj_settings *settings = daemon->settings;
 	struct rj_tcp_peers_options options = {
 		.loop = daemon->loop,
-		.sink = &daemon->shell.sink,
+		.sink = &daemon->runner.sink,
 		.incarnation = daemon->incarnation,
 		.address = settings->peer_address,
 		.seed = daemon->incarnation,
@@ -121,8 +121,8 @@
 	const struct rj_settings *settings = daemon->settings;
 	struct rj_http_callers_options options = {
 		.loop = daemon->loop,
-		.sink = &daemon->shell.sink,
-		.views = &daemon->shell.views,
+		.sink = &daemon->runner.sink,
+		.views = &daemon->runner.views,
 		.address = settings->caller_address,
 		.body_max_bytes = settings->body_max_bytes,
 		.connections_max = settings->connections_max,
@@ -139,28 +139,28 @@
 /* Start everything, or nothing and -1. */
 static int start(struct daemon *daemon, struct rj_error *err)
 {
-	struct shell *shell = &daemon->shell;
+	struct core_runner *runner = &daemon->runner;
 
 	if (start_core(daemon, err))
 		return -1;
 	if (rj_http_platform_init(&daemon->platform, daemon->loop, daemon->loop,
-				  &shell->sink,
+				  &runner->sink,
 				  &daemon->settings->platform_address,
 				  daemon->settings->name, err))
 		goto finish_core;
 	if (rj_http_workers_init(&daemon->workers, daemon->loop, daemon->loop,
-				 &shell->sink, daemon->settings->name, err))
+				 &runner->sink, daemon->settings->name, err))
 		goto finish_platform;
 	if (start_peers(daemon, err))
 		goto finish_workers;
 	if (start_callers(daemon, err))
 		goto finish_peers;
-	shell->platform = &daemon->platform.base;
-	shell->workers = &daemon->workers.base;
-	shell->peers = &daemon->peers.base;
-	shell->callers = &daemon->callers.base;
-	shell->links = &daemon->peers;
-	shell_start(shell);
+	runner->platform = &daemon->platform.base;
+	runner->workers = &daemon->workers.base;
+	runner->peers = &daemon->peers.base;
+	runner->callers = &daemon->callers.base;
+	runner->tcp_peers = &daemon->peers;
+	core_runner_start(runner);
 	return 0;
 
 finish_peers:
@@ -170,7 +170,7 @@
 finish_platform:
 	daemon->platform.base.ops->finish(&daemon->platform.base);
 finish_core:
-	shell_finish(shell);
+	core_runner_finish(runner);
 	daemon->planner.base.ops->finish(&daemon->planner.base);
 	return -1;
 }
@@ -182,7 +182,7 @@
 	daemon->peers.base.ops->finish(&daemon->peers.base);
 	daemon->workers.base.ops->finish(&daemon->workers.base);
 	daemon->platform.base.ops->finish(&daemon->platform.base);
-	shell_finish(&daemon->shell);
+	core_runner_finish(&daemon->runner);
 	daemon->planner.base.ops->finish(&daemon->planner.base);
 }
 
@@ -220,7 +220,7 @@
 		return;
 	daemon->stopping = true;
 	rj_http_callers_drain(&daemon->callers);
-	shell_stop(&daemon->shell);
+	core_runner_stop(&daemon->runner);
 }
 
 /* The limit of the stop, or of lingering, has passed. */
@@ -230,25 +230,26 @@
 {
 	struct daemon *daemon = private_data;
 
-	daemon->limit = NULL; /* the event loop frees it */
+	daemon->timeout_timer = NULL; /* the event loop frees it */
 	daemon->timed_out = true;
 }
 
 /* Set `timed_out` after a delay, in place of an earlier one. */
-static void limit_time(struct daemon *daemon, uint64_t delay_us)
+static void set_timeout(struct daemon *daemon, uint64_t delay_us)
 {
-	talloc_free(daemon->limit);
+	talloc_free(daemon->timeout_timer);
 	daemon->timed_out = false;
-	daemon->limit = tevent_add_timer(daemon->loop, daemon,
-					 rj_clock_timeval_in(delay_us),
-					 on_time_limit, daemon);
-	assert(daemon->limit);
+	daemon->timeout_timer = tevent_add_timer(daemon->loop, daemon,
+						 rj_clock_timeval_in(delay_us),
+						 on_time_limit, daemon);
+	assert(daemon->timeout_timer);
 }
 
 /* Whether nothing is open and the last answer was sent whole. */
 static bool is_drained(const struct daemon *daemon)
 {
-	return daemon->shell.exiting && !rj_http_callers_open(&daemon->callers);
+	return daemon->runner.exiting &&
+	       !rj_http_callers_open(&daemon->callers);
 }
 
 /*
@@ -259,10 +260,10 @@
  * peer could serve it. Until the connection has ended, the core serves it or
  * hands it on like any other request of the stop.
  */
-static void linger(struct daemon *daemon)
+static void drain_idle_connections(struct daemon *daemon)
 {
 	rj_http_callers_stop_listening(&daemon->callers);
-	limit_time(daemon, LINGER_US);
+	set_timeout(daemon, LINGER_US);
 	while (!is_drained(daemon) ||
 	       (rj_http_callers_connections(&daemon->callers) &&
 		!daemon->timed_out))
@@ -270,23 +271,23 @@
 }
 
 /* The limit of the stop has passed: answer what is open, and say so. */
-static void give_up(struct daemon *daemon)
+static void abort_drain(struct daemon *daemon)
 {
 	g_warning("the stop was not complete after %u s; raise "
 		  "drain_limit_s or see what its jobs wait for",
 		  daemon->settings->drain_limit_s);
 	rj_http_callers_close(&daemon->callers);
-	limit_time(daemon, LINGER_US);
+	set_timeout(daemon, LINGER_US);
 	while (rj_http_callers_open(&daemon->callers) && !daemon->timed_out)
 		tevent_loop_once(daemon->loop);
 }
 
 /* Let callers in when there is something to serve them with, or it is clear
  * that this takes longer: then they are told so. */
-static void open_door(struct daemon *daemon)
+static void start_serving(struct daemon *daemon)
 {
-	limit_time(daemon, START_PATIENCE_US);
-	while (!rj_core_ready(&daemon->shell.core) && !daemon->timed_out &&
+	set_timeout(daemon, START_READY_TIMEOUT_US);
+	while (!rj_core_ready(&daemon->runner.core) && !daemon->timed_out &&
 	       !daemon->stopping)
 		tevent_loop_once(daemon->loop);
 	rj_http_callers_serve(&daemon->callers);
@@ -295,17 +296,17 @@
 /* Run until the stop is complete and the last answer is sent whole. */
 static enum exit_code run(struct daemon *daemon)
 {
-	open_door(daemon);
+	start_serving(daemon);
 	while (!daemon->stopping)
 		tevent_loop_once(daemon->loop);
-	limit_time(daemon, daemon->settings->drain_limit_s * RJ_US_PER_S);
+	set_timeout(daemon, daemon->settings->drain_limit_s * RJ_US_PER_S);
 	while (!daemon->timed_out && !is_drained(daemon))
 		tevent_loop_once(daemon->loop);
 	if (daemon->timed_out) {
-		give_up(daemon);
+		abort_drain(daemon);
 		return EXIT_DRAIN;
 	}
-	linger(daemon);
+	drain_idle_connections(daemon);
 	return EXIT_STOPPED;
 }
 
--- a/src/share/http_server.c
+++ b/src/share/http_server.c
@@ -12,11 +12,11 @@
 
 /* Connections beyond the limit are accepted to be closed, so that their
    callers see a refusal and do not wait in the backlog. */
-#define REFUSAL_ROOM 16
+#define REFUSED_CONNECTIONS_MAX 16
 
 /* Keep `length` more bytes of the body, or note that it is too large. */
-static void take_body(struct rj_http_exchange *request, const char *data,
-		      size_t length)
+static void append_body(struct rj_http_exchange *request, const char *data,
+			size_t length)
 {
 	if (request->body.length + length >
 	    request->server->options.body_max_bytes)
@@ -26,7 +26,7 @@
 }
 
 /* The socket of the request's connection. */
-static int socket_of(const struct rj_http_exchange *request)
+static int request_socket(const struct rj_http_exchange *request)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		request->connection, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -37,10 +37,10 @@
 /*
  * Whether the client of an open request has closed its connection.
  */
-bool rj_http_exchange_gone(const struct rj_http_exchange *request)
+bool rj_http_exchange_disconnected(const struct rj_http_exchange *request)
 {
 	char byte;
-	ssize_t got = recv(socket_of(request), &byte, sizeof(byte),
+	ssize_t got = recv(request_socket(request), &byte, sizeof(byte),
 			   MSG_PEEK | MSG_DONTWAIT);
 
 	return !got || (got < 0 && errno != EAGAIN && errno != EINTR);
@@ -59,8 +59,8 @@
 {
 	struct rj_http_exchange *request = private_data;
 
-	TALLOC_FREE(request->watch);
-	if (rj_http_exchange_gone(request))
+	TALLOC_FREE(request->close_watch);
+	if (rj_http_exchange_disconnected(request))
 		rj_http_exchange_abort(request);
 }
 
@@ -71,10 +71,10 @@
 		return;
 	request->suspended = true;
 	MHD_suspend_connection(request->connection);
-	request->watch =
-		tevent_add_fd(request->server->ev, request, socket_of(request),
-			      TEVENT_FD_READ, watch_ready, request);
-	assert(request->watch);
+	request->close_watch = tevent_add_fd(
+		request->server->ev, request, request_socket(request),
+		TEVENT_FD_READ, watch_ready, request);
+	assert(request->close_watch);
 }
 
 /* Hangs on every request, so that the list of open ones never dangles. */
@@ -115,7 +115,7 @@
 	request->handled = true;
 	rj_list_append(&server->open, &request->link);
 	if (!request->body.data)
-		take_body(request, "", 0);
+		append_body(request, "", 0);
 	if (request->too_large)
 		rj_http_exchange_error(request, MHD_HTTP_CONTENT_TOO_LARGE,
 				       "body: too large; send a smaller one");
@@ -140,7 +140,7 @@
 		return MHD_YES;
 	}
 	if (*upload_data_size) {
-		take_body(request, upload_data, *upload_data_size);
+		append_body(request, upload_data, *upload_data_size);
 		*upload_data_size = 0;
 		return MHD_YES;
 	}
@@ -215,7 +215,7 @@
 		MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, accept_policy,
 		server, access_handler, server, MHD_OPTION_LISTEN_SOCKET, fd,
 		MHD_OPTION_CONNECTION_LIMIT,
-		options->connections_max + REFUSAL_ROOM,
+		options->connections_max + REFUSED_CONNECTIONS_MAX,
 		MHD_OPTION_NOTIFY_COMPLETED, request_completed, server,
 		MHD_OPTION_NOTIFY_CONNECTION, connection_changed, server,
 		MHD_OPTION_END);
@@ -258,7 +258,7 @@
 	if (!request->suspended)
 		return;
 	request->suspended = false;
-	TALLOC_FREE(request->watch);
+	TALLOC_FREE(request->close_watch);
 	MHD_resume_connection(request->connection);
 	rj_http_loop_kick(&request->server->loop);
 }
@@ -269,9 +269,9 @@
 void rj_http_exchange_add_header(struct rj_http_exchange *request,
 				 const char *name, const char *value)
 {
-	assert(!request->response && !request->extra_name);
-	request->extra_name = talloc_strdup(request, name);
-	request->extra_value = talloc_strdup(request, value);
+	assert(!request->response && !request->extra_header_name);
+	request->extra_header_name = talloc_strdup(request, name);
+	request->extra_header_value = talloc_strdup(request, value);
 }
 
 /*
@@ -279,7 +279,7 @@
  */
 void rj_http_exchange_close(struct rj_http_exchange *request)
 {
-	request->last = true;
+	request->close_after_answer = true;
 }
 
 /*
@@ -298,12 +298,13 @@
 	assert(request->response);
 	MHD_add_response_header(request->response, MHD_HTTP_HEADER_CONTENT_TYPE,
 				"application/json");
-	if (request->server->leaving || request->last)
+	if (request->server->draining || request->close_after_answer)
 		MHD_add_response_header(request->response,
 					MHD_HTTP_HEADER_CONNECTION, "close");
-	if (request->extra_name)
-		MHD_add_response_header(request->response, request->extra_name,
-					request->extra_value);
+	if (request->extra_header_name)
+		MHD_add_response_header(request->response,
+					request->extra_header_name,
+					request->extra_header_value);
 	request->status = status;
 	resume(request);
 }
@@ -357,9 +358,9 @@
  * Clients are to go elsewhere: from now on each answer ends its connection.
  * `requests` tells when all answers have been sent.
  */
-void rj_http_server_leave(struct rj_http_server *server)
+void rj_http_server_drain(struct rj_http_server *server)
 {
-	server->leaving = true;
+	server->draining = true;
 }
 
 /*
--- a/src/share/http_server.h
+++ b/src/share/http_server.h
@@ -31,10 +31,11 @@
 	bool handled; /* the handler has been called */
 	bool suspended;
 	bool aborted;
-	struct tevent_fd *watch; /* while suspended: has the client gone */
-	bool last; /* its answer ends the connection */
-	const char *extra_name; /* of one header more, or NULL */
-	const char *extra_value;
+	struct tevent_fd
+		*close_watch; /* while suspended: has the client gone */
+	bool close_after_answer; /* its answer ends the connection */
+	const char *extra_header_name; /* of one header more, or NULL */
+	const char *extra_header_value;
 	struct MHD_Response *response;
 	unsigned int status;
 };
@@ -56,7 +57,7 @@
 	struct rj_address address; /* with the port that it listens on */
 	struct rj_list open; /* handled, not yet answered */
 	uint32_t requests; /* begun, and their answers not yet sent whole */
-	bool leaving; /* each answer ends its connection */
+	bool draining; /* each answer ends its connection */
 	uint32_t connections;
 };
 
@@ -77,10 +78,10 @@
 void rj_http_exchange_error(struct rj_http_exchange *request,
 			    unsigned int status, const char *message);
 void rj_http_exchange_abort(struct rj_http_exchange *request);
-bool rj_http_exchange_gone(const struct rj_http_exchange *request);
+bool rj_http_exchange_disconnected(const struct rj_http_exchange *request);
 void rj_http_server_abort_open(struct rj_http_server *server,
 			       const struct rj_http_exchange *except);
-void rj_http_server_leave(struct rj_http_server *server);
+void rj_http_server_drain(struct rj_http_server *server);
 void rj_http_server_finish(struct rj_http_server *server);
 
 #endif
--- a/src/share/log_writer.c
+++ b/src/share/log_writer.c
@@ -32,14 +32,15 @@
 	char instance[RJ_NAME_BYTES];
 	int fd;
 	GString *buffer;
-	uint64_t lost;
-	uint64_t second; /* of the calendar, that the rates are counted in */
-	GHashTable *rates; /* event -> notes of it in that second */
+	uint64_t dropped;
+	uint64_t
+		rate_second; /* of the calendar, that the rates are counted in */
+	GHashTable *event_counts; /* event -> notes of it in that second */
 } logger;
 
 /* Notes of one event in a second: enough to follow a burst, and few enough
  * that a storm costs no more than a hundredth of a core. */
-#define NOTES_PER_SECOND 60
+#define EVENT_LINES_PER_SECOND_MAX 60
 
 /* Microseconds of the calendar, so that lines of instances can be merged. */
 static uint64_t calendar_us(void)
@@ -143,12 +144,12 @@
 }
 
 /* Append the fields of a note. */
-static void add_note(GString *line, const struct rj_note *note)
+static void add_log_event(GString *line, const struct rj_note *log_event)
 {
 	const struct rj_note_field *field;
 
-	add_text(line, "event", note->event);
-	for (field = note->fields; field->name; field++) {
+	add_text(line, "event", log_event->event);
+	for (field = log_event->fields; field->name; field++) {
 		if (field->text)
 			add_text(line, field->name, field->text);
 		else
@@ -158,17 +159,17 @@
 }
 
 /* Say how many notes of each event were left out in the second before. */
-static void tell_left_out(void)
+static void log_suppressed_counts(void)
 {
 	GHashTableIter iter;
 	gpointer event;
 	gpointer count;
 
-	g_hash_table_iter_init(&iter, logger.rates);
+	g_hash_table_iter_init(&iter, logger.event_counts);
 	while (g_hash_table_iter_next(&iter, &event, &count)) {
 		uint32_t number = GPOINTER_TO_UINT(count);
 
-		if (number <= NOTES_PER_SECOND)
+		if (number <= EVENT_LINES_PER_SECOND_MAX)
 			continue;
 		g_string_append_printf(logger.buffer, "{\"t_us\":%" PRIu64,
 				       calendar_us());
@@ -176,9 +177,9 @@
 		add_text(logger.buffer, "event", "left_out");
 		add_text(logger.buffer, "of", event);
 		g_string_append_printf(logger.buffer, ",\"count\":%u}\n",
-				       number - NOTES_PER_SECOND);
+				       number - EVENT_LINES_PER_SECOND_MAX);
 	}
-	g_hash_table_remove_all(logger.rates);
+	g_hash_table_remove_all(logger.event_counts);
 }
 
 /*
@@ -189,17 +190,19 @@
  */
 static bool within_rate(const char *event)
 {
-	uint64_t second = calendar_us() / RJ_US_PER_S;
+	uint64_t rate_second = calendar_us() / RJ_US_PER_S;
 	uint32_t count;
 
-	if (second != logger.second) {
-		tell_left_out();
-		logger.second = second;
+	if (rate_second != logger.rate_second) {
+		log_suppressed_counts();
+		logger.rate_second = rate_second;
 	}
-	count = GPOINTER_TO_UINT(g_hash_table_lookup(logger.rates, event)) + 1;
-	g_hash_table_insert(logger.rates, (gpointer)event,
+	count = GPOINTER_TO_UINT(
+			g_hash_table_lookup(logger.event_counts, event)) +
+		1;
+	g_hash_table_insert(logger.event_counts, (gpointer)event,
 			    GUINT_TO_POINTER(count));
-	return count <= NOTES_PER_SECOND;
+	return count <= EVENT_LINES_PER_SECOND_MAX;
 }
 
 /* The value of a field of a structured message, or NULL. */
@@ -230,20 +233,22 @@
 {
 	const struct rj_decision_log *decision =
 		field_value(fields, count, DECISION_FIELD);
-	const struct rj_note *note = field_value(fields, count, RJ_NOTE_FIELD);
+	const struct rj_note *log_event =
+		field_value(fields, count, RJ_NOTE_FIELD);
 	const char *text = field_value(fields, count, "MESSAGE");
 	GString *line = logger.buffer;
 
-	if (level & G_LOG_LEVEL_DEBUG || (note && !within_rate(note->event)))
+	if (level & G_LOG_LEVEL_DEBUG ||
+	    (log_event && !within_rate(log_event->event)))
 		return G_LOG_WRITER_HANDLED;
 	if (line->len > BUFFER_MAX_BYTES) {
-		logger.lost++;
+		logger.dropped++;
 		return G_LOG_WRITER_HANDLED;
 	}
 	g_string_append_printf(line, "{\"t_us\":%" PRIu64, calendar_us());
 	add_text(line, "instance", logger.instance);
-	if (note) {
-		add_note(line, note);
+	if (log_event) {
+		add_log_event(line, log_event);
 	} else if (decision) {
 		add_decision(line, decision);
 	} else {
@@ -269,7 +274,7 @@
 {
 	logger.loop = loop;
 	logger.fd = fd;
-	logger.rates = g_hash_table_new(g_str_hash, g_str_equal);
+	logger.event_counts = g_hash_table_new(g_str_hash, g_str_equal);
 	g_strlcpy(logger.instance, instance, sizeof(logger.instance));
 	logger.buffer = g_string_new(NULL);
 	g_log_set_writer_func(write_line, NULL, NULL);
@@ -291,9 +296,9 @@
 /*
  * Lines that were dropped because the reader of the log had stalled.
  */
-uint64_t rj_log_writer_lost(void)
+uint64_t rj_log_writer_dropped(void)
 {
-	return logger.lost;
+	return logger.dropped;
 }
 
 /*
--- a/src/share/log_writer.h
+++ b/src/share/log_writer.h
@@ -17,7 +17,7 @@
 void rj_log_writer_init(struct tevent_context *loop, const char *instance,
 			int fd);
 void rj_log_writer_decision(const struct rj_decision_log *decision);
-uint64_t rj_log_writer_lost(void);
+uint64_t rj_log_writer_dropped(void);
 void rj_log_writer_finish(void);
 
 #endif
--- a/src/standin/fleet.c
+++ b/src/standin/fleet.c
@@ -37,7 +37,8 @@
 }
 
 /* Register again after a failure, or when the state changed meanwhile. */
-static void registered(void *private_data, const struct rj_http_result *result)
+static void on_registration_done(void *private_data,
+				 const struct rj_http_result *result)
 {
 	const struct registration *registration = private_data;
 	struct rj_fleet_member *member = registration->member;
@@ -82,7 +83,7 @@
 		.method = "PUT",
 		.timeout_us = REGISTER_TIMEOUT_US,
 		.answer_max_bytes = REGISTER_ANSWER_MAX_BYTES,
-		.done = registered,
+		.done = on_registration_done,
 		.private_data = registration,
 	};
 
@@ -132,7 +133,7 @@
 	snprintf(worker_options.address.ip, RJ_IP_BYTES, "%s",
 		 options->listen_ip);
 	member->fleet = fleet;
-	member->rack = options->rack_from + index / options->per_rack;
+	member->rack = options->first_rack + index / options->workers_per_rack;
 	if (rj_standin_worker_init(&member->worker, fleet->mem, fleet->ev,
 				   &worker_options, err))
 		return -1;
@@ -150,7 +151,7 @@
 		  const struct rj_fleet_options *options, struct rj_error *err)
 {
 	memset(fleet, 0, sizeof(*fleet));
-	assert(options->per_rack);
+	assert(options->workers_per_rack);
 	if (rj_name_set(fleet->domain, options->domain))
 		return rj_error_set(err, RJ_ERR_INVALID,
 				    "domain: \"%s\" is no name; give one of "
@@ -165,13 +166,13 @@
 	assert(fleet->members);
 	if (rj_http_client_init(&fleet->client, fleet->mem, ev, NULL,
 				PLATFORM_CONNECTIONS_MAX, err))
-		goto fail;
+		goto report_error;
 	for (uint32_t i = 0; i < options->count; i++)
 		if (init_member(fleet, i, err))
-			goto fail;
+			goto report_error;
 	return 0;
 
-fail:
+report_error:
 	rj_fleet_finish(fleet);
 	return -1;
 }
--- a/src/standin/fleet.h
+++ b/src/standin/fleet.h
@@ -18,8 +18,8 @@
 	const char *domain;
 	const char *platform; /* IP:PORT, or NULL to register nowhere */
 	uint32_t count;
-	uint32_t rack_from;
-	uint32_t per_rack;
+	uint32_t first_rack;
+	uint32_t workers_per_rack;
 	uint32_t connections_max; /* of each worker */
 	struct rj_resources capacity; /* of each worker */
 };
--- a/src/standin/main.c
+++ b/src/standin/main.c
@@ -20,7 +20,7 @@
 #define DEFAULT_RETENTION_MS (3600 * 1000)
 
 /* What the modes share. */
-struct shell {
+struct program {
 	struct tevent_context *ev;
 	bool stopped;
 };
@@ -29,57 +29,57 @@
 static void stop(struct tevent_context *ev, struct tevent_signal *signal,
 		 int number, int count, void *info, void *private_data)
 {
-	struct shell *shell = private_data;
+	struct program *program = private_data;
 
-	shell->stopped = true;
+	program->stopped = true;
 }
 
 /* Tell whoever started this program where it listens, then serve. */
-static void serve(struct shell *shell, json_t *listening)
+static void serve(struct program *program, json_t *listening)
 {
 	json_t *line = json_object();
 	char *text;
 
 	json_object_set_new(line, "listening", listening);
-	text = rj_wire_text(shell->ev, line);
+	text = rj_wire_text(program->ev, line);
 	json_decref(line);
 	puts(text);
 	fflush(stdout);
 	talloc_free(text);
-	while (!shell->stopped)
-		tevent_loop_once(shell->ev);
+	while (!program->stopped)
+		tevent_loop_once(program->ev);
 }
 
 /* Say what went wrong and how to mend it. */
-static int fail(const struct rj_error *err)
+static int report_error(const struct rj_error *err)
 {
 	fprintf(stderr, "rj-standin: %s\n", err->message);
 	return EXIT_FAILURE;
 }
 
 /* Serve the platform until a signal. */
-static int serve_platform(struct shell *shell,
+static int serve_platform(struct program *program,
 			  const struct rj_standin_platform_options *options)
 {
 	struct rj_standin_platform platform;
 	struct rj_error err;
 	json_t *list = json_array();
 
-	if (rj_standin_platform_init(&platform, shell->ev, shell->ev, options,
-				     &err)) {
+	if (rj_standin_platform_init(&platform, program->ev, program->ev,
+				     options, &err)) {
 		json_decref(list);
-		return fail(&err);
+		return report_error(&err);
 	}
 	json_array_append_new(
 		list, json_pack("{s:s, s:i}", "ip", platform.server.address.ip,
 				"port", (int)platform.server.address.port));
-	serve(shell, list);
+	serve(program, list);
 	rj_standin_platform_finish(&platform);
 	return EXIT_SUCCESS;
 }
 
 /* rj-standin platform: its command line. */
-static int run_platform(struct shell *shell, int argc, char **argv)
+static int run_platform(struct program *program, int argc, char **argv)
 {
 	struct arg_str *listen =
 		arg_str1(NULL, "listen", "IP:PORT", "address; port 0: any");
@@ -117,28 +117,28 @@
 	options.retention_us = (uint64_t)retention->ival[0] * RJ_US_PER_MS;
 	options.list_lag_us = (uint64_t)lag->ival[0] * RJ_US_PER_MS;
 	options.append_rate = (uint32_t)rate->ival[0];
-	status = serve_platform(shell, &options);
+	status = serve_platform(program, &options);
 out:
 	arg_freetable(table, PROGRAM_OPTIONS_COUNT(table));
 	return status;
 }
 
 /* Serve the workers until a signal. */
-static int serve_workers(struct shell *shell,
+static int serve_workers(struct program *program,
 			 const struct rj_fleet_options *options)
 {
 	struct rj_fleet fleet;
 	struct rj_error err;
 
-	if (rj_fleet_init(&fleet, shell->ev, shell->ev, options, &err))
-		return fail(&err);
-	serve(shell, rj_fleet_listening(&fleet));
+	if (rj_fleet_init(&fleet, program->ev, program->ev, options, &err))
+		return report_error(&err);
+	serve(program, rj_fleet_listening(&fleet));
 	rj_fleet_finish(&fleet);
 	return EXIT_SUCCESS;
 }
 
 /* rj-standin workers: its command line. */
-static int run_workers(struct shell *shell, int argc, char **argv)
+static int run_workers(struct program *program, int argc, char **argv)
 {
 	struct arg_str *ip =
 		arg_str1(NULL, "listen-ip", "IP", "each worker on any port");
@@ -148,7 +148,7 @@
 	struct arg_str *domain =
 		arg_str1(NULL, "domain", "D", "failure domain");
 	struct arg_int *rack = arg_int0(NULL, "rack-from", "R", "first rack");
-	struct arg_int *per_rack =
+	struct arg_int *workers_per_rack =
 		arg_int0(NULL, "per-rack", "N", "workers in a rack");
 	struct arg_str *platform =
 		arg_str0(NULL, "platform", "IP:PORT", "where to register");
@@ -160,15 +160,16 @@
 	struct arg_int *cores = arg_int0(NULL, "cores", "N", NULL);
 	struct arg_int *memory = arg_int0(NULL, "memory-mb", "N", NULL);
 	struct program_options common = program_options_of("rj-standin");
-	void *table[] = { ip,	       count,	     prefix,   domain,
-			  rack,	       per_rack,     platform, slots,
-			  connections, accelerators, cores,    memory,
-			  common.help, common.end };
+	void *table[] = { ip,		count,	   prefix,
+			  domain,	rack,	   workers_per_rack,
+			  platform,	slots,	   connections,
+			  accelerators, cores,	   memory,
+			  common.help,	common.end };
 	struct rj_fleet_options options;
 	int status;
 
 	rack->ival[0] = 0;
-	per_rack->ival[0] = 8;
+	workers_per_rack->ival[0] = 8;
 	slots->ival[0] = 8;
 	connections->ival[0] = 64;
 	accelerators->ival[0] = 8;
@@ -178,7 +179,7 @@
 	if (status >= 0)
 		goto out;
 	status = PROGRAM_EXIT_USAGE;
-	if (count->ival[0] <= 0 || per_rack->ival[0] <= 0 ||
+	if (count->ival[0] <= 0 || workers_per_rack->ival[0] <= 0 ||
 	    rack->ival[0] < 0 || slots->ival[0] < 0 ||
 	    connections->ival[0] <= 0 || accelerators->ival[0] < 0 ||
 	    cores->ival[0] < 0 || memory->ival[0] < 0) {
@@ -192,14 +193,14 @@
 	options.domain = domain->sval[0];
 	options.platform = platform->count ? platform->sval[0] : NULL;
 	options.count = (uint32_t)count->ival[0];
-	options.rack_from = (uint32_t)rack->ival[0];
-	options.per_rack = (uint32_t)per_rack->ival[0];
+	options.first_rack = (uint32_t)rack->ival[0];
+	options.workers_per_rack = (uint32_t)workers_per_rack->ival[0];
 	options.connections_max = (uint32_t)connections->ival[0];
 	options.capacity.slots = (uint32_t)slots->ival[0];
 	options.capacity.accelerators = (uint32_t)accelerators->ival[0];
 	options.capacity.cores = (uint32_t)cores->ival[0];
 	options.capacity.memory_mb = (uint32_t)memory->ival[0];
-	status = serve_workers(shell, &options);
+	status = serve_workers(program, &options);
 out:
 	arg_freetable(table, PROGRAM_OPTIONS_COUNT(table));
 	return status;
@@ -207,18 +208,18 @@
 
 static const struct {
 	const char *name;
-	int (*run)(struct shell *shell, int argc, char **argv);
+	int (*run)(struct program *program, int argc, char **argv);
 } modes[] = {
 	{ "platform", run_platform },
 	{ "workers", run_workers },
 };
 
 /* Dispatch on the first argument. */
-static int run_mode(struct shell *shell, int argc, char **argv)
+static int run_mode(struct program *program, int argc, char **argv)
 {
 	for (size_t i = 0; argc > 1 && i < PROGRAM_OPTIONS_COUNT(modes); i++)
 		if (!strcmp(argv[1], modes[i].name))
-			return modes[i].run(shell, argc - 1, argv + 1);
+			return modes[i].run(program, argc - 1, argv + 1);
 	if (argc > 1 && !strcmp(argv[1], "--version")) {
 		puts("rj-standin " RJ_VERSION);
 		return EXIT_SUCCESS;
@@ -230,7 +231,7 @@
 /* Start the libraries and the event loop, then the mode that was asked for. */
 int main(int argc, char **argv)
 {
-	struct shell shell = { .stopped = false };
+	struct program program = { .stopped = false };
 	int status;
 
 	if (sodium_init() < 0 || curl_global_init(CURL_GLOBAL_DEFAULT)) {
@@ -238,12 +239,12 @@
 		return EXIT_FAILURE;
 	}
 	signal(SIGPIPE, SIG_IGN);
-	shell.ev = tevent_context_init(NULL);
-	assert(shell.ev);
-	tevent_add_signal(shell.ev, shell.ev, SIGTERM, 0, stop, &shell);
-	tevent_add_signal(shell.ev, shell.ev, SIGINT, 0, stop, &shell);
-	status = run_mode(&shell, argc, argv);
-	talloc_free(shell.ev);
+	program.ev = tevent_context_init(NULL);
+	assert(program.ev);
+	tevent_add_signal(program.ev, program.ev, SIGTERM, 0, stop, &program);
+	tevent_add_signal(program.ev, program.ev, SIGINT, 0, stop, &program);
+	status = run_mode(&program, argc, argv);
+	talloc_free(program.ev);
 	curl_global_cleanup();
 	return status;
 }
--- a/src/test_libradishjunction/test_http_platform.c
+++ b/src/test_libradishjunction/test_http_platform.c
@@ -122,8 +122,9 @@
 {
 	json_t *faults = json_loads(text, 0, NULL);
 
-	g_assert_cmpint(rj_gate_set(&fixture->standin.gate,
-				    &fixture->standin.server, faults, NULL),
+	g_assert_cmpint(rj_fault_injector_configure(
+				&fixture->standin.fault_injector,
+				&fixture->standin.server, faults, NULL),
 			==, 0);
 	json_decref(faults);
 }
@@ -152,7 +153,8 @@
 						    gconstpointer data)
 {
 	start_read(fixture, 0, WAIT_US);
-	while (fixture->standin.readers.next == &fixture->standin.readers)
+	while (fixture->standin.pending_reads.next ==
+	       &fixture->standin.pending_reads)
 		tevent_loop_once(fixture->ev);
 	fixture->append.append_id = 1;
 	fixture->platform.base.ops->append(&fixture->platform.base,
@@ -207,7 +209,8 @@
 					 gconstpointer data)
 {
 	start_read(fixture, 0, WAIT_US);
-	while (fixture->standin.readers.next == &fixture->standin.readers)
+	while (fixture->standin.pending_reads.next ==
+	       &fixture->standin.pending_reads)
 		tevent_loop_once(fixture->ev);
 	set_faults(fixture, "{\"outage\":true}");
 	wait_event(fixture, RJ_EVENT_READ_FAILED);
--- a/src/test_libradishjunction/test_http_server.c
+++ b/src/test_libradishjunction/test_http_server.c
@@ -107,7 +107,7 @@
 					    gconstpointer data)
 {
 	send_one(f);
-	rj_http_server_leave(&f->server);
+	rj_http_server_drain(&f->server);
 	rj_http_exchange_answer(f->request, MHD_HTTP_OK, "{}", 2);
 	RUN_UNTIL(f->ev, f->answered == 1);
 	RUN_UNTIL(f->ev, !f->server.connections);
--- a/src/test_libradishjunction/test_http_workers.c
+++ b/src/test_libradishjunction/test_http_workers.c
@@ -125,7 +125,7 @@
 {
 	struct rj_task_key key = { fixture->call.attempt,
 				   fixture->call.member };
-	const struct rj_task_ran *ran =
+	const struct rj_task_start_record *ran =
 		g_hash_table_lookup(fixture->worker.tasks.ran, &key);
 
 	return ran ? ran->starts : 0;
@@ -241,16 +241,17 @@
 	json_t *awake = json_pack("{s:b}", "pause", 0);
 	uint32_t ran;
 
-	worker->gate.paused = true;
+	worker->fault_injector.paused = true;
 	fixture->call.timeout_us = SHORT_US;
 	/* On a busy machine the time may be over before it is sent. */
 	do
 		call(fixture, RJ_WORKER_RUN);
 	while (fixture->reply.status == RJ_REPLY_REFUSED);
 	assert_status(fixture, RJ_REPLY_LOST, RJ_REASON_NONE);
-	g_assert_cmpint(
-		rj_gate_set(&worker->gate, &worker->server, awake, NULL), ==,
-		0);
+	g_assert_cmpint(rj_fault_injector_configure(&worker->fault_injector,
+						    &worker->server, awake,
+						    NULL),
+			==, 0);
 	json_decref(awake);
 	fixture->call.timeout_us = TIMEOUT_US;
 	call(fixture, RJ_WORKER_FENCE);
--- a/src/test_libradishjunction/test_instance_list.c
+++ b/src/test_libradishjunction/test_instance_list.c
@@ -45,7 +45,7 @@
 {
 	uint32_t at = 0;
 
-	rj_standin_history_note(&site->history, version(site), name);
+	rj_standin_history_record(&site->history, version(site), name);
 	while (at < site->count && strcmp(site->lines[at].name, name) != 0)
 		at++;
 	site->count += at == site->count;
@@ -61,7 +61,7 @@
 /* Take one from the platform's list. */
 static void take_away(struct site *site, const char *name)
 {
-	rj_standin_history_note(&site->history, version(site), name);
+	rj_standin_history_record(&site->history, version(site), name);
 	for (uint32_t i = 0; i < site->count; i++)
 		if (!strcmp(site->lines[i].name, name))
 			site->lines[i] = site->lines[--site->count];
@@ -187,7 +187,7 @@
 
 	put(site, "a", 1);
 	take(site, ask(site, 0));
-	for (uint32_t i = 0; i < RJ_STANDIN_HISTORY_KEPT + 1; i++)
+	for (uint32_t i = 0; i < RJ_STANDIN_HISTORY_MAX + 1; i++)
 		put(site, "a", 2 + i);
 	g_assert_null(strstr(ask(site, site->list.version), "\"since\""));
 	g_assert_null(strstr(ask(site, 7), "\"since\""));
