--- a/src/radishjunctiond/core_runner.c
+++ b/src/radishjunctiond/core_runner.c
@@ -18,7 +18,7 @@
 	struct rj_actions actions;
 };
 
-/* An empty batch, one that was used before if there is any. */
+/* Returns an empty batch, from the free list if possible. */
 static struct action_batch *batch_acquire(struct core_runner *runner)
 {
 	struct action_batch *batch = runner->free_batches;
@@ -34,7 +34,7 @@
 	return batch;
 }
 
-/* Put a batch that was carried out aside for the next event. */
+/* Clears an executed batch and returns it to the free list. */
 static void batch_release(struct core_runner *runner,
 			  struct action_batch *batch)
 {
@@ -43,7 +43,6 @@
 	runner->free_batches = batch;
 }
 
-/* Carry out one action. */
 static void execute_action(struct core_runner *runner,
 			   const struct rj_action *action)
 {
@@ -90,12 +89,12 @@
 }
 
 /*
- * Arm the timer for the time that the core asks for.
+ * Arms the timer for the core's wake time, unless it fires earlier anyway.
  *
- * A timer of the event loop would follow the calendar clock: set back by an
- * hour, it would fire an hour late, leases would lapse and jobs be lost.
- * The core counts on the monotonic clock, and so does this timer. One that
- * fires too early costs one look.
+ * Event loop timers follow the wall clock. If that were set back by an hour,
+ * they would fire an hour late, leases would expire and jobs be lost. The core
+ * uses the monotonic clock, and so does this timer. A timer that fires too
+ * early costs one comparison of the wake time.
  */
 static void arm_timer(struct core_runner *runner)
 {
@@ -106,14 +105,14 @@
 		return;
 	at.it_value.tv_sec = (time_t)(wake_us / RJ_US_PER_S);
 	at.it_value.tv_nsec = (long)(wake_us % RJ_US_PER_S) * 1000;
-	/* All zero would disarm it. */
+	/* An all-zero value would disarm the timer. */
 	if (!wake_us)
 		at.it_value.tv_nsec = 1;
 	timerfd_settime(runner->timer_fd, TFD_TIMER_ABSTIME, &at, NULL);
 	runner->armed_us = wake_us;
 }
 
-/* Carry out all batches in order, those that come meanwhile too. */
+/* Executes all queued batches in order, including those queued meanwhile. */
 static void execute_batches(struct core_runner *runner)
 {
 	runner->executing = true;
@@ -132,13 +131,13 @@
 }
 
 /*
- * Take an event: the core decides at once; its actions wait for those of
- * earlier events.
+ * Passes an event to the core and queues the resulting actions behind those
+ * of earlier events.
  *
- * An adapter may deliver from within a call that an action makes (an answer
- * that is known at once). The core is not within `rj_core_process` then, so
- * it may be asked, but to carry out the new actions first would reorder
- * what one event asked for.
+ * An adapter may deliver an event from within an action (when the answer is
+ * known at once). The core is not inside `rj_core_process` then, so it can
+ * process the event, but executing the new actions first would reorder the
+ * actions of the earlier event.
  */
 static void runner_deliver(struct rj_sink *sink, struct rj_event *event)
 {
@@ -146,7 +145,7 @@
 	struct action_batch *batch = batch_acquire(runner);
 
 	event->now_us = rj_clock_now_us();
-	runner->exiting = false; /* the core says it again if it still holds */
+	runner->exiting = false; /* the core repeats it if it still applies */
 	rj_core_process(&runner->core, event, &batch->actions);
 	if (runner->last)
 		runner->last->next = batch;
@@ -157,7 +156,8 @@
 		execute_batches(runner);
 }
 
-/* Tell the core that its time has come, if it has. */
+/* Delivers a timer event when the core's wake time has passed; otherwise arms
+ * the timer again. */
 static void on_timer(struct tevent_context *loop, struct tevent_fd *event,
 		     uint16_t flags, void *private_data)
 {
@@ -174,7 +174,6 @@
 		arm_timer(runner);
 }
 
-/* The shell that a view belongs to. */
 static struct core_runner *runner_of(struct rj_caller_views *views)
 {
 	return (struct core_runner *)((char *)views -
@@ -230,9 +229,11 @@
 };
 
 /*
- * Start a core; the adapters are set by the caller before `core_runner_start`.
+ * Creates the core and its timer. The caller sets the adapters before
+ * `core_runner_start`.
  *
- * Returns 0, or -1 with `err`: the core's, or RJ_ERR_IO without a timer.
+ * Returns 0, or -1 with `err`: the core's error, or RJ_ERR_IO if the timer
+ * cannot be created.
  */
 int core_runner_init(struct core_runner *runner, struct tevent_context *loop,
 		     const struct rj_core_options *options,
@@ -260,7 +261,7 @@
 }
 
 /*
- * Let the core begin: its first event is a timer.
+ * Starts the core with a first timer event. All adapters must be set.
  */
 void core_runner_start(struct core_runner *runner)
 {
@@ -272,7 +273,8 @@
 }
 
 /*
- * Ask for a graceful stop; `exiting` is set while nothing is open.
+ * Requests a graceful stop. From then on `exiting` is set while no job or
+ * request is open.
  */
 void core_runner_stop(struct core_runner *runner)
 {
@@ -282,7 +284,7 @@
 }
 
 /*
- * Free the core and the batches. No adapter may deliver afterwards.
+ * Frees the core and the batches. No adapter may deliver afterwards.
  */
 void core_runner_finish(struct core_runner *runner)
 {
--- a/src/radishjunctiond/core_runner.h
+++ b/src/radishjunctiond/core_runner.h
@@ -1,6 +1,6 @@
 /*
- * The shell around the decision core: events in from the adapters, actions
- * out to them. It decides nothing.
+ * Drives the decision core: passes events from the adapters to the core and
+ * executes the resulting actions. Contains no scheduling decisions.
  *
  * Life cycle: `core_runner_init`, then the adapters with `&shell->sink` as their
  * sink, then `core_runner_start`; the event loop runs until `exiting`;
@@ -19,7 +19,7 @@
 struct action_batch;
 
 struct core_runner {
-	struct rj_sink sink; /* first member, always */
+	struct rj_sink sink; /* must be the first member */
 	struct rj_caller_views views;
 	struct tevent_context *loop;
 	struct rj_core core;
@@ -27,15 +27,15 @@
 	struct rj_workers *workers;
 	struct rj_peers *peers;
 	struct rj_callers *callers;
-	const struct rj_tcp_peers *tcp_peers; /* for the metrics */
-	struct action_batch *first; /* actions to carry out, in order */
+	const struct rj_tcp_peers *tcp_peers; /* for metrics */
+	struct action_batch *first; /* actions to execute, in order */
 	struct action_batch *last;
 	struct action_batch *free_batches;
 	bool executing;
-	bool exiting; /* a stop was asked for, and nothing is open */
+	bool exiting; /* stop requested and nothing open */
 	int timer_fd;
 	struct tevent_fd *timer_event;
-	uint64_t armed_us;
+	uint64_t armed_us; /* expiry of the timer, or RJ_NEVER_US */
 };
 
 int core_runner_init(struct core_runner *runner, struct tevent_context *loop,
--- a/src/radishjunctiond/main.c
+++ b/src/radishjunctiond/main.c
@@ -1,6 +1,6 @@
 /*
  * radishjunctiond: one entry instance. Reads its settings, starts the
- * adapters around the decision core, and runs until it is asked to stop.
+ * adapters around the decision core and runs until SIGTERM or SIGINT.
  */
 #include <argtable2.h>
 #include <assert.h>
@@ -23,25 +23,25 @@
 #include "radishjunction/settings.h"
 #include "core_runner.h"
 
-/* The exit status; --help and the man page list the same. */
+/* Exit status; keep --help and the man page in step. */
 enum exit_code {
 	EXIT_STOPPED = 0, /* after a graceful stop */
 	EXIT_USAGE = 2, /* a bad command line */
-	EXIT_SETTINGS = 3, /* bad settings; all errors were printed */
-	EXIT_START = 4, /* an address is taken or a resource is missing */
-	EXIT_DRAIN = 5, /* the stop was not complete within its limit */
+	EXIT_SETTINGS = 3, /* invalid settings; every error was printed */
+	EXIT_START = 4, /* address in use or resource unavailable */
+	EXIT_DRAIN = 5, /* drain not complete within drain_limit_s */
 };
 
 #define ARG_ERRORS_MAX 20
-/* An idle connection may just be about to be used, or an answer be on its
- * way out; see linger. */
+/* Time for requests and answers in transit on idle connections; see
+ * drain_idle_connections. */
 #define LINGER_US (500 * RJ_US_PER_MS)
-/* Peers and the log give a configuration and the first read well within it. */
+/* Peers and the log normally deliver a configuration and the first page of
+ * records well within this time. */
 #define START_READY_TIMEOUT_US (1 * RJ_US_PER_S)
-/* Low bits of an incarnation that are left to chance. */
+/* Low bits of an incarnation that are random. */
 #define INCARNATION_RANDOM_BITS 20
 
-/* Everything that runs in this process. */
 struct daemon {
 	struct tevent_context *loop;
 	const struct rj_settings *settings;
@@ -53,13 +53,15 @@
 	struct rj_tcp_peers peers;
 	struct rj_http_callers callers;
 	bool stopping;
-	struct tevent_timer *timeout_timer; /* of the stop, then of lingering */
+	struct tevent_timer
+		*timeout_timer; /* of the drain, then of idle connections */
 	bool timed_out;
 };
 
 /*
- * A number that differs at each start and rises with the calendar, so that a
- * replacement under the same name is told from what it replaced.
+ * Returns an incarnation: the wall clock in milliseconds followed by random
+ * bits. It is unique to each start and increases over time, so that peers can
+ * tell a replacement from the earlier instance of the same name.
  */
 static uint64_t make_incarnation(void)
 {
@@ -72,7 +74,7 @@
 	       randombytes_uniform(1U << INCARNATION_RANDOM_BITS);
 }
 
-/* Start the core with what the settings say. */
+/* Starts the core from the settings. Returns 0, or -1 with `err`. */
 static int start_core(struct daemon *daemon, struct rj_error *err)
 {
 	const struct rj_settings *settings = daemon->settings;
@@ -97,7 +99,7 @@
 	return 0;
 }
 
-/* Start the links to other instances. */
+/* Starts the adapter for peer links. Returns 0, or -1 with `err`. */
 static int start_peers(struct daemon *daemon, struct rj_error *err)
 {
 	const struct rj_settings *settings = daemon->settings;
@@ -115,7 +117,8 @@
 	return rj_tcp_peers_init(&daemon->peers, daemon->loop, &options, err);
 }
 
-/* Start to serve callers. */
+/* Starts the HTTP interface for callers, which accepts no request until
+ * rj_http_callers_serve. Returns 0, or -1 with `err`. */
 static int start_callers(struct daemon *daemon, struct rj_error *err)
 {
 	const struct rj_settings *settings = daemon->settings;
@@ -136,7 +139,8 @@
 				    err);
 }
 
-/* Start everything, or nothing and -1. */
+/* Starts the core and all adapters. Returns 0, or -1 with `err` and
+ * everything stopped again. */
 static int start(struct daemon *daemon, struct rj_error *err)
 {
 	struct core_runner *runner = &daemon->runner;
@@ -175,7 +179,6 @@
 	return -1;
 }
 
-/* Free everything that `start` started. */
 static void finish(struct daemon *daemon)
 {
 	daemon->callers.base.ops->finish(&daemon->callers.base);
@@ -186,7 +189,7 @@
 	daemon->planner.base.ops->finish(&daemon->planner.base);
 }
 
-/* Write an address as callers write it, an IPv6 number in brackets. */
+/* Prints a JSON member; an IPv6 address is put in brackets, as in a URL. */
 static void print_address(const char *name, const struct rj_address *address)
 {
 	bool brackets = strchr(address->ip, ':') != NULL;
@@ -195,7 +198,8 @@
 	       brackets ? "]" : "", address->port);
 }
 
-/* Tell whoever started this process where it listens. */
+/* Prints the listening addresses as one line of JSON, for the process that
+ * started this one. */
 static void print_listening(const struct daemon *daemon)
 {
 	struct rj_address callers = rj_http_callers_address(&daemon->callers);
@@ -209,7 +213,7 @@
 	fflush(stdout);
 }
 
-/* The first signal starts the graceful stop; later ones change nothing. */
+/* Starts the graceful stop; further signals are ignored. */
 static void on_stop_signal(struct tevent_context *loop,
 			   struct tevent_signal *event, int number, int count,
 			   void *info, void *private_data)
@@ -223,7 +227,6 @@
 	core_runner_stop(&daemon->runner);
 }
 
-/* The limit of the stop, or of lingering, has passed. */
 static void on_time_limit(struct tevent_context *loop,
 			  struct tevent_timer *timer, struct timeval now,
 			  void *private_data)
@@ -234,7 +237,7 @@
 	daemon->timed_out = true;
 }
 
-/* Set `timed_out` after a delay, in place of an earlier one. */
+/* Sets `timed_out` after `delay_us`; replaces any earlier timeout. */
 static void set_timeout(struct daemon *daemon, uint64_t delay_us)
 {
 	talloc_free(daemon->timeout_timer);
@@ -245,7 +248,7 @@
 	assert(daemon->timeout_timer);
 }
 
-/* Whether nothing is open and the last answer was sent whole. */
+/* Whether no job or request is open and all answers were sent in full. */
 static bool is_drained(const struct daemon *daemon)
 {
 	return daemon->runner.exiting &&
@@ -253,12 +256,13 @@
 }
 
 /*
- * Take no more connections, and wait a moment for those that stand idle.
+ * Stops listening and waits up to LINGER_US for idle connections to close.
  *
- * Guards against a request that is on its way on an idle connection when the
- * stop is complete: its caller would see a reset, or hear "not run" though a
- * peer could serve it. Until the connection has ended, the core serves it or
- * hands it on like any other request of the stop.
+ * A request may be in transit on an idle connection when the drain completes.
+ * Closing the connection at once would give its caller a reset, or the answer
+ * "not run" though a peer could serve the request. Until the connection has
+ * closed, the core serves or forwards it like any other request during the
+ * drain.
  */
 static void drain_idle_connections(struct daemon *daemon)
 {
@@ -270,7 +274,8 @@
 		tevent_loop_once(daemon->loop);
 }
 
-/* The limit of the stop has passed: answer what is open, and say so. */
+/* Ends a drain that exceeded drain_limit_s: logs a warning, answers all open
+ * requests and waits up to LINGER_US for the answers to be sent. */
 static void abort_drain(struct daemon *daemon)
 {
 	g_warning("the stop was not complete after %u s; raise "
@@ -282,8 +287,8 @@
 		tevent_loop_once(daemon->loop);
 }
 
-/* Let callers in when there is something to serve them with, or it is clear
- * that this takes longer: then they are told so. */
+/* Accepts callers once the core is ready, or after START_READY_TIMEOUT_US:
+ * requests are then refused as not ready rather than left to time out. */
 static void start_serving(struct daemon *daemon)
 {
 	set_timeout(daemon, START_READY_TIMEOUT_US);
@@ -293,7 +298,7 @@
 	rj_http_callers_serve(&daemon->callers);
 }
 
-/* Run until the stop is complete and the last answer is sent whole. */
+/* Serves until a stop is requested, then drains. */
 static enum exit_code run(struct daemon *daemon)
 {
 	start_serving(daemon);
@@ -310,7 +315,8 @@
 	return EXIT_STOPPED;
 }
 
-/* Read and check the settings; prints every error and returns NULL. */
+/* Reads and validates the settings. Returns a talloc child of `mem`, or NULL
+ * after printing every error. */
 static struct rj_settings *load_settings(void *mem, const char *path)
 {
 	struct rj_settings *settings;
@@ -336,7 +342,7 @@
 	return settings;
 }
 
-/* Serve with the settings in `path`. */
+/* Runs the daemon with the settings file `path`. */
 static enum exit_code serve(const char *path)
 {
 	struct tevent_context *loop = tevent_context_init(NULL);
@@ -368,7 +374,6 @@
 	return status;
 }
 
-/* Print how the program is used. */
 static void print_help(void **table)
 {
 	printf("Usage: radishjunctiond");
--- a/src/share/http_server.c
+++ b/src/share/http_server.c
@@ -10,11 +10,11 @@
 
 #include "private/tcp_socket.h"
 
-/* Connections beyond the limit are accepted to be closed, so that their
-   callers see a refusal and do not wait in the backlog. */
+/* Connections above the limit are accepted and closed at once, so that their
+ * clients see a refusal rather than wait in the listen backlog. */
 #define REFUSED_CONNECTIONS_MAX 16
 
-/* Keep `length` more bytes of the body, or note that it is too large. */
+/* Appends to the body, or sets `too_large` once it exceeds the limit. */
 static void append_body(struct rj_http_exchange *request, const char *data,
 			size_t length)
 {
@@ -25,7 +25,6 @@
 		rj_buffer_append(&request->body, request, data, length);
 }
 
-/* The socket of the request's connection. */
 static int request_socket(const struct rj_http_exchange *request)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
@@ -35,7 +34,8 @@
 }
 
 /*
- * Whether the client of an open request has closed its connection.
+ * Whether the client of an open request has closed its connection. Does not
+ * block.
  */
 bool rj_http_exchange_disconnected(const struct rj_http_exchange *request)
 {
@@ -47,12 +47,12 @@
 }
 
 /*
- * The socket of a suspended connection can be read: its client has closed
- * it, or has sent its next request early.
+ * Handles a readable socket of a suspended connection: the client has closed
+ * it, or has already sent its next request.
  *
- * Guards against connections that are never given back: libmicrohttpd does
- * not watch a suspended connection, so that the limit would fill up with
- * clients that timed out. A closed connection reads as ended.
+ * libmicrohttpd does not watch suspended connections, so without this check
+ * the connections of clients that timed out would count against the limit
+ * until it is exhausted. A closed connection reads as end of file.
  */
 static void watch_ready(struct tevent_context *ev, struct tevent_fd *fde,
 			uint16_t flags, void *private_data)
@@ -64,7 +64,7 @@
 		rj_http_exchange_abort(request);
 }
 
-/* Set the connection aside until there is an answer. */
+/* Suspends the connection until there is an answer or the client closes it. */
 static void suspend(struct rj_http_exchange *request)
 {
 	if (request->suspended)
@@ -77,7 +77,7 @@
 	assert(request->close_watch);
 }
 
-/* Hangs on every request, so that the list of open ones never dangles. */
+/* Removes a freed request from the list of open requests. */
 static int request_destructor(struct rj_http_exchange *request)
 {
 	rj_list_remove(&request->link);
@@ -87,7 +87,7 @@
 	return 0;
 }
 
-/* A request whose headers have come. */
+/* Creates a request once its headers have been received. */
 static struct rj_http_exchange *request_new(struct rj_http_server *server,
 					    struct MHD_Connection *connection,
 					    const char *path,
@@ -107,7 +107,7 @@
 	return request;
 }
 
-/* Hand a whole request to the handler. */
+/* Passes a complete request to the handler, or refuses one that is too large. */
 static void handle(struct rj_http_exchange *request)
 {
 	struct rj_http_server *server = request->server;
@@ -125,7 +125,7 @@
 
 /*
  * libmicrohttpd calls this when the headers are read, for each part of the
- * body, when the request is whole, and again after a resume.
+ * body, when the request is complete, and again after a resume.
  */
 static enum MHD_Result
 access_handler(void *cls, struct MHD_Connection *connection, const char *url,
@@ -159,7 +159,7 @@
 	return queued;
 }
 
-/* The last byte was sent, or the connection ended before. */
+/* Frees a request whose answer was sent, or whose connection closed early. */
 static void request_completed(void *cls, struct MHD_Connection *connection,
 			      void **con_cls,
 			      enum MHD_RequestTerminationCode code)
@@ -168,7 +168,6 @@
 	*con_cls = NULL;
 }
 
-/* Count the connections that stand. */
 static void connection_changed(void *cls, struct MHD_Connection *connection,
 			       void **socket_context,
 			       enum MHD_ConnectionNotificationCode code)
@@ -181,7 +180,7 @@
 		server->connections--;
 }
 
-/* One connection above the limit is closed as soon as it is accepted. */
+/* Rejects connections above the limit as soon as they are accepted. */
 static enum MHD_Result accept_policy(void *cls, const struct sockaddr *address,
 				     socklen_t length)
 {
@@ -192,8 +191,9 @@
 }
 
 /*
- * Listen on options->address and serve it from `ev`. server->address then
- * has the port. Returns 0, or -1 with `err` when the address cannot be had.
+ * Listens on options->address and serves it from `ev`; server->address
+ * receives the actual port. Returns 0, or -1 with `err` if the server cannot
+ * listen.
  */
 int rj_http_server_init(struct rj_http_server *server, void *mem,
 			struct tevent_context *ev,
@@ -232,7 +232,7 @@
 }
 
 /*
- * The value of a header, or NULL; it lives as long as the request.
+ * Returns the value of a header, or NULL; valid as long as the request.
  */
 const char *rj_http_exchange_header(struct rj_http_exchange *request,
 				    const char *name)
@@ -242,7 +242,8 @@
 }
 
 /*
- * The value of a query argument, or NULL; it lives as long as the request.
+ * Returns the value of a query argument, or NULL; valid as long as the
+ * request.
  */
 const char *rj_http_exchange_argument(struct rj_http_exchange *request,
 				      const char *name)
@@ -251,7 +252,7 @@
 					   MHD_GET_ARGUMENT_KIND, name);
 }
 
-/* Wake a suspended request, so that access_handler sends its answer. */
+/* Resumes a suspended connection, so that access_handler sends the answer. */
 static void resume(struct rj_http_exchange *request)
 {
 	rj_list_remove(&request->link);
@@ -264,7 +265,7 @@
 }
 
 /*
- * Send one header more with the answer, which must follow.
+ * Adds a header to the answer. Call at most once, before the answer.
  */
 void rj_http_exchange_add_header(struct rj_http_exchange *request,
 				 const char *name, const char *value)
@@ -275,7 +276,7 @@
 }
 
 /*
- * End the connection with the answer, which must follow.
+ * Closes the connection after the answer. Call before the answer.
  */
 void rj_http_exchange_close(struct rj_http_exchange *request)
 {
@@ -283,8 +284,8 @@
 }
 
 /*
- * Answer with `length` bytes of JSON, which are copied. Once a request; the
- * answer to an aborted one is dropped.
+ * Answers with `length` bytes of JSON, which are copied. Call once for each
+ * request; the answer to an aborted request is dropped.
  */
 void rj_http_exchange_answer(struct rj_http_exchange *request,
 			     unsigned int status, const char *text,
@@ -310,7 +311,7 @@
 }
 
 /*
- * Answer with {"error": message}; the message names the remedy.
+ * Answers with {"error": message}; the message states the remedy.
  */
 void rj_http_exchange_error(struct rj_http_exchange *request,
 			    unsigned int status, const char *message)
@@ -325,7 +326,7 @@
 }
 
 /*
- * Close the connection without an answer.
+ * Closes the connection without an answer. Must not follow an answer.
  */
 void rj_http_exchange_abort(struct rj_http_exchange *request)
 {
@@ -337,7 +338,7 @@
 }
 
 /*
- * Abort every request that waits for its answer, but for `except`.
+ * Aborts every open request except `except`, which may be NULL.
  */
 void rj_http_server_abort_open(struct rj_http_server *server,
 			       const struct rj_http_exchange *except)
@@ -355,8 +356,8 @@
 }
 
 /*
- * Clients are to go elsewhere: from now on each answer ends its connection.
- * `requests` tells when all answers have been sent.
+ * Makes each further answer close its connection, so that clients move to
+ * other instances. All answers have been sent once `requests` is 0.
  */
 void rj_http_server_drain(struct rj_http_server *server)
 {
@@ -364,8 +365,8 @@
 }
 
 /*
- * Close all connections, without answers to what is open, and stop
- * listening. Not from within a handler.
+ * Stops listening and closes all connections; open requests get no answer.
+ * Must not be called from within a handler.
  */
 void rj_http_server_finish(struct rj_http_server *server)
 {
--- a/src/share/http_server.h
+++ b/src/share/http_server.h
@@ -3,10 +3,11 @@
  * without threads.
  *
  * Life cycle: `rj_http_server_init` listens and calls `handle` once for each
- * whole request. The handler answers at once, or keeps the request and
+ * complete request. The handler answers at once, or keeps the request and
  * answers later; the connection is suspended meanwhile. A request is freed
- * after its answer was sent or its client has gone: what the handler hangs
- * on it as a talloc child (a timer, a destructor) goes with it. `rj_http_server_finish` closes all.
+ * after its answer was sent or its client disconnected, together with its
+ * talloc children (such as a handler's timer). `rj_http_server_finish` closes
+ * all connections.
  */
 #ifndef RADISHJUNCTION_SHARE_HTTP_SERVER_H
 #define RADISHJUNCTION_SHARE_HTTP_SERVER_H
@@ -19,30 +20,29 @@
 
 struct rj_http_server;
 
-/* One request, until its answer is sent. */
+/* One request, from its headers until its answer is sent. */
 struct rj_http_exchange {
-	struct rj_list link; /* in the server's open requests */
+	struct rj_list link; /* in server->open */
 	struct rj_http_server *server;
 	struct MHD_Connection *connection;
 	const char *method;
 	const char *path;
-	struct rj_buffer body; /* never without data when handled */
-	bool too_large;
+	struct rj_buffer body; /* data is not NULL once handled */
+	bool too_large; /* the body exceeds body_max_bytes */
 	bool handled; /* the handler has been called */
 	bool suspended;
-	bool aborted;
-	struct tevent_fd
-		*close_watch; /* while suspended: has the client gone */
-	bool close_after_answer; /* its answer ends the connection */
-	const char *extra_header_name; /* of one header more, or NULL */
+	bool aborted; /* the connection closes without an answer */
+	struct tevent_fd *close_watch; /* while suspended */
+	bool close_after_answer; /* close the connection then */
+	const char *extra_header_name; /* one additional header, or NULL */
 	const char *extra_header_value;
 	struct MHD_Response *response;
 	unsigned int status;
 };
 
 struct rj_http_server_options {
-	struct rj_address address; /* port 0: any free one */
-	uint32_t connections_max; /* one more is closed at once */
+	struct rj_address address; /* port 0: any free port */
+	uint32_t connections_max; /* further connections are closed */
 	uint32_t body_max_bytes;
 	void (*handle)(void *private_data, struct rj_http_exchange *request);
 	void *private_data;
@@ -54,10 +54,10 @@
 	struct tevent_context *ev;
 	struct MHD_Daemon *daemon;
 	struct rj_http_loop loop;
-	struct rj_address address; /* with the port that it listens on */
+	struct rj_address address; /* with the actual port */
 	struct rj_list open; /* handled, not yet answered */
-	uint32_t requests; /* begun, and their answers not yet sent whole */
-	bool draining; /* each answer ends its connection */
+	uint32_t requests; /* started, answer not yet sent in full */
+	bool draining; /* each answer closes its connection */
 	uint32_t connections;
 };
 
--- a/src/share/log_writer.c
+++ b/src/share/log_writer.c
@@ -16,16 +16,16 @@
 #include "private/note.h"
 
 #define DOMAIN "radishjunction"
-/* The field of a structured message that holds a decision. */
+/* GLib log field with a pointer to the decision. */
 #define DECISION_FIELD "RADISHJUNCTION_DECISION"
-/* Lines wait so long for others, to be written in one call. */
+/* Lines are buffered for this time, to write several with one call. */
 #define FLUSH_US (50 * RJ_US_PER_MS)
-/* A pipe that can be written has room for so much. */
+/* PIPE_BUF: a pipe that polls writable accepts this many bytes. */
 #define WRITE_BYTES 4096
-/* Above this the reader has stalled, and lines are dropped. */
+/* Lines are dropped while more than this is buffered: the reader stalls. */
 #define BUFFER_MAX_BYTES (1024 * 1024)
 
-/* GLib has one writer for the whole process, so this has one state too. */
+/* Global, because GLib has one log writer for each process. */
 static struct {
 	struct tevent_context *loop;
 	struct tevent_timer *timer;
@@ -33,16 +33,15 @@
 	int fd;
 	GString *buffer;
 	uint64_t dropped;
-	uint64_t
-		rate_second; /* of the calendar, that the rates are counted in */
-	GHashTable *event_counts; /* event -> notes of it in that second */
+	uint64_t rate_second; /* wall clock second of event_counts */
+	GHashTable *event_counts; /* event -> lines in that second */
 } logger;
 
-/* Notes of one event in a second: enough to follow a burst, and few enough
- * that a storm costs no more than a hundredth of a core. */
+/* Rate limit of each event: enough to follow a burst, and few enough that an
+ * event storm costs at most a hundredth of a core. */
 #define EVENT_LINES_PER_SECOND_MAX 60
 
-/* Microseconds of the calendar, so that lines of instances can be merged. */
+/* Wall clock in microseconds, so that logs of instances can be merged. */
 static uint64_t calendar_us(void)
 {
 	struct timespec now;
@@ -53,11 +52,11 @@
 }
 
 /*
- * Write what is buffered, as far as the reader takes it.
+ * Writes as much of the buffer as the reader accepts.
  *
- * Guards against a log reader that stalls: a blocking write would stop the
- * whole instance, and its leases would lapse. A pipe is written only while
- * it has room; what does not fit stays, up to a bound.
+ * With a stalled log reader a blocking write would stop the whole instance,
+ * and its leases would expire. The file is therefore written only while it
+ * polls writable; the rest stays buffered, up to BUFFER_MAX_BYTES.
  */
 static void flush(void)
 {
@@ -80,7 +79,7 @@
 	g_string_erase(logger.buffer, 0, (gssize)done);
 }
 
-/* Write what has gathered, and come back while some of it is left. */
+/* Flushes the buffer; arms the timer again while data is left. */
 static void on_timer(struct tevent_context *loop, struct tevent_timer *timer,
 		     struct timeval now, void *private_data);
 
@@ -102,7 +101,7 @@
 		arm_timer();
 }
 
-/* Append `,"name":"text"`, escaped where it has to be. */
+/* Appends `,"name":"text"`, escaped if necessary. */
 static void add_text(GString *line, const char *name, const char *text)
 {
 	json_t *json;
@@ -122,7 +121,7 @@
 	json_decref(json);
 }
 
-/* Append one line for a decision. */
+/* Appends the fields of a decision. */
 static void add_decision(GString *line, const struct rj_decision_log *decision)
 {
 	add_text(line, "event", rj_decision_event_string[decision->event]);
@@ -143,7 +142,7 @@
 			       decision->considered);
 }
 
-/* Append the fields of a note. */
+/* Appends the fields of a log event. */
 static void add_log_event(GString *line, const struct rj_note *log_event)
 {
 	const struct rj_note_field *field;
@@ -158,7 +157,7 @@
 	}
 }
 
-/* Say how many notes of each event were left out in the second before. */
+/* Logs how many lines of each event were suppressed in the last second. */
 static void log_suppressed_counts(void)
 {
 	GHashTableIter iter;
@@ -183,10 +182,10 @@
 }
 
 /*
- * Whether a note of this event may still be written in this second.
+ * Counts a line of `event` and returns whether it is within the rate limit.
  *
- * Guards against a storm that makes the log the main work of an instance:
- * each refused call and each lost run is a line.
+ * Each refused call and each lost run is a line: without a limit an event
+ * storm would make logging the main load of an instance.
  */
 static bool within_rate(const char *event)
 {
@@ -205,7 +204,7 @@
 	return count <= EVENT_LINES_PER_SECOND_MAX;
 }
 
-/* The value of a field of a structured message, or NULL. */
+/* Returns the value of a GLib log field, or NULL. */
 static const void *field_value(const GLogField *fields, gsize count,
 			       const char *key)
 {
@@ -226,7 +225,8 @@
 	return "debug";
 }
 
-/* GLib's writer: one line of JSON for each message. */
+/* GLogWriterFunc: buffers one line of JSON; warnings and errors are flushed
+ * at once. */
 static GLogWriterOutput write_line(GLogLevelFlags level,
 				   const GLogField *fields, gsize count,
 				   gpointer private_data)
@@ -266,8 +266,8 @@
 }
 
 /*
- * Write lines of JSON of all messages to `fd` from now on. `loop` must live
- * until `rj_log_writer_finish`.
+ * Installs the log writer, which writes to `fd` from now on. `loop` must
+ * live until `rj_log_writer_finish`.
  */
 void rj_log_writer_init(struct tevent_context *loop, const char *instance,
 			int fd)
@@ -281,7 +281,7 @@
 }
 
 /*
- * Log one decision as a line of its own.
+ * Logs one scheduling decision.
  */
 void rj_log_writer_decision(const struct rj_decision_log *decision)
 {
@@ -294,7 +294,7 @@
 }
 
 /*
- * Lines that were dropped because the reader of the log had stalled.
+ * Returns the number of lines dropped because the log reader stalled.
  */
 uint64_t rj_log_writer_dropped(void)
 {
@@ -302,8 +302,8 @@
 }
 
 /*
- * Write what is left. GLib takes a writer only once, so this one stays, and
- * writes each later message at once.
+ * Flushes the buffer. GLib accepts a log writer only once, so it stays
+ * installed for later messages.
  */
 void rj_log_writer_finish(void)
 {
--- a/src/share/log_writer.h
+++ b/src/share/log_writer.h
@@ -1,11 +1,10 @@
 /*
- * Log lines in JSON, by way of GLib's logging: one for each message, decision
- * and note. Never blocks; what a stalled reader leaves no room for is dropped
- * and counted, and so are notes of one event beyond a rate.
+ * Writes GLib log messages, scheduling decisions and log events as lines of
+ * JSON. Never blocks: lines that exceed the buffer of a stalled reader are
+ * dropped and counted, and so are lines above the rate limit of an event.
  *
- * Life cycle: `rj_log_writer_init` once, after which every GLib message and every
- * decision is a line; lines are buffered for a moment, and `rj_log_writer_finish`
- * writes what is left.
+ * Life cycle: `rj_log_writer_init` once. Lines are buffered for up to 50 ms;
+ * `rj_log_writer_finish` writes what is left.
  */
 #ifndef RADISHJUNCTION_SHARE_LOG_WRITER_H
 #define RADISHJUNCTION_SHARE_LOG_WRITER_H
--- a/src/share/program_options.c
+++ b/src/share/program_options.c
@@ -4,11 +4,12 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* So many wrong options are named at once. */
+/* Number of errors reported at once. */
 #define ERRORS_MAX 20
 
 /*
- * Make what every subcommand of `program` has in its table.
+ * Returns the options common to all subcommands of `program`, to be put into
+ * the subcommand's table; arg_freetable frees them.
  */
 struct program_options program_options_of(const char *program)
 {
@@ -23,8 +24,9 @@
 }
 
 /*
- * Parse the command line into `table`, of which `end` is the last; argv[0] is
- * the subcommand. Returns -1, or the status to exit with.
+ * Parses the command line into `table`, whose last entry is options->end;
+ * argv[0] is the subcommand. Returns -1 to continue, or the exit status after
+ * printing the help or the errors.
  */
 int program_options_parse(const struct program_options *options, int argc,
 			  char **argv, void **table)
--- a/src/share/program_options.h
+++ b/src/share/program_options.h
@@ -1,17 +1,17 @@
 /*
- * The command line of a subcommand of a program that is not for users: the
- * stand-ins and the measurements.
+ * Command line parsing for the subcommands of the development programs
+ * (stand-ins and benchmarks).
  *
- * Life cycle: `program_options_of` makes --help and the end of the table,
- * the subcommand puts both into its table and calls `program_options_parse`,
- * then `arg_freetable`.
+ * Life cycle: `program_options_of` creates the --help option and the end of
+ * the argument table. The subcommand puts both into its table and calls
+ * `program_options_parse`, then `arg_freetable`.
  */
 #ifndef RADISHJUNCTION_SHARE_PROGRAM_OPTIONS_H
 #define RADISHJUNCTION_SHARE_PROGRAM_OPTIONS_H
 
 #include <argtable2.h>
 
-/* Wrong options and bad values, as for every program of this project. */
+/* Exit status for invalid options or values, in all programs. */
 #define PROGRAM_EXIT_USAGE 2
 #define PROGRAM_OPTIONS_COUNT(table) (sizeof(table) / sizeof(*(table)))
 
