--- a/src/bench/bench.h
+++ b/src/bench/bench.h
@@ -1,5 +1,5 @@
 /*
- * The measurements: each subcommand is a row of main.c's table and a file of
+ * The benchmarks: each subcommand has a row in main.c's table and a file of
  * its own. Every line on standard output is one JSON object.
  */
 #ifndef BENCH_BENCH_H
@@ -10,7 +10,7 @@
 struct bench_command {
 	const char *name;
 	const char *description;
-	/* argv[0] is the subcommand; returns the exit status. */
+	/* argv[0] is the subcommand. Returns the exit status. */
 	int (*run)(int argc, char **argv);
 };
 
--- a/src/bench/cell.c
+++ b/src/bench/cell.c
@@ -1,8 +1,8 @@
 /*
- * What the owner of a cell spends, against the number of its workers and
- * against its load: the code of the instances alone, in virtual time.
+ * Cost of the owner of a cell by number of workers and by load: simulated
+ * instances in virtual time.
  *
- * Processor time is that of the decisions, not of sockets and codecs.
+ * CPU time covers the decisions, not sockets and codecs.
  */
 #include <argtable2.h>
 #include <stdio.h>
@@ -18,8 +18,8 @@
 #define WARM_UP_US (15 * S)
 #define MEASURED_US (20 * S)
 #define STEP_US (100 * MS)
-#define STEPS_PER_S 10.0 /* one second over STEP_US */
-/* A job of the users' urgent kind has about so many tasks. */
+#define STEPS_PER_S 10.0 /* one second divided by STEP_US */
+/* Typical size of an urgent job. */
 #define TASKS_PER_JOB 5
 #define TASK_MS 2500
 
@@ -29,10 +29,10 @@
 	uint32_t workers;
 	uint32_t tasks_per_s;
 	bool gangs;
-	bool mixed; /* three kinds of jobs in place of one */
+	bool mixed; /* the three kinds of `job_kinds` */
 };
 
-/* One kind of a mixed load. */
+/* One kind of job in a mixed load. */
 struct job_kind {
 	const char *queue;
 	uint32_t tasks; /* of a job */
@@ -43,14 +43,14 @@
 	bool gang;
 };
 
-/* Short urgent gangs, longer ones, and wide jobs of small tasks. */
+/* Short urgent gangs, longer gangs, and jobs of many small tasks. */
 static const struct job_kind job_kinds[] = {
 	{ "urgent", 8, 2500, 7500, 8, 19, true },
 	{ "normal", 26, 8500, 26000, 8, 20, true },
 	{ "bulk", 78, 6100, 7500, 1, 61, false },
 };
 
-/* What was counted up to some moment. */
+/* A snapshot of the counters. */
 struct counters {
 	uint64_t owner_ns;
 	uint64_t all_ns;
@@ -61,7 +61,7 @@
 	uint32_t jobs;
 };
 
-/* Hand in the jobs of one step of the load. */
+/* Submits the jobs of one step; `due` carries over the fractional job. */
 static void submit_step(struct cell_world *sim, const struct load *load,
 			double *due)
 {
@@ -82,7 +82,7 @@
 	}
 }
 
-/* Hand in the jobs of one step of a mixed load. */
+/* Submits the jobs of one step of a mixed load; see submit_step. */
 static void submit_step_mixed(struct cell_world *sim, const struct load *load,
 			      double due[G_N_ELEMENTS(job_kinds)])
 {
@@ -112,7 +112,7 @@
 	}
 }
 
-/* Play on under the load. */
+/* Runs the simulation under the load for `for_us`. */
 static void run_load(struct cell_world *sim, const struct load *load,
 		     uint64_t for_us)
 {
@@ -128,7 +128,7 @@
 	}
 }
 
-/* Read all counters. */
+/* Takes a snapshot; the cell must have an owner. */
 static struct counters read_counters(const struct cell_world *sim)
 {
 	int owner = cell_world_owner(sim);
@@ -145,8 +145,9 @@
 	return counters;
 }
 
-/* How long jobs handed in since `first` waited for their first step, in
- * milliseconds; a job that has not begun has waited until now. */
+/* Returns quantile `at` of the wait for the first step, in milliseconds, over
+ * the accepted jobs from index `first` on; a job not yet started counts with
+ * its wait until now. */
 static double wait_ms(const struct cell_world *sim, uint32_t first, double at)
 {
 	GArray *waits = g_array_new(FALSE, FALSE, sizeof(double));
@@ -167,7 +168,7 @@
 	return result;
 }
 
-/* Measure one size and load. */
+/* Runs one size and load and prints the result. */
 static void measure(const struct load *load)
 {
 	const struct cell_world_plan plan = {
@@ -213,8 +214,8 @@
 }
 
 /*
- * `rj-bench cell`: the owner's processor time, calls and state, and the wait
- * of jobs, at several sizes of a cell or at one.
+ * `rj-bench cell`: the owner's CPU time, calls and state, and the wait times
+ * of jobs, at several sizes of a cell or at the size given.
  */
 int bench_cell(int argc, char **argv)
 {
--- a/src/bench/control.c
+++ b/src/bench/control.c
@@ -1,11 +1,10 @@
 /*
- * What one instance spends on control while nothing is submitted: a core
- * with its peers, workers and log played over virtual time (control_site.h),
- * at rest, or while operators publish and instances are replaced.
+ * Control overhead of one instance without submitted jobs: a core with
+ * simulated peers, workers and log in virtual time (control_site.h), idle, or
+ * while operators publish configurations and workers are replaced.
  *
- * Bytes are those of the real codecs, plus a constant for the HTTP headers
- * of each exchange. Processor time is that of the decisions and codecs here,
- * not of the daemon's sockets.
+ * Bytes are counted by the real codecs, plus a constant for the HTTP headers
+ * of each exchange. CPU time covers decisions and codecs, not sockets.
  */
 #include <argtable2.h>
 #include <stdio.h>
@@ -19,12 +18,12 @@
 #define MEASURED_US (300 * RJ_US_PER_S)
 #define MEASURED_LOAD_US (7200 * RJ_US_PER_S)
 
-/* Workers of the failure domain: the users' today, and letter sizes up to an
- * eighth of 7,500. */
+/* Workers of the failure domain: the size in production, and larger ones up to
+ * an eighth of 7,500. */
 static const uint32_t worker_counts[] = { 17, 120, 470, 940 };
 
 /*
- * The processor time of this thread, in microseconds.
+ * Returns the CPU time of this thread in microseconds.
  */
 static double cpu_us(void)
 {
@@ -35,7 +34,7 @@
 }
 
 /*
- * Print what was counted, per second.
+ * Prints the counters per second of virtual time.
  */
 static void print(const struct control *control, uint64_t measured_us,
 		  double used_us, size_t state_bytes)
@@ -67,7 +66,7 @@
 }
 
 /*
- * Measure one instance under a load.
+ * Runs one instance under a load and prints the result.
  */
 static void measure(const struct control_load *load)
 {
@@ -90,7 +89,7 @@
 }
 
 /*
- * An option's number, or what it is when left out.
+ * Returns an option's value, or `default_value` if it is not given.
  */
 static uint32_t option_value(const struct arg_int *option,
 			     uint32_t default_value)
@@ -99,9 +98,9 @@
 }
 
 /*
- * `rj-bench control`: bytes, exchanges, processor time and state of one
- * instance's control at several sizes of its failure domain, or at one size
- * under a load.
+ * `rj-bench control`: bytes, exchanges, CPU time and state size of one
+ * instance's control traffic, at several sizes of its failure domain, or at
+ * one size under a load.
  */
 int bench_control(int argc, char **argv)
 {
--- a/src/bench/control_site.c
+++ b/src/bench/control_site.c
@@ -10,19 +10,19 @@
 #include "private/worker_wire.h"
 #include "radishjunction/config_log.h"
 
-/* 33,000 tasks on 7,500 workers are 4.4. */
+/* 33,000 tasks on 7,500 workers are 4.4 on each. */
 #define TASKS_PER_WORKER 4
-/* Request line, status line and headers of one exchange, both ways, as curl
- * and libmicrohttpd send them. */
+/* Request line, status line and headers of one exchange in both directions, as
+ * sent by curl and libmicrohttpd. */
 #define HTTP_HEADER_BYTES 330
 #define FRAME_BYTES 48 /* length, sequence number and MAC of a peer frame */
-/* Of the instances of another failure domain that keep no link from here, so
- * many to one keep a link to here: each chooses 2 of 8. */
+/* Of another failure domain's instances without a link from this one, one in
+ * this many has a link to this one: each instance links to 2 of 8. */
 #define INBOUND_LINK_STRIDE 4
 #define PAGE_RECORDS 500
 
 /*
- * Count one exchange, once the warm-up is over.
+ * Counts one exchange, unless in the warm-up.
  */
 static void count_exchange(struct control *control, struct traffic *traffic,
 			   size_t bytes)
@@ -34,7 +34,7 @@
 }
 
 /*
- * An event that is delivered after the present one.
+ * Queues a new event for delivery after the current one.
  */
 static struct rj_event *queue_event(struct control *control,
 				    enum rj_event_kind kind)
@@ -48,7 +48,7 @@
 }
 
 /*
- * A worker's report: a few running tasks of other instances' jobs.
+ * Queues a worker's report with a few running tasks of other instances' jobs.
  */
 static void answer_report(struct control *control,
 			  const struct rj_worker_call *call)
@@ -93,7 +93,7 @@
 }
 
 /*
- * An answer to a read of a log that holds configurations alone.
+ * Answers a read; the log contains configuration records only.
  */
 static void answer_read(struct control *control, const struct rj_read *read)
 {
@@ -127,7 +127,7 @@
 }
 
 /*
- * End the long polls of the `config` stream, which has a new record.
+ * Answers the long polls of the `config` stream after an append.
  */
 static void answer_config_polls(struct control *control)
 {
@@ -143,7 +143,8 @@
 }
 
 /*
- * Append a record to the `config` stream; what it points to must last.
+ * Appends a record to the `config` stream; what it points to must outlive the
+ * simulation.
  */
 static void append_config(struct control *control,
 			  const struct rj_record *record)
@@ -158,7 +159,7 @@
 }
 
 /*
- * The core carries the configuration: its append takes effect.
+ * Applies an append of the core, which carries the configuration forward.
  */
 static void answer_append(struct control *control,
 			  const struct rj_append *append)
@@ -179,8 +180,8 @@
 }
 
 /*
- * The list of the platform, as the adapter takes it: whole at first, then
- * what has changed (or whole each time, as before there were changes).
+ * Delivers the platform's instance list as the adapter decodes it: whole at
+ * first, then the changes, or whole each time with load->whole.
  */
 static void answer_list(struct control *control)
 {
@@ -200,7 +201,7 @@
 		text = rj_instances_encode_changes(event, &answer);
 	g_assert(!rj_instances_decode(event, text, &answer, NULL));
 	if (!rj_instance_list_take(&control->list, &answer))
-		event->kind = RJ_EVENT_TIMER; /* nothing is delivered */
+		event->kind = RJ_EVENT_TIMER; /* the list is unchanged */
 	event->u.instances.list = control->list.lines;
 	event->u.instances.count = control->list.count;
 	count_exchange(control, &control->list_traffic,
@@ -208,7 +209,7 @@
 }
 
 /*
- * Count a message to or from a peer.
+ * Counts a message to or from a peer.
  */
 static void count_message(struct control *control,
 			  const struct rj_peer_message *message)
@@ -224,8 +225,8 @@
 }
 
 /*
- * Carry out what the core asked for. A long poll is answered when it ends,
- * to the second.
+ * Executes the core's actions. A long poll stays open until it times out,
+ * checked once a second.
  */
 static void execute_actions(struct control *control)
 {
@@ -274,7 +275,7 @@
 }
 
 /*
- * Answer the long polls that have waited long enough.
+ * Answers the long polls that have timed out.
  */
 static void expire_polls(struct control *control)
 {
@@ -290,8 +291,8 @@
 }
 
 /*
- * A message that is delivered to the core; NULL for an instance that has no
- * link with it.
+ * Queues a message to the core from the instance at `index`. Returns NULL if
+ * that instance has no link with it.
  */
 static struct rj_peer_message *
 queue_peer_message(struct control *control, uint32_t index,
@@ -316,8 +317,8 @@
 }
 
 /*
- * The heartbeats of the peers, each second; they are alive from the first.
- * Those of other failure domains send as seldom as this instance does.
+ * Sends the heartbeats of the peers, once a second. Peers in other failure
+ * domains send at the lower rate that this instance uses as well.
  */
 static void send_heartbeats(struct control *control)
 {
@@ -346,8 +347,8 @@
 }
 
 /*
- * Every peer has read the newest publication and tells this instance of it,
- * whose heartbeat with that revision has not come yet.
+ * Sends a config offer from every peer: each has read the new publication
+ * before it received this instance's heartbeat with that revision.
  */
 static void send_config_offers(struct control *control,
 			       const struct rj_record *record)
@@ -370,7 +371,7 @@
 }
 
 /*
- * An operator alters a limit of one account.
+ * Publishes a configuration with a changed limit of one account.
  */
 static void publish(struct control *control)
 {
@@ -395,7 +396,7 @@
 }
 
 /*
- * A worker somewhere is replaced by one of another address.
+ * Replaces some worker of the site by one with another address.
  */
 static void replace_worker(struct control *control)
 {
@@ -414,7 +415,7 @@
 }
 
 /*
- * Deliver one event to the core.
+ * Delivers one event to the core and executes the resulting actions.
  */
 static void deliver(struct control *control, struct rj_event *event)
 {
@@ -424,7 +425,7 @@
 }
 
 /*
- * What is due of the load at a time when the peers' round is.
+ * Applies the publications and replacements that are due; called once a second.
  */
 static void apply_load(struct control *control)
 {
@@ -445,7 +446,7 @@
 }
 
 /*
- * Let virtual time pass up to `until_us`.
+ * Runs the simulation until `until_us` of virtual time.
  */
 void control_run_until(struct control *control, uint64_t until_us)
 {
@@ -472,7 +473,7 @@
 }
 
 /*
- * Make the instance and all that it talks to.
+ * Creates the instance and its simulated environment. `load` must outlive it.
  */
 void control_init(struct control *control, const struct control_load *load)
 {
@@ -516,7 +517,7 @@
 }
 
 /*
- * Free all of it.
+ * Frees the simulation.
  */
 void control_finish(struct control *control)
 {
--- a/src/bench/control_site.h
+++ b/src/bench/control_site.h
@@ -1,9 +1,9 @@
 /*
- * One instance with its peers, workers, log and list, which are played over
- * virtual time, and what they exchange for control, counted.
+ * One instance with simulated peers, workers, log and instance list in virtual
+ * time; counts the control traffic between them.
  *
- * Life cycle: `control_init`, `control_run_until` for the warm-up, `measuring`
- * set, `control_run_until` again, `control_finish`.
+ * Life cycle: `control_init`, `control_run_until` the end of the warm-up, set
+ * `measuring`, `control_run_until` again, `control_finish`.
  */
 #ifndef BENCH_CONTROL_SITE_H
 #define BENCH_CONTROL_SITE_H
@@ -20,12 +20,12 @@
 #define CONTROL_WARM_UP_US (60 * RJ_US_PER_S)
 #define CONTROL_START_US RJ_US_PER_S
 
-/* What goes on beside the reports and heartbeats. */
+/* Events in addition to reports and heartbeats. */
 struct control_load {
 	struct large_site site;
 	uint32_t changes_per_day; /* of the configuration */
-	uint32_t replacements_per_day; /* of workers, all over the site */
-	bool whole; /* configurations and lists are sent whole */
+	uint32_t replacements_per_day; /* of workers, in the whole site */
+	bool whole; /* send whole configurations and lists */
 };
 
 struct traffic {
@@ -33,7 +33,7 @@
 	uint64_t bytes;
 };
 
-/* A long poll, and when it ends without news. */
+/* An open long poll, and when it times out. */
 struct waiting_read {
 	struct rj_read read;
 	uint64_t due_us;
@@ -46,10 +46,10 @@
 	struct rj_actions actions;
 	struct rj_instance *instances;
 	struct rj_standin_history *history; /* of the list */
-	struct rj_instance_list list; /* as the instance has it */
+	struct rj_instance_list list; /* as known to the instance */
 	uint32_t instance_count;
 	const struct control_load *load;
-	struct large_site site; /* with the configuration as it is now */
+	struct large_site site; /* with the current configuration */
 	GPtrArray *config; /* struct rj_record of the `config` stream */
 	GHashTable *linked_peers; /* names of peers that the core links to */
 	GArray *reads; /* struct waiting_read */
@@ -59,14 +59,14 @@
 	uint32_t replaced; /* so far */
 	uint64_t now_us;
 	uint64_t peers_due_us;
-	uint32_t heartbeat_rounds; /* rounds of heartbeats so far */
-	GQueue pending; /* struct rj_event, to be delivered next */
+	uint32_t heartbeat_rounds; /* so far */
+	GQueue pending; /* struct rj_event, not yet delivered */
 	bool measuring;
 	struct traffic reports;
 	struct traffic peers;
 	struct traffic log;
 	struct traffic list_traffic;
-	struct traffic publications; /* in peers' messages and in the log */
+	struct traffic publications; /* in peer messages and the log */
 };
 
 void control_init(struct control *control, const struct control_load *load);
--- a/src/bench/cost.c
+++ b/src/bench/cost.c
@@ -14,14 +14,13 @@
 #define RACK_WORKERS 8
 #define WORKER_ACCELERATORS 8
 
-/* Tasks on each worker: 33,000 on 7,500 workers are 4.4. */
+/* Tasks on each worker; 33,000 on 7,500 workers are 4.4. */
 #define TASKS_RUNNING 3
 
 #define GANG_TASKS 512
 #define WAVE_JOBS 1000
 #define REPEATS_MAX 1000
 
-/* The sizes asked for, and an owner's share of the largest. */
 const uint32_t cost_worker_counts[COST_SIZES] = { 50, 120, 500, 1000, 7500 };
 static const uint32_t account_counts[] = { 4, 290 };
 
@@ -39,16 +38,16 @@
 	void *mem;
 };
 
-/* What is measured; each gives its time in nanoseconds. */
+/* A benchmark; `run` returns its time in nanoseconds. */
 struct cost {
 	const char *name;
 	double (*run)(struct site *site);
-	uint32_t repeats; /* on one site; 1 if it changes the site for good */
-	uint32_t workers_min; /* it needs this many */
+	uint32_t repeats; /* on one site; 1 if `run` alters the site */
+	uint32_t workers_min; /* minimum number of workers */
 };
 
 /*
- * The time of a clock that is never set, in nanoseconds.
+ * Returns the monotonic clock in nanoseconds.
  */
 double cost_now_ns(void)
 {
@@ -59,8 +58,8 @@
 }
 
 /*
- * Every account is guaranteed something: the first a gang of a rack's half,
- * the others one task each, as long as there is room.
+ * Configures the site with a guarantee for every account: the first a gang of
+ * half a rack, the others one task each as far as capacity allows.
  */
 static void site_configure(struct site *site, uint32_t accounts)
 {
@@ -98,7 +97,7 @@
 }
 
 /*
- * A stoppable job with the next id, of one of three accounts.
+ * Returns a stoppable job with the next id, of one of three accounts.
  */
 static struct rj_plan_job job_new(struct site *site, uint32_t tasks,
 				  uint32_t accelerators, bool adjacent)
@@ -119,7 +118,8 @@
 }
 
 /*
- * A domain with so many workers, all owned, and so many tasks on each.
+ * Creates a failure domain of `workers` workers, all owned, with
+ * `tasks_running` tasks on each.
  */
 static void site_init(struct site *site, uint32_t workers, uint32_t accounts,
 		      uint32_t tasks_running)
@@ -153,7 +153,7 @@
 }
 
 /*
- * Free the site.
+ * Frees the site.
  */
 static void site_finish(struct site *site)
 {
@@ -163,8 +163,8 @@
 }
 
 /*
- * Time the admission of a job and the pass that starts it (or, with
- * `reclaims`, asks for room); the job is taken away again.
+ * Returns the time of the admission of a job and of the pass that starts it
+ * (or, with `reclaims`, reclaims capacity for it). The job is then removed.
  */
 static double time_job(struct site *site, struct rj_plan_job job, bool reclaims)
 {
@@ -190,7 +190,7 @@
 }
 
 /*
- * One task of one accelerator comes and is placed.
+ * Places a job of one task with one accelerator.
  */
 static double cost_small(struct site *site)
 {
@@ -198,7 +198,7 @@
 }
 
 /*
- * A gang that may span racks comes and is placed.
+ * Places a gang that may span racks.
  */
 static double cost_gang(struct site *site)
 {
@@ -206,7 +206,7 @@
 }
 
 /*
- * The first account asks for its gang, and all workers are full.
+ * Submits the first account's guaranteed gang while all workers are full.
  */
 static double cost_reclaim(struct site *site)
 {
@@ -225,8 +225,8 @@
 }
 
 /*
- * Half of the wave runs and half waits when all of it is cancelled: the time
- * for one job, with the pass at the end.
+ * Cancels a wave of jobs of which half run and half wait. Returns the time for
+ * one job, including its share of the final pass.
  */
 static double cost_wave(struct site *site)
 {
@@ -254,7 +254,7 @@
 }
 
 /*
- * One worker's report changes what is known of it.
+ * Applies a worker's report with changed foreign use.
  */
 static double cost_worker(struct site *site)
 {
@@ -272,7 +272,7 @@
 }
 
 /*
- * A configuration is taken over.
+ * Applies a configuration.
  */
 static double cost_configure(struct site *site)
 {
@@ -294,8 +294,7 @@
 };
 
 /*
- * The median of a cost in microseconds; a cost that changes its site for
- * good is run on `sites` of them.
+ * Returns the median of a benchmark over `sites` sites, in microseconds.
  */
 static double measure(const struct cost *cost, uint32_t workers,
 		      uint32_t accounts, uint32_t sites)
@@ -316,8 +315,9 @@
 }
 
 /*
- * Print the bytes of state with nothing running and with all, and note the
- * former in `*idle`. What GLib keeps (hash tables, lists) is not in it.
+ * Prints the bytes of state with no task running and with all running, and
+ * stores the former in `*idle`. GLib's own memory (hash tables, lists) is not
+ * included.
  */
 static void print_state(uint32_t workers, uint32_t accounts, double *idle)
 {
@@ -340,8 +340,8 @@
 }
 
 /*
- * Print the line by least squares through what was measured at each size:
- * so many of `unit`, and so many for each worker more.
+ * Prints the least squares line through the samples of the sizes from index
+ * `from` on: its intercept in `unit`, and its slope in `unit` per worker.
  */
 void cost_print_slope(const char *name, const char *unit, uint32_t accounts,
 		      const double *samples, uint32_t from)
@@ -369,7 +369,7 @@
 }
 
 /*
- * Print a cost at each size, and its slope.
+ * Runs a benchmark at each size; prints the results and their slope.
  */
 static void run_cost(const struct cost *cost, uint32_t accounts, uint32_t sites)
 {
@@ -392,7 +392,8 @@
 }
 
 /*
- * Print the time of each decision, the bytes of state, and their slopes.
+ * `rj-bench cost`: the time of each decision, the bytes of state, and their
+ * slopes by number of workers.
  */
 int bench_cost(int argc, char **argv)
 {
--- a/src/bench/cost.h
+++ b/src/bench/cost.h
@@ -1,6 +1,5 @@
 /*
- * What the files of `bench cost` share: the sizes, the clock, and how a
- * slope is printed.
+ * Common parts of `bench cost`: the sizes, the clock and the output of slopes.
  */
 #ifndef BENCH_COST_H
 #define BENCH_COST_H
@@ -10,7 +9,7 @@
 
 #define COST_SIZES 5
 
-/* The sizes asked for, and an owner's share of the largest. */
+/* The required numbers of workers, and an owner's share of the largest. */
 extern const uint32_t cost_worker_counts[COST_SIZES];
 
 double cost_now_ns(void);
--- a/src/bench/cost_read.c
+++ b/src/bench/cost_read.c
@@ -1,7 +1,7 @@
 /*
- * What one read of the log costs an instance: each kind of record, from the
- * platform's page to the core's state, and the catch-up of an instance that
- * starts empty on a whole retention.
+ * Cost of reading the log: each kind of record, from the platform's page to
+ * the core's state, and the catch-up of an instance that starts empty on the
+ * records of the full retention time.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -16,25 +16,25 @@
 #include "radishjunction/planner_topology.h"
 #include "support/quantile.h"
 
-/* As the adapter of the platform asks for. */
+/* Page size requested by the platform adapter. */
 #define PAGE_RECORDS 500
 #define PAGES_MAX 64
 #define INSTANCES 8
 
-/* The size of the letter: jobs a day, and the tasks of one of them when
- * 33,000 run, most for hours (some 1,850 jobs of 6 hours at a time). */
+/* The target load: jobs a day, and the tasks of one job with 33,000 running
+ * tasks, most of them for hours (some 1,850 jobs of 6 hours at a time). */
 #define JOBS_PER_DAY 7400
-#define MEMBERS 4 /* workers that a claimed job is on */
+#define MEMBERS 4 /* workers of a claimed job */
 #define MEMBER_TASKS 4
 #define BODY_BYTES 1024
 #define RESULT_BYTES 256
-#define RETENTION_DAYS 7 /* as the settings have it when left out */
+#define RETENTION_DAYS 7 /* the default of the settings */
 #define DAY_US (86400 * RJ_US_PER_S)
 #define START_US (30 * DAY_US)
-#define PUBLICATIONS 101 /* the first is whole */
-#define CATCH_UP_WORKERS 940 /* of a failure domain at the letter's size */
+#define PUBLICATIONS 101 /* the first is always whole */
+#define CATCH_UP_WORKERS 940 /* of a failure domain at the target size */
 
-/* Of each job, in this order. */
+/* The records of each job, in order. */
 static const enum rj_record_kind job_kinds[] = { RJ_RECORD_ACCEPT,
 						 RJ_RECORD_CLAIM,
 						 RJ_RECORD_OUTCOME };
@@ -51,7 +51,7 @@
 	uint64_t next[RJ_STREAM_COUNT];
 };
 
-/* What a page took to decode, and the core to take it in. */
+/* Time to decode a page and to process it in the core. */
 struct page_cost {
 	double decode_ns;
 	double core_ns;
@@ -59,7 +59,8 @@
 };
 
 /*
- * Hand one event to the core, whose actions are dropped; the time it took.
+ * Passes one event to the core and discards the actions. Returns the time in
+ * nanoseconds.
  */
 static double process_at(struct reader *reader, struct rj_event *event,
 			 uint64_t now_us)
@@ -73,7 +74,7 @@
 }
 
 /*
- * The same, while the instance starts and reads.
+ * As process_at, at the time of the instance's start.
  */
 static double process(struct reader *reader, struct rj_event *event)
 {
@@ -81,8 +82,8 @@
 }
 
 /*
- * Start an instance of a failure domain with a configuration in force and
- * its workers listed.
+ * Starts an instance of a failure domain, with a configuration in force and
+ * the instance list delivered.
  */
 static void reader_init(struct reader *reader, uint32_t workers,
 			uint32_t accounts)
@@ -126,7 +127,7 @@
 }
 
 /*
- * Free the instance.
+ * Frees the instance.
  */
 static void reader_finish(struct reader *reader)
 {
@@ -136,7 +137,7 @@
 }
 
 /*
- * A record of a job that ran on a few workers, as text.
+ * Returns an encoded record of a job on a few workers.
  */
 static char *record_text(void *mem, enum rj_record_kind kind, uint64_t job)
 {
@@ -180,8 +181,8 @@
 }
 
 /*
- * A page of the `jobs` stream as the platform sends it: `count` records from
- * offset `from` on, each `age_ms` old, of a stream that ends at `head`.
+ * Returns an encoded page of the `jobs` stream: `count` records from offset
+ * `from` on, each `age_ms` old, of a stream that ends at `head`.
  */
 static char *page_text(void *mem, uint64_t from, uint32_t count, uint64_t head,
 		       uint64_t age_ms, char *(*text_of)(void *, uint64_t))
@@ -200,7 +201,8 @@
 }
 
 /*
- * Take in one page, as the adapter does; its costs are added to `cost`.
+ * Decodes one page like the adapter and passes it to the core; adds the times
+ * to `cost`.
  */
 static void read_page(struct reader *reader, const char *text,
 		      struct page_cost *cost)
@@ -236,8 +238,8 @@
 }
 
 /*
- * Records of one kind: the first page accepts its jobs, the second claims
- * them, the third ends them.
+ * Pages with one kind of record each: the first accepts the jobs, the second
+ * claims them, the third has their outcomes.
  */
 static char *text_by_page(void *mem, uint64_t offset)
 {
@@ -246,7 +248,7 @@
 }
 
 /*
- * Print what one record of each kind takes, decoded and taken in, at each
+ * Prints the time to decode and process one record of each kind at each
  * number of workers; medians over `repeats` instances.
  */
 void cost_read(uint32_t accounts, uint32_t repeats)
@@ -294,7 +296,7 @@
 }
 
 /*
- * Records of a whole retention: each job is accepted, claimed and ended.
+ * Records of the full retention time: each job is accepted, claimed and ended.
  */
 static char *text_by_job(void *mem, uint64_t offset)
 {
@@ -303,8 +305,8 @@
 }
 
 /*
- * Print what the catch-up of an empty instance takes on a whole retention of
- * jobs at the size of the letter, and one round over what it then keeps.
+ * Prints the cost of the catch-up of an empty instance on a full retention
+ * time of jobs at the target load, and of one timer event over the state kept.
  */
 void cost_catch_up(uint32_t accounts)
 {
@@ -332,7 +334,7 @@
 		talloc_free(mem);
 	}
 	after = talloc_total_size(reader.core.state);
-	/* The first round forgets what is out of date, the second is usual. */
+	/* The first timer event drops expired state; the second is typical. */
 	process_at(&reader, &timer, START_US + RJ_US_PER_S);
 	round_ns = process_at(&reader, &timer, START_US + 2 * RJ_US_PER_S);
 	printf("{\"bench\":\"cost\",\"measure\":\"catch_up\",\"accounts\":%u,"
@@ -348,8 +350,8 @@
 }
 
 /*
- * Print what one publication costs a reader, from its record to what is in
- * force, without the planner: whole ones, or changes of one limit.
+ * Prints the time to apply one publication, without the planner: whole
+ * configurations, or changes of one limit.
  */
 void cost_publication(uint32_t accounts, bool whole)
 {
--- a/src/bench/faults.c
+++ b/src/bench/faults.c
@@ -9,7 +9,7 @@
 #include "bench.h"
 #include "support/faults.h"
 
-/* The table of what is served is settled by far fewer runs. */
+/* The share of served requests needs far fewer runs than the invariants. */
 #define SERVED_SEEDS_MAX 200
 
 struct sweep {
@@ -22,13 +22,14 @@
 	bool failed[PROMISE_COUNT];
 };
 
-/* Which run a failed assertion belongs to. */
+/* The run of this thread, for the report of a failed assertion. */
 static _Thread_local uint64_t running_seed;
 static _Thread_local enum promise running_promise;
 
 /*
- * An assertion of the core fails in one seed of thousands: name the seed, so
- * that it can be replayed. Only async-signal-safe calls.
+ * Signal handler: prints the seed of the run, so that it can be replayed. An
+ * assertion of the core may fail in one seed of thousands. Async-signal-safe
+ * calls only.
  */
 static void print_failing_seed(int signal_number)
 {
@@ -49,6 +50,7 @@
 	(void)raise(signal_number);
 }
 
+/* Adds the result of one seed; keeps the first failure of the lowest seed. */
 static void merge_result(struct sweep *sweep, uint64_t seed,
 			 const struct faults_result *result)
 {
@@ -68,6 +70,7 @@
 	g_mutex_unlock(&sweep->lock);
 }
 
+/* Runs one seed, in a thread of the pool. */
 static void run_seed(gpointer data, gpointer user_data)
 {
 	struct sweep *sweep = user_data;
@@ -86,6 +89,7 @@
 	faults_result_finish(&result);
 }
 
+/* Prints one line of JSON; takes over `line`. */
 static void print_line(json_t *line)
 {
 	char *text = json_dumps(line, JSON_COMPACT);
@@ -104,6 +108,7 @@
 	return a < b ? -1 : a > b;
 }
 
+/* Prints quantiles of the times, which it sorts; nothing if there are none. */
 static void print_times(const struct sweep *sweep, const char *measure,
 			GArray *times)
 {
@@ -123,6 +128,7 @@
 		(json_int_t)g_array_index(times, uint64_t, times->len - 1)));
 }
 
+/* Prints the results of all seeds of one invariant's profile. */
 static void print_sweep(const struct sweep *sweep, uint64_t runs)
 {
 	const struct faults_result *sum = &sweep->sum;
@@ -161,7 +167,8 @@
 	print_times(sweep, "config_in_force", sum->config_us);
 }
 
-/* Returns whether the promise, and every other in these runs, held. */
+/* Runs the seeds of one invariant's profile. Returns whether this and all
+ * other invariants held. */
 static bool sweep_promise(const struct engine_ops *engine,
 			  enum fault_place place, enum promise promise,
 			  uint64_t from, uint64_t seeds, int threads)
@@ -187,6 +194,7 @@
 	return held;
 }
 
+/* Prints the share of served requests under one fault scenario. */
 static void print_served(const struct engine_ops *engine, enum trouble trouble,
 			 uint64_t from, uint64_t seeds)
 {
@@ -207,6 +215,7 @@
 	faults_result_finish(&sum);
 }
 
+/* Replays one seed and prints its violations. Returns the exit status. */
 static int run_one(const struct engine_ops *engine, enum fault_place place,
 		   enum promise promise, uint64_t seed, bool transcript)
 {
@@ -215,7 +224,7 @@
 
 	running_seed = seed;
 	running_promise = promise;
-	/* A failed assertion must not take the last lines with it. */
+	/* Line buffered, so that a failed assertion loses no output. */
 	(void)setvbuf(stdout, NULL, _IOLBF, 0);
 	faults_result_init(&result);
 	if (place == FAULT_PLACE_APART)
@@ -237,7 +246,7 @@
 	return status;
 }
 
-/* The promise of that name; PROMISE_COUNT when there is none. */
+/* Returns the invariant of that name, or PROMISE_COUNT. */
 static enum promise find_promise(const char *name)
 {
 	uint32_t i = 0;
@@ -247,7 +256,7 @@
 	return i;
 }
 
-/* The place of that name; FAULT_PLACE_COUNT when there is none. */
+/* Returns the place of that name, or FAULT_PLACE_COUNT. */
 static enum fault_place find_place(const char *name)
 {
 	uint32_t i = 0;
@@ -257,6 +266,7 @@
 	return i;
 }
 
+/* Returns the engine of that name, or NULL. */
 static const struct engine_ops *find_engine(const char *name)
 {
 	static const struct engine_ops *const engines[] = {
@@ -269,6 +279,8 @@
 	return NULL;
 }
 
+/* Runs the seeds of one invariant, or of all with PROMISE_COUNT, which in a
+ * small place also prints the served shares. Returns the exit status. */
 static int run_all(const struct engine_ops *engine, enum fault_place place,
 		   enum promise only, uint64_t from, uint64_t seeds,
 		   int threads)
@@ -287,8 +299,9 @@
 }
 
 /*
- * Run seeds `--from` on of each promise's profile, or replay one `--seed`.
- * Returns 0 when every promise held, 1 when one was violated, 2 on bad usage.
+ * `rj-bench faults`: runs the seeds from `--from` on of each invariant's
+ * profile, or replays one `--seed`. Returns 0 if all invariants held, 1 if one
+ * was violated, 2 on bad usage.
  */
 int bench_faults(int argc, char **argv)
 {
--- a/src/bench/large_site.c
+++ b/src/bench/large_site.c
@@ -6,13 +6,14 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Leases that live long enough for rare reports: docs/CONFIGURATION.md. */
+/* Lease duration by the rule of docs/CONFIGURATION.md: long enough for the
+ * longer report intervals of large sites. */
 #define LEASE_PER_WORKER_MS 750
 #define LEASE_MIN_MS 5000
-#define LEASE_MAX_MS 600000 /* as a configuration may have it */
+#define LEASE_MAX_MS 600000 /* limit of a configuration */
 
 /*
- * The name of a failure domain; the first is the one that is measured.
+ * Sets the name of a failure domain; the first is LARGE_SITE_DOMAIN.
  */
 static void domain_name(char name[RJ_NAME_BYTES], uint32_t index)
 {
@@ -23,7 +24,7 @@
 }
 
 /*
- * A failure domain as the configuration has it.
+ * Returns the configuration of one failure domain.
  */
 static json_t *domain_json(const struct large_site *site, uint32_t index)
 {
@@ -41,7 +42,7 @@
 }
 
 /*
- * A client account as the configuration has it.
+ * Returns the configuration of one client account.
  */
 static json_t *account_json(const struct large_site *site, uint32_t index)
 {
@@ -67,7 +68,8 @@
 }
 
 /*
- * The text of the site's configuration, compact as `publish` sends it.
+ * Returns the site's configuration as compact JSON, as `publish` sends it; a
+ * talloc child of `mem`.
  */
 char *large_site_config(void *mem, const struct large_site *site)
 {
@@ -99,7 +101,8 @@
 }
 
 /*
- * The platform's list of the site, the measured failure domain first.
+ * Returns the platform's list of the site, LARGE_SITE_DOMAIN first; a talloc
+ * child of `mem`.
  */
 struct rj_instance *large_site_list(void *mem, const struct large_site *site,
 				    uint32_t *count)
--- a/src/bench/load.c
+++ b/src/bench/load.c
@@ -12,15 +12,15 @@
 
 #define ANSWER_MAX_BYTES (1024UL * 1024)
 
-/* One request; owned by the client. */
+/* One request; freed by the HTTP client. */
 struct request {
 	struct load *load;
-	uint64_t due_us; /* when it should have been sent */
+	uint64_t due_us; /* scheduled time */
 };
 
 static void send_due(struct load *load);
 
-/* Count an answer and send what it made room for. */
+/* Counts an answer, then sends the requests that are due. */
 static void request_done(void *private_data,
 			 const struct rj_http_result *result)
 {
@@ -36,7 +36,7 @@
 	send_due(load);
 }
 
-/* Send the next request, whose time counts from `due_us`. */
+/* Sends the next request, whose latency is counted from `due_us`. */
 static void send_request(struct load *load, uint64_t due_us)
 {
 	struct request *request = talloc_zero(NULL, struct request);
@@ -55,7 +55,7 @@
 	rj_http_client_send(&load->client, &send);
 }
 
-/* When the request after those sent is due at the rate. */
+/* Returns when the next request is due at the configured rate. */
 static uint64_t next_due_us(const struct load *load)
 {
 	return load->started_us +
@@ -63,8 +63,8 @@
 }
 
 /*
- * Send all that is due. At a rate a request counts from when it was due, so
- * that a stall shows in all that it held up.
+ * Sends all requests that are due. With a rate, latency is counted from the
+ * scheduled time, so that a stall shows in every request it delayed.
  */
 static void send_due(struct load *load)
 {
@@ -81,7 +81,6 @@
 	}
 }
 
-/* The clock of a load with a rate has ticked. */
 static void ticked(struct tevent_context *ev, struct tevent_fd *fde,
 		   uint16_t flags, void *private_data)
 {
@@ -93,8 +92,8 @@
 }
 
 /*
- * Tick at the load's rate. A timer of the event loop is up to a millisecond
- * late, which would hide what is measured.
+ * Starts a periodic timer at the configured rate. An event loop timer is up to
+ * a millisecond late, which would distort the latencies. Returns 0 or -1.
  */
 static int start_clock(struct load *load)
 {
@@ -117,7 +116,6 @@
 	return 0;
 }
 
-/* For qsort. */
 static int compare_u32(const void *a, const void *b)
 {
 	uint32_t one = *(const uint32_t *)a;
@@ -127,8 +125,8 @@
 }
 
 /*
- * Send all requests and wait for all answers. Returns 0, or -1 when libcurl
- * or the clock does not start.
+ * Sends all requests and waits for all answers. Returns 0, or -1 if libcurl or
+ * the timer cannot be started; the load is freed then.
  */
 int load_run(struct load *load, const struct load_options *options)
 {
@@ -159,7 +157,8 @@
 }
 
 /*
- * The time within which `per_mille` of a thousand requests were answered.
+ * Returns the latency within which `per_mille` of a thousand requests were
+ * answered.
  */
 uint32_t load_percentile_us(const struct load *load, uint32_t per_mille)
 {
@@ -170,7 +169,8 @@
 }
 
 /*
- * Answers a second, from the first request to the last answer.
+ * Returns the throughput in answers a second, from the start to the last
+ * answer.
  */
 double load_per_second(const struct load *load)
 {
@@ -179,7 +179,7 @@
 }
 
 /*
- * Close the connections and free all.
+ * Closes the connections and frees the load.
  */
 void load_finish(struct load *load)
 {
--- a/src/bench/load.h
+++ b/src/bench/load.h
@@ -1,8 +1,8 @@
 /*
- * A stream of equal requests over HTTP, and how long each took.
+ * An HTTP load generator: sends similar requests and records their latencies.
  *
- * Life cycle: fill the options, `load_run` until all have ended, read the
- * counts and `load_percentile_us`, then `load_finish`.
+ * Life cycle: fill the options, `load_run`, read the counts and
+ * `load_percentile_us`, then `load_finish`.
  */
 #ifndef BENCH_LOAD_H
 #define BENCH_LOAD_H
@@ -12,16 +12,16 @@
 struct load;
 
 struct load_options {
-	/* The URL and body of request `index`, as talloc children of `mem`. */
+	/* Sets URL and body of request `index`, as talloc children of `mem`. */
 	void (*make)(const struct load *load, void *mem, uint32_t index,
 		     struct rj_http_send *send);
-	/* Whether the answer is the one that was wanted. */
+	/* Whether the answer is the expected one. */
 	bool (*check)(const struct load *load, const char *answer);
-	const void *data; /* for these two */
+	const void *data; /* for make and check */
 	const char *header; /* sent with each, or NULL */
 	uint32_t count;
-	uint32_t concurrency; /* open at once, at most */
-	uint32_t rate; /* from 2 a second; 0: as fast as answers come */
+	uint32_t concurrency; /* maximum of open requests */
+	uint32_t rate; /* per second, at least 2; 0: unlimited */
 	uint64_t timeout_us;
 };
 
@@ -32,13 +32,13 @@
 	struct rj_http_client client;
 	uint32_t sent;
 	uint32_t ended;
-	uint32_t wrong; /* without the answer that was wanted */
+	uint32_t wrong; /* without the expected answer */
 	uint64_t started_us;
 	uint64_t ended_us;
 	/* Of the daemon, set by the caller: */
 	uint64_t cpu_us;
-	uint64_t run_delay_us; /* ready to run, and no core was free */
-	uint32_t *took_us; /* sorted once all have ended */
+	uint64_t run_delay_us; /* runnable, waiting for a CPU */
+	uint32_t *took_us; /* latencies; sorted by load_run */
 };
 
 int load_run(struct load *load, const struct load_options *options);
--- a/src/bench/main.c
+++ b/src/bench/main.c
@@ -18,6 +18,7 @@
 
 #define COMMAND_COUNT (sizeof(commands) / sizeof(commands[0]))
 
+/* Prints the usage to `out`. Returns the exit status. */
 static int usage(FILE *out)
 {
 	(void)fputs("usage: rj-bench COMMAND [OPTIONS]; COMMAND --help\n", out);
--- a/src/bench/ownership.c
+++ b/src/bench/ownership.c
@@ -1,10 +1,10 @@
 /*
- * Ownership of racks against its alternative, in which any instance plans any
- * rack: real cores of one failure domain over the fakes, under the same load.
+ * Compares ownership of racks with the alternative that any instance plans any
+ * rack: real cores of one failure domain in a simulation, under the same load.
  *
- * An instance that hears of no other owns all racks, so that the alternative
- * is a domain whose peers have no links; with links cut for a while, racks
- * have several owners for a while.
+ * An instance without contact to others owns all racks, so the alternative is
+ * a failure domain whose peers have no links. While links are cut, racks have
+ * several owners.
  */
 #include <argtable2.h>
 #include <glib.h>
@@ -21,14 +21,14 @@
 #define RACKS 8
 #define RACK_WORKERS 8
 #define ACCELERATORS (RACKS * RACK_WORKERS * 8)
-/* Of a job of the mix below: what it occupies, in microseconds. */
+/* Mean accelerator time of a job of add_callers. */
 #define MEAN_ACCELERATOR_US (6300 * RJ_US_PER_MS)
 #define HTTP_HEADER_BYTES 330 /* as in `bench control` */
 #define FRAME_BYTES 48
 #define LOAD_START_US (10 * RJ_US_PER_S)
 #define LOAD_US (60 * RJ_US_PER_S)
 #define END_US (130 * RJ_US_PER_S)
-/* In the mode `cut`: links fail for so long, in each such period. */
+/* In mode `cut`, links fail for CUT_US in each period. */
 #define CUT_US (10 * RJ_US_PER_S)
 #define CUT_PERIOD_US (30 * RJ_US_PER_S)
 #define SEEDS_DEFAULT 5
@@ -41,18 +41,18 @@
 	uint64_t calls;
 	uint64_t reports;
 	uint64_t report_bytes;
-	uint64_t refused; /* calls that a worker refused */
+	uint64_t refused; /* calls refused by a worker */
 	uint64_t claims_lost;
 	uint64_t peer_bytes;
-	uint64_t links; /* pairs of an instance and a worker that it called */
+	uint64_t links; /* pairs of an instance and a worker it called */
 };
 
-/* A core whose actions and replies are counted. */
+/* Wraps a core to count its actions and replies. */
 struct counting_engine {
 	struct engine base;
 	struct engine *inner;
-	GHashTable *calls; /* call_id -> struct rj_worker_call, reports */
-	GHashTable *workers; /* names of those called */
+	GHashTable *calls; /* call_id -> rj_worker_call; open reports */
+	GHashTable *workers; /* names of workers called */
 	struct counts counts;
 };
 
@@ -65,7 +65,7 @@
 
 static const struct engine_ops engine_counted;
 
-/* Make a core and what counts it. */
+/* Creates a core and its wrapper. */
 static struct engine *counted_create(void *mem,
 				     const struct rj_core_options *options)
 {
@@ -83,7 +83,7 @@
 	return &counting_engine->base;
 }
 
-/* Count a call to a worker; a report is kept until its answer comes. */
+/* Counts a call to a worker; a REPORT call is kept until its reply. */
 static void count_call(struct counting_engine *counting_engine,
 		       const struct rj_worker_call *call)
 {
@@ -104,7 +104,7 @@
 	g_hash_table_insert(counting_engine->calls, &copy->call_id, copy);
 }
 
-/* Count the answer to a call. */
+/* Counts the reply to a call. */
 static void count_reply(struct counting_engine *counting_engine,
 			const struct rj_worker_reply *reply)
 {
@@ -124,7 +124,7 @@
 	g_hash_table_remove(counting_engine->calls, &reply->call_id);
 }
 
-/* Count what goes to a peer. */
+/* Counts a message to a peer. */
 static void count_message(struct counting_engine *counting_engine,
 			  const struct rj_peer_message *message)
 {
@@ -135,7 +135,7 @@
 	talloc_free(mem);
 }
 
-/* Let the core decide, and count what it was told and what it does. */
+/* Passes an event to the core; counts replies and actions. */
 static void counted_process(struct engine *base, const struct rj_event *event,
 			    struct rj_actions *actions)
 {
@@ -174,7 +174,7 @@
 	.wake_us = counted_wake_us,
 };
 
-/* Cut or mend all links between the instances. */
+/* Cuts or restores all links between the instances. */
 static void cut_links(struct world *world, bool cut)
 {
 	for (uint32_t a = 0; a < world->node_count; a++)
@@ -182,7 +182,8 @@
 			world->links[a][b].cut = cut;
 }
 
-/* Small jobs, keyed quotes, and gangs that may have to be adjacent. */
+/* Adds callers with small jobs, keyed quotes, and gangs of which half must be
+ * adjacent. */
 static void add_callers(struct world *world, uint32_t load_percent)
 {
 	uint32_t callers = (uint32_t)((uint64_t)ACCELERATORS * LOAD_US *
@@ -219,7 +220,7 @@
 	}
 }
 
-/* Let the time of one run pass, with the links as the mode has them. */
+/* Runs the simulation to its end, with the links set by the mode. */
 static void run_mode(struct world *world, enum mode mode)
 {
 	cut_links(world, mode == MODE_ANY);
@@ -233,7 +234,7 @@
 	world_run_until(world, END_US);
 }
 
-/* Add one instance's counts. */
+/* Adds one instance's counts to `sum`. */
 static void add_counts(struct counts *sum,
 		       const struct counting_engine *counting_engine)
 {
@@ -246,16 +247,16 @@
 	sum->links += g_hash_table_size(counting_engine->workers);
 }
 
-/* What several runs of one mode came to. */
+/* Accumulated results of the runs of one mode. */
 struct outcome {
 	struct counts counts;
-	GArray *small_ms; /* double: completion of previews and quotes */
+	GArray *small_ms; /* double: latencies of previews and quotes */
 	GArray *gang_ms;
 	uint32_t asked;
 	uint64_t violations;
 };
 
-/* Run one seed and add to the outcome. */
+/* Runs one seed and adds its results to the outcome. */
 static void run_seed(struct outcome *outcome, enum mode mode,
 		     uint32_t instances, uint32_t load_percent, uint64_t seed)
 {
@@ -287,15 +288,15 @@
 					   outcome->small_ms,
 				   took_ms);
 	}
-	/* Which configuration is in force is told by heartbeats alone, and
-	   without links there are none. */
+	/* Only heartbeats report the configuration in force, and without
+	 * links there are none. */
 	for (int i = 0; i < PROMISE_COUNT; i++)
 		if (i != PROMISE_CONFIG)
 			outcome->violations += world->checker.violations[i];
 	talloc_free(mem);
 }
 
-/* A quantile of times, 0 of none. */
+/* Returns a quantile of latencies; 0 without any. */
 static double quantile(const GArray *times, double share)
 {
 	return times->len ? quantile_of((double *)(void *)times->data,
@@ -303,7 +304,7 @@
 			    0;
 }
 
-/* Print one mode's line. */
+/* Prints the results of one mode. */
 static void print(const struct outcome *outcome, enum mode mode,
 		  uint32_t instances, uint32_t seeds)
 {
@@ -334,7 +335,7 @@
 	(void)fflush(stdout);
 }
 
-/* Measure one mode at one number of instances. */
+/* Runs one mode at one number of instances and prints the results. */
 static void measure(enum mode mode, uint32_t instances, uint32_t load_percent,
 		    uint32_t seeds)
 {
@@ -351,8 +352,8 @@
 }
 
 /*
- * `rj-bench ownership`: connections, reports, refused calls, completion and
- * control bytes at 4 and 8 instances.
+ * `rj-bench ownership`: connections, reports, refused calls, latencies and
+ * control traffic at 4 and 8 instances.
  */
 int bench_ownership(int argc, char **argv)
 {
--- a/src/bench/path.c
+++ b/src/bench/path.c
@@ -15,32 +15,32 @@
 
 #define TIMEOUT_US (30 * RJ_US_PER_S)
 #define LEASE_LIFE_US (30 * RJ_US_PER_S)
-/* Half of the load that one instance is to carry. */
+/* Half of the required load of one instance. */
 #define HALF_LOAD_PER_S 2500
-/* Held open long enough to read the daemon's memory. */
+/* Long enough to read the daemon's memory with all jobs open. */
 #define OPEN_JOB_RUN_MS 1000
-/* Enough that the memory of each tells from the allocator's steps. */
+/* Enough for the memory of each to stand out from allocator granularity. */
 #define OPEN_REQUESTS 1000
-/* Enough points to tell a slope from a level that is reached. */
+/* Enough points to tell steady growth from a plateau. */
 #define SOAK_STEPS 10
 #define SMALL_BODY "{\"run_ms\":0,\"echo\":\"preview\"}"
 
-/* What is measured, and against what. */
+/* The daemon and workers under test, and the load. */
 struct path {
 	struct rj_address daemon;
 	struct rj_address *workers; /* of the same rack */
 	char (*names)[RJ_NAME_BYTES];
 	uint32_t worker_count;
-	const char *header; /* the account's token */
+	const char *header; /* Authorization, with the account's token */
 	const char *class_name;
 	int pid; /* of the daemon */
 	uint32_t count;
 	uint32_t concurrency;
-	uint64_t run_id; /* keeps the job ids of each load apart */
+	uint64_t run_id; /* distinguishes the attempts of each load */
 	uint64_t idle_bytes; /* resident, before any request */
 };
 
-/* A small job, submitted by a caller that waits for its answer. */
+/* Makes a submission of a small job that waits for its result. */
 static void make_submit(const struct load *load, void *mem, uint32_t index,
 			struct rj_http_send *send)
 {
@@ -52,13 +52,13 @@
 	send->length = strlen(send->body);
 }
 
-/* Done, and with the echo of its own body. */
+/* Whether the job is done and its result echoes the body. */
 static bool check_submit(const struct load *load, const char *answer)
 {
 	return strstr(answer, "\"done\"") && strstr(answer, "preview");
 }
 
-/* The same job, run by a worker that is called directly. */
+/* Makes a RUN call of the same job directly to a worker. */
 static void make_run(const struct load *load, void *mem, uint32_t index,
 		     struct rj_http_send *send)
 {
@@ -83,13 +83,13 @@
 	send->length = strlen(send->body);
 }
 
-/* Done; the result itself is base64 here. */
+/* Whether the task is done; its result is base64 and not checked. */
 static bool check_run(const struct load *load, const char *answer)
 {
 	return strstr(answer, "\"done\"");
 }
 
-/* Resident memory of a process in bytes, or 0. */
+/* Returns the resident memory of a process in bytes, or 0. */
 static uint64_t resident_bytes(int pid)
 {
 	char name[32];
@@ -108,7 +108,7 @@
 	return kib * 1024;
 }
 
-/* Processor time of a process so far in microseconds, or 0. */
+/* Returns the CPU time of a process in microseconds, or 0. */
 static uint64_t cpu_us(int pid)
 {
 	char name[32];
@@ -120,7 +120,7 @@
 	file = fopen(name, "r");
 	if (!file)
 		return 0;
-	/* Fields 14 and 15; the name, field 2, holds no blank. */
+	/* Fields 14 and 15; the name, field 2, contains no blank. */
 	if (fscanf(file,
 		   "%*s %*s %*s %*s %*s %*s %*s %*s %*s %*s %*s %*s %*s "
 		   "%" SCNu64 " %" SCNu64,
@@ -131,9 +131,9 @@
 }
 
 /*
- * How long a process of one thread has stood ready without a core, in
- * microseconds, or 0. On a machine that does other work as well this tells
- * the daemon's latency from the machine's.
+ * Returns how long a single-threaded process has been runnable without a CPU,
+ * in microseconds, or 0. On a busy machine this separates the daemon's latency
+ * from the machine's.
  */
 static uint64_t run_delay_us(int pid)
 {
@@ -151,7 +151,7 @@
 	return waited_ns / 1000;
 }
 
-/* Print one measure; takes over `values`. */
+/* Prints one result; takes over `values`. */
 static void print_measure(const char *measure, json_t *values)
 {
 	json_t *line =
@@ -168,7 +168,7 @@
 	free(text);
 }
 
-/* What every load is measured by. */
+/* Returns the results of a load as a new JSON object. */
 static json_t *load_values(const struct load *load)
 {
 	return json_pack(
@@ -183,7 +183,7 @@
 		(double)load->run_delay_us / (double)load->ended);
 }
 
-/* How a request goes: through the daemon, or straight to a worker. */
+/* The route of a request: through the daemon, or directly to a worker. */
 struct route {
 	const char *name;
 	void (*make)(const struct load *load, void *mem, uint32_t index,
@@ -194,7 +194,8 @@
 static const struct route via_daemon = { "through", make_submit, check_submit };
 static const struct route to_worker = { "direct", make_run, check_run };
 
-/* Run one load, print it and add its wrong answers to `wrong`. */
+/* Runs one load, prints its results and adds its wrong answers to `wrong`.
+ * Returns 0; then the caller frees `load`. Otherwise returns -1. */
 static int measure(struct path *path, const struct route *route, uint32_t rate,
 		   struct load *load, uint32_t *wrong)
 {
@@ -224,7 +225,7 @@
 	return 0;
 }
 
-/* The latency that the daemon adds, both ways at the same rate. */
+/* Prints the latency added by the daemon, with both routes at the same rate. */
 static int measure_added_latency(struct path *path, uint32_t rate,
 				 uint32_t *wrong)
 {
@@ -250,7 +251,7 @@
 	return 0;
 }
 
-/* Requests a second, as fast as the answers come. */
+/* Prints the maximum throughput of a route. */
 static int measure_throughput(struct path *path, const struct route *route,
 			      uint32_t *wrong)
 {
@@ -262,7 +263,7 @@
 	return 0;
 }
 
-/* A job that stays open while the memory is read. */
+/* Makes a submission of a job that stays open while the memory is read. */
 static void make_open_job(const struct load *load, void *mem, uint32_t index,
 			  struct rj_http_send *send)
 {
@@ -275,7 +276,8 @@
 	send->length = strlen(send->body);
 }
 
-/* The memory is read when the first of the held jobs has been answered. */
+/* Reads the daemon's memory at the first answer, while the other jobs are
+ * open. Accepts every answer. */
 static bool check_open_job(const struct load *load, const char *answer)
 {
 	const struct path *path = load->options.data;
@@ -293,7 +295,7 @@
 	return true;
 }
 
-/* The memory of the daemon while it holds many open requests. */
+/* Prints the daemon's memory with many open requests. */
 static int measure_open_memory(struct path *path)
 {
 	struct load_options options = {
@@ -314,8 +316,9 @@
 }
 
 /*
- * The memory of the daemon after each tenth of `requests`: a leak grows from
- * step to step, what is bounded or fragmented reaches a level.
+ * Prints the daemon's memory after each tenth of `requests`: with a leak it
+ * grows at each step, with bounded use or fragmentation it levels off. Returns
+ * the exit status.
  */
 static int measure_soak(struct path *path, uint32_t requests)
 {
@@ -334,7 +337,8 @@
 	return wrong ? EXIT_FAILURE : EXIT_SUCCESS;
 }
 
-/* Read the line that rj-standin workers printed when it was ready. */
+/* Reads the line printed by `rj-standin workers`. Returns 0, or -1 if it is
+ * invalid. */
 static int read_workers(struct path *path, void *mem, const char *file)
 {
 	json_t *line = json_load_file(file, 0, NULL);
@@ -367,7 +371,7 @@
 	return -1;
 }
 
-/* All measures, the quiet ones first. */
+/* Runs all measurements, those with low load first. Returns the exit status. */
 static int measure_all(struct path *path)
 {
 	uint32_t wrong = 0;
@@ -387,8 +391,9 @@
 }
 
 /*
- * Small requests through one daemon beside direct calls to its workers.
- * scripts/bench-path starts these and gives their addresses.
+ * `rj-bench path`: small requests through one daemon compared with direct
+ * calls to its workers. scripts/bench-path starts these and passes their
+ * addresses.
  */
 int bench_path(int argc, char **argv)
 {
--- a/src/bench/policy.c
+++ b/src/bench/policy.c
@@ -7,7 +7,7 @@
 #include "support/plan_world.h"
 #include "support/quantile.h"
 
-/* More seeds than this say nothing new. */
+/* The medians do not change with more seeds. */
 #define SEEDS_MAX 200
 #define SEED_DEFAULT 1
 
@@ -24,7 +24,7 @@
 	[PLANNER_EASY] = &plan_maker_easy,
 };
 
-/* One load with its results for each seed. */
+/* One load with the results of each planner and seed. */
 struct series {
 	enum stream_users users;
 	enum stream_load load;
@@ -35,7 +35,7 @@
 };
 
 /*
- * The median of the values.
+ * Returns the median of the values.
  */
 static double median_of(const double *values, uint32_t count)
 {
@@ -46,7 +46,7 @@
 }
 
 /*
- * The median over the seeds of the member at `offset` of the result.
+ * Returns the median over the seeds of the double at `offset` of the results.
  */
 static double median_at(const struct series *series,
 			enum planner_kind planner_kind, size_t offset)
@@ -64,7 +64,7 @@
 	median_at(series, planner_kind, offsetof(struct plan_result, member))
 
 /*
- * Begin a line; the caller adds the measure and ends it.
+ * Prints the start of a JSON line; the caller prints the rest.
  */
 static void line_begin(const struct series *series, const char *planner)
 {
@@ -75,7 +75,7 @@
 }
 
 /*
- * Print the completion times of each class and account.
+ * Prints the completion times of each class and account.
  */
 static void print_completions(const struct series *series,
 			      enum planner_kind planner_kind)
@@ -102,7 +102,7 @@
 }
 
 /*
- * Print all that was measured of one planner.
+ * Prints all results of one planner.
  */
 static void print_planner(const struct series *series,
 			  enum planner_kind planner_kind)
@@ -143,7 +143,7 @@
 }
 
 /*
- * Print one of the figures to be reached, and whether it is.
+ * Prints one target, its value and whether it is reached.
  */
 static void print_target(const struct series *series, const char *name,
 			 double value, double limit, bool at_most)
@@ -156,7 +156,7 @@
 }
 
 /*
- * `value` to `base`; nothing to nothing is 0.
+ * Returns `value` / `base`; with a base of 0, 0 or a very large number.
  */
 static double ratio(double value, double base)
 {
@@ -166,7 +166,7 @@
 }
 
 /*
- * Print how the planner stands to what is to be reached.
+ * Prints all targets of the planner.
  */
 static void print_targets(const struct series *series)
 {
@@ -206,7 +206,7 @@
 }
 
 /*
- * Run every planner over the streams of all seeds.
+ * Runs every planner over the streams of all seeds.
  */
 static void run_series(struct series *series, uint64_t seed)
 {
@@ -233,7 +233,7 @@
 }
 
 /*
- * Print the bound of each class.
+ * Prints the lower bound of the completion times of each class.
  */
 static void print_bound(const struct series *series)
 {
@@ -247,7 +247,7 @@
 }
 
 /*
- * The number of `name` in a table of strings, or -1.
+ * Returns the index of `name` in a table of strings, or -1.
  */
 static int find_string(const char *const *strings, int count, const char *name)
 {
@@ -258,7 +258,7 @@
 }
 
 /*
- * Print how to call; returns the exit status.
+ * Prints the usage, after `problem` unless NULL. Returns the exit status.
  */
 static int usage(void **table, const char *problem)
 {
@@ -277,7 +277,8 @@
 }
 
 /*
- * Run every planner over the streams of some seeds, and print the medians.
+ * `rj-bench policy`: runs every planner over the streams of some seeds and
+ * prints the medians.
  */
 int bench_policy(int argc, char **argv)
 {
--- a/src/bench/usage.c
+++ b/src/bench/usage.c
@@ -4,8 +4,8 @@
 #include "bench.h"
 
 /*
- * Print how a measurement is called: because it was asked for, or because
- * the call was wrong. Returns the exit status that goes with it.
+ * Prints the usage of a benchmark: to standard output if it was requested
+ * (`asked`), else to standard error. Returns the exit status.
  */
 int bench_usage(const char *command, void **table, bool asked)
 {
--- a/src/libstandin/fault_injector.c
+++ b/src/libstandin/fault_injector.c
@@ -6,14 +6,14 @@
 
 #include "private/clock.h"
 
-/* A request on its way through the gate; child of the request. */
+/* A paused or delayed request; talloc child of the request. */
 struct delayed_request {
 	struct rj_list link;
 	struct rj_fault_injector *injector;
 	struct rj_http_exchange *request;
 };
 
-/* A request that ends while it waits is no longer in the list. */
+/* Removes a request that ends while it waits from the list. */
 static int delayed_request_destructor(struct delayed_request *delayed_request)
 {
 	rj_list_remove(&delayed_request->link);
@@ -21,7 +21,7 @@
 }
 
 /*
- * Start a gate without faults that hands requests to `pass`.
+ * Initialises an injector without faults that passes requests to `forward`.
  */
 void rj_fault_injector_init(struct rj_fault_injector *injector, void *mem,
 			    struct tevent_context *ev,
@@ -38,7 +38,7 @@
 }
 
 /*
- * Whether the client that sent `request` is cut off from here.
+ * Whether the client that sent `request`, by its X-Instance header, is blocked.
  */
 bool rj_fault_injector_blocks(const struct rj_fault_injector *injector,
 			      struct rj_http_exchange *request)
@@ -55,7 +55,7 @@
 	return false;
 }
 
-/* Let a request take effect, unless its client has gone meanwhile. */
+/* Forwards a request, unless it was aborted meanwhile. */
 static void forward(struct delayed_request *delayed_request)
 {
 	struct rj_fault_injector *injector = delayed_request->injector;
@@ -67,14 +67,13 @@
 	injector->forward(injector->private_data, request);
 }
 
-/* A slow request has waited long enough. */
 static void delay_over(struct tevent_context *ev, struct tevent_timer *timer,
 		       struct timeval now, void *private_data)
 {
 	forward(private_data);
 }
 
-/* Let the request pass now, or after the delay. */
+/* Forwards the request now, or after the delay. */
 static void forward_delayed(struct delayed_request *delayed_request)
 {
 	struct tevent_timer *timer;
@@ -92,7 +91,7 @@
 }
 
 /*
- * Apply the faults to a request that has just come in.
+ * Applies the configured faults to a new request.
  */
 void rj_fault_injector_submit(struct rj_fault_injector *injector,
 			      struct rj_http_exchange *request)
@@ -119,7 +118,7 @@
 		forward_delayed(delayed_request);
 }
 
-/* Let what came during the pause take effect, in its order. */
+/* Forwards the requests received during the pause, in their order. */
 static void release_paused(struct rj_fault_injector *injector)
 {
 	struct rj_list *at;
@@ -134,7 +133,7 @@
 	}
 }
 
-/* Close what the clients that are now cut off have open. */
+/* Aborts the open requests of blocked clients, except `asking`. */
 static void abort_blocked(struct rj_fault_injector *injector,
 			  struct rj_http_server *server,
 			  const struct rj_http_exchange *asking)
@@ -152,7 +151,6 @@
 	}
 }
 
-/* Whether `cut` is a list of strings. */
 static bool is_name_list(const json_t *cut)
 {
 	const json_t *name;
@@ -166,8 +164,8 @@
 }
 
 /*
- * Read a boolean of `faults` into `value`, which stays when it is left out.
- * Returns -1 when the field has another type.
+ * Reads a boolean of `faults` into `value`, which is unchanged if the field
+ * is missing. Returns 0, or -1 if the field has another type.
  */
 int rj_fault_read_bool(const json_t *faults, const char *field, bool *value)
 {
@@ -182,7 +180,7 @@
 }
 
 /*
- * As rj_fault_read_bool, for a count from 0.
+ * Like rj_fault_read_bool, for an integer of at least 0.
  */
 int rj_fault_read_count(const json_t *faults, const char *field,
 			uint64_t *value)
@@ -198,9 +196,10 @@
 }
 
 /*
- * Take the fields of `faults` that belong here: outage, pause, slow_ms and
- * cut_from. `asking` is the request that carries them and is spared.
- * Returns 0, or -1 when a field has another type; nothing changes then.
+ * Applies the fields outage, pause, slow_ms and cut_from of `faults`; missing
+ * fields are unchanged. `asking` is the request with the fields, which is not
+ * aborted; it may be NULL. Returns 0, or -1 without any change if a field has
+ * another type.
  */
 int rj_fault_injector_configure(struct rj_fault_injector *injector,
 				struct rj_http_server *server,
@@ -234,7 +233,7 @@
 }
 
 /*
- * Forget the faults. The server must have been finished before.
+ * Frees the faults. The server must be finished first.
  */
 void rj_fault_injector_finish(struct rj_fault_injector *injector)
 {
--- a/src/libstandin/fault_injector.h
+++ b/src/libstandin/fault_injector.h
@@ -1,10 +1,9 @@
 /*
- * The faults that both stand-ins have in common, applied to each request
- * before it takes effect: an outage, clients that are cut off, a pause and
- * slowness.
+ * Fault injection common to both stand-ins, applied to each request before it
+ * takes effect: an outage, partitioned clients, a pause and a delay.
  *
- * Life cycle: `rj_fault_injector_init` on the caller's memory; each request enters by
- * `rj_fault_injector_submit` and comes out at `pass`, now, later or never.
+ * Life cycle: `rj_fault_injector_init` on the caller's memory. A request
+ * passed to `rj_fault_injector_submit` is forwarded at once, later or never.
  */
 #ifndef RADISHJUNCTION_STANDIN_GATE_H
 #define RADISHJUNCTION_STANDIN_GATE_H
@@ -17,10 +16,10 @@
 	struct tevent_context *ev;
 	void *mem;
 	bool outage; /* connections are closed without an answer */
-	bool paused; /* requests wait */
-	uint64_t delay_us; /* requests wait this long */
-	json_t *cut_from; /* names of clients that are cut off, or NULL */
-	struct rj_list waiting; /* entered while paused, in order */
+	bool paused; /* requests wait until the pause ends */
+	uint64_t delay_us; /* delay of each request */
+	json_t *cut_from; /* names of blocked clients, or NULL */
+	struct rj_list waiting; /* received while paused, in order */
 	void (*forward)(void *private_data, struct rj_http_exchange *request);
 	void *private_data;
 };
--- a/src/libstandin/list_history.c
+++ b/src/libstandin/list_history.c
@@ -5,7 +5,8 @@
 #include <talloc.h>
 
 /*
- * Note a change of the line of `name` in the list of version `before`.
+ * Records a change of instance `name` in the list of version
+ * `version_before`.
  */
 void rj_standin_history_record(struct rj_standin_history *history,
 			       uint64_t version_before, const char *name)
@@ -16,7 +17,7 @@
 	(void)rj_name_set(history->changes[at].name, name);
 }
 
-/* Add what has become of the line of `name`. */
+/* Adds the current entry of `name` to the answer, or its removal. */
 static void add_change(struct rj_instances_answer *answer, const char *name,
 		       const struct rj_instance *instances, uint32_t count)
 {
@@ -30,9 +31,9 @@
 }
 
 /*
- * Fill `answer` with what differs from the version `known` in the list as it
- * is now, as talloc children of `mem`. False if that version is not known any
- * more: then the list goes whole.
+ * Fills `answer` with the changes from version `known` to the current list,
+ * as talloc children of `mem`. Returns false if the history does not reach
+ * back to that version: the whole list must be sent then.
  */
 bool rj_standin_history_since(const struct rj_standin_history *history,
 			      void *mem, uint64_t known,
--- a/src/libstandin/list_history.h
+++ b/src/libstandin/list_history.h
@@ -1,24 +1,24 @@
 /*
- * The newest changes of the platform's list, for those who ask what differs
- * from a version that they know.
+ * The most recent changes of the platform's instance list, for clients that
+ * request the changes since a version.
  *
- * Zeroed memory is an empty history; `rj_standin_history_record` before each
- * change.
+ * Zeroed memory is an empty history. Call `rj_standin_history_record` before
+ * each change of the list.
  */
 #ifndef RJ_STANDIN_LIST_HISTORY_H
 #define RJ_STANDIN_LIST_HISTORY_H
 
 #include "private/platform_wire.h"
 
-/* A failure domain that is lost at once, and what changes beside it. */
+/* Enough for the loss of a whole failure domain and concurrent changes. */
 #define RJ_STANDIN_HISTORY_MAX 1024
 
 struct rj_standin_history {
 	struct {
-		uint64_t version_before; /* the version of the list before it */
-		char name[RJ_NAME_BYTES]; /* whose line changed */
-	} changes[RJ_STANDIN_HISTORY_MAX]; /* a ring */
-	uint64_t count; /* noted so far */
+		uint64_t version_before; /* list version before the change */
+		char name[RJ_NAME_BYTES]; /* of the changed instance */
+	} changes[RJ_STANDIN_HISTORY_MAX]; /* ring buffer */
+	uint64_t count; /* recorded so far */
 };
 
 void rj_standin_history_record(struct rj_standin_history *history,
--- a/src/libstandin/platform.c
+++ b/src/libstandin/platform.c
@@ -10,13 +10,13 @@
 #include "stream.h"
 
 #define CONNECTIONS_MAX 4096
-/* Several records of the largest size in one append. */
+/* Allows several records of the maximum size in one append. */
 #define BODY_MAX_BYTES (8U * 1024 * 1024)
 #define READ_WAIT_MAX_MS 30000
-/* A tenth of a second's appends may come at once. */
+/* Allowed burst: the appends of a tenth of a second. */
 #define APPEND_BURST_US (RJ_US_PER_S / 10)
 
-/* A long poll; child of its request. */
+/* A read or long poll; talloc child of its request. */
 struct pending_read {
 	struct rj_list link;
 	struct rj_standin_platform *platform;
@@ -26,20 +26,21 @@
 	uint64_t max;
 };
 
-/* A change of the list that is not yet seen; child of the platform. */
+/* A list change that is not visible yet; talloc child of platform->mem. */
 struct list_change {
 	struct rj_standin_platform *platform;
 	struct rj_instance instance;
-	bool removed; /* taken from the list */
+	bool removed; /* deregistered */
 };
 
-/* Answer with a body of the protocol. */
+/* Answers with status 200 and a JSON text. */
 static void answer(struct rj_http_exchange *request, const char *text)
 {
 	rj_http_exchange_answer(request, MHD_HTTP_OK, text, strlen(text));
 }
 
-/* The stream `name` without the records whose retention has ended. */
+/* Returns the stream `name`, created if missing, after removal of its expired
+ * records. */
 static struct rj_standin_stream *
 get_stream(struct rj_standin_platform *platform, const char *name)
 {
@@ -57,7 +58,7 @@
 	return stream;
 }
 
-/* Whether the rate allows one more append now. */
+/* Takes one append from the token bucket; false if the rate is exceeded. */
 static bool take_append_credit(struct rj_standin_platform *platform)
 {
 	uint64_t now_us = rj_clock_now_us();
@@ -76,7 +77,7 @@
 	return true;
 }
 
-/* Answer a read with what the stream holds now. */
+/* Answers a read with the stream's current records and frees it. */
 static void answer_read(struct pending_read *pending_read)
 {
 	struct rj_http_exchange *request = pending_read->request;
@@ -89,7 +90,7 @@
 	talloc_free(pending_read);
 }
 
-/* Answer the long polls that waited for what was appended. */
+/* Answers the long polls that wait for records of `stream`. */
 static void answer_pending_reads(struct rj_standin_platform *platform,
 				 const struct rj_standin_stream *stream)
 {
@@ -106,7 +107,8 @@
 	}
 }
 
-/* The records of an append, or NULL when the body is not as it must be. */
+/* Returns the records of an append, which the caller releases, or NULL if the
+ * body is invalid. */
 static json_t *append_records(const struct rj_http_exchange *request)
 {
 	json_t *body =
@@ -127,7 +129,7 @@
 	return NULL;
 }
 
-/* POST /v1/streams/NAME/append, with the faults that an append can have. */
+/* POST /v1/streams/NAME/append, with its injected faults. */
 static void handle_append(struct rj_standin_platform *platform,
 			  struct rj_http_exchange *request, const char *name)
 {
@@ -170,7 +172,7 @@
 	answer_pending_reads(platform, stream);
 }
 
-/* A number of the query, at most `max`; `missing` when it is left out. */
+/* Returns a numeric query argument, at most `max`; `missing` if absent. */
 static uint64_t argument(struct rj_http_exchange *request, const char *name,
 			 uint64_t missing, uint64_t max)
 {
@@ -180,14 +182,14 @@
 	return value < max ? value : max;
 }
 
-/* A long poll whose request ends is no longer in the list. */
+/* Removes a long poll whose request ends from the list. */
 static int reader_destructor(struct pending_read *pending_read)
 {
 	rj_list_remove(&pending_read->link);
 	return 0;
 }
 
-/* Nothing was appended while a long poll waited: its answer is empty. */
+/* Answers a long poll that has timed out, with an empty page. */
 static void reader_timeout(struct tevent_context *ev,
 			   struct tevent_timer *timer, struct timeval now,
 			   void *private_data)
@@ -195,7 +197,7 @@
 	answer_read(private_data);
 }
 
-/* GET /v1/streams/NAME: at once, or when something is appended. */
+/* GET /v1/streams/NAME: answers at once, or after an append or wait_ms. */
 static void handle_read(struct rj_standin_platform *platform,
 			struct rj_http_exchange *request, const char *name)
 {
@@ -225,7 +227,7 @@
 	rj_list_append(&platform->pending_reads, &pending_read->link);
 }
 
-/* Where `name` stands in the list, or instance_count. */
+/* Returns the list index of `name`, or instance_count. */
 static uint32_t list_index(const struct rj_standin_platform *platform,
 			   const char *name)
 {
@@ -237,7 +239,7 @@
 	return index;
 }
 
-/* Make a change of the list visible. */
+/* Makes a list change visible and frees it. */
 static void apply_change(struct list_change *change)
 {
 	struct rj_standin_platform *platform = change->platform;
@@ -264,14 +266,13 @@
 	talloc_free(change);
 }
 
-/* The lag of the list has passed. */
 static void change_due(struct tevent_context *ev, struct tevent_timer *timer,
 		       struct timeval now, void *private_data)
 {
 	apply_change(private_data);
 }
 
-/* Change the list, which shows it after its lag. */
+/* Changes the list after list_lag_us. */
 static void change_list(struct rj_standin_platform *platform,
 			const struct rj_instance *instance, bool removed)
 {
@@ -295,7 +296,7 @@
 	(void)timer;
 }
 
-/* PUT registers an instance, DELETE takes it from the list. */
+/* /v1/instances/NAME: PUT registers an instance, DELETE removes it. */
 static void handle_instance(struct rj_standin_platform *platform,
 			    struct rj_http_exchange *request, const char *name)
 {
@@ -319,7 +320,7 @@
 	answer(request, "{}");
 }
 
-/* POST /v1/fault: all of its fields are taken, or none. */
+/* POST /v1/fault: applies all of its fields, or none. */
 static void handle_fault(struct rj_standin_platform *platform,
 			 struct rj_http_exchange *request)
 {
@@ -343,7 +344,7 @@
 	json_decref(faults);
 }
 
-/* The part of `path` between `prefix` and `suffix`, or NULL. */
+/* Returns the part of the path between `prefix` and `suffix`, or NULL. */
 static const char *path_name(struct rj_http_exchange *request,
 			     const char *prefix, const char *suffix)
 {
@@ -358,8 +359,8 @@
 	return talloc_strndup(request, path + before, length - before - after);
 }
 
-/* The list, or what differs from the version that the caller knows, or only
- * that nothing does. */
+/* GET /v1/instances: answers with the whole list, with the changes since the
+ * version `known`, or with no more than that version if it is current. */
 static void handle_list(struct rj_standin_platform *platform,
 			struct rj_http_exchange *request)
 {
@@ -381,7 +382,7 @@
 					    platform->instance_count, known));
 }
 
-/* A request that the faults let pass. */
+/* Routes a request that the fault injector has forwarded. */
 static void dispatch(void *private_data, struct rj_http_exchange *request)
 {
 	struct rj_standin_platform *platform = private_data;
@@ -406,7 +407,7 @@
 				       "protocol");
 }
 
-/* Faults are set past the gate, so that an outage can be ended. */
+/* /v1/fault bypasses the fault injector, so that an outage can be ended. */
 static void receive(void *private_data, struct rj_http_exchange *request)
 {
 	struct rj_standin_platform *platform = private_data;
@@ -418,8 +419,8 @@
 }
 
 /*
- * Serve on options->address from `ev`. Returns 0, or -1 with `err` when the
- * address cannot be had.
+ * Listens on options->address and serves it from `ev`. Returns 0, or -1 with
+ * `err` if the server cannot listen.
  */
 int rj_standin_platform_init(struct rj_standin_platform *platform, void *mem,
 			     struct tevent_context *ev,
@@ -452,7 +453,7 @@
 }
 
 /*
- * Close all connections and forget all records.
+ * Closes all connections and frees all records. Harmless when repeated.
  */
 void rj_standin_platform_finish(struct rj_standin_platform *platform)
 {
--- a/src/libstandin/platform.h
+++ b/src/libstandin/platform.h
@@ -1,6 +1,6 @@
 /*
- * The platform's stand-in: an append-only log of streams with offsets and
- * limited retention, and a lagging list of instances
+ * Stand-in for the platform: an append-only log of streams with offsets and
+ * limited retention, and an instance list that shows changes after a lag
  * (docs/PLATFORM-PROTOCOL.md).
  *
  * Life cycle: `rj_standin_platform_init` on the caller's memory serves until
@@ -20,7 +20,7 @@
 	struct rj_address address;
 	uint64_t retention_us;
 	uint64_t list_lag_us;
-	uint32_t append_rate; /* appends a second; 0 for any number */
+	uint32_t append_rate; /* appends a second; 0: unlimited */
 };
 
 struct rj_standin_platform {
@@ -34,9 +34,9 @@
 	struct rj_instance *instances; /* as listed, talloc array */
 	uint32_t instance_count;
 	struct rj_standin_history history; /* of the list */
-	uint64_t lose_answers; /* appends to come whose answer is lost */
-	uint64_t drop_appends; /* appends to come without effect or answer */
-	uint64_t append_credit_us; /* how much of the rate is unused */
+	uint64_t lose_answers; /* next appends to leave unanswered */
+	uint64_t drop_appends; /* next appends to discard */
+	uint64_t append_credit_us; /* token bucket of append_rate */
 	uint64_t credited_at_us;
 };
 
--- a/src/libstandin/stream.c
+++ b/src/libstandin/stream.c
@@ -7,7 +7,7 @@
 #define FIRST_CAPACITY 64
 
 /*
- * An empty stream, a talloc child of `mem`.
+ * Returns an empty stream, a talloc child of `mem`.
  */
 struct rj_standin_stream *rj_standin_stream_new(void *mem)
 {
@@ -18,7 +18,7 @@
 	return stream;
 }
 
-/* Make room for one more record behind the newest. */
+/* Ensures space for one more record, by compaction or growth. */
 static void reserve_slot(struct rj_standin_stream *stream)
 {
 	uint32_t count = (uint32_t)(stream->head - stream->oldest);
@@ -40,7 +40,7 @@
 }
 
 /*
- * Append a copy of `text`.
+ * Appends a copy of `text`.
  */
 void rj_standin_stream_append(struct rj_standin_stream *stream,
 			      const char *text, uint64_t now_us)
@@ -57,7 +57,7 @@
 }
 
 /*
- * Drop the records that were appended before `before_us`.
+ * Drops the records that were appended before `before_us`.
  */
 void rj_standin_stream_expire(struct rj_standin_stream *stream,
 			      uint64_t before_us)
@@ -71,9 +71,9 @@
 }
 
 /*
- * Read at most `max` records from offset `from` into `page`, whose list is a
- * talloc child of `mem` and whose texts are the stream's. The page starts at
- * the oldest record when that is newer than `from`.
+ * Reads at most `max` records from offset `from` into `page`. The array is a
+ * talloc child of `mem`; the texts belong to the stream. The page starts at
+ * the oldest record if `from` has expired.
  */
 void rj_standin_stream_read(const struct rj_standin_stream *stream, void *mem,
 			    uint64_t from, uint64_t max, uint64_t now_us,
--- a/src/libstandin/stream.h
+++ b/src/libstandin/stream.h
@@ -1,6 +1,6 @@
 /*
- * One stream of the platform's stand-in: texts with offsets, of which the
- * oldest are dropped when retention ends.
+ * One stream of the platform stand-in: records with consecutive offsets, of
+ * which the oldest expire after the retention time.
  */
 #ifndef RADISHJUNCTION_STANDIN_STREAM_H
 #define RADISHJUNCTION_STANDIN_STREAM_H
@@ -9,7 +9,7 @@
 
 struct rj_standin_record {
 	char *text;
-	uint64_t at_us;
+	uint64_t at_us; /* time of the append */
 };
 
 struct rj_standin_stream {
--- a/src/libstandin/task_ops.c
+++ b/src/libstandin/task_ops.c
@@ -3,7 +3,7 @@
 #include <assert.h>
 #include <string.h>
 
-/* The call has had no effect, for this reason. */
+/* Refuses a call, which had no effect. */
 static void refuse(struct rj_worker_reply *reply, enum rj_reason reason)
 {
 	reply->status = RJ_REPLY_REFUSED;
@@ -11,7 +11,7 @@
 }
 
 /*
- * Whether the call may act on `task`: it names its token, or none.
+ * Whether the call may act on `task`: it has the task's token, or none.
  */
 static bool token_matches(const struct rj_worker_call *call,
 			  const struct rj_task *task)
@@ -20,12 +20,13 @@
 }
 
 /*
- * Find or reserve the task of a LEASE or RUN. Returns NULL, with `reply`
- * refused, when it must not or cannot be had.
+ * Finds or reserves the task of a LEASE or RUN call. Returns NULL, with
+ * `reply` refused, if the attempt is fenced or its token is dead, if the
+ * worker is leaving, or if its resources do not suffice.
  *
- * Guards against a call that was held up on its way: it arrives after its
- * attempt was fenced and its job started elsewhere, and would run it twice.
- * A fenced attempt is remembered, so that the late call is refused.
+ * A delayed call may arrive after its attempt was fenced and its job started
+ * elsewhere, and would run the job twice. Fenced attempts are therefore
+ * remembered, and the late call is refused.
  */
 static struct rj_task *lease(struct rj_tasks *tasks,
 			     const struct rj_worker_call *call, uint64_t now_us,
@@ -52,7 +53,7 @@
 	return task;
 }
 
-/* Lease and start in one. */
+/* Leases and starts a task in one call. */
 static struct rj_task *run(struct rj_tasks *tasks,
 			   const struct rj_worker_call *call, uint64_t now_us,
 			   struct rj_worker_reply *reply)
@@ -65,11 +66,11 @@
 }
 
 /*
- * Start under a held token.
+ * Starts a task under the token of its lease.
  *
- * Guards against an owner that was paused past the end of its lease, which
- * would start a job that another instance has settled: a token that has
- * lapsed, was fenced or released, or is unknown never starts a task.
+ * An owner that was paused until after its lease expired would otherwise start
+ * a job that another instance has settled: a token that has expired, was
+ * fenced or released, or is unknown never starts a task.
  */
 static struct rj_task *start(struct rj_tasks *tasks,
 			     const struct rj_worker_call *call, uint64_t now_us,
@@ -87,7 +88,7 @@
 	return task;
 }
 
-/* Extend a lease; of an ended task there is nothing to extend. */
+/* Extends the lease of an active task and takes over its holder. */
 static struct rj_task *renew(struct rj_tasks *tasks,
 			     const struct rj_worker_call *call, uint64_t now_us,
 			     struct rj_worker_reply *reply)
@@ -107,8 +108,8 @@
 }
 
 /*
- * Begin to save; rj_tasks_advance stops the task when it is saved, or at the
- * limit.
+ * Starts a checkpoint; rj_tasks_advance stops the task when it is saved, or
+ * at limit_us.
  */
 static void checkpoint(struct rj_task *task, const struct rj_worker_call *call,
 		       uint64_t now_us)
@@ -123,7 +124,7 @@
 						       call->limit_us);
 }
 
-/* Progress is counted up to now before the speed changes. */
+/* Changes the speed of a running task, after counting its progress so far. */
 static void throttle(struct rj_task *task, const struct rj_worker_call *call,
 		     uint64_t now_us)
 {
@@ -132,7 +133,7 @@
 		task->throttle_percent = call->throttle_percent;
 }
 
-/* A running task ends before its time; a held token is dead. */
+/* Stops a running task; the token of a leased task becomes dead. */
 static void stop(struct rj_tasks *tasks, struct rj_task *task, uint64_t now_us)
 {
 	if (task->state == RJ_TASK_RUNNING)
@@ -142,8 +143,9 @@
 }
 
 /*
- * A held token is dead afterwards. Of an ended task the end is forgotten,
- * but not that its attempt was here: a late START or RUN is refused.
+ * Releases a lease or an ended task. The token of a lease becomes dead. The
+ * result of an ended task is dropped, but its attempt stays fenced, so that a
+ * late START or RUN is refused.
  */
 static void release(struct rj_tasks *tasks, struct rj_task *task,
 		    uint64_t now_us, struct rj_worker_reply *reply)
@@ -162,7 +164,7 @@
 	memset(&task->result, 0, sizeof(task->result));
 }
 
-/* Settle an attempt: whatever the answer says of it stays true. */
+/* Fences an attempt, so that it cannot start after the answer. */
 static struct rj_task *fence(struct rj_tasks *tasks,
 			     const struct rj_worker_call *call, uint64_t now_us)
 {
@@ -178,7 +180,7 @@
 	return task;
 }
 
-/* Renew all leases of the holder that asks for a report. */
+/* Renews all leases of the holder that requests a report. */
 static void renew_holder(struct rj_tasks *tasks,
 			 const struct rj_worker_call *call, uint64_t now_us)
 {
@@ -195,7 +197,7 @@
 	}
 }
 
-/* The operations on a task that is already known. */
+/* Executes CHECKPOINT, THROTTLE, STOP or RELEASE on a known task. */
 static struct rj_task *act_on_task(struct rj_tasks *tasks,
 				   const struct rj_worker_call *call,
 				   uint64_t now_us,
@@ -220,7 +222,7 @@
 	return task;
 }
 
-/* Fill what every answer says. */
+/* Fills the fields common to all replies. */
 static void begin_reply(const struct rj_tasks *tasks,
 			const struct rj_worker_call *call,
 			struct rj_worker_reply *reply)
@@ -236,10 +238,10 @@
 }
 
 /*
- * Carry out one call at `now_us` and fill `reply` with what is true now; its
- * report is left to rj_tasks_report. Returns the task that the call is
- * about, or NULL. Whoever wants the end of a task waits until it is no
- * longer active and then calls rj_tasks_fill_reply.
+ * Executes one call at `now_us` and fills `reply`, except for its report; see
+ * rj_tasks_report. Returns the task of the call, or NULL. To reply with the
+ * end of a task, wait until it is no longer active, then call
+ * rj_tasks_fill_reply.
  */
 struct rj_task *rj_tasks_call(struct rj_tasks *tasks,
 			      const struct rj_worker_call *call,
@@ -271,7 +273,8 @@
 }
 
 /*
- * Put what is known of `task` at `now_us` into `reply`.
+ * Fills `reply` with the state of `task` at `now_us`. The result belongs to
+ * the task.
  */
 void rj_tasks_fill_reply(struct rj_tasks *tasks, struct rj_task *task,
 			 uint64_t now_us, struct rj_worker_reply *reply)
--- a/src/libstandin/task_ops.h
+++ b/src/libstandin/task_ops.h
@@ -1,5 +1,5 @@
 /*
- * What the operations need of the table of leases and tasks beneath them.
+ * Functions of the lease and task table (tasks.c) for the worker operations.
  */
 #ifndef RADISHJUNCTION_STANDIN_TASK_OPS_H
 #define RADISHJUNCTION_STANDIN_TASK_OPS_H
--- a/src/libstandin/tasks.c
+++ b/src/libstandin/tasks.c
@@ -9,12 +9,11 @@
 #include "private/wire.h"
 #include "task_ops.h"
 
-/* How long, and how many of, the ended tasks are remembered. */
+/* Retention time and maximum number of ended tasks. */
 #define ENDED_RETENTION_US (600 * RJ_US_PER_S)
 #define ENDED_KEPT_MAX 1000
 #define FULL_SPEED_PERCENT 100
 
-/* For GHashTable. */
 static guint key_hash(gconstpointer data)
 {
 	const struct rj_task_key *key = data;
@@ -24,7 +23,6 @@
 		       31 * key->attempt.number + key->member);
 }
 
-/* For GHashTable. */
 static gboolean key_equal(gconstpointer a, gconstpointer b)
 {
 	const struct rj_task_key *one = a;
@@ -36,13 +34,13 @@
 	       one->member == two->member;
 }
 
-/* For GHashTable, whose values are talloc chunks. */
+/* GDestroyNotify for talloc chunks. */
 static void free_talloc(gpointer data)
 {
 	talloc_free(data);
 }
 
-/* A token or incarnation: not 0, which stands for none. */
+/* Returns a random token or incarnation; never 0, which means none. */
 static uint64_t random_id(void)
 {
 	uint64_t id;
@@ -53,7 +51,7 @@
 	return id;
 }
 
-/* What a worker knows when its process has just started. */
+/* Initialises the state of a worker process that has just started. */
 static void reset_state(struct rj_tasks *tasks)
 {
 	tasks->unused = tasks->capacity;
@@ -66,7 +64,7 @@
 }
 
 /*
- * Start a worker called `worker` that knows no task.
+ * Initialises the table of worker `worker` without any task.
  */
 void rj_tasks_init(struct rj_tasks *tasks, void *mem, const char *worker,
 		   const struct rj_resources *capacity)
@@ -86,8 +84,8 @@
 }
 
 /*
- * Forget all leases and tasks and take a new incarnation, as a process that
- * starts again does. What ran is kept, so that a check can count it.
+ * Drops all leases and tasks and takes a new incarnation, as a restarted
+ * process does. The records of task starts are kept for consistency checks.
  */
 void rj_tasks_restart(struct rj_tasks *tasks)
 {
@@ -96,7 +94,7 @@
 }
 
 /*
- * Free all.
+ * Frees the table.
  */
 void rj_tasks_finish(struct rj_tasks *tasks)
 {
@@ -106,7 +104,7 @@
 }
 
 /*
- * Whether the task holds resources.
+ * Whether resources are allocated to the task.
  */
 bool rj_task_is_active(const struct rj_task *task)
 {
@@ -114,7 +112,7 @@
 }
 
 /*
- * The task of the attempt and member that `call` names, or NULL.
+ * Returns the task of the call's attempt and gang member, or NULL.
  */
 struct rj_task *rj_tasks_find(const struct rj_tasks *tasks,
 			      const struct rj_worker_call *call)
@@ -125,7 +123,7 @@
 }
 
 /*
- * Remember an attempt of which nothing else is known: its state is NONE.
+ * Adds a task in state RJ_TASK_NONE for the call's attempt and gang member.
  */
 struct rj_task *rj_task_new(struct rj_tasks *tasks,
 			    const struct rj_worker_call *call)
@@ -142,7 +140,7 @@
 }
 
 /*
- * Reserve what the call asks for, which must be free.
+ * Grants a lease: allocates the call's resources, which must be free.
  */
 void rj_task_reserve(struct rj_tasks *tasks, struct rj_task *task,
 		     const struct rj_worker_call *call, uint64_t now_us)
@@ -159,7 +157,7 @@
 	rj_list_append(&tasks->active, &task->link);
 }
 
-/* A duration of the body in microseconds; 0 when it has none. */
+/* Reads a field in milliseconds as microseconds; 0 if missing. */
 static uint64_t body_ms(const json_t *body, const char *field)
 {
 	json_int_t ms = json_integer_value(json_object_get(body, field));
@@ -167,7 +165,7 @@
 	return ms > 0 ? (uint64_t)ms * RJ_US_PER_MS : 0;
 }
 
-/* The result that the task will have: it names the job and its body. */
+/* Sets the task's result: the job id, the echo and the digest of the body. */
 static void make_result(struct rj_task *task, const json_t *body,
 			const uint8_t digest[RJ_DIGEST_BYTES])
 {
@@ -188,7 +186,7 @@
 	task->result.length = (uint32_t)strlen(text);
 }
 
-/* Count a start, so that a check can find one too many. */
+/* Counts a start, so that a check can detect duplicate runs. */
 static void record_start(struct rj_tasks *tasks, const struct rj_task *task,
 			 const uint8_t digest[RJ_DIGEST_BYTES])
 {
@@ -207,8 +205,8 @@
 }
 
 /*
- * Start a held task; its body says how it behaves (run_ms, fail,
- * checkpoint_ms, echo). Any other body runs for no time.
+ * Starts a leased task. Its JSON body sets its behaviour (run_ms, fail,
+ * checkpoint_ms, echo); a task with any other body completes at once.
  */
 void rj_task_start(struct rj_tasks *tasks, struct rj_task *task,
 		   const struct rj_worker_call *call, uint64_t now_us)
@@ -237,7 +235,7 @@
 }
 
 /*
- * Bring the progress up to `now_us`.
+ * Updates the progress of a running task to `now_us`.
  */
 void rj_task_count_progress(struct rj_task *task, uint64_t now_us)
 {
@@ -250,7 +248,7 @@
 	task->counted_at_us = now_us;
 }
 
-/* When the task, as it goes now, reaches its end. */
+/* Returns when the task completes at its current speed, or RJ_NEVER_US. */
 static uint64_t run_completes_us(const struct rj_task *task)
 {
 	uint64_t left_us;
@@ -267,7 +265,7 @@
 }
 
 /*
- * End a task in `state`, give back what it held and remember it.
+ * Ends a task in `state`, frees its resources and retains it as ended.
  */
 void rj_task_end(struct rj_tasks *tasks, struct rj_task *task,
 		 enum rj_task_state state, uint64_t now_us)
@@ -290,7 +288,7 @@
 }
 
 /*
- * Forget an ended task.
+ * Removes and frees an ended task.
  */
 void rj_task_remove(struct rj_tasks *tasks, struct rj_task *task)
 {
@@ -300,7 +298,8 @@
 	g_hash_table_remove(tasks->by_key, &task->key);
 }
 
-/* End what `task` has come to by `now_us`, the earliest cause first. */
+/* Applies the earliest event of `task` that is due by `now_us`: checkpoint
+ * saved or timed out, completion, or lease expiry. */
 static void advance_task(struct rj_tasks *tasks, struct rj_task *task,
 			 uint64_t now_us)
 {
@@ -327,8 +326,8 @@
 }
 
 /*
- * Do all that is due by `now_us`: leases lapse, tasks end, checkpoints are
- * saved, old ends are forgotten.
+ * Applies everything that is due by `now_us`: expires leases, completes tasks
+ * and checkpoints, and removes old ended tasks.
  */
 void rj_tasks_advance(struct rj_tasks *tasks, uint64_t now_us)
 {
@@ -349,7 +348,7 @@
 }
 
 /*
- * When rj_tasks_advance has something to do, or RJ_NEVER_US.
+ * Returns when rj_tasks_advance is due next, or RJ_NEVER_US.
  */
 uint64_t rj_tasks_due_us(const struct rj_tasks *tasks)
 {
@@ -372,7 +371,7 @@
 	return due_us;
 }
 
-/* One line of a report; only an end that has a result copies it. */
+/* Fills one report entry; the result of an ended task is copied to `mem`. */
 static void report_task(const struct rj_task *task, void *mem, uint64_t now_us,
 			struct rj_task_report *report)
 {
@@ -396,7 +395,7 @@
 	report->result.length = task->result.length;
 }
 
-/* An ended task is listed until its end has been told. */
+/* Whether a report lists an ended task: until a reply reported its end. */
 static bool is_listed(const struct rj_task *task)
 {
 	return !task->end_reported &&
@@ -405,8 +404,8 @@
 }
 
 /*
- * List all leases, running tasks and untold ends; the list is a talloc
- * child of `mem`.
+ * Fills `report` with all leases, running tasks and unreported ends. The
+ * array is a talloc child of `mem`.
  */
 void rj_tasks_report(const struct rj_tasks *tasks, void *mem, uint64_t now_us,
 		     struct rj_worker_report *report)
@@ -440,7 +439,7 @@
 }
 
 /*
- * Every task that was ever started here, with how often.
+ * Returns a new JSON array of all tasks ever started, with their start counts.
  */
 json_t *rj_tasks_starts_json(const struct rj_tasks *tasks)
 {
--- a/src/libstandin/tasks.h
+++ b/src/libstandin/tasks.h
@@ -1,10 +1,10 @@
 /*
- * What a worker knows of its leases and tasks, as the worker interface has
- * it (radishjunction/worker.h). No I/O and no clock: the time comes with
- * each call.
+ * A worker's table of leases and tasks, as specified by the worker interface
+ * (radishjunction/worker.h). No I/O and no clock: the caller passes the time
+ * to each function.
  *
  * Life cycle: `rj_tasks_init` on the caller's memory; `rj_tasks_call` for
- * each operation; `rj_tasks_advance` whenever `rj_tasks_due_us` has come;
+ * each operation; `rj_tasks_advance` at the time of `rj_tasks_due_us`;
  * `rj_tasks_finish`.
  */
 #ifndef RADISHJUNCTION_STANDIN_TASKS_H
@@ -16,20 +16,20 @@
 #include "private/list.h"
 #include "radishjunction/worker.h"
 
-/* Names one task: an attempt and the member of its gang. */
+/* Identifies a task: an attempt and the member of its gang. */
 struct rj_task_key {
 	struct rj_attempt attempt;
 	uint32_t member;
 };
 
 struct rj_task {
-	struct rj_list link; /* in `active` or in `ended` */
+	struct rj_list link; /* in `active` or `ended` */
 	struct rj_task_key key;
 	enum rj_task_state state;
-	bool fenced; /* never starts; see rj_tasks_call */
-	bool end_reported; /* its end has been told by an answer */
-	bool saving; /* a checkpoint is under way */
-	bool fails;
+	bool fenced; /* never starts */
+	bool end_reported; /* a reply reported its end */
+	bool saving; /* checkpoint in progress */
+	bool fails; /* ends as RJ_TASK_FAILED */
 	uint64_t holder;
 	uint32_t gang;
 	uint64_t token;
@@ -37,14 +37,14 @@
 	char class_name[RJ_NAME_BYTES];
 	struct rj_resources each;
 	uint64_t lease_until_us;
-	uint64_t run_us; /* progress at which it ends */
+	uint64_t run_us; /* progress at completion */
 	uint64_t progress_us; /* as of counted_at_us */
-	uint64_t saved_us; /* progress that a checkpoint has kept */
+	uint64_t saved_us; /* progress at the last checkpoint */
 	uint64_t counted_at_us;
 	uint32_t throttle_percent;
-	uint64_t checkpoint_us; /* how long a checkpoint takes */
+	uint64_t checkpoint_us; /* duration of a checkpoint */
 	uint64_t checkpoint_until_us;
-	bool checkpoint_completes; /* it is saved before its limit */
+	bool checkpoint_completes; /* within its limit */
 	uint64_t ended_at_us;
 	struct rj_bytes result;
 };
@@ -58,19 +58,18 @@
 	bool leaving;
 	bool fail_all;
 	GHashTable *by_key; /* key -> struct rj_task, talloc */
-	struct rj_list active; /* held or running */
+	struct rj_list active; /* leased or running */
 	struct rj_list ended; /* oldest end first */
 	uint32_t ended_count;
-	GHashTable *
-		ran; /* key -> struct rj_task_start_record; outlives a restart */
+	GHashTable *ran; /* key -> rj_task_start_record; kept on restart */
 };
 
-/* Every task that was ever started here. */
+/* The starts of one task, for consistency checks. */
 struct rj_task_start_record {
 	struct rj_task_key key;
 	uint32_t starts;
 	enum rj_task_state state;
-	uint8_t digest[RJ_DIGEST_BYTES]; /* of its body */
+	uint8_t digest[RJ_DIGEST_BYTES]; /* of the job body */
 };
 
 void rj_tasks_init(struct rj_tasks *tasks, void *mem, const char *worker,
--- a/src/libstandin/worker.c
+++ b/src/libstandin/worker.c
@@ -8,10 +8,10 @@
 #include "private/wire.h"
 #include "private/worker_wire.h"
 
-/* A body of the largest size as base64, and the other fields. */
+/* Allows a body of the maximum size as base64, and the other fields. */
 #define BODY_MAX_BYTES (2U * RJ_BODY_MAX_BYTES)
 
-/* A call that waits for the end of its task; child of its request. */
+/* A call that waits for the end of its task; talloc child of its request. */
 struct waiter {
 	struct rj_list link;
 	struct rj_http_exchange *request;
@@ -21,7 +21,7 @@
 
 static void arm_timer(struct rj_standin_worker *worker);
 
-/* Send an answer, unless a fault takes its place. */
+/* Sends an answer, subject to the injected faults. */
 static void send_answer(struct rj_standin_worker *worker,
 			struct rj_http_exchange *request,
 			const struct rj_worker_call *call,
@@ -48,7 +48,7 @@
 	talloc_free(last);
 }
 
-/* Answer the calls whose tasks have come to their end. */
+/* Answers the waiting calls whose tasks have ended. */
 static void answer_waiters(struct rj_standin_worker *worker, uint64_t now_us)
 {
 	struct rj_list *at;
@@ -74,7 +74,7 @@
 	}
 }
 
-/* A lease, a task or a checkpoint has come to its end. */
+/* Advances the tasks when a lease, task or checkpoint is due. */
 static void task_due(struct tevent_context *ev, struct tevent_timer *timer,
 		     struct timeval now, void *private_data)
 {
@@ -88,7 +88,7 @@
 	arm_timer(worker);
 }
 
-/* Set the timer for what is due next. */
+/* Arms the timer for the next due time. */
 static void arm_timer(struct rj_standin_worker *worker)
 {
 	uint64_t due_us = rj_tasks_due_us(&worker->tasks);
@@ -104,7 +104,7 @@
 	assert(worker->timer);
 }
 
-/* Whether the call is answered only when its task is no longer active. */
+/* Whether the call is answered only once its task is no longer active. */
 static bool waits_for_end(const struct rj_worker_call *call,
 			  const struct rj_worker_reply *reply,
 			  const struct rj_task *task)
@@ -117,14 +117,14 @@
 	       (call->op == RJ_WORKER_START && call->wait);
 }
 
-/* A call whose client has gone is no longer in the list. */
+/* Removes a call whose request ends from the list. */
 static int waiter_destructor(struct waiter *waiter)
 {
 	rj_list_remove(&waiter->link);
 	return 0;
 }
 
-/* Keep a call until answer_waiters finds its task ended. */
+/* Keeps a call until answer_waiters finds its task ended. */
 static void wait_for_end(struct rj_standin_worker *worker,
 			 struct rj_http_exchange *request,
 			 const struct rj_worker_call *call,
@@ -141,7 +141,7 @@
 	talloc_set_destructor(waiter, waiter_destructor);
 }
 
-/* The report, as old as the lag allows. */
+/* Fills in the report, or a cached one that is less than report_lag_us old. */
 static void fill_report(struct rj_standin_worker *worker, void *mem,
 			uint64_t now_us, struct rj_worker_report *report)
 {
@@ -166,7 +166,7 @@
 	*report = worker->cached_report;
 }
 
-/* Carry out a call that the faults let pass, and answer it now or later. */
+/* Executes a call and answers it, at once or when its task has ended. */
 static void handle_call(struct rj_standin_worker *worker,
 			struct rj_http_exchange *request,
 			const struct rj_worker_call *call)
@@ -192,7 +192,7 @@
 	arm_timer(worker);
 }
 
-/* GET /v1/ran: what a check compares with what callers were told. */
+/* GET /v1/ran: all task starts, to be checked against callers' answers. */
 static void handle_ran(struct rj_standin_worker *worker,
 		       struct rj_http_exchange *request)
 {
@@ -204,7 +204,8 @@
 	rj_http_exchange_answer(request, MHD_HTTP_OK, text, strlen(text));
 }
 
-/* Take the fields of POST /v1/fault. Returns -1 when one has another type. */
+/* Applies the fields of POST /v1/fault. Returns 0, or -1 if one has another
+ * type. */
 static int set_faults(struct rj_standin_worker *worker, const json_t *faults,
 		      const struct rj_http_exchange *request)
 {
@@ -232,7 +233,8 @@
 	return 0;
 }
 
-/* POST /v1/fault; leases go on while it is set, so what is due comes first. */
+/* POST /v1/fault. Leases run on during a fault, so the tasks are advanced
+ * before waiting calls are answered. */
 static void handle_fault(struct rj_standin_worker *worker,
 			 struct rj_http_exchange *request)
 {
@@ -256,7 +258,7 @@
 		worker->options.changed(worker);
 }
 
-/* POST /v1/OP with a call whose operation must be the one of the path. */
+/* POST /v1/OP with a call whose operation must match the path. */
 static void dispatch(void *private_data, struct rj_http_exchange *request)
 {
 	struct rj_standin_worker *worker = private_data;
@@ -280,7 +282,8 @@
 	handle_call(worker, request, &call);
 }
 
-/* Faults and the check are past the gate, so that a pause can be ended. */
+/* /v1/fault and /v1/ran bypass the fault injector, so that a pause can be
+ * ended and starts can be checked during faults. */
 static void receive(void *private_data, struct rj_http_exchange *request)
 {
 	struct rj_standin_worker *worker = private_data;
@@ -298,8 +301,8 @@
 }
 
 /*
- * Serve on options->address from `ev`. Returns 0, or -1 with `err` when the
- * address cannot be had.
+ * Listens on options->address and serves it from `ev`. Returns 0, or -1 with
+ * `err` if the server cannot listen.
  */
 int rj_standin_worker_init(struct rj_standin_worker *worker, void *mem,
 			   struct tevent_context *ev,
@@ -330,7 +333,7 @@
 }
 
 /*
- * Close all connections and forget all tasks.
+ * Closes all connections and frees all tasks. Harmless when repeated.
  */
 void rj_standin_worker_finish(struct rj_standin_worker *worker)
 {
--- a/src/libstandin/worker.h
+++ b/src/libstandin/worker.h
@@ -1,6 +1,6 @@
 /*
- * The stand-in of one worker: the table of leases and tasks behind HTTP,
- * with faults on request (docs/WORKER-PROTOCOL.md).
+ * Stand-in for one worker: serves a table of leases and tasks over HTTP, with
+ * fault injection (docs/WORKER-PROTOCOL.md).
  *
  * Life cycle: `rj_standin_worker_init` on the caller's memory serves until
  * `rj_standin_worker_finish`.
@@ -19,7 +19,8 @@
 	struct rj_address address;
 	uint32_t connections_max;
 	struct rj_resources capacity;
-	/* Told after a fault changed the state or the incarnation. */
+	/* Called after fault injection, which may have changed the leaving
+	 * state or the incarnation. */
 	void (*changed)(struct rj_standin_worker *worker);
 };
 
@@ -31,14 +32,16 @@
 	struct rj_fault_injector fault_injector;
 	struct rj_tasks tasks;
 	struct tevent_timer *timer; /* for rj_tasks_due_us */
-	struct rj_list waiting; /* requests that wait for a task's end */
+	struct rj_list waiting; /* calls that wait for the end of a task */
 	uint64_t report_lag_us;
 	void *cached_report_mem;
-	struct rj_worker_report cached_report; /* told while the report lags */
+	struct rj_worker_report
+		cached_report; /* sent until it is report_lag_us old */
 	uint64_t cached_report_at_us;
-	uint64_t lose_answers; /* calls to come whose answer is lost */
-	uint64_t cut_answers; /* calls to come whose answer is cut short */
-	uint64_t cross_answers; /* calls to come with the answer before */
+	uint64_t lose_answers; /* next answers to drop */
+	uint64_t cut_answers; /* next answers to truncate */
+	uint64_t
+		cross_answers; /* next answers to replace by the previous one */
 	char *last_answer;
 };
 
--- a/src/standin/fleet.c
+++ b/src/standin/fleet.c
@@ -14,21 +14,20 @@
 #define PLATFORM_CONNECTIONS_MAX 8
 
 struct rj_fleet_member {
-	struct rj_standin_worker worker; /* first: found from it */
+	struct rj_standin_worker worker; /* must be the first member */
 	struct rj_fleet *fleet;
 	uint32_t rack;
-	bool registering; /* one call is open, or its retry is due */
-	bool changed; /* since that call was sent */
+	bool registering; /* call open or retry pending */
+	bool changed; /* since the last call was sent */
 };
 
-/* What is handed to the client, which frees it. */
+/* Private data of a registration call; freed by the HTTP client. */
 struct registration {
 	struct rj_fleet_member *member;
 };
 
 static void register_member(struct rj_fleet_member *member);
 
-/* The wait before the next registration is over. */
 static void register_again(struct tevent_context *ev,
 			   struct tevent_timer *timer, struct timeval now,
 			   void *private_data)
@@ -36,7 +35,7 @@
 	register_member(private_data);
 }
 
-/* Register again after a failure, or when the state changed meanwhile. */
+/* Registers again after a failure, or if the state changed meanwhile. */
 static void on_registration_done(void *private_data,
 				 const struct rj_http_result *result)
 {
@@ -57,7 +56,7 @@
 	(void)timer;
 }
 
-/* The state of a member as the platform lists it. */
+/* Encodes a member's entry in the platform's instance list. */
 static char *registration_text(void *mem, const struct rj_fleet_member *member)
 {
 	const struct rj_standin_worker *worker = &member->worker;
@@ -74,7 +73,8 @@
 	return rj_instance_encode(mem, &instance);
 }
 
-/* Tell the platform the member's state, again until it is told. */
+/* Registers the member's current state with the platform; retries until it is
+ * acknowledged. */
 static void register_member(struct rj_fleet_member *member)
 {
 	struct rj_fleet *fleet = member->fleet;
@@ -99,7 +99,8 @@
 	rj_http_client_send(&fleet->client, &send);
 }
 
-/* A fault changed the state or the incarnation: tell the platform. */
+/* Registers a member again after a fault may have changed its state or
+ * incarnation. */
 static void member_changed(struct rj_standin_worker *worker)
 {
 	struct rj_fleet_member *member = (struct rj_fleet_member *)worker;
@@ -111,7 +112,7 @@
 		register_member(member);
 }
 
-/* Start one worker and register it. */
+/* Starts one worker and registers it. Returns 0, or -1 with `err`. */
 static int init_member(struct rj_fleet *fleet, uint32_t index,
 		       struct rj_error *err)
 {
@@ -144,8 +145,8 @@
 }
 
 /*
- * Listen with options->count workers. Returns 0, or -1 with `err` when an
- * address cannot be had; the fleet is finished then.
+ * Starts options->count workers. Returns 0, or -1 with `err` if a name is too
+ * long or a worker cannot listen; the fleet is finished then.
  */
 int rj_fleet_init(struct rj_fleet *fleet, void *mem, struct tevent_context *ev,
 		  const struct rj_fleet_options *options, struct rj_error *err)
@@ -178,7 +179,7 @@
 }
 
 /*
- * The names and addresses of all workers, for whoever started them.
+ * Returns a new JSON array of the names and addresses of all workers.
  */
 json_t *rj_fleet_listening(const struct rj_fleet *fleet)
 {
@@ -198,7 +199,7 @@
 }
 
 /*
- * Stop all workers, without telling the platform.
+ * Stops all workers without deregistering them from the platform.
  */
 void rj_fleet_finish(struct rj_fleet *fleet)
 {
--- a/src/standin/fleet.h
+++ b/src/standin/fleet.h
@@ -1,8 +1,8 @@
 /*
- * Many worker stand-ins in one process, each registered with the platform.
+ * Several worker stand-ins in one process, each registered with the platform.
  *
- * Life cycle: `rj_fleet_init` listens with all of them and registers them
- * in the background, again after each change; `rj_fleet_finish`.
+ * Life cycle: `rj_fleet_init` starts all workers and registers them in the
+ * background, again after each change of state; `rj_fleet_finish`.
  */
 #ifndef RADISHJUNCTION_STANDIN_FLEET_H
 #define RADISHJUNCTION_STANDIN_FLEET_H
@@ -16,7 +16,7 @@
 	const char *listen_ip;
 	const char *name_prefix;
 	const char *domain;
-	const char *platform; /* IP:PORT, or NULL to register nowhere */
+	const char *platform; /* IP:PORT, or NULL: no registration */
 	uint32_t count;
 	uint32_t first_rack;
 	uint32_t workers_per_rack;
@@ -33,7 +33,7 @@
 	struct tevent_context *ev;
 	struct rj_http_client client;
 	struct rj_fleet_member *members; /* talloc array */
-	uint32_t count; /* members that listen */
+	uint32_t count; /* members in service */
 };
 
 int rj_fleet_init(struct rj_fleet *fleet, void *mem, struct tevent_context *ev,
--- a/src/standin/main.c
+++ b/src/standin/main.c
@@ -1,6 +1,6 @@
 /*
- * rj-standin: small stand-ins that take the place of the platform and of
- * the workers in tests, demos and measurements.
+ * rj-standin: stand-ins for the platform and the workers, for tests, demos
+ * and benchmarks.
  */
 #include <assert.h>
 #include <curl/curl.h>
@@ -19,13 +19,13 @@
 
 #define DEFAULT_RETENTION_MS (3600 * 1000)
 
-/* What the modes share. */
+/* State common to all modes. */
 struct program {
 	struct tevent_context *ev;
 	bool stopped;
 };
 
-/* SIGTERM or SIGINT: leave the loop. */
+/* Ends the event loop on SIGTERM or SIGINT. */
 static void stop(struct tevent_context *ev, struct tevent_signal *signal,
 		 int number, int count, void *info, void *private_data)
 {
@@ -34,7 +34,8 @@
 	program->stopped = true;
 }
 
-/* Tell whoever started this program where it listens, then serve. */
+/* Prints `listening`, which it takes over, as one line of JSON for the process
+ * that started this one, then serves until a signal. */
 static void serve(struct program *program, json_t *listening)
 {
 	json_t *line = json_object();
@@ -50,14 +51,14 @@
 		tevent_loop_once(program->ev);
 }
 
-/* Say what went wrong and how to mend it. */
+/* Prints `err` and returns the exit status. */
 static int report_error(const struct rj_error *err)
 {
 	fprintf(stderr, "rj-standin: %s\n", err->message);
 	return EXIT_FAILURE;
 }
 
-/* Serve the platform until a signal. */
+/* Serves the platform until a signal. Returns the exit status. */
 static int serve_platform(struct program *program,
 			  const struct rj_standin_platform_options *options)
 {
@@ -78,7 +79,7 @@
 	return EXIT_SUCCESS;
 }
 
-/* rj-standin platform: its command line. */
+/* Runs `rj-standin platform`. Returns the exit status. */
 static int run_platform(struct program *program, int argc, char **argv)
 {
 	struct arg_str *listen =
@@ -105,7 +106,7 @@
 	memset(&options, 0, sizeof(options));
 	status = PROGRAM_EXIT_USAGE;
 	if (rj_address_parse(&options.address, listen->sval[0])) {
-		fprintf(stderr, "listen: \"%s\" is no IP:PORT\n",
+		fprintf(stderr, "listen: \"%s\" is not an IP:PORT\n",
 			listen->sval[0]);
 		goto out;
 	}
@@ -123,7 +124,7 @@
 	return status;
 }
 
-/* Serve the workers until a signal. */
+/* Serves the workers until a signal. Returns the exit status. */
 static int serve_workers(struct program *program,
 			 const struct rj_fleet_options *options)
 {
@@ -137,7 +138,7 @@
 	return EXIT_SUCCESS;
 }
 
-/* rj-standin workers: its command line. */
+/* Runs `rj-standin workers`. Returns the exit status. */
 static int run_workers(struct program *program, int argc, char **argv)
 {
 	struct arg_str *ip =
@@ -214,7 +215,7 @@
 	{ "workers", run_workers },
 };
 
-/* Dispatch on the first argument. */
+/* Runs the mode named by the first argument. Returns the exit status. */
 static int run_mode(struct program *program, int argc, char **argv)
 {
 	for (size_t i = 0; argc > 1 && i < PROGRAM_OPTIONS_COUNT(modes); i++)
@@ -228,7 +229,6 @@
 	return PROGRAM_EXIT_USAGE;
 }
 
-/* Start the libraries and the event loop, then the mode that was asked for. */
 int main(int argc, char **argv)
 {
 	struct program program = { .stopped = false };
