--- a/src/bench/control.c
+++ b/src/bench/control.c
@@ -37,7 +37,7 @@
  * Prints the counters per second of virtual time.
  */
 static void print(const struct control *control, uint64_t measured_us,
-		  double used_us, size_t state_bytes)
+		  double cpu_used_us, size_t state_bytes)
 {
 	double seconds = (double)measured_us / RJ_US_PER_S;
 	const struct traffic *all[] = { &control->reports, &control->peers,
@@ -61,7 +61,7 @@
 	       "\"cpu_percent\":%.3f,\"state_bytes\":%zu,"
 	       "\"config_bytes\":%zu,\"revision\":%" G_GUINT64_FORMAT "}\n",
 	       control->site.workers, CONTROL_INSTANCES, sum,
-	       used_us / (double)measured_us * 100.0, state_bytes,
+	       cpu_used_us / (double)measured_us * 100.0, state_bytes,
 	       strlen(control->text), rj_core_config(&control->core)->revision);
 }
 
--- a/src/bench/control_site.c
+++ b/src/bench/control_site.c
@@ -131,14 +131,14 @@
  */
 static void answer_config_polls(struct control *control)
 {
-	for (guint i = control->reads->len; i > 0; i--) {
+	for (guint i = control->waiting_reads->len; i > 0; i--) {
 		struct waiting_read waiting = g_array_index(
-			control->reads, struct waiting_read, i - 1);
+			control->waiting_reads, struct waiting_read, i - 1);
 
 		if (waiting.read.stream != RJ_STREAM_CONFIG)
 			continue;
 		answer_read(control, &waiting.read);
-		g_array_remove_index(control->reads, i - 1);
+		g_array_remove_index(control->waiting_reads, i - 1);
 	}
 }
 
@@ -245,7 +245,8 @@
 					control->now_us + action->u.read.wait_us
 				};
 
-				g_array_append_val(control->reads, waiting);
+				g_array_append_val(control->waiting_reads,
+						   waiting);
 			} else {
 				answer_read(control, &action->u.read);
 			}
@@ -279,14 +280,14 @@
  */
 static void expire_polls(struct control *control)
 {
-	for (guint i = control->reads->len; i > 0; i--) {
+	for (guint i = control->waiting_reads->len; i > 0; i--) {
 		struct waiting_read waiting = g_array_index(
-			control->reads, struct waiting_read, i - 1);
+			control->waiting_reads, struct waiting_read, i - 1);
 
 		if (control->now_us < waiting.due_us)
 			continue;
 		answer_read(control, &waiting.read);
-		g_array_remove_index(control->reads, i - 1);
+		g_array_remove_index(control->waiting_reads, i - 1);
 	}
 }
 
@@ -498,7 +499,8 @@
 	control->config = g_ptr_array_new();
 	control->linked_peers =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	control->reads = g_array_new(FALSE, FALSE, sizeof(struct waiting_read));
+	control->waiting_reads =
+		g_array_new(FALSE, FALSE, sizeof(struct waiting_read));
 	g_queue_init(&control->pending);
 	control->text = large_site_config(control->mem, &control->site);
 	first.config_text = control->text;
@@ -524,7 +526,7 @@
 	rj_core_finish(&control->core);
 	control->planner.base.ops->finish(&control->planner.base);
 	g_queue_clear(&control->pending);
-	g_array_free(control->reads, TRUE);
+	g_array_free(control->waiting_reads, TRUE);
 	g_hash_table_destroy(control->linked_peers);
 	g_ptr_array_free(control->config, TRUE);
 	talloc_free(control->mem);
--- a/src/bench/control_site.h
+++ b/src/bench/control_site.h
@@ -52,7 +52,7 @@
 	struct large_site site; /* with the current configuration */
 	GPtrArray *config; /* struct rj_record of the `config` stream */
 	GHashTable *linked_peers; /* names of peers that the core links to */
-	GArray *reads; /* struct waiting_read */
+	GArray *waiting_reads; /* struct waiting_read */
 	char *text; /* of the configuration in force */
 	uint64_t change_due_us;
 	uint64_t replace_due_us;
--- a/src/bench/faults.c
+++ b/src/bench/faults.c
@@ -177,7 +177,7 @@
 			       .place = place,
 			       .promise = promise };
 	GThreadPool *pool;
-	bool held = true;
+	bool all_held = true;
 
 	g_mutex_init(&sweep.lock);
 	faults_result_init(&sweep.sum);
@@ -188,10 +188,10 @@
 	g_thread_pool_free(pool, FALSE, TRUE);
 	print_sweep(&sweep, seeds);
 	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
-		held &= !sweep.failed[i];
+		all_held &= !sweep.failed[i];
 	faults_result_finish(&sweep.sum);
 	g_mutex_clear(&sweep.lock);
-	return held;
+	return all_held;
 }
 
 /* Prints the share of served requests under one fault scenario. */
@@ -286,16 +286,16 @@
 		   int threads)
 {
 	uint64_t served = seeds < SERVED_SEEDS_MAX ? seeds : SERVED_SEEDS_MAX;
-	bool held = true;
+	bool all_held = true;
 
 	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
 		if (only == PROMISE_COUNT || only == i)
-			held &= sweep_promise(engine, place, i, from, seeds,
-					      threads);
+			all_held &= sweep_promise(engine, place, i, from, seeds,
+						  threads);
 	if (only == PROMISE_COUNT && place == FAULT_PLACE_SMALL)
 		for (uint32_t i = 0; i < TROUBLE_COUNT; i++)
 			print_served(engine, i, from, served);
-	return held ? 0 : 1;
+	return all_held ? 0 : 1;
 }
 
 /*
--- a/src/bench/load.c
+++ b/src/bench/load.c
@@ -28,8 +28,9 @@
 	struct load *load = request->load;
 	uint64_t now_us = rj_clock_now_us();
 
-	load->took_us[load->ended++] = (uint32_t)(now_us - request->due_us);
-	load->ended_us = now_us;
+	load->latencies_us[load->ended++] =
+		(uint32_t)(now_us - request->due_us);
+	load->last_answer_us = now_us;
 	if (result->outcome != RJ_HTTP_ANSWERED ||
 	    !load->options.check(load, result->body))
 		load->wrong++;
@@ -134,8 +135,8 @@
 	load->options = *options;
 	load->ev = tevent_context_init(NULL);
 	load->mem = talloc_named_const(load->ev, 0, "load");
-	load->took_us = talloc_array(load->mem, uint32_t, options->count);
-	assert(load->ev && load->mem && load->took_us);
+	load->latencies_us = talloc_array(load->mem, uint32_t, options->count);
+	assert(load->ev && load->mem && load->latencies_us);
 	if (rj_http_client_init(&load->client, load->mem, load->ev, NULL,
 				options->concurrency, NULL)) {
 		TALLOC_FREE(load->ev);
@@ -152,7 +153,8 @@
 		send_due(load);
 	while (load->ended < options->count)
 		tevent_loop_once(load->ev);
-	qsort(load->took_us, load->ended, sizeof(*load->took_us), compare_u32);
+	qsort(load->latencies_us, load->ended, sizeof(*load->latencies_us),
+	      compare_u32);
 	return 0;
 }
 
@@ -165,7 +167,8 @@
 	uint64_t index = (uint64_t)load->ended * per_mille / 1000;
 
 	assert(load->ended);
-	return load->took_us[index < load->ended ? index : load->ended - 1];
+	return load
+		->latencies_us[index < load->ended ? index : load->ended - 1];
 }
 
 /*
@@ -175,7 +178,7 @@
 double load_per_second(const struct load *load)
 {
 	return (double)load->ended * (double)RJ_US_PER_S /
-	       (double)(load->ended_us - load->started_us);
+	       (double)(load->last_answer_us - load->started_us);
 }
 
 /*
--- a/src/bench/load.h
+++ b/src/bench/load.h
@@ -34,11 +34,11 @@
 	uint32_t ended;
 	uint32_t wrong; /* without the expected answer */
 	uint64_t started_us;
-	uint64_t ended_us;
+	uint64_t last_answer_us;
 	/* Of the daemon, set by the caller: */
 	uint64_t cpu_us;
 	uint64_t run_delay_us; /* runnable, waiting for a CPU */
-	uint32_t *took_us; /* latencies; sorted by load_run */
+	uint32_t *latencies_us; /* latencies; sorted by load_run */
 };
 
 int load_run(struct load *load, const struct load_options *options);
--- a/src/bench/ownership.c
+++ b/src/bench/ownership.c
@@ -276,7 +276,7 @@
 			   (struct counting_engine *)world->nodes[i].engine);
 	for (guint i = 0; i < world->callers->len; i++) {
 		const struct fake_caller *caller = world->callers->pdata[i];
-		double took_ms =
+		double latency_ms =
 			(double)(caller->served_us - caller->first_us) /
 			RJ_US_PER_MS;
 
@@ -286,7 +286,7 @@
 		g_array_append_val(caller->spec.shape.tasks > 1 ?
 					   outcome->gang_ms :
 					   outcome->small_ms,
-				   took_ms);
+				   latency_ms);
 	}
 	/* Only heartbeats report the configuration in force, and without
 	 * links there are none. */
--- a/src/bench/path.c
+++ b/src/bench/path.c
@@ -229,25 +229,25 @@
 static int measure_added_latency(struct path *path, uint32_t rate,
 				 uint32_t *wrong)
 {
-	struct load one;
-	struct load two;
+	struct load direct_load;
+	struct load daemon_load;
 
-	if (measure(path, &to_worker, rate, &one, wrong))
+	if (measure(path, &to_worker, rate, &direct_load, wrong))
 		return -1;
-	if (measure(path, &via_daemon, rate, &two, wrong)) {
-		load_finish(&one);
+	if (measure(path, &via_daemon, rate, &daemon_load, wrong)) {
+		load_finish(&direct_load);
 		return -1;
 	}
-	print_measure("added",
-		      json_pack("{s:i, s:i, s:i}", "rate_per_s", (int)rate,
-				"p50_us",
-				(int)load_percentile_us(&two, 500) -
-					(int)load_percentile_us(&one, 500),
-				"p99_us",
-				(int)load_percentile_us(&two, 990) -
-					(int)load_percentile_us(&one, 990)));
-	load_finish(&one);
-	load_finish(&two);
+	print_measure(
+		"added",
+		json_pack("{s:i, s:i, s:i}", "rate_per_s", (int)rate, "p50_us",
+			  (int)load_percentile_us(&daemon_load, 500) -
+				  (int)load_percentile_us(&direct_load, 500),
+			  "p99_us",
+			  (int)load_percentile_us(&daemon_load, 990) -
+				  (int)load_percentile_us(&direct_load, 990)));
+	load_finish(&direct_load);
+	load_finish(&daemon_load);
 	return 0;
 }
 
--- a/src/bench/policy.c
+++ b/src/bench/policy.c
@@ -66,7 +66,7 @@
 /*
  * Prints the start of a JSON line; the caller prints the rest.
  */
-static void line_begin(const struct series *series, const char *planner)
+static void print_line_start(const struct series *series, const char *planner)
 {
 	printf("{\"bench\":\"policy\",\"users\":\"%s\",\"load\":\"%s\","
 	       "\"seeds\":%u,\"planner\":\"%s\",",
@@ -85,7 +85,7 @@
 			char account[16];
 
 			snprintf(account, sizeof(account), "account%u", j);
-			line_begin(series, factories[planner_kind]->name);
+			print_line_start(series, factories[planner_kind]->name);
 			printf("\"measure\":\"completion_s\",\"class\":\"%s\","
 			       "\"account\":\"%s\",\"jobs\":%.0f,"
 			       "\"p50\":%.2f,\"p95\":%.2f,\"p99\":%.2f}\n",
@@ -129,14 +129,14 @@
 	};
 
 	print_completions(series, planner_kind);
-	line_begin(series, factories[planner_kind]->name);
+	print_line_start(series, factories[planner_kind]->name);
 	printf("\"measure\":\"largest_gang_wait_s\",\"p50\":%.2f,\"p95\":%.2f,"
 	       "\"p99\":%.2f}\n",
 	       MEDIAN(series, planner_kind, gang_wait_s[0]),
 	       MEDIAN(series, planner_kind, gang_wait_s[1]),
 	       MEDIAN(series, planner_kind, gang_wait_s[2]));
 	for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
-		line_begin(series, factories[planner_kind]->name);
+		print_line_start(series, factories[planner_kind]->name);
 		printf("\"measure\":\"%s\",\"value\":%.4f}\n", rows[i].name,
 		       median_at(series, planner_kind, rows[i].offset));
 	}
@@ -148,7 +148,7 @@
 static void print_target(const struct series *series, const char *name,
 			 double value, double limit, bool at_most)
 {
-	line_begin(series, factories[PLANNER_TOPOLOGY]->name);
+	print_line_start(series, factories[PLANNER_TOPOLOGY]->name);
 	printf("\"measure\":\"target\",\"name\":\"%s\",\"value\":%.3f,"
 	       "\"%s\":%.3f,\"reached\":%s}\n",
 	       name, value, at_most ? "at_most" : "at_least", limit,
@@ -238,7 +238,7 @@
 static void print_bound(const struct series *series)
 {
 	for (uint32_t i = 0; i < STREAM_CLASSES; i++) {
-		line_begin(series, "bound");
+		print_line_start(series, "bound");
 		printf("\"measure\":\"completion_s\",\"class\":\"%s\","
 		       "\"account\":\"all\",\"p95\":%.2f}\n",
 		       series->class_names[i],
--- a/src/libstandin/fault_injector.c
+++ b/src/libstandin/fault_injector.c
@@ -133,10 +133,10 @@
 	}
 }
 
-/* Aborts the open requests of blocked clients, except `asking`. */
+/* Aborts the open requests of blocked clients, except `fault_request`. */
 static void abort_blocked(struct rj_fault_injector *injector,
 			  struct rj_http_server *server,
-			  const struct rj_http_exchange *asking)
+			  const struct rj_http_exchange *fault_request)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -145,7 +145,7 @@
 		struct rj_http_exchange *request =
 			RJ_CONTAINER(at, struct rj_http_exchange, link);
 
-		if (request != asking &&
+		if (request != fault_request &&
 		    rj_fault_injector_blocks(injector, request))
 			rj_http_exchange_abort(request);
 	}
@@ -197,14 +197,14 @@
 
 /*
  * Applies the fields outage, pause, slow_ms and cut_from of `faults`; missing
- * fields are unchanged. `asking` is the request with the fields, which is not
- * aborted; it may be NULL. Returns 0, or -1 without any change if a field has
+ * fields are unchanged. `fault_request` is the request with the fields, or
+ * NULL; it is not aborted. Returns 0, or -1 without any change if a field has
  * another type.
  */
 int rj_fault_injector_configure(struct rj_fault_injector *injector,
 				struct rj_http_server *server,
 				const json_t *faults,
-				const struct rj_http_exchange *asking)
+				const struct rj_http_exchange *fault_request)
 {
 	json_t *cut_from = json_object_get(faults, "cut_from");
 	uint64_t slow_ms = injector->delay_us / RJ_US_PER_MS;
@@ -223,10 +223,10 @@
 	if (cut_from) {
 		json_decref(injector->cut_from);
 		injector->cut_from = json_incref(cut_from);
-		abort_blocked(injector, server, asking);
+		abort_blocked(injector, server, fault_request);
 	}
 	if (injector->outage)
-		rj_http_server_abort_open(server, asking);
+		rj_http_server_abort_open(server, fault_request);
 	if (!injector->paused)
 		release_paused(injector);
 	return 0;
--- a/src/libstandin/fault_injector.h
+++ b/src/libstandin/fault_injector.h
@@ -37,7 +37,7 @@
 int rj_fault_injector_configure(struct rj_fault_injector *injector,
 				struct rj_http_server *server,
 				const json_t *faults,
-				const struct rj_http_exchange *asking);
+				const struct rj_http_exchange *fault_request);
 bool rj_fault_injector_blocks(const struct rj_fault_injector *injector,
 			      struct rj_http_exchange *request);
 void rj_fault_injector_finish(struct rj_fault_injector *injector);
--- a/src/libstandin/platform.c
+++ b/src/libstandin/platform.c
@@ -34,7 +34,7 @@
 };
 
 /* Answers with status 200 and a JSON text. */
-static void answer(struct rj_http_exchange *request, const char *text)
+static void send_json(struct rj_http_exchange *request, const char *text)
 {
 	rj_http_exchange_answer(request, MHD_HTTP_OK, text, strlen(text));
 }
@@ -86,7 +86,7 @@
 	rj_standin_stream_read(pending_read->stream, pending_read,
 			       pending_read->from, pending_read->max,
 			       rj_clock_now_us(), &page);
-	answer(request, rj_log_page_encode(request, &page));
+	send_json(request, rj_log_page_encode(request, &page));
 	talloc_free(pending_read);
 }
 
@@ -167,17 +167,17 @@
 		platform->lose_answers--;
 		rj_http_exchange_abort(request);
 	} else {
-		answer(request, rj_append_answer_encode(request, first));
+		send_json(request, rj_append_answer_encode(request, first));
 	}
 	answer_pending_reads(platform, stream);
 }
 
-/* Returns a numeric query argument, at most `max`; `missing` if absent. */
-static uint64_t argument(struct rj_http_exchange *request, const char *name,
-			 uint64_t missing, uint64_t max)
+/* Returns a numeric query argument, at most `max`, or `default_value`. */
+static uint64_t query_number(struct rj_http_exchange *request, const char *name,
+			     uint64_t default_value, uint64_t max)
 {
 	const char *text = rj_http_exchange_argument(request, name);
-	uint64_t value = text ? strtoull(text, NULL, 10) : missing;
+	uint64_t value = text ? strtoull(text, NULL, 10) : default_value;
 
 	return value < max ? value : max;
 }
@@ -203,7 +203,8 @@
 {
 	struct pending_read *pending_read =
 		talloc_zero(request, struct pending_read);
-	uint64_t wait_ms = argument(request, "wait_ms", 0, READ_WAIT_MAX_MS);
+	uint64_t wait_ms =
+		query_number(request, "wait_ms", 0, READ_WAIT_MAX_MS);
 	struct tevent_timer *timer;
 
 	assert(pending_read);
@@ -212,9 +213,9 @@
 	pending_read->platform = platform;
 	pending_read->request = request;
 	pending_read->stream = get_stream(platform, name);
-	pending_read->from = argument(request, "from", 0, UINT64_MAX);
+	pending_read->from = query_number(request, "from", 0, UINT64_MAX);
 	pending_read->max =
-		argument(request, "max", RJ_LOG_PAGE_MAX, RJ_LOG_PAGE_MAX);
+		query_number(request, "max", RJ_LOG_PAGE_MAX, RJ_LOG_PAGE_MAX);
 	if (pending_read->from < pending_read->stream->head || !wait_ms) {
 		answer_read(pending_read);
 		return;
@@ -317,7 +318,7 @@
 		return;
 	}
 	change_list(platform, &instance, removed);
-	answer(request, "{}");
+	send_json(request, "{}");
 }
 
 /* POST /v1/fault: applies all of its fields, or none. */
@@ -326,20 +327,22 @@
 {
 	json_t *faults =
 		json_loadb(request->body.data, request->body.length, 0, NULL);
-	uint64_t lose = platform->lose_answers;
-	uint64_t drop = platform->drop_appends;
+	uint64_t lose_answers_count = platform->lose_answers;
+	uint64_t drop_appends_count = platform->drop_appends;
 
-	if (rj_fault_read_count(faults, "lose_next_append_answers", &lose) ||
-	    rj_fault_read_count(faults, "drop_next_appends", &drop) ||
+	if (rj_fault_read_count(faults, "lose_next_append_answers",
+				&lose_answers_count) ||
+	    rj_fault_read_count(faults, "drop_next_appends",
+				&drop_appends_count) ||
 	    rj_fault_injector_configure(&platform->fault_injector,
 					&platform->server, faults, request)) {
 		rj_http_exchange_error(request, MHD_HTTP_BAD_REQUEST,
 				       "fault: a field has the wrong type; see "
 				       "the platform protocol");
 	} else {
-		platform->lose_answers = lose;
-		platform->drop_appends = drop;
-		answer(request, "{}");
+		platform->lose_answers = lose_answers_count;
+		platform->drop_appends = drop_appends_count;
+		send_json(request, "{}");
 	}
 	json_decref(faults);
 }
@@ -350,13 +353,15 @@
 {
 	const char *path = request->path;
 	size_t length = strlen(path);
-	size_t before = strlen(prefix);
-	size_t after = strlen(suffix);
+	size_t prefix_length = strlen(prefix);
+	size_t suffix_length = strlen(suffix);
 
-	if (length <= before + after || strncmp(path, prefix, before) != 0 ||
-	    strcmp(path + length - after, suffix) != 0)
+	if (length <= prefix_length + suffix_length ||
+	    strncmp(path, prefix, prefix_length) != 0 ||
+	    strcmp(path + length - suffix_length, suffix) != 0)
 		return NULL;
-	return talloc_strndup(request, path + before, length - before - after);
+	return talloc_strndup(request, path + prefix_length,
+			      length - prefix_length - suffix_length);
 }
 
 /* GET /v1/instances: answers with the whole list, with the changes since the
@@ -366,20 +371,21 @@
 {
 	const char *text = rj_http_exchange_argument(request, "known");
 	uint64_t known = text ? strtoull(text, NULL, 16) : 0;
-	bool changes = argument(request, "changes", 0, 1);
+	bool wants_changes = query_number(request, "changes", 0, 1);
 	struct rj_instances_answer part;
 
-	if (changes &&
+	if (wants_changes &&
 	    known != rj_instances_version(platform->instances,
 					  platform->instance_count) &&
 	    rj_standin_history_since(&platform->history, request, known,
 				     platform->instances,
 				     platform->instance_count, &part)) {
-		answer(request, rj_instances_encode_changes(request, &part));
+		send_json(request, rj_instances_encode_changes(request, &part));
 		return;
 	}
-	answer(request, rj_instances_encode(request, platform->instances,
-					    platform->instance_count, known));
+	send_json(request,
+		  rj_instances_encode(request, platform->instances,
+				      platform->instance_count, known));
 }
 
 /* Routes a request that the fault injector has forwarded. */
--- a/src/libstandin/stream.c
+++ b/src/libstandin/stream.c
@@ -52,7 +52,7 @@
 		&stream->records[stream->first + stream->head - stream->oldest];
 	record->text = talloc_strdup(stream, text);
 	assert(record->text);
-	record->at_us = now_us;
+	record->appended_at_us = now_us;
 	stream->head++;
 }
 
@@ -63,7 +63,7 @@
 			      uint64_t before_us)
 {
 	while (stream->oldest < stream->head &&
-	       stream->records[stream->first].at_us < before_us) {
+	       stream->records[stream->first].appended_at_us < before_us) {
 		talloc_free(stream->records[stream->first].text);
 		stream->first++;
 		stream->oldest++;
@@ -80,9 +80,9 @@
 			    struct rj_log_page *page)
 {
 	uint64_t at = from < stream->oldest ? stream->oldest : from;
-	uint64_t left = at < stream->head ? stream->head - at : 0;
+	uint64_t available = at < stream->head ? stream->head - at : 0;
 
-	page->count = (uint32_t)(left < max ? left : max);
+	page->count = (uint32_t)(available < max ? available : max);
 	page->oldest = stream->oldest;
 	page->from = at;
 	page->next = at + page->count;
@@ -96,7 +96,7 @@
 
 		page->records[i].offset = at + i;
 		page->records[i].age_ms =
-			(now_us - record->at_us) / RJ_US_PER_MS;
+			(now_us - record->appended_at_us) / RJ_US_PER_MS;
 		page->records[i].text = record->text;
 	}
 }
--- a/src/libstandin/stream.h
+++ b/src/libstandin/stream.h
@@ -9,7 +9,7 @@
 
 struct rj_standin_record {
 	char *text;
-	uint64_t at_us; /* time of the append */
+	uint64_t appended_at_us; /* time of the append */
 };
 
 struct rj_standin_stream {
--- a/src/libstandin/tasks.c
+++ b/src/libstandin/tasks.c
@@ -224,7 +224,7 @@
 	task->throttle_percent = call->throttle_percent;
 	task->progress_us = call->resume_us;
 	task->saved_us = call->resume_us;
-	task->counted_at_us = now_us;
+	task->progress_at_us = now_us;
 	make_result(task, body, digest);
 	json_decref(body);
 	record_start(tasks, task, digest);
@@ -239,13 +239,13 @@
  */
 void rj_task_count_progress(struct rj_task *task, uint64_t now_us)
 {
-	uint64_t elapsed_us = now_us - task->counted_at_us;
+	uint64_t elapsed_us = now_us - task->progress_at_us;
 
 	if (task->state != RJ_TASK_RUNNING || task->saving)
 		return;
 	task->progress_us +=
 		elapsed_us * task->throttle_percent / FULL_SPEED_PERCENT;
-	task->counted_at_us = now_us;
+	task->progress_at_us = now_us;
 }
 
 /* Returns when the task completes at its current speed, or RJ_NEVER_US. */
@@ -257,9 +257,9 @@
 	    !task->throttle_percent)
 		return RJ_NEVER_US;
 	if (task->progress_us >= task->run_us)
-		return task->counted_at_us;
+		return task->progress_at_us;
 	left_us = task->run_us - task->progress_us;
-	return task->counted_at_us +
+	return task->progress_at_us +
 	       (left_us * FULL_SPEED_PERCENT + task->throttle_percent - 1) /
 		       task->throttle_percent;
 }
--- a/src/libstandin/tasks.h
+++ b/src/libstandin/tasks.h
@@ -38,9 +38,9 @@
 	struct rj_resources each;
 	uint64_t lease_until_us;
 	uint64_t run_us; /* progress at completion */
-	uint64_t progress_us; /* as of counted_at_us */
+	uint64_t progress_us; /* as of progress_at_us */
 	uint64_t saved_us; /* progress at the last checkpoint */
-	uint64_t counted_at_us;
+	uint64_t progress_at_us;
 	uint32_t throttle_percent;
 	uint64_t checkpoint_us; /* duration of a checkpoint */
 	uint64_t checkpoint_until_us;
--- a/src/radishjunctiond/core_runner.h
+++ b/src/radishjunctiond/core_runner.h
@@ -2,9 +2,9 @@
  * Drives the decision core: passes events from the adapters to the core and
  * executes the resulting actions. Contains no scheduling decisions.
  *
- * Life cycle: `core_runner_init`, then the adapters with `&shell->sink` as their
- * sink, then `core_runner_start`; the event loop runs until `exiting`;
- * `core_runner_finish` before the adapters.
+ * Life cycle: `core_runner_init`, then the adapters with `&runner->sink` as
+ * their sink, then `core_runner_start`; the event loop runs until `exiting`;
+ * `core_runner_finish` after the adapters have finished.
  */
 #ifndef RADISHJUNCTIOND_CORE_RUNNER_H
 #define RADISHJUNCTIOND_CORE_RUNNER_H
--- a/src/radishjunctiond/main.c
+++ b/src/radishjunctiond/main.c
@@ -343,7 +343,7 @@
 }
 
 /* Runs the daemon with the settings file `path`. */
-static enum exit_code serve(const char *path)
+static enum exit_code run_daemon(const char *path)
 {
 	struct tevent_context *loop = tevent_context_init(NULL);
 	struct daemon *daemon = talloc_zero(loop, struct daemon);
@@ -411,7 +411,7 @@
 		fprintf(stderr, "see radishjunctiond --help\n");
 		status = EXIT_USAGE;
 	} else {
-		status = serve(settings->filename[0]);
+		status = run_daemon(settings->filename[0]);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	curl_global_cleanup();
--- a/src/share/http_server.c
+++ b/src/share/http_server.c
@@ -107,7 +107,7 @@
 	return request;
 }
 
-/* Passes a complete request to the handler, or refuses one that is too large. */
+/* Passes a complete request to the handler; refuses one that is too large. */
 static void handle(struct rj_http_exchange *request)
 {
 	struct rj_http_server *server = request->server;
