--- a/src/bench/policy.c
+++ b/src/bench/policy.c
@@ -233,7 +233,7 @@
 }
 
 /*
- * Prints the lower bound of the completion times of each class.
+ * Prints the bound on the completion time of each class.
  */
 static void print_bound(const struct series *series)
 {
--- a/src/libstandin/task_ops.c
+++ b/src/libstandin/task_ops.c
@@ -164,7 +164,8 @@
 	memset(&task->result, 0, sizeof(task->result));
 }
 
-/* Fences an attempt, so that it cannot start after the answer. */
+/* Settles an attempt: one that the answer reports as not started never starts
+ * afterwards. */
 static struct rj_task *fence(struct rj_tasks *tasks,
 			     const struct rj_worker_call *call, uint64_t now_us)
 {
--- a/src/libstandin/worker.h
+++ b/src/libstandin/worker.h
@@ -33,15 +33,13 @@
 	struct rj_tasks tasks;
 	struct tevent_timer *timer; /* for rj_tasks_due_us */
 	struct rj_list waiting; /* calls that wait for the end of a task */
-	uint64_t report_lag_us;
+	uint64_t report_lag_us; /* maximum age of a cached report */
 	void *cached_report_mem;
-	struct rj_worker_report
-		cached_report; /* sent until it is report_lag_us old */
+	struct rj_worker_report cached_report; /* see report_lag_us */
 	uint64_t cached_report_at_us;
 	uint64_t lose_answers; /* next answers to drop */
 	uint64_t cut_answers; /* next answers to truncate */
-	uint64_t
-		cross_answers; /* next answers to replace by the previous one */
+	uint64_t cross_answers; /* next answers to swap for the last one */
 	char *last_answer;
 };
 
--- a/src/radishjunctiond/main.c
+++ b/src/radishjunctiond/main.c
@@ -53,15 +53,14 @@
 	struct rj_tcp_peers peers;
 	struct rj_http_callers callers;
 	bool stopping;
-	struct tevent_timer
-		*timeout_timer; /* of the drain, then of idle connections */
+	struct tevent_timer *timeout_timer; /* sets timed_out */
 	bool timed_out;
 };
 
 /*
  * Returns an incarnation: the wall clock in milliseconds followed by random
- * bits. It is unique to each start and increases over time, so that peers can
- * tell a replacement from the earlier instance of the same name.
+ * bits. It differs at each start and increases with the wall clock, so that
+ * peers can tell a replacement from the earlier instance of the same name.
  */
 static uint64_t make_incarnation(void)
 {
@@ -287,8 +286,8 @@
 		tevent_loop_once(daemon->loop);
 }
 
-/* Accepts callers once the core is ready, or after START_READY_TIMEOUT_US:
- * requests are then refused as not ready rather than left to time out. */
+/* Accepts callers once the core is ready, or after START_READY_TIMEOUT_US;
+ * requests are refused then until it is ready. */
 static void start_serving(struct daemon *daemon)
 {
 	set_timeout(daemon, START_READY_TIMEOUT_US);
--- a/src/share/http_server.h
+++ b/src/share/http_server.h
@@ -33,7 +33,7 @@
 	bool suspended;
 	bool aborted; /* the connection closes without an answer */
 	struct tevent_fd *close_watch; /* while suspended */
-	bool close_after_answer; /* close the connection then */
+	bool close_after_answer; /* adds Connection: close */
 	const char *extra_header_name; /* one additional header, or NULL */
 	const char *extra_header_value;
 	struct MHD_Response *response;
