--- a/src/bench/cost.c
+++ b/src/bench/cost.c
@@ -181,7 +181,9 @@
 	elapsed_ns = cost_now_ns() - start_ns;
 	if (!site->decisions.count ||
 	    (site->decisions.list[0].kind == RJ_DECISION_RECLAIM) != reclaims) {
-		(void)fprintf(stderr, "cost: the job was not decided on\n");
+		(void)fprintf(
+			stderr,
+			"cost: the planner made no decision on the job\n");
 		exit(1);
 	}
 	site->planner->ops->ended(site->planner, job.job_id, true, RJ_US_PER_S,
@@ -398,8 +400,8 @@
 int bench_cost(int argc, char **argv)
 {
 	struct arg_int *sites =
-		arg_int0(NULL, "sites", "N", "medians over so many sites (5)");
-	struct arg_lit *help = arg_lit0(NULL, "help", "print this");
+		arg_int0(NULL, "sites", "N", "medians over N sites (5)");
+	struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
 	struct arg_end *end = arg_end(5);
 	void *table[] = { sites, help, end };
 	int errors = arg_parse(argc, argv, table);
--- a/src/bench/faults.c
+++ b/src/bench/faults.c
@@ -318,7 +318,7 @@
 		arg_int0(NULL, "threads", "N", "runs side by side");
 	struct arg_lit *transcript =
 		arg_lit0(NULL, "transcript", "with --seed: every event");
-	struct arg_lit *help = arg_lit0(NULL, "help", "say this");
+	struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
 	struct arg_end *end = arg_end(4);
 	void *table[] = { seeds, from,	  seed,	      promise, engine,
 			  place, threads, transcript, help,    end };
--- a/src/bench/main.c
+++ b/src/bench/main.c
@@ -6,13 +6,14 @@
 static const struct bench_command commands[] = {
 	{ "policy", "completion, fragmentation and reclaim", bench_policy },
 	{ "cost", "time and state of decisions, with slopes", bench_cost },
-	{ "control", "what one instance spends on control", bench_control },
-	{ "ownership", "owners of racks against any instance",
+	{ "control", "control overhead of one instance", bench_control },
+	{ "ownership", "rack ownership compared with planning by any instance",
 	  bench_ownership },
-	{ "faults", "run seeded faults and judge every promise", bench_faults },
+	{ "faults", "run seeded faults and check every invariant",
+	  bench_faults },
 	{ "path", "small requests through a daemon, and added latency",
 	  bench_path },
-	{ "cell", "what the owner of a cell spends, by workers and load",
+	{ "cell", "cost of the owner of a cell, by workers and load",
 	  bench_cell },
 };
 
--- a/src/bench/path.c
+++ b/src/bench/path.c
@@ -411,7 +411,7 @@
 	struct arg_int *concurrency =
 		arg_int0(NULL, "concurrency", "N", "open at once (48)");
 	struct arg_int *soak = arg_int0(
-		NULL, "soak", "N", "only the memory over so many requests");
+		NULL, "soak", "N", "measure only the memory over N requests");
 	struct program_options common = program_options_of("rj-bench");
 	void *table[] = {
 		daemon, pid,	     workers, token,	   class_name,
--- a/src/bench/policy.c
+++ b/src/bench/policy.c
@@ -7,7 +7,7 @@
 #include "support/plan_world.h"
 #include "support/quantile.h"
 
-/* The medians do not change with more seeds. */
+/* Further seeds add no information to the medians. */
 #define SEEDS_MAX 200
 #define SEED_DEFAULT 1
 
@@ -290,7 +290,7 @@
 					 "association (default) or converter");
 	struct arg_str *load =
 		arg_str0(NULL, "load", "NAME", "mixed90 (default), or another");
-	struct arg_lit *help = arg_lit0(NULL, "help", "print this");
+	struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
 	struct arg_end *end = arg_end(5);
 	void *table[] = { seed, seeds, users, load, help, end };
 	struct series *series = g_new0(struct series, 1);
--- a/src/standin/fleet.c
+++ b/src/standin/fleet.c
@@ -155,8 +155,8 @@
 	assert(options->workers_per_rack);
 	if (rj_name_set(fleet->domain, options->domain))
 		return rj_error_set(err, RJ_ERR_INVALID,
-				    "domain: \"%s\" is no name; give one of "
-				    "1 to %d bytes",
+				    "domain: \"%s\" is not a valid name; "
+				    "use 1 to %d bytes",
 				    options->domain, RJ_NAME_BYTES - 1);
 	fleet->options = *options;
 	fleet->ev = ev;
--- a/src/standin/main.c
+++ b/src/standin/main.c
@@ -84,12 +84,12 @@
 {
 	struct arg_str *listen =
 		arg_str1(NULL, "listen", "IP:PORT", "address; port 0: any");
-	struct arg_int *retention =
-		arg_int0(NULL, "retention-ms", "N", "how long records stay");
+	struct arg_int *retention = arg_int0(NULL, "retention-ms", "N",
+					     "retention time of records");
 	struct arg_int *lag =
 		arg_int0(NULL, "list-lag-ms", "N", "lag of the instance list");
-	struct arg_int *rate =
-		arg_int0(NULL, "append-rate", "N", "appends a second; 0: any");
+	struct arg_int *rate = arg_int0(NULL, "append-rate", "N",
+					"appends a second; 0: unlimited");
 	struct program_options common = program_options_of("rj-standin");
 	void *table[] = {
 		listen, retention, lag, rate, common.help, common.end
@@ -235,7 +235,7 @@
 	int status;
 
 	if (sodium_init() < 0 || curl_global_init(CURL_GLOBAL_DEFAULT)) {
-		fprintf(stderr, "rj-standin: a library cannot start\n");
+		fprintf(stderr, "rj-standin: a library failed to initialise\n");
 		return EXIT_FAILURE;
 	}
 	signal(SIGPIPE, SIG_IGN);
