--- a/src/bench/cost.c
+++ b/src/bench/cost.c
@@ -181,9 +181,7 @@
 	elapsed_ns = cost_now_ns() - start_ns;
 	if (!site->decisions.count ||
 	    (site->decisions.list[0].kind == RJ_DECISION_RECLAIM) != reclaims) {
-		(void)fprintf(
-			stderr,
-			"cost: the planner made no decision on the job\n");
+		(void)fprintf(stderr, "cost: the job was not decided on\n");
 		exit(1);
 	}
 	site->planner->ops->ended(site->planner, job.job_id, true, RJ_US_PER_S,
--- a/src/standin/main.c
+++ b/src/standin/main.c
@@ -235,7 +235,7 @@
 	int status;
 
 	if (sodium_init() < 0 || curl_global_init(CURL_GLOBAL_DEFAULT)) {
-		fprintf(stderr, "rj-standin: a library failed to initialise\n");
+		fprintf(stderr, "rj-standin: a library cannot start\n");
 		return EXIT_FAILURE;
 	}
 	signal(SIGPIPE, SIG_IGN);
