--- a/src/bench/control.c
+++ b/src/bench/control.c
@@ -1,11 +1,10 @@
 /*
- * What one instance spends on control while nothing is submitted: a core
- * with its peers, workers and log played over virtual time (control_site.h),
- * at rest, or while operators publish and instances are replaced.
+ * Control overhead of one instance without submitted jobs: a core with
+ * simulated peers, workers and log in virtual time (control_site.h), idle, or
+ * while operators publish configurations and workers are replaced.
  *
- * Bytes are those of the real codecs, plus a constant for the HTTP headers
- * of each exchange. Processor time is that of the decisions and codecs here,
- * not of the daemon's sockets.
+ * Bytes are counted by the real codecs, plus a constant for the HTTP headers
+ * of each exchange. CPU time covers decisions and codecs, not sockets.
  */
 #include <argtable2.h>
 #include <stdio.h>
@@ -19,12 +18,12 @@
 #define MEASURED_US (300 * RJ_US_PER_S)
 #define MEASURED_LOAD_US (7200 * RJ_US_PER_S)
 
-/* Workers of the failure domain: the users' today, and letter sizes up to an
- * eighth of 7,500. */
+/* Workers of the failure domain: the size in production, and larger ones up to
+ * an eighth of 7,500. */
 static const uint32_t worker_counts[] = { 17, 120, 470, 940 };
 
 /*
- * The processor time of this thread, in microseconds.
+ * Returns the CPU time of this thread in microseconds.
  */
 static double cpu_us(void)
 {
@@ -35,15 +34,15 @@
 }
 
 /*
- * Print what was counted, per second.
+ * Prints the counters per second of virtual time.
  */
 static void print(const struct control *control, uint64_t measured_us,
-		  double used_us, size_t state_bytes)
+		  double cpu_used_us, size_t state_bytes)
 {
 	double seconds = (double)measured_us / RJ_US_PER_S;
-	const struct tally *all[] = { &control->reports, &control->peers,
-				      &control->log, &control->list_tally,
-				      &control->publications };
+	const struct traffic *all[] = { &control->reports, &control->peers,
+					&control->log, &control->list_traffic,
+					&control->publications };
 	static const char *const names[] = { "reports", "peers", "log", "list",
 					     "publications" };
 	double sum = 0;
@@ -62,18 +61,19 @@
 	       "\"cpu_percent\":%.3f,\"state_bytes\":%zu,"
 	       "\"config_bytes\":%zu,\"revision\":%" G_GUINT64_FORMAT "}\n",
 	       control->site.workers, CONTROL_INSTANCES, sum,
-	       used_us / (double)measured_us * 100.0, state_bytes,
+	       cpu_used_us / (double)measured_us * 100.0, state_bytes,
 	       strlen(control->text), rj_core_config(&control->core)->revision);
 }
 
 /*
- * Measure one instance under a load.
+ * Runs one instance under a load and prints the result.
  */
 static void measure(const struct control_load *load)
 {
-	uint64_t measured_us = load->changes_a_day || load->replacements_a_day ?
-				       MEASURED_LOAD_US :
-				       MEASURED_US;
+	uint64_t measured_us =
+		load->changes_per_day || load->replacements_per_day ?
+			MEASURED_LOAD_US :
+			MEASURED_US;
 	struct control control;
 	double started_us;
 
@@ -89,17 +89,18 @@
 }
 
 /*
- * An option's number, or what it is when left out.
+ * Returns an option's value, or `default_value` if it is not given.
  */
-static uint32_t number(const struct arg_int *option, uint32_t otherwise)
+static uint32_t option_value(const struct arg_int *option,
+			     uint32_t default_value)
 {
-	return option->count ? (uint32_t)option->ival[0] : otherwise;
+	return option->count ? (uint32_t)option->ival[0] : default_value;
 }
 
 /*
- * `rj-bench control`: bytes, exchanges, processor time and state of one
- * instance's control at several sizes of its failure domain, or at one size
- * under a load.
+ * `rj-bench control`: bytes, exchanges, CPU time and state size of one
+ * instance's control traffic, at several sizes of its failure domain, or at
+ * one size under a load.
  */
 int bench_control(int argc, char **argv)
 {
@@ -121,13 +122,13 @@
 			  replacements, whole,	 help,	   end };
 	int errors = arg_parse(argc, argv, table);
 	struct control_load load = {
-		.site = { .domains = number(domains, 1),
-			  .workers = number(workers, 0),
+		.site = { .domains = option_value(domains, 1),
+			  .workers = option_value(workers, 0),
 			  .instances = CONTROL_INSTANCES,
-			  .accounts = number(accounts, 1),
-			  .guarantees = number(accounts, 1) > 1 },
-		.changes_a_day = number(changes, 0),
-		.replacements_a_day = number(replacements, 0),
+			  .accounts = option_value(accounts, 1),
+			  .guarantees = option_value(accounts, 1) > 1 },
+		.changes_per_day = option_value(changes, 0),
+		.replacements_per_day = option_value(replacements, 0),
 		.whole = whole->count > 0
 	};
 	int status = 0;
--- a/src/bench/control_site.c
+++ b/src/bench/control_site.c
@@ -10,30 +10,31 @@
 #include "private/worker_wire.h"
 #include "radishjunction/config_log.h"
 
-/* 33,000 tasks on 7,500 workers are 4.4. */
-#define TASKS_A_WORKER 4
-/* Request line, status line and headers of one exchange, both ways, as curl
- * and libmicrohttpd send them. */
-#define HTTP_BYTES 330
+/* 33,000 tasks on 7,500 workers are 4.4 on each. */
+#define TASKS_PER_WORKER 4
+/* Request line, status line and headers of one exchange in both directions, as
+ * sent by curl and libmicrohttpd. */
+#define HTTP_HEADER_BYTES 330
 #define FRAME_BYTES 48 /* length, sequence number and MAC of a peer frame */
-/* Of the instances of another failure domain that keep no link from here, so
- * many to one keep a link to here: each chooses 2 of 8. */
-#define LINK_ONE_OF 4
+/* Of another failure domain's instances without a link from this one, one in
+ * this many has a link to this one: each instance links to 2 of 8. */
+#define INBOUND_LINK_STRIDE 4
 #define PAGE_RECORDS 500
 
 /*
- * Count one exchange, once the warm-up is over.
+ * Counts one exchange, unless in the warm-up.
  */
-static void count(struct control *control, struct tally *tally, size_t bytes)
+static void count_exchange(struct control *control, struct traffic *traffic,
+			   size_t bytes)
 {
 	if (!control->measuring)
 		return;
-	tally->exchanges++;
-	tally->bytes += bytes;
+	traffic->exchanges++;
+	traffic->bytes += bytes;
 }
 
 /*
- * An event that is delivered after the present one.
+ * Queues a new event for delivery after the current one.
  */
 static struct rj_event *queue_event(struct control *control,
 				    enum rj_event_kind kind)
@@ -47,7 +48,7 @@
 }
 
 /*
- * A worker's report: a few running tasks of other instances' jobs.
+ * Queues a worker's report with a few running tasks of other instances' jobs.
  */
 static void answer_report(struct control *control,
 			  const struct rj_worker_call *call)
@@ -67,9 +68,10 @@
 	reply->report.capacity =
 		(struct rj_resources){ LARGE_SITE_SLOTS,
 				       LARGE_SITE_ACCELERATORS, 128, 524288 };
-	tasks = talloc_zero_array(event, struct rj_task_report, TASKS_A_WORKER);
+	tasks = talloc_zero_array(event, struct rj_task_report,
+				  TASKS_PER_WORKER);
 	g_assert(tasks);
-	for (uint32_t i = 0; i < TASKS_A_WORKER; i++) {
+	for (uint32_t i = 0; i < TASKS_PER_WORKER; i++) {
 		tasks[i].attempt.job_id = 1000 + i;
 		tasks[i].attempt.owner = 77;
 		tasks[i].attempt.number = 1;
@@ -82,16 +84,16 @@
 		g_strlcpy(tasks[i].class_name, "render", RJ_NAME_BYTES);
 	}
 	reply->report.tasks = tasks;
-	reply->report.task_count = TASKS_A_WORKER;
+	reply->report.task_count = TASKS_PER_WORKER;
 	rj_worker_report_set_version(&reply->report, call->known_version);
 	out = rj_worker_wire_encode_call(event, call);
 	in = rj_worker_wire_encode_reply(event, call, reply);
-	count(control, &control->reports,
-	      strlen(out) + strlen(in) + HTTP_BYTES);
+	count_exchange(control, &control->reports,
+		       strlen(out) + strlen(in) + HTTP_HEADER_BYTES);
 }
 
 /*
- * An answer to a read of a log that holds configurations alone.
+ * Answers a read; the log contains configuration records only.
  */
 static void answer_read(struct control *control, const struct rj_read *read)
 {
@@ -119,28 +121,30 @@
 	}
 	records->count = page.count;
 	records->next = read->from + page.count;
-	count(control, page.count ? &control->publications : &control->log,
-	      HTTP_BYTES + strlen(rj_log_page_encode(event, &page)));
+	count_exchange(
+		control, page.count ? &control->publications : &control->log,
+		HTTP_HEADER_BYTES + strlen(rj_log_page_encode(event, &page)));
 }
 
 /*
- * End the long polls of the `config` stream, which has a new record.
+ * Answers the long polls of the `config` stream after an append.
  */
-static void end_config_polls(struct control *control)
+static void answer_config_polls(struct control *control)
 {
-	for (guint i = control->reads->len; i > 0; i--) {
+	for (guint i = control->waiting_reads->len; i > 0; i--) {
 		struct waiting_read waiting = g_array_index(
-			control->reads, struct waiting_read, i - 1);
+			control->waiting_reads, struct waiting_read, i - 1);
 
 		if (waiting.read.stream != RJ_STREAM_CONFIG)
 			continue;
 		answer_read(control, &waiting.read);
-		g_array_remove_index(control->reads, i - 1);
+		g_array_remove_index(control->waiting_reads, i - 1);
 	}
 }
 
 /*
- * Append a record to the `config` stream; what it points to must last.
+ * Appends a record to the `config` stream; what it points to must outlive the
+ * simulation.
  */
 static void append_config(struct control *control,
 			  const struct rj_record *record)
@@ -151,11 +155,11 @@
 	g_assert(copy);
 	copy->offset = control->config->len;
 	g_ptr_array_add(control->config, copy);
-	end_config_polls(control);
+	answer_config_polls(control);
 }
 
 /*
- * The core carries the configuration: its append takes effect.
+ * Applies an append of the core, which carries the configuration forward.
  */
 static void answer_append(struct control *control,
 			  const struct rj_append *append)
@@ -169,14 +173,15 @@
 		record.config_text =
 			talloc_strdup(control->mem, record.config_text);
 		append_config(control, &record);
-		count(control, &control->publications,
-		      HTTP_BYTES + strlen(rj_record_encode(event, &record)));
+		count_exchange(control, &control->publications,
+			       HTTP_HEADER_BYTES + strlen(rj_record_encode(
+							   event, &record)));
 	}
 }
 
 /*
- * The list of the platform, as the adapter takes it: whole at first, then
- * what has changed (or whole each time, as before there were changes).
+ * Delivers the platform's instance list as the adapter decodes it: whole at
+ * first, then the changes, or whole each time with load->whole.
  */
 static void answer_list(struct control *control)
 {
@@ -196,32 +201,34 @@
 		text = rj_instances_encode_changes(event, &answer);
 	g_assert(!rj_instances_decode(event, text, &answer, NULL));
 	if (!rj_instance_list_apply(&control->list, &answer))
-		event->kind = RJ_EVENT_TIMER; /* nothing is delivered */
+		event->kind = RJ_EVENT_TIMER; /* the list is unchanged */
 	event->u.instances.list = control->list.lines;
 	event->u.instances.count = control->list.count;
-	count(control, &control->list_tally, strlen(text) + HTTP_BYTES);
+	count_exchange(control, &control->list_traffic,
+		       strlen(text) + HTTP_HEADER_BYTES);
 }
 
 /*
- * Count a message to or from a peer.
+ * Counts a message to or from a peer.
  */
 static void count_message(struct control *control,
 			  const struct rj_peer_message *message)
 {
 	void *mem = talloc_new(NULL);
 
-	count(control,
-	      message->kind == RJ_PEER_CONFIG ? &control->publications :
-						&control->peers,
-	      rj_peer_encode(mem, message).length + FRAME_BYTES);
+	count_exchange(control,
+		       message->kind == RJ_PEER_CONFIG ?
+			       &control->publications :
+			       &control->peers,
+		       rj_peer_encode(mem, message).length + FRAME_BYTES);
 	talloc_free(mem);
 }
 
 /*
- * Carry out what the core asked for. A long poll is answered when it ends,
- * to the second.
+ * Executes the core's actions. A long poll stays open until it times out,
+ * checked once a second.
  */
-static void carry_out(struct control *control)
+static void execute_actions(struct control *control)
 {
 	for (uint32_t i = 0; i < control->actions.count; i++) {
 		struct rj_action *action = &control->actions.list[i];
@@ -238,7 +245,8 @@
 					control->now_us + action->u.read.wait_us
 				};
 
-				g_array_append_val(control->reads, waiting);
+				g_array_append_val(control->waiting_reads,
+						   waiting);
 			} else {
 				answer_read(control, &action->u.read);
 			}
@@ -247,11 +255,11 @@
 			answer_append(control, &action->u.append);
 			break;
 		case RJ_ACTION_PEER_CONNECT:
-			g_hash_table_add(control->wanted,
+			g_hash_table_add(control->linked_peers,
 					 g_strdup(action->u.peer.name));
 			break;
 		case RJ_ACTION_PEER_DROP:
-			g_hash_table_remove(control->wanted,
+			g_hash_table_remove(control->linked_peers,
 					    action->u.peer.name);
 			break;
 		case RJ_ACTION_LIST:
@@ -268,28 +276,28 @@
 }
 
 /*
- * Answer the long polls that have waited long enough.
+ * Answers the long polls that have timed out.
  */
-static void end_polls(struct control *control)
+static void expire_polls(struct control *control)
 {
-	for (guint i = control->reads->len; i > 0; i--) {
+	for (guint i = control->waiting_reads->len; i > 0; i--) {
 		struct waiting_read waiting = g_array_index(
-			control->reads, struct waiting_read, i - 1);
+			control->waiting_reads, struct waiting_read, i - 1);
 
 		if (control->now_us < waiting.due_us)
 			continue;
 		answer_read(control, &waiting.read);
-		g_array_remove_index(control->reads, i - 1);
+		g_array_remove_index(control->waiting_reads, i - 1);
 	}
 }
 
 /*
- * A message that is delivered to the core; NULL for an instance that has no
- * link with it.
+ * Queues a message to the core from the instance at `index`. Returns NULL if
+ * that instance has no link with it.
  */
-static struct rj_peer_message *message_from(struct control *control,
-					    uint32_t index,
-					    enum rj_peer_message_kind kind)
+static struct rj_peer_message *
+queue_peer_message(struct control *control, uint32_t index,
+		   enum rj_peer_message_kind kind)
 {
 	const struct rj_instance *line = &control->instances[index];
 	struct rj_peer_message *message;
@@ -297,8 +305,8 @@
 
 	if (!index || line->role != RJ_ROLE_ENTRY ||
 	    (strcmp(line->domain, LARGE_SITE_DOMAIN) != 0 &&
-	     index % LINK_ONE_OF &&
-	     !g_hash_table_contains(control->wanted, line->name)))
+	     index % INBOUND_LINK_STRIDE &&
+	     !g_hash_table_contains(control->linked_peers, line->name)))
 		return NULL;
 	event = queue_event(control, RJ_EVENT_PEER_MESSAGE);
 	message = talloc_zero(event, struct rj_peer_message);
@@ -310,14 +318,14 @@
 }
 
 /*
- * The heartbeats of the peers, each second; they are alive from the first.
- * Those of other failure domains send as seldom as this instance does.
+ * Sends the heartbeats of the peers, once a second. Peers in other failure
+ * domains send at the lower rate that this instance uses as well.
  */
-static void peers_round(struct control *control)
+static void send_heartbeats(struct control *control)
 {
 	uint32_t every = rj_membership_cross_domain_interval(
 		control->load->site.domains);
-	bool others = control->beats++ % every == 0;
+	bool others = control->heartbeat_rounds++ % every == 0;
 
 	for (uint32_t i = 0; i < control->instance_count; i++) {
 		const char *domain = control->instances[i].domain;
@@ -326,7 +334,7 @@
 		if (!others &&
 		    strcmp(domain, control->instances[0].domain) != 0)
 			continue;
-		message = message_from(control, i, RJ_PEER_HEARTBEAT);
+		message = queue_peer_message(control, i, RJ_PEER_HEARTBEAT);
 		if (!message)
 			continue;
 		g_strlcpy(message->u.heartbeat.domain,
@@ -340,14 +348,15 @@
 }
 
 /*
- * Every peer has read the newest publication and tells this instance of it,
- * whose heartbeat with that revision has not come yet.
+ * Sends a config offer from every peer: each has read the new publication
+ * before it received this instance's heartbeat with that revision.
  */
-static void peers_tell(struct control *control, const struct rj_record *record)
+static void send_config_offers(struct control *control,
+			       const struct rj_record *record)
 {
 	for (uint32_t i = 0; i < control->instance_count; i++) {
 		struct rj_peer_message *message =
-			message_from(control, i, RJ_PEER_CONFIG);
+			queue_peer_message(control, i, RJ_PEER_CONFIG);
 		struct rj_peer_config *offer;
 
 		if (!message)
@@ -363,7 +372,7 @@
 }
 
 /*
- * An operator alters a limit of one account.
+ * Publishes a configuration with a changed limit of one account.
  */
 static void publish(struct control *control)
 {
@@ -384,11 +393,11 @@
 		g_error("the change cannot be made");
 	control->text = text;
 	append_config(control, &record);
-	peers_tell(control, &record);
+	send_config_offers(control, &record);
 }
 
 /*
- * A worker somewhere is replaced by one of another address.
+ * Replaces some worker of the site by one with another address.
  */
 static void replace_worker(struct control *control)
 {
@@ -407,36 +416,38 @@
 }
 
 /*
- * Deliver one event to the core.
+ * Delivers one event to the core and executes the resulting actions.
  */
 static void deliver(struct control *control, struct rj_event *event)
 {
 	event->now_us = control->now_us;
 	rj_core_process(&control->core, event, &control->actions);
-	carry_out(control);
+	execute_actions(control);
 }
 
 /*
- * What is due of the load at a time when the peers' round is.
+ * Applies the publications and replacements that are due; called once a second.
  */
-static void load_round(struct control *control)
+static void apply_load(struct control *control)
 {
 	const struct control_load *load = control->load;
 
-	if (load->changes_a_day && control->now_us >= control->change_due_us) {
-		control->change_due_us += CONTROL_DAY_US / load->changes_a_day;
+	if (load->changes_per_day &&
+	    control->now_us >= control->change_due_us) {
+		control->change_due_us +=
+			CONTROL_DAY_US / load->changes_per_day;
 		publish(control);
 	}
-	if (load->replacements_a_day &&
+	if (load->replacements_per_day &&
 	    control->now_us >= control->replace_due_us) {
 		control->replace_due_us +=
-			CONTROL_DAY_US / load->replacements_a_day;
+			CONTROL_DAY_US / load->replacements_per_day;
 		replace_worker(control);
 	}
 }
 
 /*
- * Let virtual time pass up to `until_us`.
+ * Runs the simulation until `until_us` of virtual time.
  */
 void control_run_until(struct control *control, uint64_t until_us)
 {
@@ -451,9 +462,9 @@
 			talloc_free(event);
 		}
 		if (control->now_us >= control->peers_due_us) {
-			peers_round(control);
-			load_round(control);
-			end_polls(control);
+			send_heartbeats(control);
+			apply_load(control);
+			expire_polls(control);
 			control->peers_due_us += RJ_US_PER_S;
 			continue;
 		}
@@ -463,7 +474,7 @@
 }
 
 /*
- * Make the instance and all that it talks to.
+ * Creates the instance and its simulated environment. `load` must outlive it.
  */
 void control_init(struct control *control, const struct control_load *load)
 {
@@ -486,9 +497,10 @@
 	control->change_due_us = CONTROL_START_US + CONTROL_WARM_UP_US;
 	control->replace_due_us = CONTROL_START_US + CONTROL_WARM_UP_US;
 	control->config = g_ptr_array_new();
-	control->wanted =
+	control->linked_peers =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	control->reads = g_array_new(FALSE, FALSE, sizeof(struct waiting_read));
+	control->waiting_reads =
+		g_array_new(FALSE, FALSE, sizeof(struct waiting_read));
 	g_queue_init(&control->pending);
 	control->text = large_site_config(control->mem, &control->site);
 	first.config_text = control->text;
@@ -507,15 +519,15 @@
 }
 
 /*
- * Free all of it.
+ * Frees the simulation.
  */
 void control_finish(struct control *control)
 {
 	rj_core_finish(&control->core);
 	control->planner.base.ops->finish(&control->planner.base);
 	g_queue_clear(&control->pending);
-	g_array_free(control->reads, TRUE);
-	g_hash_table_destroy(control->wanted);
+	g_array_free(control->waiting_reads, TRUE);
+	g_hash_table_destroy(control->linked_peers);
 	g_ptr_array_free(control->config, TRUE);
 	talloc_free(control->mem);
 }
--- a/src/bench/cost.c
+++ b/src/bench/cost.c
@@ -14,14 +14,13 @@
 #define RACK_WORKERS 8
 #define WORKER_ACCELERATORS 8
 
-/* Tasks on each worker: 33,000 on 7,500 workers are 4.4. */
+/* Tasks on each worker; 33,000 on 7,500 workers are 4.4. */
 #define TASKS_RUNNING 3
 
 #define GANG_TASKS 512
 #define WAVE_JOBS 1000
 #define REPEATS_MAX 1000
 
-/* The sizes asked for, and an owner's share of the largest. */
 const uint32_t cost_worker_counts[COST_SIZES] = { 50, 120, 500, 1000, 7500 };
 static const uint32_t account_counts[] = { 4, 290 };
 
@@ -39,16 +38,16 @@
 	void *mem;
 };
 
-/* What is measured; each gives its time in nanoseconds. */
+/* A benchmark; `run` returns its time in nanoseconds. */
 struct cost {
 	const char *name;
 	double (*run)(struct site *site);
-	uint32_t repeats; /* on one site; 1 if it changes the site for good */
-	uint32_t workers_min; /* it needs this many */
+	uint32_t repeats; /* on one site; 1 if `run` alters the site */
+	uint32_t workers_min; /* minimum number of workers */
 };
 
 /*
- * The time of a clock that is never set, in nanoseconds.
+ * Returns the monotonic clock in nanoseconds.
  */
 double cost_now_ns(void)
 {
@@ -59,8 +58,8 @@
 }
 
 /*
- * Every account is guaranteed something: the first a gang of a rack's half,
- * the others one task each, as long as there is room.
+ * Configures the site with a guarantee for every account: the first a gang of
+ * half a rack, the others one task each as far as capacity allows.
  */
 static void site_configure(struct site *site, uint32_t accounts)
 {
@@ -98,10 +97,10 @@
 }
 
 /*
- * A stoppable job with the next id, of one of three accounts.
+ * Returns a stoppable job with the next id, of one of three accounts.
  */
-static struct rj_plan_job job_of(struct site *site, uint32_t tasks,
-				 uint32_t accelerators, bool adjacent)
+static struct rj_plan_job job_new(struct site *site, uint32_t tasks,
+				  uint32_t accelerators, bool adjacent)
 {
 	struct rj_plan_job job = {
 		.job_id = ++site->next_id,
@@ -119,7 +118,8 @@
 }
 
 /*
- * A domain with so many workers, all owned, and so many tasks on each.
+ * Creates a failure domain of `workers` workers, all owned, with
+ * `tasks_running` tasks on each.
  */
 static void site_init(struct site *site, uint32_t workers, uint32_t accounts,
 		      uint32_t tasks_running)
@@ -144,7 +144,7 @@
 		site->planner->ops->worker(site->planner, &worker, 0);
 	}
 	for (uint32_t i = 0; i < workers * tasks_running; i++) {
-		struct rj_plan_job job = job_of(site, 1, 1, false);
+		struct rj_plan_job job = job_new(site, 1, 1, false);
 		struct rj_plan_member member = { i % workers, 1 };
 
 		site->planner->ops->adopt(site->planner, &job, &member, 1, 0);
@@ -153,7 +153,7 @@
 }
 
 /*
- * Free the site.
+ * Frees the site.
  */
 static void site_finish(struct site *site)
 {
@@ -163,22 +163,22 @@
 }
 
 /*
- * Time the admission of a job and the pass that starts it (or, with
- * `reclaims`, asks for room); the job is taken away again.
+ * Returns the time of the admission of a job and of the pass that starts it
+ * (or, with `reclaims`, reclaims capacity for it). The job is then removed.
  */
 static double time_job(struct site *site, struct rj_plan_job job, bool reclaims)
 {
 	uint64_t retry_after_us;
 	enum rj_reason reason;
-	double from_ns;
-	double took_ns;
+	double start_ns;
+	double elapsed_ns;
 
 	rj_decisions_clear(&site->decisions);
-	from_ns = cost_now_ns();
+	start_ns = cost_now_ns();
 	site->planner->ops->submit(site->planner, &job, site->now_us, &reason,
 				   &retry_after_us);
 	site->planner->ops->pass(site->planner, site->now_us, &site->decisions);
-	took_ns = cost_now_ns() - from_ns;
+	elapsed_ns = cost_now_ns() - start_ns;
 	if (!site->decisions.count ||
 	    (site->decisions.list[0].kind == RJ_DECISION_RECLAIM) != reclaims) {
 		(void)fprintf(stderr, "cost: the job was not decided on\n");
@@ -186,34 +186,34 @@
 	}
 	site->planner->ops->ended(site->planner, job.job_id, true, RJ_US_PER_S,
 				  site->now_us);
-	return took_ns;
+	return elapsed_ns;
 }
 
 /*
- * One task of one accelerator comes and is placed.
+ * Places a job of one task with one accelerator.
  */
 static double cost_small(struct site *site)
 {
-	return time_job(site, job_of(site, 1, 1, false), false);
+	return time_job(site, job_new(site, 1, 1, false), false);
 }
 
 /*
- * A gang that may span racks comes and is placed.
+ * Places a gang that may span racks.
  */
 static double cost_gang(struct site *site)
 {
-	return time_job(site, job_of(site, GANG_TASKS, 1, false), false);
+	return time_job(site, job_new(site, GANG_TASKS, 1, false), false);
 }
 
 /*
- * The first account asks for its gang, and all workers are full.
+ * Submits the first account's guaranteed gang while all workers are full.
  */
 static double cost_reclaim(struct site *site)
 {
-	struct rj_plan_job job = job_of(site, 4, 8, true);
+	struct rj_plan_job job = job_new(site, 4, 8, true);
 
 	for (uint32_t i = 0; i < site->workers; i++) {
-		struct rj_plan_job filler = job_of(
+		struct rj_plan_job filler = job_new(
 			site, 1, WORKER_ACCELERATORS - TASKS_RUNNING, false);
 		struct rj_plan_member member = { i, 1 };
 
@@ -225,16 +225,16 @@
 }
 
 /*
- * Half of the wave runs and half waits when all of it is cancelled: the time
- * for one job, with the pass at the end.
+ * Cancels a wave of jobs of which half run and half wait. Returns the time for
+ * one job, including its share of the final pass.
  */
 static double cost_wave(struct site *site)
 {
 	uint64_t first = site->next_id + 1;
-	double from_ns;
+	double start_ns;
 
 	for (uint32_t i = 0; i < WAVE_JOBS; i++) {
-		struct rj_plan_job job = job_of(site, 1, 1 + i % 8, false);
+		struct rj_plan_job job = job_new(site, 1, 1 + i % 8, false);
 		uint64_t retry_after_us;
 		enum rj_reason reason;
 
@@ -244,17 +244,17 @@
 			site->planner->ops->pass(site->planner, site->now_us,
 						 &site->decisions);
 	}
-	from_ns = cost_now_ns();
+	start_ns = cost_now_ns();
 	for (uint64_t id = first; id < first + WAVE_JOBS; id++)
 		site->planner->ops->ended(site->planner, id, false, 0,
 					  site->now_us);
 	rj_decisions_clear(&site->decisions);
 	site->planner->ops->pass(site->planner, site->now_us, &site->decisions);
-	return (cost_now_ns() - from_ns) / WAVE_JOBS;
+	return (cost_now_ns() - start_ns) / WAVE_JOBS;
 }
 
 /*
- * One worker's report changes what is known of it.
+ * Applies a worker's report with changed foreign use.
  */
 static double cost_worker(struct site *site)
 {
@@ -264,24 +264,24 @@
 		.owned = true,
 		.foreign = { .cores = (uint32_t)(++site->next_id % 2) },
 	};
-	double from_ns = cost_now_ns();
+	double start_ns = cost_now_ns();
 
 	site->planner->ops->worker(site->planner, &worker, site->now_us);
 	site->planner->ops->pass(site->planner, site->now_us, &site->decisions);
-	return cost_now_ns() - from_ns;
+	return cost_now_ns() - start_ns;
 }
 
 /*
- * A configuration is taken over.
+ * Applies a configuration.
  */
 static double cost_configure(struct site *site)
 {
-	double from_ns = cost_now_ns();
+	double start_ns = cost_now_ns();
 
 	site->planner->ops->configure(site->planner, &site->config, "domain",
 				      site->now_us);
 	site->planner->ops->pass(site->planner, site->now_us, &site->decisions);
-	return cost_now_ns() - from_ns;
+	return cost_now_ns() - start_ns;
 }
 
 static const struct cost costs[] = {
@@ -294,13 +294,12 @@
 };
 
 /*
- * The median of a cost in microseconds; a cost that changes its site for
- * good is run on `sites` of them.
+ * Returns the median of a benchmark over `sites` sites, in microseconds.
  */
 static double measure(const struct cost *cost, uint32_t workers,
 		      uint32_t accounts, uint32_t sites)
 {
-	double took[REPEATS_MAX];
+	double samples[REPEATS_MAX];
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < sites; i++) {
@@ -309,15 +308,16 @@
 		site_init(&site, workers, accounts, TASKS_RUNNING);
 		for (uint32_t j = 0; j < cost->repeats && count < REPEATS_MAX;
 		     j++)
-			took[count++] = cost->run(&site);
+			samples[count++] = cost->run(&site);
 		site_finish(&site);
 	}
-	return quantile_of(took, count, 0.5) / 1000;
+	return quantile_of(samples, count, 0.5) / 1000;
 }
 
 /*
- * Print the bytes of state with nothing running and with all, and note the
- * former in `*idle`. What GLib keeps (hash tables, lists) is not in it.
+ * Prints the bytes of state with no task running and with all running, and
+ * stores the former in `*idle`. GLib's own memory (hash tables, lists) is not
+ * included.
  */
 static void print_state(uint32_t workers, uint32_t accounts, double *idle)
 {
@@ -340,11 +340,11 @@
 }
 
 /*
- * Print the line by least squares through what was measured at each size:
- * so many of `unit`, and so many for each worker more.
+ * Prints the least squares line through the samples of the sizes from index
+ * `from` on: its intercept in `unit`, and its slope in `unit` per worker.
  */
 void cost_print_slope(const char *name, const char *unit, uint32_t accounts,
-		      const double *took, uint32_t from)
+		      const double *samples, uint32_t from)
 {
 	double n = 0;
 	double x = 0;
@@ -358,9 +358,9 @@
 
 		n++;
 		x += workers;
-		y += took[i];
+		y += samples[i];
 		xx += workers * workers;
-		xy += workers * took[i];
+		xy += workers * samples[i];
 	}
 	slope = (n * xy - x * y) / (n * xx - x * x);
 	printf("{\"bench\":\"cost\",\"measure\":\"slope\",\"of\":\"%s\","
@@ -369,11 +369,11 @@
 }
 
 /*
- * Print a cost at each size, and its slope.
+ * Runs a benchmark at each size; prints the results and their slope.
  */
 static void run_cost(const struct cost *cost, uint32_t accounts, uint32_t sites)
 {
-	double took[COST_SIZES] = { 0 };
+	double samples[COST_SIZES] = { 0 };
 	uint32_t from = 0;
 
 	for (uint32_t i = 0; i < COST_SIZES; i++) {
@@ -381,23 +381,25 @@
 			from = i + 1;
 			continue;
 		}
-		took[i] = measure(cost, cost_worker_counts[i], accounts, sites);
+		samples[i] =
+			measure(cost, cost_worker_counts[i], accounts, sites);
 		printf("{\"bench\":\"cost\",\"measure\":\"%s\",\"workers\":%u,"
 		       "\"accounts\":%u,\"us\":%.2f}\n",
-		       cost->name, cost_worker_counts[i], accounts, took[i]);
+		       cost->name, cost_worker_counts[i], accounts, samples[i]);
 		(void)fflush(stdout);
 	}
-	cost_print_slope(cost->name, "us", accounts, took, from);
+	cost_print_slope(cost->name, "us", accounts, samples, from);
 }
 
 /*
- * Print the time of each decision, the bytes of state, and their slopes.
+ * `rj-bench cost`: the time of each decision, the bytes of state, and their
+ * slopes by number of workers.
  */
 int bench_cost(int argc, char **argv)
 {
 	struct arg_int *sites =
-		arg_int0(NULL, "sites", "N", "medians over so many sites (5)");
-	struct arg_lit *help = arg_lit0(NULL, "help", "print this");
+		arg_int0(NULL, "sites", "N", "medians over N sites (5)");
+	struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
 	struct arg_end *end = arg_end(5);
 	void *table[] = { sites, help, end };
 	int errors = arg_parse(argc, argv, table);
--- a/src/bench/faults.c
+++ b/src/bench/faults.c
@@ -9,7 +9,7 @@
 #include "bench.h"
 #include "support/faults.h"
 
-/* The table of what is served is settled by far fewer runs. */
+/* The share of served requests needs far fewer runs than the invariants. */
 #define SERVED_SEEDS_MAX 200
 
 struct sweep {
@@ -22,15 +22,16 @@
 	bool failed[INVARIANT_COUNT];
 };
 
-/* Which run a failed assertion belongs to. */
+/* The run of this thread, for the report of a failed assertion. */
 static _Thread_local uint64_t running_seed;
 static _Thread_local enum invariant running_promise;
 
 /*
- * An assertion of the core fails in one seed of thousands: name the seed, so
- * that it can be replayed. Only async-signal-safe calls.
+ * Signal handler: prints the seed of the run, so that it can be replayed. An
+ * assertion of the core may fail in one seed of thousands. Async-signal-safe
+ * calls only.
  */
-static void name_seed(int signal_number)
+static void print_failing_seed(int signal_number)
 {
 	char digits[24];
 	size_t at = sizeof(digits);
@@ -49,44 +50,47 @@
 	(void)raise(signal_number);
 }
 
-static void merge(struct sweep *sweep, uint64_t seed,
-		  const struct faults_result *one)
+/* Adds the result of one seed; keeps the first failure of the lowest seed. */
+static void merge_result(struct sweep *sweep, uint64_t seed,
+			 const struct faults_result *result)
 {
 	struct faults_result *sum = &sweep->sum;
 
 	g_mutex_lock(&sweep->lock);
 	for (uint32_t i = 0; i < INVARIANT_COUNT; i++) {
-		if (one->violations[i] &&
+		if (result->violations[i] &&
 		    (!sweep->failed[i] || seed < sweep->first_seed[i])) {
 			sweep->failed[i] = true;
 			sweep->first_seed[i] = seed;
-			memcpy(sum->first[i], one->first[i],
+			memcpy(sum->first[i], result->first[i],
 			       sizeof(sum->first[i]));
 		}
 	}
-	faults_result_add(sum, one);
+	faults_result_add(sum, result);
 	g_mutex_unlock(&sweep->lock);
 }
 
+/* Runs one seed, in a thread of the pool. */
 static void run_seed(gpointer data, gpointer user_data)
 {
 	struct sweep *sweep = user_data;
 	uint64_t seed = GPOINTER_TO_SIZE(data);
-	struct faults_result one;
+	struct faults_result result;
 
 	running_seed = seed;
 	running_promise = sweep->invariant;
-	faults_result_init(&one);
+	faults_result_init(&result);
 	if (sweep->place == FAULT_SETUP_ISOLATED)
-		faults_run_isolated_region(sweep->engine, seed, NULL, &one);
+		faults_run_isolated_region(sweep->engine, seed, NULL, &result);
 	else
 		faults_run_at(sweep->engine, sweep->place, sweep->invariant,
-			      seed, NULL, &one);
-	merge(sweep, seed, &one);
-	faults_result_finish(&one);
+			      seed, NULL, &result);
+	merge_result(sweep, seed, &result);
+	faults_result_finish(&result);
 }
 
-static void print(json_t *line)
+/* Prints one line of JSON; takes over `line`. */
+static void print_line(json_t *line)
 {
 	char *text = json_dumps(line, JSON_COMPACT);
 
@@ -96,7 +100,7 @@
 	json_decref(line);
 }
 
-static gint by_size(gconstpointer left, gconstpointer right)
+static gint compare_u64(gconstpointer left, gconstpointer right)
 {
 	uint64_t a = *(const uint64_t *)left;
 	uint64_t b = *(const uint64_t *)right;
@@ -104,13 +108,14 @@
 	return a < b ? -1 : a > b;
 }
 
+/* Prints quantiles of the times, which it sorts; nothing if there are none. */
 static void print_times(const struct sweep *sweep, const char *measure,
 			GArray *times)
 {
 	if (!times->len)
 		return;
-	g_array_sort(times, by_size);
-	print(json_pack(
+	g_array_sort(times, compare_u64);
+	print_line(json_pack(
 		"{s:s,s:s,s:s,s:s,s:i,s:I,s:I,s:I}", "bench", "faults",
 		"engine", sweep->engine->name, "measure", measure, "promise",
 		invariant_string[sweep->invariant], "samples", (int)times->len,
@@ -123,6 +128,7 @@
 		(json_int_t)g_array_index(times, uint64_t, times->len - 1)));
 }
 
+/* Prints the results of all seeds of one invariant's profile. */
 static void print_sweep(const struct sweep *sweep, uint64_t runs)
 {
 	const struct faults_result *sum = &sweep->sum;
@@ -155,13 +161,14 @@
 		json_object_set_new(line, "first",
 				    json_string(sum->first[invariant]));
 	}
-	print(line);
+	print_line(line);
 	print_times(sweep, "claim_settled", sum->claim_settle_us);
 	print_times(sweep, "shape_reclaimed", sum->reclaim_us);
 	print_times(sweep, "config_in_force", sum->config_us);
 }
 
-/* Returns whether the promise, and every other in these runs, held. */
+/* Runs the seeds of one invariant's profile. Returns whether this and all
+ * other invariants held. */
 static bool sweep_promise(const struct engine_ops *engine,
 			  enum fault_setup_kind place, enum invariant invariant,
 			  uint64_t from, uint64_t seeds, int threads)
@@ -170,7 +177,7 @@
 			       .place = place,
 			       .invariant = invariant };
 	GThreadPool *pool;
-	bool held = true;
+	bool all_held = true;
 
 	g_mutex_init(&sweep.lock);
 	faults_result_init(&sweep.sum);
@@ -181,12 +188,13 @@
 	g_thread_pool_free(pool, FALSE, TRUE);
 	print_sweep(&sweep, seeds);
 	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
-		held &= !sweep.failed[i];
+		all_held &= !sweep.failed[i];
 	faults_result_finish(&sweep.sum);
 	g_mutex_clear(&sweep.lock);
-	return held;
+	return all_held;
 }
 
+/* Prints the share of served requests under one fault scenario. */
 static void print_served(const struct engine_ops *engine,
 			 enum fault_scenario fault_scenario, uint64_t from,
 			 uint64_t seeds)
@@ -196,7 +204,7 @@
 	faults_result_init(&sum);
 	for (uint64_t i = 0; i < seeds; i++)
 		faults_run_scenario(engine, fault_scenario, from + i, &sum);
-	print(json_pack(
+	print_line(json_pack(
 		"{s:s,s:s,s:s,s:s,s:I,s:i,s:i,s:f,s:f,s:i,s:i}", "bench",
 		"faults", "engine", engine->name, "measure", "served",
 		"trouble", fault_scenario_string[fault_scenario], "runs",
@@ -208,6 +216,7 @@
 	faults_result_finish(&sum);
 }
 
+/* Replays one seed and prints its violations. Returns the exit status. */
 static int run_one(const struct engine_ops *engine, enum fault_setup_kind place,
 		   enum invariant invariant, uint64_t seed, bool transcript)
 {
@@ -216,7 +225,7 @@
 
 	running_seed = seed;
 	running_promise = invariant;
-	/* A failed assertion must not take the last lines with it. */
+	/* Line buffered, so that a failed assertion loses no output. */
 	(void)setvbuf(stdout, NULL, _IOLBF, 0);
 	faults_result_init(&result);
 	if (place == FAULT_SETUP_ISOLATED)
@@ -229,16 +238,17 @@
 		if (!result.violations[i])
 			continue;
 		status = 1;
-		print(json_pack("{s:s,s:I,s:I,s:s}", "promise",
-				invariant_string[i], "seed", (json_int_t)seed,
-				"violations", (json_int_t)result.violations[i],
-				"first", result.first[i]));
+		print_line(json_pack("{s:s,s:I,s:I,s:s}", "promise",
+				     invariant_string[i], "seed",
+				     (json_int_t)seed, "violations",
+				     (json_int_t)result.violations[i], "first",
+				     result.first[i]));
 	}
 	faults_result_finish(&result);
 	return status;
 }
 
-/* The promise of that name; INVARIANT_COUNT when there is none. */
+/* Returns the invariant of that name, or INVARIANT_COUNT. */
 static enum invariant find_promise(const char *name)
 {
 	uint32_t i = 0;
@@ -248,7 +258,7 @@
 	return i;
 }
 
-/* The place of that name; FAULT_SETUP_COUNT when there is none. */
+/* Returns the place of that name, or FAULT_SETUP_COUNT. */
 static enum fault_setup_kind find_place(const char *name)
 {
 	uint32_t i = 0;
@@ -258,6 +268,7 @@
 	return i;
 }
 
+/* Returns the engine of that name, or NULL. */
 static const struct engine_ops *find_engine(const char *name)
 {
 	static const struct engine_ops *const engines[] = {
@@ -270,26 +281,29 @@
 	return NULL;
 }
 
+/* Runs the seeds of one invariant, or of all with INVARIANT_COUNT, which in a
+ * small place also prints the served shares. Returns the exit status. */
 static int run_all(const struct engine_ops *engine, enum fault_setup_kind place,
 		   enum invariant only, uint64_t from, uint64_t seeds,
 		   int threads)
 {
 	uint64_t served = seeds < SERVED_SEEDS_MAX ? seeds : SERVED_SEEDS_MAX;
-	bool held = true;
+	bool all_held = true;
 
 	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
 		if (only == INVARIANT_COUNT || only == i)
-			held &= sweep_promise(engine, place, i, from, seeds,
-					      threads);
+			all_held &= sweep_promise(engine, place, i, from, seeds,
+						  threads);
 	if (only == INVARIANT_COUNT && place == FAULT_SETUP_SMALL)
 		for (uint32_t i = 0; i < FAULT_SCENARIO_COUNT; i++)
 			print_served(engine, i, from, served);
-	return held ? 0 : 1;
+	return all_held ? 0 : 1;
 }
 
 /*
- * Run seeds `--from` on of each promise's profile, or replay one `--seed`.
- * Returns 0 when every promise held, 1 when one was violated, 2 on bad usage.
+ * `rj-bench faults`: runs the seeds from `--from` on of each invariant's
+ * profile, or replays one `--seed`. Returns 0 if all invariants held, 1 if one
+ * was violated, 2 on bad usage.
  */
 int bench_faults(int argc, char **argv)
 {
@@ -306,7 +320,7 @@
 		arg_int0(NULL, "threads", "N", "runs side by side");
 	struct arg_lit *transcript =
 		arg_lit0(NULL, "transcript", "with --seed: every event");
-	struct arg_lit *help = arg_lit0(NULL, "help", "say this");
+	struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
 	struct arg_end *end = arg_end(4);
 	void *table[] = { seeds, from,	  seed,	      invariant, engine,
 			  place, threads, transcript, help,	 end };
@@ -348,9 +362,9 @@
 			    stderr);
 		goto out;
 	}
-	(void)signal(SIGABRT, name_seed);
-	(void)signal(SIGTRAP, name_seed);
-	(void)signal(SIGSEGV, name_seed);
+	(void)signal(SIGABRT, print_failing_seed);
+	(void)signal(SIGTRAP, print_failing_seed);
+	(void)signal(SIGSEGV, print_failing_seed);
 	if (seed->count)
 		status = run_one(ops, where, only, (uint64_t)seed->ival[0],
 				 transcript->count);
--- a/src/bench/load.c
+++ b/src/bench/load.c
@@ -12,58 +12,60 @@
 
 #define ANSWER_MAX_BYTES (1024UL * 1024)
 
-/* One request; owned by the client. */
-struct shot {
+/* One request; freed by the HTTP client. */
+struct request {
 	struct load *load;
-	uint64_t due_us; /* when it should have been sent */
+	uint64_t due_us; /* scheduled time */
 };
 
 static void send_due(struct load *load);
 
-/* Count an answer and send what it made room for. */
-static void shot_done(void *private_data, const struct rj_http_result *result)
+/* Counts an answer, then sends the requests that are due. */
+static void request_done(void *private_data,
+			 const struct rj_http_result *result)
 {
-	const struct shot *shot = private_data;
-	struct load *load = shot->load;
+	const struct request *request = private_data;
+	struct load *load = request->load;
 	uint64_t now_us = rj_clock_now_us();
 
-	load->took_us[load->ended++] = (uint32_t)(now_us - shot->due_us);
-	load->ended_us = now_us;
+	load->latencies_us[load->ended++] =
+		(uint32_t)(now_us - request->due_us);
+	load->last_answer_us = now_us;
 	if (result->outcome != RJ_HTTP_ANSWERED ||
 	    !load->options.check(load, result->body))
 		load->wrong++;
 	send_due(load);
 }
 
-/* Send the next request, whose time counts from `due_us`. */
-static void shoot(struct load *load, uint64_t due_us)
+/* Sends the next request, whose latency is counted from `due_us`. */
+static void send_request(struct load *load, uint64_t due_us)
 {
-	struct shot *shot = talloc_zero(NULL, struct shot);
+	struct request *request = talloc_zero(NULL, struct request);
 	struct rj_http_request send = {
 		.method = "POST",
 		.timeout_us = load->options.timeout_us,
 		.response_max_bytes = ANSWER_MAX_BYTES,
-		.done = shot_done,
-		.private_data = shot,
+		.done = request_done,
+		.private_data = request,
 	};
 
-	assert(shot);
-	shot->load = load;
-	shot->due_us = due_us;
-	load->options.make(load, shot, load->sent++, &send);
+	assert(request);
+	request->load = load;
+	request->due_us = due_us;
+	load->options.make(load, request, load->sent++, &send);
 	rj_http_client_send(&load->client, &send);
 }
 
-/* When the request after those sent is due at the rate. */
+/* Returns when the next request is due at the configured rate. */
 static uint64_t next_due_us(const struct load *load)
 {
-	return load->began_us +
+	return load->started_us +
 	       (uint64_t)load->sent * RJ_US_PER_S / load->options.rate;
 }
 
 /*
- * Send all that is due. At a rate a request counts from when it was due, so
- * that a stall shows in all that it held up.
+ * Sends all requests that are due. With a rate, latency is counted from the
+ * scheduled time, so that a stall shows in every request it delayed.
  */
 static void send_due(struct load *load)
 {
@@ -76,11 +78,10 @@
 
 		if (due_us > now_us)
 			return;
-		shoot(load, due_us);
+		send_request(load, due_us);
 	}
 }
 
-/* The clock of a load with a rate has ticked. */
 static void ticked(struct tevent_context *ev, struct tevent_fd *fde,
 		   uint16_t flags, void *private_data)
 {
@@ -92,8 +93,8 @@
 }
 
 /*
- * Tick at the load's rate. A timer of the event loop is up to a millisecond
- * late, which would hide what is measured.
+ * Starts a periodic timer at the configured rate. An event loop timer is up to
+ * a millisecond late, which would distort the latencies. Returns 0 or -1.
  */
 static int start_clock(struct load *load)
 {
@@ -116,7 +117,6 @@
 	return 0;
 }
 
-/* For qsort. */
 static int compare_u32(const void *a, const void *b)
 {
 	uint32_t one = *(const uint32_t *)a;
@@ -126,8 +126,8 @@
 }
 
 /*
- * Send all requests and wait for all answers. Returns 0, or -1 when libcurl
- * or the clock does not start.
+ * Sends all requests and waits for all answers. Returns 0, or -1 if libcurl or
+ * the timer cannot be started; the load is freed then.
  */
 int load_run(struct load *load, const struct load_options *options)
 {
@@ -135,8 +135,8 @@
 	load->options = *options;
 	load->ev = tevent_context_init(NULL);
 	load->mem = talloc_named_const(load->ev, 0, "load");
-	load->took_us = talloc_array(load->mem, uint32_t, options->count);
-	assert(load->ev && load->mem && load->took_us);
+	load->latencies_us = talloc_array(load->mem, uint32_t, options->count);
+	assert(load->ev && load->mem && load->latencies_us);
 	if (rj_http_client_init(&load->client, load->mem, load->ev, NULL,
 				options->concurrency, NULL)) {
 		TALLOC_FREE(load->ev);
@@ -148,37 +148,41 @@
 	}
 	if (options->header)
 		rj_http_client_add_header(&load->client, options->header);
-	load->began_us = rj_clock_now_us();
+	load->started_us = rj_clock_now_us();
 	if (!options->rate)
 		send_due(load);
 	while (load->ended < options->count)
 		tevent_loop_once(load->ev);
-	qsort(load->took_us, load->ended, sizeof(*load->took_us), compare_u32);
+	qsort(load->latencies_us, load->ended, sizeof(*load->latencies_us),
+	      compare_u32);
 	return 0;
 }
 
 /*
- * The time within which `per_mille` of a thousand requests were answered.
+ * Returns the latency within which `per_mille` of a thousand requests were
+ * answered.
  */
 uint32_t load_percentile_us(const struct load *load, uint32_t per_mille)
 {
 	uint64_t index = (uint64_t)load->ended * per_mille / 1000;
 
 	assert(load->ended);
-	return load->took_us[index < load->ended ? index : load->ended - 1];
+	return load
+		->latencies_us[index < load->ended ? index : load->ended - 1];
 }
 
 /*
- * Answers a second, from the first request to the last answer.
+ * Returns the throughput in answers a second, from the start to the last
+ * answer.
  */
 double load_per_second(const struct load *load)
 {
 	return (double)load->ended * (double)RJ_US_PER_S /
-	       (double)(load->ended_us - load->began_us);
+	       (double)(load->last_answer_us - load->started_us);
 }
 
 /*
- * Close the connections and free all.
+ * Closes the connections and frees the load.
  */
 void load_finish(struct load *load)
 {
--- a/src/bench/ownership.c
+++ b/src/bench/ownership.c
@@ -1,10 +1,10 @@
 /*
- * Ownership of racks against its alternative, in which any instance plans any
- * rack: real cores of one failure domain over the fakes, under the same load.
+ * Compares ownership of racks with the alternative that any instance plans any
+ * rack: real cores of one failure domain in a simulation, under the same load.
  *
- * An instance that hears of no other owns all racks, so that the alternative
- * is a domain whose peers have no links; with links cut for a while, racks
- * have several owners for a while.
+ * An instance without contact to others owns all racks, so the alternative is
+ * a failure domain whose peers have no links. While links are cut, racks have
+ * several owners.
  */
 #include <argtable2.h>
 #include <glib.h>
@@ -21,14 +21,14 @@
 #define RACKS 8
 #define RACK_WORKERS 8
 #define ACCELERATORS (RACKS * RACK_WORKERS * 8)
-/* Of a job of the mix below: what it occupies, in microseconds. */
+/* Mean accelerator time of a job of add_callers. */
 #define MEAN_ACCELERATOR_US (6300 * RJ_US_PER_MS)
-#define HTTP_BYTES 330 /* as in `bench control` */
+#define HTTP_HEADER_BYTES 330 /* as in `bench control` */
 #define FRAME_BYTES 48
-#define LOAD_FROM_US (10 * RJ_US_PER_S)
+#define LOAD_START_US (10 * RJ_US_PER_S)
 #define LOAD_US (60 * RJ_US_PER_S)
 #define END_US (130 * RJ_US_PER_S)
-/* In the mode `cut`: links fail for so long, in each such period. */
+/* In mode `cut`, links fail for CUT_US in each period. */
 #define CUT_US (10 * RJ_US_PER_S)
 #define CUT_PERIOD_US (30 * RJ_US_PER_S)
 #define SEEDS_DEFAULT 5
@@ -37,129 +37,134 @@
 
 static const char *const mode_string[MODE_COUNT] = { "owned", "cut", "any" };
 
-struct tally {
+struct counts {
 	uint64_t calls;
 	uint64_t reports;
 	uint64_t report_bytes;
-	uint64_t refused; /* calls that a worker refused */
+	uint64_t refused; /* calls refused by a worker */
 	uint64_t claims_lost;
 	uint64_t peer_bytes;
-	uint64_t links; /* pairs of an instance and a worker that it called */
+	uint64_t links; /* pairs of an instance and a worker it called */
 };
 
-/* A core whose actions and replies are counted. */
-struct counted {
+/* Wraps a core to count its actions and replies. */
+struct counting_engine {
 	struct engine base;
 	struct engine *inner;
-	GHashTable *calls; /* call_id -> struct rj_worker_call, reports */
-	GHashTable *workers; /* names of those called */
-	struct tally tally;
+	GHashTable *calls; /* call_id -> rj_worker_call; open reports */
+	GHashTable *workers; /* names of workers called */
+	struct counts counts;
 };
 
-static int counted_release(struct counted *counted)
+static int counted_release(struct counting_engine *counting_engine)
 {
-	g_hash_table_destroy(counted->calls);
-	g_hash_table_destroy(counted->workers);
+	g_hash_table_destroy(counting_engine->calls);
+	g_hash_table_destroy(counting_engine->workers);
 	return 0;
 }
 
 static const struct engine_ops engine_counted;
 
-/* Make a core and what counts it. */
+/* Creates a core and its wrapper. */
 static struct engine *counted_create(void *mem,
 				     const struct rj_core_options *options)
 {
-	struct counted *counted = talloc_zero(mem, struct counted);
-
-	g_assert(counted);
-	counted->base.ops = &engine_counted;
-	counted->inner = engine_core.create(counted, options);
-	counted->calls = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-					       NULL, g_free);
-	counted->workers =
+	struct counting_engine *counting_engine =
+		talloc_zero(mem, struct counting_engine);
+
+	g_assert(counting_engine);
+	counting_engine->base.ops = &engine_counted;
+	counting_engine->inner = engine_core.create(counting_engine, options);
+	counting_engine->calls = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, NULL, g_free);
+	counting_engine->workers =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	talloc_set_destructor(counted, counted_release);
-	return &counted->base;
+	talloc_set_destructor(counting_engine, counted_release);
+	return &counting_engine->base;
 }
 
-/* Count a call to a worker; a report is kept until its answer comes. */
-static void count_call(struct counted *counted,
+/* Counts a call to a worker; a REPORT call is kept until its reply. */
+static void count_call(struct counting_engine *counting_engine,
 		       const struct rj_worker_call *call)
 {
 	struct rj_worker_call *copy;
 	void *mem;
 
-	counted->tally.calls++;
-	g_hash_table_add(counted->workers, g_strdup(call->worker));
+	counting_engine->counts.calls++;
+	g_hash_table_add(counting_engine->workers, g_strdup(call->worker));
 	if (call->op != RJ_WORKER_REPORT)
 		return;
 	mem = talloc_new(NULL);
-	counted->tally.reports++;
-	counted->tally.report_bytes +=
-		strlen(rj_worker_wire_encode_call(mem, call)) + HTTP_BYTES;
+	counting_engine->counts.reports++;
+	counting_engine->counts.report_bytes +=
+		strlen(rj_worker_wire_encode_call(mem, call)) +
+		HTTP_HEADER_BYTES;
 	talloc_free(mem);
 	copy = g_memdup2(call, sizeof(*call));
-	g_hash_table_insert(counted->calls, &copy->call_id, copy);
+	g_hash_table_insert(counting_engine->calls, &copy->call_id, copy);
 }
 
-/* Count the answer to a call. */
-static void count_reply(struct counted *counted,
+/* Counts the reply to a call. */
+static void count_reply(struct counting_engine *counting_engine,
 			const struct rj_worker_reply *reply)
 {
 	const struct rj_worker_call *call =
-		g_hash_table_lookup(counted->calls, &reply->call_id);
+		g_hash_table_lookup(counting_engine->calls, &reply->call_id);
 	void *mem;
 
-	counted->tally.refused += reply->status == RJ_REPLY_REFUSED;
+	counting_engine->counts.refused += reply->status == RJ_REPLY_REFUSED;
 	if (!call)
 		return;
 	if (reply->status == RJ_REPLY_OK) {
 		mem = talloc_new(NULL);
-		counted->tally.report_bytes +=
+		counting_engine->counts.report_bytes +=
 			strlen(rj_worker_wire_encode_reply(mem, call, reply));
 		talloc_free(mem);
 	}
-	g_hash_table_remove(counted->calls, &reply->call_id);
+	g_hash_table_remove(counting_engine->calls, &reply->call_id);
 }
 
-/* Count what goes to a peer. */
-static void count_message(struct counted *counted,
+/* Counts a message to a peer. */
+static void count_message(struct counting_engine *counting_engine,
 			  const struct rj_peer_message *message)
 {
 	void *mem = talloc_new(NULL);
 
-	counted->tally.peer_bytes +=
+	counting_engine->counts.peer_bytes +=
 		rj_peer_encode(mem, message).length + FRAME_BYTES;
 	talloc_free(mem);
 }
 
-/* Let the core decide, and count what it was told and what it does. */
+/* Passes an event to the core; counts replies and actions. */
 static void counted_process(struct engine *base, const struct rj_event *event,
 			    struct rj_actions *actions)
 {
-	struct counted *counted = (struct counted *)base;
+	struct counting_engine *counting_engine =
+		(struct counting_engine *)base;
 
 	if (event->kind == RJ_EVENT_WORKER_REPLY)
-		count_reply(counted, &event->u.worker_reply);
-	counted->inner->ops->process(counted->inner, event, actions);
+		count_reply(counting_engine, &event->u.worker_reply);
+	counting_engine->inner->ops->process(counting_engine->inner, event,
+					     actions);
 	for (uint32_t i = 0; i < actions->count; i++) {
 		const struct rj_action *action = &actions->list[i];
 
 		if (action->kind == RJ_ACTION_WORKER_CALL)
-			count_call(counted, &action->u.worker_call);
+			count_call(counting_engine, &action->u.worker_call);
 		else if (action->kind == RJ_ACTION_PEER_SEND)
-			count_message(counted, action->u.peer.message);
+			count_message(counting_engine, action->u.peer.message);
 		else if (action->kind == RJ_ACTION_LOG)
-			counted->tally.claims_lost +=
+			counting_engine->counts.claims_lost +=
 				action->u.log.why == RJ_REASON_CLAIM_LOST;
 	}
 }
 
 static uint64_t counted_wake_us(const struct engine *base)
 {
-	const struct counted *counted = (const struct counted *)base;
+	const struct counting_engine *counting_engine =
+		(const struct counting_engine *)base;
 
-	return counted->inner->ops->wake_us(counted->inner);
+	return counting_engine->inner->ops->wake_us(counting_engine->inner);
 }
 
 static const struct engine_ops engine_counted = {
@@ -169,7 +174,7 @@
 	.wake_us = counted_wake_us,
 };
 
-/* Cut or mend all links between the instances. */
+/* Cuts or restores all links between the instances. */
 static void cut_links(struct simulation *simulation, bool cut)
 {
 	for (uint32_t a = 0; a < simulation->node_count; a++)
@@ -177,7 +182,8 @@
 			simulation->links[a][b].cut = cut;
 }
 
-/* Small jobs, keyed quotes, and gangs that may have to be adjacent. */
+/* Adds callers with small jobs, keyed quotes, and gangs of which half must be
+ * adjacent. */
 static void add_callers(struct simulation *simulation, uint32_t load_percent)
 {
 	uint32_t callers = (uint32_t)((uint64_t)ACCELERATORS * LOAD_US *
@@ -210,48 +216,50 @@
 			plan.run_us *= 3;
 		}
 		fake_caller_add(simulation,
-				LOAD_FROM_US +
+				LOAD_START_US +
 					simulation_random(simulation, LOAD_US),
 				&plan);
 	}
 }
 
-/* Let the time of one run pass, with the links as the mode has them. */
+/* Runs the simulation to its end, with the links set by the mode. */
 static void run_mode(struct simulation *simulation, enum mode mode)
 {
 	cut_links(simulation, mode == MODE_ANY);
 	for (uint64_t at_us = 0; mode == MODE_CUT && at_us < LOAD_US;
 	     at_us += CUT_PERIOD_US) {
-		simulation_run_until(simulation, LOAD_FROM_US + at_us);
+		simulation_run_until(simulation, LOAD_START_US + at_us);
 		cut_links(simulation, true);
-		simulation_run_until(simulation, LOAD_FROM_US + at_us + CUT_US);
+		simulation_run_until(simulation,
+				     LOAD_START_US + at_us + CUT_US);
 		cut_links(simulation, false);
 	}
 	simulation_run_until(simulation, END_US);
 }
 
-/* Add one instance's counts. */
-static void add_tally(struct tally *sum, const struct counted *counted)
+/* Adds one instance's counts to `sum`. */
+static void add_counts(struct counts *sum,
+		       const struct counting_engine *counting_engine)
 {
-	sum->calls += counted->tally.calls;
-	sum->reports += counted->tally.reports;
-	sum->report_bytes += counted->tally.report_bytes;
-	sum->refused += counted->tally.refused;
-	sum->claims_lost += counted->tally.claims_lost;
-	sum->peer_bytes += counted->tally.peer_bytes;
-	sum->links += g_hash_table_size(counted->workers);
+	sum->calls += counting_engine->counts.calls;
+	sum->reports += counting_engine->counts.reports;
+	sum->report_bytes += counting_engine->counts.report_bytes;
+	sum->refused += counting_engine->counts.refused;
+	sum->claims_lost += counting_engine->counts.claims_lost;
+	sum->peer_bytes += counting_engine->counts.peer_bytes;
+	sum->links += g_hash_table_size(counting_engine->workers);
 }
 
-/* What several runs of one mode came to. */
+/* Accumulated results of the runs of one mode. */
 struct outcome {
-	struct tally tally;
-	GArray *small_ms; /* double: completion of previews and quotes */
+	struct counts counts;
+	GArray *small_ms; /* double: latencies of previews and quotes */
 	GArray *gang_ms;
 	uint32_t asked;
 	uint64_t violations;
 };
 
-/* Run one seed and add to the outcome. */
+/* Runs one seed and adds its results to the outcome. */
 static void run_seed(struct outcome *outcome, enum mode mode,
 		     uint32_t instances, uint32_t load_percent, uint64_t seed)
 {
@@ -268,12 +276,13 @@
 	add_callers(simulation, load_percent);
 	run_mode(simulation, mode);
 	for (uint32_t i = 0; i < simulation->node_count; i++)
-		add_tally(&outcome->tally,
-			  (struct counted *)simulation->nodes[i].engine);
+		add_counts(
+			&outcome->counts,
+			(struct counting_engine *)simulation->nodes[i].engine);
 	for (guint i = 0; i < simulation->callers->len; i++) {
 		const struct fake_caller *caller =
 			simulation->callers->pdata[i];
-		double took_ms =
+		double latency_ms =
 			(double)(caller->served_us - caller->first_us) /
 			RJ_US_PER_MS;
 
@@ -283,10 +292,10 @@
 		g_array_append_val(caller->spec.shape.tasks > 1 ?
 					   outcome->gang_ms :
 					   outcome->small_ms,
-				   took_ms);
+				   latency_ms);
 	}
-	/* Which configuration is in force is told by heartbeats alone, and
-	   without links there are none. */
+	/* Only heartbeats report the configuration in force, and without
+	 * links there are none. */
 	for (int i = 0; i < INVARIANT_COUNT; i++)
 		if (i != INVARIANT_CONFIG)
 			outcome->violations +=
@@ -294,7 +303,7 @@
 	talloc_free(mem);
 }
 
-/* A quantile of times, 0 of none. */
+/* Returns a quantile of latencies; 0 without any. */
 static double quantile(const GArray *times, double share)
 {
 	return times->len ? quantile_of((double *)(void *)times->data,
@@ -302,11 +311,11 @@
 			    0;
 }
 
-/* Print one mode's line. */
+/* Prints the results of one mode. */
 static void print(const struct outcome *outcome, enum mode mode,
 		  uint32_t instances, uint32_t seeds)
 {
-	const struct tally *tally = &outcome->tally;
+	const struct counts *counts = &outcome->counts;
 	double seconds = (double)END_US / RJ_US_PER_S * seeds;
 	double each = seconds * instances;
 
@@ -320,11 +329,11 @@
 	       "\"small_p95_ms\":%.0f,\"gang_p50_ms\":%.0f,"
 	       "\"gang_p95_ms\":%.0f,\"violations\":%" G_GUINT64_FORMAT "}\n",
 	       mode_string[mode], instances, RACKS * RACK_WORKERS, seeds,
-	       (double)tally->links / (RACKS * RACK_WORKERS) / seeds,
-	       (double)tally->reports / seconds / (RACKS * RACK_WORKERS),
-	       (double)tally->report_bytes / each,
-	       (double)tally->peer_bytes / each, tally->calls, tally->refused,
-	       tally->claims_lost, outcome->asked,
+	       (double)counts->links / (RACKS * RACK_WORKERS) / seeds,
+	       (double)counts->reports / seconds / (RACKS * RACK_WORKERS),
+	       (double)counts->report_bytes / each,
+	       (double)counts->peer_bytes / each, counts->calls,
+	       counts->refused, counts->claims_lost, outcome->asked,
 	       outcome->small_ms->len + outcome->gang_ms->len,
 	       quantile(outcome->small_ms, 0.5),
 	       quantile(outcome->small_ms, 0.95),
@@ -333,7 +342,7 @@
 	(void)fflush(stdout);
 }
 
-/* Measure one mode at one number of instances. */
+/* Runs one mode at one number of instances and prints the results. */
 static void measure(enum mode mode, uint32_t instances, uint32_t load_percent,
 		    uint32_t seeds)
 {
@@ -350,8 +359,8 @@
 }
 
 /*
- * `rj-bench ownership`: connections, reports, refused calls, completion and
- * control bytes at 4 and 8 instances.
+ * `rj-bench ownership`: connections, reports, refused calls, latencies and
+ * control traffic at 4 and 8 instances.
  */
 int bench_ownership(int argc, char **argv)
 {
--- a/src/bench/path.c
+++ b/src/bench/path.c
@@ -15,32 +15,32 @@
 
 #define TIMEOUT_US (30 * RJ_US_PER_S)
 #define LEASE_LIFE_US (30 * RJ_US_PER_S)
-/* Half of the load that one instance is to carry. */
+/* Half of the required load of one instance. */
 #define HALF_LOAD_PER_S 2500
-/* Held open long enough to read the daemon's memory. */
-#define HELD_RUN_MS 1000
-/* Enough that the memory of each tells from the allocator's steps. */
-#define HELD_REQUESTS 1000
-/* Enough points to tell a slope from a level that is reached. */
+/* Long enough to read the daemon's memory with all jobs open. */
+#define OPEN_JOB_RUN_MS 1000
+/* Enough for the memory of each to stand out from allocator granularity. */
+#define OPEN_REQUESTS 1000
+/* Enough points to tell steady growth from a plateau. */
 #define SOAK_STEPS 10
 #define SMALL_BODY "{\"run_ms\":0,\"echo\":\"preview\"}"
 
-/* What is measured, and against what. */
+/* The daemon and workers under test, and the load. */
 struct path {
 	struct rj_address daemon;
 	struct rj_address *workers; /* of the same rack */
 	char (*names)[RJ_NAME_BYTES];
 	uint32_t worker_count;
-	const char *header; /* the account's token */
+	const char *header; /* Authorization, with the account's token */
 	const char *class_name;
 	int pid; /* of the daemon */
 	uint32_t count;
 	uint32_t concurrency;
-	uint64_t run_id; /* keeps the job ids of each load apart */
+	uint64_t run_id; /* distinguishes the attempts of each load */
 	uint64_t idle_bytes; /* resident, before any request */
 };
 
-/* A small job, submitted by a caller that waits for its answer. */
+/* Makes a submission of a small job that waits for its result. */
 static void make_submit(const struct load *load, void *mem, uint32_t index,
 			struct rj_http_request *send)
 {
@@ -52,13 +52,13 @@
 	send->length = strlen(send->body);
 }
 
-/* Done, and with the echo of its own body. */
+/* Whether the job is done and its result echoes the body. */
 static bool check_submit(const struct load *load, const char *answer)
 {
 	return strstr(answer, "\"done\"") && strstr(answer, "preview");
 }
 
-/* The same job, run by a worker that is called directly. */
+/* Makes a RUN call of the same job directly to a worker. */
 static void make_run(const struct load *load, void *mem, uint32_t index,
 		     struct rj_http_request *send)
 {
@@ -83,13 +83,13 @@
 	send->length = strlen(send->body);
 }
 
-/* Done; the result itself is base64 here. */
+/* Whether the task is done; its result is base64 and not checked. */
 static bool check_run(const struct load *load, const char *answer)
 {
 	return strstr(answer, "\"done\"");
 }
 
-/* Resident memory of a process in bytes, or 0. */
+/* Returns the resident memory of a process in bytes, or 0. */
 static uint64_t resident_bytes(int pid)
 {
 	char name[32];
@@ -108,8 +108,8 @@
 	return kib * 1024;
 }
 
-/* Processor time of a process so far in microseconds, or 0. */
-static uint64_t processor_us(int pid)
+/* Returns the CPU time of a process in microseconds, or 0. */
+static uint64_t cpu_us(int pid)
 {
 	char name[32];
 	uint64_t user = 0;
@@ -120,7 +120,7 @@
 	file = fopen(name, "r");
 	if (!file)
 		return 0;
-	/* Fields 14 and 15; the name, field 2, holds no blank. */
+	/* Fields 14 and 15; the name, field 2, contains no blank. */
 	if (fscanf(file,
 		   "%*s %*s %*s %*s %*s %*s %*s %*s %*s %*s %*s %*s %*s "
 		   "%" SCNu64 " %" SCNu64,
@@ -131,11 +131,11 @@
 }
 
 /*
- * How long a process of one thread has stood ready without a core, in
- * microseconds, or 0. On a machine that does other work as well this tells
- * the daemon's latency from the machine's.
+ * Returns how long a single-threaded process has been runnable without a CPU,
+ * in microseconds, or 0. On a busy machine this separates the daemon's latency
+ * from the machine's.
  */
-static uint64_t without_core_us(int pid)
+static uint64_t run_delay_us(int pid)
 {
 	char name[32];
 	uint64_t waited_ns = 0;
@@ -151,7 +151,7 @@
 	return waited_ns / 1000;
 }
 
-/* Print one measure; takes over `values`. */
+/* Prints one result; takes over `values`. */
 static void print_measure(const char *measure, json_t *values)
 {
 	json_t *line =
@@ -168,7 +168,7 @@
 	free(text);
 }
 
-/* What every load is measured by. */
+/* Returns the results of a load as a new JSON object. */
 static json_t *load_values(const struct load *load)
 {
 	return json_pack(
@@ -178,104 +178,107 @@
 		"p50_us", (int)load_percentile_us(load, 500), "p99_us",
 		(int)load_percentile_us(load, 990), "max_us",
 		(int)load_percentile_us(load, 1000), "daemon_cpu_us_each",
-		(double)load->processor_us / (double)load->ended,
+		(double)load->cpu_us / (double)load->ended,
 		"daemon_without_core_us_each",
-		(double)load->without_core_us / (double)load->ended);
+		(double)load->run_delay_us / (double)load->ended);
 }
 
-/* How a request goes: through the daemon, or straight to a worker. */
-struct way {
+/* The route of a request: through the daemon, or directly to a worker. */
+struct route {
 	const char *name;
 	void (*make)(const struct load *load, void *mem, uint32_t index,
 		     struct rj_http_request *send);
 	bool (*check)(const struct load *load, const char *answer);
 };
 
-static const struct way through = { "through", make_submit, check_submit };
-static const struct way direct = { "direct", make_run, check_run };
+static const struct route via_daemon = { "through", make_submit, check_submit };
+static const struct route to_worker = { "direct", make_run, check_run };
 
-/* Run one load, print it and add its wrong answers to `wrong`. */
-static int measure(struct path *path, const struct way *way, uint32_t rate,
+/* Runs one load, prints its results and adds its wrong answers to `wrong`.
+ * Returns 0; then the caller frees `load`. Otherwise returns -1. */
+static int measure(struct path *path, const struct route *route, uint32_t rate,
 		   struct load *load, uint32_t *wrong)
 {
 	struct load_options options = {
-		.make = way->make,
-		.check = way->check,
+		.make = route->make,
+		.check = route->check,
 		.data = path,
-		.header = way == &through ? path->header : NULL,
+		.header = route == &via_daemon ? path->header : NULL,
 		.count = path->count,
 		.concurrency = path->concurrency,
 		.rate = rate,
 		.timeout_us = TIMEOUT_US,
 	};
-	uint64_t before_us = processor_us(path->pid);
-	uint64_t waited_us = without_core_us(path->pid);
+	uint64_t before_us = cpu_us(path->pid);
+	uint64_t waited_us = run_delay_us(path->pid);
 	char name[64];
 
 	path->run_id++;
 	if (load_run(load, &options))
 		return -1;
 	*wrong += load->wrong;
-	load->processor_us = processor_us(path->pid) - before_us;
-	load->without_core_us = without_core_us(path->pid) - waited_us;
-	snprintf(name, sizeof(name), "%s_%s", way->name,
+	load->cpu_us = cpu_us(path->pid) - before_us;
+	load->run_delay_us = run_delay_us(path->pid) - waited_us;
+	snprintf(name, sizeof(name), "%s_%s", route->name,
 		 rate ? "at_rate" : "at_most");
 	print_measure(name, load_values(load));
 	return 0;
 }
 
-/* The latency that the daemon adds, both ways at the same rate. */
-static int measure_added(struct path *path, uint32_t rate, uint32_t *wrong)
+/* Prints the latency added by the daemon, with both routes at the same rate. */
+static int measure_added_latency(struct path *path, uint32_t rate,
+				 uint32_t *wrong)
 {
-	struct load one;
-	struct load two;
+	struct load direct_load;
+	struct load daemon_load;
 
-	if (measure(path, &direct, rate, &one, wrong))
+	if (measure(path, &to_worker, rate, &direct_load, wrong))
 		return -1;
-	if (measure(path, &through, rate, &two, wrong)) {
-		load_finish(&one);
+	if (measure(path, &via_daemon, rate, &daemon_load, wrong)) {
+		load_finish(&direct_load);
 		return -1;
 	}
-	print_measure("added",
-		      json_pack("{s:i, s:i, s:i}", "rate_per_s", (int)rate,
-				"p50_us",
-				(int)load_percentile_us(&two, 500) -
-					(int)load_percentile_us(&one, 500),
-				"p99_us",
-				(int)load_percentile_us(&two, 990) -
-					(int)load_percentile_us(&one, 990)));
-	load_finish(&one);
-	load_finish(&two);
+	print_measure(
+		"added",
+		json_pack("{s:i, s:i, s:i}", "rate_per_s", (int)rate, "p50_us",
+			  (int)load_percentile_us(&daemon_load, 500) -
+				  (int)load_percentile_us(&direct_load, 500),
+			  "p99_us",
+			  (int)load_percentile_us(&daemon_load, 990) -
+				  (int)load_percentile_us(&direct_load, 990)));
+	load_finish(&direct_load);
+	load_finish(&daemon_load);
 	return 0;
 }
 
-/* Requests a second, as fast as the answers come. */
-static int measure_most(struct path *path, const struct way *way,
-			uint32_t *wrong)
+/* Prints the maximum throughput of a route. */
+static int measure_throughput(struct path *path, const struct route *route,
+			      uint32_t *wrong)
 {
 	struct load load;
 
-	if (measure(path, way, 0, &load, wrong))
+	if (measure(path, route, 0, &load, wrong))
 		return -1;
 	load_finish(&load);
 	return 0;
 }
 
-/* A job that stays open while the memory is read. */
-static void make_held(const struct load *load, void *mem, uint32_t index,
-		      struct rj_http_request *send)
+/* Makes a submission of a job that stays open while the memory is read. */
+static void make_open_job(const struct load *load, void *mem, uint32_t index,
+			  struct rj_http_request *send)
 {
 	const struct path *path = load->options.data;
 
 	send->url = rj_http_url(mem, &path->daemon, "/v1/jobs");
 	send->body = talloc_asprintf(
 		mem, "{\"class\":\"%s\",\"body\":{\"run_ms\":%d}}",
-		path->class_name, HELD_RUN_MS);
+		path->class_name, OPEN_JOB_RUN_MS);
 	send->length = strlen(send->body);
 }
 
-/* The memory is read when the first of the held jobs has been answered. */
-static bool check_held(const struct load *load, const char *answer)
+/* Reads the daemon's memory at the first answer, while the other jobs are
+ * open. Accepts every answer. */
+static bool check_open_job(const struct load *load, const char *answer)
 {
 	const struct path *path = load->options.data;
 	uint64_t bytes;
@@ -292,16 +295,16 @@
 	return true;
 }
 
-/* The memory of the daemon while it holds many open requests. */
-static int measure_held(struct path *path)
+/* Prints the daemon's memory with many open requests. */
+static int measure_open_memory(struct path *path)
 {
 	struct load_options options = {
-		.make = make_held,
-		.check = check_held,
+		.make = make_open_job,
+		.check = check_open_job,
 		.data = path,
 		.header = path->header,
-		.count = HELD_REQUESTS,
-		.concurrency = HELD_REQUESTS,
+		.count = OPEN_REQUESTS,
+		.concurrency = OPEN_REQUESTS,
 		.timeout_us = TIMEOUT_US,
 	};
 	struct load load;
@@ -313,8 +316,9 @@
 }
 
 /*
- * The memory of the daemon after each tenth of `requests`: a leak grows from
- * step to step, what is bounded or fragmented reaches a level.
+ * Prints the daemon's memory after each tenth of `requests`: with a leak it
+ * grows at each step, with bounded use or fragmentation it levels off. Returns
+ * the exit status.
  */
 static int measure_soak(struct path *path, uint32_t requests)
 {
@@ -322,7 +326,7 @@
 
 	path->count = requests / SOAK_STEPS;
 	for (uint32_t step = 1; step <= SOAK_STEPS; step++) {
-		if (measure_most(path, &through, &wrong))
+		if (measure_throughput(path, &via_daemon, &wrong))
 			return EXIT_FAILURE;
 		print_measure("memory_soak",
 			      json_pack("{s:I, s:I}", "requests",
@@ -333,7 +337,8 @@
 	return wrong ? EXIT_FAILURE : EXIT_SUCCESS;
 }
 
-/* Read the line that rj-standin workers printed when it was ready. */
+/* Reads the line printed by `rj-standin workers`. Returns 0, or -1 if it is
+ * invalid. */
 static int read_workers(struct path *path, void *mem, const char *file)
 {
 	json_t *line = json_load_file(file, 0, NULL);
@@ -366,7 +371,7 @@
 	return -1;
 }
 
-/* All measures, the quiet ones first. */
+/* Runs all measurements, those with low load first. Returns the exit status. */
 static int measure_all(struct path *path)
 {
 	uint32_t wrong = 0;
@@ -374,10 +379,10 @@
 	path->idle_bytes = resident_bytes(path->pid);
 	print_measure("memory_idle", json_pack("{s:I}", "resident_bytes",
 					       (json_int_t)path->idle_bytes));
-	if (measure_held(path) ||
-	    measure_added(path, HALF_LOAD_PER_S, &wrong) ||
-	    measure_most(path, &direct, &wrong) ||
-	    measure_most(path, &through, &wrong))
+	if (measure_open_memory(path) ||
+	    measure_added_latency(path, HALF_LOAD_PER_S, &wrong) ||
+	    measure_throughput(path, &to_worker, &wrong) ||
+	    measure_throughput(path, &via_daemon, &wrong))
 		return EXIT_FAILURE;
 	print_measure("memory_after",
 		      json_pack("{s:I}", "resident_bytes",
@@ -386,8 +391,9 @@
 }
 
 /*
- * Small requests through one daemon beside direct calls to its workers.
- * scripts/bench-path starts these and gives their addresses.
+ * `rj-bench path`: small requests through one daemon compared with direct
+ * calls to its workers. scripts/bench-path starts these and passes their
+ * addresses.
  */
 int bench_path(int argc, char **argv)
 {
@@ -405,7 +411,7 @@
 	struct arg_int *concurrency =
 		arg_int0(NULL, "concurrency", "N", "open at once (48)");
 	struct arg_int *soak = arg_int0(
-		NULL, "soak", "N", "only the memory over so many requests");
+		NULL, "soak", "N", "measure only the memory over N requests");
 	struct program_options common = program_options_of("rj-bench");
 	void *table[] = {
 		daemon, pid,	     workers, token,	   class_name,
--- a/src/bench/policy.c
+++ b/src/bench/policy.c
@@ -7,35 +7,35 @@
 #include "support/plan_simulation.h"
 #include "support/quantile.h"
 
-/* More seeds than this say nothing new. */
+/* Further seeds add no information to the medians. */
 #define SEEDS_MAX 200
 #define SEED_DEFAULT 1
 
-enum contender {
-	CONTENDER_TOPOLOGY,
-	CONTENDER_FIRST_FIT,
-	CONTENDER_EASY,
-	CONTENDER_COUNT
+enum planner_kind {
+	PLANNER_TOPOLOGY,
+	PLANNER_FIRST_FIT,
+	PLANNER_EASY,
+	PLANNER_COUNT
 };
 
-static const struct planner_factory *const makers[CONTENDER_COUNT] = {
-	[CONTENDER_TOPOLOGY] = &planner_factory_topology,
-	[CONTENDER_FIRST_FIT] = &planner_factory_first_fit,
-	[CONTENDER_EASY] = &planner_factory_easy,
+static const struct planner_factory *const factories[PLANNER_COUNT] = {
+	[PLANNER_TOPOLOGY] = &planner_factory_topology,
+	[PLANNER_FIRST_FIT] = &planner_factory_first_fit,
+	[PLANNER_EASY] = &planner_factory_easy,
 };
 
-/* One load with its results for each seed. */
+/* One load with the results of each planner and seed. */
 struct series {
 	enum stream_users users;
 	enum stream_load load;
 	uint32_t seeds;
-	struct plan_result results[CONTENDER_COUNT][SEEDS_MAX];
+	struct plan_result results[PLANNER_COUNT][SEEDS_MAX];
 	double bound_s[STREAM_CLASSES][SEEDS_MAX];
 	char class_names[STREAM_CLASSES][RJ_NAME_BYTES];
 };
 
 /*
- * The median of the values.
+ * Returns the median of the values.
  */
 static double median_of(const double *values, uint32_t count)
 {
@@ -46,27 +46,27 @@
 }
 
 /*
- * The median over the seeds of the member at `offset` of the result.
+ * Returns the median over the seeds of the double at `offset` of the results.
  */
-static double median_at(const struct series *series, enum contender contender,
-			size_t offset)
+static double median_at(const struct series *series,
+			enum planner_kind planner_kind, size_t offset)
 {
 	double values[SEEDS_MAX];
 
 	for (uint32_t i = 0; i < series->seeds; i++)
 		memcpy(&values[i],
-		       (const char *)&series->results[contender][i] + offset,
+		       (const char *)&series->results[planner_kind][i] + offset,
 		       sizeof(values[i]));
 	return median_of(values, series->seeds);
 }
 
-#define MEDIAN(series, contender, member) \
-	median_at(series, contender, offsetof(struct plan_result, member))
+#define MEDIAN(series, planner_kind, member) \
+	median_at(series, planner_kind, offsetof(struct plan_result, member))
 
 /*
- * Begin a line; the caller adds the measure and ends it.
+ * Prints the start of a JSON line; the caller prints the rest.
  */
-static void line_begin(const struct series *series, const char *planner)
+static void print_line_start(const struct series *series, const char *planner)
 {
 	printf("{\"bench\":\"policy\",\"users\":\"%s\",\"load\":\"%s\","
 	       "\"seeds\":%u,\"planner\":\"%s\",",
@@ -75,35 +75,37 @@
 }
 
 /*
- * Print the completion times of each class and account.
+ * Prints the completion times of each class and account.
  */
 static void print_completions(const struct series *series,
-			      enum contender contender)
+			      enum planner_kind planner_kind)
 {
 	for (uint32_t i = 0; i < STREAM_CLASSES; i++)
 		for (uint32_t j = 0; j <= STREAM_ACCOUNTS; j++) {
 			char account[16];
 
 			snprintf(account, sizeof(account), "account%u", j);
-			line_begin(series, makers[contender]->name);
+			print_line_start(series, factories[planner_kind]->name);
 			printf("\"measure\":\"completion_s\",\"class\":\"%s\","
 			       "\"account\":\"%s\",\"jobs\":%.0f,"
 			       "\"p50\":%.2f,\"p95\":%.2f,\"p99\":%.2f}\n",
 			       series->class_names[i],
 			       j == STREAM_ACCOUNTS ? "all" : account,
-			       MEDIAN(series, contender, count[i][j]),
-			       MEDIAN(series, contender, completion_s[i][j][0]),
-			       MEDIAN(series, contender, completion_s[i][j][1]),
-			       MEDIAN(series, contender,
+			       MEDIAN(series, planner_kind, count[i][j]),
+			       MEDIAN(series, planner_kind,
+				      completion_s[i][j][0]),
+			       MEDIAN(series, planner_kind,
+				      completion_s[i][j][1]),
+			       MEDIAN(series, planner_kind,
 				      completion_s[i][j][2]));
 		}
 }
 
 /*
- * Print all that was measured of one planner.
+ * Prints all results of one planner.
  */
-static void print_contender(const struct series *series,
-			    enum contender contender)
+static void print_planner(const struct series *series,
+			  enum planner_kind planner_kind)
 {
 	const struct {
 		const char *name;
@@ -126,27 +128,27 @@
 		{ "failures", offsetof(struct plan_result, failures) },
 	};
 
-	print_completions(series, contender);
-	line_begin(series, makers[contender]->name);
+	print_completions(series, planner_kind);
+	print_line_start(series, factories[planner_kind]->name);
 	printf("\"measure\":\"largest_gang_wait_s\",\"p50\":%.2f,\"p95\":%.2f,"
 	       "\"p99\":%.2f}\n",
-	       MEDIAN(series, contender, gang_wait_s[0]),
-	       MEDIAN(series, contender, gang_wait_s[1]),
-	       MEDIAN(series, contender, gang_wait_s[2]));
+	       MEDIAN(series, planner_kind, gang_wait_s[0]),
+	       MEDIAN(series, planner_kind, gang_wait_s[1]),
+	       MEDIAN(series, planner_kind, gang_wait_s[2]));
 	for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
-		line_begin(series, makers[contender]->name);
+		print_line_start(series, factories[planner_kind]->name);
 		printf("\"measure\":\"%s\",\"value\":%.4f}\n", rows[i].name,
-		       median_at(series, contender, rows[i].offset));
+		       median_at(series, planner_kind, rows[i].offset));
 	}
 }
 
 /*
- * Print one of the figures to be reached, and whether it is.
+ * Prints one target, its value and whether it is reached.
  */
 static void print_target(const struct series *series, const char *name,
 			 double value, double limit, bool at_most)
 {
-	line_begin(series, makers[CONTENDER_TOPOLOGY]->name);
+	print_line_start(series, factories[PLANNER_TOPOLOGY]->name);
 	printf("\"measure\":\"target\",\"name\":\"%s\",\"value\":%.3f,"
 	       "\"%s\":%.3f,\"reached\":%s}\n",
 	       name, value, at_most ? "at_most" : "at_least", limit,
@@ -154,7 +156,7 @@
 }
 
 /*
- * `value` to `base`; nothing to nothing is 0.
+ * Returns `value` / `base`; with a base of 0, 0 or a very large number.
  */
 static double ratio(double value, double base)
 {
@@ -164,24 +166,25 @@
 }
 
 /*
- * Print how the planner stands to what is to be reached.
+ * Prints all targets of the planner.
  */
 static void print_targets(const struct series *series)
 {
-	double urgent = MEDIAN(series, CONTENDER_TOPOLOGY,
+	double urgent = MEDIAN(series, PLANNER_TOPOLOGY,
 			       completion_s[STREAM_LESSON][STREAM_ACCOUNTS][1]);
-	double naive = MEDIAN(series, CONTENDER_FIRST_FIT,
-			      completion_s[STREAM_LESSON][STREAM_ACCOUNTS][1]);
-	double best = MAX(MEDIAN(series, CONTENDER_FIRST_FIT, utilisation),
-			  MEDIAN(series, CONTENDER_EASY, utilisation));
+	double first_fit =
+		MEDIAN(series, PLANNER_FIRST_FIT,
+		       completion_s[STREAM_LESSON][STREAM_ACCOUNTS][1]);
+	double best = MAX(MEDIAN(series, PLANNER_FIRST_FIT, utilisation),
+			  MEDIAN(series, PLANNER_EASY, utilisation));
 	double late = 0;
 
 	for (uint32_t i = 0; i < series->seeds; i++)
-		late += series->results[CONTENDER_TOPOLOGY][i].guaranteed_late;
+		late += series->results[PLANNER_TOPOLOGY][i].guaranteed_late;
 	if (series->load == STREAM_BURST_SMALL ||
 	    series->load == STREAM_BURST_LARGE)
 		print_target(series, "urgent_p95_to_first_fit",
-			     ratio(urgent, naive), 0.5, true);
+			     ratio(urgent, first_fit), 0.5, true);
 	if (series->load == STREAM_MIXED90)
 		print_target(
 			series, "urgent_p95_to_bound",
@@ -189,22 +192,21 @@
 						series->seeds)),
 			1.25, true);
 	print_target(series, "largest_gang_wait_p95_to_first_fit",
-		     ratio(MEDIAN(series, CONTENDER_TOPOLOGY, gang_wait_s[1]),
-			   MEDIAN(series, CONTENDER_FIRST_FIT, gang_wait_s[1])),
+		     ratio(MEDIAN(series, PLANNER_TOPOLOGY, gang_wait_s[1]),
+			   MEDIAN(series, PLANNER_FIRST_FIT, gang_wait_s[1])),
 		     1.0 / 3, true);
 	print_target(series, "fragmentation_to_first_fit",
-		     ratio(MEDIAN(series, CONTENDER_TOPOLOGY, fragmentation),
-			   MEDIAN(series, CONTENDER_FIRST_FIT, fragmentation)),
+		     ratio(MEDIAN(series, PLANNER_TOPOLOGY, fragmentation),
+			   MEDIAN(series, PLANNER_FIRST_FIT, fragmentation)),
 		     0.5, true);
-	print_target(
-		series, "utilisation_to_best_baseline",
-		ratio(MEDIAN(series, CONTENDER_TOPOLOGY, utilisation), best),
-		0.97, false);
+	print_target(series, "utilisation_to_best_baseline",
+		     ratio(MEDIAN(series, PLANNER_TOPOLOGY, utilisation), best),
+		     0.97, false);
 	print_target(series, "guaranteed_late_all_seeds", late, 0, true);
 }
 
 /*
- * Run every planner over the streams of all seeds.
+ * Runs every planner over the streams of all seeds.
  */
 static void run_series(struct series *series, uint64_t seed)
 {
@@ -213,9 +215,9 @@
 
 		plan_stream_init(&stream, NULL, series->users, series->load,
 				 seed + i, STREAM_HORIZON_US);
-		for (uint32_t j = 0; j < CONTENDER_COUNT; j++) {
+		for (uint32_t j = 0; j < PLANNER_COUNT; j++) {
 			struct plan_simulation_options options = {
-				.factory = makers[j],
+				.factory = factories[j],
 			};
 
 			plan_simulation_run(&stream, &options,
@@ -231,12 +233,12 @@
 }
 
 /*
- * Print the bound of each class.
+ * Prints the bound on the completion time of each class.
  */
 static void print_bound(const struct series *series)
 {
 	for (uint32_t i = 0; i < STREAM_CLASSES; i++) {
-		line_begin(series, "bound");
+		print_line_start(series, "bound");
 		printf("\"measure\":\"completion_s\",\"class\":\"%s\","
 		       "\"account\":\"all\",\"p95\":%.2f}\n",
 		       series->class_names[i],
@@ -245,7 +247,7 @@
 }
 
 /*
- * The number of `name` in a table of strings, or -1.
+ * Returns the index of `name` in a table of strings, or -1.
  */
 static int find_string(const char *const *strings, int count, const char *name)
 {
@@ -256,7 +258,7 @@
 }
 
 /*
- * Print how to call; returns the exit status.
+ * Prints the usage, after `problem` unless NULL. Returns the exit status.
  */
 static int usage(void **table, const char *problem)
 {
@@ -275,7 +277,8 @@
 }
 
 /*
- * Run every planner over the streams of some seeds, and print the medians.
+ * `rj-bench policy`: runs every planner over the streams of some seeds and
+ * prints the medians.
  */
 int bench_policy(int argc, char **argv)
 {
@@ -287,7 +290,7 @@
 					 "association (default) or converter");
 	struct arg_str *load =
 		arg_str0(NULL, "load", "NAME", "mixed90 (default), or another");
-	struct arg_lit *help = arg_lit0(NULL, "help", "print this");
+	struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
 	struct arg_end *end = arg_end(5);
 	void *table[] = { seed, seeds, users, load, help, end };
 	struct series *series = g_new0(struct series, 1);
@@ -315,8 +318,8 @@
 	series->load = load_index;
 	run_series(series,
 		   seed->count ? (uint64_t)seed->ival[0] : SEED_DEFAULT);
-	for (uint32_t i = 0; i < CONTENDER_COUNT; i++)
-		print_contender(series, i);
+	for (uint32_t i = 0; i < PLANNER_COUNT; i++)
+		print_planner(series, i);
 	print_bound(series);
 	print_targets(series);
 	status = 0;
--- a/src/libstandin/fault_injector.c
+++ b/src/libstandin/fault_injector.c
@@ -6,41 +6,41 @@
 
 #include "private/clock.h"
 
-/* A request on its way through the gate; child of the request. */
-struct entry {
+/* A paused or delayed request; talloc child of the request. */
+struct delayed_request {
 	struct rj_list link;
-	struct rj_fault_injector *gate;
+	struct rj_fault_injector *injector;
 	struct rj_http_exchange *request;
 };
 
-/* A request that ends while it waits is no longer in the list. */
-static int entry_destructor(struct entry *entry)
+/* Removes a request that ends while it waits from the list. */
+static int delayed_request_destructor(struct delayed_request *delayed_request)
 {
-	rj_list_remove(&entry->link);
+	rj_list_remove(&delayed_request->link);
 	return 0;
 }
 
 /*
- * Start a gate without faults that hands requests to `pass`.
+ * Initialises an injector without faults that passes requests to `forward`.
  */
-void rj_fault_injector_init(struct rj_fault_injector *gate, void *mem,
+void rj_fault_injector_init(struct rj_fault_injector *injector, void *mem,
 			    struct tevent_context *ev,
-			    void (*pass)(void *private_data,
-					 struct rj_http_exchange *request),
+			    void (*forward)(void *private_data,
+					    struct rj_http_exchange *request),
 			    void *private_data)
 {
-	memset(gate, 0, sizeof(*gate));
-	gate->ev = ev;
-	gate->mem = mem;
-	gate->pass = pass;
-	gate->private_data = private_data;
-	rj_list_init(&gate->waiting);
+	memset(injector, 0, sizeof(*injector));
+	injector->ev = ev;
+	injector->mem = mem;
+	injector->forward = forward;
+	injector->private_data = private_data;
+	rj_list_init(&injector->waiting);
 }
 
 /*
- * Whether the client that sent `request` is cut off from here.
+ * Whether the client that sent `request`, by its X-Instance header, is blocked.
  */
-bool rj_fault_injector_blocks(const struct rj_fault_injector *gate,
+bool rj_fault_injector_blocks(const struct rj_fault_injector *injector,
 			      struct rj_http_exchange *request)
 {
 	const char *name = rj_http_exchange_header(request, "X-Instance");
@@ -50,92 +50,93 @@
 	if (!name)
 		return false;
 	json_array_foreach(
-		gate->cut_from, i,
+		injector->cut_from, i,
 		cut) if (!strcmp(name, json_string_value(cut))) return true;
 	return false;
 }
 
-/* Let a request take effect, unless its client has gone meanwhile. */
-static void pass(struct entry *entry)
+/* Forwards a request, unless it was aborted meanwhile. */
+static void forward(struct delayed_request *delayed_request)
 {
-	struct rj_fault_injector *gate = entry->gate;
-	struct rj_http_exchange *request = entry->request;
+	struct rj_fault_injector *injector = delayed_request->injector;
+	struct rj_http_exchange *request = delayed_request->request;
 
-	talloc_free(entry);
+	talloc_free(delayed_request);
 	if (request->aborted)
 		return;
-	gate->pass(gate->private_data, request);
+	injector->forward(injector->private_data, request);
 }
 
-/* A slow request has waited long enough. */
 static void delay_over(struct tevent_context *ev, struct tevent_timer *timer,
 		       struct timeval now, void *private_data)
 {
-	pass(private_data);
+	forward(private_data);
 }
 
-/* Let the request pass now, or after the delay. */
-static void pass_slowly(struct entry *entry)
+/* Forwards the request now, or after the delay. */
+static void forward_delayed(struct delayed_request *delayed_request)
 {
 	struct tevent_timer *timer;
 
-	if (!entry->gate->slow_us) {
-		pass(entry);
+	if (!delayed_request->injector->delay_us) {
+		forward(delayed_request);
 		return;
 	}
-	timer = tevent_add_timer(entry->gate->ev, entry,
-				 rj_clock_timeval_in(entry->gate->slow_us),
-				 delay_over, entry);
+	timer = tevent_add_timer(
+		delayed_request->injector->ev, delayed_request,
+		rj_clock_timeval_in(delayed_request->injector->delay_us),
+		delay_over, delayed_request);
 	assert(timer);
 	(void)timer;
 }
 
 /*
- * Apply the faults to a request that has just come in.
+ * Applies the configured faults to a new request.
  */
-void rj_fault_injector_submit(struct rj_fault_injector *gate,
+void rj_fault_injector_submit(struct rj_fault_injector *injector,
 			      struct rj_http_exchange *request)
 {
-	struct entry *entry;
+	struct delayed_request *delayed_request;
 
-	if (gate->outage || rj_fault_injector_blocks(gate, request)) {
+	if (injector->outage || rj_fault_injector_blocks(injector, request)) {
 		rj_http_exchange_abort(request);
 		return;
 	}
-	if (!gate->paused && !gate->slow_us) {
-		gate->pass(gate->private_data, request);
+	if (!injector->paused && !injector->delay_us) {
+		injector->forward(injector->private_data, request);
 		return;
 	}
-	entry = talloc_zero(request, struct entry);
-	assert(entry);
-	rj_list_init(&entry->link);
-	entry->gate = gate;
-	entry->request = request;
-	talloc_set_destructor(entry, entry_destructor);
-	if (gate->paused)
-		rj_list_append(&gate->waiting, &entry->link);
+	delayed_request = talloc_zero(request, struct delayed_request);
+	assert(delayed_request);
+	rj_list_init(&delayed_request->link);
+	delayed_request->injector = injector;
+	delayed_request->request = request;
+	talloc_set_destructor(delayed_request, delayed_request_destructor);
+	if (injector->paused)
+		rj_list_append(&injector->waiting, &delayed_request->link);
 	else
-		pass_slowly(entry);
+		forward_delayed(delayed_request);
 }
 
-/* Let what came during the pause take effect, in its order. */
-static void end_pause(struct rj_fault_injector *gate)
+/* Forwards the requests received during the pause, in their order. */
+static void release_paused(struct rj_fault_injector *injector)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	RJ_FOR_EACH (at, next, &gate->waiting) {
-		struct entry *entry = RJ_CONTAINER(at, struct entry, link);
+	RJ_FOR_EACH (at, next, &injector->waiting) {
+		struct delayed_request *delayed_request =
+			RJ_CONTAINER(at, struct delayed_request, link);
 
 		rj_list_remove(at);
-		pass_slowly(entry);
+		forward_delayed(delayed_request);
 	}
 }
 
-/* Close what the clients that are now cut off have open. */
-static void abort_cut(struct rj_fault_injector *gate,
-		      struct rj_http_server *server,
-		      const struct rj_http_exchange *asking)
+/* Aborts the open requests of blocked clients, except `fault_request`. */
+static void abort_blocked(struct rj_fault_injector *injector,
+			  struct rj_http_server *server,
+			  const struct rj_http_exchange *fault_request)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -144,13 +145,12 @@
 		struct rj_http_exchange *request =
 			RJ_CONTAINER(at, struct rj_http_exchange, link);
 
-		if (request != asking &&
-		    rj_fault_injector_blocks(gate, request))
+		if (request != fault_request &&
+		    rj_fault_injector_blocks(injector, request))
 			rj_http_exchange_abort(request);
 	}
 }
 
-/* Whether `cut` is a list of strings. */
 static bool is_name_list(const json_t *cut)
 {
 	const json_t *name;
@@ -164,8 +164,8 @@
 }
 
 /*
- * Read a boolean of `faults` into `value`, which stays when it is left out.
- * Returns -1 when the field has another type.
+ * Reads a boolean of `faults` into `value`, which is unchanged if the field
+ * is missing. Returns 0, or -1 if the field has another type.
  */
 int rj_fault_read_bool(const json_t *faults, const char *field, bool *value)
 {
@@ -180,7 +180,7 @@
 }
 
 /*
- * As rj_fault_read_bool, for a count from 0.
+ * Like rj_fault_read_bool, for an integer of at least 0.
  */
 int rj_fault_read_count(const json_t *faults, const char *field,
 			uint64_t *value)
@@ -196,19 +196,20 @@
 }
 
 /*
- * Take the fields of `faults` that belong here: outage, pause, slow_ms and
- * cut_from. `asking` is the request that carries them and is spared.
- * Returns 0, or -1 when a field has another type; nothing changes then.
+ * Applies the fields outage, pause, slow_ms and cut_from of `faults`; missing
+ * fields are unchanged. `fault_request` is the request with the fields, or
+ * NULL; it is not aborted. Returns 0, or -1 without any change if a field has
+ * another type.
  */
-int rj_fault_injector_configure(struct rj_fault_injector *gate,
+int rj_fault_injector_configure(struct rj_fault_injector *injector,
 				struct rj_http_server *server,
 				const json_t *faults,
-				const struct rj_http_exchange *asking)
+				const struct rj_http_exchange *fault_request)
 {
 	json_t *cut_from = json_object_get(faults, "cut_from");
-	uint64_t slow_ms = gate->slow_us / RJ_US_PER_MS;
-	bool outage = gate->outage;
-	bool paused = gate->paused;
+	uint64_t slow_ms = injector->delay_us / RJ_US_PER_MS;
+	bool outage = injector->outage;
+	bool paused = injector->paused;
 
 	if (!json_is_object(faults) ||
 	    rj_fault_read_bool(faults, "outage", &outage) ||
@@ -216,27 +217,27 @@
 	    rj_fault_read_count(faults, "slow_ms", &slow_ms) ||
 	    (cut_from && !is_name_list(cut_from)))
 		return -1;
-	gate->slow_us = slow_ms * RJ_US_PER_MS;
-	gate->outage = outage;
-	gate->paused = paused;
+	injector->delay_us = slow_ms * RJ_US_PER_MS;
+	injector->outage = outage;
+	injector->paused = paused;
 	if (cut_from) {
-		json_decref(gate->cut_from);
-		gate->cut_from = json_incref(cut_from);
-		abort_cut(gate, server, asking);
+		json_decref(injector->cut_from);
+		injector->cut_from = json_incref(cut_from);
+		abort_blocked(injector, server, fault_request);
 	}
-	if (gate->outage)
-		rj_http_server_abort_open(server, asking);
-	if (!gate->paused)
-		end_pause(gate);
+	if (injector->outage)
+		rj_http_server_abort_open(server, fault_request);
+	if (!injector->paused)
+		release_paused(injector);
 	return 0;
 }
 
 /*
- * Forget the faults. The server must have been finished before.
+ * Frees the faults. The server must be finished first.
  */
-void rj_fault_injector_finish(struct rj_fault_injector *gate)
+void rj_fault_injector_finish(struct rj_fault_injector *injector)
 {
-	assert(gate->waiting.next == &gate->waiting);
-	json_decref(gate->cut_from);
-	gate->cut_from = NULL;
+	assert(injector->waiting.next == &injector->waiting);
+	json_decref(injector->cut_from);
+	injector->cut_from = NULL;
 }
--- a/src/libstandin/list_history.c
+++ b/src/libstandin/list_history.c
@@ -5,18 +5,19 @@
 #include <talloc.h>
 
 /*
- * Note a change of the line of `name` in the list of version `before`.
+ * Records a change of instance `name` in the list of version
+ * `version_before`.
  */
 void rj_standin_history_record(struct rj_standin_history *history,
-			       uint64_t before, const char *name)
+			       uint64_t version_before, const char *name)
 {
 	uint64_t at = history->count++ % RJ_STANDIN_HISTORY_MAX;
 
-	history->changes[at].before = before;
+	history->changes[at].version_before = version_before;
 	(void)rj_name_set(history->changes[at].name, name);
 }
 
-/* Add what has become of the line of `name`. */
+/* Adds the current entry of `name` to the answer, or its removal. */
 static void add_change(struct rj_instances_answer *answer, const char *name,
 		       const struct rj_instance *instances, uint32_t count)
 {
@@ -30,9 +31,9 @@
 }
 
 /*
- * Fill `answer` with what differs from the version `known` in the list as it
- * is now, as talloc children of `mem`. False if that version is not known any
- * more: then the list goes whole.
+ * Fills `answer` with the changes from version `known` to the current list,
+ * as talloc children of `mem`. Returns false if the history does not reach
+ * back to that version: the whole list must be sent then.
  */
 bool rj_standin_history_since(const struct rj_standin_history *history,
 			      void *mem, uint64_t known,
@@ -46,8 +47,8 @@
 	uint64_t from = history->count;
 
 	while (from > oldest &&
-	       history->changes[(from - 1) % RJ_STANDIN_HISTORY_MAX].before !=
-		       known)
+	       history->changes[(from - 1) % RJ_STANDIN_HISTORY_MAX]
+			       .version_before != known)
 		from--;
 	if (from-- == oldest || !known)
 		return false;
--- a/src/libstandin/platform.c
+++ b/src/libstandin/platform.c
@@ -10,14 +10,14 @@
 #include "stream.h"
 
 #define CONNECTIONS_MAX 4096
-/* Several records of the largest size in one append. */
+/* Allows several records of the maximum size in one append. */
 #define BODY_MAX_BYTES (8U * 1024 * 1024)
 #define READ_WAIT_MAX_MS 30000
-/* A tenth of a second's appends may come at once. */
+/* Allowed burst: the appends of a tenth of a second. */
 #define APPEND_BURST_US (RJ_US_PER_S / 10)
 
-/* A long poll; child of its request. */
-struct reader {
+/* A read or long poll; talloc child of its request. */
+struct pending_read {
 	struct rj_list link;
 	struct rj_standin_platform *platform;
 	struct rj_http_exchange *request;
@@ -26,20 +26,21 @@
 	uint64_t max;
 };
 
-/* A change of the list that is not yet seen; child of the platform. */
+/* A list change that is not visible yet; talloc child of platform->mem. */
 struct list_change {
 	struct rj_standin_platform *platform;
 	struct rj_instance instance;
-	bool gone; /* taken from the list */
+	bool removed; /* deregistered */
 };
 
-/* Answer with a body of the protocol. */
-static void answer(struct rj_http_exchange *request, const char *text)
+/* Answers with status 200 and a JSON text. */
+static void send_json(struct rj_http_exchange *request, const char *text)
 {
 	rj_http_exchange_answer(request, MHD_HTTP_OK, text, strlen(text));
 }
 
-/* The stream `name` without the records whose retention has ended. */
+/* Returns the stream `name`, created if missing, after removal of its expired
+ * records. */
 static struct rj_standin_stream *
 get_stream(struct rj_standin_platform *platform, const char *name)
 {
@@ -57,7 +58,7 @@
 	return stream;
 }
 
-/* Whether the rate allows one more append now. */
+/* Takes one append from the token bucket; false if the rate is exceeded. */
 static bool take_append_credit(struct rj_standin_platform *platform)
 {
 	uint64_t now_us = rj_clock_now_us();
@@ -76,34 +77,38 @@
 	return true;
 }
 
-/* Answer a read with what the stream holds now. */
-static void read_answer(struct reader *reader)
+/* Answers a read with the stream's current records and frees it. */
+static void answer_read(struct pending_read *pending_read)
 {
-	struct rj_http_exchange *request = reader->request;
+	struct rj_http_exchange *request = pending_read->request;
 	struct rj_log_page page;
 
-	rj_standin_stream_read(reader->stream, reader, reader->from,
-			       reader->max, rj_clock_now_us(), &page);
-	answer(request, rj_log_page_encode(request, &page));
-	talloc_free(reader);
+	rj_standin_stream_read(pending_read->stream, pending_read,
+			       pending_read->from, pending_read->max,
+			       rj_clock_now_us(), &page);
+	send_json(request, rj_log_page_encode(request, &page));
+	talloc_free(pending_read);
 }
 
-/* Answer the long polls that waited for what was appended. */
-static void wake_readers(struct rj_standin_platform *platform,
-			 const struct rj_standin_stream *stream)
+/* Answers the long polls that wait for records of `stream`. */
+static void answer_pending_reads(struct rj_standin_platform *platform,
+				 const struct rj_standin_stream *stream)
 {
 	struct rj_list *at;
 	struct rj_list *next;
 
-	RJ_FOR_EACH (at, next, &platform->readers) {
-		struct reader *reader = RJ_CONTAINER(at, struct reader, link);
+	RJ_FOR_EACH (at, next, &platform->pending_reads) {
+		struct pending_read *pending_read =
+			RJ_CONTAINER(at, struct pending_read, link);
 
-		if (reader->stream == stream && reader->from < stream->head)
-			read_answer(reader);
+		if (pending_read->stream == stream &&
+		    pending_read->from < stream->head)
+			answer_read(pending_read);
 	}
 }
 
-/* The records of an append, or NULL when the body is not as it must be. */
+/* Returns the records of an append, which the caller releases, or NULL if the
+ * body is invalid. */
 static json_t *append_records(const struct rj_http_exchange *request)
 {
 	json_t *body =
@@ -124,7 +129,7 @@
 	return NULL;
 }
 
-/* POST /v1/streams/NAME/append, with the faults that an append can have. */
+/* POST /v1/streams/NAME/append, with its injected faults. */
 static void handle_append(struct rj_standin_platform *platform,
 			  struct rj_http_exchange *request, const char *name)
 {
@@ -162,66 +167,68 @@
 		platform->lose_answers--;
 		rj_http_exchange_abort(request);
 	} else {
-		answer(request, rj_append_answer_encode(request, first));
+		send_json(request, rj_append_answer_encode(request, first));
 	}
-	wake_readers(platform, stream);
+	answer_pending_reads(platform, stream);
 }
 
-/* A number of the query, at most `max`; `missing` when it is left out. */
-static uint64_t argument(struct rj_http_exchange *request, const char *name,
-			 uint64_t missing, uint64_t max)
+/* Returns a numeric query argument, at most `max`, or `default_value`. */
+static uint64_t query_number(struct rj_http_exchange *request, const char *name,
+			     uint64_t default_value, uint64_t max)
 {
 	const char *text = rj_http_exchange_argument(request, name);
-	uint64_t value = text ? strtoull(text, NULL, 10) : missing;
+	uint64_t value = text ? strtoull(text, NULL, 10) : default_value;
 
 	return value < max ? value : max;
 }
 
-/* A long poll whose request ends is no longer in the list. */
-static int reader_destructor(struct reader *reader)
+/* Removes a long poll whose request ends from the list. */
+static int reader_destructor(struct pending_read *pending_read)
 {
-	rj_list_remove(&reader->link);
+	rj_list_remove(&pending_read->link);
 	return 0;
 }
 
-/* Nothing was appended while a long poll waited: its answer is empty. */
+/* Answers a long poll that has timed out, with an empty page. */
 static void reader_timeout(struct tevent_context *ev,
 			   struct tevent_timer *timer, struct timeval now,
 			   void *private_data)
 {
-	read_answer(private_data);
+	answer_read(private_data);
 }
 
-/* GET /v1/streams/NAME: at once, or when something is appended. */
+/* GET /v1/streams/NAME: answers at once, or after an append or wait_ms. */
 static void handle_read(struct rj_standin_platform *platform,
 			struct rj_http_exchange *request, const char *name)
 {
-	struct reader *reader = talloc_zero(request, struct reader);
-	uint64_t wait_ms = argument(request, "wait_ms", 0, READ_WAIT_MAX_MS);
+	struct pending_read *pending_read =
+		talloc_zero(request, struct pending_read);
+	uint64_t wait_ms =
+		query_number(request, "wait_ms", 0, READ_WAIT_MAX_MS);
 	struct tevent_timer *timer;
 
-	assert(reader);
-	rj_list_init(&reader->link);
-	talloc_set_destructor(reader, reader_destructor);
-	reader->platform = platform;
-	reader->request = request;
-	reader->stream = get_stream(platform, name);
-	reader->from = argument(request, "from", 0, UINT64_MAX);
-	reader->max =
-		argument(request, "max", RJ_LOG_PAGE_MAX, RJ_LOG_PAGE_MAX);
-	if (reader->from < reader->stream->head || !wait_ms) {
-		read_answer(reader);
+	assert(pending_read);
+	rj_list_init(&pending_read->link);
+	talloc_set_destructor(pending_read, reader_destructor);
+	pending_read->platform = platform;
+	pending_read->request = request;
+	pending_read->stream = get_stream(platform, name);
+	pending_read->from = query_number(request, "from", 0, UINT64_MAX);
+	pending_read->max =
+		query_number(request, "max", RJ_LOG_PAGE_MAX, RJ_LOG_PAGE_MAX);
+	if (pending_read->from < pending_read->stream->head || !wait_ms) {
+		answer_read(pending_read);
 		return;
 	}
-	timer = tevent_add_timer(platform->ev, reader,
+	timer = tevent_add_timer(platform->ev, pending_read,
 				 rj_clock_timeval_in(wait_ms * RJ_US_PER_MS),
-				 reader_timeout, reader);
+				 reader_timeout, pending_read);
 	assert(timer);
 	(void)timer;
-	rj_list_append(&platform->readers, &reader->link);
+	rj_list_append(&platform->pending_reads, &pending_read->link);
 }
 
-/* Where `name` stands in the list, or instance_count. */
+/* Returns the list index of `name`, or instance_count. */
 static uint32_t list_index(const struct rj_standin_platform *platform,
 			   const char *name)
 {
@@ -233,7 +240,7 @@
 	return index;
 }
 
-/* Make a change of the list visible. */
+/* Makes a list change visible and frees it. */
 static void apply_change(struct list_change *change)
 {
 	struct rj_standin_platform *platform = change->platform;
@@ -245,11 +252,11 @@
 		rj_instances_version(platform->instances,
 				     platform->instance_count),
 		change->instance.name);
-	if (change->gone && listed) {
+	if (change->removed && listed) {
 		platform->instance_count--;
 		platform->instances[index] =
 			platform->instances[platform->instance_count];
-	} else if (!change->gone) {
+	} else if (!change->removed) {
 		if (!listed)
 			platform->instances = talloc_realloc(
 				platform->mem, platform->instances,
@@ -260,16 +267,15 @@
 	talloc_free(change);
 }
 
-/* The lag of the list has passed. */
 static void change_due(struct tevent_context *ev, struct tevent_timer *timer,
 		       struct timeval now, void *private_data)
 {
 	apply_change(private_data);
 }
 
-/* Change the list, which shows it after its lag. */
+/* Changes the list after list_lag_us. */
 static void change_list(struct rj_standin_platform *platform,
-			const struct rj_instance *instance, bool gone)
+			const struct rj_instance *instance, bool removed)
 {
 	struct list_change *change =
 		talloc_zero(platform->mem, struct list_change);
@@ -278,7 +284,7 @@
 	assert(change);
 	change->platform = platform;
 	change->instance = *instance;
-	change->gone = gone;
+	change->removed = removed;
 	if (!platform->options.list_lag_us) {
 		apply_change(change);
 		return;
@@ -291,16 +297,17 @@
 	(void)timer;
 }
 
-/* PUT registers an instance, DELETE takes it from the list. */
+/* /v1/instances/NAME: PUT registers an instance, DELETE removes it. */
 static void handle_instance(struct rj_standin_platform *platform,
 			    struct rj_http_exchange *request, const char *name)
 {
-	bool gone = !strcmp(request->method, "DELETE");
+	bool removed = !strcmp(request->method, "DELETE");
 	struct rj_instance instance;
 	struct rj_error err;
 
 	memset(&instance, 0, sizeof(instance));
-	if (!gone && rj_instance_decode(request->body.data, &instance, &err)) {
+	if (!removed &&
+	    rj_instance_decode(request->body.data, &instance, &err)) {
 		rj_http_exchange_error(request, MHD_HTTP_BAD_REQUEST,
 				       err.message);
 		return;
@@ -310,73 +317,78 @@
 				       "name: too long; give a shorter one");
 		return;
 	}
-	change_list(platform, &instance, gone);
-	answer(request, "{}");
+	change_list(platform, &instance, removed);
+	send_json(request, "{}");
 }
 
-/* POST /v1/fault: all of its fields are taken, or none. */
+/* POST /v1/fault: applies all of its fields, or none. */
 static void handle_fault(struct rj_standin_platform *platform,
 			 struct rj_http_exchange *request)
 {
 	json_t *faults =
 		json_loadb(request->body.data, request->body.length, 0, NULL);
-	uint64_t lose = platform->lose_answers;
-	uint64_t drop = platform->drop_appends;
-
-	if (rj_fault_read_count(faults, "lose_next_append_answers", &lose) ||
-	    rj_fault_read_count(faults, "drop_next_appends", &drop) ||
-	    rj_fault_injector_configure(&platform->gate, &platform->server,
-					faults, request)) {
+	uint64_t lose_answers_count = platform->lose_answers;
+	uint64_t drop_appends_count = platform->drop_appends;
+
+	if (rj_fault_read_count(faults, "lose_next_append_answers",
+				&lose_answers_count) ||
+	    rj_fault_read_count(faults, "drop_next_appends",
+				&drop_appends_count) ||
+	    rj_fault_injector_configure(&platform->fault_injector,
+					&platform->server, faults, request)) {
 		rj_http_exchange_error(request, MHD_HTTP_BAD_REQUEST,
 				       "fault: a field has the wrong type; see "
 				       "the platform protocol");
 	} else {
-		platform->lose_answers = lose;
-		platform->drop_appends = drop;
-		answer(request, "{}");
+		platform->lose_answers = lose_answers_count;
+		platform->drop_appends = drop_appends_count;
+		send_json(request, "{}");
 	}
 	json_decref(faults);
 }
 
-/* The part of `path` between `prefix` and `suffix`, or NULL. */
+/* Returns the part of the path between `prefix` and `suffix`, or NULL. */
 static const char *path_name(struct rj_http_exchange *request,
 			     const char *prefix, const char *suffix)
 {
 	const char *path = request->path;
 	size_t length = strlen(path);
-	size_t before = strlen(prefix);
-	size_t after = strlen(suffix);
+	size_t prefix_length = strlen(prefix);
+	size_t suffix_length = strlen(suffix);
 
-	if (length <= before + after || strncmp(path, prefix, before) != 0 ||
-	    strcmp(path + length - after, suffix) != 0)
+	if (length <= prefix_length + suffix_length ||
+	    strncmp(path, prefix, prefix_length) != 0 ||
+	    strcmp(path + length - suffix_length, suffix) != 0)
 		return NULL;
-	return talloc_strndup(request, path + before, length - before - after);
+	return talloc_strndup(request, path + prefix_length,
+			      length - prefix_length - suffix_length);
 }
 
-/* The list, or what differs from the version that the caller knows, or only
- * that nothing does. */
+/* GET /v1/instances: answers with the whole list, with the changes since the
+ * version `known`, or with no more than that version if it is current. */
 static void handle_list(struct rj_standin_platform *platform,
 			struct rj_http_exchange *request)
 {
 	const char *text = rj_http_exchange_argument(request, "known");
 	uint64_t known = text ? strtoull(text, NULL, 16) : 0;
-	bool changes = argument(request, "changes", 0, 1);
+	bool wants_changes = query_number(request, "changes", 0, 1);
 	struct rj_instances_answer part;
 
-	if (changes &&
+	if (wants_changes &&
 	    known != rj_instances_version(platform->instances,
 					  platform->instance_count) &&
 	    rj_standin_history_since(&platform->history, request, known,
 				     platform->instances,
 				     platform->instance_count, &part)) {
-		answer(request, rj_instances_encode_changes(request, &part));
+		send_json(request, rj_instances_encode_changes(request, &part));
 		return;
 	}
-	answer(request, rj_instances_encode(request, platform->instances,
-					    platform->instance_count, known));
+	send_json(request,
+		  rj_instances_encode(request, platform->instances,
+				      platform->instance_count, known));
 }
 
-/* A request that the faults let pass. */
+/* Routes a request that the fault injector has forwarded. */
 static void dispatch(void *private_data, struct rj_http_exchange *request)
 {
 	struct rj_standin_platform *platform = private_data;
@@ -401,7 +413,7 @@
 				       "protocol");
 }
 
-/* Faults are set past the gate, so that an outage can be ended. */
+/* /v1/fault bypasses the fault injector, so that an outage can be ended. */
 static void receive(void *private_data, struct rj_http_exchange *request)
 {
 	struct rj_standin_platform *platform = private_data;
@@ -409,12 +421,12 @@
 	if (!strcmp(request->path, "/v1/fault"))
 		handle_fault(platform, request);
 	else
-		rj_fault_injector_submit(&platform->gate, request);
+		rj_fault_injector_submit(&platform->fault_injector, request);
 }
 
 /*
- * Serve on options->address from `ev`. Returns 0, or -1 with `err` when the
- * address cannot be had.
+ * Listens on options->address and serves it from `ev`. Returns 0, or -1 with
+ * `err` if the server cannot listen.
  */
 int rj_standin_platform_init(struct rj_standin_platform *platform, void *mem,
 			     struct tevent_context *ev,
@@ -433,28 +445,28 @@
 	platform->options = *options;
 	platform->ev = ev;
 	platform->credited_at_us = rj_clock_now_us();
-	rj_list_init(&platform->readers);
+	rj_list_init(&platform->pending_reads);
 	if (rj_http_server_init(&platform->server, mem, ev, &server_options,
 				err))
 		return -1;
 	platform->mem = talloc_named_const(mem, 0, "platform");
 	assert(platform->mem);
-	rj_fault_injector_init(&platform->gate, platform->mem, ev, dispatch,
-			       platform);
+	rj_fault_injector_init(&platform->fault_injector, platform->mem, ev,
+			       dispatch, platform);
 	platform->streams =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return 0;
 }
 
 /*
- * Close all connections and forget all records.
+ * Closes all connections and frees all records. Harmless when repeated.
  */
 void rj_standin_platform_finish(struct rj_standin_platform *platform)
 {
 	if (!platform->mem)
 		return;
 	rj_http_server_finish(&platform->server);
-	rj_fault_injector_finish(&platform->gate);
+	rj_fault_injector_finish(&platform->fault_injector);
 	g_hash_table_destroy(platform->streams);
 	TALLOC_FREE(platform->mem);
 }
--- a/src/libstandin/stream.c
+++ b/src/libstandin/stream.c
@@ -7,7 +7,7 @@
 #define FIRST_CAPACITY 64
 
 /*
- * An empty stream, a talloc child of `mem`.
+ * Returns an empty stream, a talloc child of `mem`.
  */
 struct rj_standin_stream *rj_standin_stream_new(void *mem)
 {
@@ -18,8 +18,8 @@
 	return stream;
 }
 
-/* Make room for one more record behind the newest. */
-static void make_room(struct rj_standin_stream *stream)
+/* Ensures space for one more record, by compaction or growth. */
+static void reserve_slot(struct rj_standin_stream *stream)
 {
 	uint32_t count = (uint32_t)(stream->head - stream->oldest);
 
@@ -40,30 +40,30 @@
 }
 
 /*
- * Append a copy of `text`.
+ * Appends a copy of `text`.
  */
 void rj_standin_stream_append(struct rj_standin_stream *stream,
 			      const char *text, uint64_t now_us)
 {
 	struct rj_standin_record *record;
 
-	make_room(stream);
+	reserve_slot(stream);
 	record =
 		&stream->records[stream->first + stream->head - stream->oldest];
 	record->text = talloc_strdup(stream, text);
 	assert(record->text);
-	record->at_us = now_us;
+	record->appended_at_us = now_us;
 	stream->head++;
 }
 
 /*
- * Drop the records that were appended before `before_us`.
+ * Drops the records that were appended before `before_us`.
  */
 void rj_standin_stream_expire(struct rj_standin_stream *stream,
 			      uint64_t before_us)
 {
 	while (stream->oldest < stream->head &&
-	       stream->records[stream->first].at_us < before_us) {
+	       stream->records[stream->first].appended_at_us < before_us) {
 		talloc_free(stream->records[stream->first].text);
 		stream->first++;
 		stream->oldest++;
@@ -71,18 +71,18 @@
 }
 
 /*
- * Read at most `max` records from offset `from` into `page`, whose list is a
- * talloc child of `mem` and whose texts are the stream's. The page starts at
- * the oldest record when that is newer than `from`.
+ * Reads at most `max` records from offset `from` into `page`. The array is a
+ * talloc child of `mem`; the texts belong to the stream. The page starts at
+ * the oldest record if `from` has expired.
  */
 void rj_standin_stream_read(const struct rj_standin_stream *stream, void *mem,
 			    uint64_t from, uint64_t max, uint64_t now_us,
 			    struct rj_log_page *page)
 {
 	uint64_t at = from < stream->oldest ? stream->oldest : from;
-	uint64_t left = at < stream->head ? stream->head - at : 0;
+	uint64_t available = at < stream->head ? stream->head - at : 0;
 
-	page->count = (uint32_t)(left < max ? left : max);
+	page->count = (uint32_t)(available < max ? available : max);
 	page->oldest = stream->oldest;
 	page->from = at;
 	page->next = at + page->count;
@@ -96,7 +96,7 @@
 
 		page->records[i].offset = at + i;
 		page->records[i].age_ms =
-			(now_us - record->at_us) / RJ_US_PER_MS;
+			(now_us - record->appended_at_us) / RJ_US_PER_MS;
 		page->records[i].text = record->text;
 	}
 }
--- a/src/libstandin/task_ops.c
+++ b/src/libstandin/task_ops.c
@@ -3,7 +3,7 @@
 #include <assert.h>
 #include <string.h>
 
-/* The call has had no effect, for this reason. */
+/* Refuses a call, which had no effect. */
 static void refuse(struct rj_worker_reply *reply, enum rj_reason reason)
 {
 	reply->status = RJ_REPLY_REFUSED;
@@ -11,20 +11,22 @@
 }
 
 /*
- * Whether the call may act on `task`: it names its token, or none.
+ * Whether the call may act on `task`: it has the task's token, or none.
  */
-static bool owns(const struct rj_worker_call *call, const struct rj_task *task)
+static bool token_matches(const struct rj_worker_call *call,
+			  const struct rj_task *task)
 {
 	return !call->token || call->token == task->token;
 }
 
 /*
- * Find or reserve the task of a LEASE or RUN. Returns NULL, with `reply`
- * refused, when it must not or cannot be had.
+ * Finds or reserves the task of a LEASE or RUN call. Returns NULL, with
+ * `reply` refused, if the attempt is fenced or its token is dead, if the
+ * worker is leaving, or if its resources do not suffice.
  *
- * Guards against a call that was held up on its way: it arrives after its
- * attempt was fenced and its job started elsewhere, and would run it twice.
- * A fenced attempt is remembered, so that the late call is refused.
+ * A delayed call may arrive after its attempt was fenced and its job started
+ * elsewhere, and would run the job twice. Fenced attempts are therefore
+ * remembered, and the late call is refused.
  */
 static struct rj_task *lease(struct rj_tasks *tasks,
 			     const struct rj_worker_call *call, uint64_t now_us,
@@ -51,7 +53,7 @@
 	return task;
 }
 
-/* Lease and start in one. */
+/* Leases and starts a task in one call. */
 static struct rj_task *run(struct rj_tasks *tasks,
 			   const struct rj_worker_call *call, uint64_t now_us,
 			   struct rj_worker_reply *reply)
@@ -64,11 +66,11 @@
 }
 
 /*
- * Start under a held token.
+ * Starts a task under the token of its lease.
  *
- * Guards against an owner that was paused past the end of its lease, which
- * would start a job that another instance has settled: a token that has
- * lapsed, was fenced or released, or is unknown never starts a task.
+ * An owner that was paused until after its lease expired would otherwise start
+ * a job that another instance has settled: a token that has expired, was
+ * fenced or released, or is unknown never starts a task.
  */
 static struct rj_task *start(struct rj_tasks *tasks,
 			     const struct rj_worker_call *call, uint64_t now_us,
@@ -86,14 +88,14 @@
 	return task;
 }
 
-/* Extend a lease; of an ended task there is nothing to extend. */
+/* Extends the lease of an active task and takes over its holder. */
 static struct rj_task *renew(struct rj_tasks *tasks,
 			     const struct rj_worker_call *call, uint64_t now_us,
 			     struct rj_worker_reply *reply)
 {
 	struct rj_task *task = rj_tasks_find(tasks, call);
 
-	if (!task || !owns(call, task) || task->fenced ||
+	if (!task || !token_matches(call, task) || task->fenced ||
 	    task->state == RJ_TASK_DEAD) {
 		refuse(reply, RJ_REASON_LEASE_EXPIRED);
 		return task;
@@ -106,8 +108,8 @@
 }
 
 /*
- * Begin to save; rj_tasks_advance stops the task when it is saved, or at the
- * limit.
+ * Starts a checkpoint; rj_tasks_advance stops the task when it is saved, or
+ * at limit_us.
  */
 static void checkpoint(struct rj_task *task, const struct rj_worker_call *call,
 		       uint64_t now_us)
@@ -116,13 +118,13 @@
 		return;
 	rj_task_count_progress(task, now_us);
 	task->saving = true;
-	task->checkpoint_fits = task->checkpoint_us <= call->limit_us;
+	task->checkpoint_completes = task->checkpoint_us <= call->limit_us;
 	task->checkpoint_until_us =
-		now_us +
-		(task->checkpoint_fits ? task->checkpoint_us : call->limit_us);
+		now_us + (task->checkpoint_completes ? task->checkpoint_us :
+						       call->limit_us);
 }
 
-/* Progress is counted up to now before the speed changes. */
+/* Changes the speed of a running task, after counting its progress so far. */
 static void throttle(struct rj_task *task, const struct rj_worker_call *call,
 		     uint64_t now_us)
 {
@@ -131,7 +133,7 @@
 		task->throttle_percent = call->throttle_percent;
 }
 
-/* A running task ends before its time; a held token is dead. */
+/* Stops a running task; the token of a leased task becomes dead. */
 static void stop(struct rj_tasks *tasks, struct rj_task *task, uint64_t now_us)
 {
 	if (task->state == RJ_TASK_RUNNING)
@@ -141,8 +143,9 @@
 }
 
 /*
- * A held token is dead afterwards. Of an ended task the end is forgotten,
- * but not that its attempt was here: a late START or RUN is refused.
+ * Releases a lease or an ended task. The token of a lease becomes dead. The
+ * result of an ended task is dropped, but its attempt stays fenced, so that a
+ * late START or RUN is refused.
  */
 static void release(struct rj_tasks *tasks, struct rj_task *task,
 		    uint64_t now_us, struct rj_worker_reply *reply)
@@ -161,7 +164,8 @@
 	memset(&task->result, 0, sizeof(task->result));
 }
 
-/* Settle an attempt: whatever the answer says of it stays true. */
+/* Settles an attempt: one that the answer reports as not started never starts
+ * afterwards. */
 static struct rj_task *fence(struct rj_tasks *tasks,
 			     const struct rj_worker_call *call, uint64_t now_us)
 {
@@ -177,7 +181,7 @@
 	return task;
 }
 
-/* Renew all leases of the holder that asks for a report. */
+/* Renews all leases of the holder that requests a report. */
 static void renew_holder(struct rj_tasks *tasks,
 			 const struct rj_worker_call *call, uint64_t now_us)
 {
@@ -194,16 +198,17 @@
 	}
 }
 
-/* The operations on a task that is already known. */
-static struct rj_task *act(struct rj_tasks *tasks,
-			   const struct rj_worker_call *call, uint64_t now_us,
-			   struct rj_worker_reply *reply)
+/* Executes CHECKPOINT, THROTTLE, STOP or RELEASE on a known task. */
+static struct rj_task *act_on_task(struct rj_tasks *tasks,
+				   const struct rj_worker_call *call,
+				   uint64_t now_us,
+				   struct rj_worker_reply *reply)
 {
 	struct rj_task *task = rj_tasks_find(tasks, call);
 
 	if (!task)
 		return NULL;
-	if (!owns(call, task)) {
+	if (!token_matches(call, task)) {
 		refuse(reply, RJ_REASON_LEASE_EXPIRED);
 		return task;
 	}
@@ -218,7 +223,7 @@
 	return task;
 }
 
-/* Fill what every answer says. */
+/* Fills the fields common to all replies. */
 static void begin_reply(const struct rj_tasks *tasks,
 			const struct rj_worker_call *call,
 			struct rj_worker_reply *reply)
@@ -234,10 +239,10 @@
 }
 
 /*
- * Carry out one call at `now_us` and fill `reply` with what is true now; its
- * report is left to rj_tasks_report. Returns the task that the call is
- * about, or NULL. Whoever wants the end of a task waits until it is no
- * longer active and then calls rj_tasks_fill_reply.
+ * Executes one call at `now_us` and fills `reply`, except for its report; see
+ * rj_tasks_report. Returns the task of the call, or NULL. To reply with the
+ * end of a task, wait until it is no longer active, then call
+ * rj_tasks_fill_reply.
  */
 struct rj_task *rj_tasks_call(struct rj_tasks *tasks,
 			      const struct rj_worker_call *call,
@@ -261,7 +266,7 @@
 	else if (call->op == RJ_WORKER_REPORT)
 		renew_holder(tasks, call, now_us);
 	else
-		task = act(tasks, call, now_us, reply);
+		task = act_on_task(tasks, call, now_us, reply);
 	rj_tasks_advance(tasks, now_us);
 	if (task)
 		rj_tasks_fill_reply(tasks, task, now_us, reply);
@@ -269,7 +274,8 @@
 }
 
 /*
- * Put what is known of `task` at `now_us` into `reply`.
+ * Fills `reply` with the state of `task` at `now_us`. The result belongs to
+ * the task.
  */
 void rj_tasks_fill_reply(struct rj_tasks *tasks, struct rj_task *task,
 			 uint64_t now_us, struct rj_worker_reply *reply)
--- a/src/libstandin/worker.c
+++ b/src/libstandin/worker.c
@@ -8,10 +8,10 @@
 #include "private/wire.h"
 #include "private/worker_wire.h"
 
-/* A body of the largest size as base64, and the other fields. */
+/* Allows a body of the maximum size as base64, and the other fields. */
 #define BODY_MAX_BYTES (2U * RJ_BODY_MAX_BYTES)
 
-/* A call that waits for the end of its task; child of its request. */
+/* A call that waits for the end of its task; talloc child of its request. */
 struct waiter {
 	struct rj_list link;
 	struct rj_http_exchange *request;
@@ -19,9 +19,9 @@
 	struct rj_worker_reply reply;
 };
 
-static void arm(struct rj_standin_worker *worker);
+static void arm_timer(struct rj_standin_worker *worker);
 
-/* Send an answer, unless a fault takes its place. */
+/* Sends an answer, subject to the injected faults. */
 static void send_answer(struct rj_standin_worker *worker,
 			struct rj_http_exchange *request,
 			const struct rj_worker_call *call,
@@ -48,7 +48,7 @@
 	talloc_free(last);
 }
 
-/* Answer the calls whose tasks have come to their end. */
+/* Answers the waiting calls whose tasks have ended. */
 static void answer_waiters(struct rj_standin_worker *worker, uint64_t now_us)
 {
 	struct rj_list *at;
@@ -66,7 +66,7 @@
 		rj_tasks_fill_reply(&worker->tasks, task, now_us,
 				    &waiter->reply);
 		if (waiter->call.op != RJ_WORKER_CHECKPOINT)
-			task->told =
+			task->end_reported =
 				!rj_http_exchange_disconnected(waiter->request);
 		send_answer(worker, waiter->request, &waiter->call,
 			    &waiter->reply);
@@ -74,7 +74,7 @@
 	}
 }
 
-/* A lease, a task or a checkpoint has come to its end. */
+/* Advances the tasks when a lease, task or checkpoint is due. */
 static void task_due(struct tevent_context *ev, struct tevent_timer *timer,
 		     struct timeval now, void *private_data)
 {
@@ -83,13 +83,13 @@
 
 	worker->timer = NULL;
 	rj_tasks_advance(&worker->tasks, now_us);
-	if (!worker->gate.paused)
+	if (!worker->fault_injector.paused)
 		answer_waiters(worker, now_us);
-	arm(worker);
+	arm_timer(worker);
 }
 
-/* Set the timer for what is due next. */
-static void arm(struct rj_standin_worker *worker)
+/* Arms the timer for the next due time. */
+static void arm_timer(struct rj_standin_worker *worker)
 {
 	uint64_t due_us = rj_tasks_due_us(&worker->tasks);
 	uint64_t now_us = rj_clock_now_us();
@@ -104,7 +104,7 @@
 	assert(worker->timer);
 }
 
-/* Whether the call is answered only when its task is no longer active. */
+/* Whether the call is answered only once its task is no longer active. */
 static bool waits_for_end(const struct rj_worker_call *call,
 			  const struct rj_worker_reply *reply,
 			  const struct rj_task *task)
@@ -117,14 +117,14 @@
 	       (call->op == RJ_WORKER_START && call->wait);
 }
 
-/* A call whose client has gone is no longer in the list. */
+/* Removes a call whose request ends from the list. */
 static int waiter_destructor(struct waiter *waiter)
 {
 	rj_list_remove(&waiter->link);
 	return 0;
 }
 
-/* Keep a call until answer_waiters finds its task ended. */
+/* Keeps a call until answer_waiters finds its task ended. */
 static void wait_for_end(struct rj_standin_worker *worker,
 			 struct rj_http_exchange *request,
 			 const struct rj_worker_call *call,
@@ -141,31 +141,32 @@
 	talloc_set_destructor(waiter, waiter_destructor);
 }
 
-/* The report, as old as the lag allows. */
+/* Fills in the report, or a cached one that is less than report_lag_us old. */
 static void fill_report(struct rj_standin_worker *worker, void *mem,
 			uint64_t now_us, struct rj_worker_report *report)
 {
 	bool fresh =
-		worker->old_report_mem &&
-		worker->old_report.incarnation == worker->tasks.incarnation &&
-		now_us < worker->old_report_at_us + worker->report_lag_us;
+		worker->cached_report_mem &&
+		worker->cached_report.incarnation ==
+			worker->tasks.incarnation &&
+		now_us < worker->cached_report_at_us + worker->report_lag_us;
 
 	if (!worker->report_lag_us) {
 		rj_tasks_report(&worker->tasks, mem, now_us, report);
 		return;
 	}
 	if (!fresh) {
-		talloc_free(worker->old_report_mem);
-		worker->old_report_mem =
+		talloc_free(worker->cached_report_mem);
+		worker->cached_report_mem =
 			talloc_named_const(worker->mem, 0, "report");
-		rj_tasks_report(&worker->tasks, worker->old_report_mem, now_us,
-				&worker->old_report);
-		worker->old_report_at_us = now_us;
+		rj_tasks_report(&worker->tasks, worker->cached_report_mem,
+				now_us, &worker->cached_report);
+		worker->cached_report_at_us = now_us;
 	}
-	*report = worker->old_report;
+	*report = worker->cached_report;
 }
 
-/* Carry out a call that the faults let pass, and answer it now or later. */
+/* Executes a call and answers it, at once or when its task has ended. */
 static void handle_call(struct rj_standin_worker *worker,
 			struct rj_http_exchange *request,
 			const struct rj_worker_call *call)
@@ -185,14 +186,14 @@
 		wait_for_end(worker, request, call, &reply);
 	} else {
 		if (waits && call->op != RJ_WORKER_CHECKPOINT)
-			task->told = true;
+			task->end_reported = true;
 		send_answer(worker, request, call, &reply);
 	}
 	answer_waiters(worker, now_us);
-	arm(worker);
+	arm_timer(worker);
 }
 
-/* GET /v1/ran: what a check compares with what callers were told. */
+/* GET /v1/ran: all task starts, to be checked against callers' answers. */
 static void handle_ran(struct rj_standin_worker *worker,
 		       struct rj_http_exchange *request)
 {
@@ -204,7 +205,8 @@
 	rj_http_exchange_answer(request, MHD_HTTP_OK, text, strlen(text));
 }
 
-/* Take the fields of POST /v1/fault. Returns -1 when one has another type. */
+/* Applies the fields of POST /v1/fault. Returns 0, or -1 if one has another
+ * type. */
 static int set_faults(struct rj_standin_worker *worker, const json_t *faults,
 		      const struct rj_http_exchange *request)
 {
@@ -221,8 +223,8 @@
 				&worker->cut_answers) ||
 	    rj_fault_read_count(faults, "cross_next_answers",
 				&worker->cross_answers) ||
-	    rj_fault_injector_configure(&worker->gate, &worker->server, faults,
-					request))
+	    rj_fault_injector_configure(&worker->fault_injector,
+					&worker->server, faults, request))
 		return -1;
 	worker->report_lag_us = lag_ms * RJ_US_PER_MS;
 	if (restart) {
@@ -232,7 +234,8 @@
 	return 0;
 }
 
-/* POST /v1/fault; leases go on while it is set, so what is due comes first. */
+/* POST /v1/fault. Leases run on during a fault, so the tasks are advanced
+ * before waiting calls are answered. */
 static void handle_fault(struct rj_standin_worker *worker,
 			 struct rj_http_exchange *request)
 {
@@ -249,14 +252,14 @@
 	json_decref(faults);
 	rj_http_exchange_answer(request, MHD_HTTP_OK, "{}", 2);
 	rj_tasks_advance(&worker->tasks, rj_clock_now_us());
-	if (!worker->gate.paused)
+	if (!worker->fault_injector.paused)
 		answer_waiters(worker, rj_clock_now_us());
-	arm(worker);
+	arm_timer(worker);
 	if (worker->options.changed)
 		worker->options.changed(worker);
 }
 
-/* POST /v1/OP with a call whose operation must be the one of the path. */
+/* POST /v1/OP with a call whose operation must match the path. */
 static void dispatch(void *private_data, struct rj_http_exchange *request)
 {
 	struct rj_standin_worker *worker = private_data;
@@ -280,7 +283,8 @@
 	handle_call(worker, request, &call);
 }
 
-/* Faults and the check are past the gate, so that a pause can be ended. */
+/* /v1/fault and /v1/ran bypass the fault injector, so that a pause can be
+ * ended and starts can be checked during faults. */
 static void receive(void *private_data, struct rj_http_exchange *request)
 {
 	struct rj_standin_worker *worker = private_data;
@@ -290,7 +294,7 @@
 	else if (!strcmp(request->path, "/v1/ran"))
 		handle_ran(worker, request);
 	else if (!strncmp(request->path, "/v1/", strlen("/v1/")))
-		rj_fault_injector_submit(&worker->gate, request);
+		rj_fault_injector_submit(&worker->fault_injector, request);
 	else
 		rj_http_exchange_error(
 			request, MHD_HTTP_NOT_FOUND,
@@ -298,8 +302,8 @@
 }
 
 /*
- * Serve on options->address from `ev`. Returns 0, or -1 with `err` when the
- * address cannot be had.
+ * Listens on options->address and serves it from `ev`. Returns 0, or -1 with
+ * `err` if the server cannot listen.
  */
 int rj_standin_worker_init(struct rj_standin_worker *worker, void *mem,
 			   struct tevent_context *ev,
@@ -322,22 +326,22 @@
 		return -1;
 	worker->mem = talloc_named_const(mem, 0, "worker");
 	assert(worker->mem);
-	rj_fault_injector_init(&worker->gate, worker->mem, ev, dispatch,
-			       worker);
+	rj_fault_injector_init(&worker->fault_injector, worker->mem, ev,
+			       dispatch, worker);
 	rj_tasks_init(&worker->tasks, worker->mem, options->name,
 		      &options->capacity);
 	return 0;
 }
 
 /*
- * Close all connections and forget all tasks.
+ * Closes all connections and frees all tasks. Harmless when repeated.
  */
 void rj_standin_worker_finish(struct rj_standin_worker *worker)
 {
 	if (!worker->mem)
 		return;
 	rj_http_server_finish(&worker->server);
-	rj_fault_injector_finish(&worker->gate);
+	rj_fault_injector_finish(&worker->fault_injector);
 	rj_tasks_finish(&worker->tasks);
 	TALLOC_FREE(worker->mem);
 }
--- a/src/radishjunctiond/core_runner.c
+++ b/src/radishjunctiond/core_runner.c
@@ -13,74 +13,75 @@
 #include "private/clock.h"
 
 /* The actions of one event. */
-struct shell_batch {
-	struct shell_batch *next;
+struct action_batch {
+	struct action_batch *next;
 	struct rj_actions actions;
 };
 
-/* An empty batch, one that was used before if there is any. */
-static struct shell_batch *batch_get(struct shell *shell)
+/* Returns an empty batch, from the free list if possible. */
+static struct action_batch *batch_acquire(struct core_runner *runner)
 {
-	struct shell_batch *batch = shell->spare;
+	struct action_batch *batch = runner->free_batches;
 
 	if (batch) {
-		shell->spare = batch->next;
+		runner->free_batches = batch->next;
 		batch->next = NULL;
 		return batch;
 	}
-	batch = talloc_zero(shell->loop, struct shell_batch);
+	batch = talloc_zero(runner->loop, struct action_batch);
 	assert(batch);
 	rj_actions_init(&batch->actions, batch);
 	return batch;
 }
 
-/* Put a batch that was carried out aside for the next event. */
-static void batch_put(struct shell *shell, struct shell_batch *batch)
+/* Clears an executed batch and returns it to the free list. */
+static void batch_release(struct core_runner *runner,
+			  struct action_batch *batch)
 {
 	rj_actions_clear(&batch->actions);
-	batch->next = shell->spare;
-	shell->spare = batch;
+	batch->next = runner->free_batches;
+	runner->free_batches = batch;
 }
 
-/* Carry out one action. */
-static void carry_out(struct shell *shell, const struct rj_action *action)
+static void execute_action(struct core_runner *runner,
+			   const struct rj_action *action)
 {
 	switch (action->kind) {
 	case RJ_ACTION_ANSWER:
-		shell->callers->ops->answer(shell->callers,
-					    action->u.answer.request_id,
-					    &action->u.answer.answer);
+		runner->callers->ops->answer(runner->callers,
+					     action->u.answer.request_id,
+					     &action->u.answer.answer);
 		break;
 	case RJ_ACTION_APPEND:
-		shell->platform->ops->append(shell->platform,
-					     &action->u.append);
+		runner->platform->ops->append(runner->platform,
+					      &action->u.append);
 		break;
 	case RJ_ACTION_READ:
-		shell->platform->ops->read(shell->platform, &action->u.read);
+		runner->platform->ops->read(runner->platform, &action->u.read);
 		break;
 	case RJ_ACTION_LIST:
-		shell->platform->ops->list(shell->platform);
+		runner->platform->ops->list(runner->platform);
 		break;
 	case RJ_ACTION_WORKER_CALL:
-		shell->workers->ops->call(shell->workers,
-					  &action->u.worker_call);
+		runner->workers->ops->call(runner->workers,
+					   &action->u.worker_call);
 		break;
 	case RJ_ACTION_PEER_CONNECT:
-		shell->peers->ops->connect(shell->peers, action->u.peer.name,
-					   &action->u.peer.address);
+		runner->peers->ops->connect(runner->peers, action->u.peer.name,
+					    &action->u.peer.address);
 		break;
 	case RJ_ACTION_PEER_DROP:
-		shell->peers->ops->drop(shell->peers, action->u.peer.name);
+		runner->peers->ops->drop(runner->peers, action->u.peer.name);
 		break;
 	case RJ_ACTION_PEER_SEND:
-		shell->peers->ops->send(shell->peers, action->u.peer.name,
-					action->u.peer.message);
+		runner->peers->ops->send(runner->peers, action->u.peer.name,
+					 action->u.peer.message);
 		break;
 	case RJ_ACTION_LOG:
 		rj_log_writer_decision(&action->u.log);
 		break;
 	case RJ_ACTION_EXIT:
-		shell->exiting = true;
+		runner->exiting = true;
 		break;
 	case RJ_ACTION_KIND_COUNT:
 		assert(!"an action has a kind");
@@ -88,131 +89,132 @@
 }
 
 /*
- * Arm the timer for the time that the core asks for.
+ * Arms the timer for the core's wake time, unless it fires earlier anyway.
  *
- * A timer of the event loop would follow the calendar clock: set back by an
- * hour, it would fire an hour late, leases would lapse and jobs be lost.
- * The core counts on the monotonic clock, and so does this timer. One that
- * fires too early costs one look.
+ * Event loop timers follow the wall clock. If that were set back by an hour,
+ * they would fire an hour late, leases would expire and jobs be lost. The core
+ * uses the monotonic clock, and so does this timer. A timer that fires too
+ * early costs one comparison of the wake time.
  */
-static void arm_timer(struct shell *shell)
+static void arm_timer(struct core_runner *runner)
 {
-	uint64_t wake_us = rj_core_wake_us(&shell->core);
+	uint64_t wake_us = rj_core_wake_us(&runner->core);
 	struct itimerspec at = { 0 };
 
-	if (wake_us >= shell->armed_us)
+	if (wake_us >= runner->armed_us)
 		return;
 	at.it_value.tv_sec = (time_t)(wake_us / RJ_US_PER_S);
 	at.it_value.tv_nsec = (long)(wake_us % RJ_US_PER_S) * 1000;
-	/* All zero would disarm it. */
+	/* An all-zero value would disarm the timer. */
 	if (!wake_us)
 		at.it_value.tv_nsec = 1;
-	timerfd_settime(shell->timer_fd, TFD_TIMER_ABSTIME, &at, NULL);
-	shell->armed_us = wake_us;
+	timerfd_settime(runner->timer_fd, TFD_TIMER_ABSTIME, &at, NULL);
+	runner->armed_us = wake_us;
 }
 
-/* Carry out all batches in order, those that come meanwhile too. */
-static void carry_out_all(struct shell *shell)
+/* Executes all queued batches in order, including those queued meanwhile. */
+static void execute_batches(struct core_runner *runner)
 {
-	shell->carrying_out = true;
-	while (shell->first) {
-		struct shell_batch *batch = shell->first;
+	runner->executing = true;
+	while (runner->first) {
+		struct action_batch *batch = runner->first;
 
 		for (uint32_t i = 0; i < batch->actions.count; i++)
-			carry_out(shell, &batch->actions.list[i]);
-		shell->first = batch->next;
-		if (!shell->first)
-			shell->last = NULL;
-		batch_put(shell, batch);
+			execute_action(runner, &batch->actions.list[i]);
+		runner->first = batch->next;
+		if (!runner->first)
+			runner->last = NULL;
+		batch_release(runner, batch);
 	}
-	shell->carrying_out = false;
-	arm_timer(shell);
+	runner->executing = false;
+	arm_timer(runner);
 }
 
 /*
- * Take an event: the core decides at once; its actions wait for those of
- * earlier events.
+ * Passes an event to the core and queues the resulting actions behind those
+ * of earlier events.
  *
- * An adapter may deliver from within a call that an action makes (an answer
- * that is known at once). The core is not within `rj_core_process` then, so
- * it may be asked, but to carry out the new actions first would reorder
- * what one event asked for.
+ * An adapter may deliver an event from within an action (when the answer is
+ * known at once). The core is not inside `rj_core_process` then, so it can
+ * process the event, but executing the new actions first would reorder the
+ * actions of the earlier event.
  */
-static void shell_deliver(struct rj_sink *sink, struct rj_event *event)
+static void runner_deliver(struct rj_sink *sink, struct rj_event *event)
 {
-	struct shell *shell = (struct shell *)sink;
-	struct shell_batch *batch = batch_get(shell);
+	struct core_runner *runner = (struct core_runner *)sink;
+	struct action_batch *batch = batch_acquire(runner);
 
 	event->now_us = rj_clock_now_us();
-	shell->exiting = false; /* the core says it again if it still holds */
-	rj_core_process(&shell->core, event, &batch->actions);
-	if (shell->last)
-		shell->last->next = batch;
+	runner->exiting = false; /* the core repeats it if it still applies */
+	rj_core_process(&runner->core, event, &batch->actions);
+	if (runner->last)
+		runner->last->next = batch;
 	else
-		shell->first = batch;
-	shell->last = batch;
-	if (!shell->carrying_out)
-		carry_out_all(shell);
+		runner->first = batch;
+	runner->last = batch;
+	if (!runner->executing)
+		execute_batches(runner);
 }
 
-/* Tell the core that its time has come, if it has. */
+/* Delivers a timer event when the core's wake time has passed; otherwise arms
+ * the timer again. */
 static void on_timer(struct tevent_context *loop, struct tevent_fd *event,
 		     uint16_t flags, void *private_data)
 {
-	struct shell *shell = private_data;
+	struct core_runner *runner = private_data;
 	struct rj_event timer = { .kind = RJ_EVENT_TIMER };
 	uint64_t expirations;
 
-	if (read(shell->timer_fd, &expirations, sizeof(expirations)) < 0)
+	if (read(runner->timer_fd, &expirations, sizeof(expirations)) < 0)
 		return;
-	shell->armed_us = RJ_NEVER_US;
-	if (rj_core_wake_us(&shell->core) <= rj_clock_now_us())
-		shell_deliver(&shell->sink, &timer);
+	runner->armed_us = RJ_NEVER_US;
+	if (rj_core_wake_us(&runner->core) <= rj_clock_now_us())
+		runner_deliver(&runner->sink, &timer);
 	else
-		arm_timer(shell);
+		arm_timer(runner);
 }
 
-/* The shell that a view belongs to. */
-static struct shell *shell_of(struct rj_caller_views *views)
+static struct core_runner *runner_of(struct rj_caller_views *views)
 {
-	return (struct shell *)((char *)views - offsetof(struct shell, views));
+	return (struct core_runner *)((char *)views -
+				      offsetof(struct core_runner, views));
 }
 
 static bool view_ready(struct rj_caller_views *views)
 {
-	return rj_core_ready(&shell_of(views)->core);
+	return rj_core_ready(&runner_of(views)->core);
 }
 
 static json_t *view_status(struct rj_caller_views *views)
 {
-	return rj_core_status(&shell_of(views)->core, rj_clock_now_us());
+	return rj_core_status(&runner_of(views)->core, rj_clock_now_us());
 }
 
 static json_t *view_revision(struct rj_caller_views *views)
 {
-	return rj_core_revision(&shell_of(views)->core);
+	return rj_core_revision(&runner_of(views)->core);
 }
 
 static json_t *view_explain(struct rj_caller_views *views, uint64_t job_id)
 {
-	return rj_core_explain(&shell_of(views)->core, job_id);
+	return rj_core_explain(&runner_of(views)->core, job_id);
 }
 
 static void view_metrics(struct rj_caller_views *views, GString *text)
 {
-	struct shell *shell = shell_of(views);
+	struct core_runner *runner = runner_of(views);
 
 	for (uint32_t i = 0; i < RJ_COUNT_COUNT; i++)
 		g_string_append_printf(text, "radishjunction_%s %" PRIu64 "\n",
 				       rj_counter_string[i],
-				       rj_core_counter(&shell->core, i));
+				       rj_core_counter(&runner->core, i));
 	for (uint32_t i = 0; i < RJ_PEER_CLOSE_COUNT; i++)
 		g_string_append_printf(
 			text,
 			"radishjunction_peer_links_closed{reason=\"%s\"} "
 			"%" PRIu64 "\n",
 			rj_peer_close_reason_string[i],
-			rj_tcp_peers_close_count(shell->links, i));
+			rj_tcp_peers_close_count(runner->tcp_peers, i));
 	g_string_append_printf(text,
 			       "radishjunction_log_lines_lost %" PRIu64 "\n",
 			       rj_log_writer_dropped());
@@ -227,68 +229,72 @@
 };
 
 /*
- * Start a core; the adapters are set by the caller before `shell_start`.
+ * Creates the core and its timer. The caller sets the adapters before
+ * `core_runner_start`.
  *
- * Returns 0, or -1 with `err`: the core's, or RJ_ERR_IO without a timer.
+ * Returns 0, or -1 with `err`: the core's error, or RJ_ERR_IO if the timer
+ * cannot be created.
  */
-int shell_init(struct shell *shell, struct tevent_context *loop,
-	       const struct rj_core_options *options, struct rj_error *err)
+int core_runner_init(struct core_runner *runner, struct tevent_context *loop,
+		     const struct rj_core_options *options,
+		     struct rj_error *err)
 {
-	memset(shell, 0, sizeof(*shell));
-	shell->sink.deliver = shell_deliver;
-	shell->views.ops = &views_ops;
-	shell->loop = loop;
-	shell->armed_us = RJ_NEVER_US;
-	shell->timer_fd =
+	memset(runner, 0, sizeof(*runner));
+	runner->sink.deliver = runner_deliver;
+	runner->views.ops = &views_ops;
+	runner->loop = loop;
+	runner->armed_us = RJ_NEVER_US;
+	runner->timer_fd =
 		timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
-	if (shell->timer_fd < 0)
+	if (runner->timer_fd < 0)
 		return rj_error_set(err, RJ_ERR_IO,
 				    "timer: %s; raise the limit of open files",
 				    strerror(errno));
-	if (rj_core_init(&shell->core, loop, options, err)) {
-		close(shell->timer_fd);
+	if (rj_core_init(&runner->core, loop, options, err)) {
+		close(runner->timer_fd);
 		return -1;
 	}
-	shell->timer_event = tevent_add_fd(loop, loop, shell->timer_fd,
-					   TEVENT_FD_READ, on_timer, shell);
-	assert(shell->timer_event);
+	runner->timer_event = tevent_add_fd(loop, loop, runner->timer_fd,
+					    TEVENT_FD_READ, on_timer, runner);
+	assert(runner->timer_event);
 	return 0;
 }
 
 /*
- * Let the core begin: its first event is a timer.
+ * Starts the core with a first timer event. All adapters must be set.
  */
-void shell_start(struct shell *shell)
+void core_runner_start(struct core_runner *runner)
 {
 	struct rj_event timer = { .kind = RJ_EVENT_TIMER };
 
-	assert(shell->platform && shell->workers);
-	assert(shell->peers && shell->callers);
-	shell_deliver(&shell->sink, &timer);
+	assert(runner->platform && runner->workers);
+	assert(runner->peers && runner->callers);
+	runner_deliver(&runner->sink, &timer);
 }
 
 /*
- * Ask for a graceful stop; `exiting` is set while nothing is open.
+ * Requests a graceful stop. From then on `exiting` is set while no job or
+ * request is open.
  */
-void shell_stop(struct shell *shell)
+void core_runner_stop(struct core_runner *runner)
 {
 	struct rj_event stop = { .kind = RJ_EVENT_STOP };
 
-	shell_deliver(&shell->sink, &stop);
+	runner_deliver(&runner->sink, &stop);
 }
 
 /*
- * Free the core and the batches. No adapter may deliver afterwards.
+ * Frees the core and the batches. No adapter may deliver afterwards.
  */
-void shell_finish(struct shell *shell)
+void core_runner_finish(struct core_runner *runner)
 {
-	TALLOC_FREE(shell->timer_event);
-	close(shell->timer_fd);
-	rj_core_finish(&shell->core);
-	while (shell->spare) {
-		struct shell_batch *batch = shell->spare;
+	TALLOC_FREE(runner->timer_event);
+	close(runner->timer_fd);
+	rj_core_finish(&runner->core);
+	while (runner->free_batches) {
+		struct action_batch *batch = runner->free_batches;
 
-		shell->spare = batch->next;
+		runner->free_batches = batch->next;
 		rj_actions_finish(&batch->actions);
 		talloc_free(batch);
 	}
--- a/src/radishjunctiond/core_runner.h
+++ b/src/radishjunctiond/core_runner.h
@@ -1,13 +1,13 @@
 /*
- * The shell around the decision core: events in from the adapters, actions
- * out to them. It decides nothing.
+ * Drives the decision core: passes events from the adapters to the core and
+ * executes the resulting actions. Contains no scheduling decisions.
  *
- * Life cycle: `shell_init`, then the adapters with `&shell->sink` as their
- * sink, then `shell_start`; the event loop runs until `exiting`;
- * `shell_finish` before the adapters.
+ * Life cycle: `core_runner_init`, then the adapters with `&runner->sink` as
+ * their sink, then `core_runner_start`; the event loop runs until `exiting`;
+ * `core_runner_finish` after the adapters have finished.
  */
-#ifndef RADISHJUNCTIOND_SHELL_H
-#define RADISHJUNCTIOND_SHELL_H
+#ifndef RADISHJUNCTIOND_CORE_RUNNER_H
+#define RADISHJUNCTIOND_CORE_RUNNER_H
 
 #include "radishjunction/adapter.h"
 #include "radishjunction/core.h"
@@ -16,10 +16,10 @@
 
 struct tevent_context;
 struct tevent_fd;
-struct shell_batch;
+struct action_batch;
 
-struct shell {
-	struct rj_sink sink; /* first member, always */
+struct core_runner {
+	struct rj_sink sink; /* must be the first member */
 	struct rj_caller_views views;
 	struct tevent_context *loop;
 	struct rj_core core;
@@ -27,21 +27,22 @@
 	struct rj_workers *workers;
 	struct rj_peers *peers;
 	struct rj_callers *callers;
-	const struct rj_tcp_peers *links; /* for the metrics */
-	struct shell_batch *first; /* actions to carry out, in order */
-	struct shell_batch *last;
-	struct shell_batch *spare;
-	bool carrying_out;
-	bool exiting; /* a stop was asked for, and nothing is open */
+	const struct rj_tcp_peers *tcp_peers; /* for metrics */
+	struct action_batch *first; /* actions to execute, in order */
+	struct action_batch *last;
+	struct action_batch *free_batches;
+	bool executing;
+	bool exiting; /* stop requested and nothing open */
 	int timer_fd;
 	struct tevent_fd *timer_event;
-	uint64_t armed_us;
+	uint64_t armed_us; /* expiry of the timer, or RJ_NEVER_US */
 };
 
-int shell_init(struct shell *shell, struct tevent_context *loop,
-	       const struct rj_core_options *options, struct rj_error *err);
-void shell_start(struct shell *shell);
-void shell_stop(struct shell *shell);
-void shell_finish(struct shell *shell);
+int core_runner_init(struct core_runner *runner, struct tevent_context *loop,
+		     const struct rj_core_options *options,
+		     struct rj_error *err);
+void core_runner_start(struct core_runner *runner);
+void core_runner_stop(struct core_runner *runner);
+void core_runner_finish(struct core_runner *runner);
 
 #endif
--- a/src/radishjunctiond/main.c
+++ b/src/radishjunctiond/main.c
@@ -1,6 +1,6 @@
 /*
  * radishjunctiond: one entry instance. Reads its settings, starts the
- * adapters around the decision core, and runs until it is asked to stop.
+ * adapters around the decision core and runs until SIGTERM or SIGINT.
  */
 #include <argtable2.h>
 #include <assert.h>
@@ -23,43 +23,44 @@
 #include "radishjunction/settings.h"
 #include "core_runner.h"
 
-/* The exit status; --help and the man page list the same. */
+/* Exit status; keep --help and the man page in step. */
 enum exit_code {
 	EXIT_STOPPED = 0, /* after a graceful stop */
 	EXIT_USAGE = 2, /* a bad command line */
-	EXIT_SETTINGS = 3, /* bad settings; all errors were printed */
-	EXIT_START = 4, /* an address is taken or a resource is missing */
-	EXIT_DRAIN = 5, /* the stop was not complete within its limit */
+	EXIT_SETTINGS = 3, /* invalid settings; every error was printed */
+	EXIT_START = 4, /* address in use or resource unavailable */
+	EXIT_DRAIN = 5, /* drain not complete within drain_limit_s */
 };
 
 #define ARG_ERRORS_MAX 20
-/* An idle connection may just be about to be used, or an answer be on its
- * way out; see linger. */
+/* Time for requests and answers in transit on idle connections; see
+ * drain_idle_connections. */
 #define LINGER_US (500 * RJ_US_PER_MS)
-/* Peers and the log give a configuration and the first read well within it. */
-#define START_PATIENCE_US (1 * RJ_US_PER_S)
-/* Low bits of an incarnation that are left to chance. */
+/* Peers and the log normally deliver a configuration and the first page of
+ * records well within this time. */
+#define START_READY_TIMEOUT_US (1 * RJ_US_PER_S)
+/* Low bits of an incarnation that are random. */
 #define INCARNATION_RANDOM_BITS 20
 
-/* Everything that runs in this process. */
 struct daemon {
 	struct tevent_context *loop;
 	const struct rj_settings *settings;
 	uint64_t incarnation;
 	struct rj_planner_topology planner;
-	struct shell shell;
+	struct core_runner runner;
 	struct rj_http_platform platform;
 	struct rj_http_workers workers;
 	struct rj_tcp_peers peers;
 	struct rj_http_callers callers;
 	bool stopping;
-	struct tevent_timer *limit; /* of the stop, then of lingering */
+	struct tevent_timer *timeout_timer; /* sets timed_out */
 	bool timed_out;
 };
 
 /*
- * A number that differs at each start and rises with the calendar, so that a
- * replacement under the same name is told from what it replaced.
+ * Returns an incarnation: the wall clock in milliseconds followed by random
+ * bits. It differs at each start and increases with the wall clock, so that
+ * peers can tell a replacement from the earlier instance of the same name.
  */
 static uint64_t make_incarnation(void)
 {
@@ -72,7 +73,7 @@
 	       randombytes_uniform(1U << INCARNATION_RANDOM_BITS);
 }
 
-/* Start the core with what the settings say. */
+/* Starts the core from the settings. Returns 0, or -1 with `err`. */
 static int start_core(struct daemon *daemon, struct rj_error *err)
 {
 	const struct rj_settings *settings = daemon->settings;
@@ -90,20 +91,20 @@
 	rj_name_set(options.domain, settings->domain);
 	if (rj_planner_topology_init(&daemon->planner, daemon->loop))
 		return rj_error_set(err, RJ_ERR_IO, "planner: no memory");
-	if (shell_init(&daemon->shell, daemon->loop, &options, err)) {
+	if (core_runner_init(&daemon->runner, daemon->loop, &options, err)) {
 		daemon->planner.base.ops->finish(&daemon->planner.base);
 		return -1;
 	}
 	return 0;
 }
 
-/* Start the links to other instances. */
+/* Starts the adapter for peer links. Returns 0, or -1 with `err`. */
 static int start_peers(struct daemon *daemon, struct rj_error *err)
 {
 	const struct rj_settings *settings = daemon->settings;
 	struct rj_tcp_peers_options options = {
 		.loop = daemon->loop,
-		.sink = &daemon->shell.sink,
+		.sink = &daemon->runner.sink,
 		.incarnation = daemon->incarnation,
 		.address = settings->peer_address,
 		.seed = daemon->incarnation,
@@ -115,14 +116,15 @@
 	return rj_tcp_peers_init(&daemon->peers, daemon->loop, &options, err);
 }
 
-/* Start to serve callers. */
+/* Starts the HTTP interface for callers, which accepts no request until
+ * rj_http_callers_serve. Returns 0, or -1 with `err`. */
 static int start_callers(struct daemon *daemon, struct rj_error *err)
 {
 	const struct rj_settings *settings = daemon->settings;
 	struct rj_http_callers_options options = {
 		.loop = daemon->loop,
-		.sink = &daemon->shell.sink,
-		.views = &daemon->shell.views,
+		.sink = &daemon->runner.sink,
+		.views = &daemon->runner.views,
 		.address = settings->caller_address,
 		.body_max_bytes = settings->body_max_bytes,
 		.connections_max = settings->connections_max,
@@ -136,31 +138,32 @@
 				    err);
 }
 
-/* Start everything, or nothing and -1. */
+/* Starts the core and all adapters. Returns 0, or -1 with `err` and
+ * everything stopped again. */
 static int start(struct daemon *daemon, struct rj_error *err)
 {
-	struct shell *shell = &daemon->shell;
+	struct core_runner *runner = &daemon->runner;
 
 	if (start_core(daemon, err))
 		return -1;
 	if (rj_http_platform_init(&daemon->platform, daemon->loop, daemon->loop,
-				  &shell->sink,
+				  &runner->sink,
 				  &daemon->settings->platform_address,
 				  daemon->settings->name, err))
 		goto finish_core;
 	if (rj_http_workers_init(&daemon->workers, daemon->loop, daemon->loop,
-				 &shell->sink, daemon->settings->name, err))
+				 &runner->sink, daemon->settings->name, err))
 		goto finish_platform;
 	if (start_peers(daemon, err))
 		goto finish_workers;
 	if (start_callers(daemon, err))
 		goto finish_peers;
-	shell->platform = &daemon->platform.base;
-	shell->workers = &daemon->workers.base;
-	shell->peers = &daemon->peers.base;
-	shell->callers = &daemon->callers.base;
-	shell->links = &daemon->peers;
-	shell_start(shell);
+	runner->platform = &daemon->platform.base;
+	runner->workers = &daemon->workers.base;
+	runner->peers = &daemon->peers.base;
+	runner->callers = &daemon->callers.base;
+	runner->tcp_peers = &daemon->peers;
+	core_runner_start(runner);
 	return 0;
 
 finish_peers:
@@ -170,23 +173,22 @@
 finish_platform:
 	daemon->platform.base.ops->finish(&daemon->platform.base);
 finish_core:
-	shell_finish(shell);
+	core_runner_finish(runner);
 	daemon->planner.base.ops->finish(&daemon->planner.base);
 	return -1;
 }
 
-/* Free everything that `start` started. */
 static void finish(struct daemon *daemon)
 {
 	daemon->callers.base.ops->finish(&daemon->callers.base);
 	daemon->peers.base.ops->finish(&daemon->peers.base);
 	daemon->workers.base.ops->finish(&daemon->workers.base);
 	daemon->platform.base.ops->finish(&daemon->platform.base);
-	shell_finish(&daemon->shell);
+	core_runner_finish(&daemon->runner);
 	daemon->planner.base.ops->finish(&daemon->planner.base);
 }
 
-/* Write an address as callers write it, an IPv6 number in brackets. */
+/* Prints a JSON member; an IPv6 address is put in brackets, as in a URL. */
 static void print_address(const char *name, const struct rj_address *address)
 {
 	bool brackets = strchr(address->ip, ':') != NULL;
@@ -195,7 +197,8 @@
 	       brackets ? "]" : "", address->port);
 }
 
-/* Tell whoever started this process where it listens. */
+/* Prints the listening addresses as one line of JSON, for the process that
+ * started this one. */
 static void print_listening(const struct daemon *daemon)
 {
 	struct rj_address callers = rj_http_callers_address(&daemon->callers);
@@ -209,7 +212,7 @@
 	fflush(stdout);
 }
 
-/* The first signal starts the graceful stop; later ones change nothing. */
+/* Starts the graceful stop; further signals are ignored. */
 static void on_stop_signal(struct tevent_context *loop,
 			   struct tevent_signal *event, int number, int count,
 			   void *info, void *private_data)
@@ -220,98 +223,100 @@
 		return;
 	daemon->stopping = true;
 	rj_http_callers_drain(&daemon->callers);
-	shell_stop(&daemon->shell);
+	core_runner_stop(&daemon->runner);
 }
 
-/* The limit of the stop, or of lingering, has passed. */
 static void on_time_limit(struct tevent_context *loop,
 			  struct tevent_timer *timer, struct timeval now,
 			  void *private_data)
 {
 	struct daemon *daemon = private_data;
 
-	daemon->limit = NULL; /* the event loop frees it */
+	daemon->timeout_timer = NULL; /* the event loop frees it */
 	daemon->timed_out = true;
 }
 
-/* Set `timed_out` after a delay, in place of an earlier one. */
-static void limit_time(struct daemon *daemon, uint64_t delay_us)
+/* Sets `timed_out` after `delay_us`; replaces any earlier timeout. */
+static void set_timeout(struct daemon *daemon, uint64_t delay_us)
 {
-	talloc_free(daemon->limit);
+	talloc_free(daemon->timeout_timer);
 	daemon->timed_out = false;
-	daemon->limit = tevent_add_timer(daemon->loop, daemon,
-					 rj_clock_timeval_in(delay_us),
-					 on_time_limit, daemon);
-	assert(daemon->limit);
+	daemon->timeout_timer = tevent_add_timer(daemon->loop, daemon,
+						 rj_clock_timeval_in(delay_us),
+						 on_time_limit, daemon);
+	assert(daemon->timeout_timer);
 }
 
-/* Whether nothing is open and the last answer was sent whole. */
+/* Whether no job or request is open and all answers were sent in full. */
 static bool is_drained(const struct daemon *daemon)
 {
-	return daemon->shell.exiting &&
+	return daemon->runner.exiting &&
 	       !rj_http_callers_open_requests(&daemon->callers);
 }
 
 /*
- * Take no more connections, and wait a moment for those that stand idle.
+ * Stops listening and waits up to LINGER_US for idle connections to close.
  *
- * Guards against a request that is on its way on an idle connection when the
- * stop is complete: its caller would see a reset, or hear "not run" though a
- * peer could serve it. Until the connection has ended, the core serves it or
- * hands it on like any other request of the stop.
+ * A request may be in transit on an idle connection when the drain completes.
+ * Closing the connection at once would give its caller a reset, or the answer
+ * "not run" though a peer could serve the request. Until the connection has
+ * closed, the core serves or forwards it like any other request during the
+ * drain.
  */
-static void linger(struct daemon *daemon)
+static void drain_idle_connections(struct daemon *daemon)
 {
 	rj_http_callers_stop_listening(&daemon->callers);
-	limit_time(daemon, LINGER_US);
+	set_timeout(daemon, LINGER_US);
 	while (!is_drained(daemon) ||
 	       (rj_http_callers_connections(&daemon->callers) &&
 		!daemon->timed_out))
 		tevent_loop_once(daemon->loop);
 }
 
-/* The limit of the stop has passed: answer what is open, and say so. */
-static void give_up(struct daemon *daemon)
+/* Ends a drain that exceeded drain_limit_s: logs a warning, answers all open
+ * requests and waits up to LINGER_US for the answers to be sent. */
+static void abort_drain(struct daemon *daemon)
 {
 	g_warning("the stop was not complete after %u s; raise "
 		  "drain_limit_s or see what its jobs wait for",
 		  daemon->settings->drain_limit_s);
 	rj_http_callers_stop_dispatch(&daemon->callers);
-	limit_time(daemon, LINGER_US);
+	set_timeout(daemon, LINGER_US);
 	while (rj_http_callers_open_requests(&daemon->callers) &&
 	       !daemon->timed_out)
 		tevent_loop_once(daemon->loop);
 }
 
-/* Let callers in when there is something to serve them with, or it is clear
- * that this takes longer: then they are told so. */
-static void open_door(struct daemon *daemon)
+/* Accepts callers once the core is ready, or after START_READY_TIMEOUT_US;
+ * requests are refused then until it is ready. */
+static void start_serving(struct daemon *daemon)
 {
-	limit_time(daemon, START_PATIENCE_US);
-	while (!rj_core_ready(&daemon->shell.core) && !daemon->timed_out &&
+	set_timeout(daemon, START_READY_TIMEOUT_US);
+	while (!rj_core_ready(&daemon->runner.core) && !daemon->timed_out &&
 	       !daemon->stopping)
 		tevent_loop_once(daemon->loop);
 	rj_http_callers_serve(&daemon->callers);
 }
 
-/* Run until the stop is complete and the last answer is sent whole. */
+/* Serves until a stop is requested, then drains. */
 static enum exit_code run(struct daemon *daemon)
 {
-	open_door(daemon);
+	start_serving(daemon);
 	while (!daemon->stopping)
 		tevent_loop_once(daemon->loop);
-	limit_time(daemon, daemon->settings->drain_limit_s * RJ_US_PER_S);
+	set_timeout(daemon, daemon->settings->drain_limit_s * RJ_US_PER_S);
 	while (!daemon->timed_out && !is_drained(daemon))
 		tevent_loop_once(daemon->loop);
 	if (daemon->timed_out) {
-		give_up(daemon);
+		abort_drain(daemon);
 		return EXIT_DRAIN;
 	}
-	linger(daemon);
+	drain_idle_connections(daemon);
 	return EXIT_STOPPED;
 }
 
-/* Read and check the settings; prints every error and returns NULL. */
+/* Reads and validates the settings. Returns a talloc child of `mem`, or NULL
+ * after printing every error. */
 static struct rj_settings *load_settings(void *mem, const char *path)
 {
 	struct rj_settings *settings;
@@ -337,8 +342,8 @@
 	return settings;
 }
 
-/* Serve with the settings in `path`. */
-static enum exit_code serve(const char *path)
+/* Runs the daemon with the settings file `path`. */
+static enum exit_code run_daemon(const char *path)
 {
 	struct tevent_context *loop = tevent_context_init(NULL);
 	struct daemon *daemon = talloc_zero(loop, struct daemon);
@@ -369,7 +374,6 @@
 	return status;
 }
 
-/* Print how the program is used. */
 static void print_help(void **table)
 {
 	printf("Usage: radishjunctiond");
@@ -407,7 +411,7 @@
 		fprintf(stderr, "see radishjunctiond --help\n");
 		status = EXIT_USAGE;
 	} else {
-		status = serve(settings->filename[0]);
+		status = run_daemon(settings->filename[0]);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	curl_global_cleanup();
--- a/src/share/http_server.c
+++ b/src/share/http_server.c
@@ -10,13 +10,13 @@
 
 #include "private/tcp_socket.h"
 
-/* Connections beyond the limit are accepted to be closed, so that their
-   callers see a refusal and do not wait in the backlog. */
-#define REFUSAL_ROOM 16
+/* Connections above the limit are accepted and closed at once, so that their
+ * clients see a refusal rather than wait in the listen backlog. */
+#define REFUSED_CONNECTIONS_MAX 16
 
-/* Keep `length` more bytes of the body, or note that it is too large. */
-static void take_body(struct rj_http_exchange *request, const char *data,
-		      size_t length)
+/* Appends to the body, or sets `too_large` once it exceeds the limit. */
+static void append_body(struct rj_http_exchange *request, const char *data,
+			size_t length)
 {
 	if (request->body.length + length >
 	    request->server->options.body_max_bytes)
@@ -25,8 +25,7 @@
 		rj_buffer_append(&request->body, request, data, length);
 }
 
-/* The socket of the request's connection. */
-static int socket_of(const struct rj_http_exchange *request)
+static int request_socket(const struct rj_http_exchange *request)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		request->connection, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -35,49 +34,50 @@
 }
 
 /*
- * Whether the client of an open request has closed its connection.
+ * Whether the client of an open request has closed its connection. Does not
+ * block.
  */
 bool rj_http_exchange_disconnected(const struct rj_http_exchange *request)
 {
 	char byte;
-	ssize_t got = recv(socket_of(request), &byte, sizeof(byte),
+	ssize_t got = recv(request_socket(request), &byte, sizeof(byte),
 			   MSG_PEEK | MSG_DONTWAIT);
 
 	return !got || (got < 0 && errno != EAGAIN && errno != EINTR);
 }
 
 /*
- * The socket of a suspended connection can be read: its client has closed
- * it, or has sent its next request early.
+ * Handles a readable socket of a suspended connection: the client has closed
+ * it, or has already sent its next request.
  *
- * Guards against connections that are never given back: libmicrohttpd does
- * not watch a suspended connection, so that the limit would fill up with
- * clients that timed out. A closed connection reads as ended.
+ * libmicrohttpd does not watch suspended connections, so without this check
+ * the connections of clients that timed out would count against the limit
+ * until it is exhausted. A closed connection reads as end of file.
  */
 static void watch_ready(struct tevent_context *ev, struct tevent_fd *fde,
 			uint16_t flags, void *private_data)
 {
 	struct rj_http_exchange *request = private_data;
 
-	TALLOC_FREE(request->watch);
+	TALLOC_FREE(request->close_watch);
 	if (rj_http_exchange_disconnected(request))
 		rj_http_exchange_abort(request);
 }
 
-/* Set the connection aside until there is an answer. */
+/* Suspends the connection until there is an answer or the client closes it. */
 static void suspend(struct rj_http_exchange *request)
 {
 	if (request->suspended)
 		return;
 	request->suspended = true;
 	MHD_suspend_connection(request->connection);
-	request->watch =
-		tevent_add_fd(request->server->ev, request, socket_of(request),
-			      TEVENT_FD_READ, watch_ready, request);
-	assert(request->watch);
+	request->close_watch = tevent_add_fd(
+		request->server->ev, request, request_socket(request),
+		TEVENT_FD_READ, watch_ready, request);
+	assert(request->close_watch);
 }
 
-/* Hangs on every request, so that the list of open ones never dangles. */
+/* Removes a freed request from the list of open requests. */
 static int request_destructor(struct rj_http_exchange *request)
 {
 	rj_list_remove(&request->link);
@@ -87,7 +87,7 @@
 	return 0;
 }
 
-/* A request whose headers have come. */
+/* Creates a request once its headers have been received. */
 static struct rj_http_exchange *request_new(struct rj_http_server *server,
 					    struct MHD_Connection *connection,
 					    const char *path,
@@ -107,7 +107,7 @@
 	return request;
 }
 
-/* Hand a whole request to the handler. */
+/* Passes a complete request to the handler; refuses one that is too large. */
 static void handle(struct rj_http_exchange *request)
 {
 	struct rj_http_server *server = request->server;
@@ -115,7 +115,7 @@
 	request->handled = true;
 	rj_list_append(&server->open, &request->link);
 	if (!request->body.data)
-		take_body(request, "", 0);
+		append_body(request, "", 0);
 	if (request->too_large)
 		rj_http_exchange_error(request, MHD_HTTP_CONTENT_TOO_LARGE,
 				       "body: too large; send a smaller one");
@@ -125,7 +125,7 @@
 
 /*
  * libmicrohttpd calls this when the headers are read, for each part of the
- * body, when the request is whole, and again after a resume.
+ * body, when the request is complete, and again after a resume.
  */
 static enum MHD_Result
 access_handler(void *cls, struct MHD_Connection *connection, const char *url,
@@ -140,7 +140,7 @@
 		return MHD_YES;
 	}
 	if (*upload_data_size) {
-		take_body(request, upload_data, *upload_data_size);
+		append_body(request, upload_data, *upload_data_size);
 		*upload_data_size = 0;
 		return MHD_YES;
 	}
@@ -159,7 +159,7 @@
 	return queued;
 }
 
-/* The last byte was sent, or the connection ended before. */
+/* Frees a request whose answer was sent, or whose connection closed early. */
 static void request_completed(void *cls, struct MHD_Connection *connection,
 			      void **con_cls,
 			      enum MHD_RequestTerminationCode code)
@@ -168,7 +168,6 @@
 	*con_cls = NULL;
 }
 
-/* Count the connections that stand. */
 static void connection_changed(void *cls, struct MHD_Connection *connection,
 			       void **socket_context,
 			       enum MHD_ConnectionNotificationCode code)
@@ -181,7 +180,7 @@
 		server->connections--;
 }
 
-/* One connection above the limit is closed as soon as it is accepted. */
+/* Rejects connections above the limit as soon as they are accepted. */
 static enum MHD_Result accept_policy(void *cls, const struct sockaddr *address,
 				     socklen_t length)
 {
@@ -192,8 +191,9 @@
 }
 
 /*
- * Listen on options->address and serve it from `ev`. server->address then
- * has the port. Returns 0, or -1 with `err` when the address cannot be had.
+ * Listens on options->address and serves it from `ev`; server->address
+ * receives the actual port. Returns 0, or -1 with `err` if the server cannot
+ * listen.
  */
 int rj_http_server_init(struct rj_http_server *server, void *mem,
 			struct tevent_context *ev,
@@ -215,7 +215,7 @@
 		MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, accept_policy,
 		server, access_handler, server, MHD_OPTION_LISTEN_SOCKET, fd,
 		MHD_OPTION_CONNECTION_LIMIT,
-		options->connections_max + REFUSAL_ROOM,
+		options->connections_max + REFUSED_CONNECTIONS_MAX,
 		MHD_OPTION_NOTIFY_COMPLETED, request_completed, server,
 		MHD_OPTION_NOTIFY_CONNECTION, connection_changed, server,
 		MHD_OPTION_END);
@@ -232,7 +232,7 @@
 }
 
 /*
- * The value of a header, or NULL; it lives as long as the request.
+ * Returns the value of a header, or NULL; valid as long as the request.
  */
 const char *rj_http_exchange_header(struct rj_http_exchange *request,
 				    const char *name)
@@ -242,7 +242,8 @@
 }
 
 /*
- * The value of a query argument, or NULL; it lives as long as the request.
+ * Returns the value of a query argument, or NULL; valid as long as the
+ * request.
  */
 const char *rj_http_exchange_argument(struct rj_http_exchange *request,
 				      const char *name)
@@ -251,40 +252,40 @@
 					   MHD_GET_ARGUMENT_KIND, name);
 }
 
-/* Wake a suspended request, so that access_handler sends its answer. */
+/* Resumes a suspended connection, so that access_handler sends the answer. */
 static void resume(struct rj_http_exchange *request)
 {
 	rj_list_remove(&request->link);
 	if (!request->suspended)
 		return;
 	request->suspended = false;
-	TALLOC_FREE(request->watch);
+	TALLOC_FREE(request->close_watch);
 	MHD_resume_connection(request->connection);
 	rj_http_loop_kick(&request->server->loop);
 }
 
 /*
- * Send one header more with the answer, which must follow.
+ * Adds a header to the answer. Call at most once, before the answer.
  */
 void rj_http_exchange_add_header(struct rj_http_exchange *request,
 				 const char *name, const char *value)
 {
-	assert(!request->response && !request->extra_name);
-	request->extra_name = talloc_strdup(request, name);
-	request->extra_value = talloc_strdup(request, value);
+	assert(!request->response && !request->extra_header_name);
+	request->extra_header_name = talloc_strdup(request, name);
+	request->extra_header_value = talloc_strdup(request, value);
 }
 
 /*
- * End the connection with the answer, which must follow.
+ * Closes the connection after the answer. Call before the answer.
  */
 void rj_http_exchange_close(struct rj_http_exchange *request)
 {
-	request->last = true;
+	request->close_after_answer = true;
 }
 
 /*
- * Answer with `length` bytes of JSON, which are copied. Once a request; the
- * answer to an aborted one is dropped.
+ * Answers with `length` bytes of JSON, which are copied. Call once for each
+ * request; the answer to an aborted request is dropped.
  */
 void rj_http_exchange_answer(struct rj_http_exchange *request,
 			     unsigned int status, const char *text,
@@ -298,18 +299,19 @@
 	assert(request->response);
 	MHD_add_response_header(request->response, MHD_HTTP_HEADER_CONTENT_TYPE,
 				"application/json");
-	if (request->server->leaving || request->last)
+	if (request->server->draining || request->close_after_answer)
 		MHD_add_response_header(request->response,
 					MHD_HTTP_HEADER_CONNECTION, "close");
-	if (request->extra_name)
-		MHD_add_response_header(request->response, request->extra_name,
-					request->extra_value);
+	if (request->extra_header_name)
+		MHD_add_response_header(request->response,
+					request->extra_header_name,
+					request->extra_header_value);
 	request->status = status;
 	resume(request);
 }
 
 /*
- * Answer with {"error": message}; the message names the remedy.
+ * Answers with {"error": message}; the message states the remedy.
  */
 void rj_http_exchange_error(struct rj_http_exchange *request,
 			    unsigned int status, const char *message)
@@ -324,7 +326,7 @@
 }
 
 /*
- * Close the connection without an answer.
+ * Closes the connection without an answer. Must not follow an answer.
  */
 void rj_http_exchange_abort(struct rj_http_exchange *request)
 {
@@ -336,7 +338,7 @@
 }
 
 /*
- * Abort every request that waits for its answer, but for `except`.
+ * Aborts every open request except `except`, which may be NULL.
  */
 void rj_http_server_abort_open(struct rj_http_server *server,
 			       const struct rj_http_exchange *except)
@@ -354,17 +356,17 @@
 }
 
 /*
- * Clients are to go elsewhere: from now on each answer ends its connection.
- * `requests` tells when all answers have been sent.
+ * Makes each further answer close its connection, so that clients move to
+ * other instances. All answers have been sent once `requests` is 0.
  */
 void rj_http_server_drain(struct rj_http_server *server)
 {
-	server->leaving = true;
+	server->draining = true;
 }
 
 /*
- * Close all connections, without answers to what is open, and stop
- * listening. Not from within a handler.
+ * Stops listening and closes all connections; open requests get no answer.
+ * Must not be called from within a handler.
  */
 void rj_http_server_finish(struct rj_http_server *server)
 {
--- a/src/share/log_writer.c
+++ b/src/share/log_writer.c
@@ -16,32 +16,32 @@
 #include "private/log_event.h"
 
 #define DOMAIN "radishjunction"
-/* The field of a structured message that holds a decision. */
+/* GLib log field with a pointer to the decision. */
 #define DECISION_FIELD "RADISHJUNCTION_DECISION"
-/* Lines wait so long for others, to be written in one call. */
+/* Lines are buffered for this time, to write several with one call. */
 #define FLUSH_US (50 * RJ_US_PER_MS)
-/* A pipe that can be written has room for so much. */
+/* PIPE_BUF: a pipe that polls writable accepts this many bytes. */
 #define WRITE_BYTES 4096
-/* Above this the reader has stalled, and lines are dropped. */
+/* Lines are dropped while more than this is buffered: the reader stalls. */
 #define BUFFER_MAX_BYTES (1024 * 1024)
 
-/* GLib has one writer for the whole process, so this has one state too. */
+/* Global, because GLib has one log writer for each process. */
 static struct {
 	struct tevent_context *loop;
 	struct tevent_timer *timer;
 	char instance[RJ_NAME_BYTES];
 	int fd;
 	GString *buffer;
-	uint64_t lost;
-	uint64_t second; /* of the calendar, that the rates are counted in */
-	GHashTable *rates; /* event -> notes of it in that second */
+	uint64_t dropped;
+	uint64_t rate_second; /* wall clock second of event_counts */
+	GHashTable *event_counts; /* event -> lines in that second */
 } logger;
 
-/* Notes of one event in a second: enough to follow a burst, and few enough
- * that a storm costs no more than a hundredth of a core. */
-#define NOTES_PER_SECOND 60
+/* Rate limit of each event: enough to follow a burst, and few enough that an
+ * event storm costs at most a hundredth of a core. */
+#define EVENT_LINES_PER_SECOND_MAX 60
 
-/* Microseconds of the calendar, so that lines of instances can be merged. */
+/* Wall clock in microseconds, so that logs of instances can be merged. */
 static uint64_t calendar_us(void)
 {
 	struct timespec now;
@@ -52,11 +52,11 @@
 }
 
 /*
- * Write what is buffered, as far as the reader takes it.
+ * Writes as much of the buffer as the reader accepts.
  *
- * Guards against a log reader that stalls: a blocking write would stop the
- * whole instance, and its leases would lapse. A pipe is written only while
- * it has room; what does not fit stays, up to a bound.
+ * With a stalled log reader a blocking write would stop the whole instance,
+ * and its leases would expire. The file is therefore written only while it
+ * polls writable; the rest stays buffered, up to BUFFER_MAX_BYTES.
  */
 static void flush(void)
 {
@@ -79,7 +79,7 @@
 	g_string_erase(logger.buffer, 0, (gssize)done);
 }
 
-/* Write what has gathered, and come back while some of it is left. */
+/* Flushes the buffer; arms the timer again while data is left. */
 static void on_timer(struct tevent_context *loop, struct tevent_timer *timer,
 		     struct timeval now, void *private_data);
 
@@ -101,7 +101,7 @@
 		arm_timer();
 }
 
-/* Append `,"name":"text"`, escaped where it has to be. */
+/* Appends `,"name":"text"`, escaped if necessary. */
 static void add_text(GString *line, const char *name, const char *text)
 {
 	json_t *json;
@@ -121,7 +121,7 @@
 	json_decref(json);
 }
 
-/* Append one line for a decision. */
+/* Appends the fields of a decision. */
 static void add_decision(GString *line, const struct rj_decision_log *decision)
 {
 	add_text(line, "event", rj_decision_event_string[decision->event]);
@@ -142,13 +142,13 @@
 			       decision->considered);
 }
 
-/* Append the fields of a note. */
-static void add_note(GString *line, const struct rj_log_event *note)
+/* Appends the fields of a log event. */
+static void add_log_event(GString *line, const struct rj_log_event *log_event)
 {
 	const struct rj_log_event_field *field;
 
-	add_text(line, "event", note->event);
-	for (field = note->fields; field->name; field++) {
+	add_text(line, "event", log_event->event);
+	for (field = log_event->fields; field->name; field++) {
 		if (field->text)
 			add_text(line, field->name, field->text);
 		else
@@ -157,18 +157,18 @@
 	}
 }
 
-/* Say how many notes of each event were left out in the second before. */
-static void tell_left_out(void)
+/* Logs how many lines of each event were suppressed in the last second. */
+static void log_suppressed_counts(void)
 {
 	GHashTableIter iter;
 	gpointer event;
 	gpointer count;
 
-	g_hash_table_iter_init(&iter, logger.rates);
+	g_hash_table_iter_init(&iter, logger.event_counts);
 	while (g_hash_table_iter_next(&iter, &event, &count)) {
 		uint32_t number = GPOINTER_TO_UINT(count);
 
-		if (number <= NOTES_PER_SECOND)
+		if (number <= EVENT_LINES_PER_SECOND_MAX)
 			continue;
 		g_string_append_printf(logger.buffer, "{\"t_us\":%" PRIu64,
 				       calendar_us());
@@ -176,33 +176,35 @@
 		add_text(logger.buffer, "event", "left_out");
 		add_text(logger.buffer, "of", event);
 		g_string_append_printf(logger.buffer, ",\"count\":%u}\n",
-				       number - NOTES_PER_SECOND);
+				       number - EVENT_LINES_PER_SECOND_MAX);
 	}
-	g_hash_table_remove_all(logger.rates);
+	g_hash_table_remove_all(logger.event_counts);
 }
 
 /*
- * Whether a note of this event may still be written in this second.
+ * Counts a line of `event` and returns whether it is within the rate limit.
  *
- * Guards against a storm that makes the log the main work of an instance:
- * each refused call and each lost run is a line.
+ * Each refused call and each lost run is a line: without a limit an event
+ * storm would make logging the main load of an instance.
  */
 static bool within_rate(const char *event)
 {
-	uint64_t second = calendar_us() / RJ_US_PER_S;
+	uint64_t rate_second = calendar_us() / RJ_US_PER_S;
 	uint32_t count;
 
-	if (second != logger.second) {
-		tell_left_out();
-		logger.second = second;
+	if (rate_second != logger.rate_second) {
+		log_suppressed_counts();
+		logger.rate_second = rate_second;
 	}
-	count = GPOINTER_TO_UINT(g_hash_table_lookup(logger.rates, event)) + 1;
-	g_hash_table_insert(logger.rates, (gpointer)event,
+	count = GPOINTER_TO_UINT(
+			g_hash_table_lookup(logger.event_counts, event)) +
+		1;
+	g_hash_table_insert(logger.event_counts, (gpointer)event,
 			    GUINT_TO_POINTER(count));
-	return count <= NOTES_PER_SECOND;
+	return count <= EVENT_LINES_PER_SECOND_MAX;
 }
 
-/* The value of a field of a structured message, or NULL. */
+/* Returns the value of a GLib log field, or NULL. */
 static const void *field_value(const GLogField *fields, gsize count,
 			       const char *key)
 {
@@ -223,28 +225,30 @@
 	return "debug";
 }
 
-/* GLib's writer: one line of JSON for each message. */
+/* GLogWriterFunc: buffers one line of JSON; warnings and errors are flushed
+ * at once. */
 static GLogWriterOutput write_line(GLogLevelFlags level,
 				   const GLogField *fields, gsize count,
 				   gpointer private_data)
 {
 	const struct rj_decision_log *decision =
 		field_value(fields, count, DECISION_FIELD);
-	const struct rj_log_event *note =
+	const struct rj_log_event *log_event =
 		field_value(fields, count, RJ_LOG_EVENT_FIELD);
 	const char *text = field_value(fields, count, "MESSAGE");
 	GString *line = logger.buffer;
 
-	if (level & G_LOG_LEVEL_DEBUG || (note && !within_rate(note->event)))
+	if (level & G_LOG_LEVEL_DEBUG ||
+	    (log_event && !within_rate(log_event->event)))
 		return G_LOG_WRITER_HANDLED;
 	if (line->len > BUFFER_MAX_BYTES) {
-		logger.lost++;
+		logger.dropped++;
 		return G_LOG_WRITER_HANDLED;
 	}
 	g_string_append_printf(line, "{\"t_us\":%" PRIu64, calendar_us());
 	add_text(line, "instance", logger.instance);
-	if (note) {
-		add_note(line, note);
+	if (log_event) {
+		add_log_event(line, log_event);
 	} else if (decision) {
 		add_decision(line, decision);
 	} else {
@@ -262,22 +266,22 @@
 }
 
 /*
- * Write lines of JSON of all messages to `fd` from now on. `loop` must live
- * until `rj_log_writer_finish`.
+ * Installs the log writer, which writes to `fd` from now on. `loop` must
+ * live until `rj_log_writer_finish`.
  */
 void rj_log_writer_init(struct tevent_context *loop, const char *instance,
 			int fd)
 {
 	logger.loop = loop;
 	logger.fd = fd;
-	logger.rates = g_hash_table_new(g_str_hash, g_str_equal);
+	logger.event_counts = g_hash_table_new(g_str_hash, g_str_equal);
 	g_strlcpy(logger.instance, instance, sizeof(logger.instance));
 	logger.buffer = g_string_new(NULL);
 	g_log_set_writer_func(write_line, NULL, NULL);
 }
 
 /*
- * Log one decision as a line of its own.
+ * Logs one scheduling decision.
  */
 void rj_log_writer_decision(const struct rj_decision_log *decision)
 {
@@ -290,16 +294,16 @@
 }
 
 /*
- * Lines that were dropped because the reader of the log had stalled.
+ * Returns the number of lines dropped because the log reader stalled.
  */
 uint64_t rj_log_writer_dropped(void)
 {
-	return logger.lost;
+	return logger.dropped;
 }
 
 /*
- * Write what is left. GLib takes a writer only once, so this one stays, and
- * writes each later message at once.
+ * Flushes the buffer. GLib accepts a log writer only once, so it stays
+ * installed for later messages.
  */
 void rj_log_writer_finish(void)
 {
