--- a/src/test_libradishjunction/test_accepted.c
+++ b/src/test_libradishjunction/test_accepted.c
@@ -9,8 +9,8 @@
 #define SETTLED_US (5 * RJ_US_PER_S)
 #define LONG_RUN_US (10 * RJ_US_PER_S)
 /* Requests that the fake callers did not make; the transcript names them. */
-#define WAITING_ID 901
-#define REPEAT_ID 902
+#define WAITING_REQUEST_ID 901
+#define REPEAT_REQUEST_ID 902
 #define OUTAGE_US (30 * RJ_US_PER_S)
 
 /*
@@ -84,8 +84,8 @@
 /*
  * Ask the first instance about a caller's job, under an id of the test's.
  */
-static void ask(struct world *world, const struct fake_caller *caller,
-		enum rj_request_op op, uint64_t request_id)
+static void send_request(struct world *world, const struct fake_caller *caller,
+			 enum rj_request_op op, uint64_t request_id)
 {
 	struct node *node = &world->nodes[0];
 	struct rj_event *event =
@@ -127,8 +127,8 @@
 	pack = fake_caller_add(world, 0, &plan);
 	world_run_until(world, SETTLED_US + RJ_US_PER_S);
 	g_assert_cmpuint(pack->job_id, !=, 0);
-	ask(world, pack, RJ_REQUEST_LOOKUP, WAITING_ID);
-	ask(world, pack, RJ_REQUEST_SUBMIT, REPEAT_ID);
+	send_request(world, pack, RJ_REQUEST_LOOKUP, WAITING_REQUEST_ID);
+	send_request(world, pack, RJ_REQUEST_SUBMIT, REPEAT_REQUEST_ID);
 	world_run_until(world, SETTLED_US + 2 * RJ_US_PER_S);
 	fflush(transcript);
 	g_assert_nonnull(strstr(text, "answer id=902 accepted"));
--- a/src/test_libradishjunction/test_checker.c
+++ b/src/test_libradishjunction/test_checker.c
@@ -34,7 +34,7 @@
 }
 
 /* Let a member start and make progress. */
-static void history_run(struct history *history, uint32_t member)
+static void history_run_task(struct history *history, uint32_t member)
 {
 	checker_task_started(
 		&history->checker, history->now_us, &history->attempt,
@@ -44,8 +44,8 @@
 			      &history->attempt, member, true);
 }
 
-static void history_end(struct history *history, uint32_t member,
-			enum rj_task_state state)
+static void history_end_task(struct history *history, uint32_t member,
+			     enum rj_task_state state)
 {
 	checker_task_ended(&history->checker, history->now_us,
 			   &history->attempt, member, state);
@@ -75,8 +75,8 @@
 	struct history history;
 
 	history_start(&history, (struct checker_intent){ .gang = 1 });
-	history_run(&history, 0);
-	history_end(&history, 0, RJ_TASK_DONE);
+	history_run_task(&history, 0);
+	history_end_task(&history, 0, RJ_TASK_DONE);
 	history_answer(&history, RJ_ANSWER_DONE, "whole;");
 	checker_exit(&history.checker, history.now_us, 0);
 	checker_tick(&history.checker, 100 * RJ_US_PER_S);
@@ -89,7 +89,7 @@
  * A tutor's guaranteed shape is occupied by others, and stays so long after
  * every fault has ended. Cause: nothing was reclaimed.
  */
-static void test_guarantee_that_is_not_reclaimed_is_seen(void)
+static void test_guarantee_that_is_not_reclaimed_is_detected(void)
 {
 	struct history history;
 
@@ -106,12 +106,12 @@
 /*
  * One member of a gang computes while the other was never started.
  */
-static void test_gang_that_runs_in_part_is_seen(void)
+static void test_gang_that_runs_in_part_is_detected(void)
 {
 	struct history history;
 
 	history_start(&history, (struct checker_intent){ .gang = 2 });
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history_expect(&history, PROMISE_GANG);
 }
 
@@ -119,7 +119,7 @@
  * A member's worker dies and the other members compute on, renewed for ever
  * by an owner that did not notice.
  */
-static void test_gang_that_outlives_a_member_is_seen(void)
+static void test_gang_that_outlives_a_member_is_detected(void)
 {
 	struct history history;
 
@@ -132,7 +132,7 @@
 			      &history.attempt, 0, true);
 	checker_task_progress(&history.checker, history.now_us,
 			      &history.attempt, 1, true);
-	history_end(&history, 0, RJ_TASK_NONE);
+	history_end_task(&history, 0, RJ_TASK_NONE);
 	checker_tick(&history.checker,
 		     history.now_us + history.checker.lease_life_us);
 	g_assert_cmpuint(checker_violations(&history.checker), ==, 0);
@@ -145,7 +145,7 @@
 /*
  * A buyer reads half of a price, or somebody else's.
  */
-static void test_wrong_results_are_seen(void)
+static void test_wrong_results_are_detected(void)
 {
 	static const char *const wrong[] = { "who", "other;", "",
 					     "whole;whole" };
@@ -154,8 +154,8 @@
 		struct history history;
 
 		history_start(&history, (struct checker_intent){ .gang = 1 });
-		history_run(&history, 0);
-		history_end(&history, 0, RJ_TASK_DONE);
+		history_run_task(&history, 0);
+		history_end_task(&history, 0, RJ_TASK_DONE);
 		history_answer(&history, RJ_ANSWER_DONE, wrong[i]);
 		history_expect(&history, PROMISE_ANSWER);
 	}
@@ -165,12 +165,12 @@
  * A tutor is told "done" while the task still runs, "failed" of one that
  * never started, or two answers to one request.
  */
-static void test_answers_without_their_run_are_seen(void)
+static void test_answers_without_their_run_are_detected(void)
 {
 	struct history history;
 
 	history_start(&history, (struct checker_intent){ .gang = 1 });
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history_answer(&history, RJ_ANSWER_DONE, "whole;");
 	history_expect(&history, PROMISE_ANSWER);
 	history_start(&history, (struct checker_intent){ .gang = 1 });
@@ -185,16 +185,16 @@
 /*
  * A buyer is told "not run"; the quote runs afterwards, or had run before.
  */
-static void test_untrue_not_run_is_seen(void)
+static void test_false_not_run_is_detected(void)
 {
 	struct history history;
 
 	history_start(&history, (struct checker_intent){ .gang = 1 });
 	history_answer(&history, RJ_ANSWER_NOT_RUN, "");
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history_expect(&history, PROMISE_NOT_RUN);
 	history_start(&history, (struct checker_intent){ .gang = 1 });
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history_answer(&history, RJ_ANSWER_NOT_RUN, "");
 	history_expect(&history, PROMISE_NOT_RUN);
 }
@@ -203,7 +203,7 @@
  * A refused attempt is asked again with its key, and the second one runs:
  * that is as it should be.
  */
-static void test_not_run_of_one_of_two_requests_is_true(void)
+static void test_not_run_of_one_of_two_requests_is_valid(void)
 {
 	struct history history;
 
@@ -211,7 +211,7 @@
 	history_answer(&history, RJ_ANSWER_NOT_RUN, "");
 	checker_request(&history.checker, history.now_us, REQUEST + 1, 1,
 			history.intent, RJ_REQUEST_SUBMIT);
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	g_assert_cmpuint(checker_violations(&history.checker), ==, 0);
 	talloc_free(history.mem);
 }
@@ -220,23 +220,23 @@
  * A student is charged twice: two attempts run, of the same body or of two
  * bodies under one key.
  */
-static void test_second_run_is_seen(void)
+static void test_second_run_is_detected(void)
 {
 	struct history history;
 	struct checker_intent other = { .key = 3, .gang = 1 };
 
 	history_start(&history, (struct checker_intent){ .key = 3 });
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history.attempt.owner = 2;
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history_expect(&history, PROMISE_ONCE);
 	history_start(&history, (struct checker_intent){ .key = 3 });
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history.intent = checker_intent_add(&history.checker, &other);
 	checker_request(&history.checker, history.now_us, REQUEST + 1, 1,
 			history.intent, RJ_REQUEST_SUBMIT);
 	history.attempt.job_id = 2;
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history_expect(&history, PROMISE_ONCE);
 }
 
@@ -245,24 +245,28 @@
  * by the instance that knew or by one that could hear it, also when that one
  * hears no third one.
  */
-static void test_work_for_a_leaving_worker_is_seen(void)
+static void test_job_sent_to_a_leaving_worker_is_detected(void)
 {
 	uint64_t late_us = RJ_US_PER_S + CHECKER_LEAVING_US + 1;
-	uint64_t heard[CHECKER_NODES_MAX] = { 0, 0, RJ_NEVER_US };
-	uint64_t later[CHECKER_NODES_MAX] = { late_us };
-	uint64_t never[CHECKER_NODES_MAX] = { RJ_NEVER_US };
+	uint64_t contact_us[CHECKER_NODES_MAX] = { 0, 0, RJ_NEVER_US };
+	uint64_t late_contact_us[CHECKER_NODES_MAX] = { late_us };
+	uint64_t no_contact_us[CHECKER_NODES_MAX] = { RJ_NEVER_US };
 	struct history history;
 
 	for (uint32_t node = 0; node < 2; node++) {
 		history_start(&history, (struct checker_intent){ .gang = 1 });
 		checker_leaving_learnt(&history.checker, RJ_US_PER_S, 0, 5, 1);
 		checker_new_work(&history.checker, late_us - 1, node, 5, 1,
-				 heard);
-		checker_new_work(&history.checker, late_us, node, 5, 2, heard);
-		checker_new_work(&history.checker, late_us, 1, 5, 1, later);
-		checker_new_work(&history.checker, late_us, 1, 5, 1, never);
+				 contact_us);
+		checker_new_work(&history.checker, late_us, node, 5, 2,
+				 contact_us);
+		checker_new_work(&history.checker, late_us, 1, 5, 1,
+				 late_contact_us);
+		checker_new_work(&history.checker, late_us, 1, 5, 1,
+				 no_contact_us);
 		g_assert_cmpuint(checker_violations(&history.checker), ==, 0);
-		checker_new_work(&history.checker, late_us, node, 5, 1, heard);
+		checker_new_work(&history.checker, late_us, node, 5, 1,
+				 contact_us);
 		history_expect(&history, PROMISE_LEAVING);
 	}
 }
@@ -270,7 +274,7 @@
 /*
  * An instance ends its planned stop while a caller still waits on it.
  */
-static void test_exit_with_an_open_request_is_seen(void)
+static void test_exit_with_an_open_request_is_detected(void)
 {
 	struct history history;
 
@@ -286,7 +290,7 @@
  * that is in reach, or that hears a peer that is, one is in force that was never accepted, or the loser of
  * a race is.
  */
-static void test_config_violations_are_seen(void)
+static void test_config_violations_are_detected(void)
 {
 	struct history history;
 
@@ -324,7 +328,7 @@
 /*
  * A tutor was told "accepted", and the lesson pack is never heard of again.
  */
-static void test_lost_accepted_job_is_seen(void)
+static void test_lost_accepted_job_is_detected(void)
 {
 	struct history history;
 
@@ -339,23 +343,25 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/checker/clean", test_clean_history_has_no_violation);
 	g_test_add_func("/checker/guarantee",
-			test_guarantee_that_is_not_reclaimed_is_seen);
+			test_guarantee_that_is_not_reclaimed_is_detected);
 	g_test_add_func("/checker/gang/part",
-			test_gang_that_runs_in_part_is_seen);
+			test_gang_that_runs_in_part_is_detected);
 	g_test_add_func("/checker/gang/outlives",
-			test_gang_that_outlives_a_member_is_seen);
-	g_test_add_func("/checker/answer/result", test_wrong_results_are_seen);
+			test_gang_that_outlives_a_member_is_detected);
+	g_test_add_func("/checker/answer/result",
+			test_wrong_results_are_detected);
 	g_test_add_func("/checker/answer/run",
-			test_answers_without_their_run_are_seen);
-	g_test_add_func("/checker/not_run", test_untrue_not_run_is_seen);
+			test_answers_without_their_run_are_detected);
+	g_test_add_func("/checker/not_run", test_false_not_run_is_detected);
 	g_test_add_func("/checker/not_run/one_of_two",
-			test_not_run_of_one_of_two_requests_is_true);
-	g_test_add_func("/checker/once", test_second_run_is_seen);
+			test_not_run_of_one_of_two_requests_is_valid);
+	g_test_add_func("/checker/once", test_second_run_is_detected);
 	g_test_add_func("/checker/leaving",
-			test_work_for_a_leaving_worker_is_seen);
+			test_job_sent_to_a_leaving_worker_is_detected);
 	g_test_add_func("/checker/stop",
-			test_exit_with_an_open_request_is_seen);
-	g_test_add_func("/checker/config", test_config_violations_are_seen);
-	g_test_add_func("/checker/accepted", test_lost_accepted_job_is_seen);
+			test_exit_with_an_open_request_is_detected);
+	g_test_add_func("/checker/config", test_config_violations_are_detected);
+	g_test_add_func("/checker/accepted",
+			test_lost_accepted_job_is_detected);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_config.c
+++ b/src/test_libradishjunction/test_config.c
@@ -13,7 +13,7 @@
  * A configuration of two racks of eight workers with 8 accelerators each,
  * with the guarantees of one account. Single quotes stand for double ones.
  */
-static char *text_with(void *mem, const char *guarantees)
+static char *config_with_guarantees(void *mem, const char *guarantees)
 {
 	return text_check_json(
 		mem,
@@ -33,8 +33,8 @@
 	struct rj_error_list errors;
 
 	rj_error_list_init(&errors, mem);
-	g_assert_null(
-		rj_config_parse(mem, text_with(mem, guarantees), &errors));
+	g_assert_null(rj_config_parse(
+		mem, config_with_guarantees(mem, guarantees), &errors));
 	text_check_one_error(&errors, path, remedy);
 	talloc_free(mem);
 }
@@ -48,8 +48,9 @@
 	rj_error_list_init(&errors, mem);
 	config = rj_config_parse(
 		mem,
-		text_with(mem, "{'domain':'estrela','tasks':8,'slots':8,"
-			       "'accelerators':8,'adjacent':true,'count':2}"),
+		config_with_guarantees(
+			mem, "{'domain':'estrela','tasks':8,'slots':8,"
+			     "'accelerators':8,'adjacent':true,'count':2}"),
 		&errors);
 	g_assert_nonnull(config);
 	g_assert_cmpuint(errors.count, ==, 0);
@@ -68,7 +69,7 @@
 	talloc_free(mem);
 }
 
-static void test_guarantee_without_its_domain(void)
+static void test_guarantee_in_an_unknown_domain(void)
 {
 	check_one_error("{'domain':'caxias'}",
 			"accounts[0].guarantees[0].domain: \"caxias\"",
@@ -122,14 +123,16 @@
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error_list errors;
-	char *text = text_with(mem, "{'domain':'estrela','accelerators':96,"
-				    "'colour':'red','count':'two'}");
+	char *text = config_with_guarantees(
+		mem, "{'domain':'estrela','accelerators':96,"
+		     "'colour':'red','count':'two'}");
 
 	rj_error_list_init(&errors, mem);
 	g_assert_null(rj_config_parse(mem, text, &errors));
 	g_assert_cmpuint(errors.count, ==, 2);
-	text = text_with(mem, "{'domain':'estrela','accelerators':96,"
-			      "'colour':'red'}");
+	text = config_with_guarantees(mem,
+				      "{'domain':'estrela','accelerators':96,"
+				      "'colour':'red'}");
 	rj_error_list_finish(&errors);
 	g_assert_null(rj_config_parse(mem, text, &errors));
 	g_assert_cmpuint(errors.count, ==, 2);
@@ -138,14 +141,14 @@
 	talloc_free(mem);
 }
 
-static void test_token_names_its_account(void)
+static void test_token_identifies_its_account(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error_list errors;
 	struct rj_config *config;
 
 	rj_error_list_init(&errors, mem);
-	config = rj_config_parse(mem, text_with(mem, ""), &errors);
+	config = rj_config_parse(mem, config_with_guarantees(mem, ""), &errors);
 	g_assert_nonnull(config);
 	rj_token_hash(config->accounts[0].token_hash, "a token");
 	g_assert_true(rj_config_account_by_token(config, "a token") ==
@@ -160,7 +163,7 @@
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error_list errors;
-	char *text = text_with(mem, "");
+	char *text = config_with_guarantees(mem, "");
 	char *two = g_strdup(text);
 	GString *whole = g_string_new(two);
 
@@ -178,14 +181,14 @@
 	talloc_free(mem);
 }
 
-static void test_work_that_cannot_be_interrupted_is_noted(void)
+static void test_uninterruptible_class_is_reported(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error_list list;
 	struct rj_config *config;
 
 	rj_error_list_init(&list, mem);
-	config = rj_config_parse(mem, text_with(mem, ""), &list);
+	config = rj_config_parse(mem, config_with_guarantees(mem, ""), &list);
 	rj_config_notes(config, &list);
 	g_assert_cmpuint(list.count, ==, 0);
 	config->classes[0].idempotent = false;
@@ -200,12 +203,13 @@
  * A publication is cut or mangled on its way. Whatever arrives is parsed
  * whole or refused with an error, and leaves no memory behind.
  */
-static void test_mangled_text(void)
+static void test_corrupted_text(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error_list errors;
-	char *good = text_with(mem, "{'domain':'estrela','tasks':4,"
-				    "'accelerators':8,'adjacent':true}");
+	char *good = config_with_guarantees(
+		mem, "{'domain':'estrela','tasks':4,"
+		     "'accelerators':8,'adjacent':true}");
 	size_t length = strlen(good);
 	uint64_t seed = 11;
 
@@ -231,7 +235,8 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/config/good", test_good_config);
-	g_test_add_func("/config/no-domain", test_guarantee_without_its_domain);
+	g_test_add_func("/config/no-domain",
+			test_guarantee_in_an_unknown_domain);
 	g_test_add_func("/config/no-worker",
 			test_guarantee_that_fits_no_worker);
 	g_test_add_func("/config/no-rack",
@@ -239,10 +244,10 @@
 	g_test_add_func("/config/pack", test_guarantees_pack_as_shapes);
 	g_test_add_func("/config/above", test_guarantees_above_the_capacity);
 	g_test_add_func("/config/all-errors", test_all_errors_at_once);
-	g_test_add_func("/config/token", test_token_names_its_account);
+	g_test_add_func("/config/token", test_token_identifies_its_account);
 	g_test_add_func("/config/same-token", test_two_accounts_share_a_token);
 	g_test_add_func("/config/notes",
-			test_work_that_cannot_be_interrupted_is_noted);
-	g_test_add_func("/config/mangled", test_mangled_text);
+			test_uninterruptible_class_is_reported);
+	g_test_add_func("/config/mangled", test_corrupted_text);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_config_change.c
+++ b/src/test_libradishjunction/test_config_change.c
@@ -58,7 +58,7 @@
 }
 
 /* Whatever the two are, the change makes the one of the other. */
-static void test_any_two_texts(void)
+static void test_change_between_any_two_texts(void)
 {
 	uint32_t made = 0;
 
@@ -87,7 +87,7 @@
 }
 
 /* A site of many accounts, the last of them with that limit. */
-static char *site(void *mem, uint32_t accounts, int limit)
+static char *site_text(void *mem, uint32_t accounts, int limit)
 {
 	json_t *json = json_object();
 	json_t *list = json_array();
@@ -111,12 +111,13 @@
 	void *mem = talloc_new(NULL);
 	struct rj_config_change change;
 
-	g_assert_cmpint(rj_config_change_make(mem, site(mem, ACCOUNTS, 1),
-					      site(mem, ACCOUNTS, 2), &change),
+	g_assert_cmpint(rj_config_change_make(mem, site_text(mem, ACCOUNTS, 1),
+					      site_text(mem, ACCOUNTS, 2),
+					      &change),
 			==, 0);
 	g_assert_cmpuint(strlen(change.patch), <, SMALL_CHANGE_BYTES);
-	g_assert_cmpint(rj_config_change_make(mem, site(mem, ACCOUNTS, 1),
-					      site(mem, ACCOUNTS + 1, 1),
+	g_assert_cmpint(rj_config_change_make(mem, site_text(mem, ACCOUNTS, 1),
+					      site_text(mem, ACCOUNTS + 1, 1),
 					      &change),
 			==, 0);
 	g_assert_cmpuint(strlen(change.patch), <, SMALL_CHANGE_BYTES);
@@ -132,7 +133,7 @@
 }
 
 /* A change whose digest is right for what its operations would give. */
-static char *apply(void *mem, const char *patch)
+static char *apply_patch(void *mem, const char *patch)
 {
 	static const char base[] = "{\"a\":{\"b\":[1,2]},\"c\":3}";
 	struct rj_config_change change;
@@ -191,19 +192,19 @@
 		g_string_new("[{\"op\":\"add\",\"value\":3,\"path\":\"");
 	GString *longer = g_string_new("[");
 
-	g_assert_nonnull(apply(mem, "[]"));
-	g_assert_nonnull(apply(
+	g_assert_nonnull(apply_patch(mem, "[]"));
+	g_assert_nonnull(apply_patch(
 		mem, "[{\"op\":\"replace\",\"path\":\"/c\",\"value\":3}]"));
 	for (uint32_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		g_assert_null(apply(mem, bad[i]));
+		g_assert_null(apply_patch(mem, bad[i]));
 	for (int i = 0; i < 20000; i++)
 		g_string_append(deep, "/a");
 	g_string_append(deep, "\"}]");
-	g_assert_null(apply(mem, deep->str));
+	g_assert_null(apply_patch(mem, deep->str));
 	for (int i = 0; i < RJ_CONFIG_CHANGE_MAX_BYTES; i++)
 		g_string_append_c(longer, ' ');
 	g_string_append_c(longer, ']');
-	g_assert_null(apply(mem, longer->str));
+	g_assert_null(apply_patch(mem, longer->str));
 	g_string_free(deep, TRUE);
 	g_string_free(longer, TRUE);
 	talloc_free(mem);
@@ -241,7 +242,7 @@
 	}
 	g_string_append_c(patch, ']');
 	g_assert_cmpuint(patch->len, <, RJ_CONFIG_CHANGE_MAX_BYTES);
-	g_assert_null(apply(mem, patch->str));
+	g_assert_null(apply_patch(mem, patch->str));
 	g_string_free(value, TRUE);
 	g_string_free(patch, TRUE);
 	g_string_free(path, TRUE);
@@ -251,7 +252,8 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/config-change/any", test_any_two_texts);
+	g_test_add_func("/config-change/any",
+			test_change_between_any_two_texts);
 	g_test_add_func("/config-change/small", test_change_is_small);
 	g_test_add_func("/config-change/bad", test_bad_patches_are_refused);
 	g_test_add_func("/config-change/deep", test_deep_results_are_refused);
--- a/src/test_libradishjunction/test_config_changes.c
+++ b/src/test_libradishjunction/test_config_changes.c
@@ -6,42 +6,44 @@
 #include "support/config_stream.h"
 
 /* What most tests start from: revision 1 in force at some readers. */
-struct site {
+struct fixture {
 	struct config_stream *stream;
 	struct rj_error_list errors;
 	struct rj_config_log readers[2];
 	char *text[8]; /* configurations that differ in one limit */
 };
 
-static void site_init(struct site *site)
+static void fixture_init(struct fixture *fixture)
 {
-	site->stream = config_stream_new();
-	rj_error_list_init(&site->errors, site->stream->mem);
+	fixture->stream = config_stream_new();
+	rj_error_list_init(&fixture->errors, fixture->stream->mem);
 	for (uint32_t i = 0; i < 8; i++)
-		site->text[i] = config_stream_text(site->stream->mem, 10 + i);
-	config_stream_publish(site->stream, "first", 0, site->text[1]);
+		fixture->text[i] =
+			config_stream_text(fixture->stream->mem, 10 + i);
+	config_stream_publish(fixture->stream, "first", 0, fixture->text[1]);
 	for (int i = 0; i < 2; i++) {
-		rj_config_log_init(&site->readers[i], site->stream->mem);
-		config_stream_read(site->stream, &site->readers[i], 1);
+		rj_config_log_init(&fixture->readers[i], fixture->stream->mem);
+		config_stream_read(fixture->stream, &fixture->readers[i], 1);
 	}
 }
 
-static void site_finish(struct site *site)
+static void fixture_finish(struct fixture *fixture)
 {
 	for (int i = 0; i < 2; i++)
-		rj_config_log_finish(&site->readers[i]);
-	config_stream_free(site->stream);
+		rj_config_log_finish(&fixture->readers[i]);
+	config_stream_free(fixture->stream);
 }
 
 /* Whether a reader has that publication and that text in force. */
-static void expect(const struct site *site, const struct rj_config_log *log,
-		   uint64_t revision, const char *id, const char *text)
+static void assert_in_force(const struct fixture *fixture,
+			    const struct rj_config_log *log, uint64_t revision,
+			    const char *id, const char *text)
 {
 	g_assert_cmpuint(rj_config_log_revision(log), ==, revision);
 	g_assert_cmpstr(log->config->id, ==, id);
 	g_assert_cmpstr(
-		rj_config_canonical(site->stream->mem, log->config->text), ==,
-		rj_config_canonical(site->stream->mem, text));
+		rj_config_canonical(fixture->stream->mem, log->config->text),
+		==, rj_config_canonical(fixture->stream->mem, text));
 }
 
 /*
@@ -51,30 +53,34 @@
  */
 static void test_racing_changes(void)
 {
-	struct site site;
+	struct fixture fixture;
 	struct config_stream *stream;
-	struct rj_config_log *log = &site.readers[0];
-
-	site_init(&site);
-	stream = site.stream;
-	config_stream_change(stream, "winner", 1, site.text[1], site.text[2]);
-	config_stream_change(stream, "loser", 1, site.text[1], site.text[3]);
-	config_stream_change(stream, "winner", 1, site.text[1], site.text[2]);
+	struct rj_config_log *log = &fixture.readers[0];
+
+	fixture_init(&fixture);
+	stream = fixture.stream;
+	config_stream_change(stream, "winner", 1, fixture.text[1],
+			     fixture.text[2]);
+	config_stream_change(stream, "loser", 1, fixture.text[1],
+			     fixture.text[3]);
+	config_stream_change(stream, "winner", 1, fixture.text[1],
+			     fixture.text[2]);
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
 			RJ_CONFIG_ACCEPTED);
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
 			RJ_CONFIG_STALE);
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
 			RJ_CONFIG_REPEATED);
-	expect(&site, log, 2, "winner", site.text[2]);
-	config_stream_publish(stream, "whole", 1, site.text[4]);
+	assert_in_force(&fixture, log, 2, "winner", fixture.text[2]);
+	config_stream_publish(stream, "whole", 1, fixture.text[4]);
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
 			RJ_CONFIG_STALE);
-	config_stream_change(stream, "next", 2, site.text[2], site.text[3]);
+	config_stream_change(stream, "next", 2, fixture.text[2],
+			     fixture.text[3]);
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
 			RJ_CONFIG_ACCEPTED);
-	expect(&site, log, 3, "next", site.text[3]);
-	site_finish(&site);
+	assert_in_force(&fixture, log, 3, "next", fixture.text[3]);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -86,21 +92,24 @@
  */
 static void test_change_of_another_base(void)
 {
-	struct site site;
+	struct fixture fixture;
 	struct config_stream *stream;
 
-	site_init(&site);
-	stream = site.stream;
-	config_stream_change(stream, "lost", 1, site.text[5], site.text[6]);
+	fixture_init(&fixture);
+	stream = fixture.stream;
+	config_stream_change(stream, "lost", 1, fixture.text[5],
+			     fixture.text[6]);
 	stream->records[1].config_change.patch =
 		"[{\"op\":\"replace\",\"path\":\"/classes/0/expected_ms\","
 		"\"value\":7}]";
 	for (int i = 0; i < 2; i++) {
-		g_assert_cmpint(config_stream_read(stream, &site.readers[i], 9),
-				==, RJ_CONFIG_BAD_CHANGE);
-		expect(&site, &site.readers[i], 1, "first", site.text[1]);
+		g_assert_cmpint(
+			config_stream_read(stream, &fixture.readers[i], 9), ==,
+			RJ_CONFIG_BAD_CHANGE);
+		assert_in_force(&fixture, &fixture.readers[i], 1, "first",
+				fixture.text[1]);
 	}
-	site_finish(&site);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -109,44 +118,46 @@
  * both a change and a text. All are refused in the same way by all, and the
  * next good one of the same base is accepted.
  */
-static void test_bad_changes_change_nothing(void)
+static void test_bad_changes_are_refused(void)
 {
-	struct site site;
+	struct fixture fixture;
 	struct config_stream *stream;
-	struct rj_config_log *log = &site.readers[0];
+	struct rj_config_log *log = &fixture.readers[0];
 	struct rj_config_log empty;
 	struct rj_record *record;
 
-	site_init(&site);
-	stream = site.stream;
-	config_stream_change(stream, "invalid", 1, site.text[1],
+	fixture_init(&fixture);
+	stream = fixture.stream;
+	config_stream_change(stream, "invalid", 1, fixture.text[1],
 			     "{\"domains\":[]}");
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
 			RJ_CONFIG_BAD_TEXT);
-	config_stream_change(stream, "unfit", 1, "{}", site.text[2])
+	config_stream_change(stream, "unfit", 1, "{}", fixture.text[2])
 		->config_change.patch =
 		"[{\"op\":\"remove\",\"path\":\"/nothing\"}]";
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
 			RJ_CONFIG_BAD_CHANGE);
-	config_stream_change(stream, "text", 1, "{}", site.text[2])
+	config_stream_change(stream, "text", 1, "{}", fixture.text[2])
 		->config_change.patch = "{}";
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
 			RJ_CONFIG_BAD_CHANGE);
-	config_stream_change(stream, "both", 1, site.text[1], site.text[2])
-		->config_text = site.text[2];
+	config_stream_change(stream, "both", 1, fixture.text[1],
+			     fixture.text[2])
+		->config_text = fixture.text[2];
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
 			RJ_CONFIG_NOT_ONE);
-	record = config_stream_change(stream, "carried", 1, site.text[1],
-				      site.text[2]);
+	record = config_stream_change(stream, "carried", 1, fixture.text[1],
+				      fixture.text[2]);
 	record->carried = true;
 	record->as_of = 1;
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
 			RJ_CONFIG_NOT_ONE);
-	expect(&site, log, 1, "first", site.text[1]);
-	config_stream_change(stream, "good", 1, site.text[1], site.text[2]);
+	assert_in_force(&fixture, log, 1, "first", fixture.text[1]);
+	config_stream_change(stream, "good", 1, fixture.text[1],
+			     fixture.text[2]);
 	g_assert_cmpint(config_stream_read(stream, log, 1), ==,
 			RJ_CONFIG_ACCEPTED);
-	expect(&site, log, 2, "good", site.text[2]);
+	assert_in_force(&fixture, log, 2, "good", fixture.text[2]);
 
 	rj_config_log_init(&empty, NULL);
 	stream->records[0] = stream->records[stream->head - 1];
@@ -157,20 +168,20 @@
 			RJ_CONFIG_BAD_CHANGE);
 	g_assert_null(empty.config);
 	rj_config_log_finish(&empty);
-	site_finish(&site);
+	fixture_finish(&fixture);
 }
 
 /* Offer a peer what `from` has in force: its change, or the whole. */
-static bool offer(struct site *site, const struct rj_config_log *from,
+static bool offer(struct fixture *fixture, const struct rj_config_log *from,
 		  struct rj_config_log *to, bool change)
 {
 	if (change)
 		return rj_config_log_adopt_change(
 			to, from->config->revision, from->config->id,
-			&from->change, from->as_of, &site->errors);
+			&from->change, from->as_of, &fixture->errors);
 	return rj_config_log_adopt(to, from->config->revision, from->config->id,
 				   from->config->text, from->as_of,
-				   &site->errors);
+				   &fixture->errors);
 }
 
 /*
@@ -178,29 +189,29 @@
  * Its peer hands on the second change, and the link lost the first.
  * Cause: a change was applied to whatever was in force.
  */
-static void test_change_comes_before_its_base(void)
+static void test_change_arrives_before_its_base(void)
 {
-	struct site site;
-	struct rj_config_log *peer = &site.readers[0];
-	struct rj_config_log *cut_off = &site.readers[1];
-
-	site_init(&site);
-	config_stream_change(site.stream, "second", 1, site.text[1],
-			     site.text[2]);
-	config_stream_change(site.stream, "third", 2, site.text[2],
+	struct fixture fixture;
+	struct rj_config_log *peer = &fixture.readers[0];
+	struct rj_config_log *cut_off = &fixture.readers[1];
+
+	fixture_init(&fixture);
+	config_stream_change(fixture.stream, "second", 1, fixture.text[1],
+			     fixture.text[2]);
+	config_stream_change(fixture.stream, "third", 2, fixture.text[2],
 			     "{\"accounts\":[]}");
 	/* It fits revision 1 too, and even its digest is right there. */
-	site.stream->records[2].config_change =
-		site.stream->records[1].config_change;
-	config_stream_read(site.stream, peer, 1);
+	fixture.stream->records[2].config_change =
+		fixture.stream->records[1].config_change;
+	config_stream_read(fixture.stream, peer, 1);
 	peer->config->revision = 3;
-	g_assert_false(offer(&site, peer, cut_off, true));
-	expect(&site, cut_off, 1, "first", site.text[1]);
+	g_assert_false(offer(&fixture, peer, cut_off, true));
+	assert_in_force(&fixture, cut_off, 1, "first", fixture.text[1]);
 	peer->config->revision = 2;
 	/* The next heartbeat shows that it is behind. */
-	g_assert_true(offer(&site, peer, cut_off, false));
-	expect(&site, cut_off, 2, "second", site.text[2]);
-	site_finish(&site);
+	g_assert_true(offer(&fixture, peer, cut_off, false));
+	assert_in_force(&fixture, cut_off, 2, "second", fixture.text[2]);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -208,37 +219,37 @@
  * the other has long left. Nothing may revert. One that fits comes into
  * force at once, and is handed on in the same way.
  */
-static void test_peers_hand_on_changes(void)
+static void test_peers_forward_changes(void)
 {
-	struct site site;
-	struct rj_config_log *peer = &site.readers[0];
-	struct rj_config_log *cut_off = &site.readers[1];
+	struct fixture fixture;
+	struct rj_config_log *peer = &fixture.readers[0];
+	struct rj_config_log *cut_off = &fixture.readers[1];
 	struct rj_config_log third;
 
-	site_init(&site);
+	fixture_init(&fixture);
 	rj_config_log_init(&third, NULL);
-	g_assert_true(offer(&site, peer, &third, false));
-	config_stream_change(site.stream, "second", 1, site.text[1],
-			     site.text[2]);
-	config_stream_read(site.stream, peer, 1);
-	g_assert_true(offer(&site, peer, cut_off, true));
-	expect(&site, cut_off, 2, "second", site.text[2]);
-	g_assert_true(offer(&site, cut_off, &third, true));
-	expect(&site, &third, 2, "second", site.text[2]);
-	g_assert_false(offer(&site, peer, cut_off, true));
-
-	config_stream_change(site.stream, "third", 2, site.text[2],
-			     site.text[3]);
-	config_stream_read(site.stream, &third, 1);
-	expect(&site, &third, 3, "third", site.text[3]);
-	g_assert_false(offer(&site, peer, &third, true));
-	expect(&site, &third, 3, "third", site.text[3]);
+	g_assert_true(offer(&fixture, peer, &third, false));
+	config_stream_change(fixture.stream, "second", 1, fixture.text[1],
+			     fixture.text[2]);
+	config_stream_read(fixture.stream, peer, 1);
+	g_assert_true(offer(&fixture, peer, cut_off, true));
+	assert_in_force(&fixture, cut_off, 2, "second", fixture.text[2]);
+	g_assert_true(offer(&fixture, cut_off, &third, true));
+	assert_in_force(&fixture, &third, 2, "second", fixture.text[2]);
+	g_assert_false(offer(&fixture, peer, cut_off, true));
+
+	config_stream_change(fixture.stream, "third", 2, fixture.text[2],
+			     fixture.text[3]);
+	config_stream_read(fixture.stream, &third, 1);
+	assert_in_force(&fixture, &third, 3, "third", fixture.text[3]);
+	g_assert_false(offer(&fixture, peer, &third, true));
+	assert_in_force(&fixture, &third, 3, "third", fixture.text[3]);
 	/* A whole publication is no change to hand on. */
-	config_stream_publish(site.stream, "whole", 3, site.text[4]);
-	config_stream_read(site.stream, &third, 1);
+	config_stream_publish(fixture.stream, "whole", 3, fixture.text[4]);
+	config_stream_read(fixture.stream, &third, 1);
 	g_assert_null(third.change.patch);
 	rj_config_log_finish(&third);
-	site_finish(&site);
+	fixture_finish(&fixture);
 }
 
 /*
@@ -247,51 +258,56 @@
  * where to start, and then applies the changes after it; the refused ones
  * stay refused.
  */
-static void test_retention_passes_over_the_base(void)
+static void test_base_dropped_by_retention(void)
 {
-	struct site site;
+	struct fixture fixture;
 	struct config_stream *stream;
 	struct rj_config_log new;
 
-	site_init(&site);
-	stream = site.stream;
+	fixture_init(&fixture);
+	stream = fixture.stream;
 	rj_config_log_init(&new, NULL);
-	config_stream_change(stream, "second", 1, site.text[1], site.text[2]);
-	config_stream_change(stream, "third", 2, site.text[2], site.text[3]);
-	config_stream_change(stream, "loser", 2, site.text[2], site.text[4]);
-	config_stream_read(stream, &site.readers[0], 2);
-	config_stream_carry(stream, &site.readers[0]); /* as of "loser" */
-	config_stream_change(stream, "fourth", 3, site.text[3], site.text[5]);
+	config_stream_change(stream, "second", 1, fixture.text[1],
+			     fixture.text[2]);
+	config_stream_change(stream, "third", 2, fixture.text[2],
+			     fixture.text[3]);
+	config_stream_change(stream, "loser", 2, fixture.text[2],
+			     fixture.text[4]);
+	config_stream_read(stream, &fixture.readers[0], 2);
+	config_stream_carry(stream, &fixture.readers[0]); /* as of "loser" */
+	config_stream_change(stream, "fourth", 3, fixture.text[3],
+			     fixture.text[5]);
 	stream->oldest = 2;
 	g_assert_cmpint(config_stream_read(stream, &new, 1), ==,
 			RJ_CONFIG_UNJUDGED);
 	g_assert_cmpint(config_stream_read(stream, &new, 1), ==,
 			RJ_CONFIG_UNJUDGED);
 	config_stream_read(stream, &new, 99);
-	config_stream_read(stream, &site.readers[0], 99);
-	expect(&site, &new, 4, "fourth", site.text[5]);
-	expect(&site, &site.readers[0], 4, "fourth", site.text[5]);
+	config_stream_read(stream, &fixture.readers[0], 99);
+	assert_in_force(&fixture, &new, 4, "fourth", fixture.text[5]);
+	assert_in_force(&fixture, &fixture.readers[0], 4, "fourth",
+			fixture.text[5]);
 	rj_config_log_finish(&new);
-	site_finish(&site);
+	fixture_finish(&fixture);
 }
 
 /* Publish changes one after another, with a carried one now and then. */
-static void publish_many(struct site *site, uint32_t count, bool carried)
+static void publish_many(struct fixture *fixture, uint32_t count, bool carried)
 {
-	struct rj_config_log *log = &site->readers[0];
+	struct rj_config_log *log = &fixture->readers[0];
 
 	for (uint32_t i = 0; i < count; i++) {
 		char id[RJ_CONFIG_ID_BYTES];
 
 		snprintf(id, sizeof(id), "p%u", i);
 		config_stream_change(
-			site->stream, id, rj_config_log_revision(log),
+			fixture->stream, id, rj_config_log_revision(log),
 			log->config->text,
-			site->text[rj_config_log_revision(log) % 8]);
-		config_stream_read(site->stream, log, 1);
+			fixture->text[rj_config_log_revision(log) % 8]);
+		config_stream_read(fixture->stream, log, 1);
 		if (carried && rj_config_log_carry_due(log, 0, UINT64_MAX)) {
-			config_stream_carry(site->stream, log);
-			config_stream_read(site->stream, log, 1);
+			config_stream_carry(fixture->stream, log);
+			config_stream_read(fixture->stream, log, 1);
 		}
 	}
 }
@@ -303,66 +319,69 @@
  */
 static void test_new_reader_starts_near_the_end(void)
 {
-	struct site site;
+	struct fixture fixture;
 	struct rj_config_log new;
 	uint32_t read = 0;
 
-	site_init(&site);
+	fixture_init(&fixture);
 	rj_config_log_init(&new, NULL);
 	for (int i = 0; i < 35; i++) {
-		publish_many(&site, 100, true);
-		config_stream_publish(site.stream, "stale", 0, site.text[0]);
-		config_stream_read(site.stream, &site.readers[0], 1);
+		publish_many(&fixture, 100, true);
+		config_stream_publish(fixture.stream, "stale", 0,
+				      fixture.text[0]);
+		config_stream_read(fixture.stream, &fixture.readers[0], 1);
 	}
-	while (new.next < site.stream->head && read < CONFIG_STREAM_MAX) {
-		config_stream_read(site.stream, &new, 1);
+	while (new.next < fixture.stream->head && read < CONFIG_STREAM_MAX) {
+		config_stream_read(fixture.stream, &new, 1);
 		g_assert_true(!new.config || new.config->revision > 1);
 		read++;
 	}
 	/* It reads what is newest, and goes back to the carried one's start. */
 	g_assert_cmpuint(read, <, 2 * RJ_CONFIG_CARRY_RECORDS + 100);
-	expect(&site, &new, 3501, "p99", site.readers[0].config->text);
+	assert_in_force(&fixture, &new, 3501, "p99",
+			fixture.readers[0].config->text);
 	rj_config_log_finish(&new);
-	site_finish(&site);
+	fixture_finish(&fixture);
 }
 
 /*
  * An instance that starts alone never gets ready: it goes straight to the
  * newest records, and nobody has carried a configuration there.
  */
-static void test_new_reader_goes_back(void)
+static void test_new_reader_without_a_carried_configuration(void)
 {
-	struct site site;
+	struct fixture fixture;
 	struct rj_config_log new;
 
-	site_init(&site);
+	fixture_init(&fixture);
 	rj_config_log_init(&new, NULL);
-	publish_many(&site, 3000, false);
-	config_stream_read(site.stream, &new, CONFIG_STREAM_MAX);
+	publish_many(&fixture, 3000, false);
+	config_stream_read(fixture.stream, &new, CONFIG_STREAM_MAX);
 	g_assert_null(new.config);
-	config_stream_read(site.stream, &new, CONFIG_STREAM_MAX);
-	expect(&site, &new, 3001, "p2999", site.readers[0].config->text);
+	config_stream_read(fixture.stream, &new, CONFIG_STREAM_MAX);
+	assert_in_force(&fixture, &new, 3001, "p2999",
+			fixture.readers[0].config->text);
 	rj_config_log_finish(&new);
-	site_finish(&site);
+	fixture_finish(&fixture);
 }
 
 /* A reader that applies whole configurations, as its records hold them. */
-struct naive_reader {
+struct reference_reader {
 	uint64_t revision;
 	char id[RJ_CONFIG_ID_BYTES];
 	const char *text;
 };
 
 /* The verdict of the naive reader on a record and its whole text. */
-static bool naive_accepts(struct naive_reader *naive,
-			  const struct rj_record *record, const char *whole)
+static bool reference_accepts(struct reference_reader *reference,
+			      const struct rj_record *record, const char *whole)
 {
 	struct rj_config *config;
 	struct rj_error_list errors;
 
 	if (record->kind != RJ_RECORD_CONFIG || record->carried ||
-	    record->base_revision != naive->revision ||
-	    !strcmp(record->config_id, naive->id))
+	    record->base_revision != reference->revision ||
+	    !strcmp(record->config_id, reference->id))
 		return false;
 	rj_error_list_init(&errors, NULL);
 	config = rj_config_parse(NULL, whole, &errors);
@@ -370,9 +389,9 @@
 	if (!config)
 		return false;
 	rj_config_unref(config);
-	naive->revision++;
-	memcpy(naive->id, record->config_id, sizeof(naive->id));
-	naive->text = whole;
+	reference->revision++;
+	memcpy(reference->id, record->config_id, sizeof(reference->id));
+	reference->text = whole;
 	return true;
 }
 
@@ -385,11 +404,11 @@
 	struct config_stream *stream;
 	struct rj_error_list errors;
 	uint64_t random;
-	struct naive_reader naive;
+	struct reference_reader reference;
 	char ids[RECORDS + 2][RJ_CONFIG_ID_BYTES];
 	char *texts[RECORDS + 2];
 	struct rj_config_log readers[READERS];
-	uint64_t seen[READERS];
+	uint64_t newest_revision[READERS];
 	struct {
 		uint64_t revision;
 		uint64_t as_of;
@@ -437,9 +456,10 @@
 			whole = "";
 		}
 	}
-	if (naive_accepts(&history->naive, record, whole)) {
-		memcpy(history->ids[history->naive.revision], id, sizeof(id));
-		history->texts[history->naive.revision] =
+	if (reference_accepts(&history->reference, record, whole)) {
+		memcpy(history->ids[history->reference.revision], id,
+		       sizeof(id));
+		history->texts[history->reference.revision] =
 			rj_config_canonical(stream->mem, whole);
 		history->changes_accepted += record->config_text == NULL;
 	}
@@ -449,7 +469,7 @@
 
 		*again = *record;
 		again->offset = offset;
-		(void)naive_accepts(&history->naive, again, whole);
+		(void)reference_accepts(&history->reference, again, whole);
 	}
 }
 
@@ -486,13 +506,13 @@
 }
 
 /* Whoever has a configuration has what the naive reader had at its revision. */
-static void history_check(struct history *history, uint32_t who)
+static void history_check(struct history *history, uint32_t reader)
 {
-	struct rj_config_log *log = &history->readers[who];
+	struct rj_config_log *log = &history->readers[reader];
 	uint64_t revision = rj_config_log_revision(log);
 
-	g_assert_cmpuint(revision, >=, history->seen[who]);
-	history->seen[who] = revision;
+	g_assert_cmpuint(revision, >=, history->newest_revision[reader]);
+	history->newest_revision[reader] = revision;
 	if (!revision)
 		return;
 	g_assert_cmpstr(log->config->id, ==, history->ids[revision]);
@@ -505,8 +525,8 @@
 static void history_step(struct history *history)
 {
 	struct config_stream *stream = history->stream;
-	uint32_t who = (uint32_t)chance(history, READERS);
-	struct rj_config_log *log = &history->readers[who];
+	uint32_t reader = (uint32_t)chance(history, READERS);
+	struct rj_config_log *log = &history->readers[reader];
 
 	if (chance(history, 2))
 		history_publish(history, log);
@@ -517,18 +537,18 @@
 	if (chance(history, 32) == 0) {
 		rj_config_log_finish(log); /* replaced */
 		rj_config_log_init(log, NULL);
-		history->seen[who] = 0;
+		history->newest_revision[reader] = 0;
 	}
 	if (chance(history, 4))
 		config_stream_read(stream, log, (uint32_t)chance(history, 16));
 	if (log->config && chance(history, 3) == 0)
 		history_offer(history, log);
 	if (chance(history, 3) == 0) {
-		who = (uint32_t)chance(history, READERS);
-		history_adopt(history, &history->readers[who]);
+		reader = (uint32_t)chance(history, READERS);
+		history_adopt(history, &history->readers[reader]);
 	}
-	for (who = 0; who < READERS; who++)
-		history_check(history, who);
+	for (reader = 0; reader < READERS; reader++)
+		history_check(history, reader);
 }
 
 /*
@@ -538,7 +558,7 @@
  * Every reader has, at every revision, what a naive reader of the whole log
  * has, to whom every publication came whole.
  */
-static void test_differs_nowhere_from_whole_ones(void)
+static void test_matches_the_reference_reader(void)
 {
 	uint32_t accepted = 0;
 	uint32_t adopted = 0;
@@ -570,16 +590,17 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/config-changes/race", test_racing_changes);
 	g_test_add_func("/config-changes/base", test_change_of_another_base);
-	g_test_add_func("/config-changes/bad", test_bad_changes_change_nothing);
+	g_test_add_func("/config-changes/bad", test_bad_changes_are_refused);
 	g_test_add_func("/config-changes/early",
-			test_change_comes_before_its_base);
-	g_test_add_func("/config-changes/peers", test_peers_hand_on_changes);
+			test_change_arrives_before_its_base);
+	g_test_add_func("/config-changes/peers", test_peers_forward_changes);
 	g_test_add_func("/config-changes/retention",
-			test_retention_passes_over_the_base);
+			test_base_dropped_by_retention);
 	g_test_add_func("/config-changes/start",
 			test_new_reader_starts_near_the_end);
-	g_test_add_func("/config-changes/back", test_new_reader_goes_back);
+	g_test_add_func("/config-changes/back",
+			test_new_reader_without_a_carried_configuration);
 	g_test_add_func("/config-changes/differential",
-			test_differs_nowhere_from_whole_ones);
+			test_matches_the_reference_reader);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_config_log.c
+++ b/src/test_libradishjunction/test_config_log.c
@@ -94,7 +94,7 @@
  * published: each has a gap, judges nothing, and none may carry. An operator
  * starts anew from the revision that all show; of two who do, one wins.
  */
-static void test_restart_when_all_missed_records(void)
+static void test_restart_after_all_missed_records(void)
 {
 	struct config_stream *stream = config_stream_new();
 	struct rj_config_log logs[2];
@@ -127,7 +127,7 @@
 	config_stream_free(stream);
 }
 
-static void test_peer_hands_on_the_newest(void)
+static void test_peer_forwards_the_newest(void)
 {
 	struct config_stream *stream = config_stream_new();
 	struct rj_error_list errors;
@@ -151,7 +151,7 @@
 	config_stream_free(stream);
 }
 
-static void test_carried_well_before_retention_ends(void)
+static void test_carried_before_retention_ends(void)
 {
 	struct config_stream *stream = config_stream_new();
 	struct rj_error_list errors;
@@ -238,10 +238,10 @@
 	g_test_add_func("/config-log/race", test_racing_operators);
 	g_test_add_func("/config-log/trimmed", test_start_on_a_trimmed_log);
 	g_test_add_func("/config-log/restart",
-			test_restart_when_all_missed_records);
-	g_test_add_func("/config-log/peer", test_peer_hands_on_the_newest);
+			test_restart_after_all_missed_records);
+	g_test_add_func("/config-log/peer", test_peer_forwards_the_newest);
 	g_test_add_func("/config-log/carry",
-			test_carried_well_before_retention_ends);
+			test_carried_before_retention_ends);
 	g_test_add_func("/config-log/random", test_random_logs);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_connections.c
+++ b/src/test_libradishjunction/test_connections.c
@@ -39,7 +39,7 @@
  * is asked for 112, and refuses some of those on which leases are renewed.
  * Cause: each took the connections of a rack's only owner.
  */
-static void test_instances_that_hear_nobody_share(void)
+static void test_isolated_instances_share_connections(void)
 {
 	struct world_options options = { .engine = &engine_core,
 					 .seed = 3,
@@ -65,6 +65,6 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/connections/split",
-			test_instances_that_hear_nobody_share);
+			test_isolated_instances_share_connections);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_differential.c
+++ b/src/test_libradishjunction/test_differential.c
@@ -27,9 +27,9 @@
  * was used at two instances at once. The naive version does not know of the
  * other one, so it runs the job twice; what it answers is of the first run.
  */
-static bool may_differ(const struct checker_intent *naive)
+static bool may_differ(const struct checker_intent *reference)
 {
-	return naive->key && naive->ran > 1;
+	return reference->key && reference->ran > 1;
 }
 
 /*
@@ -44,13 +44,15 @@
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
 		void *mem = talloc_new(NULL);
 		struct world *core = run(mem, &engine_core, seed);
-		struct world *naive = run(mem, &engine_naive, seed);
+		struct world *reference = run(mem, &engine_naive, seed);
 
-		g_assert_cmpuint(core->callers->len, ==, naive->callers->len);
+		g_assert_cmpuint(core->callers->len, ==,
+				 reference->callers->len);
 		g_assert_cmpuint(checker_violations(&core->checker), ==, 0);
 		for (guint i = 0; i < core->callers->len; i++) {
 			const struct checker_intent *one = intent_of(core, i);
-			const struct checker_intent *two = intent_of(naive, i);
+			const struct checker_intent *two =
+				intent_of(reference, i);
 
 			g_assert_cmpuint(one->answered_us, !=, RJ_NEVER_US);
 			g_assert_cmpuint(two->answered_us, !=, RJ_NEVER_US);
--- a/src/test_libradishjunction/test_faults.c
+++ b/src/test_libradishjunction/test_faults.c
@@ -23,7 +23,7 @@
 	return count;
 }
 
-static void test_promise_holds(gconstpointer data)
+static void test_invariant_holds(gconstpointer data)
 {
 	enum promise promise = GPOINTER_TO_UINT(data);
 
@@ -34,7 +34,7 @@
  * The same faults against decisions without claims, read-back, fences and
  * reclaim: if these were not seen to fail, the proof would prove nothing.
  */
-static void test_naive_version_breaks_promise(gconstpointer data)
+static void test_reference_implementation_violates_invariant(gconstpointer data)
 {
 	enum promise promise = GPOINTER_TO_UINT(data);
 
@@ -94,7 +94,7 @@
  * is down, and starts the job without a claim.
  * Cause: what an instance knew before a pause was taken for the present.
  */
-static void test_sleeper_starts_nothing_accepted_before_it_has_read(void)
+static void test_resumed_instance_reads_before_starting_accepted_jobs(void)
 {
 	check_seed(PROMISE_NOT_RUN, 316);
 }
@@ -104,7 +104,7 @@
  * other, which wakes from a pause and is draining, says "not run".
  * Cause: what it had read of the log before the pause was taken for fresh.
  */
-static void test_sleeper_does_not_know_that_a_key_is_new(void)
+static void test_resumed_instance_reads_before_taking_a_key_as_new(void)
 {
 	check_seed(PROMISE_NOT_RUN, 894);
 	check_seed(PROMISE_ONCE, 919);
@@ -115,7 +115,7 @@
  * the log is back; a peer had started it meanwhile without a claim.
  * Cause: the outcome was settled on before the outage and written after it.
  */
-static void test_cancelled_in_an_outage_is_not_said_not_to_have_run(void)
+static void test_cancelled_in_an_outage_is_not_answered_not_run(void)
 {
 	check_seed(PROMISE_ACCEPTED, 501);
 }
@@ -187,7 +187,7 @@
  * rack once, and waits there.
  * Cause: who has to reclaim was not who had placed.
  */
-static void test_who_reclaims_has_placed(void)
+static void test_reclaiming_instance_places_the_job(void)
 {
 	check_seed(PROMISE_GUARANTEE, 38);
 	check_seed(PROMISE_GUARANTEE, 17);
@@ -224,7 +224,7 @@
  * the queue and is handed to its next owner.
  * Cause: only those who waited when the stop began were sent on.
  */
-static void test_lookup_during_a_drain_is_sent_on(void)
+static void test_lookup_during_a_drain_is_forwarded(void)
 {
 	check_seed(PROMISE_NOT_RUN, 770);
 }
@@ -259,7 +259,7 @@
  * for a moment and goes on to stand; nobody hears of the loss.
  * Cause: only the end of a link said that what it carried may be lost.
  */
-static void test_forward_lost_on_a_standing_link(void)
+static void test_forward_lost_on_an_established_link(void)
 {
 	check_seed(PROMISE_STOP, 8745);
 }
@@ -272,7 +272,7 @@
  * Cause: what another instance drives was nobody's work to the owner, who
  * could not ask for its room; asked for it, the other took the room again.
  */
-static void test_work_of_an_interim_owner_is_reclaimed(void)
+static void test_jobs_of_an_interim_owner_are_reclaimed(void)
 {
 	check_seed(PROMISE_GUARANTEE, 337);
 	check_seed(PROMISE_GUARANTEE, 788);
@@ -296,7 +296,7 @@
  * was to make way waits for its claim to show in a log that is down.
  * Cause: the whole shape was held for 2 s, or was filled by others meanwhile.
  */
-static void test_freed_shape_is_not_lost_again(void)
+static void test_freed_shape_is_kept_until_the_start(void)
 {
 	check_seed(PROMISE_GUARANTEE, 101);
 	check_seed(PROMISE_GUARANTEE, 153);
@@ -318,21 +318,21 @@
 }
 
 /* Promises that the core keeps in every seed that was run. */
-static const enum promise held[] = { PROMISE_GUARANTEE, PROMISE_GANG,
-				     PROMISE_ANSWER,	PROMISE_NOT_RUN,
-				     PROMISE_CONFIG,	PROMISE_ONCE,
-				     PROMISE_LEAVING,	PROMISE_STOP,
-				     PROMISE_ACCEPTED };
+static const enum promise kept_by_core[] = { PROMISE_GUARANTEE, PROMISE_GANG,
+					     PROMISE_ANSWER,	PROMISE_NOT_RUN,
+					     PROMISE_CONFIG,	PROMISE_ONCE,
+					     PROMISE_LEAVING,	PROMISE_STOP,
+					     PROMISE_ACCEPTED };
 
 /* Promises that the naive version breaks within the seeds of this test. */
-static const enum promise broken[] = { PROMISE_GUARANTEE, PROMISE_GANG,
-				       PROMISE_ANSWER,	  PROMISE_NOT_RUN,
-				       PROMISE_ONCE,	  PROMISE_LEAVING,
-				       PROMISE_STOP,	  PROMISE_CONFIG,
-				       PROMISE_ACCEPTED };
-
-static void add_promise(const char *prefix, enum promise promise,
-			GTestDataFunc test)
+static const enum promise violated_by_reference[] = {
+	PROMISE_GUARANTEE, PROMISE_GANG,   PROMISE_ANSWER,
+	PROMISE_NOT_RUN,   PROMISE_ONCE,   PROMISE_LEAVING,
+	PROMISE_STOP,	   PROMISE_CONFIG, PROMISE_ACCEPTED
+};
+
+static void add_invariant(const char *prefix, enum promise promise,
+			  GTestDataFunc test)
 {
 	char *path = g_strdup_printf("/faults/%s/%s", prefix,
 				     promise_string[promise]);
@@ -344,11 +344,14 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	for (size_t i = 0; i < sizeof(held) / sizeof(held[0]); i++)
-		add_promise("core", held[i], test_promise_holds);
-	for (size_t i = 0; i < sizeof(broken) / sizeof(broken[0]); i++)
-		add_promise("naive", broken[i],
-			    test_naive_version_breaks_promise);
+	for (size_t i = 0; i < sizeof(kept_by_core) / sizeof(kept_by_core[0]);
+	     i++)
+		add_invariant("core", kept_by_core[i], test_invariant_holds);
+	for (size_t i = 0; i < sizeof(violated_by_reference) /
+				       sizeof(violated_by_reference[0]);
+	     i++)
+		add_invariant("naive", violated_by_reference[i],
+			      test_reference_implementation_violates_invariant);
 	g_test_add_func("/faults/body",
 			test_job_known_from_its_claim_is_not_started);
 	g_test_add_func("/faults/lost_start",
@@ -357,12 +360,11 @@
 			test_lookup_of_a_cancelled_job_waits_for_the_log);
 	g_test_add_func(
 		"/faults/sleeper",
-		test_sleeper_starts_nothing_accepted_before_it_has_read);
+		test_resumed_instance_reads_before_starting_accepted_jobs);
 	g_test_add_func("/faults/sleeper_key",
-			test_sleeper_does_not_know_that_a_key_is_new);
-	g_test_add_func(
-		"/faults/cancelled_in_outage",
-		test_cancelled_in_an_outage_is_not_said_not_to_have_run);
+			test_resumed_instance_reads_before_taking_a_key_as_new);
+	g_test_add_func("/faults/cancelled_in_outage",
+			test_cancelled_in_an_outage_is_not_answered_not_run);
 	g_test_add_func("/faults/lost_read", test_one_lost_read_is_no_outage);
 	g_test_add_func("/faults/claimed_after_outage",
 			test_started_in_an_outage_is_claimed_after_it);
@@ -372,7 +374,8 @@
 			test_outcome_after_a_lost_void_is_read);
 	g_test_add_func("/faults/watched_accepted",
 			test_watched_job_that_is_settled_stays_accepted);
-	g_test_add_func("/faults/who_reclaims", test_who_reclaims_has_placed);
+	g_test_add_func("/faults/who_reclaims",
+			test_reclaiming_instance_places_the_job);
 	g_test_add_func("/faults/left_over_leases",
 			test_leases_of_abandoned_attempts_are_cleared);
 	g_test_add_func("/faults/entitled",
@@ -382,15 +385,15 @@
 	g_test_add_func("/faults/lost_forward_answer",
 			test_forward_without_an_answer_is_taken_back);
 	g_test_add_func("/faults/drain_lookup",
-			test_lookup_during_a_drain_is_sent_on);
+			test_lookup_during_a_drain_is_forwarded);
 	g_test_add_func("/faults/lost_forward",
-			test_forward_lost_on_a_standing_link);
+			test_forward_lost_on_an_established_link);
 	g_test_add_func("/faults/interim_owner",
-			test_work_of_an_interim_owner_is_reclaimed);
+			test_jobs_of_an_interim_owner_are_reclaimed);
 	g_test_add_func("/faults/before_config",
 			test_tasks_seen_before_the_configuration_are_reclaimed);
 	g_test_add_func("/faults/freed_shape",
-			test_freed_shape_is_not_lost_again);
+			test_freed_shape_is_kept_until_the_start);
 	g_test_add_func("/faults/waits_at_owner",
 			test_job_waits_at_the_owner_of_its_shape);
 	return g_test_run();
--- a/src/test_libradishjunction/test_faults_large.c
+++ b/src/test_libradishjunction/test_faults_large.c
@@ -5,7 +5,7 @@
 /* Few enough to be quick; scripts/bench faults --place runs any number. */
 #define SEEDS 4
 #define TRIMMED_SEEDS 50
-#define APART_SEEDS 3
+#define PARTITION_SEEDS 3
 
 /* Nothing at all may be violated in this run. */
 static void check_seed(enum fault_place place, enum promise promise,
@@ -39,12 +39,12 @@
  * A region loses the others and the platform for an hour, with quotes and
  * renders under way there, and their callers ask elsewhere meanwhile.
  */
-static void test_region_apart_for_an_hour(void)
+static void test_region_partitioned_for_an_hour(void)
 {
 	struct faults_result result;
 
 	faults_result_init(&result);
-	for (uint64_t seed = 1; seed <= APART_SEEDS; seed++)
+	for (uint64_t seed = 1; seed <= PARTITION_SEEDS; seed++)
 		faults_apart(&engine_core, seed, NULL, &result);
 	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
 		g_assert_cmpstr(result.first[i], ==, "");
@@ -85,7 +85,7 @@
  * the peer says truly of itself that it ran nothing.
  * Cause: the peer's answer was passed on as it came.
  */
-static void test_ran_before_it_was_handed_on(void)
+static void test_job_that_ran_before_it_was_forwarded(void)
 {
 	check_trimmed(PROMISE_GANG, 75);
 }
@@ -112,14 +112,15 @@
 		g_test_add_data_func(path, GUINT_TO_POINTER(i), test_large);
 		g_free(path);
 	}
-	g_test_add_func("/faults_apart/hour", test_region_apart_for_an_hour);
+	g_test_add_func("/faults_apart/hour",
+			test_region_partitioned_for_an_hour);
 	g_test_add_data_func("/faults_trimmed/once",
 			     GUINT_TO_POINTER(PROMISE_ONCE), test_trimmed_log);
 	g_test_add_data_func("/faults_trimmed/not_run",
 			     GUINT_TO_POINTER(PROMISE_NOT_RUN),
 			     test_trimmed_log);
 	g_test_add_func("/faults_trimmed/handed_on",
-			test_ran_before_it_was_handed_on);
+			test_job_that_ran_before_it_was_forwarded);
 	g_test_add_func("/faults_trimmed/earlier_attempt",
 			test_settled_attempt_was_not_the_first);
 	return g_test_run();
--- a/src/test_libradishjunction/test_foreign.c
+++ b/src/test_libradishjunction/test_foreign.c
@@ -9,19 +9,19 @@
 #define SETTLED_US (5 * RJ_US_PER_S)
 #define LONG_RUN_US (20 * RJ_US_PER_S)
 /* After it a dead instance owns nothing any more. */
-#define MOVED_US (8 * RJ_US_PER_S)
+#define TAKEOVER_US (8 * RJ_US_PER_S)
 /* The quote is placed before the previews fill the rack. */
-#define FILLED_US (6 * RJ_US_PER_S)
+#define FILL_US (6 * RJ_US_PER_S)
 #define SEEDS 8
 
 /* What was seen of the ways to give a shape back, over several seeds. */
-struct ways {
+struct reclaim_counts {
 	uint32_t asked; /* the instance that drives the work */
 	uint32_t stopped; /* at the worker, unheard */
 };
 
 /* How often `what` stands in the transcript. */
-static uint32_t count(const char *text, const char *what)
+static uint32_t count_matches(const char *text, const char *what)
 {
 	uint32_t times = 0;
 
@@ -66,7 +66,8 @@
  * when the account wants its shape; `cut` parts the two from then on. The
  * checker judges the time, and all that callers are told.
  */
-static void run(uint64_t seed, uint32_t dead, bool cut, struct ways *ways)
+static void run(uint64_t seed, uint32_t dead_node, bool cut,
+		struct reclaim_counts *reclaim_counts)
 {
 	char *text = NULL;
 	size_t size = 0;
@@ -86,22 +87,22 @@
 
 	fake_log_publish(world, 0, "first", world_config_text(world, world, 0));
 	world_run_until(world, SETTLED_US);
-	node_kill(world, dead);
-	world_run_until(world, SETTLED_US + MOVED_US);
+	node_kill(world, dead_node);
+	world_run_until(world, SETTLED_US + TAKEOVER_US);
 	quote.class_name = "quote";
 	quote.key = 7;
 	quote.idempotent = false;
 	priced = fake_caller_add(world, 0, &quote);
 	for (uint32_t i = 0; i < 3; i++)
-		fake_caller_add(world, FILLED_US / 2, &preview);
-	world_run_until(world, SETTLED_US + MOVED_US + FILLED_US);
-	node_start(world, dead);
-	world_run_until(world, SETTLED_US + 2 * MOVED_US);
+		fake_caller_add(world, FILL_US / 2, &preview);
+	world_run_until(world, SETTLED_US + TAKEOVER_US + FILL_US);
+	node_start(world, dead_node);
+	world_run_until(world, SETTLED_US + 2 * TAKEOVER_US);
 	world->links[0][1].cut = cut;
-	world_run_until(world, SETTLED_US + 3 * MOVED_US);
+	world_run_until(world, SETTLED_US + 3 * TAKEOVER_US);
 	world->checker.calm_us = 0;
 	fake_caller_add(world, 0, &pack);
-	world_run_until(world, SETTLED_US + 3 * MOVED_US + LONG_RUN_US);
+	world_run_until(world, SETTLED_US + 3 * TAKEOVER_US + LONG_RUN_US);
 	g_assert_cmpuint(world->checker.checks[PROMISE_GUARANTEE], ==, 1);
 	g_assert_cmpuint(
 		checker_intent_get(&world->checker, priced->intent)->completed,
@@ -109,23 +110,24 @@
 	for (uint32_t i = 0; i < PROMISE_COUNT; i++)
 		g_assert_cmpstr(world->checker.first[i], ==, "");
 	fflush(transcript);
-	ways->asked += count(text, "> peer_send d0-n0 cancel") +
-		       count(text, "> peer_send d0-n1 cancel");
-	ways->stopped += count(text, "> worker_call stop");
+	reclaim_counts->asked +=
+		count_matches(text, "> peer_send d0-n0 cancel") +
+		count_matches(text, "> peer_send d0-n1 cancel");
+	reclaim_counts->stopped += count_matches(text, "> worker_call stop");
 	talloc_free(world);
 	fclose(transcript);
 	free(text);
 }
 
 /* Both instances are dead once in each seed: one of them owns the rack. */
-static struct ways run_all(bool cut)
+static struct reclaim_counts run_all(bool cut)
 {
-	struct ways ways = { 0 };
+	struct reclaim_counts reclaim_counts = { 0 };
 
 	for (uint64_t seed = 1; seed <= SEEDS; seed++)
-		for (uint32_t dead = 0; dead < 2; dead++)
-			run(seed, dead, cut, &ways);
-	return ways;
+		for (uint32_t dead_node = 0; dead_node < 2; dead_node++)
+			run(seed, dead_node, cut, &reclaim_counts);
+	return reclaim_counts;
 }
 
 /*
@@ -136,9 +138,9 @@
  */
 static void test_driver_is_asked(void)
 {
-	struct ways ways = run_all(false);
+	struct reclaim_counts reclaim_counts = run_all(false);
 
-	g_assert_cmpuint(ways.asked, >, 0);
+	g_assert_cmpuint(reclaim_counts.asked, >, 0);
 }
 
 /*
@@ -147,11 +149,11 @@
  * Cause: only its driver could stop a job. The quote in the rack, which must
  * not run twice, runs to its end all the same.
  */
-static void test_unreachable_driver_is_passed_over(void)
+static void test_unreachable_driver_is_bypassed(void)
 {
-	struct ways ways = run_all(true);
+	struct reclaim_counts reclaim_counts = run_all(true);
 
-	g_assert_cmpuint(ways.stopped, >, 0);
+	g_assert_cmpuint(reclaim_counts.stopped, >, 0);
 }
 
 int main(int argc, char **argv)
@@ -159,6 +161,6 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/foreign/asked", test_driver_is_asked);
 	g_test_add_func("/foreign/unreachable",
-			test_unreachable_driver_is_passed_over);
+			test_unreachable_driver_is_bypassed);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_golden.c
+++ b/src/test_libradishjunction/test_golden.c
@@ -109,7 +109,7 @@
 };
 
 /* Play a session; the caller frees the transcript. */
-static char *play(const struct session *session)
+static char *run_session(const struct session *session)
 {
 	struct world_options options = {
 		.engine = &engine_core,
@@ -147,7 +147,7 @@
 	char *path = g_strdup_printf("%s/src/test_libradishjunction/golden/"
 				     "%s.txt",
 				     RJ_SOURCE_DIR, session->name);
-	char *text = play(session);
+	char *text = run_session(session);
 	char *golden = NULL;
 
 	if (g_getenv(REWRITE))
--- a/src/test_libradishjunction/test_http_callers.c
+++ b/src/test_libradishjunction/test_http_callers.c
@@ -212,7 +212,7 @@
  * the core takes no more events; one still waits for a job that was started.
  * Cause: whatever was open at the end was called not run.
  */
-static void test_answers_after_the_core(void)
+static void test_answers_after_the_core_stopped(void)
 {
 	static const char *jobs = "POST /v1/jobs";
 	static const char *job = "GET /v1/jobs/00000000000000ff";
@@ -245,7 +245,7 @@
  * The preview arrives before the instance has its configuration.
  * Cause: callers were served before there was anything to serve them with.
  */
-static void test_callers_wait_for_the_start(void)
+static void test_callers_wait_for_the_configuration(void)
 {
 	struct callers_server server;
 	struct callers_client early;
@@ -324,8 +324,9 @@
 	g_test_add_func("/http_callers/lookup", test_lookup_and_cancel);
 	g_test_add_func("/http_callers/statuses", test_statuses);
 	g_test_add_func("/http_callers/after_the_core",
-			test_answers_after_the_core);
-	g_test_add_func("/http_callers/start", test_callers_wait_for_the_start);
+			test_answers_after_the_core_stopped);
+	g_test_add_func("/http_callers/start",
+			test_callers_wait_for_the_configuration);
 	g_test_add_func("/http_callers/last_connections",
 			test_last_connections_are_served);
 	g_test_add_func("/http_callers/results", test_results_of_any_bytes);
--- a/src/test_libradishjunction/test_http_callers_bounds.c
+++ b/src/test_libradishjunction/test_http_callers_bounds.c
@@ -87,50 +87,51 @@
 }
 
 /* A caller that sends one byte at a time, however long it takes. */
-struct dribble {
+struct byte_sender {
 	struct callers_client client;
 	struct tevent_timer *timer;
 };
 
-static void dribble_next(struct dribble *dribble);
+static void byte_sender_next(struct byte_sender *byte_sender);
 
 static void on_dribble(struct tevent_context *context,
 		       struct tevent_timer *timer, struct timeval now,
 		       void *private_data)
 {
-	struct dribble *dribble = private_data;
-	struct callers_client *client = &dribble->client;
+	struct byte_sender *byte_sender = private_data;
+	struct callers_client *client = &byte_sender->client;
 
-	dribble->timer = NULL;
+	byte_sender->timer = NULL;
 	if (client->sent == client->length || client->closed)
 		return;
 	if (send(client->fd, client->text + client->sent, 1, MSG_NOSIGNAL) == 1)
 		client->sent++;
-	dribble_next(dribble);
+	byte_sender_next(byte_sender);
 }
 
 /* Far more often than the server's limit of one second. */
-static void dribble_next(struct dribble *dribble)
+static void byte_sender_next(struct byte_sender *byte_sender)
 {
-	dribble->timer = tevent_add_timer(callers_loop, callers_loop,
-					  tevent_timeval_current_ofs(0, 50000),
-					  on_dribble, dribble);
+	byte_sender->timer = tevent_add_timer(
+		callers_loop, callers_loop,
+		tevent_timeval_current_ofs(0, 50000), on_dribble, byte_sender);
 }
 
-static void dribble_init(struct dribble *dribble,
-			 const struct callers_server *server, const char *text)
+static void byte_sender_init(struct byte_sender *byte_sender,
+			     const struct callers_server *server,
+			     const char *text)
 {
-	callers_client_init(&dribble->client, server, "");
-	TEVENT_FD_NOT_WRITEABLE(dribble->client.event);
-	dribble->client.text = text;
-	dribble->client.length = strlen(text);
-	dribble_next(dribble);
+	callers_client_init(&byte_sender->client, server, "");
+	TEVENT_FD_NOT_WRITEABLE(byte_sender->client.event);
+	byte_sender->client.text = text;
+	byte_sender->client.length = strlen(text);
+	byte_sender_next(byte_sender);
 }
 
-static void dribble_finish(struct dribble *dribble)
+static void byte_sender_finish(struct byte_sender *byte_sender)
 {
-	talloc_free(dribble->timer);
-	callers_client_finish(&dribble->client);
+	talloc_free(byte_sender->timer);
+	callers_client_finish(&byte_sender->client);
 }
 
 /*
@@ -138,7 +139,7 @@
  * Some send a request byte by byte, and never the last one.
  * Cause: each byte counts as a sign of life, and the connection is kept.
  */
-static void test_dribbling_callers(void)
+static void test_byte_by_byte_callers(void)
 {
 	char *endless = g_strnfill(1000, 'x');
 	char *headers =
@@ -148,12 +149,12 @@
 				     "Content-Length: 1000\r\n\r\n{%s",
 				     endless);
 	struct callers_server server;
-	struct dribble in_headers;
-	struct dribble in_body;
+	struct byte_sender in_headers;
+	struct byte_sender in_body;
 
 	callers_server_init(&server, 2, 8);
-	dribble_init(&in_headers, &server, headers);
-	dribble_init(&in_body, &server, body);
+	byte_sender_init(&in_headers, &server, headers);
+	byte_sender_init(&in_body, &server, body);
 	RUN_UNTIL(callers_loop,
 		  in_body.client.closed && in_headers.client.closed);
 	g_assert_cmpuint(in_headers.client.sent, <, in_headers.client.length);
@@ -161,8 +162,8 @@
 	RUN_UNTIL(callers_loop, !rj_http_callers_connections(&server.callers));
 	g_assert_cmpuint(server.asked_count, ==, 0);
 	callers_expect(&server, callers_post("{\"class\":\"q\"}"), 200, "done");
-	dribble_finish(&in_headers);
-	dribble_finish(&in_body);
+	byte_sender_finish(&in_headers);
+	byte_sender_finish(&in_body);
 	callers_server_finish(&server);
 	g_free(endless);
 	g_free(headers);
@@ -185,7 +186,7 @@
  * All were refused for want of room, and told to come back a second later.
  * Cause: the door gave each the same time, unlike the core.
  */
-static void test_refused_do_not_return_together(void)
+static void test_refused_callers_retry_at_different_times(void)
 {
 	struct callers_client clients[32];
 	struct callers_client held;
@@ -223,7 +224,7 @@
 }
 
 /* The core learns that the caller left; its late answer harms nothing. */
-static void test_caller_gone(void)
+static void test_caller_disconnected(void)
 {
 	struct callers_server server;
 	struct callers_client client;
@@ -254,10 +255,10 @@
 	g_test_add_func("/http_callers/request", test_bounds_of_a_request);
 	g_test_add_func("/http_callers/server", test_bounds_of_the_server);
 	g_test_add_func("/http_callers/stalled", test_stalled_caller);
-	g_test_add_func("/http_callers/dribbling", test_dribbling_callers);
+	g_test_add_func("/http_callers/dribbling", test_byte_by_byte_callers);
 	g_test_add_func("/http_callers/spread",
-			test_refused_do_not_return_together);
-	g_test_add_func("/http_callers/gone", test_caller_gone);
+			test_refused_callers_retry_at_different_times);
+	g_test_add_func("/http_callers/gone", test_caller_disconnected);
 	status = g_test_run();
 	talloc_free(callers_loop);
 	return status;
--- a/src/test_libradishjunction/test_http_client.c
+++ b/src/test_libradishjunction/test_http_client.c
@@ -326,8 +326,9 @@
  * worker keeps it until the answer is made.
  * Cause: nobody looks at a connection that is set aside.
  */
-static void test_client_that_went_frees_its_connection(struct fixture *fixture,
-						       gconstpointer data)
+static void
+test_disconnected_client_frees_its_connection(struct fixture *fixture,
+					      gconstpointer data)
 {
 	fixture->behaviour = KEEP;
 	post(fixture, "one", LONG_US);
@@ -355,6 +356,6 @@
 	add("/http_client/refused", test_refused_connect_is_not_sent);
 	add("/http_client/cut", test_answer_cut_short_is_lost);
 	add("/http_server/limit", test_connection_above_the_limit_is_closed);
-	add("/http_server/gone", test_client_that_went_frees_its_connection);
+	add("/http_server/gone", test_disconnected_client_frees_its_connection);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_http_platform.c
+++ b/src/test_libradishjunction/test_http_platform.c
@@ -168,8 +168,8 @@
  * failure and claims again, or gives up while its claim stands in the log.
  * Cause: a lost answer that is reported as refused, or sent again.
  */
-static void test_lost_append_stands_once(struct fixture *fixture,
-					 gconstpointer data)
+static void test_lost_append_is_logged_once(struct fixture *fixture,
+					    gconstpointer data)
 {
 	append(fixture, RJ_APPEND_OK);
 	fixture->standin.lose_answers = 1;
@@ -224,7 +224,7 @@
  * dropped meanwhile; it reads on as if nothing was missing.
  * Cause: a gap that the reader is not told of.
  */
-static void test_gap_is_told(struct fixture *fixture, gconstpointer data)
+static void test_gap_is_reported(struct fixture *fixture, gconstpointer data)
 {
 	const struct rj_records *records;
 
@@ -291,8 +291,8 @@
 	g_assert_cmpint(fixture->read[1].kind, ==, RJ_RECORD_VOID);
 }
 
-static void test_cut_refuses_the_named(struct fixture *fixture,
-				       gconstpointer data)
+static void test_cut_refuses_the_named_instances(struct fixture *fixture,
+						 gconstpointer data)
 {
 	set_faults(fixture, "{\"cut_from\":[\"entry-2\",\"entry-1\"]}");
 	append(fixture, RJ_APPEND_LOST);
@@ -348,14 +348,14 @@
 	add("/http_platform/append", test_append_is_read_back);
 	add("/http_platform/long_poll",
 	    test_long_poll_is_answered_by_an_append);
-	add("/http_platform/lost", test_lost_append_stands_once);
+	add("/http_platform/lost", test_lost_append_is_logged_once);
 	add("/http_platform/refused", test_append_without_effect_is_refused);
 	add("/http_platform/outage", test_outage_ends_a_long_poll);
-	add("/http_platform/gap", test_gap_is_told);
+	add("/http_platform/gap", test_gap_is_reported);
 	add("/http_platform/large", test_largest_records_are_read);
 	add("/http_platform/malformed", test_malformed_record_keeps_its_offset);
 	add("/http_platform/too_long", test_record_too_long_is_malformed);
-	add("/http_platform/cut", test_cut_refuses_the_named);
+	add("/http_platform/cut", test_cut_refuses_the_named_instances);
 	add("/http_platform/list", test_list_names_instances);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_http_server.c
+++ b/src/test_libradishjunction/test_http_server.c
@@ -103,8 +103,8 @@
  * Calls come to an instance until it is gone, over connections that stand.
  * Once it is to end, each answer sends its client elsewhere.
  */
-static void test_clients_are_sent_elsewhere(struct fixture *f,
-					    gconstpointer data)
+static void test_draining_server_closes_connections(struct fixture *f,
+						    gconstpointer data)
 {
 	send_one(f);
 	rj_http_server_leave(&f->server);
@@ -120,6 +120,6 @@
 	g_test_add("/http_server/sent", struct fixture, NULL, set_up,
 		   test_answers_are_sent_before_the_end, tear_down);
 	g_test_add("/http_server/elsewhere", struct fixture, NULL, set_up,
-		   test_clients_are_sent_elsewhere, tear_down);
+		   test_draining_server_closes_connections, tear_down);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_http_workers.c
+++ b/src/test_libradishjunction/test_http_workers.c
@@ -7,9 +7,9 @@
 
 #define TIMEOUT_US (60 * RJ_US_PER_S)
 #define SHORT_US (20 * RJ_US_PER_MS)
-#define LIFE_US (60 * RJ_US_PER_S)
+#define LEASE_LIFE_US (60 * RJ_US_PER_S)
 /* A call that is not served by then shows the fault. */
-#define GIVE_UP_US (10 * RJ_US_PER_S)
+#define CALL_LIMIT_US (10 * RJ_US_PER_S)
 #define RESULT_MAX_BYTES 512
 
 struct fixture {
@@ -75,7 +75,7 @@
 	call->attempt = (struct rj_attempt){ 11, 7, 1 };
 	call->gang = 1;
 	call->each = (struct rj_resources){ 1, 1, 1, 1 };
-	call->life_us = LIFE_US;
+	call->life_us = LEASE_LIFE_US;
 	call->throttle_percent = 100;
 	memcpy(call->account, "association", sizeof("association"));
 	set_body(fixture, "{\"echo\":\"lesson\"}");
@@ -131,8 +131,8 @@
 	return ran ? ran->starts : 0;
 }
 
-static void test_run_brings_its_result(struct fixture *fixture,
-				       gconstpointer data)
+static void test_run_returns_its_result(struct fixture *fixture,
+					gconstpointer data)
 {
 	call(fixture, RJ_WORKER_RUN);
 	assert_status(fixture, RJ_REPLY_OK, RJ_REASON_NONE);
@@ -153,7 +153,7 @@
 	g_assert_cmpuint(fixture->task.attempt.job_id, ==, 11);
 	g_assert_cmpstr(fixture->task.account, ==, "association");
 	g_assert_cmpuint(fixture->task.lease_left_us, >, 0);
-	g_assert_cmpuint(fixture->task.lease_left_us, <=, LIFE_US);
+	g_assert_cmpuint(fixture->task.lease_left_us, <=, LEASE_LIFE_US);
 }
 
 /*
@@ -206,8 +206,8 @@
  * A lease lapses while its holder is paused; the holder wakes and starts.
  * Cause: a worker that honours a lapsed token.
  */
-static void test_lapsed_lease_refuses_the_start(struct fixture *fixture,
-						gconstpointer data)
+static void test_expired_lease_refuses_the_start(struct fixture *fixture,
+						 gconstpointer data)
 {
 	fixture->call.life_us = 1;
 	call(fixture, RJ_WORKER_LEASE);
@@ -217,8 +217,8 @@
 	g_assert_cmpuint(starts(fixture), ==, 0);
 }
 
-static void test_lapse_ends_a_waiting_run(struct fixture *fixture,
-					  gconstpointer data)
+static void test_expiry_ends_a_waiting_run(struct fixture *fixture,
+					   gconstpointer data)
 {
 	set_body(fixture, "{\"run_ms\":60000}");
 	fixture->call.life_us = SHORT_US;
@@ -234,8 +234,8 @@
  * run and starts the job elsewhere only if it never ran.
  * Cause: a fence that says "none" of a run which then starts.
  */
-static void test_fence_after_a_pause_tells_the_truth(struct fixture *fixture,
-						     gconstpointer data)
+static void test_fence_after_a_pause_is_reliable(struct fixture *fixture,
+						 gconstpointer data)
 {
 	struct rj_standin_worker *worker = &fixture->worker;
 	json_t *awake = json_pack("{s:b}", "pause", 0);
@@ -284,7 +284,7 @@
 	const struct rj_resources *unused = &fixture->worker.tasks.unused;
 
 	set_body(fixture, "{\"run_ms\":60000,\"checkpoint_ms\":60000}");
-	fixture->call.timeout_us = GIVE_UP_US;
+	fixture->call.timeout_us = CALL_LIMIT_US;
 	for (uint32_t i = 0; i < fixture->worker.tasks.capacity.slots; i++) {
 		fixture->call.member = i;
 		post(fixture, RJ_WORKER_RUN);
@@ -315,16 +315,16 @@
  * the report that renews the leases waits behind them until these lapse.
  * Cause: calls that wait and calls that must not wait share connections.
  */
-static void test_renewal_passes_what_waits(struct fixture *fixture,
-					   gconstpointer data)
+static void test_renewal_passes_waiting_calls(struct fixture *fixture,
+					      gconstpointer data)
 {
 	fill_slots(fixture);
-	fixture->call.limit_us = LIFE_US;
+	fixture->call.limit_us = LEASE_LIFE_US;
 	for (uint32_t i = 0; i < fixture->worker.tasks.capacity.slots; i++) {
 		fixture->call.member = i;
 		post(fixture, RJ_WORKER_CHECKPOINT);
 	}
-	fixture->call.timeout_us = GIVE_UP_US;
+	fixture->call.timeout_us = CALL_LIMIT_US;
 	call(fixture, RJ_WORKER_REPORT);
 	assert_status(fixture, RJ_REPLY_OK, RJ_REASON_NONE);
 	g_assert_cmpuint(fixture->replies, ==, 1);
@@ -338,11 +338,12 @@
  * other; each is told to leave the others their share.
  * Cause: a fixed number of connections, whoever else needs some.
  */
-static void test_told_share_is_kept(struct fixture *fixture, gconstpointer data)
+static void test_connection_share_is_respected(struct fixture *fixture,
+					       gconstpointer data)
 {
 	set_body(fixture, "{\"run_ms\":60000}");
 	fixture->call.connections_max = RJ_WORKER_CONNECTIONS_MIN;
-	fixture->call.timeout_us = GIVE_UP_US;
+	fixture->call.timeout_us = CALL_LIMIT_US;
 	for (uint32_t i = 0; i < fixture->worker.tasks.capacity.slots; i++) {
 		fixture->call.member = i;
 		post(fixture, RJ_WORKER_RUN);
@@ -362,17 +363,17 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	add("/http_workers/run", test_run_brings_its_result);
+	add("/http_workers/run", test_run_returns_its_result);
 	add("/http_workers/report", test_report_lists_a_lease);
 	add("/http_workers/lost", test_lost_answer_is_lost_not_refused);
 	add("/http_workers/cut", test_cut_or_crossed_answer_is_lost);
-	add("/http_workers/lapsed", test_lapsed_lease_refuses_the_start);
-	add("/http_workers/lapse", test_lapse_ends_a_waiting_run);
-	add("/http_workers/pause", test_fence_after_a_pause_tells_the_truth);
+	add("/http_workers/lapsed", test_expired_lease_refuses_the_start);
+	add("/http_workers/lapse", test_expiry_ends_a_waiting_run);
+	add("/http_workers/pause", test_fence_after_a_pause_is_reliable);
 	add("/http_workers/closed", test_closed_worker_refuses);
 	add("/http_workers/other", test_call_for_another_worker_is_refused);
 	add("/http_workers/slots", test_every_slot_can_be_waited_on);
-	add("/http_workers/renewal", test_renewal_passes_what_waits);
-	add("/http_workers/share", test_told_share_is_kept);
+	add("/http_workers/renewal", test_renewal_passes_waiting_calls);
+	add("/http_workers/share", test_connection_share_is_respected);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_leaving.c
+++ b/src/test_libradishjunction/test_leaving.c
@@ -8,7 +8,7 @@
 #define CALLERS 40
 
 /* Previews that are asked for one after the other, until `until_us`. */
-static void ask_previews(struct world *world, uint64_t until_us)
+static void submit_previews(struct world *world, uint64_t until_us)
 {
 	struct caller_plan plan = { .class_name = "preview",
 				    .account = WORLD_OTHER_ACCOUNT,
@@ -31,7 +31,7 @@
  * after the link stands again.
  * Cause: who is leaving was said once, and not again on a new link.
  */
-static void test_leaving_is_told_on_a_new_link(void)
+static void test_leaving_is_resent_on_a_new_link(void)
 {
 	struct world_options options = { .engine = &engine_core,
 					 .seed = 11,
@@ -50,7 +50,7 @@
 	world->links[0][1].cut = true;
 	world_run_until(world, SETTLED_US + BREAK_US);
 	fake_peers_mend(world);
-	ask_previews(world, SETTLED_US + 4 * BREAK_US);
+	submit_previews(world, SETTLED_US + 4 * BREAK_US);
 	world_run_until(world, SETTLED_US + 5 * BREAK_US);
 	g_assert_cmpstr(world->checker.first[PROMISE_LEAVING], ==, "");
 	talloc_free(world);
@@ -60,6 +60,6 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/leaving/new_link",
-			test_leaving_is_told_on_a_new_link);
+			test_leaving_is_resent_on_a_new_link);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_lifecycle.c
+++ b/src/test_libradishjunction/test_lifecycle.c
@@ -72,7 +72,7 @@
 }
 
 /* Whether the transcript holds `part`. */
-static bool told(const struct fixture *fixture, const char *part)
+static bool transcript_contains(const struct fixture *fixture, const char *part)
 {
 	fflush(fixture->transcript);
 	return strstr(fixture->text, part) != NULL;
@@ -85,8 +85,9 @@
  * Cause: an instance that stops and knows no peer refused at once what it
  * could have served in time.
  */
-static void test_alone_serves_what_ends_in_time(struct fixture *fixture,
-						gconstpointer data)
+static void
+test_single_instance_serves_jobs_that_end_in_time(struct fixture *fixture,
+						  gconstpointer data)
 {
 	(void)data;
 	submit(fixture, 1, FIRST_ID);
@@ -94,17 +95,17 @@
 	node_stop(fixture->world, 0);
 	submit(fixture, 90 * RJ_US_PER_MS, SECOND_ID);
 	world_run_until(fixture->world, SETTLED_US + 3 * RUN_US);
-	g_assert_true(told(fixture, "answer id=901 done"));
-	g_assert_true(told(fixture, "answer id=902 done"));
-	g_assert_true(told(fixture, "d0-n0 > exit"));
+	g_assert_true(transcript_contains(fixture, "answer id=901 done"));
+	g_assert_true(transcript_contains(fixture, "answer id=902 done"));
+	g_assert_true(transcript_contains(fixture, "d0-n0 > exit"));
 }
 
 /*
  * The other side of it: a steady stream of callers does not keep an instance
  * from its stop. What comes late is refused at once, with when to come back.
  */
-static void test_alone_stops_under_load(struct fixture *fixture,
-					gconstpointer data)
+static void test_single_instance_stops_under_load(struct fixture *fixture,
+						  gconstpointer data)
 {
 	uint32_t id = FIRST_ID;
 
@@ -116,9 +117,9 @@
 	     at_us += 500 * RJ_US_PER_MS)
 		submit(fixture, at_us, id++);
 	world_run_until(fixture->world, SETTLED_US + 14 * RJ_US_PER_S);
-	g_assert_true(told(fixture, "not_run reason=draining"));
-	g_assert_false(told(fixture, "unknown"));
-	g_assert_true(told(fixture, "d0-n0 > exit"));
+	g_assert_true(transcript_contains(fixture, "not_run reason=draining"));
+	g_assert_false(transcript_contains(fixture, "unknown"));
+	g_assert_true(transcript_contains(fixture, "d0-n0 > exit"));
 }
 
 /* Let a core process one event; how many actions of `kind` followed. */
@@ -214,9 +215,9 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add("/lifecycle/alone", struct fixture, NULL, setup,
-		   test_alone_serves_what_ends_in_time, teardown);
+		   test_single_instance_serves_jobs_that_end_in_time, teardown);
 	g_test_add("/lifecycle/alone_under_load", struct fixture, NULL, setup,
-		   test_alone_stops_under_load, teardown);
+		   test_single_instance_stops_under_load, teardown);
 	g_test_add_func("/lifecycle/after_exit", test_requests_after_the_exit);
 	g_test_add("/lifecycle/ready_with_the_log", struct fixture,
 		   GINT_TO_POINTER(false), setup,
--- a/src/test_libradishjunction/test_log_relay.c
+++ b/src/test_libradishjunction/test_log_relay.c
@@ -5,12 +5,12 @@
 
 #define SETTLED_US (5 * RJ_US_PER_S)
 /* Until a reader takes the log for lost. */
-#define NOTICED_US (8 * RJ_US_PER_S)
+#define OUTAGE_DETECTED_US (8 * RJ_US_PER_S)
 #define RUN_US (200 * RJ_US_PER_MS)
-#define CUT 0 /* the failure domain that is cut off from the platform */
+#define CUT_DOMAIN 0 /* the failure domain that is cut off from the platform */
 
 /* Two failure domains of one instance each, the first cut off. */
-static struct world *cut_world(void)
+static struct world *create_cut_simulation(void)
 {
 	struct world_options options = { .engine = &engine_core,
 					 .seed = 3,
@@ -21,19 +21,20 @@
 	struct world *world = world_create(NULL, &options);
 
 	world_run_until(world, SETTLED_US);
-	world->log.cut[CUT] = true;
+	world->log.cut[CUT_DOMAIN] = true;
 	world_reach_changed(world);
-	world_run_until(world, SETTLED_US + NOTICED_US);
+	world_run_until(world, SETTLED_US + OUTAGE_DETECTED_US);
 	return world;
 }
 
 /* A caller in the cut domain asks now. */
-static struct fake_caller *ask(struct world *world, const char *class_name,
-			       bool idempotent, bool waits)
+static struct fake_caller *submit_in_cut_domain(struct world *world,
+						const char *class_name,
+						bool idempotent, bool waits)
 {
 	struct caller_plan plan = { .class_name = class_name,
 				    .account = WORLD_OTHER_ACCOUNT,
-				    .domain = CUT,
+				    .domain = CUT_DOMAIN,
 				    .key = 7,
 				    .tasks = 1,
 				    .accelerators = 1,
@@ -45,10 +46,12 @@
 }
 
 /* What the caller of a job in the cut domain has been told after a while. */
-static enum rj_answer_kind told(struct world *world, const char *class_name,
-				bool idempotent, bool waits)
+static enum rj_answer_kind answer_in_cut_domain(struct world *world,
+						const char *class_name,
+						bool idempotent, bool waits)
 {
-	struct fake_caller *caller = ask(world, class_name, idempotent, waits);
+	struct fake_caller *caller =
+		submit_in_cut_domain(world, class_name, idempotent, waits);
 	enum rj_answer_kind kind;
 
 	world_run_until(world, world->now_us + 3 * RJ_US_PER_S);
@@ -68,9 +71,10 @@
  */
 static void test_quote_in_a_cut_domain(void)
 {
-	struct world *world = cut_world();
+	struct world *world = create_cut_simulation();
 
-	g_assert_cmpuint(told(world, "quote", false, true), ==, RJ_ANSWER_DONE);
+	g_assert_cmpuint(answer_in_cut_domain(world, "quote", false, true), ==,
+			 RJ_ANSWER_DONE);
 	talloc_free(world);
 }
 
@@ -81,9 +85,9 @@
  */
 static void test_render_in_a_cut_domain(void)
 {
-	struct world *world = cut_world();
+	struct world *world = create_cut_simulation();
 
-	told(world, "preview", true, false);
+	answer_in_cut_domain(world, "preview", true, false);
 	talloc_free(world);
 }
 
@@ -91,15 +95,15 @@
  * The other side: when nobody has the log, the caller is told so at once and
  * the job does not go round between instances that hope of each other.
  */
-static void test_nobody_has_the_log(void)
+static void test_log_unavailable_everywhere(void)
 {
-	struct world *world = cut_world();
+	struct world *world = create_cut_simulation();
 	struct fake_caller *caller;
 
 	world->log.down = true;
 	world_reach_changed(world);
-	world_run_until(world, world->now_us + NOTICED_US);
-	caller = ask(world, "quote", false, true);
+	world_run_until(world, world->now_us + OUTAGE_DETECTED_US);
+	caller = submit_in_cut_domain(world, "quote", false, true);
 	world_run_until(world, world->now_us + 100 * RJ_US_PER_MS);
 	g_assert_cmpuint(caller->request_id, ==, 0);
 	g_assert_cmpuint(caller->tries, >=, 1);
@@ -112,6 +116,6 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/log_relay/quote", test_quote_in_a_cut_domain);
 	g_test_add_func("/log_relay/render", test_render_in_a_cut_domain);
-	g_test_add_func("/log_relay/nobody", test_nobody_has_the_log);
+	g_test_add_func("/log_relay/nobody", test_log_unavailable_everywhere);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_membership.c
+++ b/src/test_libradishjunction/test_membership.c
@@ -4,7 +4,7 @@
 #include "private/core_state.h"
 
 #define DOMAINS 8
-#define HEARD_US (100 * RJ_US_PER_S)
+#define HEARTBEAT_US (100 * RJ_US_PER_S)
 
 /* Whether a peer of `domain` is alive so long after it was heard, as an
  * instance of "a" sees it in a configuration of DOMAINS domains. */
@@ -14,11 +14,11 @@
 	struct rj_core_state core = { .config = &config };
 	struct rj_member_view member = { .connected = true,
 					 .heard = true,
-					 .heard_us = HEARD_US };
+					 .heard_us = HEARTBEAT_US };
 
 	rj_name_set(core.domain, "a");
 	rj_name_set(member.domain, domain);
-	core.now_us = HEARD_US + silence_us;
+	core.now_us = HEARTBEAT_US + silence_us;
 	return rj_membership_alive(&core, &member);
 }
 
@@ -28,7 +28,7 @@
  * In a large site its heartbeats come seldom, and two are lost.
  * Cause: it was counted dead by the patience of the own domain.
  */
-static void test_seldom_heard_is_not_dead(void)
+static void test_rare_heartbeats_do_not_mean_dead(void)
 {
 	uint32_t every = rj_membership_beats_between(DOMAINS);
 
@@ -40,7 +40,7 @@
 
 /* Small sites hear each other every second; in large ones what an instance
  * sends to all other domains together stays about the same. */
-static void test_heartbeats_between_domains_stay_flat(void)
+static void test_heartbeat_rate_between_domains_is_bounded(void)
 {
 	for (uint32_t domains = 1; domains <= 4; domains++)
 		g_assert_cmpuint(rj_membership_beats_between(domains), ==, 1);
@@ -53,8 +53,8 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/membership/seldom_heard",
-			test_seldom_heard_is_not_dead);
+			test_rare_heartbeats_do_not_mean_dead);
 	g_test_add_func("/membership/between_domains",
-			test_heartbeats_between_domains_stay_flat);
+			test_heartbeat_rate_between_domains_is_bounded);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_paused_claim.c
+++ b/src/test_libradishjunction/test_paused_claim.c
@@ -8,13 +8,14 @@
 #define RUN_US (200 * RJ_US_PER_MS)
 
 /* An event that a paused instance hears before all that it was told. */
-static void hold_first(struct world *world, struct node *node,
-		       struct rj_event *event)
+static void defer_event(struct world *world, struct node *node,
+			struct rj_event *event)
 {
 	g_queue_push_head(&node->held, talloc_steal(world, event));
 }
 
-static struct rj_event *caller_gone(struct world *world, uint64_t request_id)
+static struct rj_event *caller_disconnected(struct world *world,
+					    uint64_t request_id)
 {
 	struct rj_event *event = node_event(world, RJ_EVENT_CALLER_GONE);
 
@@ -42,7 +43,7 @@
  * Cause: a claim read back was taken for the present, though the log had
  * more to say.
  */
-static void test_cancelled_claim_of_a_sleeper(void)
+static void test_cancelled_claim_of_a_paused_instance(void)
 {
 	struct world_options options = { .engine = &engine_core,
 					 .seed = 5,
@@ -72,10 +73,10 @@
 	g_assert_cmpuint(
 		checker_intent_get(&world->checker, charge->intent)->answer, ==,
 		RJ_ANSWER_DONE);
-	hold_first(world, sleeper,
-		   fake_caller_event(world, charge, sleeper, RJ_REQUEST_SUBMIT,
-				     REPEAT_ID));
-	hold_first(world, sleeper, caller_gone(world, request_id));
+	defer_event(world, sleeper,
+		    fake_caller_event(world, charge, sleeper, RJ_REQUEST_SUBMIT,
+				      REPEAT_ID));
+	defer_event(world, sleeper, caller_disconnected(world, request_id));
 	node_pause(world, sleeper->index, false);
 	world_run_until(world, SETTLED_US + 40 * RJ_US_PER_S);
 	g_assert_cmpstr(world->checker.first[PROMISE_NOT_RUN], ==, "");
@@ -87,6 +88,6 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/paused_claim/cancelled",
-			test_cancelled_claim_of_a_sleeper);
+			test_cancelled_claim_of_a_paused_instance);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_peer_codec.c
+++ b/src/test_libradishjunction/test_peer_codec.c
@@ -153,7 +153,7 @@
 }
 
 /* Whatever the bytes are, what is accepted is within its bounds. */
-static void test_changed_bytes_do_no_harm(void)
+static void test_corrupted_frames_stay_within_bounds(void)
 {
 	uint64_t random = 4;
 	uint32_t accepted = 0;
@@ -190,7 +190,7 @@
  * takes the other's frames for malformed and closes the link, again and again.
  * Cause: two layouts with one version number.
  */
-static void test_recorded_frames_are_spoken(void)
+static void test_recorded_frames_are_supported(void)
 {
 	for (uint32_t kind = 0; kind < RJ_PEER_MESSAGE_KIND_COUNT; kind++) {
 		void *mem = talloc_new(NULL);
@@ -217,7 +217,7 @@
 	}
 }
 
-static void test_recorded_hello_is_spoken(void)
+static void test_recorded_hello_is_supported(void)
 {
 	struct rj_peer_hello sent = PEER_FRAMES_HELLO;
 	struct rj_peer_hello got;
@@ -255,14 +255,15 @@
 	g_test_add_func("/peer_codec/older",
 			test_message_of_an_older_version_is_read);
 	g_test_add_func("/peer_codec/recorded",
-			test_recorded_frames_are_spoken);
+			test_recorded_frames_are_supported);
 	g_test_add_func("/peer_codec/recorded_hello",
-			test_recorded_hello_is_spoken);
+			test_recorded_hello_is_supported);
 	g_test_add_func("/peer_codec/cut", test_cut_frames_are_malformed);
 	g_test_add_func("/peer_codec/older_heartbeat",
 			test_older_heartbeat_is_read);
 	g_test_add_func("/peer_codec/array", test_announced_arrays_are_refused);
-	g_test_add_func("/peer_codec/fuzz", test_changed_bytes_do_no_harm);
+	g_test_add_func("/peer_codec/fuzz",
+			test_corrupted_frames_stay_within_bounds);
 	g_test_add_func("/peer_codec/hello", test_hello);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_planner_differential.c
+++ b/src/test_libradishjunction/test_planner_differential.c
@@ -18,17 +18,17 @@
 	struct rj_planner base;
 	struct rj_planner_topology topology;
 	struct rj_planner_first_fit first_fit;
-	struct rj_decisions plain;
+	struct rj_decisions reference;
 };
 
 /* How the decisions of the pair differed, and why that is allowed. */
 enum difference {
 	SAME,
-	OTHER_PLACE, /* both start it; by topology elsewhere */
-	ROOM_GIVEN, /* not started: its room went to others in this pass */
-	ROOM_KEPT, /* not started: its room is kept for others */
-	ROOM_PINNED, /* not started: it could not be stopped there */
-	EARLIER, /* started, where first fit gave its room to others */
+	OTHER_PLACEMENT, /* both start it; by topology elsewhere */
+	CAPACITY_TAKEN, /* not started: its room went to others in this pass */
+	CAPACITY_RESERVED, /* not started: its room is kept for others */
+	UNSTOPPABLE, /* not started: it could not be stopped there */
+	STARTED_EARLIER, /* started, where first fit gave its room to others */
 	REFUSED, /* its time had passed; both say so */
 	DIFFERENCE_COUNT
 };
@@ -40,7 +40,7 @@
 	return &((struct pair *)planner)->topology.base;
 }
 
-static struct rj_planner *plain_of(const struct rj_planner *planner)
+static struct rj_planner *first_fit_of(const struct rj_planner *planner)
 {
 	return &((struct pair *)planner)->first_fit.base;
 }
@@ -51,15 +51,16 @@
 {
 	topology_of(planner)->ops->configure(topology_of(planner), config,
 					     domain, now_us);
-	plain_of(planner)->ops->configure(plain_of(planner), config, domain,
-					  now_us);
+	first_fit_of(planner)->ops->configure(first_fit_of(planner), config,
+					      domain, now_us);
 }
 
 static void pair_worker(struct rj_planner *planner,
 			const struct rj_plan_worker *worker, uint64_t now_us)
 {
 	topology_of(planner)->ops->worker(topology_of(planner), worker, now_us);
-	plain_of(planner)->ops->worker(plain_of(planner), worker, now_us);
+	first_fit_of(planner)->ops->worker(first_fit_of(planner), worker,
+					   now_us);
 }
 
 static int pair_submit(struct rj_planner *planner,
@@ -76,10 +77,10 @@
 		g_assert_cmpuint(*retry_after_us, >, 0);
 		return status;
 	}
-	g_assert_cmpint(plain_of(planner)->ops->submit(plain_of(planner), job,
-						       now_us, &ignored,
-						       &never_us),
-			==, 0);
+	g_assert_cmpint(
+		first_fit_of(planner)->ops->submit(first_fit_of(planner), job,
+						   now_us, &ignored, &never_us),
+		==, 0);
 	return 0;
 }
 
@@ -88,8 +89,8 @@
 {
 	topology_of(planner)->ops->ended(topology_of(planner), job_id,
 					 succeeded, ran_us, now_us);
-	plain_of(planner)->ops->ended(plain_of(planner), job_id, succeeded,
-				      ran_us, now_us);
+	first_fit_of(planner)->ops->ended(first_fit_of(planner), job_id,
+					  succeeded, ran_us, now_us);
 }
 
 static void pair_requeue(struct rj_planner *planner, uint64_t job_id,
@@ -97,8 +98,8 @@
 {
 	topology_of(planner)->ops->requeue(topology_of(planner), job_id,
 					   not_before_us, now_us);
-	plain_of(planner)->ops->requeue(plain_of(planner), job_id,
-					not_before_us, now_us);
+	first_fit_of(planner)->ops->requeue(first_fit_of(planner), job_id,
+					    not_before_us, now_us);
 }
 
 static void pair_adopt(struct rj_planner *planner,
@@ -108,8 +109,8 @@
 {
 	topology_of(planner)->ops->adopt(topology_of(planner), job, members,
 					 count, now_us);
-	plain_of(planner)->ops->adopt(plain_of(planner), job, members, count,
-				      now_us);
+	first_fit_of(planner)->ops->adopt(first_fit_of(planner), job, members,
+					  count, now_us);
 }
 
 static const struct rj_decision *find(const struct rj_decisions *decisions,
@@ -135,15 +136,15 @@
 
 	for (uint32_t i = 0; i < decisions->count; i++)
 		if (decisions->list[i].kind == RJ_DECISION_START)
-			return ROOM_GIVEN;
+			return CAPACITY_TAKEN;
 	if (!entry->job.stoppable)
-		return ROOM_PINNED;
+		return UNSTOPPABLE;
 	g_assert_cmpuint(state->reservations->len, >, 0);
-	return ROOM_KEPT;
+	return CAPACITY_RESERVED;
 }
 
 static enum difference why_started(const struct rj_decision *decision,
-				   const struct rj_decision *plain)
+				   const struct rj_decision *reference)
 {
 	switch (decision->reason) {
 	case RJ_REASON_BEST_FIT:
@@ -155,13 +156,13 @@
 	default:
 		g_assert_not_reached();
 	}
-	if (!plain)
-		return EARLIER;
-	if (plain->member_count == decision->member_count &&
-	    !memcmp(plain->members, decision->members,
-		    sizeof(*plain->members) * plain->member_count))
+	if (!reference)
+		return STARTED_EARLIER;
+	if (reference->member_count == decision->member_count &&
+	    !memcmp(reference->members, decision->members,
+		    sizeof(*reference->members) * reference->member_count))
 		return SAME;
-	return OTHER_PLACE;
+	return OTHER_PLACEMENT;
 }
 
 static void compare(const struct pair *pair,
@@ -169,23 +170,24 @@
 {
 	for (uint32_t i = 0; i < decisions->count; i++) {
 		const struct rj_decision *decision = &decisions->list[i];
-		const struct rj_decision *plain =
-			find(&pair->plain, decision->job_id);
+		const struct rj_decision *reference =
+			find(&pair->reference, decision->job_id);
 
 		if (decision->kind == RJ_DECISION_START)
-			differences[why_started(decision, plain)]++;
+			differences[why_started(decision, reference)]++;
 		else if (decision->kind == RJ_DECISION_REFUSE)
 			differences[REFUSED]++;
 		if (decision->kind == RJ_DECISION_REFUSE)
-			g_assert_cmpint(plain->kind, ==, RJ_DECISION_REFUSE);
+			g_assert_cmpint(reference->kind, ==,
+					RJ_DECISION_REFUSE);
 	}
-	for (uint32_t i = 0; i < pair->plain.count; i++) {
-		const struct rj_decision *plain = &pair->plain.list[i];
+	for (uint32_t i = 0; i < pair->reference.count; i++) {
+		const struct rj_decision *reference = &pair->reference.list[i];
 
-		if (find(decisions, plain->job_id))
+		if (find(decisions, reference->job_id))
 			continue;
-		g_assert_cmpint(plain->kind, ==, RJ_DECISION_START);
-		differences[why_waiting(pair, decisions, plain->job_id)]++;
+		g_assert_cmpint(reference->kind, ==, RJ_DECISION_START);
+		differences[why_waiting(pair, decisions, reference->job_id)]++;
 	}
 }
 
@@ -193,17 +195,18 @@
 		      struct rj_decisions *decisions)
 {
 	struct pair *pair = (struct pair *)planner;
-	struct rj_planner *plain = plain_of(planner);
+	struct rj_planner *reference = first_fit_of(planner);
 
 	topology_of(planner)->ops->pass(topology_of(planner), now_us,
 					decisions);
-	rj_decisions_clear(&pair->plain);
-	plain->ops->pass(plain, now_us, &pair->plain);
+	rj_decisions_clear(&pair->reference);
+	reference->ops->pass(reference, now_us, &pair->reference);
 	compare(pair, decisions);
-	for (uint32_t i = 0; i < pair->plain.count; i++)
-		if (pair->plain.list[i].kind == RJ_DECISION_START)
-			plain->ops->requeue(plain, pair->plain.list[i].job_id,
-					    0, now_us);
+	for (uint32_t i = 0; i < pair->reference.count; i++)
+		if (pair->reference.list[i].kind == RJ_DECISION_START)
+			reference->ops->requeue(reference,
+						pair->reference.list[i].job_id,
+						0, now_us);
 	for (uint32_t i = 0; i < decisions->count; i++) {
 		const struct rj_decision *decision = &decisions->list[i];
 		const struct rj_plan_entry *entry;
@@ -212,8 +215,8 @@
 			continue;
 		entry = rj_plan_table_find(&pair->topology.state->table,
 					   decision->job_id);
-		plain->ops->adopt(plain, &entry->job, decision->members,
-				  decision->member_count, now_us);
+		reference->ops->adopt(reference, &entry->job, decision->members,
+				      decision->member_count, now_us);
 	}
 }
 
@@ -225,20 +228,22 @@
 static void pair_view(const struct rj_planner *planner, uint64_t now_us,
 		      struct rj_plan_view *view)
 {
-	struct rj_plan_view plain;
+	struct rj_plan_view reference;
 
 	topology_of(planner)->ops->view(topology_of(planner), now_us, view);
-	plain_of(planner)->ops->view(plain_of(planner), now_us, &plain);
-	g_assert_cmpuint(view->queued, ==, plain.queued);
-	g_assert_cmpuint(view->running, ==, plain.running);
-	g_assert_cmpuint(view->accelerators_free, ==, plain.accelerators_free);
+	first_fit_of(planner)->ops->view(first_fit_of(planner), now_us,
+					 &reference);
+	g_assert_cmpuint(view->queued, ==, reference.queued);
+	g_assert_cmpuint(view->running, ==, reference.running);
+	g_assert_cmpuint(view->accelerators_free, ==,
+			 reference.accelerators_free);
 }
 
 static void pair_finish(struct rj_planner *planner)
 {
 	topology_of(planner)->ops->finish(topology_of(planner));
-	plain_of(planner)->ops->finish(plain_of(planner));
-	rj_decisions_finish(&((struct pair *)planner)->plain);
+	first_fit_of(planner)->ops->finish(first_fit_of(planner));
+	rj_decisions_finish(&((struct pair *)planner)->reference);
 }
 
 static const struct rj_planner_ops pair_ops = {
@@ -262,7 +267,7 @@
 	pair->base.ops = &pair_ops;
 	rj_planner_topology_init(&pair->topology, mem);
 	rj_planner_first_fit_init(&pair->first_fit, mem);
-	rj_decisions_init(&pair->plain, mem);
+	rj_decisions_init(&pair->reference, mem);
 	return &pair->base;
 }
 
@@ -272,19 +277,20 @@
  * What the accounts' tasks that cannot be stopped take of each worker, as
  * the world has it.
  */
-static void add_pinned(const struct plan_world *world,
-		       struct rj_resources pinned[][STREAM_ACCOUNTS])
+static void add_unstoppable(const struct plan_world *world,
+			    struct rj_resources unstoppable[][STREAM_ACCOUNTS])
 {
 	for (uint32_t i = 0; i < world->stream->count; i++) {
-		const struct stream_job *truth = &world->stream->jobs[i];
+		const struct stream_job *generated = &world->stream->jobs[i];
 		const struct world_job *job = &world->jobs[i];
 
-		if (truth->plan.stoppable)
+		if (generated->plan.stoppable)
 			continue;
 		for (uint32_t j = 0; j < job->member_count; j++)
-			rj_resources_add(
-				&pinned[job->members[j].worker][truth->account],
-				&truth->plan.shape.each, job->members[j].tasks);
+			rj_resources_add(&unstoppable[job->members[j].worker]
+						     [generated->account],
+					 &generated->plan.shape.each,
+					 job->members[j].tasks);
 	}
 }
 
@@ -295,22 +301,22 @@
  */
 static void check_reclaimable(struct plan_world *world)
 {
-	static struct rj_resources pinned[STREAM_WORKERS][STREAM_ACCOUNTS];
+	static struct rj_resources unstoppable[STREAM_WORKERS][STREAM_ACCOUNTS];
 	const struct pair *pair = (const struct pair *)world->planner;
 	const struct rj_topology_state *state = pair->topology.state;
-	uint64_t homes = 0;
+	uint64_t missing_accelerators = 0;
 
 	if (world->instance_down)
 		return;
-	memset(pinned, 0, sizeof(pinned));
-	add_pinned(world, pinned);
+	memset(unstoppable, 0, sizeof(unstoppable));
+	add_unstoppable(world, unstoppable);
 	for (uint32_t i = 0; i < STREAM_WORKERS; i++) {
 		const struct rj_ledger *ledger =
 			rj_capacity_find(&state->capacity, i)->ledger;
 		struct rj_resources bound = { 0 };
 
 		for (uint32_t j = 0; j < STREAM_ACCOUNTS; j++) {
-			struct rj_resources most = pinned[i][j];
+			struct rj_resources most = unstoppable[i][j];
 			const struct rj_worker_share *share = rj_ledger_share(
 				ledger,
 				g_hash_table_lookup(
@@ -318,7 +324,8 @@
 					world->stream->accounts[j].name));
 
 			if (share)
-				homes += share->guaranteed.accelerators;
+				missing_accelerators +=
+					share->guaranteed.accelerators;
 			if (share) {
 				most.slots = MAX(most.slots,
 						 share->guaranteed.slots);
@@ -335,10 +342,11 @@
 		const struct rj_guarantee *guarantee =
 			&world->stream->guarantees[i];
 
-		homes -= (uint64_t)guarantee->count * guarantee->shape.tasks *
-			 guarantee->shape.each.accelerators;
+		missing_accelerators -= (uint64_t)guarantee->count *
+					guarantee->shape.tasks *
+					guarantee->shape.each.accelerators;
 	}
-	g_assert_cmpuint(homes, ==, 0);
+	g_assert_cmpuint(missing_accelerators, ==, 0);
 }
 
 /*
@@ -366,19 +374,20 @@
 		for (uint32_t i = 0; i < DIFFERENCE_COUNT; i++)
 			count += differences[i];
 		g_assert_cmpuint(count, >, stream.count / 2);
-		g_assert_cmpuint(differences[OTHER_PLACE], >, 0);
+		g_assert_cmpuint(differences[OTHER_PLACEMENT], >, 0);
 		g_assert_cmpfloat(result.guaranteed_late, ==, 0);
-		g_test_message("same %" G_GUINT64_FORMAT
-			       ", other place %" G_GUINT64_FORMAT
-			       ", given %" G_GUINT64_FORMAT
-			       ", kept %" G_GUINT64_FORMAT
-			       ", pinned %" G_GUINT64_FORMAT
-			       ", earlier %" G_GUINT64_FORMAT
-			       ", refused %" G_GUINT64_FORMAT,
-			       differences[SAME], differences[OTHER_PLACE],
-			       differences[ROOM_GIVEN], differences[ROOM_KEPT],
-			       differences[ROOM_PINNED], differences[EARLIER],
-			       differences[REFUSED]);
+		g_test_message(
+			"same %" G_GUINT64_FORMAT
+			", other place %" G_GUINT64_FORMAT
+			", given %" G_GUINT64_FORMAT ", kept %" G_GUINT64_FORMAT
+			", pinned %" G_GUINT64_FORMAT
+			", earlier %" G_GUINT64_FORMAT
+			", refused %" G_GUINT64_FORMAT,
+			differences[SAME], differences[OTHER_PLACEMENT],
+			differences[CAPACITY_TAKEN],
+			differences[CAPACITY_RESERVED],
+			differences[UNSTOPPABLE], differences[STARTED_EARLIER],
+			differences[REFUSED]);
 		plan_stream_finish(&stream);
 	}
 }
--- a/src/test_libradishjunction/test_planner_first_fit.c
+++ b/src/test_libradishjunction/test_planner_first_fit.c
@@ -85,8 +85,8 @@
 	g_assert_cmpuint(f->decisions.list[0].job_id, ==, 3);
 }
 
-static void test_spans_racks_and_skips_what_does_not_fit(struct fixture *f,
-							 const void *data)
+static void test_spans_racks_and_skips_jobs_that_do_not_fit(struct fixture *f,
+							    const void *data)
 {
 	enum rj_reason reason;
 
@@ -97,7 +97,8 @@
 	g_assert_cmpuint(f->decisions.list[1].job_id, ==, 3);
 }
 
-static void test_refuses_what_can_never_run(struct fixture *f, const void *data)
+static void test_refuses_jobs_that_can_never_run(struct fixture *f,
+						 const void *data)
 {
 	enum rj_reason reason;
 
@@ -135,8 +136,8 @@
  * Its worker disappears while it runs and returns before the job is given
  * back. Cause: the worker came back as new, with its capacity free.
  */
-static void test_worker_that_returns_is_still_taken(struct fixture *f,
-						    const void *data)
+static void test_returning_worker_is_still_allocated(struct fixture *f,
+						     const void *data)
 {
 	struct rj_plan_worker worker = {
 		.capacity = { 8, 8, 64, 65536 },
@@ -215,11 +216,11 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	ADD("gang", test_starts_whole_gangs_in_one_rack);
-	ADD("span", test_spans_racks_and_skips_what_does_not_fit);
-	ADD("never_fits", test_refuses_what_can_never_run);
+	ADD("span", test_spans_racks_and_skips_jobs_that_do_not_fit);
+	ADD("never_fits", test_refuses_jobs_that_can_never_run);
 	ADD("queue_max", test_queue_is_bounded);
 	ADD("resources", test_slots_cores_and_memory_count);
-	ADD("worker_returns", test_worker_that_returns_is_still_taken);
+	ADD("worker_returns", test_returning_worker_is_still_allocated);
 	ADD("adopt_early", test_adopted_before_its_worker_is_known);
 	ADD("back_off", test_ended_back_off_wakes_once);
 	return g_test_run();
--- a/src/test_libradishjunction/test_planner_queue.c
+++ b/src/test_libradishjunction/test_planner_queue.c
@@ -8,8 +8,9 @@
  * Two racks idle for a gang that can never run. Half of the workers are
  * dead, the gang needs more than are left, and room is kept for it.
  */
-static void test_nothing_is_kept_for_what_cannot_run(struct planner_fixture *f,
-						     const void *data)
+static void
+test_no_reservation_for_a_gang_that_cannot_run(struct planner_fixture *f,
+					       const void *data)
 {
 	struct rj_plan_job gang = planner_job_of(1, 'c', 8, 8);
 
@@ -26,35 +27,35 @@
  * A gang waits for hours while short jobs pass it, because each says that it
  * takes a millisecond. Cause: the declared run time was believed.
  */
-static void test_learnt_run_time_decides_who_passes(struct planner_fixture *f,
-						    const void *data)
+static void test_learnt_run_time_decides_backfill(struct planner_fixture *f,
+						  const void *data)
 {
-	struct rj_plan_job liar = planner_job_of(100, 'c', 1, 8);
+	struct rj_plan_job underdeclared = planner_job_of(100, 'c', 1, 8);
 	struct rj_plan_job gang = planner_job_of(200, 'b', 8, 8);
 
 	f->accounts[0].guarantee_count = 0;
 	f->accounts[1].guarantee_count = 0;
 	planner_configure(f);
-	liar.stoppable = false;
-	liar.declared_us = 1000;
-	for (uint32_t i = 0; i < 20; i++, liar.job_id++) {
-		planner_submit(f, liar, 0);
+	underdeclared.stoppable = false;
+	underdeclared.declared_us = 1000;
+	for (uint32_t i = 0; i < 20; i++, underdeclared.job_id++) {
+		planner_submit(f, underdeclared, 0);
 		planner_pass(f, 0);
-		planner_ended(f, liar.job_id, 1000 * S, 0);
+		planner_ended(f, underdeclared.job_id, 1000 * S, 0);
 	}
 	strcpy(gang.class_name, "gang");
 	gang.shape.adjacent = false;
 	/* One runs, the gang waits for it, and another asks to pass. */
-	planner_submit(f, liar, 0);
+	planner_submit(f, underdeclared, 0);
 	planner_pass(f, 0);
 	planner_submit(f, gang, 0);
 	planner_pass(f, 0);
 	g_assert_null(planner_decision_on(f, 200));
-	liar.job_id++;
-	planner_submit(f, liar, 900 * S);
+	underdeclared.job_id++;
+	planner_submit(f, underdeclared, 900 * S);
 	planner_pass(f, 900 * S);
 	g_assert_cmpuint(f->decisions.count, ==, 0);
-	planner_ended(f, liar.job_id - 1, 1000 * S, 1000 * S);
+	planner_ended(f, underdeclared.job_id - 1, 1000 * S, 1000 * S);
 	planner_pass(f, 1000 * S);
 	g_assert_cmpint(planner_decision_on(f, 200)->kind, ==,
 			RJ_DECISION_START);
@@ -64,8 +65,8 @@
  * A pricing gang waits for hours while previews come and go in its rack: at
  * no time are all of them gone at once.
  */
-static void test_small_work_makes_way_for_a_gang(struct planner_fixture *f,
-						 const void *data)
+static void test_small_jobs_are_stopped_for_a_gang(struct planner_fixture *f,
+						   const void *data)
 {
 	struct rj_job_class class = { .name = "class", .expected_us = 100 * S };
 	struct rj_plan_job small = planner_job_of(1, 'c', 1, 1);
@@ -97,8 +98,8 @@
  * only if that was enough, and so was small work, but never both together.
  */
 static void
-test_loans_and_small_work_make_way_together(struct planner_fixture *f,
-					    const void *data)
+test_backfilled_and_small_jobs_are_stopped_together(struct planner_fixture *f,
+						    const void *data)
 {
 	struct rj_job_class class = { .name = "class", .expected_us = 100 * S };
 	struct rj_plan_job render = planner_job_of(1, 'c', 1, 8);
@@ -134,8 +135,8 @@
  * that it is urgent counted for nothing there.
  */
 static void
-test_urgent_work_is_not_stopped_again_for_a_gang(struct planner_fixture *f,
-						 const void *data)
+test_urgent_job_is_not_stopped_again_for_a_gang(struct planner_fixture *f,
+						const void *data)
 {
 	struct rj_job_class class = { .name = "class",
 				      .expected_us = 1000 * S };
@@ -169,8 +170,8 @@
  * Cause: only what ends in time or has checkpoints was let pass.
  */
 static void
-test_short_small_work_passes_a_reservation(struct planner_fixture *f,
-					   const void *data)
+test_cheap_preemptible_jobs_backfill_a_reservation(struct planner_fixture *f,
+						   const void *data)
 {
 	struct rj_job_class classes[] = {
 		{ .name = "class", .expected_us = 100 * S },
@@ -205,8 +206,8 @@
  * A tutor waits for a lesson pack that was dead an hour ago: it sits in the
  * queue past its deadline and nobody says so.
  */
-static void test_late_jobs_are_given_up(struct planner_fixture *f,
-					const void *data)
+static void test_jobs_past_their_deadline_are_refused(struct planner_fixture *f,
+						      const void *data)
 {
 	struct rj_plan_job late = planner_job_of(20, 'c', 1, 8);
 
@@ -227,7 +228,8 @@
  * Refused callers come back together, again and again. Cause: all were told
  * the same time.
  */
-static void test_refused_callers_return_apart(struct planner_fixture *f,
+static void
+test_refused_callers_retry_at_different_times(struct planner_fixture *f,
 					      const void *data)
 {
 	GHashTable *times = g_hash_table_new(NULL, NULL);
@@ -257,8 +259,8 @@
  * Cause: the gang is of low priority, and its size counted for nothing.
  */
 static void
-test_a_large_gang_goes_before_later_small_work(struct planner_fixture *f,
-					       const void *data)
+test_large_gang_goes_before_later_small_jobs(struct planner_fixture *f,
+					     const void *data)
 {
 	struct rj_plan_job gang = planner_job_of(2, 'c', WORKERS, 8);
 	struct rj_plan_job small = planner_job_of(3, 'c', 1, 8);
@@ -305,21 +307,22 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	PLANNER_TEST("reservation/never",
-		     test_nothing_is_kept_for_what_cannot_run);
+		     test_no_reservation_for_a_gang_that_cannot_run);
 	PLANNER_TEST("reservation/learnt",
-		     test_learnt_run_time_decides_who_passes);
+		     test_learnt_run_time_decides_backfill);
 	PLANNER_TEST("reservation/waited",
-		     test_small_work_makes_way_for_a_gang);
+		     test_small_jobs_are_stopped_for_a_gang);
 	PLANNER_TEST("reservation/together",
-		     test_loans_and_small_work_make_way_together);
+		     test_backfilled_and_small_jobs_are_stopped_together);
 	PLANNER_TEST("reservation/urgent_again",
-		     test_urgent_work_is_not_stopped_again_for_a_gang);
+		     test_urgent_job_is_not_stopped_again_for_a_gang);
 	PLANNER_TEST("reservation/short",
-		     test_short_small_work_passes_a_reservation);
-	PLANNER_TEST("queue/late", test_late_jobs_are_given_up);
-	PLANNER_TEST("queue/apart", test_refused_callers_return_apart);
+		     test_cheap_preemptible_jobs_backfill_a_reservation);
+	PLANNER_TEST("queue/late", test_jobs_past_their_deadline_are_refused);
+	PLANNER_TEST("queue/apart",
+		     test_refused_callers_retry_at_different_times);
 	PLANNER_TEST("queue/shared", test_queue_is_shared);
 	PLANNER_TEST("queue/size",
-		     test_a_large_gang_goes_before_later_small_work);
+		     test_large_gang_goes_before_later_small_jobs);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_planner_topology.c
+++ b/src/test_libradishjunction/test_planner_topology.c
@@ -39,9 +39,8 @@
  * A buyer's charge runs on a studio's guaranteed rack and cannot be stopped
  * when the studio needs it. Cause: it was let in because the rack was idle.
  */
-static void
-test_unstoppable_work_stays_off_guarantees(struct planner_fixture *f,
-					   const void *data)
+static void test_unstoppable_jobs_stay_off_guarantees(struct planner_fixture *f,
+						      const void *data)
 {
 	struct rj_plan_job charge = planner_job_of(1, 'c', 1, 8);
 
@@ -59,8 +58,8 @@
 }
 
 static void
-test_unstoppable_work_runs_on_its_own_guarantee(struct planner_fixture *f,
-						const void *data)
+test_unstoppable_jobs_run_on_their_own_guarantee(struct planner_fixture *f,
+						 const void *data)
 {
 	struct rj_plan_job charge = planner_job_of(1, 'b', 1, 8);
 
@@ -134,8 +133,9 @@
  * the task on one of them neither stops nor reports. Cause: the claim waited
  * for that worker instead of choosing another shape.
  */
-static void test_silent_worker_gives_another_shape(struct planner_fixture *f,
-						   const void *data)
+static void
+test_reclaim_avoids_an_unresponsive_worker(struct planner_fixture *f,
+					   const void *data)
 {
 	uint64_t now_us = S;
 	uint64_t silent;
@@ -263,8 +263,8 @@
  * After an instance is replaced a guarantee cannot be reclaimed: its
  * successor found the renders running and took them for its own account's.
  */
-static void test_adopted_work_is_reclaimed(struct planner_fixture *f,
-					   const void *data)
+static void test_adopted_jobs_are_reclaimed(struct planner_fixture *f,
+					    const void *data)
 {
 	for (uint32_t i = 0; i < WORKERS; i++) {
 		struct rj_plan_job job = planner_job_of(i + 1, 'c', 1, 8);
@@ -286,8 +286,8 @@
  * Cause: the victims were chosen by lost work alone.
  */
 static void
-test_what_is_within_a_guarantee_is_not_stopped(struct planner_fixture *f,
-					       const void *data)
+test_jobs_within_a_guarantee_are_not_stopped(struct planner_fixture *f,
+					     const void *data)
 {
 	planner_submit(f, planner_job_of(1, 'a', 4, 8), 0);
 	planner_pass(f, 0);
@@ -321,7 +321,7 @@
 
 /* On which workers of eight, "w0" to "w7", work that cannot be stopped goes,
  * as a bit for each, if they become known in this order. */
-static uint32_t unguaranteed(bool reversed)
+static uint32_t unstoppable_placement(bool reversed)
 {
 	struct planner_fixture f;
 	uint32_t workers = 0;
@@ -358,8 +358,9 @@
  */
 static void test_homes_do_not_depend_on_the_order_of_discovery(void)
 {
-	g_assert_cmpuint(unguaranteed(false), !=, 0);
-	g_assert_cmpuint(unguaranteed(false), ==, unguaranteed(true));
+	g_assert_cmpuint(unstoppable_placement(false), !=, 0);
+	g_assert_cmpuint(unstoppable_placement(false), ==,
+			 unstoppable_placement(true));
 }
 
 int main(int argc, char **argv)
@@ -367,18 +368,18 @@
 	g_test_init(&argc, &argv, NULL);
 	PLANNER_TEST("guarantee/gangs", test_guarantee_occupied_by_gangs);
 	PLANNER_TEST("guarantee/unstoppable",
-		     test_unstoppable_work_stays_off_guarantees);
+		     test_unstoppable_jobs_stay_off_guarantees);
 	PLANNER_TEST("guarantee/own",
-		     test_unstoppable_work_runs_on_its_own_guarantee);
+		     test_unstoppable_jobs_run_on_their_own_guarantee);
 	PLANNER_TEST("guarantee/two", test_two_accounts_reclaim_at_once);
 	PLANNER_TEST("guarantee/sizes", test_mixed_sizes_share_a_guarantee);
 	PLANNER_TEST("guarantee/silent",
-		     test_silent_worker_gives_another_shape);
+		     test_reclaim_avoids_an_unresponsive_worker);
 	PLANNER_TEST("guarantee/dies", test_workers_die_during_reclaim);
 	PLANNER_TEST("guarantee/changes", test_guarantee_shrinks_and_grows);
-	PLANNER_TEST("guarantee/adopted", test_adopted_work_is_reclaimed);
+	PLANNER_TEST("guarantee/adopted", test_adopted_jobs_are_reclaimed);
 	PLANNER_TEST("guarantee/within",
-		     test_what_is_within_a_guarantee_is_not_stopped);
+		     test_jobs_within_a_guarantee_are_not_stopped);
 	PLANNER_TEST("guarantee/cancelled", test_cancelled_while_reclaiming);
 	PLANNER_TEST("place/broken", test_small_jobs_fill_broken_workers);
 	PLANNER_TEST("place/span", test_gangs_span_as_few_racks_as_will_do);
--- a/src/test_libradishjunction/test_record.c
+++ b/src/test_libradishjunction/test_record.c
@@ -7,8 +7,8 @@
 static const uint8_t some_bytes[] = { 0, 1, 2, 0xff, 'x', '"' };
 
 /* A record with every field that its kind may have. */
-static void fill(struct rj_record *record, enum rj_record_kind kind,
-		 struct rj_claim_member members[2])
+static void fill_record(struct rj_record *record, enum rj_record_kind kind,
+			struct rj_claim_member members[2])
 {
 	memset(record, 0, sizeof(*record));
 	record->kind = kind;
@@ -62,7 +62,7 @@
 		char *text;
 		char *again;
 
-		fill(&in, (enum rj_record_kind)kind, members);
+		fill_record(&in, (enum rj_record_kind)kind, members);
 		text = rj_record_encode(mem, &in);
 		g_assert_nonnull(text);
 		g_assert_cmpint(rj_record_decode(mem, text, &out, NULL), ==, 0);
@@ -171,7 +171,7 @@
  * The platform's answer is mangled. Each record is decoded whole or not at
  * all, and what was refused leaves no memory behind.
  */
-static void test_mangled_records(void)
+static void test_corrupted_records(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_claim_member members[2];
@@ -183,9 +183,10 @@
 		size_t length;
 		char *text;
 
-		fill(&record,
-		     (enum rj_record_kind)(1 + i % (RJ_RECORD_KIND_COUNT - 1)),
-		     members);
+		fill_record(&record,
+			    (enum rj_record_kind)(
+				    1 + i % (RJ_RECORD_KIND_COUNT - 1)),
+			    members);
 		text = rj_record_encode(NULL, &record);
 		length = strlen(text);
 		for (uint64_t n = rj_random64(&seed) % 4; n; n--)
@@ -210,6 +211,6 @@
 	g_test_add_func("/record/newer", test_newer_records);
 	g_test_add_func("/record/malformed", test_each_malformed_text);
 	g_test_add_func("/record/key", test_key_that_json_cannot_carry);
-	g_test_add_func("/record/mangled", test_mangled_records);
+	g_test_add_func("/record/mangled", test_corrupted_records);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_schema.c
+++ b/src/test_libradishjunction/test_schema.c
@@ -104,7 +104,7 @@
  * An operator generates a configuration, changes nothing and generates it
  * again: it must not differ, or every round would look like a change.
  */
-static void test_what_is_written_reads_back_the_same(void)
+static void test_generated_text_parses_to_the_same_values(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error_list errors;
@@ -221,7 +221,7 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/schema/fallbacks", test_fallbacks);
 	g_test_add_func("/schema/round-trip",
-			test_what_is_written_reads_back_the_same);
+			test_generated_text_parses_to_the_same_values);
 	g_test_add_func("/schema/errors",
 			test_each_error_names_path_value_and_remedy);
 	g_test_add_func("/schema/missing", test_missing_fields);
--- a/src/test_libradishjunction/test_settings.c
+++ b/src/test_libradishjunction/test_settings.c
@@ -8,7 +8,7 @@
 #define KEY "0123456789abcdef0123456789abcdef"
 
 /* The settings of one daemon with more fields; single quotes for double. */
-static char *text_with(void *mem, const char *more)
+static char *settings_text(void *mem, const char *more)
 {
 	return text_check_json(
 		mem,
@@ -27,11 +27,11 @@
 	rj_error_list_init(&errors, mem);
 	settings = rj_settings_parse(
 		mem,
-		text_with(mem, ",'drain_limit_s':7,'peers':["
-			       "{'name':'entry-1','domain':'caxias',"
-			       "'address':'[::1]:7001'},"
-			       "{'name':'entry-2','domain':'lajeado',"
-			       "'address':'127.0.0.1:7002'}]"),
+		settings_text(mem, ",'drain_limit_s':7,'peers':["
+				   "{'name':'entry-1','domain':'caxias',"
+				   "'address':'[::1]:7001'},"
+				   "{'name':'entry-2','domain':'lajeado',"
+				   "'address':'127.0.0.1:7002'}]"),
 		&errors);
 	g_assert_nonnull(settings);
 	g_assert_cmpstr(settings->peer_address.ip, ==, "::1");
@@ -53,7 +53,8 @@
 	struct rj_error_list errors;
 
 	rj_error_list_init(&errors, mem);
-	g_assert_null(rj_settings_parse(mem, text_with(mem, more), &errors));
+	g_assert_null(
+		rj_settings_parse(mem, settings_text(mem, more), &errors));
 	text_check_one_error(&errors, start, remedy);
 	talloc_free(mem);
 }
--- a/src/test_libradishjunction/test_standin_tasks.c
+++ b/src/test_libradishjunction/test_standin_tasks.c
@@ -4,7 +4,7 @@
 
 #include "tasks.h"
 
-#define LIFE_US (5 * RJ_US_PER_S)
+#define LEASE_LIFE_US (5 * RJ_US_PER_S)
 
 struct fixture {
 	struct rj_tasks tasks;
@@ -24,7 +24,7 @@
 	fixture->call.attempt = (struct rj_attempt){ 1, 2, 3 };
 	fixture->call.holder = 2;
 	fixture->call.each = (struct rj_resources){ 1, 4, 1, 1 };
-	fixture->call.life_us = LIFE_US;
+	fixture->call.life_us = LEASE_LIFE_US;
 	fixture->call.throttle_percent = 100;
 	fixture->call.body.data = (const uint8_t *)body;
 	fixture->call.body.length = sizeof(body) - 1;
@@ -70,11 +70,11 @@
  * settled elsewhere; then it wakes and sends its start.
  * Cause: a token that outlives its lease.
  */
-static void test_lapsed_token_never_starts(struct fixture *fixture,
-					   gconstpointer data)
+static void test_expired_token_never_starts(struct fixture *fixture,
+					    gconstpointer data)
 {
 	lease(fixture);
-	fixture->now_us += LIFE_US;
+	fixture->now_us += LEASE_LIFE_US;
 	call(fixture, RJ_WORKER_START);
 	assert_refused(fixture, RJ_REASON_LEASE_LAPSED);
 	call(fixture, RJ_WORKER_RENEW);
@@ -103,8 +103,8 @@
 	g_assert_cmpuint(g_hash_table_size(fixture->tasks.ran), ==, 0);
 }
 
-static void test_fence_kills_a_held_token(struct fixture *fixture,
-					  gconstpointer data)
+static void test_fence_revokes_a_held_token(struct fixture *fixture,
+					    gconstpointer data)
 {
 	lease(fixture);
 	call(fixture, RJ_WORKER_FENCE);
@@ -113,8 +113,8 @@
 	assert_refused(fixture, RJ_REASON_LEASE_LAPSED);
 }
 
-static void test_release_kills_a_held_token(struct fixture *fixture,
-					    gconstpointer data)
+static void test_release_revokes_a_held_token(struct fixture *fixture,
+					      gconstpointer data)
 {
 	lease(fixture);
 	call(fixture, RJ_WORKER_RELEASE);
@@ -129,8 +129,8 @@
  * A task ends and is released; a start that was held up arrives.
  * Cause: forgetting the end also forgot that the attempt was here.
  */
-static void test_released_end_never_runs_again(struct fixture *fixture,
-					       gconstpointer data)
+static void test_released_attempt_never_runs_again(struct fixture *fixture,
+						   gconstpointer data)
 {
 	lease(fixture);
 	call(fixture, RJ_WORKER_START);
@@ -142,8 +142,8 @@
 	assert_refused(fixture, RJ_REASON_LEASE_LAPSED);
 }
 
-static void test_calls_repeat_their_answers(struct fixture *fixture,
-					    gconstpointer data)
+static void test_repeated_calls_get_the_same_answer(struct fixture *fixture,
+						    gconstpointer data)
 {
 	uint64_t token;
 
@@ -163,22 +163,22 @@
 	g_assert_cmpuint(g_hash_table_size(fixture->tasks.ran), ==, 1);
 }
 
-static void test_lapse_stops_a_running_task(struct fixture *fixture,
-					    gconstpointer data)
+static void test_expiry_stops_a_running_task(struct fixture *fixture,
+					     gconstpointer data)
 {
 	lease(fixture);
 	fixture->call.throttle_percent = 0;
 	call(fixture, RJ_WORKER_START);
 	g_assert_cmpuint(rj_tasks_due_us(&fixture->tasks), ==,
-			 fixture->now_us + LIFE_US);
-	fixture->now_us += LIFE_US;
+			 fixture->now_us + LEASE_LIFE_US);
+	fixture->now_us += LEASE_LIFE_US;
 	call(fixture, RJ_WORKER_FENCE);
 	assert_state(fixture, RJ_TASK_STOPPED);
 	g_assert_cmpuint(fixture->reply.ran_us, ==, 0);
 }
 
-static void test_throttle_holds_still(struct fixture *fixture,
-				      gconstpointer data)
+static void test_throttle_pauses_the_task(struct fixture *fixture,
+					  gconstpointer data)
 {
 	lease(fixture);
 	fixture->call.throttle_percent = 0;
@@ -212,8 +212,8 @@
 }
 
 static void
-test_checkpoint_beyond_its_limit_saves_nothing(struct fixture *fixture,
-					       gconstpointer data)
+test_checkpoint_above_the_limit_is_not_saved(struct fixture *fixture,
+					     gconstpointer data)
 {
 	lease(fixture);
 	call(fixture, RJ_WORKER_START);
@@ -236,14 +236,14 @@
 	fixture->call.attempt.number++;
 	fixture->call.holder = 9;
 	call(fixture, RJ_WORKER_LEASE);
-	fixture->now_us += LIFE_US - 1;
+	fixture->now_us += LEASE_LIFE_US - 1;
 	call(fixture, RJ_WORKER_REPORT);
 	fixture->now_us += 1;
 	call(fixture, RJ_WORKER_REPORT);
 	rj_tasks_report(&fixture->tasks, mem, fixture->now_us, &report);
 	g_assert_cmpuint(report.task_count, ==, 1);
 	g_assert_cmpuint(report.tasks[0].holder, ==, 9);
-	g_assert_cmpuint(report.tasks[0].lease_left_us, ==, LIFE_US);
+	g_assert_cmpuint(report.tasks[0].lease_left_us, ==, LEASE_LIFE_US);
 	talloc_free(mem);
 }
 
@@ -271,17 +271,17 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	add("/tasks/lapsed", test_lapsed_token_never_starts);
+	add("/tasks/lapsed", test_expired_token_never_starts);
 	add("/tasks/fenced", test_fenced_attempt_never_runs);
-	add("/tasks/fence_held", test_fence_kills_a_held_token);
-	add("/tasks/release_held", test_release_kills_a_held_token);
-	add("/tasks/released", test_released_end_never_runs_again);
-	add("/tasks/repeat", test_calls_repeat_their_answers);
-	add("/tasks/lapse_running", test_lapse_stops_a_running_task);
-	add("/tasks/throttle", test_throttle_holds_still);
+	add("/tasks/fence_held", test_fence_revokes_a_held_token);
+	add("/tasks/release_held", test_release_revokes_a_held_token);
+	add("/tasks/released", test_released_attempt_never_runs_again);
+	add("/tasks/repeat", test_repeated_calls_get_the_same_answer);
+	add("/tasks/lapse_running", test_expiry_stops_a_running_task);
+	add("/tasks/throttle", test_throttle_pauses_the_task);
 	add("/tasks/checkpoint", test_checkpoint_is_resumed);
 	add("/tasks/checkpoint_limit",
-	    test_checkpoint_beyond_its_limit_saves_nothing);
+	    test_checkpoint_above_the_limit_is_not_saved);
 	add("/tasks/report", test_report_renews_for_its_holder);
 	add("/tasks/fit", test_lease_refuses_what_does_not_fit);
 	return g_test_run();
--- a/src/test_libradishjunction/test_tcp_peers.c
+++ b/src/test_libradishjunction/test_tcp_peers.c
@@ -24,7 +24,7 @@
 };
 
 /* A peer that the test drives frame by frame. */
-struct raw {
+struct raw_peer {
 	struct rj_tcp_link link; /* first member, always */
 	struct rj_peer_session session;
 	uint32_t frames;
@@ -90,50 +90,51 @@
 
 static void raw_frame(struct rj_tcp_link *link, struct rj_bytes frame)
 {
-	struct raw *raw = (struct raw *)link;
+	struct raw_peer *raw_peer = (struct raw_peer *)link;
 
-	if (raw->frames++ == 0) {
-		rj_peer_session_take_hello(&raw->session, frame, NULL);
+	if (raw_peer->frames++ == 0) {
+		rj_peer_session_take_hello(&raw_peer->session, frame, NULL);
 		return;
 	}
-	g_assert_cmpint(
-		rj_peer_session_open(&raw->session, frame, &raw->body, NULL),
-		==, 0);
-	raw->body.data = talloc_memdup(loop, raw->body.data, raw->body.length);
+	g_assert_cmpint(rj_peer_session_open(&raw_peer->session, frame,
+					     &raw_peer->body, NULL),
+			==, 0);
+	raw_peer->body.data =
+		talloc_memdup(loop, raw_peer->body.data, raw_peer->body.length);
 }
 
 static void raw_connected(struct rj_tcp_link *link)
 {
-	struct raw *raw = (struct raw *)link;
-	struct rj_bytes hello = { raw->session.own_bytes,
-				  raw->session.own_length };
+	struct raw_peer *raw_peer = (struct raw_peer *)link;
+	struct rj_bytes hello = { raw_peer->session.own_bytes,
+				  raw_peer->session.own_length };
 
 	rj_tcp_link_send(link, &hello, 1);
 }
 
 static void raw_closed(struct rj_tcp_link *link, enum rj_peer_close reason)
 {
-	((struct raw *)link)->closed = true;
+	((struct raw_peer *)link)->closed = true;
 }
 
 static const struct rj_tcp_link_ops raw_ops = { raw_connected, raw_frame,
 						raw_closed };
 
 /* Connect to `node` and send `hello`. */
-static void raw_init_hello(struct raw *raw, const struct node *node,
+static void raw_init_hello(struct raw_peer *raw_peer, const struct node *node,
 			   const struct rj_peer_hello *hello)
 {
 	struct rj_address address = rj_tcp_peers_address(&node->peers);
 
-	memset(raw, 0, sizeof(*raw));
-	rj_peer_session_init(&raw->session, KEY, hello);
-	rj_tcp_link_init(&raw->link, loop, &raw_ops, loop,
+	memset(raw_peer, 0, sizeof(*raw_peer));
+	rj_peer_session_init(&raw_peer->session, KEY, hello);
+	rj_tcp_link_init(&raw_peer->link, loop, &raw_ops, loop,
 			 rj_tcp_connect(&address, NULL), true);
 }
 
 /* Connect to `node` with a hello of that one version. */
-static void raw_init(struct raw *raw, const struct node *node, const char *name,
-		     uint32_t version)
+static void raw_init(struct raw_peer *raw_peer, const struct node *node,
+		     const char *name, uint32_t version)
 {
 	struct rj_peer_hello hello = { .version = version,
 				       .version_min = version };
@@ -141,29 +142,29 @@
 	rj_name_set(hello.name, name);
 	rj_name_set(hello.domain, "lhr-dha");
 	randombytes_buf(hello.nonce, sizeof(hello.nonce));
-	raw_init_hello(raw, node, &hello);
+	raw_init_hello(raw_peer, node, &hello);
 }
 
 /* Seal `body`; the whole frame is a talloc child of `loop`. */
-static struct rj_bytes raw_seal(struct raw *raw, struct rj_bytes body)
+static struct rj_bytes raw_seal(struct raw_peer *raw_peer, struct rj_bytes body)
 {
 	uint8_t *data = talloc_size(loop, RJ_PEER_MAC_BYTES + body.length);
 
-	rj_peer_session_seal(&raw->session, data, body);
+	rj_peer_session_seal(&raw_peer->session, data, body);
 	if (body.length)
 		memcpy(data + RJ_PEER_MAC_BYTES, body.data, body.length);
 	return (struct rj_bytes){ data, RJ_PEER_MAC_BYTES + body.length };
 }
 
 /* Finish the handshake as a proper peer. */
-static void raw_prove(struct raw *raw, struct node *node)
+static void raw_authenticate(struct raw_peer *raw_peer, struct node *node)
 {
 	struct rj_bytes proof;
 	uint32_t ups = node->ups;
 
-	RUN_UNTIL(loop, raw->frames >= 1);
-	proof = raw_seal(raw, (struct rj_bytes){ NULL, 0 });
-	rj_tcp_link_send(&raw->link, &proof, 1);
+	RUN_UNTIL(loop, raw_peer->frames >= 1);
+	proof = raw_seal(raw_peer, (struct rj_bytes){ NULL, 0 });
+	rj_tcp_link_send(&raw_peer->link, &proof, 1);
 	RUN_UNTIL(loop, node->ups == ups + 1);
 }
 
@@ -267,17 +268,17 @@
 	struct rj_bytes frame;
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 
 	pair_init(&node, &other);
-	raw_init(&raw, &node, "c", RJ_PEER_VERSION);
-	raw_prove(&raw, &node);
-	frame = raw_seal(&raw, rj_peer_encode(loop, &message));
-	rj_tcp_link_send(&raw.link, &frame, 1);
-	rj_tcp_link_send(&raw.link, &frame, 1);
+	raw_init(&raw_peer, &node, "c", RJ_PEER_VERSION);
+	raw_authenticate(&raw_peer, &node);
+	frame = raw_seal(&raw_peer, rj_peer_encode(loop, &message));
+	rj_tcp_link_send(&raw_peer.link, &frame, 1);
+	rj_tcp_link_send(&raw_peer.link, &frame, 1);
 	RUN_UNTIL(loop, closed(&node, RJ_PEER_CLOSE_AUTHENTICATION) == 1);
 	g_assert_cmpuint(node.messages, ==, 1);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
@@ -287,17 +288,17 @@
 	struct rj_bytes garbage = { (const uint8_t *)"\xc1\xc1\xc1", 3 };
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 
 	pair_init(&node, &other);
-	raw_init(&raw, &node, "c", RJ_PEER_VERSION);
-	raw_prove(&raw, &node);
-	garbage = raw_seal(&raw, garbage);
-	rj_tcp_link_send(&raw.link, &garbage, 1);
-	RUN_UNTIL(loop,
-		  closed(&node, RJ_PEER_CLOSE_MALFORMED) == 1 && raw.closed);
+	raw_init(&raw_peer, &node, "c", RJ_PEER_VERSION);
+	raw_authenticate(&raw_peer, &node);
+	garbage = raw_seal(&raw_peer, garbage);
+	rj_tcp_link_send(&raw_peer.link, &garbage, 1);
+	RUN_UNTIL(loop, closed(&node, RJ_PEER_CLOSE_MALFORMED) == 1 &&
+				raw_peer.closed);
 	g_assert_cmpuint(node.downs, ==, 1);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
@@ -308,13 +309,13 @@
 	struct rj_bytes frame = { zeros, sizeof(zeros) };
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 
 	pair_init(&node, &other);
-	raw_init(&raw, &node, "c", RJ_PEER_VERSION);
-	rj_tcp_link_send(&raw.link, &frame, 1);
+	raw_init(&raw_peer, &node, "c", RJ_PEER_VERSION);
+	rj_tcp_link_send(&raw_peer.link, &frame, 1);
 	RUN_UNTIL(loop, closed(&node, RJ_PEER_CLOSE_OVERSIZED) == 1);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
@@ -323,28 +324,28 @@
 {
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 
 	pair_init(&node, &other);
-	raw_init(&raw, &node, "c", RJ_PEER_VERSION + 1);
+	raw_init(&raw_peer, &node, "c", RJ_PEER_VERSION + 1);
 	RUN_UNTIL(loop, closed(&node, RJ_PEER_CLOSE_VERSION) == 1);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
 /* Send a message of each kind, which must all arrive. */
-static void raw_send_all(struct raw *raw, struct node *node,
+static void raw_send_all(struct raw_peer *raw_peer, struct node *node,
 			 struct rj_bytes (*body_of)(enum rj_peer_message_kind))
 {
 	for (uint32_t kind = 0; kind < RJ_PEER_MESSAGE_KIND_COUNT; kind++) {
-		struct rj_bytes frame = raw_seal(raw, body_of(kind));
+		struct rj_bytes frame = raw_seal(raw_peer, body_of(kind));
 
-		rj_tcp_link_send(&raw->link, &frame, 1);
+		rj_tcp_link_send(&raw_peer->link, &frame, 1);
 	}
 	RUN_UNTIL(loop, node->messages == RJ_PEER_MESSAGE_KIND_COUNT);
 	g_assert_cmpuint(node->last_value, ==, 77);
 	g_assert_cmpuint(node->downs, ==, 0);
-	g_assert_false(raw->closed);
+	g_assert_false(raw_peer->closed);
 }
 
 /* What an instance of the oldest accepted version sends. */
@@ -366,28 +367,28 @@
 	struct rj_peer_message message;
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 	uint32_t frames;
 
 	pair_init(&node, &other);
-	raw_init_hello(&raw, &node, &hello);
-	g_assert_cmpmem(raw.session.own_bytes, recorded.length, recorded.data,
-			recorded.length);
-	memcpy(raw.session.own_bytes, recorded.data, recorded.length);
-	raw.session.own_length = recorded.length;
-	raw_prove(&raw, &node);
-	raw_send_all(&raw, &node, recorded_body);
+	raw_init_hello(&raw_peer, &node, &hello);
+	g_assert_cmpmem(raw_peer.session.own_bytes, recorded.length,
+			recorded.data, recorded.length);
+	memcpy(raw_peer.session.own_bytes, recorded.data, recorded.length);
+	raw_peer.session.own_length = recorded.length;
+	raw_authenticate(&raw_peer, &node);
+	raw_send_all(&raw_peer, &node, recorded_body);
 
 	/* What comes back begins with what the old one knows. */
-	frames = raw.frames;
+	frames = raw_peer.frames;
 	peer_frames_fill(&message, RJ_PEER_HEARTBEAT);
 	node.peers.base.ops->send(&node.peers.base, "c", &message);
-	RUN_UNTIL(loop, raw.frames == frames + 1);
+	RUN_UNTIL(loop, raw_peer.frames == frames + 1);
 	recorded = peer_frames_recorded(loop, RJ_PEER_HEARTBEAT);
-	g_assert_cmpuint(raw.body.length, >=, recorded.length);
-	g_assert_cmpmem(raw.body.data, recorded.length, recorded.data,
+	g_assert_cmpuint(raw_peer.body.length, >=, recorded.length);
+	g_assert_cmpmem(raw_peer.body.data, recorded.length, recorded.data,
 			recorded.length);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
@@ -423,14 +424,14 @@
 				       { 1, 2 } };
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 
 	pair_init(&node, &other);
-	raw_init_hello(&raw, &node, &hello);
-	raw_prove(&raw, &node);
-	g_assert_cmpuint(raw.session.version, ==, RJ_PEER_VERSION);
-	raw_send_all(&raw, &node, longer_body);
-	rj_tcp_link_finish(&raw.link);
+	raw_init_hello(&raw_peer, &node, &hello);
+	raw_authenticate(&raw_peer, &node);
+	g_assert_cmpuint(raw_peer.session.version, ==, RJ_PEER_VERSION);
+	raw_send_all(&raw_peer, &node, longer_body);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
@@ -443,13 +444,13 @@
 {
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 
 	pair_init(&node, &other);
-	raw_init(&raw, &node, "b", RJ_PEER_VERSION);
+	raw_init(&raw_peer, &node, "b", RJ_PEER_VERSION);
 	RUN_UNTIL(loop, closed(&node, RJ_PEER_CLOSE_NAME) == 1);
 	g_assert_cmpuint(node.ups, ==, 1);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
@@ -463,13 +464,13 @@
 	struct rj_peer_message message = { .kind = RJ_PEER_FORWARD };
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 	uint32_t sent;
 
 	pair_init(&node, &other);
-	raw_init(&raw, &node, "c", RJ_PEER_VERSION);
-	raw_prove(&raw, &node);
-	TALLOC_FREE(raw.link.fd_event);
+	raw_init(&raw_peer, &node, "c", RJ_PEER_VERSION);
+	raw_authenticate(&raw_peer, &node);
+	TALLOC_FREE(raw_peer.link.fd_event);
 	message.u.forward.spec.body.data =
 		talloc_zero_size(loop, RJ_BODY_MAX_BYTES);
 	message.u.forward.spec.body.length = RJ_BODY_MAX_BYTES;
@@ -477,7 +478,7 @@
 	     sent++)
 		node.peers.base.ops->send(&node.peers.base, "c", &message);
 	RUN_UNTIL(loop, closed(&node, RJ_PEER_CLOSE_QUEUE_FULL) == 1);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
