--- a/src/test_libradishjunction/test_accepted.c
+++ b/src/test_libradishjunction/test_accepted.c
@@ -8,14 +8,12 @@
 
 #define SETTLED_US (5 * RJ_US_PER_S)
 #define LONG_RUN_US (10 * RJ_US_PER_S)
-/* Requests that the fake callers did not make; the transcript names them. */
+/* Ids of requests that the test sends itself; the transcript names them. */
 #define WAITING_REQUEST_ID 901
 #define REPEAT_REQUEST_ID 902
 #define OUTAGE_US (30 * RJ_US_PER_S)
 
-/*
- * Whether any worker was ever asked to start a task of the job.
- */
+/* Returns whether any worker was asked to start a task of the job. */
 static bool has_started(const struct world *world, uint64_t job_id)
 {
 	for (uint32_t i = 0; i < world->worker_count; i++) {
@@ -34,12 +32,10 @@
 }
 
 /*
- * A tutor is told that a cancelled render did not run, and finds it charged
- * to the studio's quota.
- * A render is accepted and waits for capacity; the log goes away; capacity
- * comes free. The instance starts the render; another one, which can read
- * the log, reads the cancellation and says that it did not run.
- * Cause: an accepted job was started without a claim in an outage.
+ * An accepted job must not start while the log is unavailable: an instance
+ * started it without a claim, and another instance, which could read the log,
+ * read the cancellation and answered "not run". The job waits for capacity; the
+ * log becomes unavailable; then capacity becomes free.
  */
 static void test_accepted_jobs_wait_for_the_log(void)
 {
@@ -50,40 +46,40 @@
 					 .racks_per_domain = 1,
 					 .workers_per_rack = 4 };
 	struct world *world = world_create(NULL, &options);
-	const uint32_t whole = world->workers[0].capacity.accelerators;
-	struct caller_plan first = { .class_name = "preview",
-				     .account = WORLD_OTHER_ACCOUNT,
-				     .tasks = 4,
-				     .accelerators = whole,
-				     .run_us = LONG_RUN_US,
-				     .idempotent = true,
-				     .waits = true };
-	struct caller_plan second = first;
-	struct fake_caller *render;
+	const uint32_t worker_accelerators =
+		world->workers[0].capacity.accelerators;
+	struct caller_plan blocking_plan = { .class_name = "preview",
+					     .account = WORLD_OTHER_ACCOUNT,
+					     .tasks = 4,
+					     .accelerators =
+						     worker_accelerators,
+					     .run_us = LONG_RUN_US,
+					     .idempotent = true,
+					     .waits = true };
+	struct caller_plan waiting_plan = blocking_plan;
+	struct fake_caller *waiting_job;
 
 	fake_log_publish(world, 0, "first", world_config_text(world, world, 0));
 	world_run_until(world, SETTLED_US);
-	fake_caller_add(world, 0, &first);
-	second.waits = false;
-	second.key = 7;
-	second.tasks = 1;
-	render = fake_caller_add(world, RJ_US_PER_S, &second);
+	fake_caller_add(world, 0, &blocking_plan);
+	waiting_plan.waits = false;
+	waiting_plan.key = 7;
+	waiting_plan.tasks = 1;
+	waiting_job = fake_caller_add(world, RJ_US_PER_S, &waiting_plan);
 	world_run_until(world, SETTLED_US + 3 * RJ_US_PER_S);
-	g_assert_cmpuint(render->job_id, !=, 0);
+	g_assert_cmpuint(waiting_job->job_id, !=, 0);
 	world->log.down = true;
 	world_reach_changed(world);
 	world_run_until(world, SETTLED_US + OUTAGE_US);
-	g_assert_false(has_started(world, render->job_id));
+	g_assert_false(has_started(world, waiting_job->job_id));
 	world->log.down = false;
 	world_reach_changed(world);
 	world_run_until(world, SETTLED_US + OUTAGE_US + LONG_RUN_US);
-	g_assert_true(has_started(world, render->job_id));
+	g_assert_true(has_started(world, waiting_job->job_id));
 	talloc_free(world);
 }
 
-/*
- * Ask the first instance about a caller's job, under an id of the test's.
- */
+/* Sends the first instance a request on a caller's job. */
 static void send_request(struct world *world, const struct fake_caller *caller,
 			 enum rj_request_op op, uint64_t request_id)
 {
@@ -95,10 +91,9 @@
 }
 
 /*
- * A tutor who waits for a lesson pack's end hears only that it is accepted.
- * The pack was accepted; the tutor looks it up and waits; the studio's page
- * submits it again with the same key and does not wait.
- * Cause: the repeat's answer went to all who waited for the job.
+ * The answer to a repeated submission must go to its own request only. A caller
+ * waits for an accepted job; the same job is submitted again with the same key,
+ * without waiting. The answer to the repeat went to all requests that waited.
  */
 static void test_repeat_answers_its_own_caller(void)
 {
@@ -120,15 +115,16 @@
 				    .accelerators = 1,
 				    .run_us = LONG_RUN_US,
 				    .idempotent = true };
-	struct fake_caller *pack;
+	struct fake_caller *accepted_job;
 
 	fake_log_publish(world, 0, "first", world_config_text(world, world, 0));
 	world_run_until(world, SETTLED_US);
-	pack = fake_caller_add(world, 0, &plan);
+	accepted_job = fake_caller_add(world, 0, &plan);
 	world_run_until(world, SETTLED_US + RJ_US_PER_S);
-	g_assert_cmpuint(pack->job_id, !=, 0);
-	send_request(world, pack, RJ_REQUEST_LOOKUP, WAITING_REQUEST_ID);
-	send_request(world, pack, RJ_REQUEST_SUBMIT, REPEAT_REQUEST_ID);
+	g_assert_cmpuint(accepted_job->job_id, !=, 0);
+	send_request(world, accepted_job, RJ_REQUEST_LOOKUP,
+		     WAITING_REQUEST_ID);
+	send_request(world, accepted_job, RJ_REQUEST_SUBMIT, REPEAT_REQUEST_ID);
 	world_run_until(world, SETTLED_US + 2 * RJ_US_PER_S);
 	fflush(transcript);
 	g_assert_nonnull(strstr(text, "answer id=902 accepted"));
--- a/src/test_libradishjunction/test_checker.c
+++ b/src/test_libradishjunction/test_checker.c
@@ -4,7 +4,7 @@
 
 #include "support/checker.h"
 
-/* A history made by hand: one intent, asked once at node 0. */
+/* A hand-made history: one intent, submitted once at node 0. */
 struct history {
 	void *mem;
 	struct checker checker;
@@ -33,7 +33,7 @@
 	checker_request_delivered(&history->checker, REQUEST);
 }
 
-/* Let a member start and make progress. */
+/* Starts a member and lets it make progress. */
 static void history_run_task(struct history *history, uint32_t member)
 {
 	checker_task_started(
@@ -61,7 +61,10 @@
 	checker_answer(&history->checker, history->now_us, 0, REQUEST, &answer);
 }
 
-/* Exactly this promise was seen violated, once or more. */
+/*
+ * Asserts that this invariant alone was violated, at least once, and frees the
+ * history.
+ */
 static void history_expect(struct history *history, enum promise promise)
 {
 	g_assert_cmpuint(history->checker.violations[promise], >, 0);
@@ -86,8 +89,8 @@
 }
 
 /*
- * A tutor's guaranteed shape is occupied by others, and stays so long after
- * every fault has ended. Cause: nothing was reclaimed.
+ * A guaranteed shape is still occupied by others after every fault has ended,
+ * because nothing was reclaimed.
  */
 static void test_guarantee_that_is_not_reclaimed_is_detected(void)
 {
@@ -103,9 +106,7 @@
 	history_expect(&history, PROMISE_GUARANTEE);
 }
 
-/*
- * One member of a gang computes while the other was never started.
- */
+/* One member of a gang runs while the other was never started. */
 static void test_gang_that_runs_in_part_is_detected(void)
 {
 	struct history history;
@@ -116,8 +117,8 @@
 }
 
 /*
- * A member's worker dies and the other members compute on, renewed for ever
- * by an owner that did not notice.
+ * A member's worker dies and the other members run on: their owner did not
+ * notice and keeps renewing the leases.
  */
 static void test_gang_that_outlives_a_member_is_detected(void)
 {
@@ -142,9 +143,7 @@
 	history_expect(&history, PROMISE_GANG);
 }
 
-/*
- * A buyer reads half of a price, or somebody else's.
- */
+/* The caller gets part of a result, or the result of another job. */
 static void test_wrong_results_are_detected(void)
 {
 	static const char *const wrong[] = { "who", "other;", "",
@@ -162,8 +161,8 @@
 }
 
 /*
- * A tutor is told "done" while the task still runs, "failed" of one that
- * never started, or two answers to one request.
+ * "done" is answered while the task still runs, "failed" for a task that never
+ * started, or one request gets two answers.
  */
 static void test_answers_without_their_run_are_detected(void)
 {
@@ -182,9 +181,7 @@
 	history_expect(&history, PROMISE_ANSWER);
 }
 
-/*
- * A buyer is told "not run"; the quote runs afterwards, or had run before.
- */
+/* "not run" is answered, and the job runs afterwards or had run before. */
 static void test_false_not_run_is_detected(void)
 {
 	struct history history;
@@ -200,8 +197,8 @@
 }
 
 /*
- * A refused attempt is asked again with its key, and the second one runs:
- * that is as it should be.
+ * A refused request is repeated with its key and the second one runs: no
+ * violation.
  */
 static void test_not_run_of_one_of_two_requests_is_valid(void)
 {
@@ -217,8 +214,8 @@
 }
 
 /*
- * A student is charged twice: two attempts run, of the same body or of two
- * bodies under one key.
+ * A job runs twice: two attempts with one body, or with two bodies under one
+ * key.
  */
 static void test_second_run_is_detected(void)
 {
@@ -241,9 +238,9 @@
 }
 
 /*
- * An upstream that has announced its leaving is given work six seconds later,
- * by the instance that knew or by one that could hear it, also when that one
- * hears no third one.
+ * A worker that has announced that it is leaving gets a new job more than
+ * CHECKER_LEAVING_US later. The sender knew of it, or was connected to an
+ * instance that did, even if it is connected to no third one.
  */
 static void test_job_sent_to_a_leaving_worker_is_detected(void)
 {
@@ -272,7 +269,8 @@
 }
 
 /*
- * An instance ends its planned stop while a caller still waits on it.
+ * An instance completes its planned stop while a caller still waits for an
+ * answer.
  */
 static void test_exit_with_an_open_request_is_detected(void)
 {
@@ -286,9 +284,9 @@
 }
 
 /*
- * A published configuration is undone at an instance, never arrives at one
- * that is in reach, or that hears a peer that is, one is in force that was never accepted, or the loser of
- * a race is.
+ * Violations: an instance returns to an older configuration; an accepted one
+ * does not reach an instance connected to the platform, or to a peer that is;
+ * one that was never accepted is in force; the loser of a race is forwarded.
  */
 static void test_config_violations_are_detected(void)
 {
@@ -325,9 +323,7 @@
 	history_expect(&history, PROMISE_CONFIG);
 }
 
-/*
- * A tutor was told "accepted", and the lesson pack is never heard of again.
- */
+/* "accepted" was answered, and the job is lost. */
 static void test_lost_accepted_job_is_detected(void)
 {
 	struct history history;
--- a/src/test_libradishjunction/test_config.c
+++ b/src/test_libradishjunction/test_config.c
@@ -10,8 +10,9 @@
 #define CLASSES "[{'name':'render','idempotent':true,'expected_ms':90000}]"
 
 /*
- * A configuration of two racks of eight workers with 8 accelerators each,
- * with the guarantees of one account. Single quotes stand for double ones.
+ * Returns a configuration of two racks of eight workers with 8 accelerators
+ * each and one account with these guarantees. Single quotes stand for double
+ * quotes.
  */
 static char *config_with_guarantees(void *mem, const char *guarantees)
 {
@@ -25,7 +26,7 @@
 		guarantees);
 }
 
-/* Expect exactly one error, which begins with `path` and holds `remedy`. */
+/* Expects exactly one error, which begins with `path` and contains `remedy`. */
 static void check_one_error(const char *guarantees, const char *path,
 			    const char *remedy)
 {
@@ -95,9 +96,9 @@
 }
 
 /*
- * An operator guarantees three adjacent gangs of five whole workers, 15 of
- * the 16 workers that two racks have. The sum fits, the third gang never
- * does: it would lie across the racks.
+ * Guarantees must be placed as shapes. Three adjacent gangs of five whole
+ * workers need 15 of the 16 workers of two racks: the sum fits, but the third
+ * gang would span the racks.
  */
 static void test_guarantees_pack_as_shapes(void)
 {
@@ -115,9 +116,8 @@
 }
 
 /*
- * An operator mends one error after the other, publishing each time: the
- * check stopped at the first. Here a wrong type, an unknown field and a
- * guarantee that fits nowhere stand in one text.
+ * All errors must be reported at once; the parser stopped at the first. One
+ * text has a wrong type, an unknown field and a guarantee that fits nowhere.
  */
 static void test_all_errors_at_once(void)
 {
@@ -164,8 +164,8 @@
 	void *mem = talloc_new(NULL);
 	struct rj_error_list errors;
 	char *text = config_with_guarantees(mem, "");
-	char *two = g_strdup(text);
-	GString *whole = g_string_new(two);
+	char *copy = g_strdup(text);
+	GString *whole = g_string_new(copy);
 
 	rj_error_list_init(&errors, mem);
 	g_string_replace(whole, "\"guarantees\":[]}]",
@@ -177,7 +177,7 @@
 	g_assert_nonnull(strstr(errors.errors[0].message, "duplicate"));
 	g_assert_nonnull(strstr(errors.errors[1].message, "token of its own"));
 	g_string_free(whole, TRUE);
-	g_free(two);
+	g_free(copy);
 	talloc_free(mem);
 }
 
@@ -200,8 +200,8 @@
 }
 
 /*
- * A publication is cut or mangled on its way. Whatever arrives is parsed
- * whole or refused with an error, and leaves no memory behind.
+ * A truncated or corrupted text is either parsed completely or refused with an
+ * error, and leaks no memory.
  */
 static void test_corrupted_text(void)
 {
--- a/src/test_libradishjunction/test_config_change.c
+++ b/src/test_libradishjunction/test_config_change.c
@@ -8,10 +8,13 @@
 
 #define SEEDS 400
 #define ACCOUNTS 290
-/* What one field of one account may take. */
+/* Upper bound of a change of one field of one account. */
 #define SMALL_CHANGE_BYTES 100
 
-/* A random JSON value of a few levels, with names that need escapes. */
+/*
+ * Returns a random JSON value of at most `depth` levels; some names need
+ * escapes.
+ */
 static json_t *random_value(uint64_t *seed, uint32_t depth)
 {
 	static const char *const names[] = { "a", "b/c", "d~e", "~1", "f", "" };
@@ -39,7 +42,7 @@
 	}
 }
 
-/* A random object as text; some fields are those of `earlier`. */
+/* Returns a random object as text that shares some fields with `earlier`. */
 static char *random_text(void *mem, const char *earlier, uint64_t *seed)
 {
 	json_t *json = json_loads(earlier, 0, NULL);
@@ -57,7 +60,7 @@
 	return text;
 }
 
-/* Whatever the two are, the change makes the one of the other. */
+/* A change made from any two texts must turn the first into the second. */
 static void test_change_between_any_two_texts(void)
 {
 	uint32_t made = 0;
@@ -76,7 +79,7 @@
 			made++;
 		result = rj_config_change_apply(mem, from, &change, &errors);
 		g_assert_cmpstr(result, ==, rj_config_canonical(mem, to));
-		/* The base in any form gives the same bytes. */
+		/* Formatting of the base does not matter. */
 		g_assert_cmpstr(rj_config_change_apply(
 					mem, rj_config_canonical(mem, from),
 					&change, &errors),
@@ -86,7 +89,7 @@
 	g_assert_cmpuint(made, >, 0);
 }
 
-/* A site of many accounts, the last of them with that limit. */
+/* Returns a configuration text; the last account has the given limit. */
 static char *site_text(void *mem, uint32_t accounts, int limit)
 {
 	json_t *json = json_object();
@@ -121,7 +124,7 @@
 					      &change),
 			==, 0);
 	g_assert_cmpuint(strlen(change.patch), <, SMALL_CHANGE_BYTES);
-	/* Longer than the whole, or of something that is no configuration. */
+	/* Refused: longer than the whole text, or made from invalid text. */
 	g_assert_cmpint(
 		rj_config_change_make(mem, "{\"a\":1}", "{\"b\":2}", &change),
 		==, -1);
@@ -132,7 +135,7 @@
 	talloc_free(mem);
 }
 
-/* A change whose digest is right for what its operations would give. */
+/* Applies a patch whose digest matches the result of its operations. */
 static char *apply_patch(void *mem, const char *patch)
 {
 	static const char base[] = "{\"a\":{\"b\":[1,2]},\"c\":3}";
@@ -149,8 +152,8 @@
 }
 
 /*
- * One operator's script writes a change by hand and gets it wrong. No reader
- * may crash on it, take a part of it, or grow by more than it is long.
+ * A malformed hand-written patch must not crash a reader, be applied in part,
+ * or take more memory than its length allows.
  */
 static void test_bad_patches_are_refused(void)
 {
@@ -181,10 +184,12 @@
 		"\"value\":3}]",
 		"[{\"op\":\"replace\",\"path\":\"/d\",\"value\":3},"
 		"{\"op\":\"remove\",\"path\":\"/d\"}]",
-		/* All but the last would fit. */
+		/* All operations but the last would succeed. */
 		"[{\"op\":\"replace\",\"path\":\"/c\",\"value\":3},"
 		"{\"op\":\"remove\",\"path\":\"/d\"}]",
-		/* It fits, and makes something else than its author had. */
+		/*
+		 * Applies, but the result does not match the author's digest.
+		 */
 		"[{\"op\":\"replace\",\"path\":\"/c\",\"value\":4}]",
 	};
 	void *mem = talloc_new(NULL);
@@ -210,16 +215,15 @@
 	talloc_free(mem);
 }
 
-/* So deep is a value that the parser takes. */
+/* Nesting depth of a value that the parser still accepts. */
 #define VALUE_DEPTH 2000
 #define OPERATIONS 4
 
 /*
- * An instance is killed whenever it reads the stream.
- * Each operation puts a value as deep as the parser takes into the innermost
- * one of the operation before; the result is deeper than any text that was
- * ever read, and writing it overflows the stack.
- * Cause: a change had no bound on its length, and so on what it can build.
+ * A change must have a bound on its length. Each operation put a value as deep
+ * as the parser accepts into the innermost value of the previous one; the
+ * result was deeper than any parsed text, and serializing it overflowed the
+ * stack of every instance that read the stream.
  */
 static void test_deep_results_are_refused(void)
 {
--- a/src/test_libradishjunction/test_config_changes.c
+++ b/src/test_libradishjunction/test_config_changes.c
@@ -5,12 +5,12 @@
 
 #include "support/config_stream.h"
 
-/* What most tests start from: revision 1 in force at some readers. */
+/* A stream with revision 1 in force at two readers. */
 struct fixture {
 	struct config_stream *stream;
 	struct rj_error_list errors;
 	struct rj_config_log readers[2];
-	char *text[8]; /* configurations that differ in one limit */
+	char *text[8]; /* differ in one limit */
 };
 
 static void fixture_init(struct fixture *fixture)
@@ -34,7 +34,7 @@
 	config_stream_free(fixture->stream);
 }
 
-/* Whether a reader has that publication and that text in force. */
+/* Asserts that the reader has this publication and text in force. */
 static void assert_in_force(const struct fixture *fixture,
 			    const struct rj_config_log *log, uint64_t revision,
 			    const char *id, const char *text)
@@ -47,9 +47,9 @@
 }
 
 /*
- * Two operators change the same revision, and the answer to the winner's
- * append is lost, so that it shows twice. Every reader has the winner's
- * change alone in force; the loser's would undo it.
+ * Two operators change the same revision, and the winner's append is repeated
+ * because its answer was lost. Every reader must have the winner's change alone
+ * in force.
  */
 static void test_racing_changes(void)
 {
@@ -84,11 +84,9 @@
 }
 
 /*
- * An operator's change makes a configuration that nobody wrote.
- * The log lost every record, an operator started anew from an older file,
- * and another one's change, made from what had been lost, names the same
- * revision.
- * Cause: a revision alone does not say which text it has.
+ * A revision alone does not identify its text. The log lost every record, an
+ * operator published an older file again, and a change made from the lost text
+ * names the same revision: it must be refused.
  */
 static void test_change_of_another_base(void)
 {
@@ -113,10 +111,10 @@
 }
 
 /*
- * A change takes away what must be there, another fits nothing, a third is
- * no patch, a fourth is the first of all; one carries a change, and one holds
- * both a change and a text. All are refused in the same way by all, and the
- * next good one of the same base is accepted.
+ * Invalid changes are refused by every reader alike, and the next valid change
+ * of the same base is accepted. Invalid: the result is no valid configuration,
+ * the patch does not apply, is not a patch, comes with a text, is marked as
+ * carried, or is the first record of the log.
  */
 static void test_bad_changes_are_refused(void)
 {
@@ -171,7 +169,9 @@
 	fixture_finish(&fixture);
 }
 
-/* Offer a peer what `from` has in force: its change, or the whole. */
+/*
+ * Sends a peer the configuration in force at `from`, as a change or as a whole.
+ */
 static bool offer(struct fixture *fixture, const struct rj_config_log *from,
 		  struct rj_config_log *to, bool change)
 {
@@ -185,9 +185,9 @@
 }
 
 /*
- * An instance that is cut off from the log puts half of two changes in force.
- * Its peer hands on the second change, and the link lost the first.
- * Cause: a change was applied to whatever was in force.
+ * A change must be applied to its own base only. An instance without access to
+ * the log gets the second of two changes from its peer; the link lost the
+ * first. The change was applied to whatever was in force.
  */
 static void test_change_arrives_before_its_base(void)
 {
@@ -200,7 +200,7 @@
 			     fixture.text[2]);
 	config_stream_change(fixture.stream, "third", 2, fixture.text[2],
 			     "{\"accounts\":[]}");
-	/* It fits revision 1 too, and even its digest is right there. */
+	/* It applies to revision 1 too, with a matching digest. */
 	fixture.stream->records[2].config_change =
 		fixture.stream->records[1].config_change;
 	config_stream_read(fixture.stream, peer, 1);
@@ -208,16 +208,16 @@
 	g_assert_false(offer(&fixture, peer, cut_off, true));
 	assert_in_force(&fixture, cut_off, 1, "first", fixture.text[1]);
 	peer->config->revision = 2;
-	/* The next heartbeat shows that it is behind. */
+	/* The next heartbeat shows that the reader is behind. */
 	g_assert_true(offer(&fixture, peer, cut_off, false));
 	assert_in_force(&fixture, cut_off, 2, "second", fixture.text[2]);
 	fixture_finish(&fixture);
 }
 
 /*
- * A peer's view of another is old: it offers the change to a revision that
- * the other has long left. Nothing may revert. One that fits comes into
- * force at once, and is handed on in the same way.
+ * A peer with an outdated view offers a change to a revision that the reader
+ * has left: nothing may revert. A change that fits is put in force at once and
+ * can be forwarded in turn.
  */
 static void test_peers_forward_changes(void)
 {
@@ -244,7 +244,7 @@
 	assert_in_force(&fixture, &third, 3, "third", fixture.text[3]);
 	g_assert_false(offer(&fixture, peer, &third, true));
 	assert_in_force(&fixture, &third, 3, "third", fixture.text[3]);
-	/* A whole publication is no change to hand on. */
+	/* A whole publication leaves no change to forward. */
 	config_stream_publish(fixture.stream, "whole", 3, fixture.text[4]);
 	config_stream_read(fixture.stream, &third, 1);
 	g_assert_null(third.change.patch);
@@ -253,10 +253,9 @@
 }
 
 /*
- * A new instance starts when the log has dropped the base of a change that
- * it still keeps. It judges nothing until a carried configuration tells
- * where to start, and then applies the changes after it; the refused ones
- * stay refused.
+ * A new instance starts after retention dropped the base of a change. It must
+ * not judge any publication until a carried configuration gives a starting
+ * point, and then applies the later changes; refused ones stay refused.
  */
 static void test_base_dropped_by_retention(void)
 {
@@ -291,7 +290,10 @@
 	fixture_finish(&fixture);
 }
 
-/* Publish changes one after another, with a carried one now and then. */
+/*
+ * Publishes changes in sequence, optionally carrying the configuration when
+ * due.
+ */
 static void publish_many(struct fixture *fixture, uint32_t count, bool carried)
 {
 	struct rj_config_log *log = &fixture->readers[0];
@@ -313,9 +315,8 @@
 }
 
 /*
- * An instance that starts alone spends minutes on a week of changes before
- * it is ready.
- * Cause: it applied each of them, though one carried an hour ago tells all.
+ * A starting instance must not apply a week of changes, which took minutes,
+ * when a configuration that was carried an hour ago is in the log.
  */
 static void test_new_reader_starts_near_the_end(void)
 {
@@ -336,7 +337,10 @@
 		g_assert_true(!new.config || new.config->revision > 1);
 		read++;
 	}
-	/* It reads what is newest, and goes back to the carried one's start. */
+	/*
+	 * It reads the newest records and goes back to the start of the carried
+	 * one.
+	 */
 	g_assert_cmpuint(read, <, 2 * RJ_CONFIG_CARRY_RECORDS + 100);
 	assert_in_force(&fixture, &new, 3501, "p99",
 			fixture.readers[0].config->text);
@@ -345,8 +349,8 @@
 }
 
 /*
- * An instance that starts alone never gets ready: it goes straight to the
- * newest records, and nobody has carried a configuration there.
+ * A starting instance goes to the newest records first. If no configuration was
+ * carried there, it must go back instead of never becoming ready.
  */
 static void test_new_reader_without_a_carried_configuration(void)
 {
@@ -365,14 +369,17 @@
 	fixture_finish(&fixture);
 }
 
-/* A reader that applies whole configurations, as its records hold them. */
+/* Reference implementation of a reader; applies whole configurations only. */
 struct reference_reader {
 	uint64_t revision;
 	char id[RJ_CONFIG_ID_BYTES];
 	const char *text;
 };
 
-/* The verdict of the naive reader on a record and its whole text. */
+/*
+ * Returns whether the reference accepts the record with its whole text, and
+ * applies it.
+ */
 static bool reference_accepts(struct reference_reader *reference,
 			      const struct rj_record *record, const char *whole)
 {
@@ -399,7 +406,7 @@
 #define RECORDS 200
 #define SEEDS 300
 
-/* One history: what was accepted at each revision, and who knows what. */
+/* One history: accepted configurations by revision, and the readers' states. */
 struct history {
 	struct config_stream *stream;
 	struct rj_error_list errors;
@@ -415,7 +422,7 @@
 		char id[RJ_CONFIG_ID_BYTES];
 		char *text;
 		struct rj_config_change change;
-	} offer; /* one under way between peers */
+	} offer; /* in flight between peers */
 	uint32_t changes_accepted;
 	uint32_t changes_adopted;
 };
@@ -425,7 +432,7 @@
 	return rj_random64(&history->random) % count;
 }
 
-/* An operator publishes from what one reader has in force. */
+/* Publishes from the configuration in force at one reader. */
 static void history_publish(struct history *history,
 			    const struct rj_config_log *log)
 {
@@ -463,7 +470,7 @@
 			rj_config_canonical(stream->mem, whole);
 		history->changes_accepted += record->config_text == NULL;
 	}
-	if (chance(history, 6) == 0) { /* appended again: no answer came */
+	if (chance(history, 6) == 0) { /* repeated: its answer was lost */
 		struct rj_record *again = config_stream_append(stream);
 		uint64_t offset = again->offset;
 
@@ -473,7 +480,7 @@
 	}
 }
 
-/* A peer's offer leaves, with a change or whole. */
+/* Sends an offer, as a change or as a whole. */
 static void history_offer(struct history *history,
 			  const struct rj_config_log *from)
 {
@@ -489,7 +496,7 @@
 		change ? talloc_strdup(mem, from->change.patch) : NULL;
 }
 
-/* The offer arrives, perhaps late or at the wrong one. */
+/* Delivers the offer, possibly late or to another reader. */
 static void history_adopt(struct history *history, struct rj_config_log *to)
 {
 	if (!history->offer.revision)
@@ -505,7 +512,7 @@
 		history->changes_adopted++;
 }
 
-/* Whoever has a configuration has what the naive reader had at its revision. */
+/* A reader must have the reference's configuration of its revision. */
 static void history_check(struct history *history, uint32_t reader)
 {
 	struct rj_config_log *log = &history->readers[reader];
@@ -521,7 +528,7 @@
 		==, history->texts[revision]);
 }
 
-/* One step of one reader and of whoever acts on what it has. */
+/* Runs one step of a random reader: publish or carry, read, offer, adopt. */
 static void history_step(struct history *history)
 {
 	struct config_stream *stream = history->stream;
@@ -552,11 +559,11 @@
 }
 
 /*
- * Operators publish changes and whole configurations from old and new
- * revisions, good and bad, some twice; instances carry what they know, are
- * replaced, and offer each other changes that come late; records drop off.
- * Every reader has, at every revision, what a naive reader of the whole log
- * has, to whom every publication came whole.
+ * Random histories: operators publish valid and invalid changes and whole
+ * configurations from old and new revisions, some twice; instances carry
+ * configurations, are replaced and offer changes late; retention drops records.
+ * At each revision every reader must have the configuration of a reference
+ * reader that gets all publications as whole texts.
  */
 static void test_matches_the_reference_reader(void)
 {
--- a/src/test_libradishjunction/test_config_log.c
+++ b/src/test_libradishjunction/test_config_log.c
@@ -16,8 +16,8 @@
 #define LOG_MAX 256
 
 /*
- * Two operators publish from the same revision. One wins and the other is
- * refused, at every reader, whatever stands between them in the log.
+ * Of two operators who publish from the same revision, every reader accepts the
+ * same one, whatever records lie between the two.
  */
 static void test_racing_operators(void)
 {
@@ -54,11 +54,10 @@
 }
 
 /*
- * A new instance starts when the log's beginning is gone, and finds a
- * publication that had been refused, then the winner carried by an instance
- * that had not read the newest one yet. The new instance put the refused one
- * in force.
- * Cause: a publication was judged without the ones before it.
+ * A publication must not be judged without its predecessors. A new instance
+ * starts after the log's beginning was trimmed and reads a refused publication,
+ * then the winner, carried by an instance that was behind. It put the refused
+ * publication in force.
  */
 static void test_start_on_a_trimmed_log(void)
 {
@@ -89,10 +88,9 @@
 }
 
 /*
- * No publication comes into force any more, at any instance.
- * All were cut off from the log past its retention, while an operator
- * published: each has a gap, judges nothing, and none may carry. An operator
- * starts anew from the revision that all show; of two who do, one wins.
+ * All instances are cut off from the log past its retention while an operator
+ * publishes: each has a gap, judges nothing, and none may carry. An operator
+ * publishes again from the revision that all report; of two who do, one wins.
  */
 static void test_restart_after_all_missed_records(void)
 {
@@ -173,24 +171,24 @@
 }
 
 /*
- * Operators publish from old and new revisions, instances of any lag carry
- * what they know, records drop off, readers start anywhere and pause past
- * retention. Whoever has a configuration must have the one that a reader
- * of the whole log had at that revision, and never an older one again.
+ * Operators publish from old and new revisions, instances with any delay carry
+ * their configuration, records are dropped, readers start anywhere and pause
+ * past retention. A reader must have the configuration that a reader of the
+ * whole log had at that revision, and must never go back to an older one.
  */
 static void one_random_log(uint64_t seed)
 {
 	struct config_stream *stream = config_stream_new();
-	char truth[LOG_MAX][RJ_CONFIG_ID_BYTES] = { "" };
+	char accepted_ids[LOG_MAX][RJ_CONFIG_ID_BYTES] = { "" };
 	struct rj_config_log readers[5]; /* the first reads everything */
-	uint64_t seen[5] = { 0 };
+	uint64_t newest_revision[5] = { 0 };
 
 	for (uint32_t i = 0; i < 5; i++)
 		rj_config_log_init(&readers[i], NULL);
 	while (stream->head < LOG_MAX) {
-		uint64_t kept = stream->oldest;
-		uint32_t who = 1 + (uint32_t)(rj_random64(&seed) % 4);
-		struct rj_config_log *log = &readers[who];
+		uint64_t oldest_offset = stream->oldest;
+		uint32_t reader = 1 + (uint32_t)(rj_random64(&seed) % 4);
+		struct rj_config_log *log = &readers[reader];
 
 		if (rj_random64(&seed) % 3) {
 			char id[RJ_CONFIG_ID_BYTES];
@@ -205,21 +203,25 @@
 		stream->oldest = 0;
 		config_stream_read(stream, &readers[0], LOG_MAX);
 		if (readers[0].config)
-			memcpy(truth[readers[0].config->revision],
+			memcpy(accepted_ids[readers[0].config->revision],
 			       readers[0].config->id, RJ_CONFIG_ID_BYTES);
-		stream->oldest = stream->head > kept + 12 ? kept + 3 : kept;
+		stream->oldest = stream->head > oldest_offset + 12 ?
+					 oldest_offset + 3 :
+					 oldest_offset;
 		if (rj_random64(&seed) % 32 == 0) {
 			rj_config_log_finish(log); /* replaced */
 			rj_config_log_init(log, NULL);
-			seen[who] = 0;
+			newest_revision[reader] = 0;
 		}
 		if (rj_random64(&seed) % 4)
 			config_stream_read(stream, log, rj_random64(&seed) % 6);
 		if (!log->config)
 			continue;
-		g_assert_cmpuint(log->config->revision, >=, seen[who]);
-		seen[who] = log->config->revision;
-		g_assert_cmpstr(log->config->id, ==, truth[seen[who]]);
+		g_assert_cmpuint(log->config->revision, >=,
+				 newest_revision[reader]);
+		newest_revision[reader] = log->config->revision;
+		g_assert_cmpstr(log->config->id, ==,
+				accepted_ids[newest_revision[reader]]);
 	}
 	for (uint32_t i = 0; i < 5; i++)
 		rj_config_log_finish(&readers[i]);
--- a/src/test_libradishjunction/test_connections.c
+++ b/src/test_libradishjunction/test_connections.c
@@ -8,21 +8,22 @@
 #define NODES 8
 
 /*
- * What all instances together may open to a worker, by their last calls; one
- * may still have open what it had as the owner.
+ * Returns the connections that all instances together may open to a worker,
+ * according to their last calls; one of them may still have the connections open
+ * that it had as the owner.
  */
 static uint32_t connections_to(const struct fake_worker *worker)
 {
 	uint32_t sum = 0;
-	uint32_t most = 0;
+	uint32_t largest = 0;
 
 	for (uint32_t i = 0; i < NODES; i++) {
-		uint32_t one = worker->connections_max[i];
+		uint32_t connections = worker->connections_max[i];
 
-		sum += one;
-		most = MAX(most, one);
+		sum += connections;
+		largest = MAX(largest, connections);
 	}
-	return sum - most + RJ_WORKER_CONNECTIONS_OWNER;
+	return sum - largest + RJ_WORKER_CONNECTIONS_OWNER;
 }
 
 static void cut_all_links(struct world *world)
@@ -33,11 +34,10 @@
 }
 
 /*
- * Lesson packs are stopped though their owner lives.
- * The eight instances of a failure domain cease to hear each other, and each
- * takes itself for the owner of every rack; a worker that has 64 connections
- * is asked for 112, and refuses some of those on which leases are renewed.
- * Cause: each took the connections of a rack's only owner.
+ * The eight instances of a failure domain lose contact with each other, and
+ * each takes itself for the owner of every rack. A worker with 64 connections
+ * was asked for 112 and refused some of those that renew leases, so running
+ * jobs were stopped. Each instance took the connections of a rack's only owner.
  */
 static void test_isolated_instances_share_connections(void)
 {
--- a/src/test_libradishjunction/test_differential.c
+++ b/src/test_libradishjunction/test_differential.c
@@ -6,7 +6,7 @@
 #define SEEDS 20
 #define END_US (60 * RJ_US_PER_S)
 
-/* Run the same callers against an engine; no fault strikes. */
+/* Runs the same callers against an engine, without faults. */
 static struct world *run(void *mem, const struct engine_ops *engine,
 			 uint64_t seed)
 {
@@ -23,9 +23,9 @@
 }
 
 /*
- * Whether the naive version may answer otherwise. One reason only: a key that
- * was used at two instances at once. The naive version does not know of the
- * other one, so it runs the job twice; what it answers is of the first run.
+ * Returns whether the reference implementation may answer differently. It may
+ * only for a key that was used at two instances: it does not share keys between
+ * instances, runs the job twice and answers with the first run.
  */
 static bool may_differ(const struct checker_intent *reference)
 {
@@ -33,9 +33,8 @@
 }
 
 /*
- * Without faults the claims, read-backs and fences must not be seen by a
- * caller: each gets the same answer as from the plainest decisions, after
- * one run.
+ * Without faults, claims, read-backs and fences must be invisible to callers:
+ * each gets the answer of the reference implementation, after one run.
  */
 static void test_same_answers_without_faults(void)
 {
@@ -50,30 +49,36 @@
 				 reference->callers->len);
 		g_assert_cmpuint(checker_violations(&core->checker), ==, 0);
 		for (guint i = 0; i < core->callers->len; i++) {
-			const struct checker_intent *one = intent_of(core, i);
-			const struct checker_intent *two =
+			const struct checker_intent *core_intent =
+				intent_of(core, i);
+			const struct checker_intent *reference_intent =
 				intent_of(reference, i);
 
-			g_assert_cmpuint(one->answered_us, !=, RJ_NEVER_US);
-			g_assert_cmpuint(two->answered_us, !=, RJ_NEVER_US);
-			if (one->answer != two->answer)
+			g_assert_cmpuint(core_intent->answered_us, !=,
+					 RJ_NEVER_US);
+			g_assert_cmpuint(reference_intent->answered_us, !=,
+					 RJ_NEVER_US);
+			if (core_intent->answer != reference_intent->answer)
 				g_test_message(
 					"seed %u intent %u: %s, %s",
 					(unsigned)seed, i,
-					rj_answer_kind_string[one->answer],
-					rj_answer_kind_string[two->answer]);
-			g_assert_cmpint(one->answer, ==, two->answer);
-			g_assert_cmpuint(one->completed, ==,
-					 one->answer == RJ_ANSWER_DONE);
-			if (may_differ(two))
+					rj_answer_kind_string[core_intent
+								      ->answer],
+					rj_answer_kind_string
+						[reference_intent->answer]);
+			g_assert_cmpint(core_intent->answer, ==,
+					reference_intent->answer);
+			g_assert_cmpuint(core_intent->completed, ==,
+					 core_intent->answer == RJ_ANSWER_DONE);
+			if (may_differ(reference_intent))
 				differing++;
 			else
-				g_assert_cmpuint(two->completed, ==,
-						 one->completed);
+				g_assert_cmpuint(reference_intent->completed,
+						 ==, core_intent->completed);
 		}
 		talloc_free(mem);
 	}
-	/* The one way to differ does occur, and so is tested. */
+	/* The permitted difference does occur. */
 	g_assert_cmpuint(differing, >, 0);
 }
 
--- a/src/test_libradishjunction/test_faults.c
+++ b/src/test_libradishjunction/test_faults.c
@@ -2,10 +2,12 @@
 
 #include "support/faults.h"
 
-/* Few enough to be quick; scripts/bench faults runs any number. */
+/* Kept low for a short run; scripts/bench faults runs any number. */
 #define SEEDS 40
 
-/* Violations of `promise` in its own profile's first seeds. */
+/*
+ * Returns the violations of an invariant in the first seeds of its own profile.
+ */
 static uint32_t violations_of(const struct engine_ops *engine,
 			      enum promise promise)
 {
@@ -31,8 +33,8 @@
 }
 
 /*
- * The same faults against decisions without claims, read-back, fences and
- * reclaim: if these were not seen to fail, the proof would prove nothing.
+ * Runs the same faults against an implementation without claims, read-back,
+ * fences and reclaim. If it passed, the faults would test nothing.
  */
 static void test_reference_implementation_violates_invariant(gconstpointer data)
 {
@@ -41,7 +43,7 @@
 	g_assert_cmpuint(violations_of(&engine_naive, promise), >, 0);
 }
 
-/* A seed that once failed: nothing at all may be violated in it. */
+/* Runs one seed in which no invariant may be violated. */
 static void check_seed(enum promise promise, uint64_t seed)
 {
 	struct faults_result result;
@@ -54,10 +56,10 @@
 }
 
 /*
- * A quote with an empty body is priced.
- * The owner of a claim dies; a buyer looks its job up at another instance,
- * which settles the claim as never started and starts the job anew.
- * Cause: a claim in the log has no body, and the look-up brought none.
+ * A look-up must not start a job that is known only from its claim. The owner
+ * of the claim dies; a peer that is asked for the job settles the claim as
+ * never started, and started the job with an empty body, because a claim in the
+ * log has no body.
  */
 static void test_job_known_from_its_claim_is_not_started(void)
 {
@@ -66,10 +68,9 @@
 }
 
 /*
- * A tutor is told that a preview ran and failed; no worker ever saw it.
- * Its start is lost on the way, the retry budget is spent, and the job is
- * given up.
- * Cause: a start that was sent was taken for a task that ran.
+ * A start that was sent must not count as a run. The start is lost, the retry
+ * budget is spent, and the caller was told that the job ran and failed, though
+ * no worker ever received it.
  */
 static void test_lost_start_is_not_a_failed_run(void)
 {
@@ -78,10 +79,9 @@
 }
 
 /*
- * A tutor looks a cancelled job up, is told "not run", and then it runs.
- * The instance that was asked had cancelled it in its memory and was paused
- * before the log knew; a peer took the job over and started it.
- * Cause: a look-up was answered from memory before the outcome was read back.
+ * A look-up must not be answered from memory before the outcome is read back.
+ * An instance cancelled a job, was paused before the log had the outcome, and
+ * answered "not run"; a peer took the job over and ran it.
  */
 static void test_lookup_of_a_cancelled_job_waits_for_the_log(void)
 {
@@ -89,10 +89,10 @@
 }
 
 /*
- * A tutor cancels an accepted job and is told "not run"; it runs afterwards.
- * Its former owner slept through the cancellation, wakes while the platform
- * is down, and starts the job without a claim.
- * Cause: what an instance knew before a pause was taken for the present.
+ * An instance must read the log after a pause before it starts accepted jobs. A
+ * job was cancelled and answered "not run" while its former owner was paused;
+ * the owner resumed while the platform was unavailable and started the job
+ * without a claim.
  */
 static void test_resumed_instance_reads_before_starting_accepted_jobs(void)
 {
@@ -100,9 +100,10 @@
 }
 
 /*
- * A buyer asks at two instances with one key. One prices the quote; the
- * other, which wakes from a pause and is draining, says "not run".
- * Cause: what it had read of the log before the pause was taken for fresh.
+ * After a pause, a key that is not in memory must not be taken for a new one.
+ * One instance serves a request; another, which resumes from a pause and is
+ * draining, is asked with the same key and answered "not run" from what it had
+ * read before the pause.
  */
 static void test_resumed_instance_reads_before_taking_a_key_as_new(void)
 {
@@ -111,9 +112,9 @@
 }
 
 /*
- * A tutor cancels an accepted job in an outage and is told "not run" once
- * the log is back; a peer had started it meanwhile without a claim.
- * Cause: the outcome was settled on before the outage and written after it.
+ * A cancellation that is decided in an outage must not be answered "not run"
+ * once the log is available again: a peer had started the job without a claim
+ * meanwhile. The outcome was decided before the outage and written after it.
  */
 static void test_cancelled_in_an_outage_is_not_answered_not_run(void)
 {
@@ -121,11 +122,10 @@
 }
 
 /*
- * A tutor's cancelled job runs.
- * A peer in another domain adopts it, because all of its own domain are dead,
- * and has lost one read: it takes that for an outage and starts without a
- * claim what the log has just ended.
- * Cause: one lost read counted as an outage.
+ * One lost read of the log must not count as an outage. An instance adopts a
+ * job from another domain, where all instances are dead, loses one read, and
+ * started the job without a claim although the log had just recorded its
+ * cancellation.
  */
 static void test_one_lost_read_is_no_outage(void)
 {
@@ -133,10 +133,9 @@
 }
 
 /*
- * A tutor cancels an accepted job after an outage and is told "not run"; it
- * was started during the outage by a peer, where it runs to its end.
- * Cause: what was started without a claim was not claimed when the log was
- * there again, so that nobody else knew of it.
+ * A job that was started without a claim in an outage must be claimed when the
+ * log is available again. Otherwise no other instance knew of the run, and a
+ * cancellation was answered "not run" while it ran to its end.
  */
 static void test_started_in_an_outage_is_claimed_after_it(void)
 {
@@ -144,10 +143,9 @@
 }
 
 /*
- * An accepted job waits for ever.
- * Its owner starts while the platform is down, so that a peer's summaries of
- * the racks come before the list of workers; they are not sent again.
- * Cause: a summary that named no known worker was dropped.
+ * A rack summary that arrives before the list of workers must not be dropped:
+ * it is not sent again. An owner that started while the platform was
+ * unavailable never placed an accepted job.
  */
 static void test_summary_before_the_list_is_not_lost(void)
 {
@@ -157,10 +155,9 @@
 }
 
 /*
- * An accepted job is done, and its caller asks for it for ever.
- * Its first attempt is voided during an outage that swallows the void; the
- * second runs without a claim, and readers ignore its outcome.
- * Cause: the claim of an attempt that was over stayed open.
+ * The claim of an attempt that is over must be closed. The first attempt is
+ * voided during an outage that loses the void record; the second runs without a
+ * claim. Readers ignored its outcome, and the caller waited forever.
  */
 static void test_outcome_after_a_lost_void_is_read(void)
 {
@@ -169,11 +166,10 @@
 }
 
 /*
- * A tutor cancels a running job and is told at last that it did not run.
- * Its owner stops it and dies; the peer that had only watched it settles the
- * claim, takes it for a job that was never accepted, and records no outcome;
- * the next round ends the cancelled job as one that never started.
- * Cause: whether a job was accepted was asked only of new ones.
+ * A job stays accepted when its claim is settled by a peer that only watched
+ * it. A running job is cancelled, its owner stops it and dies; the peer settled
+ * the claim, took the job for one that was never accepted and recorded no
+ * outcome; the job then ended as one that never started.
  */
 static void test_watched_job_that_is_settled_stays_accepted(void)
 {
@@ -181,11 +177,10 @@
 }
 
 /*
- * A tutor's guaranteed shape is not given back.
- * An accepted job of another account is placed on the rack by a peer that
- * does not plan it; or the tutor's own job is sent to a peer that owned the
- * rack once, and waits there.
- * Cause: who has to reclaim was not who had placed.
+ * The instance that has to reclaim a guaranteed shape must be the one that
+ * places the job. A peer that does not plan the rack placed another account's
+ * accepted job there; or the guaranteed job itself waited at a peer that no
+ * longer owns the rack.
  */
 static void test_reclaiming_instance_places_the_job(void)
 {
@@ -194,11 +189,10 @@
 }
 
 /*
- * A failure domain slowly fills with leases that nobody uses, until nothing
- * starts there any more.
- * A lease's answer is lost, then its release; the attempt is given up, and
- * every report renews the lease with all others of the instance.
- * Cause: what a report showed of abandoned attempts was not looked at.
+ * Leases of abandoned attempts must be released. The answer to a lease is lost,
+ * then its release; the attempt is abandoned, but each report renewed the lease
+ * with all others of the instance, until no capacity was left in the failure
+ * domain. The reports were not checked for abandoned attempts.
  */
 static void test_leases_of_abandoned_attempts_are_cleared(void)
 {
@@ -206,10 +200,9 @@
 }
 
 /*
- * A tutor's job with a guarantee waits its turn in another failure domain.
- * Its own domain is full of borrowers, so it was sent to a quicker one, where
- * the account has nothing to get back.
- * Cause: the way to another domain did not ask for a guarantee at home.
+ * A job with a guarantee must not be forwarded to another failure domain, where
+ * its account has nothing to reclaim. Its own domain was full of borrowers, and
+ * the choice of a less loaded domain ignored the guarantee at home.
  */
 static void test_entitled_job_stays_in_its_domain(void)
 {
@@ -218,11 +211,10 @@
 }
 
 /*
- * An instance that drains ends with a failed assertion, and its callers are
- * cut off.
- * A tutor looks an accepted job up while it is being stopped; it goes back to
- * the queue and is handed to its next owner.
- * Cause: only those who waited when the stop began were sent on.
+ * A look-up that arrives during a drain must be forwarded with its job. A job
+ * that is being stopped is looked up, returns to the queue and is handed to its
+ * next owner. Only requests that waited when the drain began were forwarded,
+ * and the instance exited with a failed assertion.
  */
 static void test_lookup_during_a_drain_is_forwarded(void)
 {
@@ -230,10 +222,9 @@
 }
 
 /*
- * A buyer gets two prices for one quote.
- * Its claim was trimmed in an outage and its outcome was not; an instance
- * that started meanwhile is asked again with the same key.
- * Cause: see test_job_ledger.
+ * An outcome whose claim was trimmed from the log still answers its key. An
+ * instance that started after an outage and was asked with the same key ran the
+ * job again; see test_job_ledger.
  */
 static void test_outcome_outlives_its_claim(void)
 {
@@ -241,10 +232,10 @@
 }
 
 /*
- * A render that was accepted never ends.
- * Its first request was forwarded and the peer's answer lost; a later one is
- * accepted at the peer, and the log makes the first instance its owner.
- * Cause: to that instance the job was still with the peer.
+ * A job that was forwarded without an answer must be taken back when the log
+ * names the forwarding instance as its owner. The peer's answer was lost and a
+ * later request accepted at the peer; the first instance still took the job for
+ * forwarded, and it never ended.
  */
 static void test_forward_without_an_answer_is_taken_back(void)
 {
@@ -253,11 +244,10 @@
 }
 
 /*
- * A tutor's guaranteed lesson pack is not started, though all workers are
- * free.
- * Its instance forwards it to the owner of the rack over a link that is cut
- * for a moment and goes on to stand; nobody hears of the loss.
- * Cause: only the end of a link said that what it carried may be lost.
+ * A message that is lost on a link which is cut for a moment and stays
+ * established must be detected. A forwarded job with a guarantee was lost and
+ * never started, though all workers were free: only the end of a link counted
+ * as a possible loss.
  */
 static void test_forward_lost_on_an_established_link(void)
 {
@@ -265,12 +255,11 @@
 }
 
 /*
- * A tutor's guaranteed lesson pack waits for the end of another account's
- * renders, 4 to 11 s.
- * An instance dies, and its peer places renders on all racks; the instance
- * comes back, owns its racks again, and finds them full.
- * Cause: what another instance drives was nobody's work to the owner, who
- * could not ask for its room; asked for it, the other took the room again.
+ * An owner must reclaim capacity from jobs that another instance drives. An
+ * instance dies and its peer places jobs on all racks; the instance returns and
+ * owns its racks again. A guaranteed job then waited 4 to 11 s for the end of
+ * the peer's jobs: the owner could not ask for their capacity, and the peer,
+ * when asked, took the capacity again.
  */
 static void test_jobs_of_an_interim_owner_are_reclaimed(void)
 {
@@ -280,10 +269,11 @@
 }
 
 /*
- * A tutor's guaranteed shape is reclaimed 3 s late after a restart.
- * The instance hears what runs on its workers before its configuration, and
- * reports without news do not say it again.
- * Cause: without a class, a task was taken for one that cannot be stopped.
+ * Tasks reported before the configuration is known must be reclaimable later.
+ * After a restart an instance gets the workers' reports before its
+ * configuration, and reports without changes do not repeat the tasks. Without a
+ * class a task was taken for one that cannot be stopped, and a guaranteed shape
+ * was reclaimed 3 s late.
  */
 static void test_tasks_seen_before_the_configuration_are_reclaimed(void)
 {
@@ -291,10 +281,10 @@
 }
 
 /*
- * A tutor's guaranteed shape is freed in time and starts seconds later.
- * A lease is lost, or refused by a release that is still on its way; or what
- * was to make way waits for its claim to show in a log that is down.
- * Cause: the whole shape was held for 2 s, or was filled by others meanwhile.
+ * A freed guaranteed shape must stay allocated to its job until it starts. A
+ * lease is lost, or refused because a release is still in flight, or the victim
+ * waits for its claim to appear in an unavailable log. The whole shape was held
+ * for 2 s, or was filled by other jobs meanwhile.
  */
 static void test_freed_shape_is_kept_until_the_start(void)
 {
@@ -305,10 +295,9 @@
 }
 
 /*
- * A tutor's guaranteed lesson pack competes with the owner of its rack.
- * An interim owner starts it, the start is lost, and it waits again at an
- * instance that can reclaim nothing.
- * Cause: where a job waits was chosen once, at the door.
+ * A job with a guarantee must wait at the owner of its rack. An interim owner
+ * starts it, the start is lost, and the job waited again at an instance that
+ * cannot reclaim: the place to wait was chosen only on submission.
  */
 static void test_job_waits_at_the_owner_of_its_shape(void)
 {
@@ -317,14 +306,14 @@
 	check_seed(PROMISE_GUARANTEE, 1968);
 }
 
-/* Promises that the core keeps in every seed that was run. */
+/* Invariants that the core keeps in every seed of this test. */
 static const enum promise kept_by_core[] = { PROMISE_GUARANTEE, PROMISE_GANG,
 					     PROMISE_ANSWER,	PROMISE_NOT_RUN,
 					     PROMISE_CONFIG,	PROMISE_ONCE,
 					     PROMISE_LEAVING,	PROMISE_STOP,
 					     PROMISE_ACCEPTED };
 
-/* Promises that the naive version breaks within the seeds of this test. */
+/* Invariants that the reference implementation violates in these seeds. */
 static const enum promise violated_by_reference[] = {
 	PROMISE_GUARANTEE, PROMISE_GANG,   PROMISE_ANSWER,
 	PROMISE_NOT_RUN,   PROMISE_ONCE,   PROMISE_LEAVING,
--- a/src/test_libradishjunction/test_faults_large.c
+++ b/src/test_libradishjunction/test_faults_large.c
@@ -2,12 +2,12 @@
 
 #include "support/faults.h"
 
-/* Few enough to be quick; scripts/bench faults --place runs any number. */
+/* Kept low for a short run; scripts/bench faults --place runs any number. */
 #define SEEDS 4
 #define TRIMMED_SEEDS 50
 #define PARTITION_SEEDS 3
 
-/* Nothing at all may be violated in this run. */
+/* Runs one seed in which no invariant may be violated. */
 static void check_seed(enum fault_place place, enum promise promise,
 		       uint64_t seed)
 {
@@ -22,11 +22,10 @@
 }
 
 /*
- * Three failure domains of four instances and twelve workers, up to 24 faults
- * in a minute that last up to 16 s, whole domains cut off from the others and
- * from the platform at once, or their instances from each other, clocks that
- * run up to 500 ppm fast or slow, and callers that give up before a pause
- * ends.
+ * Three failure domains of four instances and twelve workers. Up to 24 faults
+ * in a minute, of up to 16 s each: whole domains partitioned from the others
+ * and from the platform, instances partitioned from each other, clocks that
+ * drift up to 500 ppm, and callers that time out before a pause ends.
  */
 static void test_large(gconstpointer data)
 {
@@ -35,9 +34,9 @@
 }
 
 /*
- * A rep is told two prices, or that a quote did not run which did.
- * A region loses the others and the platform for an hour, with quotes and
- * renders under way there, and their callers ask elsewhere meanwhile.
+ * A region is partitioned from the others and from the platform for an hour
+ * with jobs in progress, while their callers ask elsewhere. No job may run
+ * twice, or be answered "not run" when it ran.
  */
 static void test_region_partitioned_for_an_hour(void)
 {
@@ -52,7 +51,7 @@
 	faults_result_finish(&result);
 }
 
-/* What the log dropped before anybody alive had read it, nobody knows. */
+/* Records that were dropped before any live instance read them are lost. */
 static void check_trimmed(enum promise promise, uint64_t seed)
 {
 	struct faults_result result;
@@ -67,11 +66,10 @@
 }
 
 /*
- * A student is charged twice.
- * The platform's log drops records that it should still keep; an instance
- * starts, reads what is left, and takes the student's key for a new one.
- * Cause: a reader took whatever the log began with for all that there was,
- * and nobody told the log again what it had dropped.
+ * A reader must not take the beginning of a trimmed log for the whole log. The
+ * platform drops records before their retention ends; an instance starts and
+ * took a used key for a new one, so the job ran twice. No instance appended the
+ * dropped records again.
  */
 static void test_trimmed_log(gconstpointer data)
 {
@@ -80,10 +78,9 @@
 }
 
 /*
- * A tutor is told that a preview did not run; it had run, twice, and failed.
- * Its instance hands the third attempt to a peer, whose worker refuses it;
- * the peer says truly of itself that it ran nothing.
- * Cause: the peer's answer was passed on as it came.
+ * A "not run" of a peer must not be passed on for a job that ran before it was
+ * forwarded. A job ran twice and failed; the third attempt is handed to a peer
+ * whose worker refuses it, and the peer's answer is true only of itself.
  */
 static void test_job_that_ran_before_it_was_forwarded(void)
 {
@@ -91,11 +88,10 @@
 }
 
 /*
- * A tutor is told that a render did not run, and half of it had.
- * It is accepted, runs, and is stopped for another's guarantee; its next
- * attempt is claimed and not started, and it is cancelled. Who settles that
- * attempt hears that it never ran.
- * Cause: the log's void of the first attempt left no trace.
+ * A void record must not hide that the job ran. An accepted job runs, is
+ * stopped for a guarantee, is claimed again without a start, and is cancelled.
+ * The instance that settled the last attempt answered "not run", because the
+ * void of the first attempt left no trace in the log.
  */
 static void test_settled_attempt_was_not_the_first(void)
 {
--- a/src/test_libradishjunction/test_foreign.c
+++ b/src/test_libradishjunction/test_foreign.c
@@ -8,19 +8,19 @@
 
 #define SETTLED_US (5 * RJ_US_PER_S)
 #define LONG_RUN_US (20 * RJ_US_PER_S)
-/* After it a dead instance owns nothing any more. */
+/* After this time a dead instance owns no rack. */
 #define TAKEOVER_US (8 * RJ_US_PER_S)
-/* The quote is placed before the previews fill the rack. */
+/* Long enough to place the quote before the previews fill the rack. */
 #define FILL_US (6 * RJ_US_PER_S)
 #define SEEDS 8
 
-/* What was seen of the ways to give a shape back, over several seeds. */
+/* How guaranteed shapes were reclaimed, summed over the seeds. */
 struct reclaim_counts {
-	uint32_t asked; /* the instance that drives the work */
-	uint32_t stopped; /* at the worker, unheard */
+	uint32_t asked; /* cancellations requested from the driving instance */
+	uint32_t stopped; /* tasks stopped at the worker, without the driver */
 };
 
-/* How often `what` stands in the transcript. */
+/* Returns how often `what` occurs in the transcript. */
 static uint32_t count_matches(const char *text, const char *what)
 {
 	uint32_t times = 0;
@@ -30,7 +30,7 @@
 	return times;
 }
 
-/* A job that takes a whole worker for a long time. */
+/* A long job that occupies a whole worker. */
 static struct caller_plan whole_worker(const struct world *world)
 {
 	return (struct caller_plan){
@@ -44,7 +44,7 @@
 	};
 }
 
-/* A job on the account's guarantee. */
+/* A job within the account's guarantee. */
 static struct caller_plan guaranteed(void)
 {
 	return (struct caller_plan){
@@ -62,9 +62,9 @@
 }
 
 /*
- * One instance is dead while previews and a quote fill the rack, and is back
- * when the account wants its shape; `cut` parts the two from then on. The
- * checker judges the time, and all that callers are told.
+ * One instance is dead while previews and a quote fill the rack, and is
+ * restarted before the account uses its guarantee; `cut` separates the two
+ * instances from then on. The checker checks the reclaim time and all answers.
  */
 static void run(uint64_t seed, uint32_t dead_node, bool cut,
 		struct reclaim_counts *reclaim_counts)
@@ -119,7 +119,9 @@
 	free(text);
 }
 
-/* Both instances are dead once in each seed: one of them owns the rack. */
+/*
+ * Each instance is the dead one once per seed, since either may own the rack.
+ */
 static struct reclaim_counts run_all(bool cut)
 {
 	struct reclaim_counts reclaim_counts = { 0 };
@@ -131,10 +133,9 @@
 }
 
 /*
- * A tutor's lesson pack waits for the previews of another studio.
- * The owner of the rack dies; its peer fills the rack; the owner comes back
- * and wants a guaranteed shape from it.
- * Cause: what the peer drives was nobody's work to the owner.
+ * An owner must reclaim from jobs that another instance drives. The rack's
+ * owner dies, its peer fills the rack, the owner returns and needs a guaranteed
+ * shape. The owner did not know whom to ask for the peer's jobs.
  */
 static void test_driver_is_asked(void)
 {
@@ -144,10 +145,9 @@
 }
 
 /*
- * The same, and the peer cannot be asked: it is cut off from the owner, not
- * from the workers, where it goes on to renew its leases.
- * Cause: only its driver could stop a job. The quote in the rack, which must
- * not run twice, runs to its end all the same.
+ * As above, but the driver cannot be asked: it is cut off from the owner, not
+ * from the workers, where it keeps renewing its leases. Only the driver could
+ * stop a job. The quote in the rack, which must not run twice, is not stopped.
  */
 static void test_unreachable_driver_is_bypassed(void)
 {
--- a/src/test_libradishjunction/test_fuzz_inputs.c
+++ b/src/test_libradishjunction/test_fuzz_inputs.c
@@ -6,8 +6,8 @@
 #define MUTATIONS 300
 
 /*
- * Run one kept input, and copies of it with bytes changed, cut or doubled,
- * the same in every run.
+ * Runs one corpus input and copies of it with bytes changed, cut or duplicated;
+ * the mutations are the same in every run.
  */
 static void run_input(const struct fuzz_target *target, const char *data,
 		      size_t length)
@@ -37,9 +37,9 @@
 }
 
 /*
- * Whoever sends a malformed text or frame ends the instance: a parser read
- * past its end or left a struct half filled. The inputs were found by the
- * coverage-guided fuzzer (scripts/fuzz), or are whole examples.
+ * Malformed texts and frames must not crash a parser: reads past the end,
+ * half-filled structs. The inputs are findings of the coverage-guided fuzzer
+ * (scripts/fuzz) or valid examples.
  */
 static void test_inputs(gconstpointer user)
 {
--- a/src/test_libradishjunction/test_golden.c
+++ b/src/test_libradishjunction/test_golden.c
@@ -5,11 +5,13 @@
 
 #include "support/world.h"
 
-/* Set, the transcripts are written anew; read the difference before it is
-   committed. */
+/*
+ * If set, the transcripts are rewritten; review the difference before
+ * committing it.
+ */
 #define REWRITE "RJ_GOLDEN_REWRITE"
 
-/* A session: what happens in a small world of one rack and two instances. */
+/* A session: the events in a small simulation of one rack and two instances. */
 struct session {
 	const char *name;
 	void (*happens)(struct world *world);
@@ -36,13 +38,13 @@
 	.waits = true,
 };
 
-/* A preview is asked for, run and answered, and the log is not touched. */
+/* A preview is submitted, run and answered; the log is not used. */
 static void idempotent_job(struct world *world)
 {
 	(void)fake_caller_add(world, 3 * RJ_US_PER_S, &preview);
 }
 
-/* A buyer asks for a quote, and asks another instance with the same key. */
+/* A quote is submitted, and again at another instance with the same key. */
 static void repeated_quote(struct world *world)
 {
 	struct caller_plan doubled = quote;
@@ -51,7 +53,7 @@
 	(void)fake_caller_add(world, 3 * RJ_US_PER_S, &doubled);
 }
 
-/* A gang on two workers: leases, held starts, then all are let run. */
+/* A gang on two workers: leases, held starts, then all are released to run. */
 static void gang(struct world *world)
 {
 	struct caller_plan plan = preview;
@@ -62,8 +64,10 @@
 	(void)fake_caller_add(world, 3 * RJ_US_PER_S, &plan);
 }
 
-/* The platform is down: a preview is served, a quote is told when to come
-   back, and is priced once the platform is there again. */
+/*
+ * The platform is unavailable: a preview is served; a quote is refused with a
+ * time to retry after, and is served once the platform is available.
+ */
 static void platform_outage(struct world *world)
 {
 	world_run_until(world, 3 * RJ_US_PER_S);
@@ -74,7 +78,7 @@
 	world->log.down = false;
 }
 
-/* An instance is asked to stop while it serves a quote. */
+/* An instance is stopped while it serves a quote. */
 static void graceful_stop(struct world *world)
 {
 	struct caller_plan plan = quote;
@@ -90,7 +94,9 @@
 	}
 }
 
-/* Two operators publish from the same revision: one wins everywhere. */
+/*
+ * Two operators publish from the same revision: the same one wins everywhere.
+ */
 static void config_race(struct world *world)
 {
 	world_run_until(world, 3 * RJ_US_PER_S);
@@ -108,7 +114,7 @@
 	{ "config_race", config_race, 5 * RJ_US_PER_S },
 };
 
-/* Play a session; the caller frees the transcript. */
+/* Runs a session; the caller frees the transcript. */
 static char *run_session(const struct session *session)
 {
 	struct world_options options = {
@@ -138,8 +144,7 @@
 }
 
 /*
- * A change that was meant to concern something else alters what an instance
- * does in an ordinary session.
+ * A change must not alter an instance's actions in ordinary sessions unnoticed.
  */
 static void test_session_is_as_recorded(gconstpointer data)
 {
--- a/src/test_libradishjunction/test_http_callers.c
+++ b/src/test_libradishjunction/test_http_callers.c
@@ -42,7 +42,10 @@
 	callers_server_finish(&server);
 }
 
-/* A repeat written in another order is the same job; another body is not. */
+/*
+ * A repeat with another order of fields has the same digest; another body does
+ * not.
+ */
 static void test_digest_of_a_repeat(void)
 {
 	uint8_t first[RJ_DIGEST_BYTES];
@@ -70,7 +73,7 @@
 	callers_server_finish(&server);
 }
 
-/* All errors of one body at once, and nothing reaches the core. */
+/* All errors of a body are reported at once, and nothing reaches the core. */
 static void test_bad_input(void)
 {
 	static const char *jobs = "POST /v1/jobs";
@@ -161,7 +164,7 @@
 	callers_server_finish(&server);
 }
 
-/* The status of each kind of answer, and when to come back. */
+/* The status and the time to retry after of each kind of answer. */
 static void test_statuses(void)
 {
 	static const struct {
@@ -207,10 +210,9 @@
 }
 
 /*
- * A buyer is told "not run", and the quote has run.
- * Callers with and without a key reach an instance in its last moments, when
- * the core takes no more events; one still waits for a job that was started.
- * Cause: whatever was open at the end was called not run.
+ * Requests that are open when the core takes no more events must not all be
+ * answered "not run": a job that was started may have run. Callers with and
+ * without a key arrive just before the end; one still waits for a started job.
  */
 static void test_answers_after_the_core_stopped(void)
 {
@@ -241,9 +243,8 @@
 }
 
 /*
- * A tutor is told "not run" by an instance that has started a moment ago.
- * The preview arrives before the instance has its configuration.
- * Cause: callers were served before there was anything to serve them with.
+ * A request that arrives before the configuration must wait for it. It was
+ * answered "not run" by an instance that had just started.
  */
 static void test_callers_wait_for_the_configuration(void)
 {
@@ -263,10 +264,9 @@
 }
 
 /*
- * A preview is told "not run" by an instance whose stop is complete, though
- * its peers could serve it.
- * The request comes on a connection that was idle; another caller connects.
- * Cause: the last connections were refused, not served, and new ones reset.
+ * An instance whose stop is complete must still answer its last connections, so
+ * that peers can serve the requests. A request comes on an idle connection, and
+ * another caller connects: the first was refused and the second reset.
  */
 static void test_last_connections_are_served(void)
 {
@@ -295,7 +295,10 @@
 	callers_server_finish(&server);
 }
 
-/* A result that is no JSON comes as text, one that is no text in base64. */
+/*
+ * A result that is not JSON is returned as text, one that is not text as
+ * base64.
+ */
 static void test_results_of_any_bytes(void)
 {
 	struct callers_server server;
--- a/src/test_libradishjunction/test_http_callers_bounds.c
+++ b/src/test_libradishjunction/test_http_callers_bounds.c
@@ -33,7 +33,7 @@
 	g_free(many);
 }
 
-/* One above the bound is refused, and told when to come back. */
+/* A request above the bound is refused, with a time to retry after. */
 static void test_bounds_of_the_server(void)
 {
 	struct callers_server server;
@@ -64,11 +64,7 @@
 	callers_server_finish(&server);
 }
 
-/*
- * Previews stand still while one studio's modem stalls.
- * A caller sends half a request and no more; others ask meanwhile.
- * Cause: the reader of one connection held up all.
- */
+/* A caller that sends half a request and stalls must not block the others. */
 static void test_stalled_caller(void)
 {
 	struct callers_server server;
@@ -86,7 +82,7 @@
 	callers_server_finish(&server);
 }
 
-/* A caller that sends one byte at a time, however long it takes. */
+/* A caller that sends one byte at a time, without a time limit. */
 struct byte_sender {
 	struct callers_client client;
 	struct tevent_timer *timer;
@@ -109,7 +105,7 @@
 	byte_sender_next(byte_sender);
 }
 
-/* Far more often than the server's limit of one second. */
+/* Far more often than the server's idle limit of one second. */
 static void byte_sender_next(struct byte_sender *byte_sender)
 {
 	byte_sender->timer = tevent_add_timer(
@@ -135,9 +131,9 @@
 }
 
 /*
- * No caller gets in any more, though hardly anything is asked for.
- * Some send a request byte by byte, and never the last one.
- * Cause: each byte counts as a sign of life, and the connection is kept.
+ * Callers that send a request byte by byte and never the last one must not keep
+ * their connections. Each byte counted as activity, and other callers found no
+ * free connection.
  */
 static void test_byte_by_byte_callers(void)
 {
@@ -170,7 +166,7 @@
 	g_free(body);
 }
 
-/* The number after "retry_after_ms" in an answer. */
+/* Returns the number after "retry_after_ms" in an answer. */
 static uint64_t retry_after_ms(const struct callers_client *client)
 {
 	static const char *name = "\"retry_after_ms\":";
@@ -181,10 +177,9 @@
 }
 
 /*
- * A class hub sends 32 previews at once, then all of them again at once, and
- * so on; hardly any gets in.
- * All were refused for want of room, and told to come back a second later.
- * Cause: the door gave each the same time, unlike the core.
+ * Refused callers must get different times to retry after. A client sends 32
+ * requests at once; all that were refused got the same second and returned
+ * together, because the HTTP server did not spread the times as the core does.
  */
 static void test_refused_callers_retry_at_different_times(void)
 {
@@ -223,7 +218,10 @@
 	callers_server_finish(&server);
 }
 
-/* The core learns that the caller left; its late answer harms nothing. */
+/*
+ * The core is notified when the caller disconnects, and its late answer is
+ * ignored.
+ */
 static void test_caller_disconnected(void)
 {
 	struct callers_server server;
--- a/src/test_libradishjunction/test_http_client.c
+++ b/src/test_libradishjunction/test_http_client.c
@@ -13,7 +13,7 @@
 #define SHORT_US (20 * RJ_US_PER_MS)
 #define ANSWER_MAX_BYTES 64
 
-/* What the server does with the requests to come. */
+/* How the server handles the next requests. */
 enum behaviour { ANSWER, CLOSE, KEEP, ANSWER_LONG };
 
 struct fixture {
@@ -23,7 +23,7 @@
 	enum behaviour behaviour;
 	uint32_t received; /* requests at the server */
 	uint32_t ended; /* calls of done */
-	struct rj_http_result result; /* of the last */
+	struct rj_http_result result; /* of the last call */
 	char text[ANSWER_MAX_BYTES + 1];
 };
 
@@ -134,10 +134,9 @@
 }
 
 /*
- * A claim stands in the log twice.
- * The platform takes an append on a kept connection and closes it before
- * the answer.
- * Cause: libcurl sends again when a kept connection dies before its answer.
+ * A request on a kept connection must not be sent again when the connection
+ * ends before the answer: libcurl retries by default, and a claim was appended
+ * to the log twice.
  */
 static void test_lost_answer_is_not_sent_again(struct fixture *fixture,
 					       gconstpointer data)
@@ -164,12 +163,14 @@
 		tevent_loop_once(fixture->ev);
 	post(fixture, "two", SHORT_US);
 	wait_for(fixture, 1);
-	/* The second waits for the only connection: it never left. */
+	/* The second waits for the only connection: it was never sent. */
 	assert_outcome(fixture, RJ_HTTP_NOT_SENT);
 	rj_http_server_abort_open(&fixture->server, NULL);
 	wait_for(fixture, 2);
 	assert_outcome(fixture, RJ_HTTP_LOST);
-	/* On a busy machine the time may be over before it is sent. */
+	/*
+	 * On a loaded machine the timeout may pass before the request is sent.
+	 */
 	do {
 		post(fixture, "three", SHORT_US);
 		wait_for(fixture, fixture->ended + 1);
@@ -186,7 +187,7 @@
 	assert_outcome(fixture, RJ_HTTP_LOST);
 }
 
-/* A loopback port at which nothing listens while the socket is open. */
+/* Binds a loopback port without listening, so that connects are refused. */
 static int bound_socket(struct rj_address *address)
 {
 	struct sockaddr_in name = { .sin_family = AF_INET };
@@ -214,7 +215,7 @@
 	close(fd);
 }
 
-/* Read what came, answer with the head and a half, and close. */
+/* Reads the request, sends the head and half of the answer, and closes. */
 static void answer_half(struct tevent_context *ev, struct tevent_fd *fde,
 			uint16_t flags, void *private_data)
 {
@@ -229,7 +230,7 @@
 	close(fd);
 }
 
-/* Take the one connection; its request is read when it has come. */
+/* Accepts the one connection; its request is read when it arrives. */
 static void take_connection(struct tevent_context *ev, struct tevent_fd *fde,
 			    uint16_t flags, void *private_data)
 {
@@ -242,9 +243,8 @@
 }
 
 /*
- * A tutor gets half a lesson pack.
- * The connection breaks in the middle of an answer.
- * Cause: what had come by then was taken for the answer.
+ * An answer that is cut by the end of the connection must be reported as lost,
+ * not passed on as a whole result.
  */
 static void test_answer_cut_short_is_lost(struct fixture *fixture,
 					  gconstpointer data)
@@ -265,7 +265,7 @@
 	close(fd);
 }
 
-/* A connection to the server that nothing is sent on. */
+/* Opens an idle connection to the server. */
 static int connect_to(const struct fixture *fixture)
 {
 	struct sockaddr_in name = {
@@ -292,11 +292,9 @@
 }
 
 /*
- * A worker is taken for dead while it only has too many clients.
- * One connection more than it takes is opened to it; nothing happens until
- * the client's timeout.
- * Cause: the connection waited in the backlog and was neither served nor
- * closed.
+ * A connection above the server's limit must be closed at once. It waited in
+ * the backlog until the client's timeout, and a worker with too many clients
+ * was taken for dead.
  */
 static void test_connection_above_the_limit_is_closed(struct fixture *fixture,
 						      gconstpointer data)
@@ -321,10 +319,9 @@
 }
 
 /*
- * A worker's connections are all taken by clients that have gone.
- * A call waits for its answer, and its client closes the connection; the
- * worker keeps it until the answer is made.
- * Cause: nobody looks at a connection that is set aside.
+ * A client that disconnects while its call waits must free its connection at
+ * once. A suspended connection was not checked for its end and was kept until
+ * the answer, so that no connection of the worker was left.
  */
 static void
 test_disconnected_client_frees_its_connection(struct fixture *fixture,
--- a/src/test_libradishjunction/test_http_platform.c
+++ b/src/test_libradishjunction/test_http_platform.c
@@ -8,20 +8,20 @@
 #include "stream.h"
 
 #define WAIT_US (30 * RJ_US_PER_S)
-/* Together more than the adapter takes in one answer. */
+/* Together more than the adapter accepts in one answer. */
 #define LARGE_BYTES (900 * 1000)
 #define LARGE_COUNT 24
 
 struct fixture {
-	struct rj_sink sink; /* first: found from it */
+	struct rj_sink sink; /* first member: the fixture is found from it */
 	struct tevent_context *ev;
 	struct rj_standin_platform standin;
 	struct rj_http_platform platform;
 	struct rj_record records[2];
 	struct rj_append append;
 	uint32_t events;
-	struct rj_event event; /* the last; what it points to is gone */
-	struct rj_record read[4]; /* the first of its records, shallow */
+	struct rj_event event; /* the last; what it points to is not valid */
+	struct rj_record read[4]; /* the first of its records, shallow copies */
 	struct rj_instance listed; /* the first of its list */
 };
 
@@ -163,10 +163,9 @@
 }
 
 /*
- * A buyer is charged twice.
- * A claim is appended and its answer is lost. The instance takes that for a
- * failure and claims again, or gives up while its claim stands in the log.
- * Cause: a lost answer that is reported as refused, or sent again.
+ * An append whose answer is lost must be reported as lost, and must not be sent
+ * again. Reported as refused, the instance claims the job again or abandons it
+ * although its claim is in the log, and the job runs twice.
  */
 static void test_lost_append_is_logged_once(struct fixture *fixture,
 					    gconstpointer data)
@@ -198,10 +197,8 @@
 }
 
 /*
- * A new configuration is not in force, and nobody is told.
- * The platform goes down while an instance waits for the next record; the
- * instance waits for ever.
- * Cause: a read that ends without an event.
+ * A long poll that ends in an outage must deliver an event. Without one, the
+ * instance waits forever and misses a new configuration.
  */
 static void test_outage_ends_a_long_poll(struct fixture *fixture,
 					 gconstpointer data)
@@ -219,10 +216,8 @@
 }
 
 /*
- * A student is charged twice.
- * An instance is paused past the retention; the claim it has not read is
- * dropped meanwhile; it reads on as if nothing was missing.
- * Cause: a gap that the reader is not told of.
+ * A reader that was paused past the log's retention must be notified of the
+ * gap. Otherwise it misses a dropped claim, and the job runs twice.
  */
 static void test_gap_is_reported(struct fixture *fixture, gconstpointer data)
 {
@@ -238,10 +233,9 @@
 }
 
 /*
- * An instance never becomes ready.
- * Many accepted jobs with the largest bodies stand in the log one after the
- * other; each read of them fails, and so does the next, which is the same.
- * Cause: a page of so many records is longer than an answer may be.
+ * A page of many jobs with the largest bodies must not exceed the largest
+ * answer. Each read of the page failed, as did each retry, and the instance
+ * never became ready.
  */
 static void test_largest_records_are_read(struct fixture *fixture,
 					  gconstpointer data)
@@ -272,10 +266,9 @@
 }
 
 /*
- * No configuration comes into force any more.
- * Somebody appends a record that is longer than any of ours; every read
- * that meets it fails, at all instances.
- * Cause: one bad record that spoils the page it stands in.
+ * One record above the length limit must not fail the page that contains it.
+ * Every read of it failed at all instances, and no later configuration came
+ * into force.
  */
 static void test_record_too_long_is_malformed(struct fixture *fixture,
 					      gconstpointer data)
@@ -302,10 +295,8 @@
 }
 
 /*
- * A worker that leaves gets new work for as long as it is listed.
- * The platform lists one instance that we cannot read, such as one of
- * another kind; the whole list is dropped, and with it who is leaving.
- * Cause: one bad line that spoils the list.
+ * One unreadable instance in the list must not invalidate the whole list.
+ * Without the list, a worker that is leaving kept getting new jobs.
  */
 static void test_list_names_instances(struct fixture *fixture,
 				      gconstpointer data)
--- a/src/test_libradishjunction/test_http_server.c
+++ b/src/test_libradishjunction/test_http_server.c
@@ -1,6 +1,4 @@
-/*
- * How a server that is about to end parts from its clients.
- */
+/* Tests how a server that is about to stop ends its connections. */
 #include <glib.h>
 #include <string.h>
 #include <talloc.h>
@@ -13,11 +11,11 @@
 	struct tevent_context *ev;
 	struct rj_http_server server;
 	struct rj_http_client client;
-	struct rj_http_exchange *request; /* that waits for its answer */
+	struct rj_http_exchange *request; /* waits for its answer */
 	uint32_t answered;
 };
 
-/* Keep the request; the test answers it. */
+/* Stores the request; the test answers it. */
 static void receive(void *private_data, struct rj_http_exchange *request)
 {
 	struct fixture *f = private_data;
@@ -51,7 +49,7 @@
 	talloc_free(f->ev);
 }
 
-/* The client has its answer. */
+/* The client has received its answer. */
 static void done(void *private_data, const struct rj_http_result *result)
 {
 	struct fixture *f = *(struct fixture **)private_data;
@@ -60,7 +58,7 @@
 	f->answered++;
 }
 
-/* Send a request, and wait until the server has it. */
+/* Sends a request and waits until the server has received it. */
 static void send_one(struct fixture *f)
 {
 	struct fixture **self = talloc(f->ev, struct fixture *);
@@ -81,10 +79,9 @@
 }
 
 /*
- * A caller's job is stored, and the caller hears nothing.
- * Its instance is asked to stop, stores the job, answers, and ends before the
- * answer has left the process.
- * Cause: it looked only for calls without an answer.
+ * A server must not end before its answers are sent. An instance stored a job,
+ * answered and exited before the answer left the process, because it checked
+ * only for requests without an answer.
  */
 static void test_answers_are_sent_before_the_end(struct fixture *f,
 						 gconstpointer data)
@@ -100,8 +97,8 @@
 }
 
 /*
- * Calls come to an instance until it is gone, over connections that stand.
- * Once it is to end, each answer sends its client elsewhere.
+ * A server that is about to stop must close each connection after its answer;
+ * over persistent connections it would get requests until it exits.
  */
 static void test_draining_server_closes_connections(struct fixture *f,
 						    gconstpointer data)
--- a/src/test_libradishjunction/test_http_workers.c
+++ b/src/test_libradishjunction/test_http_workers.c
@@ -8,12 +8,12 @@
 #define TIMEOUT_US (60 * RJ_US_PER_S)
 #define SHORT_US (20 * RJ_US_PER_MS)
 #define LEASE_LIFE_US (60 * RJ_US_PER_S)
-/* A call that is not served by then shows the fault. */
+/* A call that takes longer has failed. */
 #define CALL_LIMIT_US (10 * RJ_US_PER_S)
 #define RESULT_MAX_BYTES 512
 
 struct fixture {
-	struct rj_sink sink; /* first: found from it */
+	struct rj_sink sink; /* first member: the fixture is found from it */
 	struct tevent_context *ev;
 	struct rj_standin_worker worker;
 	struct rj_http_workers workers;
@@ -88,7 +88,7 @@
 	talloc_free(fixture->ev);
 }
 
-/* Send a call of the next id without waiting for its reply. */
+/* Sends a call with the next id without waiting for its reply. */
 static void post(struct fixture *fixture, enum rj_worker_op op)
 {
 	fixture->call.op = op;
@@ -120,7 +120,7 @@
 			rj_reason_string[reason]);
 }
 
-/* How often the attempt of the call was started. */
+/* Returns how often the attempt of the call was started. */
 static uint32_t starts(const struct fixture *fixture)
 {
 	struct rj_task_key key = { fixture->call.attempt,
@@ -157,11 +157,9 @@
 }
 
 /*
- * A buyer receives two prices.
- * The worker starts the quote, and its answer is lost. The instance asks by
- * a fence what became of it and learns that it is done.
- * Cause: a lost answer that was taken for a refusal, and the quote started
- * again elsewhere.
+ * A lost answer to a run must not be taken for a refusal, or the job would be
+ * started again elsewhere. The instance fences the attempt and learns that it
+ * is done.
  */
 static void test_lost_answer_is_lost_not_refused(struct fixture *fixture,
 						 gconstpointer data)
@@ -180,9 +178,8 @@
 }
 
 /*
- * A tutor gets half a lesson pack, or that of another class.
- * An answer is cut on its way, or the one before arrives in its place.
- * Cause: an answer that was passed on unchecked.
+ * An answer that is truncated, or that belongs to the previous call, must be
+ * reported as lost. It was passed on unchecked.
  */
 static void test_cut_or_crossed_answer_is_lost(struct fixture *fixture,
 					       gconstpointer data)
@@ -202,9 +199,8 @@
 }
 
 /*
- * A student is charged twice.
- * A lease lapses while its holder is paused; the holder wakes and starts.
- * Cause: a worker that honours a lapsed token.
+ * An expired lease must refuse a start: its holder may be paused past the
+ * expiry and resume later.
  */
 static void test_expired_lease_refuses_the_start(struct fixture *fixture,
 						 gconstpointer data)
@@ -228,30 +224,29 @@
 }
 
 /*
- * A buyer is charged twice.
- * A worker is paused while a run is on its way, and the instance gives up on
- * it. The worker wakes and may still carry it out. The instance fences the
- * run and starts the job elsewhere only if it never ran.
- * Cause: a fence that says "none" of a run which then starts.
+ * A fence that answers "none" must keep a delayed run from starting. A worker
+ * is paused while a run is in flight and the instance times out; the worker
+ * resumes and may still execute the run. The job may be started elsewhere only
+ * if it never ran.
  */
 static void test_fence_after_a_pause_is_reliable(struct fixture *fixture,
 						 gconstpointer data)
 {
 	struct rj_standin_worker *worker = &fixture->worker;
-	json_t *awake = json_pack("{s:b}", "pause", 0);
+	json_t *resumed = json_pack("{s:b}", "pause", 0);
 	uint32_t ran;
 
 	worker->gate.paused = true;
 	fixture->call.timeout_us = SHORT_US;
-	/* On a busy machine the time may be over before it is sent. */
+	/* On a loaded machine the timeout may pass before the call is sent. */
 	do
 		call(fixture, RJ_WORKER_RUN);
 	while (fixture->reply.status == RJ_REPLY_REFUSED);
 	assert_status(fixture, RJ_REPLY_LOST, RJ_REASON_NONE);
 	g_assert_cmpint(
-		rj_gate_set(&worker->gate, &worker->server, awake, NULL), ==,
+		rj_gate_set(&worker->gate, &worker->server, resumed, NULL), ==,
 		0);
-	json_decref(awake);
+	json_decref(resumed);
 	fixture->call.timeout_us = TIMEOUT_US;
 	call(fixture, RJ_WORKER_FENCE);
 	assert_status(fixture, RJ_REPLY_OK, RJ_REASON_NONE);
@@ -278,7 +273,7 @@
 	g_assert_cmpuint(starts(fixture), ==, 0);
 }
 
-/* Post a run of a minute in each slot, and wait until all have started. */
+/* Starts a run of one minute in each slot and waits until all have started. */
 static void fill_slots(struct fixture *fixture)
 {
 	const struct rj_resources *unused = &fixture->worker.tasks.unused;
@@ -296,11 +291,9 @@
 }
 
 /*
- * A lesson pack waits although a slot is free.
- * Long renders run in some of a worker's slots; the start of the pack is
- * not sent until one of them ends.
- * Cause: each waits for its end on a connection, and there were fewer of
- * these than slots.
+ * There must be a connection for each slot. Long runs each wait for their end
+ * on a connection, and with fewer connections than slots the start of another
+ * job was not sent although a slot was free.
  */
 static void test_every_slot_can_be_waited_on(struct fixture *fixture,
 					     gconstpointer data)
@@ -310,10 +303,8 @@
 }
 
 /*
- * Running lesson packs are stopped although their owner lives.
- * Runs and checkpoints wait for their ends on all connections to a worker;
- * the report that renews the leases waits behind them until these lapse.
- * Cause: calls that wait and calls that must not wait share connections.
+ * Calls that wait must not delay the report that renews the leases. Runs and
+ * checkpoints waited on all connections to a worker until the leases expired.
  */
 static void test_renewal_passes_waiting_calls(struct fixture *fixture,
 					      gconstpointer data)
@@ -333,10 +324,9 @@
 }
 
 /*
- * A worker refuses the report that would have renewed its leases.
- * Instances that do not hear each other take its connections from each
- * other; each is told to leave the others their share.
- * Cause: a fixed number of connections, whoever else needs some.
+ * An instance must keep to its share of a worker's connections. With a fixed
+ * number each, instances without contact to each other used up the connections,
+ * and the worker refused the report that renews its leases.
  */
 static void test_connection_share_is_respected(struct fixture *fixture,
 					       gconstpointer data)
--- a/src/test_libradishjunction/test_instance_list.c
+++ b/src/test_libradishjunction/test_instance_list.c
@@ -9,7 +9,7 @@
 #define SEEDS 200
 #define STEPS 200
 
-/* The platform's side of the list, and what an instance holds of it. */
+/* The platform's list, and an instance's copy of it. */
 struct fixture {
 	void *mem;
 	struct rj_instance lines[NAMES];
@@ -40,7 +40,7 @@
 	return rj_instances_version(fixture->lines, fixture->count);
 }
 
-/* Put a worker into the platform's list, or change its line. */
+/* Adds a worker to the platform's list, or changes its entry. */
 static void list_put(struct fixture *fixture, const char *name,
 		     uint64_t incarnation)
 {
@@ -60,7 +60,7 @@
 	fixture->lines[at].incarnation = incarnation;
 }
 
-/* Take one from the platform's list. */
+/* Removes one entry from the platform's list. */
 static void list_remove(struct fixture *fixture, const char *name)
 {
 	rj_standin_history_note(&fixture->history, version(fixture), name);
@@ -69,7 +69,7 @@
 			fixture->lines[i] = fixture->lines[--fixture->count];
 }
 
-/* What the platform answers to whoever knows that version. */
+/* Returns the platform's answer to a reader that knows version `known`. */
 static char *answer_query(struct fixture *fixture, uint64_t known)
 {
 	struct rj_instances_answer answer;
@@ -82,7 +82,9 @@
 	return rj_instances_encode_changes(fixture->mem, &answer);
 }
 
-/* Let the instance take an answer; whether it has news. */
+/*
+ * Applies an answer to the instance's copy; returns whether anything changed.
+ */
 static bool apply_answer(struct fixture *fixture, const char *text)
 {
 	struct rj_instances_answer answer;
@@ -92,7 +94,7 @@
 	return rj_instance_list_take(&fixture->list, &answer);
 }
 
-/* The list as it is held names whom the platform lists, with their lines. */
+/* Asserts that the copy has the names and entries of the platform's list. */
 static void assert_lists_equal(const struct fixture *fixture)
 {
 	g_assert_cmpuint(fixture->list.count, ==, fixture->count);
@@ -127,7 +129,7 @@
 	g_assert_true(apply_answer(fixture, text));
 	assert_lists_equal(fixture);
 	g_assert_cmpuint(fixture->list.version, ==, version(fixture));
-	/* A platform without versions sends the list whole each time. */
+	/* A platform without versions sends the whole list each time. */
 	g_assert_true(apply_answer(fixture, "{\"instances\":[]}"));
 	g_assert_cmpuint(fixture->list.count, ==, 0);
 	g_assert_cmpuint(fixture->list.version, ==, 0);
@@ -135,10 +137,10 @@
 }
 
 /*
- * An instance calls a worker at an address that was given to another.
- * The list is asked for twice; the first answer comes after the second, and
- * its older line replaces the newer one, of which no later answer speaks.
- * Cause: changes were taken against a version that was no longer held.
+ * An answer that is older than the copy must be ignored. The list is requested
+ * twice and the first answer arrives last; its outdated entry replaced a newer
+ * one that no later answer repeats, and a worker was called at an address that
+ * now belongs to another.
  */
 static void test_late_answer_is_ignored(void)
 {
@@ -158,9 +160,9 @@
 }
 
 /*
- * An instance that was replaced stays in the view of another for good.
- * The platform has forgotten to say that it is gone, and never says it again.
- * Cause: nothing compared the list with the platform's.
+ * A copy whose length differs from the platform's list must be requested whole.
+ * The platform failed to report the removal of an instance once, and it stayed
+ * in the copy forever.
  */
 static void test_list_of_another_length_is_asked_for_whole(void)
 {
@@ -185,7 +187,10 @@
 	fixture_free(fixture);
 }
 
-/* A version that the platform has forgotten, or never had, gets it whole. */
+/*
+ * A reader with a version that the platform no longer has, or never had, gets
+ * the whole list.
+ */
 static void test_forgotten_version(void)
 {
 	struct fixture *fixture = fixture_new(0);
@@ -202,8 +207,10 @@
 	fixture_free(fixture);
 }
 
-/* Lines come, change and go; answers are lost, or come late: whoever has
- * taken an answer of now has the list of now. */
+/*
+ * Entries are added, changed and removed; answers are lost or arrive late. A
+ * reader that applied a current answer must have the current list.
+ */
 static void one_random_history(uint64_t seed)
 {
 	struct fixture *fixture = fixture_new(seed);
@@ -225,7 +232,7 @@
 			apply_answer(fixture, late);
 		if (rj_random64(&fixture->random) % 3)
 			continue;
-		late = NULL; /* one of now comes last */
+		late = NULL; /* a current answer comes last */
 		apply_answer(fixture,
 			     answer_query(fixture, fixture->list.version));
 		assert_lists_equal(fixture);
--- a/src/test_libradishjunction/test_job_ledger.c
+++ b/src/test_libradishjunction/test_job_ledger.c
@@ -26,7 +26,7 @@
 	talloc_free(fixture->mem);
 }
 
-/* A record of the job's first attempt, of some age. */
+/* Returns a record of the job's first attempt with the given age. */
 static struct rj_record record(enum rj_record_kind kind, uint64_t age_us)
 {
 	struct rj_record made = { .kind = kind, .age_us = age_us };
@@ -44,11 +44,9 @@
 }
 
 /*
- * A buyer gets two prices for one quote.
- * The quote is made; the platform is out for long; when it is back, the claim
- * is gone from the log and the outcome still there. An instance that starts
- * then reads it, and the buyer asks again with the same key.
- * Cause: an outcome without its claim was passed over, and the key was new.
+ * An outcome must be kept although its claim was trimmed from the log, as after
+ * a long outage. An instance that started then skipped the outcome, took the
+ * key for a new one, and ran the job again.
  */
 static void test_outcome_without_its_claim(struct fixture *fixture,
 					   gconstpointer data)
@@ -64,7 +62,10 @@
 	g_assert_false(entry->claimed);
 }
 
-/* Who knows the claim carries the outcome: then the answer is known again. */
+/*
+ * An instance that has the claim carries the outcome, which makes it known
+ * again.
+ */
 static void test_carried_outcome_is_known(struct fixture *fixture,
 					  gconstpointer data)
 {
@@ -79,10 +80,9 @@
 }
 
 /*
- * A buyer gets two prices, as above, though nobody was out for long.
- * The outcome was appended long after its claim, and carried half a retention
- * after that: by then the claim was gone.
- * Cause: what is carried when was counted from the newest record.
+ * An outcome must be carried according to the age of its claim. An outcome that
+ * was appended long after the claim was carried half a retention later, when
+ * the claim was gone, because the age was taken from the newest record.
  */
 static void test_an_outcome_is_as_old_as_its_claim(struct fixture *fixture,
 						   gconstpointer data)
@@ -101,11 +101,9 @@
 }
 
 /*
- * A tutor hears that a render did not run, and sees half of it on the worker.
- * The accepted render runs and is stopped for another's guarantee; its claim
- * and void are trimmed, the acceptance is carried. An instance that starts
- * then reads that it is cancelled.
- * Cause: that the job had been claimed was lost with the claim.
+ * A carried acceptance must name the attempt that was claimed. An accepted job
+ * ran and was stopped for a guarantee; its claim and void were trimmed. An
+ * instance that started then and read the cancellation answered "not run".
  */
 static void test_carried_acceptance_names_the_attempt(struct fixture *fixture,
 						      gconstpointer data)
--- a/src/test_libradishjunction/test_late_guarantee.c
+++ b/src/test_libradishjunction/test_late_guarantee.c
@@ -6,10 +6,9 @@
 #define SEED 6569
 
 /*
- * A tutor's guaranteed lesson pack starts a quarter of a second too late.
- * A report is lost in the moment in which the faults end, just before the
- * shape is freed; the rack's owner sees that it is free only with the next.
- * Cause: a lost report is waited for two seconds, and no other may be out.
+ * A guaranteed job starts a quarter of a second too late. A report is lost just
+ * before the shape is freed, and the rack's owner sees the freed shape only in
+ * the next one: a lost report blocks the following for two seconds.
  */
 static void test_freed_shape_is_seen_in_time(void)
 {
--- a/src/test_libradishjunction/test_leaving.c
+++ b/src/test_libradishjunction/test_leaving.c
@@ -7,7 +7,7 @@
 #define BREAK_US (6 * RJ_US_PER_S)
 #define CALLERS 40
 
-/* Previews that are asked for one after the other, until `until_us`. */
+/* Submits previews one after another until `until_us`. */
 static void submit_previews(struct world *world, uint64_t until_us)
 {
 	struct caller_plan plan = { .class_name = "preview",
@@ -24,12 +24,10 @@
 }
 
 /*
- * A tutor's preview is cut off half-way.
- * An upstream is about to go. One instance reads it in the platform's list
- * and tells its peers, but the link to one of them is down at that moment,
- * and that peer is cut off from the platform; it goes on sending work there
- * after the link stands again.
- * Cause: who is leaving was said once, and not again on a new link.
+ * An instance must repeat to a peer who is leaving when their link is
+ * re-established. It learns from the platform's list that a worker is leaving
+ * while a link is down; the peer, which is cut off from the platform, kept
+ * sending jobs there, because the change was sent only once.
  */
 static void test_leaving_is_resent_on_a_new_link(void)
 {
--- a/src/test_libradishjunction/test_lifecycle.c
+++ b/src/test_libradishjunction/test_lifecycle.c
@@ -10,12 +10,12 @@
 
 #define SETTLED_US (5 * RJ_US_PER_S)
 #define RUN_US (2 * RJ_US_PER_S)
-/* The fake caller itself never asks in these tests. */
+/* Keeps the fake caller itself from submitting anything. */
 #define NEVER_ASKS_US (1000 * RJ_US_PER_S)
 #define FIRST_ID 901
 #define SECOND_ID 902
 
-/* One instance alone, and what it was told and did. */
+/* A single instance and its transcript. */
 struct fixture {
 	struct world *world;
 	struct fake_caller *caller;
@@ -24,7 +24,7 @@
 	size_t size;
 };
 
-/* Start an instance without peers, with a configuration in force. */
+/* Starts an instance without peers, with a configuration in force. */
 static void setup(struct fixture *fixture, gconstpointer data)
 {
 	struct world_options options = { .engine = &engine_core,
@@ -59,7 +59,7 @@
 	free(fixture->text);
 }
 
-/* Submit the caller's job after `delay_us` under an id of the test's. */
+/* Submits the caller's job after `delay_us` under a request id of the test. */
 static void submit(struct fixture *fixture, uint64_t delay_us,
 		   uint64_t request_id)
 {
@@ -71,7 +71,6 @@
 					     request_id));
 }
 
-/* Whether the transcript holds `part`. */
 static bool transcript_contains(const struct fixture *fixture, const char *part)
 {
 	fflush(fixture->transcript);
@@ -79,11 +78,9 @@
 }
 
 /*
- * A tutor's preview is refused though nothing was wrong with the hub.
- * An instance is replaced a second after its start, before it has learnt of
- * its peers; a preview reaches it while it answers others.
- * Cause: an instance that stops and knows no peer refused at once what it
- * could have served in time.
+ * An instance that stops and knows no peers must serve requests that end in
+ * time. It is stopped a second after its start, before it knows its peers, and
+ * refused a new request at once.
  */
 static void
 test_single_instance_serves_jobs_that_end_in_time(struct fixture *fixture,
@@ -101,8 +98,8 @@
 }
 
 /*
- * The other side of it: a steady stream of callers does not keep an instance
- * from its stop. What comes late is refused at once, with when to come back.
+ * A steady stream of requests must not delay the stop of an instance. Late ones
+ * are refused at once, with a time to retry after.
  */
 static void test_single_instance_stops_under_load(struct fixture *fixture,
 						  gconstpointer data)
@@ -122,7 +119,10 @@
 	g_assert_true(transcript_contains(fixture, "d0-n0 > exit"));
 }
 
-/* Let a core process one event; how many actions of `kind` followed. */
+/*
+ * Lets a core process one event; returns the number of resulting actions of
+ * `kind`.
+ */
 static uint32_t process(struct rj_core *core, struct rj_event *event,
 			enum rj_action_kind kind)
 {
@@ -140,11 +140,9 @@
 }
 
 /*
- * A caller's connection stands idle while its instance stops; the request
- * that it then sends hears nothing of the peers that could serve it.
- * The core has said that the stop is complete; the process still answers
- * what comes on its last connections.
- * Cause: the core took no more events once its stop was complete.
+ * The core must answer requests after its stop is complete: the process still
+ * accepts them on its last idle connections. The core took no more events, so
+ * callers were not referred to the peers.
  */
 static void test_requests_after_the_exit(void)
 {
@@ -171,10 +169,8 @@
 }
 
 /*
- * A tutor's lesson pack is refused by an instance that has just started.
- * A peer gives the configuration before the log was read; the balancer sends
- * a submission that is to be accepted into the log.
- * Cause: an instance called itself ready that knew nothing of the log yet.
+ * An instance must not report ready before it has read the log. It got its
+ * configuration from a peer first, and refused a submission that needs the log.
  */
 static void test_not_ready_before_the_log_is_known(struct fixture *fixture,
 						   gconstpointer data)
--- a/src/test_libradishjunction/test_log_relay.c
+++ b/src/test_libradishjunction/test_log_relay.c
@@ -4,7 +4,7 @@
 #include "support/world.h"
 
 #define SETTLED_US (5 * RJ_US_PER_S)
-/* Until a reader takes the log for lost. */
+/* Until a reader takes the log for unavailable. */
 #define OUTAGE_DETECTED_US (8 * RJ_US_PER_S)
 #define RUN_US (200 * RJ_US_PER_MS)
 #define CUT_DOMAIN 0 /* the failure domain that is cut off from the platform */
@@ -27,7 +27,7 @@
 	return world;
 }
 
-/* A caller in the cut domain asks now. */
+/* Submits a job in the cut domain now. */
 static struct fake_caller *submit_in_cut_domain(struct world *world,
 						const char *class_name,
 						bool idempotent, bool waits)
@@ -45,7 +45,7 @@
 	return fake_caller_add(world, 0, &plan);
 }
 
-/* What the caller of a job in the cut domain has been told after a while. */
+/* Returns the answer to a job in the cut domain after 3 s. */
 static enum rj_answer_kind answer_in_cut_domain(struct world *world,
 						const char *class_name,
 						bool idempotent, bool waits)
@@ -62,12 +62,9 @@
 }
 
 /*
- * A rep is told "come back" by every instance of a failure domain, and quotes
- * from memory.
- * The domain is cut off from the platform, and not from the others, which
- * have the log and room.
- * Cause: a key that needs a claim was refused where the log could not be
- * read, though a peer could have claimed it.
+ * A quote in a domain that is cut off from the platform must be served by
+ * another domain. Every instance of the domain refused keys that need a claim,
+ * though a peer with the log and free capacity could have claimed them.
  */
 static void test_quote_in_a_cut_domain(void)
 {
@@ -78,11 +75,7 @@
 	talloc_free(world);
 }
 
-/*
- * A tutor cannot hand in a render for the night.
- * The same cut; the render is to be accepted, which needs the log.
- * Cause: as above, for jobs whose callers do not wait.
- */
+/* As above, for a job that is to be accepted into the log. */
 static void test_render_in_a_cut_domain(void)
 {
 	struct world *world = create_cut_simulation();
@@ -92,8 +85,8 @@
 }
 
 /*
- * The other side: when nobody has the log, the caller is told so at once and
- * the job does not go round between instances that hope of each other.
+ * When no instance can use the log, the caller is answered at once, and the job
+ * is not forwarded in a loop.
  */
 static void test_log_unavailable_everywhere(void)
 {
--- a/src/test_libradishjunction/test_membership.c
+++ b/src/test_libradishjunction/test_membership.c
@@ -6,8 +6,10 @@
 #define DOMAINS 8
 #define HEARTBEAT_US (100 * RJ_US_PER_S)
 
-/* Whether a peer of `domain` is alive so long after it was heard, as an
- * instance of "a" sees it in a configuration of DOMAINS domains. */
+/*
+ * Returns whether a peer of `domain` still counts as alive after this silence,
+ * for an instance of "a" in a configuration of DOMAINS domains.
+ */
 static bool alive_after(const char *domain, uint64_t silence_us)
 {
 	struct rj_config config = { .domain_count = DOMAINS };
@@ -23,10 +25,10 @@
 }
 
 /*
- * A buyer's quote is not forwarded to another failure domain, and its claims
- * are settled by strangers, though that domain is well.
- * In a large site its heartbeats come seldom, and two are lost.
- * Cause: it was counted dead by the patience of the own domain.
+ * Peers of other domains must be judged by the interval of their own
+ * heartbeats. In a large site these are rare, and two are lost. Judged by the
+ * timeout within a domain the peer counted as dead, and its claims were settled
+ * by others.
  */
 static void test_rare_heartbeats_do_not_mean_dead(void)
 {
@@ -38,8 +40,10 @@
 	g_assert_false(alive_after("b", (3 * every + 1) * RJ_US_PER_S));
 }
 
-/* Small sites hear each other every second; in large ones what an instance
- * sends to all other domains together stays about the same. */
+/*
+ * The total rate of an instance's heartbeats to other domains stays about the
+ * same in large sites; in small sites each peer gets one every second.
+ */
 static void test_heartbeat_rate_between_domains_is_bounded(void)
 {
 	for (uint32_t domains = 1; domains <= 4; domains++)
--- a/src/test_libradishjunction/test_paused_claim.c
+++ b/src/test_libradishjunction/test_paused_claim.c
@@ -7,7 +7,7 @@
 #define REPEAT_ID 901
 #define RUN_US (200 * RJ_US_PER_MS)
 
-/* An event that a paused instance hears before all that it was told. */
+/* Queues an event before all others that wait for a paused instance. */
 static void defer_event(struct world *world, struct node *node,
 			struct rj_event *event)
 {
@@ -23,7 +23,7 @@
 	return event;
 }
 
-/* Let the world go on until an instance has a claim of `key` in flight. */
+/* Runs the simulation until an instance has a claim of `key` in flight. */
 static struct node *claiming_node(struct world *world,
 				  const struct fake_caller *caller)
 {
@@ -35,13 +35,11 @@
 }
 
 /*
- * A student hears "done" of a charge, and then "not run" of the same.
- * The instance that claimed the charge is paused before it reads its claim
- * back; its caller gives up, and a peer voids the claim and serves the
- * charge. A repeat reaches the paused instance, which wakes, finds its claim
- * in the log, cancelled, and answers the repeat.
- * Cause: a claim read back was taken for the present, though the log had
- * more to say.
+ * A claim that is read back after a pause may be outdated. An instance is
+ * paused before it reads its claim back; its caller times out, and a peer voids
+ * the claim and serves the job. A repeat reaches the paused instance, which
+ * resumes, finds its claim in the log, cancelled, and answered "not run" after
+ * the peer's "done", although the log had newer records.
  */
 static void test_cancelled_claim_of_a_paused_instance(void)
 {
@@ -59,25 +57,25 @@
 				    .accelerators = 1,
 				    .run_us = RUN_US,
 				    .waits = true };
-	struct fake_caller *charge;
-	struct node *sleeper;
+	struct fake_caller *caller;
+	struct node *paused;
 	uint64_t request_id;
 
 	world_run_until(world, SETTLED_US);
-	charge = fake_caller_add(world, 0, &plan);
-	charge->patience_us = RJ_US_PER_S;
-	sleeper = claiming_node(world, charge);
-	request_id = charge->request_id;
-	node_pause(world, sleeper->index, true);
+	caller = fake_caller_add(world, 0, &plan);
+	caller->patience_us = RJ_US_PER_S;
+	paused = claiming_node(world, caller);
+	request_id = caller->request_id;
+	node_pause(world, paused->index, true);
 	world_run_until(world, SETTLED_US + 20 * RJ_US_PER_S);
 	g_assert_cmpuint(
-		checker_intent_get(&world->checker, charge->intent)->answer, ==,
+		checker_intent_get(&world->checker, caller->intent)->answer, ==,
 		RJ_ANSWER_DONE);
-	defer_event(world, sleeper,
-		    fake_caller_event(world, charge, sleeper, RJ_REQUEST_SUBMIT,
+	defer_event(world, paused,
+		    fake_caller_event(world, caller, paused, RJ_REQUEST_SUBMIT,
 				      REPEAT_ID));
-	defer_event(world, sleeper, caller_disconnected(world, request_id));
-	node_pause(world, sleeper->index, false);
+	defer_event(world, paused, caller_disconnected(world, request_id));
+	node_pause(world, paused->index, false);
 	world_run_until(world, SETTLED_US + 40 * RJ_US_PER_S);
 	g_assert_cmpstr(world->checker.first[PROMISE_NOT_RUN], ==, "");
 	g_assert_cmpuint(checker_violations(&world->checker), ==, 0);
--- a/src/test_libradishjunction/test_peer_codec.c
+++ b/src/test_libradishjunction/test_peer_codec.c
@@ -6,8 +6,8 @@
 #include "private/peer_codec.h"
 #include "support/peer_frames.h"
 
-#define FUZZ_ROUNDS 20000
-/* Far more than a frame needs, far less than what the array announces. */
+#define FUZZ_ITERATIONS 20000
+/* Far more than a frame needs, far less than the announced array. */
 #define GROWTH_MAX_KB (64 * 1024)
 
 static void test_round_trip(void)
@@ -15,14 +15,15 @@
 	for (uint32_t kind = 0; kind < RJ_PEER_MESSAGE_KIND_COUNT; kind++) {
 		void *mem = talloc_new(NULL);
 		struct rj_peer_message sent;
-		struct rj_peer_message got;
+		struct rj_peer_message decoded;
 		struct rj_bytes first;
 		struct rj_bytes second;
 
 		peer_frames_fill(&sent, kind);
 		first = rj_peer_encode(mem, &sent);
-		g_assert_cmpint(rj_peer_decode(mem, first, &got, NULL), ==, 0);
-		second = rj_peer_encode(mem, &got);
+		g_assert_cmpint(rj_peer_decode(mem, first, &decoded, NULL), ==,
+				0);
+		second = rj_peer_encode(mem, &decoded);
 		g_assert_cmpmem(first.data, first.length, second.data,
 				second.length);
 		talloc_free(mem);
@@ -30,16 +31,15 @@
 }
 
 /*
- * During a rolling replacement every forwarded job fails.
- * A new instance appends a field to a message; the old one, on the same
- * link, refuses the frame and closes the link.
- * Cause: the old reader wanted the frame to end after the last known field.
+ * A reader must ignore fields that a newer version appends to a message. An
+ * older instance refused the frame and closed the link, and forwarded jobs
+ * failed during a rolling replacement.
  */
 static void test_fields_of_a_newer_version_are_ignored(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_peer_message sent;
-	struct rj_peer_message got;
+	struct rj_peer_message decoded;
 	struct rj_bytes bytes;
 	uint8_t *longer;
 
@@ -49,14 +49,13 @@
 	memcpy(longer, bytes.data, bytes.length);
 	memcpy(longer + bytes.length, "\x92\x01\x02", 3);
 	bytes = (struct rj_bytes){ longer, bytes.length + 3 };
-	g_assert_cmpint(rj_peer_decode(mem, bytes, &got, NULL), ==, 0);
-	g_assert_cmpuint(got.u.forward.spec.job_id, ==, 77);
+	g_assert_cmpint(rj_peer_decode(mem, bytes, &decoded, NULL), ==, 0);
+	g_assert_cmpuint(decoded.u.forward.spec.job_id, ==, 77);
 	talloc_free(mem);
 }
 
 /*
- * A heartbeat of an older version ends early; what it does not say is read as
- * not said.
+ * A heartbeat of an older version ends early; missing fields read as not set.
  */
 static void test_older_heartbeat_is_read(void)
 {
@@ -76,25 +75,27 @@
 }
 
 /*
- * During a rolling replacement a cancellation ends the link.
- * An older instance sends one that ends before the fields of a reclaim.
- * Cause: the newer reader wanted every field.
+ * A cancellation of an older version ends before the fields of a reclaim. A
+ * newer reader required them, which ended the link during a rolling
+ * replacement.
  */
 static void test_message_of_an_older_version_is_read(void)
 {
 	void *mem = talloc_new(NULL);
-	struct rj_peer_message got;
+	struct rj_peer_message decoded;
 	struct rj_bytes bytes = peer_frames_recorded(mem, RJ_PEER_CANCEL);
 
-	g_assert_cmpint(rj_peer_decode(mem, bytes, &got, NULL), ==, 0);
-	g_assert_cmpuint(got.u.cancel.forward_id, ==, 12);
-	g_assert_cmpuint(got.u.cancel.job_id, ==, 77);
-	g_assert_cmpuint(got.u.cancel.reclaim_owner, ==, 0);
+	g_assert_cmpint(rj_peer_decode(mem, bytes, &decoded, NULL), ==, 0);
+	g_assert_cmpuint(decoded.u.cancel.forward_id, ==, 12);
+	g_assert_cmpuint(decoded.u.cancel.job_id, ==, 77);
+	g_assert_cmpuint(decoded.u.cancel.reclaim_owner, ==, 0);
 	talloc_free(mem);
 }
 
-/* Every cut of every kind names a field and is malformed, but where a message
- * of an older version ends. */
+/*
+ * Every truncated frame of every kind is malformed and the error names a field,
+ * except where a message of an older version ends.
+ */
 static void test_cut_frames_are_malformed(void)
 {
 	for (uint32_t kind = 0; kind < RJ_PEER_MESSAGE_KIND_COUNT; kind++) {
@@ -121,7 +122,7 @@
 	}
 }
 
-/* The most address space that this process ever had, in KB. */
+/* Returns the peak address space of this process in KB. */
 static uint64_t peak_kb(void)
 {
 	g_autofree char *status = NULL;
@@ -135,9 +136,8 @@
 }
 
 /*
- * An instance grows by gigabytes and is killed.
- * A peer sends five bytes that announce an array of 2^28 values.
- * Cause: the unpacker makes room for what is announced, before it looks.
+ * An announced array length must be checked before memory is allocated. A frame
+ * of five bytes that announced 2^28 values made an instance grow by gigabytes.
  */
 static void test_announced_arrays_are_refused(void)
 {
@@ -152,13 +152,13 @@
 	g_assert_cmpuint(peak_kb() - before_kb, <, GROWTH_MAX_KB);
 }
 
-/* Whatever the bytes are, what is accepted is within its bounds. */
+/* A corrupted frame is refused, or decodes to values within their bounds. */
 static void test_corrupted_frames_stay_within_bounds(void)
 {
 	uint64_t random = 4;
 	uint32_t accepted = 0;
 
-	for (uint32_t round = 0; round < FUZZ_ROUNDS; round++) {
+	for (uint32_t iteration = 0; iteration < FUZZ_ITERATIONS; iteration++) {
 		void *mem = talloc_new(NULL);
 		struct rj_peer_message message;
 		struct rj_peer_hello hello;
@@ -169,7 +169,7 @@
 						   RJ_PEER_MESSAGE_KIND_COUNT);
 		bytes = rj_peer_encode(mem, &message);
 		data = talloc_memdup(mem, bytes.data, bytes.length);
-		for (uint32_t i = 0; i <= round % 4; i++)
+		for (uint32_t i = 0; i <= iteration % 4; i++)
 			data[rj_random64(&random) % bytes.length] =
 				(uint8_t)rj_random64(&random);
 		bytes.data = data;
@@ -181,21 +181,20 @@
 		talloc_free(mem);
 	}
 	g_assert_cmpuint(accepted, >, 0);
-	g_assert_cmpuint(accepted, <, FUZZ_ROUNDS);
+	g_assert_cmpuint(accepted, <, FUZZ_ITERATIONS);
 }
 
 /*
- * On the evening of a release every request waits for its own instance alone.
- * A new instance puts a field between two others of the heartbeat; each side
- * takes the other's frames for malformed and closes the link, again and again.
- * Cause: two layouts with one version number.
+ * The layout of a version must not change. An instance with a new field in the
+ * middle of the heartbeat and one without it take each other's frames for
+ * malformed and close the link again and again: two layouts had one version.
  */
 static void test_recorded_frames_are_supported(void)
 {
 	for (uint32_t kind = 0; kind < RJ_PEER_MESSAGE_KIND_COUNT; kind++) {
 		void *mem = talloc_new(NULL);
 		struct rj_peer_message filled;
-		struct rj_peer_message got;
+		struct rj_peer_message decoded;
 		struct rj_bytes recorded = peer_frames_recorded(mem, kind);
 		struct rj_bytes written;
 
@@ -204,13 +203,13 @@
 		g_assert_cmpuint(written.length, >=, recorded.length);
 		g_assert_cmpmem(written.data, recorded.length, recorded.data,
 				recorded.length);
-		g_assert_cmpint(rj_peer_decode(mem, recorded, &got, NULL), ==,
-				0);
+		g_assert_cmpint(rj_peer_decode(mem, recorded, &decoded, NULL),
+				==, 0);
 		g_assert_false(kind == RJ_PEER_HEARTBEAT &&
-			       got.u.heartbeat.config_changes);
+			       decoded.u.heartbeat.config_changes);
 		g_assert_false(kind == RJ_PEER_CONFIG &&
-			       got.u.config.change.patch);
-		written = rj_peer_encode(mem, &got);
+			       decoded.u.config.change.patch);
+		written = rj_peer_encode(mem, &decoded);
 		g_assert_cmpmem(written.data, recorded.length, recorded.data,
 				recorded.length);
 		talloc_free(mem);
@@ -220,7 +219,7 @@
 static void test_recorded_hello_is_supported(void)
 {
 	struct rj_peer_hello sent = PEER_FRAMES_HELLO;
-	struct rj_peer_hello got;
+	struct rj_peer_hello decoded;
 	void *mem = talloc_new(NULL);
 	struct rj_bytes recorded = peer_frames_recorded_hello(mem);
 	struct rj_bytes written = rj_peer_hello_encode(mem, &sent);
@@ -228,21 +227,21 @@
 	g_assert_cmpuint(written.length, >=, recorded.length);
 	g_assert_cmpmem(written.data, recorded.length, recorded.data,
 			recorded.length);
-	g_assert_cmpint(rj_peer_hello_decode(recorded, &got, NULL), ==, 0);
-	g_assert_cmpmem(&sent, sizeof(sent), &got, sizeof(got));
+	g_assert_cmpint(rj_peer_hello_decode(recorded, &decoded, NULL), ==, 0);
+	g_assert_cmpmem(&sent, sizeof(sent), &decoded, sizeof(decoded));
 	talloc_free(mem);
 }
 
 static void test_hello(void)
 {
 	struct rj_peer_hello sent = { 2, 1, "a", "lhr-dha", 9, { 1, 2 } };
-	struct rj_peer_hello got;
+	struct rj_peer_hello decoded;
 	struct rj_bytes bytes = rj_peer_hello_encode(NULL, &sent);
 
-	g_assert_cmpint(rj_peer_hello_decode(bytes, &got, NULL), ==, 0);
-	g_assert_cmpmem(&sent, sizeof(sent), &got, sizeof(got));
+	g_assert_cmpint(rj_peer_hello_decode(bytes, &decoded, NULL), ==, 0);
+	g_assert_cmpmem(&sent, sizeof(sent), &decoded, sizeof(decoded));
 	bytes.length--;
-	g_assert_cmpint(rj_peer_hello_decode(bytes, &got, NULL), ==, -1);
+	g_assert_cmpint(rj_peer_hello_decode(bytes, &decoded, NULL), ==, -1);
 	talloc_free((void *)bytes.data);
 }
 
--- a/src/test_libradishjunction/test_planner_differential.c
+++ b/src/test_libradishjunction/test_planner_differential.c
@@ -5,14 +5,17 @@
 #include "private/topology.h"
 #include "support/plan_world.h"
 
-/* Each load of both users, for as long as its fault and two bursts take. */
+/*
+ * Each seed runs all loads of both users, which each cover a fault and two
+ * bursts.
+ */
 #define SEEDS 1
 #define HORIZON_US (700 * RJ_US_PER_S)
 
 /*
- * The planner by topology, and first fit beside it in the same state: it is
- * told all that happens, and after each pass what it decided is undone and
- * what the other decided is put in its place.
+ * The topology planner with the first-fit planner in the same state: both get
+ * all events, and after each pass the decisions of first fit are undone and
+ * replaced by those of the topology planner.
  */
 struct pair {
 	struct rj_planner base;
@@ -21,15 +24,15 @@
 	struct rj_decisions reference;
 };
 
-/* How the decisions of the pair differed, and why that is allowed. */
+/* How a decision differs from first fit, and why that is permitted. */
 enum difference {
 	SAME,
-	OTHER_PLACEMENT, /* both start it; by topology elsewhere */
-	CAPACITY_TAKEN, /* not started: its room went to others in this pass */
-	CAPACITY_RESERVED, /* not started: its room is kept for others */
-	UNSTOPPABLE, /* not started: it could not be stopped there */
-	STARTED_EARLIER, /* started, where first fit gave its room to others */
-	REFUSED, /* its time had passed; both say so */
+	OTHER_PLACEMENT, /* both start the job, on different workers */
+	CAPACITY_TAKEN, /* waits: others took the capacity in this pass */
+	CAPACITY_RESERVED, /* waits: the capacity is reserved */
+	UNSTOPPABLE, /* waits: kept off guaranteed capacity */
+	STARTED_EARLIER, /* starts; first fit used the capacity for others */
+	REFUSED, /* its deadline had passed; both refuse it */
 	DIFFERENCE_COUNT
 };
 
@@ -124,7 +127,7 @@
 }
 
 /*
- * Why first fit starts a job that the other leaves waiting.
+ * Returns why first fit starts a job that the topology planner leaves waiting.
  */
 static enum difference why_waiting(const struct pair *pair,
 				   const struct rj_decisions *decisions,
@@ -274,8 +277,8 @@
 static const struct plan_maker maker = { "pair", make_pair };
 
 /*
- * What the accounts' tasks that cannot be stopped take of each worker, as
- * the world has it.
+ * Adds up, per worker and account, the resources of running tasks that cannot
+ * be stopped, according to the simulation.
  */
 static void add_unstoppable(const struct plan_world *world,
 			    struct rj_resources unstoppable[][STREAM_ACCOUNTS])
@@ -295,16 +298,16 @@
 }
 
 /*
- * At each step: were all that can be stopped stopped, every account would
- * find its guaranteed shapes free at their homes, but for what its own work
- * takes of them; and no home is missing.
+ * Checks after each step that every guaranteed shape has a home, and that the
+ * homes would be free if all stoppable tasks were stopped, except for tasks of
+ * the same account.
  */
 static void check_reclaimable(struct plan_world *world)
 {
 	static struct rj_resources unstoppable[STREAM_WORKERS][STREAM_ACCOUNTS];
 	const struct pair *pair = (const struct pair *)world->planner;
 	const struct rj_topology_state *state = pair->topology.state;
-	uint64_t missing_accelerators = 0;
+	uint64_t home_accelerators = 0;
 
 	if (world->instance_down)
 		return;
@@ -324,7 +327,7 @@
 					world->stream->accounts[j].name));
 
 			if (share)
-				missing_accelerators +=
+				home_accelerators +=
 					share->guaranteed.accelerators;
 			if (share) {
 				most.slots = MAX(most.slots,
@@ -342,17 +345,17 @@
 		const struct rj_guarantee *guarantee =
 			&world->stream->guarantees[i];
 
-		missing_accelerators -= (uint64_t)guarantee->count *
-					guarantee->shape.tasks *
-					guarantee->shape.each.accelerators;
+		home_accelerators -= (uint64_t)guarantee->count *
+				     guarantee->shape.tasks *
+				     guarantee->shape.each.accelerators;
 	}
-	g_assert_cmpuint(missing_accelerators, ==, 0);
+	g_assert_cmpuint(home_accelerators, ==, 0);
 }
 
 /*
- * A job waits though a worker is free for it, and nobody can say why.
- * Each decision that differs from first come, first fit in the same state
- * must have one of the reasons above.
+ * Each decision that differs from first come, first fit in the same state must
+ * have one of the reasons above: no job may wait without a reason although a
+ * worker is free for it.
  */
 static void test_differences_have_reasons(gconstpointer data)
 {
@@ -376,18 +379,19 @@
 		g_assert_cmpuint(count, >, stream.count / 2);
 		g_assert_cmpuint(differences[OTHER_PLACEMENT], >, 0);
 		g_assert_cmpfloat(result.guaranteed_late, ==, 0);
-		g_test_message(
-			"same %" G_GUINT64_FORMAT
-			", other place %" G_GUINT64_FORMAT
-			", given %" G_GUINT64_FORMAT ", kept %" G_GUINT64_FORMAT
-			", pinned %" G_GUINT64_FORMAT
-			", earlier %" G_GUINT64_FORMAT
-			", refused %" G_GUINT64_FORMAT,
-			differences[SAME], differences[OTHER_PLACEMENT],
-			differences[CAPACITY_TAKEN],
-			differences[CAPACITY_RESERVED],
-			differences[UNSTOPPABLE], differences[STARTED_EARLIER],
-			differences[REFUSED]);
+		g_test_message("same %" G_GUINT64_FORMAT
+			       ", other placement %" G_GUINT64_FORMAT
+			       ", taken %" G_GUINT64_FORMAT
+			       ", reserved %" G_GUINT64_FORMAT
+			       ", unstoppable %" G_GUINT64_FORMAT
+			       ", earlier %" G_GUINT64_FORMAT
+			       ", refused %" G_GUINT64_FORMAT,
+			       differences[SAME], differences[OTHER_PLACEMENT],
+			       differences[CAPACITY_TAKEN],
+			       differences[CAPACITY_RESERVED],
+			       differences[UNSTOPPABLE],
+			       differences[STARTED_EARLIER],
+			       differences[REFUSED]);
 		plan_stream_finish(&stream);
 	}
 }
--- a/src/test_libradishjunction/test_planner_first_fit.c
+++ b/src/test_libradishjunction/test_planner_first_fit.c
@@ -58,7 +58,7 @@
 				       &retry_after_us);
 }
 
-/* Run a pass; returns how many jobs were started by it. */
+/* Runs a pass; returns the number of jobs it started. */
 static uint32_t pass(struct fixture *f)
 {
 	rj_decisions_clear(&f->decisions);
@@ -132,9 +132,9 @@
 }
 
 /*
- * A gang is started twice on the same accelerators.
- * Its worker disappears while it runs and returns before the job is given
- * back. Cause: the worker came back as new, with its capacity free.
+ * A worker that returns must still count its running gang. The worker
+ * disappears while a gang runs and returns before the job is requeued; it was
+ * taken for new and its accelerators were allocated twice.
  */
 static void test_returning_worker_is_still_allocated(struct fixture *f,
 						     const void *data)
@@ -157,9 +157,8 @@
 }
 
 /*
- * A worker is given more than it has.
- * A new instance finds a running gang before it knows the gang's worker.
- * Cause: the capacity of an unknown worker was not counted as taken.
+ * Tasks adopted before their worker is known must count as allocated when it
+ * becomes known. A new instance overbooked the worker.
  */
 static void test_adopted_before_its_worker_is_known(struct fixture *f,
 						    const void *data)
@@ -189,10 +188,9 @@
 }
 
 /*
- * A daemon spins at a whole core while a job waits for capacity.
- * The job is put back with a back-off; the back-off ends and it still does
- * not fit.
- * Cause: the end of the back-off stayed the next time to wake up.
+ * The end of a job's back-off must wake the planner only once. The job still
+ * did not fit, the end stayed the next wake-up time, and the daemon used a
+ * whole core.
  */
 static void test_ended_back_off_wakes_once(struct fixture *f, const void *data)
 {
--- a/src/test_libradishjunction/test_planner_queue.c
+++ b/src/test_libradishjunction/test_planner_queue.c
@@ -5,8 +5,8 @@
 #include "support/planner_fixture.h"
 
 /*
- * Two racks idle for a gang that can never run. Half of the workers are
- * dead, the gang needs more than are left, and room is kept for it.
+ * No capacity is reserved for a gang that cannot run: half of the workers are
+ * dead, and the gang needs more than the rest.
  */
 static void
 test_no_reservation_for_a_gang_that_cannot_run(struct planner_fixture *f,
@@ -24,8 +24,8 @@
 }
 
 /*
- * A gang waits for hours while short jobs pass it, because each says that it
- * takes a millisecond. Cause: the declared run time was believed.
+ * Backfill must use the learnt run time. Short jobs that each declared a
+ * millisecond passed a waiting gang for hours.
  */
 static void test_learnt_run_time_decides_backfill(struct planner_fixture *f,
 						  const void *data)
@@ -45,7 +45,7 @@
 	}
 	strcpy(gang.class_name, "gang");
 	gang.shape.adjacent = false;
-	/* One runs, the gang waits for it, and another asks to pass. */
+	/* One runs, the gang waits for it, and another tries to pass. */
 	planner_submit(f, underdeclared, 0);
 	planner_pass(f, 0);
 	planner_submit(f, gang, 0);
@@ -62,8 +62,8 @@
 }
 
 /*
- * A pricing gang waits for hours while previews come and go in its rack: at
- * no time are all of them gone at once.
+ * Small jobs that come and go in a rack must be stopped for a waiting gang:
+ * they never all end at the same time.
  */
 static void test_small_jobs_are_stopped_for_a_gang(struct planner_fixture *f,
 						   const void *data)
@@ -92,10 +92,9 @@
 }
 
 /*
- * A pricing gang waits for hours though all that is in its way may be
- * stopped. A smaller gang with checkpoints was let pass it and took most of
- * the rack, a render the rest. Cause: what was let pass was stopped
- * only if that was enough, and so was small work, but never both together.
+ * Backfilled jobs and small jobs must be stopped together for a gang, if
+ * neither is enough alone. A smaller gang with checkpoints passed the gang and
+ * took most of the rack, a render the rest; the gang waited for hours.
  */
 static void
 test_backfilled_and_small_jobs_are_stopped_together(struct planner_fixture *f,
@@ -129,10 +128,10 @@
 }
 
 /*
- * A lesson pack is stopped again and again, and handed out after the class.
- * It was stopped for a guarantee, came back where a waiting gang let it pass,
- * and was stopped for the gang. Cause: that it had been stopped before and
- * that it is urgent counted for nothing there.
+ * An urgent job that was stopped once must not be stopped again for a gang. It
+ * was stopped for a guarantee, passed a waiting gang as backfill and was
+ * stopped for that gang; neither its urgency nor the earlier stop was
+ * considered.
  */
 static void
 test_urgent_job_is_not_stopped_again_for_a_gang(struct planner_fixture *f,
@@ -165,9 +164,9 @@
 }
 
 /*
- * Previews wait beside idle accelerators, which are kept for a gang whose
- * turn is minutes away, though stopping them would cost a few seconds.
- * Cause: only what ends in time or has checkpoints was let pass.
+ * Jobs that are cheap to stop may use accelerators that are reserved for a gang
+ * which starts minutes later. Only jobs that end in time or have checkpoints
+ * were let pass.
  */
 static void
 test_cheap_preemptible_jobs_backfill_a_reservation(struct planner_fixture *f,
@@ -181,7 +180,7 @@
 	struct rj_plan_job gang = planner_job_of(200, 'c', WORKERS, 8);
 
 	planner_configure_classes(f, classes, 2);
-	/* It may end at any moment: nothing is sure to end before it. */
+	/* It may end at any moment, so no job is sure to end before it. */
 	planner_submit(f, planner_job_of(1, 'c', 1, 8), 0);
 	planner_pass(f, 0);
 	gang.shape.adjacent = false;
@@ -202,10 +201,7 @@
 			RJ_REASON_BACKFILL);
 }
 
-/*
- * A tutor waits for a lesson pack that was dead an hour ago: it sits in the
- * queue past its deadline and nobody says so.
- */
+/* A job in the queue must be refused when its deadline has passed. */
 static void test_jobs_past_their_deadline_are_refused(struct planner_fixture *f,
 						      const void *data)
 {
@@ -225,8 +221,8 @@
 }
 
 /*
- * Refused callers come back together, again and again. Cause: all were told
- * the same time.
+ * Refused callers must get different times to retry after, or they return
+ * together again and again.
  */
 static void
 test_refused_callers_retry_at_different_times(struct planner_fixture *f,
@@ -254,9 +250,9 @@
 }
 
 /*
- * A portfolio gang waits while the rooms that it needs go to previews that
- * came minutes later. All ends at once, and the previews are served first.
- * Cause: the gang is of low priority, and its size counted for nothing.
+ * A large gang must go before small jobs that were submitted minutes later. All
+ * capacity becomes free at once, and the small jobs were placed first, because
+ * the gang has a low priority and its size was not considered.
  */
 static void
 test_large_gang_goes_before_later_small_jobs(struct planner_fixture *f,
@@ -283,9 +279,7 @@
 	g_assert_cmpint(planner_decision_on(f, 2)->kind, ==, RJ_DECISION_START);
 }
 
-/*
- * One account's burst of previews shuts everybody out: it fills the queue.
- */
+/* A burst of one account must not fill the queue for all others. */
 static void test_queue_is_shared(struct planner_fixture *f, const void *data)
 {
 	struct rj_plan_job urgent = planner_job_of(900, 'a', 1, 8);
--- a/src/test_libradishjunction/test_planner_topology.c
+++ b/src/test_libradishjunction/test_planner_topology.c
@@ -5,9 +5,8 @@
 #include "support/planner_fixture.h"
 
 /*
- * A studio's guaranteed rack is full of other people's renders when its
- * class begins. The renders came while the rack was idle; then the studio
- * submits. Cause: freeing the right number of accelerators, but scattered.
+ * Reclaim must free adjacent capacity. Other accounts' renders fill a
+ * guaranteed rack; the right number of accelerators was freed, but scattered.
  */
 static void test_guarantee_occupied_by_gangs(struct planner_fixture *f,
 					     const void *data)
@@ -36,8 +35,8 @@
 }
 
 /*
- * A buyer's charge runs on a studio's guaranteed rack and cannot be stopped
- * when the studio needs it. Cause: it was let in because the rack was idle.
+ * A job that cannot be stopped must not be placed on another account's
+ * guaranteed rack, even if the rack is idle: it could not be reclaimed.
  */
 static void test_unstoppable_jobs_stay_off_guarantees(struct planner_fixture *f,
 						      const void *data)
@@ -70,9 +69,9 @@
 }
 
 /*
- * Two studios claim their guarantees in the same second and one starves.
- * Renders fill both racks; both claims choose victims. Cause: the second
- * claim counted capacity that the first had just claimed.
+ * Two accounts reclaim their guarantees at the same time from jobs that fill
+ * both racks. The second claim counted capacity that the first had claimed, and
+ * one account starved.
  */
 static void test_two_accounts_reclaim_at_once(struct planner_fixture *f,
 					      const void *data)
@@ -91,10 +90,10 @@
 }
 
 /*
- * A tutor's second lesson waits though half of the guarantee is unused.
- * The guarantee's worker is away; a lesson of two accelerators gets its room
- * elsewhere, then one of one accelerator asks. Cause: what was granted was
- * counted in tasks of the new lesson, so that the first seemed to be two.
+ * Jobs of different sizes must share a guarantee. Its worker is unavailable; a
+ * job of two accelerators is placed elsewhere, then one of one accelerator is
+ * submitted. Use was counted in tasks of the new job, so the first job counted
+ * as two, and half of the guarantee stayed unused.
  */
 static void test_mixed_sizes_share_a_guarantee(struct planner_fixture *f,
 					       const void *data)
@@ -111,7 +110,7 @@
 	planner_pass(f, S);
 	g_assert_cmpint(planner_decision_on(f, 20)->kind, ==,
 			RJ_DECISION_START);
-	/* The rest of that worker goes to others again. */
+	/* Others may use the rest of that worker again. */
 	planner_submit_many(f, planner_job_of(30, 'c', 1, 6), 1);
 	planner_pass(f, S);
 	planner_submit(f, planner_job_of(21, 'b', 1, 1), S);
@@ -129,40 +128,40 @@
 }
 
 /*
- * A studio waits for ever for a worker that has hung. It claims two workers;
- * the task on one of them neither stops nor reports. Cause: the claim waited
- * for that worker instead of choosing another shape.
+ * A reclaim must choose another shape if a worker does not respond. It claims
+ * two workers; the task on one of them neither stops nor reports, and the job
+ * waited forever.
  */
 static void
 test_reclaim_avoids_an_unresponsive_worker(struct planner_fixture *f,
 					   const void *data)
 {
 	uint64_t now_us = S;
-	uint64_t silent;
+	uint64_t unresponsive;
 
 	planner_submit_many(f, planner_job_of(1, 'c', 1, 8), WORKERS);
 	planner_pass(f, 0);
 	planner_submit(f, planner_job_of(20, 'b', 2, 8), now_us);
 	planner_pass(f, now_us);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), ==, 2);
-	silent = f->decisions.list[0].job_id;
-	planner_obey(f, silent, now_us);
+	unresponsive = f->decisions.list[0].job_id;
+	planner_obey(f, unresponsive, now_us);
 	planner_pass(f, now_us);
 	g_assert_null(planner_decision_on(f, 20));
 	now_us = f->planner->ops->wake_us(f->planner);
 	g_assert_cmpuint(now_us, <=, S + LIMIT_MS * RJ_US_PER_MS + S);
 	planner_pass(f, now_us);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), >=, 1);
-	planner_obey(f, silent, now_us);
+	planner_obey(f, unresponsive, now_us);
 	planner_pass(f, now_us);
 	g_assert_cmpint(planner_decision_on(f, 20)->kind, ==,
 			RJ_DECISION_START);
 }
 
 /*
- * A claim is lost with the workers that it waited for.
- * A studio claims two workers; they die while they are being freed, and the
- * other two of the rack would do. Cause: the claim was tied to its workers.
+ * A reclaim must survive its workers. Two claimed workers die while they are
+ * being freed; the other two of the rack are enough, but the claim was tied to
+ * its workers.
  */
 static void test_workers_die_during_reclaim(struct planner_fixture *f,
 					    const void *data)
@@ -192,9 +191,9 @@
 }
 
 /*
- * After a guarantee was cut its old rack stays closed to quotes, or after
- * one was raised quotes are still let in. Cause: the homes of guaranteed
- * shapes were worked out once and not with each configuration.
+ * The homes of guaranteed shapes must follow the configuration. Computed once,
+ * they kept unstoppable jobs off the rack after a guarantee was lowered, and
+ * let them in after one was raised.
  */
 static void test_guarantee_shrinks_and_grows(struct planner_fixture *f,
 					     const void *data)
@@ -260,8 +259,8 @@
 }
 
 /*
- * After an instance is replaced a guarantee cannot be reclaimed: its
- * successor found the renders running and took them for its own account's.
+ * Adopted jobs must be reclaimable. A replaced instance found running jobs and
+ * took them for jobs of the guaranteed account.
  */
 static void test_adopted_jobs_are_reclaimed(struct planner_fixture *f,
 					    const void *data)
@@ -282,8 +281,8 @@
 }
 
 /*
- * Studio a, which borrows all, has its own guaranteed work stopped for b.
- * Cause: the victims were chosen by lost work alone.
+ * A job within its account's guarantee must not be stopped for another account,
+ * even if the account also borrows. Victims were chosen by lost run time alone.
  */
 static void
 test_jobs_within_a_guarantee_are_not_stopped(struct planner_fixture *f,
@@ -301,8 +300,8 @@
 }
 
 /*
- * A guaranteed gang is cancelled while its room is being freed, and the
- * room stays kept for ever.
+ * Cancelling a guaranteed gang while its capacity is being reclaimed must
+ * release that capacity.
  */
 static void test_cancelled_while_reclaiming(struct planner_fixture *f,
 					    const void *data)
@@ -319,8 +318,10 @@
 			RJ_DECISION_START);
 }
 
-/* On which workers of eight, "w0" to "w7", work that cannot be stopped goes,
- * as a bit for each, if they become known in this order. */
+/*
+ * Returns the workers among "w0" to "w7" that get jobs which cannot be stopped,
+ * one bit each, if the workers become known in this order.
+ */
 static uint32_t unstoppable_placement(bool reversed)
 {
 	struct planner_fixture f;
@@ -351,10 +352,9 @@
 }
 
 /*
- * A guaranteed shape waits for the end of a quote that cannot be stopped.
- * The rack goes to an instance that learnt of its workers in another order;
- * what its former owner placed beside the guarantee lies on it there.
- * Cause: a worker's place in its rack was the order in which it became known.
+ * The homes of guaranteed shapes must not depend on the order in which workers
+ * become known. After the rack moved to another owner, a job that cannot be
+ * stopped occupied a home, and the guaranteed shape waited for its end.
  */
 static void test_homes_do_not_depend_on_the_order_of_discovery(void)
 {
--- a/src/test_libradishjunction/test_record.c
+++ b/src/test_libradishjunction/test_record.c
@@ -6,7 +6,7 @@
 
 static const uint8_t some_bytes[] = { 0, 1, 2, 0xff, 'x', '"' };
 
-/* A record with every field that its kind may have. */
+/* Fills a record with every field that its kind may have. */
 static void fill_record(struct rj_record *record, enum rj_record_kind kind,
 			struct rj_claim_member members[2])
 {
@@ -102,8 +102,8 @@
 }
 
 /*
- * A record of a newer version has a field, and a reason, that this version
- * does not know. The job ended all the same, and its caller is told so.
+ * Records of a newer version with an unknown field and an unknown reason are
+ * still read: the job has ended.
  */
 static void test_newer_records(void)
 {
@@ -156,8 +156,8 @@
 }
 
 /*
- * A caller's key is not UTF-8. JSON cannot carry it, so the claim would be
- * written without its key and the same quote could be claimed again.
+ * A key that is not UTF-8 must be refused: JSON cannot hold it, and a claim
+ * without its key would allow the same job to be claimed again.
  */
 static void test_key_that_json_cannot_carry(void)
 {
@@ -168,8 +168,8 @@
 }
 
 /*
- * The platform's answer is mangled. Each record is decoded whole or not at
- * all, and what was refused leaves no memory behind.
+ * A corrupted record is either decoded completely or refused, and leaks no
+ * memory.
  */
 static void test_corrupted_records(void)
 {
--- a/src/test_libradishjunction/test_schema.c
+++ b/src/test_libradishjunction/test_schema.c
@@ -101,8 +101,8 @@
 }
 
 /*
- * An operator generates a configuration, changes nothing and generates it
- * again: it must not differ, or every round would look like a change.
+ * Generating a text from parsed values must give the same text, or each
+ * regeneration would look like a change.
  */
 static void test_generated_text_parses_to_the_same_values(void)
 {
@@ -201,7 +201,7 @@
 }
 
 /*
- * A log line breaks in two: an error quoted a text from outside as it came.
+ * Error messages must escape quoted input, which could break a log line in two.
  */
 static void test_values_are_shown_on_one_ascii_line(void)
 {
--- a/src/test_libradishjunction/test_settings.c
+++ b/src/test_libradishjunction/test_settings.c
@@ -7,7 +7,9 @@
 
 #define KEY "0123456789abcdef0123456789abcdef"
 
-/* The settings of one daemon with more fields; single quotes for double. */
+/*
+ * Returns the settings of a daemon with more fields; single quotes for double.
+ */
 static char *settings_text(void *mem, const char *more)
 {
 	return text_check_json(
@@ -38,7 +40,7 @@
 	g_assert_cmpuint(settings->peer_address.port, ==, 7001);
 	g_assert_cmpuint(settings->drain_limit_s, ==, 7);
 	g_assert_cmpuint(settings->body_max_bytes, ==, RJ_BODY_MAX_BYTES);
-	/* Its own name was left out. */
+	/* Its own name is left out. */
 	g_assert_cmpuint(settings->peer_count, ==, 1);
 	g_assert_cmpstr(settings->peers[0].name, ==, "entry-2");
 	g_assert_cmpstr(settings->peers[0].domain, ==, "lajeado");
--- a/src/test_libradishjunction/test_standin_tasks.c
+++ b/src/test_libradishjunction/test_standin_tasks.c
@@ -65,10 +65,8 @@
 }
 
 /*
- * A buyer is charged twice.
- * An owner holds a lease and is paused until it has lapsed; its job is
- * settled elsewhere; then it wakes and sends its start.
- * Cause: a token that outlives its lease.
+ * A token must not outlive its lease. An owner is paused past the expiry, its
+ * job is settled elsewhere, and then it resumes and sends its start.
  */
 static void test_expired_token_never_starts(struct fixture *fixture,
 					    gconstpointer data)
@@ -84,10 +82,8 @@
 }
 
 /*
- * A buyer gets two prices.
- * A run is held up on its way; its attempt is fenced and the job is run by
- * another instance; then the run arrives.
- * Cause: a worker that forgets what was fenced.
+ * A worker must remember fenced attempts. A run is delayed, its attempt is
+ * fenced and the job run by another instance; then the run arrives.
  */
 static void test_fenced_attempt_never_runs(struct fixture *fixture,
 					   gconstpointer data)
@@ -125,9 +121,8 @@
 }
 
 /*
- * A student is charged twice.
- * A task ends and is released; a start that was held up arrives.
- * Cause: forgetting the end also forgot that the attempt was here.
+ * A released attempt must not run again. Its task ends and is released, and
+ * then a delayed start arrives.
  */
 static void test_released_attempt_never_runs_again(struct fixture *fixture,
 						   gconstpointer data)
--- a/src/test_libradishjunction/test_tcp_peers.c
+++ b/src/test_libradishjunction/test_tcp_peers.c
@@ -13,9 +13,9 @@
 
 #define KEY "the key of all instances"
 
-/* An instance's side of the links, and what its sink was told. */
+/* One instance's links, and the events that its sink received. */
 struct node {
-	struct rj_sink sink; /* first member, always */
+	struct rj_sink sink; /* must be the first member */
 	struct rj_tcp_peers peers;
 	uint32_t ups;
 	uint32_t downs;
@@ -23,9 +23,9 @@
 	uint64_t last_value;
 };
 
-/* A peer that the test drives frame by frame. */
+/* A peer that the test controls frame by frame. */
 struct raw_peer {
-	struct rj_tcp_link link; /* first member, always */
+	struct rj_tcp_link link; /* must be the first member */
 	struct rj_peer_session session;
 	uint32_t frames;
 	struct rj_bytes body; /* of the newest frame after the hello */
@@ -79,7 +79,7 @@
 	node->peers.base.ops->connect(&node->peers.base, name, &address);
 }
 
-/* Send a message that carries `value`. */
+/* Sends a message that carries `value`. */
 static void node_send(struct node *node, const char *name, uint64_t value)
 {
 	struct rj_peer_message message = { .kind = RJ_PEER_CANCEL };
@@ -120,7 +120,7 @@
 static const struct rj_tcp_link_ops raw_ops = { raw_connected, raw_frame,
 						raw_closed };
 
-/* Connect to `node` and send `hello`. */
+/* Connects to `node` and sends `hello`. */
 static void raw_init_hello(struct raw_peer *raw_peer, const struct node *node,
 			   const struct rj_peer_hello *hello)
 {
@@ -132,7 +132,7 @@
 			 rj_tcp_connect(&address, NULL), true);
 }
 
-/* Connect to `node` with a hello of that one version. */
+/* Connects to `node` with a hello that offers this version only. */
 static void raw_init(struct raw_peer *raw_peer, const struct node *node,
 		     const char *name, uint32_t version)
 {
@@ -145,7 +145,7 @@
 	raw_init_hello(raw_peer, node, &hello);
 }
 
-/* Seal `body`; the whole frame is a talloc child of `loop`. */
+/* Seals `body`; the whole frame is a talloc child of `loop`. */
 static struct rj_bytes raw_seal(struct raw_peer *raw_peer, struct rj_bytes body)
 {
 	uint8_t *data = talloc_size(loop, RJ_PEER_MAC_BYTES + body.length);
@@ -156,7 +156,7 @@
 	return (struct rj_bytes){ data, RJ_PEER_MAC_BYTES + body.length };
 }
 
-/* Finish the handshake as a proper peer. */
+/* Completes the handshake with a valid proof. */
 static void raw_authenticate(struct raw_peer *raw_peer, struct node *node)
 {
 	struct rj_bytes proof;
@@ -173,7 +173,7 @@
 	return rj_tcp_peers_closed(&node->peers, reason);
 }
 
-/* Two linked instances, of which the first is then attacked. */
+/* Two linked instances; the test then attacks the first. */
 static void pair_init(struct node *node, struct node *other)
 {
 	node_init(node, "b", KEY, 0);
@@ -182,7 +182,7 @@
 	RUN_UNTIL(loop, node->ups == 1 && other->ups == 1);
 }
 
-/* The link of the pair still carries messages, and has never ended. */
+/* The link of the pair still carries messages and was never closed. */
 static void pair_finish(struct node *node, struct node *other)
 {
 	uint32_t messages = node->messages;
@@ -195,7 +195,7 @@
 	node_finish(other);
 }
 
-/* Both connect at the same time; one link stays and carries messages. */
+/* Both connect at the same time; one link remains and carries messages. */
 static void test_both_connect(void)
 {
 	struct node a;
@@ -217,7 +217,7 @@
 	node_finish(&b);
 }
 
-/* An instance that was replaced at its address is found again. */
+/* An instance that was replaced at its address is connected again. */
 static void test_reconnects(void)
 {
 	struct node a;
@@ -238,8 +238,8 @@
 }
 
 /*
- * A stranger reads and forges other teams' work.
- * It knows the addresses and the format of the frames, but not the key.
+ * A stranger that knows the addresses and the frame format but not the key must
+ * not be able to read or forge messages.
  */
 static void test_wrong_key(void)
 {
@@ -258,9 +258,8 @@
 }
 
 /*
- * A forwarded job arrives twice.
- * A device on the way repeats a whole frame, bit by bit.
- * Cause: the frame verified on its own, whatever its place.
+ * A replayed frame must be refused, or a forwarded job arrives twice. Each
+ * frame was verified without its position in the sequence.
  */
 static void test_replayed_frame(void)
 {
@@ -282,7 +281,7 @@
 	pair_finish(&node, &other);
 }
 
-/* A proven peer sends bytes that are no message. */
+/* An authenticated peer sends bytes that are no message. */
 static void test_malformed_message(void)
 {
 	struct rj_bytes garbage = { (const uint8_t *)"\xc1\xc1\xc1", 3 };
@@ -319,7 +318,7 @@
 	pair_finish(&node, &other);
 }
 
-/* A peer of a version that is not spoken any more, or not yet. */
+/* A peer offers only a version that is no longer, or not yet, supported. */
 static void test_no_common_version(void)
 {
 	struct node node;
@@ -333,7 +332,7 @@
 	pair_finish(&node, &other);
 }
 
-/* Send a message of each kind, which must all arrive. */
+/* Sends a message of each kind and waits until all have arrived. */
 static void raw_send_all(struct raw_peer *raw_peer, struct node *node,
 			 struct rj_bytes (*body_of)(enum rj_peer_message_kind))
 {
@@ -355,10 +354,9 @@
 }
 
 /*
- * On the evening of a release nothing is handed on between instances.
- * The first instance is replaced; its links to old ones, which speak the
- * frames that were recorded from their version, are closed over and over.
- * Cause: the new one wants fields that old ones do not send.
+ * A new instance must accept the recorded frames of older versions. It required
+ * fields that they do not send and closed the links again and again during a
+ * rolling replacement.
  */
 static void test_older_instance(void)
 {
@@ -379,7 +377,7 @@
 	raw_authenticate(&raw_peer, &node);
 	raw_send_all(&raw_peer, &node, recorded_body);
 
-	/* What comes back begins with what the old one knows. */
+	/* The frame begins with the fields that the old instance knows. */
 	frames = raw_peer.frames;
 	peer_frames_fill(&message, RJ_PEER_HEARTBEAT);
 	node.peers.base.ops->send(&node.peers.base, "c", &message);
@@ -409,10 +407,10 @@
 }
 
 /*
- * On the evening of a release nothing is handed on between instances.
- * The last old instance has two new peers, which speak a version that it does
- * not know yet beside its own, and append fields to every message.
- * Cause: it refuses a hello of a higher version, or a frame that goes on.
+ * An old instance must accept peers that also offer an unknown newer version
+ * and append fields to every message. It refused the hello, or the longer
+ * frames, and messages between instances were lost during a rolling
+ * replacement.
  */
 static void test_newer_instance(void)
 {
@@ -436,9 +434,9 @@
 }
 
 /*
- * A stranger without the key is taken for a peer.
- * It sends back every frame that it gets, the proof among them.
- * Cause: both directions of a link used one key.
+ * A stranger without the key that sends back every frame it gets, the proof
+ * included, must not be taken for a peer. Both directions of a link used one
+ * key.
  */
 static void test_reflected_hello(void)
 {
@@ -455,9 +453,8 @@
 }
 
 /*
- * An instance grows until it is killed.
- * A peer was paused: its connection stands, and it reads nothing.
- * Cause: what was to be sent to it was kept without a bound.
+ * The queue to a peer that does not read must be bounded. The peer was paused
+ * with its connection open, and the sender grew until it was killed.
  */
 static void test_slow_reader(void)
 {
--- a/src/test_libradishjunction/test_types.c
+++ b/src/test_libradishjunction/test_types.c
@@ -6,10 +6,7 @@
 #include "radishjunction/http_workers.h"
 #include "radishjunction/types.h"
 
-/*
- * An operator reads "(null)" in a log line: a value was added to an enum
- * and not to its table of strings.
- */
+/* Every enum value must have a string, or "(null)" is logged for it. */
 static void check_table(const char *const *strings, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++) {
@@ -44,8 +41,8 @@
 }
 
 /*
- * A quote with key "ab" and body "c" must not pass for key "a" and body
- * "bc": the digest has to tell the parts apart.
+ * The digest must separate key and body: key "ab" with body "c" must differ
+ * from key "a" with body "bc".
  */
 static void test_digest_tells_parts_apart(void)
 {
