--- a/src/test_libradishjunction/test_checker.c
+++ b/src/test_libradishjunction/test_checker.c
@@ -238,8 +238,8 @@
 }
 
 /*
- * A worker that has announced that it is leaving gets a new job more than
- * CHECKER_LEAVING_US later. The sender knew of it, or was connected to an
+ * An upstream that has announced that it is leaving gets a new job six seconds
+ * later, past CHECKER_LEAVING_US. The sender knew of it, or was connected to an
  * instance that did, even if it is connected to no third one.
  */
 static void test_job_sent_to_a_leaving_worker_is_detected(void)
--- a/src/test_libradishjunction/test_connections.c
+++ b/src/test_libradishjunction/test_connections.c
@@ -9,8 +9,8 @@
 
 /*
  * Returns the connections that all instances together may open to a worker,
- * according to their last calls; one of them may still have the connections open
- * that it had as the owner.
+ * according to their last calls; one of them may still have the connections
+ * open that it had as the owner.
  */
 static uint32_t connections_to(const struct fake_worker *worker)
 {
--- a/src/test_libradishjunction/test_http_client.c
+++ b/src/test_libradishjunction/test_http_client.c
@@ -215,7 +215,7 @@
 	close(fd);
 }
 
-/* Reads the request, sends the head and half of the answer, and closes. */
+/* Reads the request, sends the head and half of the body, and closes. */
 static void answer_half(struct tevent_context *ev, struct tevent_fd *fde,
 			uint16_t flags, void *private_data)
 {
--- a/src/test_libradishjunction/test_http_workers.c
+++ b/src/test_libradishjunction/test_http_workers.c
@@ -157,9 +157,9 @@
 }
 
 /*
- * A lost answer to a run must not be taken for a refusal, or the job would be
- * started again elsewhere. The instance fences the attempt and learns that it
- * is done.
+ * A lost answer to a run must not be taken for a refusal, or the job is started
+ * again elsewhere and runs twice. The instance fences the attempt and learns
+ * that it is done.
  */
 static void test_lost_answer_is_lost_not_refused(struct fixture *fixture,
 						 gconstpointer data)
@@ -200,7 +200,7 @@
 
 /*
  * An expired lease must refuse a start: its holder may be paused past the
- * expiry and resume later.
+ * expiry, resume, and run a job twice that was settled meanwhile.
  */
 static void test_expired_lease_refuses_the_start(struct fixture *fixture,
 						 gconstpointer data)
--- a/src/test_libradishjunction/test_planner_queue.c
+++ b/src/test_libradishjunction/test_planner_queue.c
@@ -5,8 +5,8 @@
 #include "support/planner_fixture.h"
 
 /*
- * No capacity is reserved for a gang that cannot run: half of the workers are
- * dead, and the gang needs more than the rest.
+ * No capacity is reserved for a gang that cannot run: half of the workers of
+ * two racks are dead, and the gang needs more than the rest.
  */
 static void
 test_no_reservation_for_a_gang_that_cannot_run(struct planner_fixture *f,
--- a/src/test_libradishjunction/test_planner_topology.c
+++ b/src/test_libradishjunction/test_planner_topology.c
@@ -319,8 +319,8 @@
 }
 
 /*
- * Returns the workers among "w0" to "w7" that get jobs which cannot be stopped,
- * one bit each, if the workers become known in this order.
+ * Returns which of eight workers, "w0" to "w7", get jobs which cannot be
+ * stopped, one bit each, if the workers become known in this order.
  */
 static uint32_t unstoppable_placement(bool reversed)
 {
--- a/src/test_libradishjunction/test_standin_tasks.c
+++ b/src/test_libradishjunction/test_standin_tasks.c
@@ -66,7 +66,8 @@
 
 /*
  * A token must not outlive its lease. An owner is paused past the expiry, its
- * job is settled elsewhere, and then it resumes and sends its start.
+ * job is settled elsewhere, and then it resumes and sends its start: the job
+ * would run twice.
  */
 static void test_expired_token_never_starts(struct fixture *fixture,
 					    gconstpointer data)
