--- a/src/test_libradishjunction/test_accepted.c
+++ b/src/test_libradishjunction/test_accepted.c
@@ -32,9 +32,9 @@
 }
 
 /*
- * An accepted job must not start while the log is unavailable: an instance
- * started it without a claim, and another instance, which could read the log,
- * read the cancellation and answered "not run". The job waits for capacity; the
+ * An accepted job must not start while the log is unavailable: otherwise an
+ * instance starts it without a claim, while another, which can read the log,
+ * reads its cancellation and answers "not run". The job waits for capacity; the
  * log becomes unavailable; then capacity becomes free.
  */
 static void test_accepted_jobs_wait_for_the_log(void)
@@ -93,7 +93,7 @@
 /*
  * The answer to a repeated submission must go to its own request only. A caller
  * waits for an accepted job; the same job is submitted again with the same key,
- * without waiting. The answer to the repeat went to all requests that waited.
+ * without waiting. Its answer must not go to the requests that wait.
  */
 static void test_repeat_answers_its_own_caller(void)
 {
--- a/src/test_libradishjunction/test_checker.c
+++ b/src/test_libradishjunction/test_checker.c
@@ -117,7 +117,7 @@
 }
 
 /*
- * A member's worker dies and the other members run on: their owner did not
+ * A member's worker dies and the other members run on: their owner does not
  * notice and keeps renewing the leases.
  */
 static void test_gang_that_outlives_a_member_is_detected(void)
@@ -238,8 +238,8 @@
 }
 
 /*
- * An upstream that has announced that it is leaving gets a new job six seconds
- * later, past CHECKER_LEAVING_US. The sender knew of it, or was connected to an
+ * An upstream that has announced that it is leaving gets a new job more than
+ * CHECKER_LEAVING_US (5 s) later. The sender knew of it, or was connected to an
  * instance that did, even if it is connected to no third one.
  */
 static void test_job_sent_to_a_leaving_worker_is_detected(void)
--- a/src/test_libradishjunction/test_config.c
+++ b/src/test_libradishjunction/test_config.c
@@ -116,8 +116,8 @@
 }
 
 /*
- * All errors must be reported at once; the parser stopped at the first. One
- * text has a wrong type, an unknown field and a guarantee that fits nowhere.
+ * All errors must be reported at once, not only the first. One text has a wrong
+ * type, an unknown field and a guarantee that fits nowhere.
  */
 static void test_all_errors_at_once(void)
 {
--- a/src/test_libradishjunction/test_config_change.c
+++ b/src/test_libradishjunction/test_config_change.c
@@ -187,9 +187,7 @@
 		/* All operations but the last would succeed. */
 		"[{\"op\":\"replace\",\"path\":\"/c\",\"value\":3},"
 		"{\"op\":\"remove\",\"path\":\"/d\"}]",
-		/*
-		 * Applies, but the result does not match the author's digest.
-		 */
+		/* Applies, but the result does not match the digest. */
 		"[{\"op\":\"replace\",\"path\":\"/c\",\"value\":4}]",
 	};
 	void *mem = talloc_new(NULL);
@@ -220,10 +218,10 @@
 #define OPERATIONS 4
 
 /*
- * A change must have a bound on its length. Each operation put a value as deep
- * as the parser accepts into the innermost value of the previous one; the
- * result was deeper than any parsed text, and serializing it overflowed the
- * stack of every instance that read the stream.
+ * A change must have a bound on its length. Otherwise each operation can put a
+ * value as deep as the parser accepts into the innermost value of the previous
+ * one; the result is deeper than any parsed text, and serializing it overflows
+ * the stack of every instance that reads the stream.
  */
 static void test_deep_results_are_refused(void)
 {
--- a/src/test_libradishjunction/test_config_changes.c
+++ b/src/test_libradishjunction/test_config_changes.c
@@ -169,9 +169,7 @@
 	fixture_finish(&fixture);
 }
 
-/*
- * Sends a peer the configuration in force at `from`, as a change or as a whole.
- */
+/* Sends `to` the configuration in force at `from`, as a change or whole. */
 static bool offer(struct fixture *fixture, const struct rj_config_log *from,
 		  struct rj_config_log *to, bool change)
 {
@@ -187,7 +185,7 @@
 /*
  * A change must be applied to its own base only. An instance without access to
  * the log gets the second of two changes from its peer; the link lost the
- * first. The change was applied to whatever was in force.
+ * first. The second may not be applied to what is in force.
  */
 static void test_change_arrives_before_its_base(void)
 {
@@ -315,7 +313,7 @@
 }
 
 /*
- * A starting instance must not apply a week of changes, which took minutes,
+ * A starting instance must not apply a week of changes, which takes minutes,
  * when a configuration that was carried an hour ago is in the log.
  */
 static void test_new_reader_starts_near_the_end(void)
--- a/src/test_libradishjunction/test_config_log.c
+++ b/src/test_libradishjunction/test_config_log.c
@@ -56,8 +56,8 @@
 /*
  * A publication must not be judged without its predecessors. A new instance
  * starts after the log's beginning was trimmed and reads a refused publication,
- * then the winner, carried by an instance that was behind. It put the refused
- * publication in force.
+ * then the winner, carried by an instance that was behind. The refused one must
+ * not come into force.
  */
 static void test_start_on_a_trimmed_log(void)
 {
--- a/src/test_libradishjunction/test_connections.c
+++ b/src/test_libradishjunction/test_connections.c
@@ -35,9 +35,9 @@
 
 /*
  * The eight instances of a failure domain lose contact with each other, and
- * each takes itself for the owner of every rack. A worker with 64 connections
- * was asked for 112 and refused some of those that renew leases, so running
- * jobs were stopped. Each instance took the connections of a rack's only owner.
+ * each takes itself for the owner of every rack. If each uses the connections
+ * of a rack's only owner, a worker with 64 connections is asked for 112,
+ * refuses some of those that renew leases, and running jobs are stopped.
  */
 static void test_isolated_instances_share_connections(void)
 {
--- a/src/test_libradishjunction/test_faults.c
+++ b/src/test_libradishjunction/test_faults.c
@@ -5,9 +5,7 @@
 /* Kept low for a short run; scripts/bench faults runs any number. */
 #define SEEDS 40
 
-/*
- * Returns the violations of an invariant in the first seeds of its own profile.
- */
+/* Returns the violations of an invariant in its profile's first seeds. */
 static uint32_t violations_of(const struct engine_ops *engine,
 			      enum promise promise)
 {
@@ -34,7 +32,7 @@
 
 /*
  * Runs the same faults against an implementation without claims, read-back,
- * fences and reclaim. If it passed, the faults would test nothing.
+ * fences and reclaim. If it passes, the faults test nothing.
  */
 static void test_reference_implementation_violates_invariant(gconstpointer data)
 {
@@ -58,8 +56,8 @@
 /*
  * A look-up must not start a job that is known only from its claim. The owner
  * of the claim dies; a peer that is asked for the job settles the claim as
- * never started, and started the job with an empty body, because a claim in the
- * log has no body.
+ * never started, and would start the job with an empty body, because a claim in
+ * the log has no body.
  */
 static void test_job_known_from_its_claim_is_not_started(void)
 {
@@ -69,7 +67,7 @@
 
 /*
  * A start that was sent must not count as a run. The start is lost, the retry
- * budget is spent, and the caller was told that the job ran and failed, though
+ * budget is spent, and the caller is told that the job ran and failed, though
  * no worker ever received it.
  */
 static void test_lost_start_is_not_a_failed_run(void)
@@ -80,8 +78,8 @@
 
 /*
  * A look-up must not be answered from memory before the outcome is read back.
- * An instance cancelled a job, was paused before the log had the outcome, and
- * answered "not run"; a peer took the job over and ran it.
+ * An instance cancels a job, is paused before the log has the outcome, and
+ * answers "not run"; a peer takes the job over and runs it.
  */
 static void test_lookup_of_a_cancelled_job_waits_for_the_log(void)
 {
@@ -90,9 +88,9 @@
 
 /*
  * An instance must read the log after a pause before it starts accepted jobs. A
- * job was cancelled and answered "not run" while its former owner was paused;
- * the owner resumed while the platform was unavailable and started the job
- * without a claim.
+ * job is cancelled and answered "not run" while its former owner is paused; the
+ * owner resumes while the platform is unavailable and starts the job without a
+ * claim.
  */
 static void test_resumed_instance_reads_before_starting_accepted_jobs(void)
 {
@@ -102,7 +100,7 @@
 /*
  * After a pause, a key that is not in memory must not be taken for a new one.
  * One instance serves a request; another, which resumes from a pause and is
- * draining, is asked with the same key and answered "not run" from what it had
+ * draining, is asked with the same key and answers "not run" from what it had
  * read before the pause.
  */
 static void test_resumed_instance_reads_before_taking_a_key_as_new(void)
@@ -113,8 +111,9 @@
 
 /*
  * A cancellation that is decided in an outage must not be answered "not run"
- * once the log is available again: a peer had started the job without a claim
- * meanwhile. The outcome was decided before the outage and written after it.
+ * once the log is available again: a peer may have started the job without a
+ * claim meanwhile. The outcome is decided before the outage and written after
+ * it.
  */
 static void test_cancelled_in_an_outage_is_not_answered_not_run(void)
 {
@@ -124,7 +123,7 @@
 /*
  * One lost read of the log must not count as an outage. An instance adopts a
  * job from another domain, where all instances are dead, loses one read, and
- * started the job without a claim although the log had just recorded its
+ * starts the job without a claim although the log has just recorded its
  * cancellation.
  */
 static void test_one_lost_read_is_no_outage(void)
@@ -134,8 +133,8 @@
 
 /*
  * A job that was started without a claim in an outage must be claimed when the
- * log is available again. Otherwise no other instance knew of the run, and a
- * cancellation was answered "not run" while it ran to its end.
+ * log is available again. Otherwise no other instance knows of the run, and a
+ * cancellation is answered "not run" while it runs to its end.
  */
 static void test_started_in_an_outage_is_claimed_after_it(void)
 {
@@ -144,8 +143,8 @@
 
 /*
  * A rack summary that arrives before the list of workers must not be dropped:
- * it is not sent again. An owner that started while the platform was
- * unavailable never placed an accepted job.
+ * it is not sent again. Without it, an owner that starts while the platform is
+ * unavailable never places an accepted job.
  */
 static void test_summary_before_the_list_is_not_lost(void)
 {
@@ -157,7 +156,7 @@
 /*
  * The claim of an attempt that is over must be closed. The first attempt is
  * voided during an outage that loses the void record; the second runs without a
- * claim. Readers ignored its outcome, and the caller waited forever.
+ * claim. Otherwise readers ignore its outcome, and the caller waits forever.
  */
 static void test_outcome_after_a_lost_void_is_read(void)
 {
@@ -167,9 +166,9 @@
 
 /*
  * A job stays accepted when its claim is settled by a peer that only watched
- * it. A running job is cancelled, its owner stops it and dies; the peer settled
- * the claim, took the job for one that was never accepted and recorded no
- * outcome; the job then ended as one that never started.
+ * it. A running job is cancelled, its owner stops it and dies; the peer settles
+ * the claim, takes the job for one that was never accepted and records no
+ * outcome; the job then ends as one that never started.
  */
 static void test_watched_job_that_is_settled_stays_accepted(void)
 {
@@ -178,9 +177,9 @@
 
 /*
  * The instance that has to reclaim a guaranteed shape must be the one that
- * places the job. A peer that does not plan the rack placed another account's
- * accepted job there; or the guaranteed job itself waited at a peer that no
- * longer owns the rack.
+ * places the job. Otherwise a peer that does not plan the rack places another
+ * account's accepted job there, or the guaranteed job itself waits at a peer
+ * that no longer owns the rack.
  */
 static void test_reclaiming_instance_places_the_job(void)
 {
@@ -190,9 +189,9 @@
 
 /*
  * Leases of abandoned attempts must be released. The answer to a lease is lost,
- * then its release; the attempt is abandoned, but each report renewed the lease
- * with all others of the instance, until no capacity was left in the failure
- * domain. The reports were not checked for abandoned attempts.
+ * then its release; the attempt is abandoned, but each report renews the lease
+ * with all others of the instance, until no capacity is left in the failure
+ * domain. Reports must be checked for abandoned attempts.
  */
 static void test_leases_of_abandoned_attempts_are_cleared(void)
 {
@@ -201,8 +200,8 @@
 
 /*
  * A job with a guarantee must not be forwarded to another failure domain, where
- * its account has nothing to reclaim. Its own domain was full of borrowers, and
- * the choice of a less loaded domain ignored the guarantee at home.
+ * its account has nothing to reclaim. Its own domain is full of borrowers, and
+ * another one is less loaded.
  */
 static void test_entitled_job_stays_in_its_domain(void)
 {
@@ -213,8 +212,8 @@
 /*
  * A look-up that arrives during a drain must be forwarded with its job. A job
  * that is being stopped is looked up, returns to the queue and is handed to its
- * next owner. Only requests that waited when the drain began were forwarded,
- * and the instance exited with a failed assertion.
+ * next owner. If only requests that waited when the drain began are forwarded,
+ * the instance exits with a failed assertion.
  */
 static void test_lookup_during_a_drain_is_forwarded(void)
 {
@@ -222,9 +221,9 @@
 }
 
 /*
- * An outcome whose claim was trimmed from the log still answers its key. An
- * instance that started after an outage and was asked with the same key ran the
- * job again; see test_job_ledger.
+ * An outcome whose claim was trimmed from the log still answers its key.
+ * Otherwise an instance that starts after an outage and is asked with the same
+ * key runs the job again; see test_job_ledger.
  */
 static void test_outcome_outlives_its_claim(void)
 {
@@ -233,9 +232,9 @@
 
 /*
  * A job that was forwarded without an answer must be taken back when the log
- * names the forwarding instance as its owner. The peer's answer was lost and a
- * later request accepted at the peer; the first instance still took the job for
- * forwarded, and it never ended.
+ * names the forwarding instance as its owner. The peer's answer is lost and a
+ * later request accepted at the peer; if the first instance still takes the job
+ * for forwarded, it never ends.
  */
 static void test_forward_without_an_answer_is_taken_back(void)
 {
@@ -245,9 +244,9 @@
 
 /*
  * A message that is lost on a link which is cut for a moment and stays
- * established must be detected. A forwarded job with a guarantee was lost and
- * never started, though all workers were free: only the end of a link counted
- * as a possible loss.
+ * established must be detected. If only the end of a link counts as a possible
+ * loss, a forwarded job with a guarantee is never started, though all workers
+ * are free.
  */
 static void test_forward_lost_on_an_established_link(void)
 {
@@ -257,9 +256,9 @@
 /*
  * An owner must reclaim capacity from jobs that another instance drives. An
  * instance dies and its peer places jobs on all racks; the instance returns and
- * owns its racks again. A guaranteed job then waited 4 to 11 s for the end of
- * the peer's jobs: the owner could not ask for their capacity, and the peer,
- * when asked, took the capacity again.
+ * owns its racks again. A guaranteed job waits 4 to 11 s for the end of the
+ * peer's jobs if the owner cannot ask for their capacity, or if the peer, when
+ * asked, takes the capacity again.
  */
 static void test_jobs_of_an_interim_owner_are_reclaimed(void)
 {
@@ -271,9 +270,9 @@
 /*
  * Tasks reported before the configuration is known must be reclaimable later.
  * After a restart an instance gets the workers' reports before its
- * configuration, and reports without changes do not repeat the tasks. Without a
- * class a task was taken for one that cannot be stopped, and a guaranteed shape
- * was reclaimed 3 s late.
+ * configuration, and reports without changes do not repeat the tasks. If a task
+ * without a class counts as one that cannot be stopped, a guaranteed shape is
+ * reclaimed 3 s late.
  */
 static void test_tasks_seen_before_the_configuration_are_reclaimed(void)
 {
@@ -283,8 +282,8 @@
 /*
  * A freed guaranteed shape must stay allocated to its job until it starts. A
  * lease is lost, or refused because a release is still in flight, or the victim
- * waits for its claim to appear in an unavailable log. The whole shape was held
- * for 2 s, or was filled by other jobs meanwhile.
+ * waits for its claim to appear in an unavailable log. The whole shape must not
+ * be held for 2 s, nor be filled by other jobs meanwhile.
  */
 static void test_freed_shape_is_kept_until_the_start(void)
 {
@@ -296,8 +295,8 @@
 
 /*
  * A job with a guarantee must wait at the owner of its rack. An interim owner
- * starts it, the start is lost, and the job waited again at an instance that
- * cannot reclaim: the place to wait was chosen only on submission.
+ * starts it, the start is lost, and the job waits again, at an instance that
+ * cannot reclaim, if the place to wait is chosen only on submission.
  */
 static void test_job_waits_at_the_owner_of_its_shape(void)
 {
--- a/src/test_libradishjunction/test_faults_large.c
+++ b/src/test_libradishjunction/test_faults_large.c
@@ -67,9 +67,9 @@
 
 /*
  * A reader must not take the beginning of a trimmed log for the whole log. The
- * platform drops records before their retention ends; an instance starts and
- * took a used key for a new one, so the job ran twice. No instance appended the
- * dropped records again.
+ * platform drops records before their retention ends; an instance starts, takes
+ * a used key for a new one, and the job runs twice, unless the other instances
+ * append the dropped records again.
  */
 static void test_trimmed_log(gconstpointer data)
 {
@@ -79,7 +79,7 @@
 
 /*
  * A "not run" of a peer must not be passed on for a job that ran before it was
- * forwarded. A job ran twice and failed; the third attempt is handed to a peer
+ * forwarded. A job runs twice and fails; the third attempt is handed to a peer
  * whose worker refuses it, and the peer's answer is true only of itself.
  */
 static void test_job_that_ran_before_it_was_forwarded(void)
@@ -90,8 +90,8 @@
 /*
  * A void record must not hide that the job ran. An accepted job runs, is
  * stopped for a guarantee, is claimed again without a start, and is cancelled.
- * The instance that settled the last attempt answered "not run", because the
- * void of the first attempt left no trace in the log.
+ * The instance that settles the last attempt must find the first one in the
+ * log, or it answers "not run".
  */
 static void test_settled_attempt_was_not_the_first(void)
 {
--- a/src/test_libradishjunction/test_foreign.c
+++ b/src/test_libradishjunction/test_foreign.c
@@ -119,9 +119,7 @@
 	free(text);
 }
 
-/*
- * Each instance is the dead one once per seed, since either may own the rack.
- */
+/* Each instance is the dead one once per seed: either may own the rack. */
 static struct reclaim_counts run_all(bool cut)
 {
 	struct reclaim_counts reclaim_counts = { 0 };
@@ -135,7 +133,7 @@
 /*
  * An owner must reclaim from jobs that another instance drives. The rack's
  * owner dies, its peer fills the rack, the owner returns and needs a guaranteed
- * shape. The owner did not know whom to ask for the peer's jobs.
+ * shape. The owner must know whom to ask for the peer's jobs.
  */
 static void test_driver_is_asked(void)
 {
@@ -146,8 +144,8 @@
 
 /*
  * As above, but the driver cannot be asked: it is cut off from the owner, not
- * from the workers, where it keeps renewing its leases. Only the driver could
- * stop a job. The quote in the rack, which must not run twice, is not stopped.
+ * from the workers, where it keeps renewing its leases. The owner must stop the
+ * jobs itself. The quote in the rack, which must not run twice, is not stopped.
  */
 static void test_unreachable_driver_is_bypassed(void)
 {
--- a/src/test_libradishjunction/test_golden.c
+++ b/src/test_libradishjunction/test_golden.c
@@ -94,9 +94,7 @@
 	}
 }
 
-/*
- * Two operators publish from the same revision: the same one wins everywhere.
- */
+/* Two operators publish from one revision: the same one wins everywhere. */
 static void config_race(struct world *world)
 {
 	world_run_until(world, 3 * RJ_US_PER_S);
@@ -143,9 +141,7 @@
 	return text;
 }
 
-/*
- * A change must not alter an instance's actions in ordinary sessions unnoticed.
- */
+/* Detects any change in an instance's actions in ordinary sessions. */
 static void test_session_is_as_recorded(gconstpointer data)
 {
 	const struct session *session = data;
--- a/src/test_libradishjunction/test_http_callers.c
+++ b/src/test_libradishjunction/test_http_callers.c
@@ -243,8 +243,8 @@
 }
 
 /*
- * A request that arrives before the configuration must wait for it. It was
- * answered "not run" by an instance that had just started.
+ * A request that arrives before the configuration must wait for it. An instance
+ * that has just started must not answer "not run".
  */
 static void test_callers_wait_for_the_configuration(void)
 {
@@ -266,7 +266,7 @@
 /*
  * An instance whose stop is complete must still answer its last connections, so
  * that peers can serve the requests. A request comes on an idle connection, and
- * another caller connects: the first was refused and the second reset.
+ * another caller connects: neither may be refused or reset.
  */
 static void test_last_connections_are_served(void)
 {
--- a/src/test_libradishjunction/test_http_callers_bounds.c
+++ b/src/test_libradishjunction/test_http_callers_bounds.c
@@ -132,7 +132,7 @@
 
 /*
  * Callers that send a request byte by byte and never the last one must not keep
- * their connections. Each byte counted as activity, and other callers found no
+ * their connections. If each byte counts as activity, other callers find no
  * free connection.
  */
 static void test_byte_by_byte_callers(void)
@@ -178,8 +178,8 @@
 
 /*
  * Refused callers must get different times to retry after. A client sends 32
- * requests at once; all that were refused got the same second and returned
- * together, because the HTTP server did not spread the times as the core does.
+ * requests at once; if all that are refused get the same second, they return
+ * together. The HTTP server must spread the times as the core does.
  */
 static void test_refused_callers_retry_at_different_times(void)
 {
--- a/src/test_libradishjunction/test_http_client.c
+++ b/src/test_libradishjunction/test_http_client.c
@@ -135,8 +135,8 @@
 
 /*
  * A request on a kept connection must not be sent again when the connection
- * ends before the answer: libcurl retries by default, and a claim was appended
- * to the log twice.
+ * ends before the answer: libcurl retries by default, which appends a claim to
+ * the log twice.
  */
 static void test_lost_answer_is_not_sent_again(struct fixture *fixture,
 					       gconstpointer data)
@@ -168,9 +168,7 @@
 	rj_http_server_abort_open(&fixture->server, NULL);
 	wait_for(fixture, 2);
 	assert_outcome(fixture, RJ_HTTP_LOST);
-	/*
-	 * On a loaded machine the timeout may pass before the request is sent.
-	 */
+	/* On a loaded machine the timeout may pass before it is sent. */
 	do {
 		post(fixture, "three", SHORT_US);
 		wait_for(fixture, fixture->ended + 1);
@@ -292,9 +290,9 @@
 }
 
 /*
- * A connection above the server's limit must be closed at once. It waited in
- * the backlog until the client's timeout, and a worker with too many clients
- * was taken for dead.
+ * A connection above the server's limit must be closed at once. If it waits in
+ * the backlog until the client's timeout, a worker with too many clients is
+ * taken for dead.
  */
 static void test_connection_above_the_limit_is_closed(struct fixture *fixture,
 						      gconstpointer data)
@@ -320,8 +318,8 @@
 
 /*
  * A client that disconnects while its call waits must free its connection at
- * once. A suspended connection was not checked for its end and was kept until
- * the answer, so that no connection of the worker was left.
+ * once. If a suspended connection is kept until the answer, such clients take
+ * all connections of a worker.
  */
 static void
 test_disconnected_client_frees_its_connection(struct fixture *fixture,
--- a/src/test_libradishjunction/test_http_platform.c
+++ b/src/test_libradishjunction/test_http_platform.c
@@ -234,8 +234,8 @@
 
 /*
  * A page of many jobs with the largest bodies must not exceed the largest
- * answer. Each read of the page failed, as did each retry, and the instance
- * never became ready.
+ * answer. Otherwise each read of the page fails, as does each retry, and the
+ * instance never becomes ready.
  */
 static void test_largest_records_are_read(struct fixture *fixture,
 					  gconstpointer data)
@@ -267,8 +267,8 @@
 
 /*
  * One record above the length limit must not fail the page that contains it.
- * Every read of it failed at all instances, and no later configuration came
- * into force.
+ * Otherwise every read of it fails at all instances, and no later configuration
+ * comes into force.
  */
 static void test_record_too_long_is_malformed(struct fixture *fixture,
 					      gconstpointer data)
@@ -296,7 +296,7 @@
 
 /*
  * One unreadable instance in the list must not invalidate the whole list.
- * Without the list, a worker that is leaving kept getting new jobs.
+ * Without the list, a worker that is leaving keeps getting new jobs.
  */
 static void test_list_names_instances(struct fixture *fixture,
 				      gconstpointer data)
--- a/src/test_libradishjunction/test_http_server.c
+++ b/src/test_libradishjunction/test_http_server.c
@@ -79,9 +79,9 @@
 }
 
 /*
- * A server must not end before its answers are sent. An instance stored a job,
- * answered and exited before the answer left the process, because it checked
- * only for requests without an answer.
+ * A server must not end before its answers are sent. If an instance checks only
+ * for requests without an answer, it stores a job, answers and exits before the
+ * answer leaves the process.
  */
 static void test_answers_are_sent_before_the_end(struct fixture *f,
 						 gconstpointer data)
--- a/src/test_libradishjunction/test_http_workers.c
+++ b/src/test_libradishjunction/test_http_workers.c
@@ -179,7 +179,7 @@
 
 /*
  * An answer that is truncated, or that belongs to the previous call, must be
- * reported as lost. It was passed on unchecked.
+ * reported as lost, not passed on.
  */
 static void test_cut_or_crossed_answer_is_lost(struct fixture *fixture,
 					       gconstpointer data)
@@ -293,7 +293,7 @@
 /*
  * There must be a connection for each slot. Long runs each wait for their end
  * on a connection, and with fewer connections than slots the start of another
- * job was not sent although a slot was free.
+ * job is not sent although a slot is free.
  */
 static void test_every_slot_can_be_waited_on(struct fixture *fixture,
 					     gconstpointer data)
@@ -304,7 +304,8 @@
 
 /*
  * Calls that wait must not delay the report that renews the leases. Runs and
- * checkpoints waited on all connections to a worker until the leases expired.
+ * checkpoints that wait on all connections to a worker would block it until the
+ * leases expire.
  */
 static void test_renewal_passes_waiting_calls(struct fixture *fixture,
 					      gconstpointer data)
@@ -325,8 +326,8 @@
 
 /*
  * An instance must keep to its share of a worker's connections. With a fixed
- * number each, instances without contact to each other used up the connections,
- * and the worker refused the report that renews its leases.
+ * number each, instances without contact to each other use up the connections,
+ * and the worker refuses the report that renews its leases.
  */
 static void test_connection_share_is_respected(struct fixture *fixture,
 					       gconstpointer data)
--- a/src/test_libradishjunction/test_instance_list.c
+++ b/src/test_libradishjunction/test_instance_list.c
@@ -82,9 +82,7 @@
 	return rj_instances_encode_changes(fixture->mem, &answer);
 }
 
-/*
- * Applies an answer to the instance's copy; returns whether anything changed.
- */
+/* Applies an answer to the copy; returns whether anything changed. */
 static bool apply_answer(struct fixture *fixture, const char *text)
 {
 	struct rj_instances_answer answer;
@@ -138,9 +136,9 @@
 
 /*
  * An answer that is older than the copy must be ignored. The list is requested
- * twice and the first answer arrives last; its outdated entry replaced a newer
- * one that no later answer repeats, and a worker was called at an address that
- * now belongs to another.
+ * twice and the first answer arrives last; its outdated entry would replace a
+ * newer one that no later answer repeats, and a worker would be called at an
+ * address that now belongs to another.
  */
 static void test_late_answer_is_ignored(void)
 {
@@ -161,8 +159,8 @@
 
 /*
  * A copy whose length differs from the platform's list must be requested whole.
- * The platform failed to report the removal of an instance once, and it stayed
- * in the copy forever.
+ * If the platform fails to report the removal of an instance once, it would
+ * stay in the copy forever.
  */
 static void test_list_of_another_length_is_asked_for_whole(void)
 {
--- a/src/test_libradishjunction/test_job_ledger.c
+++ b/src/test_libradishjunction/test_job_ledger.c
@@ -45,8 +45,8 @@
 
 /*
  * An outcome must be kept although its claim was trimmed from the log, as after
- * a long outage. An instance that started then skipped the outcome, took the
- * key for a new one, and ran the job again.
+ * a long outage. Otherwise an instance that starts then takes the key for a new
+ * one and runs the job again.
  */
 static void test_outcome_without_its_claim(struct fixture *fixture,
 					   gconstpointer data)
@@ -80,9 +80,9 @@
 }
 
 /*
- * An outcome must be carried according to the age of its claim. An outcome that
- * was appended long after the claim was carried half a retention later, when
- * the claim was gone, because the age was taken from the newest record.
+ * An outcome must be carried according to the age of its claim. By its own age,
+ * an outcome that was appended long after the claim is carried half a retention
+ * later, when the claim is gone.
  */
 static void test_an_outcome_is_as_old_as_its_claim(struct fixture *fixture,
 						   gconstpointer data)
@@ -102,8 +102,8 @@
 
 /*
  * A carried acceptance must name the attempt that was claimed. An accepted job
- * ran and was stopped for a guarantee; its claim and void were trimmed. An
- * instance that started then and read the cancellation answered "not run".
+ * runs and is stopped for a guarantee; its claim and void are trimmed. An
+ * instance that starts then and reads the cancellation would answer "not run".
  */
 static void test_carried_acceptance_names_the_attempt(struct fixture *fixture,
 						      gconstpointer data)
--- a/src/test_libradishjunction/test_leaving.c
+++ b/src/test_libradishjunction/test_leaving.c
@@ -27,8 +27,7 @@
  * An instance must repeat to a peer who is leaving when their link is
  * re-established. It learns from the platform's list that an upstream is
  * leaving while a link is down; the peer, which is cut off from the platform,
- * kept sending jobs there, which were cut off half-way, because the change was
- * sent only once.
+ * would keep sending jobs there, which are cut off half-way.
  */
 static void test_leaving_is_resent_on_a_new_link(void)
 {
--- a/src/test_libradishjunction/test_lifecycle.c
+++ b/src/test_libradishjunction/test_lifecycle.c
@@ -79,8 +79,8 @@
 
 /*
  * An instance that stops and knows no peers must serve requests that end in
- * time. It is stopped a second after its start, before it knows its peers, and
- * refused a new request at once.
+ * time. It is stopped a second after its start, before it knows its peers; a
+ * new request must not be refused at once.
  */
 static void
 test_single_instance_serves_jobs_that_end_in_time(struct fixture *fixture,
@@ -141,8 +141,8 @@
 
 /*
  * The core must answer requests after its stop is complete: the process still
- * accepts them on its last idle connections. The core took no more events, so
- * callers were not referred to the peers.
+ * accepts them on its last idle connections. Without an answer the callers are
+ * not referred to the peers.
  */
 static void test_requests_after_the_exit(void)
 {
@@ -169,8 +169,8 @@
 }
 
 /*
- * An instance must not report ready before it has read the log. It got its
- * configuration from a peer first, and refused a submission that needs the log.
+ * An instance must not report ready before it has read the log. With a
+ * configuration from a peer alone it refuses a submission that needs the log.
  */
 static void test_not_ready_before_the_log_is_known(struct fixture *fixture,
 						   gconstpointer data)
--- a/src/test_libradishjunction/test_log_relay.c
+++ b/src/test_libradishjunction/test_log_relay.c
@@ -63,8 +63,8 @@
 
 /*
  * A quote in a domain that is cut off from the platform must be served by
- * another domain. Every instance of the domain refused keys that need a claim,
- * though a peer with the log and free capacity could have claimed them.
+ * another domain. The instances of the domain must not refuse a key that needs
+ * a claim while a peer with the log and free capacity can claim it.
  */
 static void test_quote_in_a_cut_domain(void)
 {
--- a/src/test_libradishjunction/test_membership.c
+++ b/src/test_libradishjunction/test_membership.c
@@ -27,7 +27,7 @@
 /*
  * Peers of other domains must be judged by the interval of their own
  * heartbeats. In a large site these are rare, and two are lost. Judged by the
- * timeout within a domain the peer counted as dead, and its claims were settled
+ * timeout within a domain, the peer counts as dead, and its claims are settled
  * by others.
  */
 static void test_rare_heartbeats_do_not_mean_dead(void)
--- a/src/test_libradishjunction/test_paused_claim.c
+++ b/src/test_libradishjunction/test_paused_claim.c
@@ -38,8 +38,8 @@
  * A claim that is read back after a pause may be outdated. An instance is
  * paused before it reads its claim back; its caller times out, and a peer voids
  * the claim and serves the job. A repeat reaches the paused instance, which
- * resumes, finds its claim in the log, cancelled, and answered "not run" after
- * the peer's "done", although the log had newer records.
+ * resumes, finds its claim in the log, cancelled, and must not answer "not run"
+ * after the peer's "done": the log has newer records.
  */
 static void test_cancelled_claim_of_a_paused_instance(void)
 {
--- a/src/test_libradishjunction/test_peer_codec.c
+++ b/src/test_libradishjunction/test_peer_codec.c
@@ -32,8 +32,8 @@
 
 /*
  * A reader must ignore fields that a newer version appends to a message. An
- * older instance refused the frame and closed the link, and forwarded jobs
- * failed during a rolling replacement.
+ * older instance that refuses the frame closes the link, and forwarded jobs
+ * fail during a rolling replacement.
  */
 static void test_fields_of_a_newer_version_are_ignored(void)
 {
@@ -76,8 +76,7 @@
 
 /*
  * A cancellation of an older version ends before the fields of a reclaim. A
- * newer reader required them, which ended the link during a rolling
- * replacement.
+ * newer reader that requires them ends the link during a rolling replacement.
  */
 static void test_message_of_an_older_version_is_read(void)
 {
@@ -137,7 +136,8 @@
 
 /*
  * An announced array length must be checked before memory is allocated. A frame
- * of five bytes that announced 2^28 values made an instance grow by gigabytes.
+ * of five bytes that announces 2^28 values must not make an instance grow by
+ * gigabytes.
  */
 static void test_announced_arrays_are_refused(void)
 {
@@ -187,7 +187,7 @@
 /*
  * The layout of a version must not change. An instance with a new field in the
  * middle of the heartbeat and one without it take each other's frames for
- * malformed and close the link again and again: two layouts had one version.
+ * malformed and close the link again and again if two layouts have one version.
  */
 static void test_recorded_frames_are_supported(void)
 {
--- a/src/test_libradishjunction/test_planner_differential.c
+++ b/src/test_libradishjunction/test_planner_differential.c
@@ -126,9 +126,7 @@
 	return NULL;
 }
 
-/*
- * Returns why first fit starts a job that the topology planner leaves waiting.
- */
+/* Returns why first fit starts a job that the topology planner does not. */
 static enum difference why_waiting(const struct pair *pair,
 				   const struct rj_decisions *decisions,
 				   uint64_t job_id)
--- a/src/test_libradishjunction/test_planner_first_fit.c
+++ b/src/test_libradishjunction/test_planner_first_fit.c
@@ -133,8 +133,8 @@
 
 /*
  * A worker that returns must still count its running gang. The worker
- * disappears while a gang runs and returns before the job is requeued; it was
- * taken for new and its accelerators were allocated twice.
+ * disappears while a gang runs and returns before the job is requeued; as a new
+ * worker its accelerators would be allocated twice.
  */
 static void test_returning_worker_is_still_allocated(struct fixture *f,
 						     const void *data)
@@ -158,7 +158,7 @@
 
 /*
  * Tasks adopted before their worker is known must count as allocated when it
- * becomes known. A new instance overbooked the worker.
+ * becomes known. Otherwise a new instance overbooks the worker.
  */
 static void test_adopted_before_its_worker_is_known(struct fixture *f,
 						    const void *data)
@@ -188,9 +188,9 @@
 }
 
 /*
- * The end of a job's back-off must wake the planner only once. The job still
- * did not fit, the end stayed the next wake-up time, and the daemon used a
- * whole core.
+ * The end of a job's back-off must wake the planner only once. If the job still
+ * does not fit and the end stays the next wake-up time, the daemon uses a whole
+ * core.
  */
 static void test_ended_back_off_wakes_once(struct fixture *f, const void *data)
 {
--- a/src/test_libradishjunction/test_planner_queue.c
+++ b/src/test_libradishjunction/test_planner_queue.c
@@ -24,8 +24,8 @@
 }
 
 /*
- * Backfill must use the learnt run time. Short jobs that each declared a
- * millisecond passed a waiting gang for hours.
+ * Backfill must use the learnt run time. Otherwise short jobs that each declare
+ * a millisecond pass a waiting gang for hours.
  */
 static void test_learnt_run_time_decides_backfill(struct planner_fixture *f,
 						  const void *data)
@@ -93,8 +93,8 @@
 
 /*
  * Backfilled jobs and small jobs must be stopped together for a gang, if
- * neither is enough alone. A smaller gang with checkpoints passed the gang and
- * took most of the rack, a render the rest; the gang waited for hours.
+ * neither is enough alone. A smaller gang with checkpoints passes the gang and
+ * takes most of the rack, a render the rest; the gang would wait for hours.
  */
 static void
 test_backfilled_and_small_jobs_are_stopped_together(struct planner_fixture *f,
@@ -129,9 +129,8 @@
 
 /*
  * An urgent job that was stopped once must not be stopped again for a gang. It
- * was stopped for a guarantee, passed a waiting gang as backfill and was
- * stopped for that gang; neither its urgency nor the earlier stop was
- * considered.
+ * is stopped for a guarantee and passes a waiting gang as backfill; its urgency
+ * and the earlier stop must count when victims for that gang are chosen.
  */
 static void
 test_urgent_job_is_not_stopped_again_for_a_gang(struct planner_fixture *f,
@@ -165,8 +164,8 @@
 
 /*
  * Jobs that are cheap to stop may use accelerators that are reserved for a gang
- * which starts minutes later. Only jobs that end in time or have checkpoints
- * were let pass.
+ * which starts minutes later. Backfill is not only for jobs that end in time or
+ * have checkpoints.
  */
 static void
 test_cheap_preemptible_jobs_backfill_a_reservation(struct planner_fixture *f,
@@ -251,8 +250,8 @@
 
 /*
  * A large gang must go before small jobs that were submitted minutes later. All
- * capacity becomes free at once, and the small jobs were placed first, because
- * the gang has a low priority and its size was not considered.
+ * capacity becomes free at once, and the gang has a low priority, so its size
+ * must be considered.
  */
 static void
 test_large_gang_goes_before_later_small_jobs(struct planner_fixture *f,
--- a/src/test_libradishjunction/test_planner_topology.c
+++ b/src/test_libradishjunction/test_planner_topology.c
@@ -6,7 +6,8 @@
 
 /*
  * Reclaim must free adjacent capacity. Other accounts' renders fill a
- * guaranteed rack; the right number of accelerators was freed, but scattered.
+ * guaranteed rack; the right number of accelerators is not enough if they are
+ * scattered.
  */
 static void test_guarantee_occupied_by_gangs(struct planner_fixture *f,
 					     const void *data)
@@ -36,7 +37,7 @@
 
 /*
  * A job that cannot be stopped must not be placed on another account's
- * guaranteed rack, even if the rack is idle: it could not be reclaimed.
+ * guaranteed rack, even if the rack is idle: it cannot be reclaimed.
  */
 static void test_unstoppable_jobs_stay_off_guarantees(struct planner_fixture *f,
 						      const void *data)
@@ -70,8 +71,8 @@
 
 /*
  * Two accounts reclaim their guarantees at the same time from jobs that fill
- * both racks. The second claim counted capacity that the first had claimed, and
- * one account starved.
+ * both racks. If the second claim counts capacity that the first has claimed,
+ * one account starves.
  */
 static void test_two_accounts_reclaim_at_once(struct planner_fixture *f,
 					      const void *data)
@@ -92,8 +93,8 @@
 /*
  * Jobs of different sizes must share a guarantee. Its worker is unavailable; a
  * job of two accelerators is placed elsewhere, then one of one accelerator is
- * submitted. Use was counted in tasks of the new job, so the first job counted
- * as two, and half of the guarantee stayed unused.
+ * submitted. If use is counted in tasks of the new job, the first job counts as
+ * two, and half of the guarantee stays unused.
  */
 static void test_mixed_sizes_share_a_guarantee(struct planner_fixture *f,
 					       const void *data)
@@ -130,7 +131,7 @@
 /*
  * A reclaim must choose another shape if a worker does not respond. It claims
  * two workers; the task on one of them neither stops nor reports, and the job
- * waited forever.
+ * would wait forever.
  */
 static void
 test_reclaim_avoids_an_unresponsive_worker(struct planner_fixture *f,
@@ -160,8 +161,7 @@
 
 /*
  * A reclaim must survive its workers. Two claimed workers die while they are
- * being freed; the other two of the rack are enough, but the claim was tied to
- * its workers.
+ * being freed; the other two of the rack are enough.
  */
 static void test_workers_die_during_reclaim(struct planner_fixture *f,
 					    const void *data)
@@ -192,8 +192,8 @@
 
 /*
  * The homes of guaranteed shapes must follow the configuration. Computed once,
- * they kept unstoppable jobs off the rack after a guarantee was lowered, and
- * let them in after one was raised.
+ * they keep unstoppable jobs off the rack after a guarantee is lowered, and let
+ * them in after one is raised.
  */
 static void test_guarantee_shrinks_and_grows(struct planner_fixture *f,
 					     const void *data)
@@ -259,8 +259,8 @@
 }
 
 /*
- * Adopted jobs must be reclaimable. A replaced instance found running jobs and
- * took them for jobs of the guaranteed account.
+ * Adopted jobs must be reclaimable. An instance that replaces another finds
+ * running jobs and must not take them for jobs of the guaranteed account.
  */
 static void test_adopted_jobs_are_reclaimed(struct planner_fixture *f,
 					    const void *data)
@@ -282,7 +282,8 @@
 
 /*
  * A job within its account's guarantee must not be stopped for another account,
- * even if the account also borrows. Victims were chosen by lost run time alone.
+ * even if the account also borrows. Lost run time is not the only criterion for
+ * victims.
  */
 static void
 test_jobs_within_a_guarantee_are_not_stopped(struct planner_fixture *f,
@@ -353,8 +354,9 @@
 
 /*
  * The homes of guaranteed shapes must not depend on the order in which workers
- * become known. After the rack moved to another owner, a job that cannot be
- * stopped occupied a home, and the guaranteed shape waited for its end.
+ * become known. Otherwise, after the rack moves to another owner, a job that
+ * cannot be stopped occupies a home, and the guaranteed shape waits for its
+ * end.
  */
 static void test_homes_do_not_depend_on_the_order_of_discovery(void)
 {
--- a/src/test_libradishjunction/test_schema.c
+++ b/src/test_libradishjunction/test_schema.c
@@ -200,9 +200,7 @@
 	rj_error_list_finish(&errors);
 }
 
-/*
- * Error messages must escape quoted input, which could break a log line in two.
- */
+/* Error messages escape quoted input, which could break a log line in two. */
 static void test_values_are_shown_on_one_ascii_line(void)
 {
 	char shown[RJ_SCHEMA_VALUE_BYTES];
--- a/src/test_libradishjunction/test_settings.c
+++ b/src/test_libradishjunction/test_settings.c
@@ -7,9 +7,7 @@
 
 #define KEY "0123456789abcdef0123456789abcdef"
 
-/*
- * Returns the settings of a daemon with more fields; single quotes for double.
- */
+/* Returns a daemon's settings with more fields; single quotes for double. */
 static char *settings_text(void *mem, const char *more)
 {
 	return text_check_json(
--- a/src/test_libradishjunction/test_tcp_peers.c
+++ b/src/test_libradishjunction/test_tcp_peers.c
@@ -258,8 +258,8 @@
 }
 
 /*
- * A replayed frame must be refused, or a forwarded job arrives twice. Each
- * frame was verified without its position in the sequence.
+ * A replayed frame must be refused, or a forwarded job arrives twice. A frame
+ * must be verified with its position in the sequence.
  */
 static void test_replayed_frame(void)
 {
@@ -354,9 +354,9 @@
 }
 
 /*
- * A new instance must accept the recorded frames of older versions. It required
- * fields that they do not send and closed the links again and again during a
- * rolling replacement.
+ * A new instance must accept the recorded frames of older versions. If it
+ * requires fields that they do not send, it closes the links again and again
+ * during a rolling replacement.
  */
 static void test_older_instance(void)
 {
@@ -408,9 +408,8 @@
 
 /*
  * An old instance must accept peers that also offer an unknown newer version
- * and append fields to every message. It refused the hello, or the longer
- * frames, and messages between instances were lost during a rolling
- * replacement.
+ * and append fields to every message. If it refuses the hello, or the longer
+ * frames, no messages pass between instances during a rolling replacement.
  */
 static void test_newer_instance(void)
 {
@@ -435,8 +434,8 @@
 
 /*
  * A stranger without the key that sends back every frame it gets, the proof
- * included, must not be taken for a peer. Both directions of a link used one
- * key.
+ * included, must not be taken for a peer. The two directions of a link
+ * therefore use different keys.
  */
 static void test_reflected_hello(void)
 {
@@ -453,8 +452,8 @@
 }
 
 /*
- * The queue to a peer that does not read must be bounded. The peer was paused
- * with its connection open, and the sender grew until it was killed.
+ * The queue to a peer that does not read must be bounded. The peer is paused
+ * with its connection open, and the sender would grow until it is killed.
  */
 static void test_slow_reader(void)
 {
