--- a/src/test_libradishjunction/test_checker.c
+++ b/src/test_libradishjunction/test_checker.c
@@ -4,7 +4,7 @@
 
 #include "support/checker.h"
 
-/* A history made by hand: one intent, asked once at node 0. */
+/* A hand-made history: one intent, submitted once at node 0. */
 struct history {
 	void *mem;
 	struct checker checker;
@@ -33,8 +33,8 @@
 	checker_request_delivered(&history->checker, REQUEST);
 }
 
-/* Let a member start and make progress. */
-static void history_run(struct history *history, uint32_t member)
+/* Starts a member and lets it make progress. */
+static void history_run_task(struct history *history, uint32_t member)
 {
 	checker_task_started(
 		&history->checker, history->now_us, &history->attempt,
@@ -44,8 +44,8 @@
 			      &history->attempt, member, true);
 }
 
-static void history_end(struct history *history, uint32_t member,
-			enum rj_task_state state)
+static void history_end_task(struct history *history, uint32_t member,
+			     enum rj_task_state state)
 {
 	checker_task_ended(&history->checker, history->now_us,
 			   &history->attempt, member, state);
@@ -61,7 +61,10 @@
 	checker_answer(&history->checker, history->now_us, 0, REQUEST, &answer);
 }
 
-/* Exactly this promise was seen violated, once or more. */
+/*
+ * Asserts that this invariant alone was violated, at least once, and frees the
+ * history.
+ */
 static void history_expect(struct history *history, enum invariant invariant)
 {
 	g_assert_cmpuint(history->checker.violations[invariant], >, 0);
@@ -75,8 +78,8 @@
 	struct history history;
 
 	history_start(&history, (struct checker_intent){ .gang = 1 });
-	history_run(&history, 0);
-	history_end(&history, 0, RJ_TASK_DONE);
+	history_run_task(&history, 0);
+	history_end_task(&history, 0, RJ_TASK_DONE);
 	history_answer(&history, RJ_ANSWER_DONE, "whole;");
 	checker_exit(&history.checker, history.now_us, 0);
 	checker_tick(&history.checker, 100 * RJ_US_PER_S);
@@ -86,10 +89,10 @@
 }
 
 /*
- * A tutor's guaranteed shape is occupied by others, and stays so long after
- * every fault has ended. Cause: nothing was reclaimed.
+ * A guaranteed shape is still occupied by others after every fault has ended,
+ * because nothing was reclaimed.
  */
-static void test_guarantee_that_is_not_reclaimed_is_seen(void)
+static void test_guarantee_that_is_not_reclaimed_is_detected(void)
 {
 	struct history history;
 
@@ -103,23 +106,21 @@
 	history_expect(&history, INVARIANT_GUARANTEE);
 }
 
-/*
- * One member of a gang computes while the other was never started.
- */
-static void test_gang_that_runs_in_part_is_seen(void)
+/* One member of a gang runs while the other was never started. */
+static void test_gang_that_runs_in_part_is_detected(void)
 {
 	struct history history;
 
 	history_start(&history, (struct checker_intent){ .gang = 2 });
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history_expect(&history, INVARIANT_GANG);
 }
 
 /*
- * A member's worker dies and the other members compute on, renewed for ever
- * by an owner that did not notice.
+ * A member's worker dies and the other members run on: their owner does not
+ * notice and keeps renewing the leases.
  */
-static void test_gang_that_outlives_a_member_is_seen(void)
+static void test_gang_that_outlives_a_member_is_detected(void)
 {
 	struct history history;
 
@@ -132,7 +133,7 @@
 			      &history.attempt, 0, true);
 	checker_task_progress(&history.checker, history.now_us,
 			      &history.attempt, 1, true);
-	history_end(&history, 0, RJ_TASK_NONE);
+	history_end_task(&history, 0, RJ_TASK_NONE);
 	checker_tick(&history.checker,
 		     history.now_us + history.checker.lease_life_us);
 	g_assert_cmpuint(checker_violations(&history.checker), ==, 0);
@@ -142,10 +143,8 @@
 	history_expect(&history, INVARIANT_GANG);
 }
 
-/*
- * A buyer reads half of a price, or somebody else's.
- */
-static void test_wrong_results_are_seen(void)
+/* The caller gets part of a result, or the result of another job. */
+static void test_wrong_results_are_detected(void)
 {
 	static const char *const wrong[] = { "who", "other;", "",
 					     "whole;whole" };
@@ -154,23 +153,23 @@
 		struct history history;
 
 		history_start(&history, (struct checker_intent){ .gang = 1 });
-		history_run(&history, 0);
-		history_end(&history, 0, RJ_TASK_DONE);
+		history_run_task(&history, 0);
+		history_end_task(&history, 0, RJ_TASK_DONE);
 		history_answer(&history, RJ_ANSWER_DONE, wrong[i]);
 		history_expect(&history, INVARIANT_ANSWER);
 	}
 }
 
 /*
- * A tutor is told "done" while the task still runs, "failed" of one that
- * never started, or two answers to one request.
+ * "done" is answered while the task still runs, "failed" for a task that never
+ * started, or one request gets two answers.
  */
-static void test_answers_without_their_run_are_seen(void)
+static void test_answers_without_their_run_are_detected(void)
 {
 	struct history history;
 
 	history_start(&history, (struct checker_intent){ .gang = 1 });
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history_answer(&history, RJ_ANSWER_DONE, "whole;");
 	history_expect(&history, INVARIANT_ANSWER);
 	history_start(&history, (struct checker_intent){ .gang = 1 });
@@ -182,28 +181,26 @@
 	history_expect(&history, INVARIANT_ANSWER);
 }
 
-/*
- * A buyer is told "not run"; the quote runs afterwards, or had run before.
- */
-static void test_untrue_not_run_is_seen(void)
+/* "not run" is answered, and the job runs afterwards or had run before. */
+static void test_false_not_run_is_detected(void)
 {
 	struct history history;
 
 	history_start(&history, (struct checker_intent){ .gang = 1 });
 	history_answer(&history, RJ_ANSWER_NOT_RUN, "");
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history_expect(&history, INVARIANT_NOT_RUN);
 	history_start(&history, (struct checker_intent){ .gang = 1 });
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history_answer(&history, RJ_ANSWER_NOT_RUN, "");
 	history_expect(&history, INVARIANT_NOT_RUN);
 }
 
 /*
- * A refused attempt is asked again with its key, and the second one runs:
- * that is as it should be.
+ * A refused request is repeated with its key and the second one runs: no
+ * violation.
  */
-static void test_not_run_of_one_of_two_requests_is_true(void)
+static void test_not_run_of_one_of_two_requests_is_valid(void)
 {
 	struct history history;
 
@@ -211,66 +208,71 @@
 	history_answer(&history, RJ_ANSWER_NOT_RUN, "");
 	checker_request(&history.checker, history.now_us, REQUEST + 1, 1,
 			history.intent, RJ_REQUEST_SUBMIT);
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	g_assert_cmpuint(checker_violations(&history.checker), ==, 0);
 	talloc_free(history.mem);
 }
 
 /*
- * A student is charged twice: two attempts run, of the same body or of two
- * bodies under one key.
+ * A job runs twice: two attempts with one body, or with two bodies under one
+ * key.
  */
-static void test_second_run_is_seen(void)
+static void test_second_run_is_detected(void)
 {
 	struct history history;
 	struct checker_intent other = { .key = 3, .gang = 1 };
 
 	history_start(&history, (struct checker_intent){ .key = 3 });
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history.attempt.owner = 2;
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history_expect(&history, INVARIANT_ONCE);
 	history_start(&history, (struct checker_intent){ .key = 3 });
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history.intent = checker_intent_add(&history.checker, &other);
 	checker_request(&history.checker, history.now_us, REQUEST + 1, 1,
 			history.intent, RJ_REQUEST_SUBMIT);
 	history.attempt.job_id = 2;
-	history_run(&history, 0);
+	history_run_task(&history, 0);
 	history_expect(&history, INVARIANT_ONCE);
 }
 
 /*
- * An upstream that has announced its leaving is given work six seconds later,
- * by the instance that knew or by one that could hear it, also when that one
- * hears no third one.
+ * An upstream that has announced that it is leaving gets a new job more than
+ * CHECKER_LEAVING_US (5 s) later. The sender knew of it, or was connected to an
+ * instance that did, even if it is connected to no third one.
  */
-static void test_work_for_a_leaving_worker_is_seen(void)
+static void test_job_sent_to_a_leaving_worker_is_detected(void)
 {
 	uint64_t late_us = RJ_US_PER_S + CHECKER_LEAVING_US + 1;
-	uint64_t heard[CHECKER_NODES_MAX] = { 0, 0, RJ_NEVER_US };
-	uint64_t later[CHECKER_NODES_MAX] = { late_us };
-	uint64_t never[CHECKER_NODES_MAX] = { RJ_NEVER_US };
+	uint64_t contact_us[CHECKER_NODES_MAX] = { 0, 0, RJ_NEVER_US };
+	uint64_t late_contact_us[CHECKER_NODES_MAX] = { late_us };
+	uint64_t no_contact_us[CHECKER_NODES_MAX] = { RJ_NEVER_US };
 	struct history history;
 
 	for (uint32_t node = 0; node < 2; node++) {
 		history_start(&history, (struct checker_intent){ .gang = 1 });
 		checker_leaving_known(&history.checker, RJ_US_PER_S, 0, 5, 1);
 		checker_job_sent(&history.checker, late_us - 1, node, 5, 1,
-				 heard);
-		checker_job_sent(&history.checker, late_us, node, 5, 2, heard);
-		checker_job_sent(&history.checker, late_us, 1, 5, 1, later);
-		checker_job_sent(&history.checker, late_us, 1, 5, 1, never);
+				 contact_us);
+		checker_job_sent(&history.checker, late_us, node, 5, 2,
+				 contact_us);
+		checker_job_sent(&history.checker, late_us, 1, 5, 1,
+				 late_contact_us);
+		checker_job_sent(&history.checker, late_us, 1, 5, 1,
+				 no_contact_us);
 		g_assert_cmpuint(checker_violations(&history.checker), ==, 0);
-		checker_job_sent(&history.checker, late_us, node, 5, 1, heard);
+		checker_job_sent(&history.checker, late_us, node, 5, 1,
+				 contact_us);
 		history_expect(&history, INVARIANT_LEAVING);
 	}
 }
 
 /*
- * An instance ends its planned stop while a caller still waits on it.
+ * An instance completes its planned stop while a caller still waits for an
+ * answer.
  */
-static void test_exit_with_an_open_request_is_seen(void)
+static void test_exit_with_an_open_request_is_detected(void)
 {
 	struct history history;
 
@@ -282,11 +284,11 @@
 }
 
 /*
- * A published configuration is undone at an instance, never arrives at one
- * that is in reach, or that hears a peer that is, one is in force that was never accepted, or the loser of
- * a race is.
+ * Violations: an instance returns to an older configuration; an accepted one
+ * does not reach an instance connected to the platform, or to a peer that is;
+ * one that was never accepted is in force; the loser of a race is forwarded.
  */
-static void test_config_violations_are_seen(void)
+static void test_config_violations_are_detected(void)
 {
 	struct history history;
 
@@ -321,10 +323,8 @@
 	history_expect(&history, INVARIANT_CONFIG);
 }
 
-/*
- * A tutor was told "accepted", and the lesson pack is never heard of again.
- */
-static void test_lost_accepted_job_is_seen(void)
+/* "accepted" was answered, and the job is lost. */
+static void test_lost_accepted_job_is_detected(void)
 {
 	struct history history;
 
@@ -339,23 +339,25 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/checker/clean", test_clean_history_has_no_violation);
 	g_test_add_func("/checker/guarantee",
-			test_guarantee_that_is_not_reclaimed_is_seen);
+			test_guarantee_that_is_not_reclaimed_is_detected);
 	g_test_add_func("/checker/gang/part",
-			test_gang_that_runs_in_part_is_seen);
+			test_gang_that_runs_in_part_is_detected);
 	g_test_add_func("/checker/gang/outlives",
-			test_gang_that_outlives_a_member_is_seen);
-	g_test_add_func("/checker/answer/result", test_wrong_results_are_seen);
+			test_gang_that_outlives_a_member_is_detected);
+	g_test_add_func("/checker/answer/result",
+			test_wrong_results_are_detected);
 	g_test_add_func("/checker/answer/run",
-			test_answers_without_their_run_are_seen);
-	g_test_add_func("/checker/not_run", test_untrue_not_run_is_seen);
+			test_answers_without_their_run_are_detected);
+	g_test_add_func("/checker/not_run", test_false_not_run_is_detected);
 	g_test_add_func("/checker/not_run/one_of_two",
-			test_not_run_of_one_of_two_requests_is_true);
-	g_test_add_func("/checker/once", test_second_run_is_seen);
+			test_not_run_of_one_of_two_requests_is_valid);
+	g_test_add_func("/checker/once", test_second_run_is_detected);
 	g_test_add_func("/checker/leaving",
-			test_work_for_a_leaving_worker_is_seen);
+			test_job_sent_to_a_leaving_worker_is_detected);
 	g_test_add_func("/checker/stop",
-			test_exit_with_an_open_request_is_seen);
-	g_test_add_func("/checker/config", test_config_violations_are_seen);
-	g_test_add_func("/checker/accepted", test_lost_accepted_job_is_seen);
+			test_exit_with_an_open_request_is_detected);
+	g_test_add_func("/checker/config", test_config_violations_are_detected);
+	g_test_add_func("/checker/accepted",
+			test_lost_accepted_job_is_detected);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_config.c
+++ b/src/test_libradishjunction/test_config.c
@@ -10,10 +10,11 @@
 #define CLASSES "[{'name':'render','idempotent':true,'expected_ms':90000}]"
 
 /*
- * A configuration of two racks of eight workers with 8 accelerators each,
- * with the guarantees of one account. Single quotes stand for double ones.
+ * Returns a configuration of two racks of eight workers with 8 accelerators
+ * each and one account with these guarantees. Single quotes stand for double
+ * quotes.
  */
-static char *text_with(void *mem, const char *guarantees)
+static char *config_with_guarantees(void *mem, const char *guarantees)
 {
 	return text_check_json(
 		mem,
@@ -25,7 +26,7 @@
 		guarantees);
 }
 
-/* Expect exactly one error, which begins with `path` and holds `remedy`. */
+/* Expects exactly one error, which begins with `path` and contains `remedy`. */
 static void check_one_error(const char *guarantees, const char *path,
 			    const char *remedy)
 {
@@ -33,8 +34,8 @@
 	struct rj_error_list errors;
 
 	rj_error_list_init(&errors, mem);
-	g_assert_null(
-		rj_config_parse(mem, text_with(mem, guarantees), &errors));
+	g_assert_null(rj_config_parse(
+		mem, config_with_guarantees(mem, guarantees), &errors));
 	text_check_one_error(&errors, path, remedy);
 	talloc_free(mem);
 }
@@ -48,8 +49,9 @@
 	rj_error_list_init(&errors, mem);
 	config = rj_config_parse(
 		mem,
-		text_with(mem, "{'domain':'estrela','tasks':8,'slots':8,"
-			       "'accelerators':8,'adjacent':true,'count':2}"),
+		config_with_guarantees(
+			mem, "{'domain':'estrela','tasks':8,'slots':8,"
+			     "'accelerators':8,'adjacent':true,'count':2}"),
 		&errors);
 	g_assert_nonnull(config);
 	g_assert_cmpuint(errors.count, ==, 0);
@@ -68,7 +70,7 @@
 	talloc_free(mem);
 }
 
-static void test_guarantee_without_its_domain(void)
+static void test_guarantee_in_an_unknown_domain(void)
 {
 	check_one_error("{'domain':'caxias'}",
 			"accounts[0].guarantees[0].domain: \"caxias\"",
@@ -94,9 +96,9 @@
 }
 
 /*
- * An operator guarantees three adjacent gangs of five whole workers, 15 of
- * the 16 workers that two racks have. The sum fits, the third gang never
- * does: it would lie across the racks.
+ * Guarantees must be placed as shapes. Three adjacent gangs of five whole
+ * workers need 15 of the 16 workers of two racks: the sum fits, but the third
+ * gang would span the racks.
  */
 static void test_guarantees_pack_as_shapes(void)
 {
@@ -114,22 +116,23 @@
 }
 
 /*
- * An operator mends one error after the other, publishing each time: the
- * check stopped at the first. Here a wrong type, an unknown field and a
- * guarantee that fits nowhere stand in one text.
+ * All errors must be reported at once, not only the first. One text has a wrong
+ * type, an unknown field and a guarantee that fits nowhere.
  */
 static void test_all_errors_at_once(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error_list errors;
-	char *text = text_with(mem, "{'domain':'estrela','accelerators':96,"
-				    "'colour':'red','count':'two'}");
+	char *text = config_with_guarantees(
+		mem, "{'domain':'estrela','accelerators':96,"
+		     "'colour':'red','count':'two'}");
 
 	rj_error_list_init(&errors, mem);
 	g_assert_null(rj_config_parse(mem, text, &errors));
 	g_assert_cmpuint(errors.count, ==, 2);
-	text = text_with(mem, "{'domain':'estrela','accelerators':96,"
-			      "'colour':'red'}");
+	text = config_with_guarantees(mem,
+				      "{'domain':'estrela','accelerators':96,"
+				      "'colour':'red'}");
 	rj_error_list_finish(&errors);
 	g_assert_null(rj_config_parse(mem, text, &errors));
 	g_assert_cmpuint(errors.count, ==, 2);
@@ -138,14 +141,14 @@
 	talloc_free(mem);
 }
 
-static void test_token_names_its_account(void)
+static void test_token_identifies_its_account(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error_list errors;
 	struct rj_config *config;
 
 	rj_error_list_init(&errors, mem);
-	config = rj_config_parse(mem, text_with(mem, ""), &errors);
+	config = rj_config_parse(mem, config_with_guarantees(mem, ""), &errors);
 	g_assert_nonnull(config);
 	rj_token_hash(config->accounts[0].token_hash, "a token");
 	g_assert_true(rj_config_account_by_token(config, "a token") ==
@@ -160,9 +163,9 @@
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error_list errors;
-	char *text = text_with(mem, "");
-	char *two = g_strdup(text);
-	GString *whole = g_string_new(two);
+	char *text = config_with_guarantees(mem, "");
+	char *copy = g_strdup(text);
+	GString *whole = g_string_new(copy);
 
 	rj_error_list_init(&errors, mem);
 	g_string_replace(whole, "\"guarantees\":[]}]",
@@ -174,18 +177,18 @@
 	g_assert_nonnull(strstr(errors.errors[0].message, "duplicate"));
 	g_assert_nonnull(strstr(errors.errors[1].message, "token of its own"));
 	g_string_free(whole, TRUE);
-	g_free(two);
+	g_free(copy);
 	talloc_free(mem);
 }
 
-static void test_work_that_cannot_be_interrupted_is_noted(void)
+static void test_uninterruptible_class_is_reported(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error_list list;
 	struct rj_config *config;
 
 	rj_error_list_init(&list, mem);
-	config = rj_config_parse(mem, text_with(mem, ""), &list);
+	config = rj_config_parse(mem, config_with_guarantees(mem, ""), &list);
 	rj_config_warnings(config, &list);
 	g_assert_cmpuint(list.count, ==, 0);
 	config->classes[0].idempotent = false;
@@ -197,15 +200,16 @@
 }
 
 /*
- * A publication is cut or mangled on its way. Whatever arrives is parsed
- * whole or refused with an error, and leaves no memory behind.
+ * A truncated or corrupted text is either parsed completely or refused with an
+ * error, and leaks no memory.
  */
-static void test_mangled_text(void)
+static void test_corrupted_text(void)
 {
 	void *mem = talloc_new(NULL);
 	struct rj_error_list errors;
-	char *good = text_with(mem, "{'domain':'estrela','tasks':4,"
-				    "'accelerators':8,'adjacent':true}");
+	char *good = config_with_guarantees(
+		mem, "{'domain':'estrela','tasks':4,"
+		     "'accelerators':8,'adjacent':true}");
 	size_t length = strlen(good);
 	uint64_t seed = 11;
 
@@ -231,7 +235,8 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/config/good", test_good_config);
-	g_test_add_func("/config/no-domain", test_guarantee_without_its_domain);
+	g_test_add_func("/config/no-domain",
+			test_guarantee_in_an_unknown_domain);
 	g_test_add_func("/config/no-worker",
 			test_guarantee_that_fits_no_worker);
 	g_test_add_func("/config/no-rack",
@@ -239,10 +244,10 @@
 	g_test_add_func("/config/pack", test_guarantees_pack_as_shapes);
 	g_test_add_func("/config/above", test_guarantees_above_the_capacity);
 	g_test_add_func("/config/all-errors", test_all_errors_at_once);
-	g_test_add_func("/config/token", test_token_names_its_account);
+	g_test_add_func("/config/token", test_token_identifies_its_account);
 	g_test_add_func("/config/same-token", test_two_accounts_share_a_token);
 	g_test_add_func("/config/notes",
-			test_work_that_cannot_be_interrupted_is_noted);
-	g_test_add_func("/config/mangled", test_mangled_text);
+			test_uninterruptible_class_is_reported);
+	g_test_add_func("/config/mangled", test_corrupted_text);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_faults.c
+++ b/src/test_libradishjunction/test_faults.c
@@ -2,10 +2,10 @@
 
 #include "support/faults.h"
 
-/* Few enough to be quick; scripts/bench faults runs any number. */
+/* Kept low for a short run; scripts/bench faults runs any number. */
 #define SEEDS 40
 
-/* Violations of `promise` in its own profile's first seeds. */
+/* Returns the violations of an invariant in its profile's first seeds. */
 static uint32_t violations_of(const struct engine_ops *engine,
 			      enum invariant invariant)
 {
@@ -23,7 +23,7 @@
 	return count;
 }
 
-static void test_promise_holds(gconstpointer data)
+static void test_invariant_holds(gconstpointer data)
 {
 	enum invariant invariant = GPOINTER_TO_UINT(data);
 
@@ -31,17 +31,17 @@
 }
 
 /*
- * The same faults against decisions without claims, read-back, fences and
- * reclaim: if these were not seen to fail, the proof would prove nothing.
+ * Runs the same faults against an implementation without claims, read-back,
+ * fences and reclaim. If it passes, the faults test nothing.
  */
-static void test_naive_version_breaks_promise(gconstpointer data)
+static void test_reference_implementation_violates_invariant(gconstpointer data)
 {
 	enum invariant invariant = GPOINTER_TO_UINT(data);
 
 	g_assert_cmpuint(violations_of(&engine_reference, invariant), >, 0);
 }
 
-/* A seed that once failed: nothing at all may be violated in it. */
+/* Runs one seed in which no invariant may be violated. */
 static void check_seed(enum invariant invariant, uint64_t seed)
 {
 	struct faults_result result;
@@ -54,10 +54,10 @@
 }
 
 /*
- * A quote with an empty body is priced.
- * The owner of a claim dies; a buyer looks its job up at another instance,
- * which settles the claim as never started and starts the job anew.
- * Cause: a claim in the log has no body, and the look-up brought none.
+ * A look-up must not start a job that is known only from its claim. The owner
+ * of the claim dies; a peer that is asked for the job settles the claim as
+ * never started, and would start the job with an empty body, because a claim in
+ * the log has no body.
  */
 static void test_job_known_from_its_claim_is_not_started(void)
 {
@@ -66,10 +66,9 @@
 }
 
 /*
- * A tutor is told that a preview ran and failed; no worker ever saw it.
- * Its start is lost on the way, the retry budget is spent, and the job is
- * given up.
- * Cause: a start that was sent was taken for a task that ran.
+ * A start that was sent must not count as a run. The start is lost, the retry
+ * budget is spent, and the caller is told that the job ran and failed, though
+ * no worker ever received it.
  */
 static void test_lost_start_is_not_a_failed_run(void)
 {
@@ -78,10 +77,9 @@
 }
 
 /*
- * A tutor looks a cancelled job up, is told "not run", and then it runs.
- * The instance that was asked had cancelled it in its memory and was paused
- * before the log knew; a peer took the job over and started it.
- * Cause: a look-up was answered from memory before the outcome was read back.
+ * A look-up must not be answered from memory before the outcome is read back.
+ * An instance cancels a job, is paused before the log has the outcome, and
+ * answers "not run"; a peer takes the job over and runs it.
  */
 static void test_lookup_of_a_cancelled_job_waits_for_the_log(void)
 {
@@ -89,43 +87,44 @@
 }
 
 /*
- * A tutor cancels an accepted job and is told "not run"; it runs afterwards.
- * Its former owner slept through the cancellation, wakes while the platform
- * is down, and starts the job without a claim.
- * Cause: what an instance knew before a pause was taken for the present.
+ * An instance must read the log after a pause before it starts accepted jobs. A
+ * job is cancelled and answered "not run" while its former owner is paused; the
+ * owner resumes while the platform is unavailable and starts the job without a
+ * claim.
  */
-static void test_sleeper_starts_nothing_accepted_before_it_has_read(void)
+static void test_resumed_instance_reads_before_starting_accepted_jobs(void)
 {
 	check_seed(INVARIANT_NOT_RUN, 316);
 }
 
 /*
- * A buyer asks at two instances with one key. One prices the quote; the
- * other, which wakes from a pause and is draining, says "not run".
- * Cause: what it had read of the log before the pause was taken for fresh.
+ * After a pause, a key that is not in memory must not be taken for a new one.
+ * One instance serves a request; another, which resumes from a pause and is
+ * draining, is asked with the same key and answers "not run" from what it had
+ * read before the pause.
  */
-static void test_sleeper_does_not_know_that_a_key_is_new(void)
+static void test_resumed_instance_reads_before_taking_a_key_as_new(void)
 {
 	check_seed(INVARIANT_NOT_RUN, 894);
 	check_seed(INVARIANT_ONCE, 919);
 }
 
 /*
- * A tutor cancels an accepted job in an outage and is told "not run" once
- * the log is back; a peer had started it meanwhile without a claim.
- * Cause: the outcome was settled on before the outage and written after it.
+ * A cancellation that is decided in an outage must not be answered "not run"
+ * once the log is available again: a peer may have started the job without a
+ * claim meanwhile. The outcome is decided before the outage and written after
+ * it.
  */
-static void test_cancelled_in_an_outage_is_not_said_not_to_have_run(void)
+static void test_cancelled_in_an_outage_is_not_answered_not_run(void)
 {
 	check_seed(INVARIANT_ACCEPTED, 501);
 }
 
 /*
- * A tutor's cancelled job runs.
- * A peer in another domain adopts it, because all of its own domain are dead,
- * and has lost one read: it takes that for an outage and starts without a
- * claim what the log has just ended.
- * Cause: one lost read counted as an outage.
+ * One lost read of the log must not count as an outage. An instance adopts a
+ * job from another domain, where all instances are dead, loses one read, and
+ * starts the job without a claim although the log has just recorded its
+ * cancellation.
  */
 static void test_one_lost_read_is_no_outage(void)
 {
@@ -133,10 +132,9 @@
 }
 
 /*
- * A tutor cancels an accepted job after an outage and is told "not run"; it
- * was started during the outage by a peer, where it runs to its end.
- * Cause: what was started without a claim was not claimed when the log was
- * there again, so that nobody else knew of it.
+ * A job that was started without a claim in an outage must be claimed when the
+ * log is available again. Otherwise no other instance knows of the run, and a
+ * cancellation is answered "not run" while it runs to its end.
  */
 static void test_started_in_an_outage_is_claimed_after_it(void)
 {
@@ -144,10 +142,9 @@
 }
 
 /*
- * An accepted job waits for ever.
- * Its owner starts while the platform is down, so that a peer's summaries of
- * the racks come before the list of workers; they are not sent again.
- * Cause: a summary that named no known worker was dropped.
+ * A rack summary that arrives before the list of workers must not be dropped:
+ * it is not sent again. Without it, an owner that starts while the platform is
+ * unavailable never places an accepted job.
  */
 static void test_summary_before_the_list_is_not_lost(void)
 {
@@ -157,10 +154,9 @@
 }
 
 /*
- * An accepted job is done, and its caller asks for it for ever.
- * Its first attempt is voided during an outage that swallows the void; the
- * second runs without a claim, and readers ignore its outcome.
- * Cause: the claim of an attempt that was over stayed open.
+ * The claim of an attempt that is over must be closed. The first attempt is
+ * voided during an outage that loses the void record; the second runs without a
+ * claim. Otherwise readers ignore its outcome, and the caller waits forever.
  */
 static void test_outcome_after_a_lost_void_is_read(void)
 {
@@ -169,11 +165,10 @@
 }
 
 /*
- * A tutor cancels a running job and is told at last that it did not run.
- * Its owner stops it and dies; the peer that had only watched it settles the
- * claim, takes it for a job that was never accepted, and records no outcome;
- * the next round ends the cancelled job as one that never started.
- * Cause: whether a job was accepted was asked only of new ones.
+ * A job stays accepted when its claim is settled by a peer that only watched
+ * it. A running job is cancelled, its owner stops it and dies; the peer settles
+ * the claim, takes the job for one that was never accepted and records no
+ * outcome; the job then ends as one that never started.
  */
 static void test_watched_job_that_is_settled_stays_accepted(void)
 {
@@ -181,24 +176,22 @@
 }
 
 /*
- * A tutor's guaranteed shape is not given back.
- * An accepted job of another account is placed on the rack by a peer that
- * does not plan it; or the tutor's own job is sent to a peer that owned the
- * rack once, and waits there.
- * Cause: who has to reclaim was not who had placed.
+ * The instance that has to reclaim a guaranteed shape must be the one that
+ * places the job. Otherwise a peer that does not plan the rack places another
+ * account's accepted job there, or the guaranteed job itself waits at a peer
+ * that no longer owns the rack.
  */
-static void test_who_reclaims_has_placed(void)
+static void test_reclaiming_instance_places_the_job(void)
 {
 	check_seed(INVARIANT_GUARANTEE, 38);
 	check_seed(INVARIANT_GUARANTEE, 17);
 }
 
 /*
- * A failure domain slowly fills with leases that nobody uses, until nothing
- * starts there any more.
- * A lease's answer is lost, then its release; the attempt is given up, and
- * every report renews the lease with all others of the instance.
- * Cause: what a report showed of abandoned attempts was not looked at.
+ * Leases of abandoned attempts must be released. The answer to a lease is lost,
+ * then its release; the attempt is abandoned, but each report renews the lease
+ * with all others of the instance, until no capacity is left in the failure
+ * domain. Reports must be checked for abandoned attempts.
  */
 static void test_leases_of_abandoned_attempts_are_cleared(void)
 {
@@ -206,10 +199,9 @@
 }
 
 /*
- * A tutor's job with a guarantee waits its turn in another failure domain.
- * Its own domain is full of borrowers, so it was sent to a quicker one, where
- * the account has nothing to get back.
- * Cause: the way to another domain did not ask for a guarantee at home.
+ * A job with a guarantee must not be forwarded to another failure domain, where
+ * its account has nothing to reclaim. Its own domain is full of borrowers, and
+ * another one is less loaded.
  */
 static void test_entitled_job_stays_in_its_domain(void)
 {
@@ -218,22 +210,20 @@
 }
 
 /*
- * An instance that drains ends with a failed assertion, and its callers are
- * cut off.
- * A tutor looks an accepted job up while it is being stopped; it goes back to
- * the queue and is handed to its next owner.
- * Cause: only those who waited when the stop began were sent on.
+ * A look-up that arrives during a drain must be forwarded with its job. A job
+ * that is being stopped is looked up, returns to the queue and is handed to its
+ * next owner. If only requests that waited when the drain began are forwarded,
+ * the instance exits with a failed assertion.
  */
-static void test_lookup_during_a_drain_is_sent_on(void)
+static void test_lookup_during_a_drain_is_forwarded(void)
 {
 	check_seed(INVARIANT_NOT_RUN, 770);
 }
 
 /*
- * A buyer gets two prices for one quote.
- * Its claim was trimmed in an outage and its outcome was not; an instance
- * that started meanwhile is asked again with the same key.
- * Cause: see test_job_ledger.
+ * An outcome whose claim was trimmed from the log still answers its key.
+ * Otherwise an instance that starts after an outage and is asked with the same
+ * key runs the job again; see test_job_ledger.
  */
 static void test_outcome_outlives_its_claim(void)
 {
@@ -241,10 +231,10 @@
 }
 
 /*
- * A render that was accepted never ends.
- * Its first request was forwarded and the peer's answer lost; a later one is
- * accepted at the peer, and the log makes the first instance its owner.
- * Cause: to that instance the job was still with the peer.
+ * A job that was forwarded without an answer must be taken back when the log
+ * names the forwarding instance as its owner. The peer's answer is lost and a
+ * later request accepted at the peer; if the first instance still takes the job
+ * for forwarded, it never ends.
  */
 static void test_forward_without_an_answer_is_taken_back(void)
 {
@@ -253,26 +243,24 @@
 }
 
 /*
- * A tutor's guaranteed lesson pack is not started, though all workers are
- * free.
- * Its instance forwards it to the owner of the rack over a link that is cut
- * for a moment and goes on to stand; nobody hears of the loss.
- * Cause: only the end of a link said that what it carried may be lost.
+ * A message that is lost on a link which is cut for a moment and stays
+ * established must be detected. If only the end of a link counts as a possible
+ * loss, a forwarded job with a guarantee is never started, though all workers
+ * are free.
  */
-static void test_forward_lost_on_a_standing_link(void)
+static void test_forward_lost_on_an_established_link(void)
 {
 	check_seed(INVARIANT_STOP, 8745);
 }
 
 /*
- * A tutor's guaranteed lesson pack waits for the end of another account's
- * renders, 4 to 11 s.
- * An instance dies, and its peer places renders on all racks; the instance
- * comes back, owns its racks again, and finds them full.
- * Cause: what another instance drives was nobody's work to the owner, who
- * could not ask for its room; asked for it, the other took the room again.
+ * An owner must reclaim capacity from jobs that another instance drives. An
+ * instance dies and its peer places jobs on all racks; the instance returns and
+ * owns its racks again. A guaranteed job waits 4 to 11 s for the end of the
+ * peer's jobs if the owner cannot ask for their capacity, or if the peer, when
+ * asked, takes the capacity again.
  */
-static void test_work_of_an_interim_owner_is_reclaimed(void)
+static void test_jobs_of_an_interim_owner_are_reclaimed(void)
 {
 	check_seed(INVARIANT_GUARANTEE, 337);
 	check_seed(INVARIANT_GUARANTEE, 788);
@@ -280,10 +268,11 @@
 }
 
 /*
- * A tutor's guaranteed shape is reclaimed 3 s late after a restart.
- * The instance hears what runs on its workers before its configuration, and
- * reports without news do not say it again.
- * Cause: without a class, a task was taken for one that cannot be stopped.
+ * Tasks reported before the configuration is known must be reclaimable later.
+ * After a restart an instance gets the workers' reports before its
+ * configuration, and reports without changes do not repeat the tasks. If a task
+ * without a class counts as one that cannot be stopped, a guaranteed shape is
+ * reclaimed 3 s late.
  */
 static void test_tasks_seen_before_the_configuration_are_reclaimed(void)
 {
@@ -291,12 +280,12 @@
 }
 
 /*
- * A tutor's guaranteed shape is freed in time and starts seconds later.
- * A lease is lost, or refused by a release that is still on its way; or what
- * was to make way waits for its claim to show in a log that is down.
- * Cause: the whole shape was held for 2 s, or was filled by others meanwhile.
+ * A freed guaranteed shape must stay allocated to its job until it starts. A
+ * lease is lost, or refused because a release is still in flight, or the victim
+ * waits for its claim to appear in an unavailable log. The whole shape must not
+ * be held for 2 s, nor be filled by other jobs meanwhile.
  */
-static void test_freed_shape_is_not_lost_again(void)
+static void test_freed_shape_is_kept_until_the_start(void)
 {
 	check_seed(INVARIANT_GUARANTEE, 101);
 	check_seed(INVARIANT_GUARANTEE, 153);
@@ -305,10 +294,9 @@
 }
 
 /*
- * A tutor's guaranteed lesson pack competes with the owner of its rack.
- * An interim owner starts it, the start is lost, and it waits again at an
- * instance that can reclaim nothing.
- * Cause: where a job waits was chosen once, at the door.
+ * A job with a guarantee must wait at the owner of its rack. An interim owner
+ * starts it, the start is lost, and the job waits again, at an instance that
+ * cannot reclaim, if the place to wait is chosen only on submission.
  */
 static void test_job_waits_at_the_owner_of_its_shape(void)
 {
@@ -317,22 +305,22 @@
 	check_seed(INVARIANT_GUARANTEE, 1968);
 }
 
-/* Promises that the core keeps in every seed that was run. */
-static const enum invariant held[] = { INVARIANT_GUARANTEE, INVARIANT_GANG,
-				       INVARIANT_ANSWER,    INVARIANT_NOT_RUN,
-				       INVARIANT_CONFIG,    INVARIANT_ONCE,
-				       INVARIANT_LEAVING,   INVARIANT_STOP,
-				       INVARIANT_ACCEPTED };
-
-/* Promises that the naive version breaks within the seeds of this test. */
-static const enum invariant broken[] = { INVARIANT_GUARANTEE, INVARIANT_GANG,
-					 INVARIANT_ANSWER,    INVARIANT_NOT_RUN,
-					 INVARIANT_ONCE,      INVARIANT_LEAVING,
-					 INVARIANT_STOP,      INVARIANT_CONFIG,
-					 INVARIANT_ACCEPTED };
-
-static void add_promise(const char *prefix, enum invariant invariant,
-			GTestDataFunc test)
+/* Invariants that the core keeps in every seed of this test. */
+static const enum invariant kept_by_core[] = {
+	INVARIANT_GUARANTEE, INVARIANT_GANG,   INVARIANT_ANSWER,
+	INVARIANT_NOT_RUN,   INVARIANT_CONFIG, INVARIANT_ONCE,
+	INVARIANT_LEAVING,   INVARIANT_STOP,   INVARIANT_ACCEPTED
+};
+
+/* Invariants that the reference implementation violates in these seeds. */
+static const enum invariant violated_by_reference[] = {
+	INVARIANT_GUARANTEE, INVARIANT_GANG,   INVARIANT_ANSWER,
+	INVARIANT_NOT_RUN,   INVARIANT_ONCE,   INVARIANT_LEAVING,
+	INVARIANT_STOP,	     INVARIANT_CONFIG, INVARIANT_ACCEPTED
+};
+
+static void add_invariant(const char *prefix, enum invariant invariant,
+			  GTestDataFunc test)
 {
 	char *path = g_strdup_printf("/faults/%s/%s", prefix,
 				     invariant_string[invariant]);
@@ -344,11 +332,14 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	for (size_t i = 0; i < sizeof(held) / sizeof(held[0]); i++)
-		add_promise("core", held[i], test_promise_holds);
-	for (size_t i = 0; i < sizeof(broken) / sizeof(broken[0]); i++)
-		add_promise("naive", broken[i],
-			    test_naive_version_breaks_promise);
+	for (size_t i = 0; i < sizeof(kept_by_core) / sizeof(kept_by_core[0]);
+	     i++)
+		add_invariant("core", kept_by_core[i], test_invariant_holds);
+	for (size_t i = 0; i < sizeof(violated_by_reference) /
+				       sizeof(violated_by_reference[0]);
+	     i++)
+		add_invariant("naive", violated_by_reference[i],
+			      test_reference_implementation_violates_invariant);
 	g_test_add_func("/faults/body",
 			test_job_known_from_its_claim_is_not_started);
 	g_test_add_func("/faults/lost_start",
@@ -357,12 +348,11 @@
 			test_lookup_of_a_cancelled_job_waits_for_the_log);
 	g_test_add_func(
 		"/faults/sleeper",
-		test_sleeper_starts_nothing_accepted_before_it_has_read);
+		test_resumed_instance_reads_before_starting_accepted_jobs);
 	g_test_add_func("/faults/sleeper_key",
-			test_sleeper_does_not_know_that_a_key_is_new);
-	g_test_add_func(
-		"/faults/cancelled_in_outage",
-		test_cancelled_in_an_outage_is_not_said_not_to_have_run);
+			test_resumed_instance_reads_before_taking_a_key_as_new);
+	g_test_add_func("/faults/cancelled_in_outage",
+			test_cancelled_in_an_outage_is_not_answered_not_run);
 	g_test_add_func("/faults/lost_read", test_one_lost_read_is_no_outage);
 	g_test_add_func("/faults/claimed_after_outage",
 			test_started_in_an_outage_is_claimed_after_it);
@@ -372,7 +362,8 @@
 			test_outcome_after_a_lost_void_is_read);
 	g_test_add_func("/faults/watched_accepted",
 			test_watched_job_that_is_settled_stays_accepted);
-	g_test_add_func("/faults/who_reclaims", test_who_reclaims_has_placed);
+	g_test_add_func("/faults/who_reclaims",
+			test_reclaiming_instance_places_the_job);
 	g_test_add_func("/faults/left_over_leases",
 			test_leases_of_abandoned_attempts_are_cleared);
 	g_test_add_func("/faults/entitled",
@@ -382,15 +373,15 @@
 	g_test_add_func("/faults/lost_forward_answer",
 			test_forward_without_an_answer_is_taken_back);
 	g_test_add_func("/faults/drain_lookup",
-			test_lookup_during_a_drain_is_sent_on);
+			test_lookup_during_a_drain_is_forwarded);
 	g_test_add_func("/faults/lost_forward",
-			test_forward_lost_on_a_standing_link);
+			test_forward_lost_on_an_established_link);
 	g_test_add_func("/faults/interim_owner",
-			test_work_of_an_interim_owner_is_reclaimed);
+			test_jobs_of_an_interim_owner_are_reclaimed);
 	g_test_add_func("/faults/before_config",
 			test_tasks_seen_before_the_configuration_are_reclaimed);
 	g_test_add_func("/faults/freed_shape",
-			test_freed_shape_is_not_lost_again);
+			test_freed_shape_is_kept_until_the_start);
 	g_test_add_func("/faults/waits_at_owner",
 			test_job_waits_at_the_owner_of_its_shape);
 	return g_test_run();
--- a/src/test_libradishjunction/test_foreign.c
+++ b/src/test_libradishjunction/test_foreign.c
@@ -8,20 +8,20 @@
 
 #define SETTLED_US (5 * RJ_US_PER_S)
 #define LONG_RUN_US (20 * RJ_US_PER_S)
-/* After it a dead instance owns nothing any more. */
-#define MOVED_US (8 * RJ_US_PER_S)
-/* The quote is placed before the previews fill the rack. */
-#define FILLED_US (6 * RJ_US_PER_S)
+/* After this time a dead instance owns no rack. */
+#define TAKEOVER_US (8 * RJ_US_PER_S)
+/* Long enough to place the quote before the previews fill the rack. */
+#define FILL_US (6 * RJ_US_PER_S)
 #define SEEDS 8
 
-/* What was seen of the ways to give a shape back, over several seeds. */
-struct ways {
-	uint32_t asked; /* the instance that drives the work */
-	uint32_t stopped; /* at the worker, unheard */
+/* How guaranteed shapes were reclaimed, summed over the seeds. */
+struct reclaim_counts {
+	uint32_t asked; /* cancellations requested from the driving instance */
+	uint32_t stopped; /* tasks stopped at the worker, without the driver */
 };
 
-/* How often `what` stands in the transcript. */
-static uint32_t count(const char *text, const char *what)
+/* Returns how often `what` occurs in the transcript. */
+static uint32_t count_matches(const char *text, const char *what)
 {
 	uint32_t times = 0;
 
@@ -30,7 +30,7 @@
 	return times;
 }
 
-/* A job that takes a whole worker for a long time. */
+/* A long job that occupies a whole worker. */
 static struct fake_caller_options
 whole_worker(const struct simulation *simulation)
 {
@@ -45,7 +45,7 @@
 	};
 }
 
-/* A job on the account's guarantee. */
+/* A job within the account's guarantee. */
 static struct fake_caller_options guaranteed(void)
 {
 	return (struct fake_caller_options){
@@ -63,11 +63,12 @@
 }
 
 /*
- * One instance is dead while previews and a quote fill the rack, and is back
- * when the account wants its shape; `cut` parts the two from then on. The
- * checker judges the time, and all that callers are told.
+ * One instance is dead while previews and a quote fill the rack, and is
+ * restarted before the account uses its guarantee; `cut` separates the two
+ * instances from then on. The checker checks the reclaim time and all answers.
  */
-static void run(uint64_t seed, uint32_t dead, bool cut, struct ways *ways)
+static void run(uint64_t seed, uint32_t dead_node, bool cut,
+		struct reclaim_counts *reclaim_counts)
 {
 	char *text = NULL;
 	size_t size = 0;
@@ -88,23 +89,23 @@
 	fake_log_publish(simulation, 0, "first",
 			 simulation_config_text(simulation, simulation, 0));
 	simulation_run_until(simulation, SETTLED_US);
-	node_kill(simulation, dead);
-	simulation_run_until(simulation, SETTLED_US + MOVED_US);
+	node_kill(simulation, dead_node);
+	simulation_run_until(simulation, SETTLED_US + TAKEOVER_US);
 	quote.class_name = "quote";
 	quote.key = 7;
 	quote.idempotent = false;
 	priced = fake_caller_add(simulation, 0, &quote);
 	for (uint32_t i = 0; i < 3; i++)
-		fake_caller_add(simulation, FILLED_US / 2, &preview);
-	simulation_run_until(simulation, SETTLED_US + MOVED_US + FILLED_US);
-	node_start(simulation, dead);
-	simulation_run_until(simulation, SETTLED_US + 2 * MOVED_US);
+		fake_caller_add(simulation, FILL_US / 2, &preview);
+	simulation_run_until(simulation, SETTLED_US + TAKEOVER_US + FILL_US);
+	node_start(simulation, dead_node);
+	simulation_run_until(simulation, SETTLED_US + 2 * TAKEOVER_US);
 	simulation->links[0][1].cut = cut;
-	simulation_run_until(simulation, SETTLED_US + 3 * MOVED_US);
+	simulation_run_until(simulation, SETTLED_US + 3 * TAKEOVER_US);
 	simulation->checker.recovered_us = 0;
 	fake_caller_add(simulation, 0, &pack);
 	simulation_run_until(simulation,
-			     SETTLED_US + 3 * MOVED_US + LONG_RUN_US);
+			     SETTLED_US + 3 * TAKEOVER_US + LONG_RUN_US);
 	g_assert_cmpuint(simulation->checker.checks[INVARIANT_GUARANTEE], ==,
 			 1);
 	g_assert_cmpuint(
@@ -114,49 +115,48 @@
 	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
 		g_assert_cmpstr(simulation->checker.first[i], ==, "");
 	fflush(transcript);
-	ways->asked += count(text, "> peer_send d0-n0 cancel") +
-		       count(text, "> peer_send d0-n1 cancel");
-	ways->stopped += count(text, "> worker_call stop");
+	reclaim_counts->asked +=
+		count_matches(text, "> peer_send d0-n0 cancel") +
+		count_matches(text, "> peer_send d0-n1 cancel");
+	reclaim_counts->stopped += count_matches(text, "> worker_call stop");
 	talloc_free(simulation);
 	fclose(transcript);
 	free(text);
 }
 
-/* Both instances are dead once in each seed: one of them owns the rack. */
-static struct ways run_all(bool cut)
+/* Each instance is the dead one once per seed: either may own the rack. */
+static struct reclaim_counts run_all(bool cut)
 {
-	struct ways ways = { 0 };
+	struct reclaim_counts reclaim_counts = { 0 };
 
 	for (uint64_t seed = 1; seed <= SEEDS; seed++)
-		for (uint32_t dead = 0; dead < 2; dead++)
-			run(seed, dead, cut, &ways);
-	return ways;
+		for (uint32_t dead_node = 0; dead_node < 2; dead_node++)
+			run(seed, dead_node, cut, &reclaim_counts);
+	return reclaim_counts;
 }
 
 /*
- * A tutor's lesson pack waits for the previews of another studio.
- * The owner of the rack dies; its peer fills the rack; the owner comes back
- * and wants a guaranteed shape from it.
- * Cause: what the peer drives was nobody's work to the owner.
+ * An owner must reclaim from jobs that another instance drives. The rack's
+ * owner dies, its peer fills the rack, the owner returns and needs a guaranteed
+ * shape. The owner must know whom to ask for the peer's jobs.
  */
 static void test_driver_is_asked(void)
 {
-	struct ways ways = run_all(false);
+	struct reclaim_counts reclaim_counts = run_all(false);
 
-	g_assert_cmpuint(ways.asked, >, 0);
+	g_assert_cmpuint(reclaim_counts.asked, >, 0);
 }
 
 /*
- * The same, and the peer cannot be asked: it is cut off from the owner, not
- * from the workers, where it goes on to renew its leases.
- * Cause: only its driver could stop a job. The quote in the rack, which must
- * not run twice, runs to its end all the same.
+ * As above, but the driver cannot be asked: it is cut off from the owner, not
+ * from the workers, where it keeps renewing its leases. The owner must stop the
+ * jobs itself. The quote in the rack, which must not run twice, is not stopped.
  */
-static void test_unreachable_driver_is_passed_over(void)
+static void test_unreachable_driver_is_bypassed(void)
 {
-	struct ways ways = run_all(true);
+	struct reclaim_counts reclaim_counts = run_all(true);
 
-	g_assert_cmpuint(ways.stopped, >, 0);
+	g_assert_cmpuint(reclaim_counts.stopped, >, 0);
 }
 
 int main(int argc, char **argv)
@@ -164,6 +164,6 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/foreign/asked", test_driver_is_asked);
 	g_test_add_func("/foreign/unreachable",
-			test_unreachable_driver_is_passed_over);
+			test_unreachable_driver_is_bypassed);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_golden.c
+++ b/src/test_libradishjunction/test_golden.c
@@ -5,11 +5,13 @@
 
 #include "support/simulation.h"
 
-/* Set, the transcripts are written anew; read the difference before it is
-   committed. */
+/*
+ * If set, the transcripts are rewritten; review the difference before
+ * committing it.
+ */
 #define REWRITE "RJ_GOLDEN_REWRITE"
 
-/* A session: what happens in a small world of one rack and two instances. */
+/* A session: the events in a small simulation of one rack and two instances. */
 struct session {
 	const char *name;
 	void (*happens)(struct simulation *simulation);
@@ -36,13 +38,13 @@
 	.waits = true,
 };
 
-/* A preview is asked for, run and answered, and the log is not touched. */
+/* A preview is submitted, run and answered; the log is not used. */
 static void idempotent_job(struct simulation *simulation)
 {
 	(void)fake_caller_add(simulation, 3 * RJ_US_PER_S, &preview);
 }
 
-/* A buyer asks for a quote, and asks another instance with the same key. */
+/* A quote is submitted, and again at another instance with the same key. */
 static void repeated_quote(struct simulation *simulation)
 {
 	struct fake_caller_options duplicated = quote;
@@ -51,7 +53,7 @@
 	(void)fake_caller_add(simulation, 3 * RJ_US_PER_S, &duplicated);
 }
 
-/* A gang on two workers: leases, held starts, then all are let run. */
+/* A gang on two workers: leases, held starts, then all are released to run. */
 static void gang(struct simulation *simulation)
 {
 	struct fake_caller_options plan = preview;
@@ -62,8 +64,10 @@
 	(void)fake_caller_add(simulation, 3 * RJ_US_PER_S, &plan);
 }
 
-/* The platform is down: a preview is served, a quote is told when to come
-   back, and is priced once the platform is there again. */
+/*
+ * The platform is unavailable: a preview is served; a quote is refused with a
+ * time to retry after, and is served once the platform is available.
+ */
 static void platform_outage(struct simulation *simulation)
 {
 	simulation_run_until(simulation, 3 * RJ_US_PER_S);
@@ -74,7 +78,7 @@
 	simulation->log.down = false;
 }
 
-/* An instance is asked to stop while it serves a quote. */
+/* An instance is stopped while it serves a quote. */
 static void graceful_stop(struct simulation *simulation)
 {
 	struct fake_caller_options plan = quote;
@@ -91,7 +95,7 @@
 	}
 }
 
-/* Two operators publish from the same revision: one wins everywhere. */
+/* Two operators publish from one revision: the same one wins everywhere. */
 static void config_race(struct simulation *simulation)
 {
 	simulation_run_until(simulation, 3 * RJ_US_PER_S);
@@ -111,8 +115,8 @@
 	{ "config_race", config_race, 5 * RJ_US_PER_S },
 };
 
-/* Play a session; the caller frees the transcript. */
-static char *play(const struct session *session)
+/* Runs a session; the caller frees the transcript. */
+static char *run_session(const struct session *session)
 {
 	struct simulation_options options = {
 		.engine = &engine_core,
@@ -140,17 +144,14 @@
 	return text;
 }
 
-/*
- * A change that was meant to concern something else alters what an instance
- * does in an ordinary session.
- */
+/* Detects any change in an instance's actions in ordinary sessions. */
 static void test_session_is_as_recorded(gconstpointer data)
 {
 	const struct session *session = data;
 	char *path = g_strdup_printf("%s/src/test_libradishjunction/golden/"
 				     "%s.txt",
 				     RJ_SOURCE_DIR, session->name);
-	char *text = play(session);
+	char *text = run_session(session);
 	char *golden = NULL;
 
 	if (g_getenv(REWRITE))
--- a/src/test_libradishjunction/test_leaving.c
+++ b/src/test_libradishjunction/test_leaving.c
@@ -7,8 +7,8 @@
 #define BREAK_US (6 * RJ_US_PER_S)
 #define CALLERS 40
 
-/* Previews that are asked for one after the other, until `until_us`. */
-static void ask_previews(struct simulation *simulation, uint64_t until_us)
+/* Submits previews one after another until `until_us`. */
+static void submit_previews(struct simulation *simulation, uint64_t until_us)
 {
 	struct fake_caller_options plan = { .class_name = "preview",
 					    .account = SIMULATION_OTHER_ACCOUNT,
@@ -25,14 +25,12 @@
 }
 
 /*
- * A tutor's preview is cut off half-way.
- * An upstream is about to go. One instance reads it in the platform's list
- * and tells its peers, but the link to one of them is down at that moment,
- * and that peer is cut off from the platform; it goes on sending work there
- * after the link stands again.
- * Cause: who is leaving was said once, and not again on a new link.
+ * An instance must repeat to a peer who is leaving when their link is
+ * re-established. It learns from the platform's list that an upstream is
+ * leaving while a link is down; the peer, which is cut off from the platform,
+ * would keep sending jobs there, which are cut off half-way.
  */
-static void test_leaving_is_told_on_a_new_link(void)
+static void test_leaving_is_resent_on_a_new_link(void)
 {
 	struct simulation_options options = { .engine = &engine_core,
 					      .seed = 11,
@@ -51,7 +49,7 @@
 	simulation->links[0][1].cut = true;
 	simulation_run_until(simulation, SETTLED_US + BREAK_US);
 	fake_peers_heal(simulation);
-	ask_previews(simulation, SETTLED_US + 4 * BREAK_US);
+	submit_previews(simulation, SETTLED_US + 4 * BREAK_US);
 	simulation_run_until(simulation, SETTLED_US + 5 * BREAK_US);
 	g_assert_cmpstr(simulation->checker.first[INVARIANT_LEAVING], ==, "");
 	talloc_free(simulation);
@@ -61,6 +59,6 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/leaving/new_link",
-			test_leaving_is_told_on_a_new_link);
+			test_leaving_is_resent_on_a_new_link);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_log_relay.c
+++ b/src/test_libradishjunction/test_log_relay.c
@@ -4,13 +4,13 @@
 #include "support/simulation.h"
 
 #define SETTLED_US (5 * RJ_US_PER_S)
-/* Until a reader takes the log for lost. */
-#define NOTICED_US (8 * RJ_US_PER_S)
+/* Until a reader takes the log for unavailable. */
+#define OUTAGE_DETECTED_US (8 * RJ_US_PER_S)
 #define RUN_US (200 * RJ_US_PER_MS)
-#define CUT 0 /* the failure domain that is cut off from the platform */
+#define CUT_DOMAIN 0 /* the failure domain that is cut off from the platform */
 
 /* Two failure domains of one instance each, the first cut off. */
-static struct simulation *cut_world(void)
+static struct simulation *create_cut_simulation(void)
 {
 	struct simulation_options options = { .engine = &engine_core,
 					      .seed = 3,
@@ -21,20 +21,20 @@
 	struct simulation *simulation = simulation_create(NULL, &options);
 
 	simulation_run_until(simulation, SETTLED_US);
-	simulation->log.cut[CUT] = true;
+	simulation->log.cut[CUT_DOMAIN] = true;
 	simulation_reachability_changed(simulation);
-	simulation_run_until(simulation, SETTLED_US + NOTICED_US);
+	simulation_run_until(simulation, SETTLED_US + OUTAGE_DETECTED_US);
 	return simulation;
 }
 
-/* A caller in the cut domain asks now. */
-static struct fake_caller *ask(struct simulation *simulation,
-			       const char *class_name, bool idempotent,
-			       bool waits)
+/* Submits a job in the cut domain now. */
+static struct fake_caller *submit_in_cut_domain(struct simulation *simulation,
+						const char *class_name,
+						bool idempotent, bool waits)
 {
 	struct fake_caller_options plan = { .class_name = class_name,
 					    .account = SIMULATION_OTHER_ACCOUNT,
-					    .domain = CUT,
+					    .domain = CUT_DOMAIN,
 					    .key = 7,
 					    .tasks = 1,
 					    .accelerators = 1,
@@ -45,13 +45,13 @@
 	return fake_caller_add(simulation, 0, &plan);
 }
 
-/* What the caller of a job in the cut domain has been told after a while. */
-static enum rj_answer_kind told(struct simulation *simulation,
-				const char *class_name, bool idempotent,
-				bool waits)
+/* Returns the answer to a job in the cut domain after 3 s. */
+static enum rj_answer_kind answer_in_cut_domain(struct simulation *simulation,
+						const char *class_name,
+						bool idempotent, bool waits)
 {
 	struct fake_caller *caller =
-		ask(simulation, class_name, idempotent, waits);
+		submit_in_cut_domain(simulation, class_name, idempotent, waits);
 	enum rj_answer_kind kind;
 
 	simulation_run_until(simulation, simulation->now_us + 3 * RJ_US_PER_S);
@@ -62,48 +62,42 @@
 }
 
 /*
- * A rep is told "come back" by every instance of a failure domain, and quotes
- * from memory.
- * The domain is cut off from the platform, and not from the others, which
- * have the log and room.
- * Cause: a key that needs a claim was refused where the log could not be
- * read, though a peer could have claimed it.
+ * A quote in a domain that is cut off from the platform must be served by
+ * another domain. The instances of the domain must not refuse a key that needs
+ * a claim while a peer with the log and free capacity can claim it.
  */
 static void test_quote_in_a_cut_domain(void)
 {
-	struct simulation *simulation = cut_world();
+	struct simulation *simulation = create_cut_simulation();
 
-	g_assert_cmpuint(told(simulation, "quote", false, true), ==,
-			 RJ_ANSWER_DONE);
+	g_assert_cmpuint(answer_in_cut_domain(simulation, "quote", false, true),
+			 ==, RJ_ANSWER_DONE);
 	talloc_free(simulation);
 }
 
-/*
- * A tutor cannot hand in a render for the night.
- * The same cut; the render is to be accepted, which needs the log.
- * Cause: as above, for jobs whose callers do not wait.
- */
+/* As above, for a job that is to be accepted into the log. */
 static void test_render_in_a_cut_domain(void)
 {
-	struct simulation *simulation = cut_world();
+	struct simulation *simulation = create_cut_simulation();
 
-	told(simulation, "preview", true, false);
+	answer_in_cut_domain(simulation, "preview", true, false);
 	talloc_free(simulation);
 }
 
 /*
- * The other side: when nobody has the log, the caller is told so at once and
- * the job does not go round between instances that hope of each other.
+ * When no instance can use the log, the caller is answered at once, and the job
+ * is not forwarded in a loop.
  */
-static void test_nobody_has_the_log(void)
+static void test_log_unavailable_everywhere(void)
 {
-	struct simulation *simulation = cut_world();
+	struct simulation *simulation = create_cut_simulation();
 	struct fake_caller *caller;
 
 	simulation->log.down = true;
 	simulation_reachability_changed(simulation);
-	simulation_run_until(simulation, simulation->now_us + NOTICED_US);
-	caller = ask(simulation, "quote", false, true);
+	simulation_run_until(simulation,
+			     simulation->now_us + OUTAGE_DETECTED_US);
+	caller = submit_in_cut_domain(simulation, "quote", false, true);
 	simulation_run_until(simulation,
 			     simulation->now_us + 100 * RJ_US_PER_MS);
 	g_assert_cmpuint(caller->request_id, ==, 0);
@@ -117,6 +111,6 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/log_relay/quote", test_quote_in_a_cut_domain);
 	g_test_add_func("/log_relay/render", test_render_in_a_cut_domain);
-	g_test_add_func("/log_relay/nobody", test_nobody_has_the_log);
+	g_test_add_func("/log_relay/nobody", test_log_unavailable_everywhere);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_membership.c
+++ b/src/test_libradishjunction/test_membership.c
@@ -4,31 +4,33 @@
 #include "private/core_state.h"
 
 #define DOMAINS 8
-#define HEARD_US (100 * RJ_US_PER_S)
+#define HEARTBEAT_US (100 * RJ_US_PER_S)
 
-/* Whether a peer of `domain` is alive so long after it was heard, as an
- * instance of "a" sees it in a configuration of DOMAINS domains. */
+/*
+ * Returns whether a peer of `domain` still counts as alive after this silence,
+ * for an instance of "a" in a configuration of DOMAINS domains.
+ */
 static bool alive_after(const char *domain, uint64_t silence_us)
 {
 	struct rj_config config = { .domain_count = DOMAINS };
 	struct rj_core_state core = { .config = &config };
 	struct rj_member_view member = { .connected = true,
 					 .heartbeat_seen = true,
-					 .last_heartbeat_us = HEARD_US };
+					 .last_heartbeat_us = HEARTBEAT_US };
 
 	rj_name_set(core.domain, "a");
 	rj_name_set(member.domain, domain);
-	core.now_us = HEARD_US + silence_us;
+	core.now_us = HEARTBEAT_US + silence_us;
 	return rj_membership_alive(&core, &member);
 }
 
 /*
- * A buyer's quote is not forwarded to another failure domain, and its claims
- * are settled by strangers, though that domain is well.
- * In a large site its heartbeats come seldom, and two are lost.
- * Cause: it was counted dead by the patience of the own domain.
+ * Peers of other domains must be judged by the interval of their own
+ * heartbeats. In a large site these are rare, and two are lost. Judged by the
+ * timeout within a domain, the peer counts as dead, and its claims are settled
+ * by others.
  */
-static void test_seldom_heard_is_not_dead(void)
+static void test_rare_heartbeats_do_not_mean_dead(void)
 {
 	uint32_t every = rj_membership_cross_domain_interval(DOMAINS);
 
@@ -38,9 +40,11 @@
 	g_assert_false(alive_after("b", (3 * every + 1) * RJ_US_PER_S));
 }
 
-/* Small sites hear each other every second; in large ones what an instance
- * sends to all other domains together stays about the same. */
-static void test_heartbeats_between_domains_stay_flat(void)
+/*
+ * The total rate of an instance's heartbeats to other domains stays about the
+ * same in large sites; in small sites each peer gets one every second.
+ */
+static void test_heartbeat_rate_between_domains_is_bounded(void)
 {
 	for (uint32_t domains = 1; domains <= 4; domains++)
 		g_assert_cmpuint(rj_membership_cross_domain_interval(domains),
@@ -55,8 +59,8 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/membership/seldom_heard",
-			test_seldom_heard_is_not_dead);
+			test_rare_heartbeats_do_not_mean_dead);
 	g_test_add_func("/membership/between_domains",
-			test_heartbeats_between_domains_stay_flat);
+			test_heartbeat_rate_between_domains_is_bounded);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_paused_claim.c
+++ b/src/test_libradishjunction/test_paused_claim.c
@@ -7,15 +7,15 @@
 #define REPEAT_ID 901
 #define RUN_US (200 * RJ_US_PER_MS)
 
-/* An event that a paused instance hears before all that it was told. */
-static void hold_first(struct simulation *simulation, struct node *node,
-		       struct rj_event *event)
+/* Queues an event before all others that wait for a paused instance. */
+static void defer_event(struct simulation *simulation, struct node *node,
+			struct rj_event *event)
 {
 	g_queue_push_head(&node->deferred, talloc_steal(simulation, event));
 }
 
-static struct rj_event *caller_gone(struct simulation *simulation,
-				    uint64_t request_id)
+static struct rj_event *caller_disconnected(struct simulation *simulation,
+					    uint64_t request_id)
 {
 	struct rj_event *event =
 		node_event(simulation, RJ_EVENT_CALLER_DISCONNECTED);
@@ -24,7 +24,7 @@
 	return event;
 }
 
-/* Let the world go on until an instance has a claim of `key` in flight. */
+/* Runs the simulation until an instance has a claim of `key` in flight. */
 static struct node *claiming_node(struct simulation *simulation,
 				  const struct fake_caller *caller)
 {
@@ -36,15 +36,13 @@
 }
 
 /*
- * A student hears "done" of a charge, and then "not run" of the same.
- * The instance that claimed the charge is paused before it reads its claim
- * back; its caller gives up, and a peer voids the claim and serves the
- * charge. A repeat reaches the paused instance, which wakes, finds its claim
- * in the log, cancelled, and answers the repeat.
- * Cause: a claim read back was taken for the present, though the log had
- * more to say.
+ * A claim that is read back after a pause may be outdated. An instance is
+ * paused before it reads its claim back; its caller times out, and a peer voids
+ * the claim and serves the job. A repeat reaches the paused instance, which
+ * resumes, finds its claim in the log, cancelled, and must not answer "not run"
+ * after the peer's "done": the log has newer records.
  */
-static void test_cancelled_claim_of_a_sleeper(void)
+static void test_cancelled_claim_of_a_paused_instance(void)
 {
 	struct simulation_options options = { .engine = &engine_core,
 					      .seed = 5,
@@ -60,26 +58,27 @@
 					    .accelerators = 1,
 					    .run_us = RUN_US,
 					    .waits = true };
-	struct fake_caller *charge;
-	struct node *sleeper;
+	struct fake_caller *caller;
+	struct node *paused;
 	uint64_t request_id;
 
 	simulation_run_until(simulation, SETTLED_US);
-	charge = fake_caller_add(simulation, 0, &plan);
-	charge->timeout_us = RJ_US_PER_S;
-	sleeper = claiming_node(simulation, charge);
-	request_id = charge->request_id;
-	node_pause(simulation, sleeper->index, true);
+	caller = fake_caller_add(simulation, 0, &plan);
+	caller->timeout_us = RJ_US_PER_S;
+	paused = claiming_node(simulation, caller);
+	request_id = caller->request_id;
+	node_pause(simulation, paused->index, true);
 	simulation_run_until(simulation, SETTLED_US + 20 * RJ_US_PER_S);
 	g_assert_cmpuint(
-		checker_intent_get(&simulation->checker, charge->intent)
+		checker_intent_get(&simulation->checker, caller->intent)
 			->answer,
 		==, RJ_ANSWER_DONE);
-	hold_first(simulation, sleeper,
-		   fake_caller_event(simulation, charge, sleeper,
-				     RJ_REQUEST_SUBMIT, REPEAT_ID));
-	hold_first(simulation, sleeper, caller_gone(simulation, request_id));
-	node_pause(simulation, sleeper->index, false);
+	defer_event(simulation, paused,
+		    fake_caller_event(simulation, caller, paused,
+				      RJ_REQUEST_SUBMIT, REPEAT_ID));
+	defer_event(simulation, paused,
+		    caller_disconnected(simulation, request_id));
+	node_pause(simulation, paused->index, false);
 	simulation_run_until(simulation, SETTLED_US + 40 * RJ_US_PER_S);
 	g_assert_cmpstr(simulation->checker.first[INVARIANT_NOT_RUN], ==, "");
 	g_assert_cmpuint(checker_violations(&simulation->checker), ==, 0);
@@ -90,6 +89,6 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/paused_claim/cancelled",
-			test_cancelled_claim_of_a_sleeper);
+			test_cancelled_claim_of_a_paused_instance);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_planner_differential.c
+++ b/src/test_libradishjunction/test_planner_differential.c
@@ -5,31 +5,34 @@
 #include "private/topology.h"
 #include "support/plan_simulation.h"
 
-/* Each load of both users, for as long as its fault and two bursts take. */
+/*
+ * Each seed runs all loads of both users, which each cover a fault and two
+ * bursts.
+ */
 #define SEEDS 1
 #define HORIZON_US (700 * RJ_US_PER_S)
 
 /*
- * The planner by topology, and first fit beside it in the same state: it is
- * told all that happens, and after each pass what it decided is undone and
- * what the other decided is put in its place.
+ * The topology planner with the first-fit planner in the same state: both get
+ * all events, and after each pass the decisions of first fit are undone and
+ * replaced by those of the topology planner.
  */
 struct pair {
 	struct rj_planner base;
 	struct rj_planner_topology topology;
 	struct rj_planner_first_fit first_fit;
-	struct rj_decisions plain;
+	struct rj_decisions reference;
 };
 
-/* How the decisions of the pair differed, and why that is allowed. */
+/* How a decision differs from first fit, and why that is permitted. */
 enum difference {
 	SAME,
-	OTHER_PLACE, /* both start it; by topology elsewhere */
-	ROOM_GIVEN, /* not started: its room went to others in this pass */
-	ROOM_KEPT, /* not started: its room is kept for others */
-	ROOM_PINNED, /* not started: it could not be stopped there */
-	EARLIER, /* started, where first fit gave its room to others */
-	REFUSED, /* its time had passed; both say so */
+	OTHER_PLACEMENT, /* both start the job, on different workers */
+	CAPACITY_TAKEN, /* waits: others took the capacity in this pass */
+	CAPACITY_RESERVED, /* waits: the capacity is reserved */
+	UNSTOPPABLE, /* waits: kept off guaranteed capacity */
+	STARTED_EARLIER, /* starts; first fit used the capacity for others */
+	REFUSED, /* its deadline had passed; both refuse it */
 	DIFFERENCE_COUNT
 };
 
@@ -40,7 +43,7 @@
 	return &((struct pair *)planner)->topology.base;
 }
 
-static struct rj_planner *plain_of(const struct rj_planner *planner)
+static struct rj_planner *first_fit_of(const struct rj_planner *planner)
 {
 	return &((struct pair *)planner)->first_fit.base;
 }
@@ -51,15 +54,16 @@
 {
 	topology_of(planner)->ops->configure(topology_of(planner), config,
 					     domain, now_us);
-	plain_of(planner)->ops->configure(plain_of(planner), config, domain,
-					  now_us);
+	first_fit_of(planner)->ops->configure(first_fit_of(planner), config,
+					      domain, now_us);
 }
 
 static void pair_worker(struct rj_planner *planner,
 			const struct rj_plan_worker *worker, uint64_t now_us)
 {
 	topology_of(planner)->ops->worker(topology_of(planner), worker, now_us);
-	plain_of(planner)->ops->worker(plain_of(planner), worker, now_us);
+	first_fit_of(planner)->ops->worker(first_fit_of(planner), worker,
+					   now_us);
 }
 
 static int pair_submit(struct rj_planner *planner,
@@ -76,10 +80,10 @@
 		g_assert_cmpuint(*retry_after_us, >, 0);
 		return status;
 	}
-	g_assert_cmpint(plain_of(planner)->ops->submit(plain_of(planner), job,
-						       now_us, &ignored,
-						       &never_us),
-			==, 0);
+	g_assert_cmpint(
+		first_fit_of(planner)->ops->submit(first_fit_of(planner), job,
+						   now_us, &ignored, &never_us),
+		==, 0);
 	return 0;
 }
 
@@ -88,8 +92,8 @@
 {
 	topology_of(planner)->ops->ended(topology_of(planner), job_id,
 					 succeeded, ran_us, now_us);
-	plain_of(planner)->ops->ended(plain_of(planner), job_id, succeeded,
-				      ran_us, now_us);
+	first_fit_of(planner)->ops->ended(first_fit_of(planner), job_id,
+					  succeeded, ran_us, now_us);
 }
 
 static void pair_requeue(struct rj_planner *planner, uint64_t job_id,
@@ -97,8 +101,8 @@
 {
 	topology_of(planner)->ops->requeue(topology_of(planner), job_id,
 					   not_before_us, now_us);
-	plain_of(planner)->ops->requeue(plain_of(planner), job_id,
-					not_before_us, now_us);
+	first_fit_of(planner)->ops->requeue(first_fit_of(planner), job_id,
+					    not_before_us, now_us);
 }
 
 static void pair_adopt(struct rj_planner *planner,
@@ -108,8 +112,8 @@
 {
 	topology_of(planner)->ops->adopt(topology_of(planner), job, members,
 					 count, now_us);
-	plain_of(planner)->ops->adopt(plain_of(planner), job, members, count,
-				      now_us);
+	first_fit_of(planner)->ops->adopt(first_fit_of(planner), job, members,
+					  count, now_us);
 }
 
 static const struct rj_decision *find(const struct rj_decisions *decisions,
@@ -122,9 +126,7 @@
 	return NULL;
 }
 
-/*
- * Why first fit starts a job that the other leaves waiting.
- */
+/* Returns why first fit starts a job that the topology planner does not. */
 static enum difference why_waiting(const struct pair *pair,
 				   const struct rj_decisions *decisions,
 				   uint64_t job_id)
@@ -135,15 +137,15 @@
 
 	for (uint32_t i = 0; i < decisions->count; i++)
 		if (decisions->list[i].kind == RJ_DECISION_START)
-			return ROOM_GIVEN;
+			return CAPACITY_TAKEN;
 	if (!entry->job.preemptible)
-		return ROOM_PINNED;
+		return UNSTOPPABLE;
 	g_assert_cmpuint(state->reservations->len, >, 0);
-	return ROOM_KEPT;
+	return CAPACITY_RESERVED;
 }
 
 static enum difference why_started(const struct rj_decision *decision,
-				   const struct rj_decision *plain)
+				   const struct rj_decision *reference)
 {
 	switch (decision->reason) {
 	case RJ_REASON_BEST_FIT:
@@ -155,13 +157,13 @@
 	default:
 		g_assert_not_reached();
 	}
-	if (!plain)
-		return EARLIER;
-	if (plain->member_count == decision->member_count &&
-	    !memcmp(plain->members, decision->members,
-		    sizeof(*plain->members) * plain->member_count))
+	if (!reference)
+		return STARTED_EARLIER;
+	if (reference->member_count == decision->member_count &&
+	    !memcmp(reference->members, decision->members,
+		    sizeof(*reference->members) * reference->member_count))
 		return SAME;
-	return OTHER_PLACE;
+	return OTHER_PLACEMENT;
 }
 
 static void compare(const struct pair *pair,
@@ -169,23 +171,24 @@
 {
 	for (uint32_t i = 0; i < decisions->count; i++) {
 		const struct rj_decision *decision = &decisions->list[i];
-		const struct rj_decision *plain =
-			find(&pair->plain, decision->job_id);
+		const struct rj_decision *reference =
+			find(&pair->reference, decision->job_id);
 
 		if (decision->kind == RJ_DECISION_START)
-			differences[why_started(decision, plain)]++;
+			differences[why_started(decision, reference)]++;
 		else if (decision->kind == RJ_DECISION_REFUSE)
 			differences[REFUSED]++;
 		if (decision->kind == RJ_DECISION_REFUSE)
-			g_assert_cmpint(plain->kind, ==, RJ_DECISION_REFUSE);
+			g_assert_cmpint(reference->kind, ==,
+					RJ_DECISION_REFUSE);
 	}
-	for (uint32_t i = 0; i < pair->plain.count; i++) {
-		const struct rj_decision *plain = &pair->plain.list[i];
+	for (uint32_t i = 0; i < pair->reference.count; i++) {
+		const struct rj_decision *reference = &pair->reference.list[i];
 
-		if (find(decisions, plain->job_id))
+		if (find(decisions, reference->job_id))
 			continue;
-		g_assert_cmpint(plain->kind, ==, RJ_DECISION_START);
-		differences[why_waiting(pair, decisions, plain->job_id)]++;
+		g_assert_cmpint(reference->kind, ==, RJ_DECISION_START);
+		differences[why_waiting(pair, decisions, reference->job_id)]++;
 	}
 }
 
@@ -193,17 +196,18 @@
 		      struct rj_decisions *decisions)
 {
 	struct pair *pair = (struct pair *)planner;
-	struct rj_planner *plain = plain_of(planner);
+	struct rj_planner *reference = first_fit_of(planner);
 
 	topology_of(planner)->ops->pass(topology_of(planner), now_us,
 					decisions);
-	rj_decisions_clear(&pair->plain);
-	plain->ops->pass(plain, now_us, &pair->plain);
+	rj_decisions_clear(&pair->reference);
+	reference->ops->pass(reference, now_us, &pair->reference);
 	compare(pair, decisions);
-	for (uint32_t i = 0; i < pair->plain.count; i++)
-		if (pair->plain.list[i].kind == RJ_DECISION_START)
-			plain->ops->requeue(plain, pair->plain.list[i].job_id,
-					    0, now_us);
+	for (uint32_t i = 0; i < pair->reference.count; i++)
+		if (pair->reference.list[i].kind == RJ_DECISION_START)
+			reference->ops->requeue(reference,
+						pair->reference.list[i].job_id,
+						0, now_us);
 	for (uint32_t i = 0; i < decisions->count; i++) {
 		const struct rj_decision *decision = &decisions->list[i];
 		const struct rj_plan_entry *entry;
@@ -212,8 +216,8 @@
 			continue;
 		entry = rj_plan_table_find(&pair->topology.state->table,
 					   decision->job_id);
-		plain->ops->adopt(plain, &entry->job, decision->members,
-				  decision->member_count, now_us);
+		reference->ops->adopt(reference, &entry->job, decision->members,
+				      decision->member_count, now_us);
 	}
 }
 
@@ -225,20 +229,22 @@
 static void pair_view(const struct rj_planner *planner, uint64_t now_us,
 		      struct rj_plan_view *view)
 {
-	struct rj_plan_view plain;
+	struct rj_plan_view reference;
 
 	topology_of(planner)->ops->view(topology_of(planner), now_us, view);
-	plain_of(planner)->ops->view(plain_of(planner), now_us, &plain);
-	g_assert_cmpuint(view->queued, ==, plain.queued);
-	g_assert_cmpuint(view->running, ==, plain.running);
-	g_assert_cmpuint(view->accelerators_free, ==, plain.accelerators_free);
+	first_fit_of(planner)->ops->view(first_fit_of(planner), now_us,
+					 &reference);
+	g_assert_cmpuint(view->queued, ==, reference.queued);
+	g_assert_cmpuint(view->running, ==, reference.running);
+	g_assert_cmpuint(view->accelerators_free, ==,
+			 reference.accelerators_free);
 }
 
 static void pair_finish(struct rj_planner *planner)
 {
 	topology_of(planner)->ops->finish(topology_of(planner));
-	plain_of(planner)->ops->finish(plain_of(planner));
-	rj_decisions_finish(&((struct pair *)planner)->plain);
+	first_fit_of(planner)->ops->finish(first_fit_of(planner));
+	rj_decisions_finish(&((struct pair *)planner)->reference);
 }
 
 static const struct rj_planner_ops pair_ops = {
@@ -262,55 +268,57 @@
 	pair->base.ops = &pair_ops;
 	rj_planner_topology_init(&pair->topology, mem);
 	rj_planner_first_fit_init(&pair->first_fit, mem);
-	rj_decisions_init(&pair->plain, mem);
+	rj_decisions_init(&pair->reference, mem);
 	return &pair->base;
 }
 
 static const struct planner_factory factory = { "pair", make_pair };
 
 /*
- * What the accounts' tasks that cannot be stopped take of each worker, as
- * the world has it.
+ * Adds up, per worker and account, the resources of running tasks that cannot
+ * be stopped, according to the simulation.
  */
-static void add_pinned(const struct plan_simulation *simulation,
-		       struct rj_resources pinned[][STREAM_ACCOUNTS])
+static void add_unstoppable(const struct plan_simulation *simulation,
+			    struct rj_resources unstoppable[][STREAM_ACCOUNTS])
 {
 	for (uint32_t i = 0; i < simulation->stream->count; i++) {
-		const struct stream_job *truth = &simulation->stream->jobs[i];
+		const struct stream_job *generated =
+			&simulation->stream->jobs[i];
 		const struct plan_simulation_job *job = &simulation->jobs[i];
 
-		if (truth->plan.preemptible)
+		if (generated->plan.preemptible)
 			continue;
 		for (uint32_t j = 0; j < job->member_count; j++)
-			rj_resources_add(
-				&pinned[job->members[j].worker][truth->account],
-				&truth->plan.shape.each, job->members[j].tasks);
+			rj_resources_add(&unstoppable[job->members[j].worker]
+						     [generated->account],
+					 &generated->plan.shape.each,
+					 job->members[j].tasks);
 	}
 }
 
 /*
- * At each step: were all that can be stopped stopped, every account would
- * find its guaranteed shapes free at their homes, but for what its own work
- * takes of them; and no home is missing.
+ * Checks after each step that every guaranteed shape has a home, and that the
+ * homes would be free if all stoppable tasks were stopped, except for tasks of
+ * the same account.
  */
 static void check_reclaimable(struct plan_simulation *simulation)
 {
-	static struct rj_resources pinned[STREAM_WORKERS][STREAM_ACCOUNTS];
+	static struct rj_resources unstoppable[STREAM_WORKERS][STREAM_ACCOUNTS];
 	const struct pair *pair = (const struct pair *)simulation->planner;
 	const struct rj_topology_state *state = pair->topology.state;
-	uint64_t homes = 0;
+	uint64_t home_accelerators = 0;
 
 	if (simulation->instance_down)
 		return;
-	memset(pinned, 0, sizeof(pinned));
-	add_pinned(simulation, pinned);
+	memset(unstoppable, 0, sizeof(unstoppable));
+	add_unstoppable(simulation, unstoppable);
 	for (uint32_t i = 0; i < STREAM_WORKERS; i++) {
 		const struct rj_ledger *ledger =
 			rj_capacity_find(&state->capacity, i)->ledger;
 		struct rj_resources bound = { 0 };
 
 		for (uint32_t j = 0; j < STREAM_ACCOUNTS; j++) {
-			struct rj_resources most = pinned[i][j];
+			struct rj_resources most = unstoppable[i][j];
 			const struct rj_worker_usage *share = rj_ledger_usage(
 				ledger,
 				g_hash_table_lookup(
@@ -318,7 +326,8 @@
 					simulation->stream->accounts[j].name));
 
 			if (share)
-				homes += share->guaranteed.accelerators;
+				home_accelerators +=
+					share->guaranteed.accelerators;
 			if (share) {
 				most.slots = MAX(most.slots,
 						 share->guaranteed.slots);
@@ -335,16 +344,17 @@
 		const struct rj_guarantee *guarantee =
 			&simulation->stream->guarantees[i];
 
-		homes -= (uint64_t)guarantee->count * guarantee->shape.tasks *
-			 guarantee->shape.each.accelerators;
+		home_accelerators -= (uint64_t)guarantee->count *
+				     guarantee->shape.tasks *
+				     guarantee->shape.each.accelerators;
 	}
-	g_assert_cmpuint(homes, ==, 0);
+	g_assert_cmpuint(home_accelerators, ==, 0);
 }
 
 /*
- * A job waits though a worker is free for it, and nobody can say why.
- * Each decision that differs from first come, first fit in the same state
- * must have one of the reasons above.
+ * Each decision that differs from first come, first fit in the same state must
+ * have one of the reasons above: no job may wait without a reason although a
+ * worker is free for it.
  */
 static void test_differences_have_reasons(gconstpointer data)
 {
@@ -366,18 +376,20 @@
 		for (uint32_t i = 0; i < DIFFERENCE_COUNT; i++)
 			count += differences[i];
 		g_assert_cmpuint(count, >, stream.count / 2);
-		g_assert_cmpuint(differences[OTHER_PLACE], >, 0);
+		g_assert_cmpuint(differences[OTHER_PLACEMENT], >, 0);
 		g_assert_cmpfloat(result.guaranteed_late, ==, 0);
 		g_test_message("same %" G_GUINT64_FORMAT
-			       ", other place %" G_GUINT64_FORMAT
-			       ", given %" G_GUINT64_FORMAT
-			       ", kept %" G_GUINT64_FORMAT
-			       ", pinned %" G_GUINT64_FORMAT
+			       ", other placement %" G_GUINT64_FORMAT
+			       ", taken %" G_GUINT64_FORMAT
+			       ", reserved %" G_GUINT64_FORMAT
+			       ", unstoppable %" G_GUINT64_FORMAT
 			       ", earlier %" G_GUINT64_FORMAT
 			       ", refused %" G_GUINT64_FORMAT,
-			       differences[SAME], differences[OTHER_PLACE],
-			       differences[ROOM_GIVEN], differences[ROOM_KEPT],
-			       differences[ROOM_PINNED], differences[EARLIER],
+			       differences[SAME], differences[OTHER_PLACEMENT],
+			       differences[CAPACITY_TAKEN],
+			       differences[CAPACITY_RESERVED],
+			       differences[UNSTOPPABLE],
+			       differences[STARTED_EARLIER],
 			       differences[REFUSED]);
 		plan_stream_finish(&stream);
 	}
--- a/src/test_libradishjunction/test_planner_first_fit.c
+++ b/src/test_libradishjunction/test_planner_first_fit.c
@@ -58,7 +58,7 @@
 				       &retry_after_us);
 }
 
-/* Run a pass; returns how many jobs were started by it. */
+/* Runs a pass; returns the number of jobs it started. */
 static uint32_t pass(struct fixture *f)
 {
 	rj_decisions_clear(&f->decisions);
@@ -85,8 +85,8 @@
 	g_assert_cmpuint(f->decisions.list[0].job_id, ==, 3);
 }
 
-static void test_spans_racks_and_skips_what_does_not_fit(struct fixture *f,
-							 const void *data)
+static void test_spans_racks_and_skips_jobs_that_do_not_fit(struct fixture *f,
+							    const void *data)
 {
 	enum rj_reason reason;
 
@@ -97,7 +97,8 @@
 	g_assert_cmpuint(f->decisions.list[1].job_id, ==, 3);
 }
 
-static void test_refuses_what_can_never_run(struct fixture *f, const void *data)
+static void test_refuses_jobs_that_can_never_run(struct fixture *f,
+						 const void *data)
 {
 	enum rj_reason reason;
 
@@ -131,12 +132,12 @@
 }
 
 /*
- * A gang is started twice on the same accelerators.
- * Its worker disappears while it runs and returns before the job is given
- * back. Cause: the worker came back as new, with its capacity free.
+ * A worker that returns must still count its running gang. The worker
+ * disappears while a gang runs and returns before the job is requeued; as a new
+ * worker its accelerators would be allocated twice.
  */
-static void test_worker_that_returns_is_still_taken(struct fixture *f,
-						    const void *data)
+static void test_returning_worker_is_still_allocated(struct fixture *f,
+						     const void *data)
 {
 	struct rj_plan_worker worker = {
 		.capacity = { 8, 8, 64, 65536 },
@@ -156,9 +157,8 @@
 }
 
 /*
- * A worker is given more than it has.
- * A new instance finds a running gang before it knows the gang's worker.
- * Cause: the capacity of an unknown worker was not counted as taken.
+ * Tasks adopted before their worker is known must count as allocated when it
+ * becomes known. Otherwise a new instance overbooks the worker.
  */
 static void test_adopted_before_its_worker_is_known(struct fixture *f,
 						    const void *data)
@@ -188,10 +188,9 @@
 }
 
 /*
- * A daemon spins at a whole core while a job waits for capacity.
- * The job is put back with a back-off; the back-off ends and it still does
- * not fit.
- * Cause: the end of the back-off stayed the next time to wake up.
+ * The end of a job's back-off must wake the planner only once. If the job still
+ * does not fit and the end stays the next wake-up time, the daemon uses a whole
+ * core.
  */
 static void test_ended_back_off_wakes_once(struct fixture *f, const void *data)
 {
@@ -215,11 +214,11 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	ADD("gang", test_starts_whole_gangs_in_one_rack);
-	ADD("span", test_spans_racks_and_skips_what_does_not_fit);
-	ADD("never_fits", test_refuses_what_can_never_run);
+	ADD("span", test_spans_racks_and_skips_jobs_that_do_not_fit);
+	ADD("never_fits", test_refuses_jobs_that_can_never_run);
 	ADD("queue_max", test_queue_is_bounded);
 	ADD("resources", test_slots_cores_and_memory_count);
-	ADD("worker_returns", test_worker_that_returns_is_still_taken);
+	ADD("worker_returns", test_returning_worker_is_still_allocated);
 	ADD("adopt_early", test_adopted_before_its_worker_is_known);
 	ADD("back_off", test_ended_back_off_wakes_once);
 	return g_test_run();
--- a/src/test_libradishjunction/test_planner_queue.c
+++ b/src/test_libradishjunction/test_planner_queue.c
@@ -5,11 +5,12 @@
 #include "support/planner_fixture.h"
 
 /*
- * Two racks idle for a gang that can never run. Half of the workers are
- * dead, the gang needs more than are left, and room is kept for it.
+ * No capacity is reserved for a gang that cannot run: half of the workers of
+ * two racks are dead, and the gang needs more than the rest.
  */
-static void test_nothing_is_kept_for_what_cannot_run(struct planner_fixture *f,
-						     const void *data)
+static void
+test_no_reservation_for_a_gang_that_cannot_run(struct planner_fixture *f,
+					       const void *data)
 {
 	struct rj_plan_job gang = planner_job_of(1, 'c', 8, 8);
 
@@ -23,49 +24,49 @@
 }
 
 /*
- * A gang waits for hours while short jobs pass it, because each says that it
- * takes a millisecond. Cause: the declared run time was believed.
+ * Backfill must use the learnt run time. Otherwise short jobs that each declare
+ * a millisecond pass a waiting gang for hours.
  */
-static void test_learnt_run_time_decides_who_passes(struct planner_fixture *f,
-						    const void *data)
+static void test_learnt_run_time_decides_backfill(struct planner_fixture *f,
+						  const void *data)
 {
-	struct rj_plan_job liar = planner_job_of(100, 'c', 1, 8);
+	struct rj_plan_job underdeclared = planner_job_of(100, 'c', 1, 8);
 	struct rj_plan_job gang = planner_job_of(200, 'b', 8, 8);
 
 	f->accounts[0].guarantee_count = 0;
 	f->accounts[1].guarantee_count = 0;
 	planner_configure(f);
-	liar.preemptible = false;
-	liar.declared_us = 1000;
-	for (uint32_t i = 0; i < 20; i++, liar.job_id++) {
-		planner_submit(f, liar, 0);
+	underdeclared.preemptible = false;
+	underdeclared.declared_us = 1000;
+	for (uint32_t i = 0; i < 20; i++, underdeclared.job_id++) {
+		planner_submit(f, underdeclared, 0);
 		planner_pass(f, 0);
-		planner_ended(f, liar.job_id, 1000 * S, 0);
+		planner_ended(f, underdeclared.job_id, 1000 * S, 0);
 	}
 	strcpy(gang.class_name, "gang");
 	gang.shape.adjacent = false;
-	/* One runs, the gang waits for it, and another asks to pass. */
-	planner_submit(f, liar, 0);
+	/* One runs, the gang waits for it, and another tries to pass. */
+	planner_submit(f, underdeclared, 0);
 	planner_pass(f, 0);
 	planner_submit(f, gang, 0);
 	planner_pass(f, 0);
 	g_assert_null(planner_decision_on(f, 200));
-	liar.job_id++;
-	planner_submit(f, liar, 900 * S);
+	underdeclared.job_id++;
+	planner_submit(f, underdeclared, 900 * S);
 	planner_pass(f, 900 * S);
 	g_assert_cmpuint(f->decisions.count, ==, 0);
-	planner_ended(f, liar.job_id - 1, 1000 * S, 1000 * S);
+	planner_ended(f, underdeclared.job_id - 1, 1000 * S, 1000 * S);
 	planner_pass(f, 1000 * S);
 	g_assert_cmpint(planner_decision_on(f, 200)->kind, ==,
 			RJ_DECISION_START);
 }
 
 /*
- * A pricing gang waits for hours while previews come and go in its rack: at
- * no time are all of them gone at once.
+ * Small jobs that come and go in a rack must be stopped for a waiting gang:
+ * they never all end at the same time.
  */
-static void test_small_work_makes_way_for_a_gang(struct planner_fixture *f,
-						 const void *data)
+static void test_small_jobs_are_stopped_for_a_gang(struct planner_fixture *f,
+						   const void *data)
 {
 	struct rj_job_class class = { .name = "class", .expected_us = 100 * S };
 	struct rj_plan_job small = planner_job_of(1, 'c', 1, 1);
@@ -91,14 +92,13 @@
 }
 
 /*
- * A pricing gang waits for hours though all that is in its way may be
- * stopped. A smaller gang with checkpoints was let pass it and took most of
- * the rack, a render the rest. Cause: what was let pass was stopped
- * only if that was enough, and so was small work, but never both together.
+ * Backfilled jobs and small jobs must be stopped together for a gang, if
+ * neither is enough alone. A smaller gang with checkpoints passes the gang and
+ * takes most of the rack, a render the rest; the gang would wait for hours.
  */
 static void
-test_loans_and_small_work_make_way_together(struct planner_fixture *f,
-					    const void *data)
+test_backfilled_and_small_jobs_are_stopped_together(struct planner_fixture *f,
+						    const void *data)
 {
 	struct rj_job_class class = { .name = "class", .expected_us = 100 * S };
 	struct rj_plan_job render = planner_job_of(1, 'c', 1, 8);
@@ -129,14 +129,13 @@
 }
 
 /*
- * A lesson pack is stopped again and again, and handed out after the class.
- * It was stopped for a guarantee, came back where a waiting gang let it pass,
- * and was stopped for the gang. Cause: that it had been stopped before and
- * that it is urgent counted for nothing there.
+ * An urgent job that was stopped once must not be stopped again for a gang. It
+ * is stopped for a guarantee and passes a waiting gang as backfill; its urgency
+ * and the earlier stop must count when victims for that gang are chosen.
  */
 static void
-test_urgent_work_is_not_stopped_again_for_a_gang(struct planner_fixture *f,
-						 const void *data)
+test_urgent_job_is_not_stopped_again_for_a_gang(struct planner_fixture *f,
+						const void *data)
 {
 	struct rj_job_class class = { .name = "class",
 				      .expected_us = 1000 * S };
@@ -166,13 +165,13 @@
 }
 
 /*
- * Previews wait beside idle accelerators, which are kept for a gang whose
- * turn is minutes away, though stopping them would cost a few seconds.
- * Cause: only what ends in time or has checkpoints was let pass.
+ * Jobs that are cheap to stop may use accelerators that are reserved for a gang
+ * which starts minutes later. Backfill is not only for jobs that end in time or
+ * have checkpoints.
  */
 static void
-test_short_small_work_passes_a_reservation(struct planner_fixture *f,
-					   const void *data)
+test_cheap_preemptible_jobs_backfill_a_reservation(struct planner_fixture *f,
+						   const void *data)
 {
 	struct rj_job_class classes[] = {
 		{ .name = "class", .expected_us = 100 * S },
@@ -182,7 +181,7 @@
 	struct rj_plan_job gang = planner_job_of(200, 'c', WORKERS, 8);
 
 	planner_configure_classes(f, classes, 2);
-	/* It may end at any moment: nothing is sure to end before it. */
+	/* It may end at any moment, so no job is sure to end before it. */
 	planner_submit(f, planner_job_of(1, 'c', 1, 8), 0);
 	planner_pass(f, 0);
 	gang.shape.adjacent = false;
@@ -203,12 +202,9 @@
 			RJ_REASON_BACKFILL);
 }
 
-/*
- * A tutor waits for a lesson pack that was dead an hour ago: it sits in the
- * queue past its deadline and nobody says so.
- */
-static void test_late_jobs_are_given_up(struct planner_fixture *f,
-					const void *data)
+/* A job in the queue must be refused when its deadline has passed. */
+static void test_jobs_past_their_deadline_are_refused(struct planner_fixture *f,
+						      const void *data)
 {
 	struct rj_plan_job late = planner_job_of(20, 'c', 1, 8);
 
@@ -226,10 +222,11 @@
 }
 
 /*
- * Refused callers come back together, again and again. Cause: all were told
- * the same time.
+ * Refused callers must get different times to retry after, or they return
+ * together again and again.
  */
-static void test_refused_callers_return_apart(struct planner_fixture *f,
+static void
+test_refused_callers_retry_at_different_times(struct planner_fixture *f,
 					      const void *data)
 {
 	GHashTable *times = g_hash_table_new(NULL, NULL);
@@ -254,13 +251,13 @@
 }
 
 /*
- * A portfolio gang waits while the rooms that it needs go to previews that
- * came minutes later. All ends at once, and the previews are served first.
- * Cause: the gang is of low priority, and its size counted for nothing.
+ * A large gang must go before small jobs that were submitted minutes later. All
+ * capacity becomes free at once, and the gang has a low priority, so its size
+ * must be considered.
  */
 static void
-test_a_large_gang_goes_before_later_small_work(struct planner_fixture *f,
-					       const void *data)
+test_large_gang_goes_before_later_small_jobs(struct planner_fixture *f,
+					     const void *data)
 {
 	struct rj_plan_job gang = planner_job_of(2, 'c', WORKERS, 8);
 	struct rj_plan_job small = planner_job_of(3, 'c', 1, 8);
@@ -283,9 +280,7 @@
 	g_assert_cmpint(planner_decision_on(f, 2)->kind, ==, RJ_DECISION_START);
 }
 
-/*
- * One account's burst of previews shuts everybody out: it fills the queue.
- */
+/* A burst of one account must not fill the queue for all others. */
 static void test_queue_is_shared(struct planner_fixture *f, const void *data)
 {
 	struct rj_plan_job urgent = planner_job_of(900, 'a', 1, 8);
@@ -307,21 +302,22 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	PLANNER_TEST("reservation/never",
-		     test_nothing_is_kept_for_what_cannot_run);
+		     test_no_reservation_for_a_gang_that_cannot_run);
 	PLANNER_TEST("reservation/learnt",
-		     test_learnt_run_time_decides_who_passes);
+		     test_learnt_run_time_decides_backfill);
 	PLANNER_TEST("reservation/waited",
-		     test_small_work_makes_way_for_a_gang);
+		     test_small_jobs_are_stopped_for_a_gang);
 	PLANNER_TEST("reservation/together",
-		     test_loans_and_small_work_make_way_together);
+		     test_backfilled_and_small_jobs_are_stopped_together);
 	PLANNER_TEST("reservation/urgent_again",
-		     test_urgent_work_is_not_stopped_again_for_a_gang);
+		     test_urgent_job_is_not_stopped_again_for_a_gang);
 	PLANNER_TEST("reservation/short",
-		     test_short_small_work_passes_a_reservation);
-	PLANNER_TEST("queue/late", test_late_jobs_are_given_up);
-	PLANNER_TEST("queue/apart", test_refused_callers_return_apart);
+		     test_cheap_preemptible_jobs_backfill_a_reservation);
+	PLANNER_TEST("queue/late", test_jobs_past_their_deadline_are_refused);
+	PLANNER_TEST("queue/apart",
+		     test_refused_callers_retry_at_different_times);
 	PLANNER_TEST("queue/shared", test_queue_is_shared);
 	PLANNER_TEST("queue/size",
-		     test_a_large_gang_goes_before_later_small_work);
+		     test_large_gang_goes_before_later_small_jobs);
 	return g_test_run();
 }
--- a/src/test_libradishjunction/test_planner_topology.c
+++ b/src/test_libradishjunction/test_planner_topology.c
@@ -5,9 +5,9 @@
 #include "support/planner_fixture.h"
 
 /*
- * A studio's guaranteed rack is full of other people's renders when its
- * class begins. The renders came while the rack was idle; then the studio
- * submits. Cause: freeing the right number of accelerators, but scattered.
+ * Reclaim must free adjacent capacity. Other accounts' renders fill a
+ * guaranteed rack; the right number of accelerators is not enough if they are
+ * scattered.
  */
 static void test_guarantee_occupied_by_gangs(struct planner_fixture *f,
 					     const void *data)
@@ -36,12 +36,11 @@
 }
 
 /*
- * A buyer's charge runs on a studio's guaranteed rack and cannot be stopped
- * when the studio needs it. Cause: it was let in because the rack was idle.
+ * A job that cannot be stopped must not be placed on another account's
+ * guaranteed rack, even if the rack is idle: it cannot be reclaimed.
  */
-static void
-test_unstoppable_work_stays_off_guarantees(struct planner_fixture *f,
-					   const void *data)
+static void test_unstoppable_jobs_stay_off_guarantees(struct planner_fixture *f,
+						      const void *data)
 {
 	struct rj_plan_job charge = planner_job_of(1, 'c', 1, 8);
 
@@ -59,8 +58,8 @@
 }
 
 static void
-test_unstoppable_work_runs_on_its_own_guarantee(struct planner_fixture *f,
-						const void *data)
+test_unstoppable_jobs_run_on_their_own_guarantee(struct planner_fixture *f,
+						 const void *data)
 {
 	struct rj_plan_job charge = planner_job_of(1, 'b', 1, 8);
 
@@ -71,9 +70,9 @@
 }
 
 /*
- * Two studios claim their guarantees in the same second and one starves.
- * Renders fill both racks; both claims choose victims. Cause: the second
- * claim counted capacity that the first had just claimed.
+ * Two accounts reclaim their guarantees at the same time from jobs that fill
+ * both racks. If the second claim counts capacity that the first has claimed,
+ * one account starves.
  */
 static void test_two_accounts_reclaim_at_once(struct planner_fixture *f,
 					      const void *data)
@@ -92,10 +91,10 @@
 }
 
 /*
- * A tutor's second lesson waits though half of the guarantee is unused.
- * The guarantee's worker is away; a lesson of two accelerators gets its room
- * elsewhere, then one of one accelerator asks. Cause: what was granted was
- * counted in tasks of the new lesson, so that the first seemed to be two.
+ * Jobs of different sizes must share a guarantee. Its worker is unavailable; a
+ * job of two accelerators is placed elsewhere, then one of one accelerator is
+ * submitted. If use is counted in tasks of the new job, the first job counts as
+ * two, and half of the guarantee stays unused.
  */
 static void test_mixed_sizes_share_a_guarantee(struct planner_fixture *f,
 					       const void *data)
@@ -112,7 +111,7 @@
 	planner_pass(f, S);
 	g_assert_cmpint(planner_decision_on(f, 20)->kind, ==,
 			RJ_DECISION_START);
-	/* The rest of that worker goes to others again. */
+	/* Others may use the rest of that worker again. */
 	planner_submit_many(f, planner_job_of(30, 'c', 1, 6), 1);
 	planner_pass(f, S);
 	planner_submit(f, planner_job_of(21, 'b', 1, 1), S);
@@ -130,39 +129,39 @@
 }
 
 /*
- * A studio waits for ever for a worker that has hung. It claims two workers;
- * the task on one of them neither stops nor reports. Cause: the claim waited
- * for that worker instead of choosing another shape.
+ * A reclaim must choose another shape if a worker does not respond. It claims
+ * two workers; the task on one of them neither stops nor reports, and the job
+ * would wait forever.
  */
-static void test_silent_worker_gives_another_shape(struct planner_fixture *f,
-						   const void *data)
+static void
+test_reclaim_avoids_an_unresponsive_worker(struct planner_fixture *f,
+					   const void *data)
 {
 	uint64_t now_us = S;
-	uint64_t silent;
+	uint64_t unresponsive;
 
 	planner_submit_many(f, planner_job_of(1, 'c', 1, 8), WORKERS);
 	planner_pass(f, 0);
 	planner_submit(f, planner_job_of(20, 'b', 2, 8), now_us);
 	planner_pass(f, now_us);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), ==, 2);
-	silent = f->decisions.list[0].job_id;
-	planner_apply_reclaims(f, silent, now_us);
+	unresponsive = f->decisions.list[0].job_id;
+	planner_apply_reclaims(f, unresponsive, now_us);
 	planner_pass(f, now_us);
 	g_assert_null(planner_decision_on(f, 20));
 	now_us = f->planner->ops->wake_us(f->planner);
 	g_assert_cmpuint(now_us, <=, S + LIMIT_MS * RJ_US_PER_MS + S);
 	planner_pass(f, now_us);
 	g_assert_cmpuint(planner_count_of(f, RJ_DECISION_RECLAIM), >=, 1);
-	planner_apply_reclaims(f, silent, now_us);
+	planner_apply_reclaims(f, unresponsive, now_us);
 	planner_pass(f, now_us);
 	g_assert_cmpint(planner_decision_on(f, 20)->kind, ==,
 			RJ_DECISION_START);
 }
 
 /*
- * A claim is lost with the workers that it waited for.
- * A studio claims two workers; they die while they are being freed, and the
- * other two of the rack would do. Cause: the claim was tied to its workers.
+ * A reclaim must survive its workers. Two claimed workers die while they are
+ * being freed; the other two of the rack are enough.
  */
 static void test_workers_die_during_reclaim(struct planner_fixture *f,
 					    const void *data)
@@ -192,9 +191,9 @@
 }
 
 /*
- * After a guarantee was cut its old rack stays closed to quotes, or after
- * one was raised quotes are still let in. Cause: the homes of guaranteed
- * shapes were worked out once and not with each configuration.
+ * The homes of guaranteed shapes must follow the configuration. Computed once,
+ * they keep unstoppable jobs off the rack after a guarantee is lowered, and let
+ * them in after one is raised.
  */
 static void test_guarantee_shrinks_and_grows(struct planner_fixture *f,
 					     const void *data)
@@ -260,11 +259,11 @@
 }
 
 /*
- * After an instance is replaced a guarantee cannot be reclaimed: its
- * successor found the renders running and took them for its own account's.
+ * Adopted jobs must be reclaimable. An instance that replaces another finds
+ * running jobs and must not take them for jobs of the guaranteed account.
  */
-static void test_adopted_work_is_reclaimed(struct planner_fixture *f,
-					   const void *data)
+static void test_adopted_jobs_are_reclaimed(struct planner_fixture *f,
+					    const void *data)
 {
 	for (uint32_t i = 0; i < WORKERS; i++) {
 		struct rj_plan_job job = planner_job_of(i + 1, 'c', 1, 8);
@@ -282,12 +281,13 @@
 }
 
 /*
- * Studio a, which borrows all, has its own guaranteed work stopped for b.
- * Cause: the victims were chosen by lost work alone.
+ * A job within its account's guarantee must not be stopped for another account,
+ * even if the account also borrows. Lost run time is not the only criterion for
+ * victims.
  */
 static void
-test_what_is_within_a_guarantee_is_not_stopped(struct planner_fixture *f,
-					       const void *data)
+test_jobs_within_a_guarantee_are_not_stopped(struct planner_fixture *f,
+					     const void *data)
 {
 	planner_submit(f, planner_job_of(1, 'a', 4, 8), 0);
 	planner_pass(f, 0);
@@ -301,8 +301,8 @@
 }
 
 /*
- * A guaranteed gang is cancelled while its room is being freed, and the
- * room stays kept for ever.
+ * Cancelling a guaranteed gang while its capacity is being reclaimed must
+ * release that capacity.
  */
 static void test_cancelled_while_reclaiming(struct planner_fixture *f,
 					    const void *data)
@@ -319,9 +319,11 @@
 			RJ_DECISION_START);
 }
 
-/* On which workers of eight, "w0" to "w7", work that cannot be stopped goes,
- * as a bit for each, if they become known in this order. */
-static uint32_t unguaranteed(bool reversed)
+/*
+ * Returns which of eight workers, "w0" to "w7", get jobs which cannot be
+ * stopped, one bit each, if the workers become known in this order.
+ */
+static uint32_t unstoppable_placement(bool reversed)
 {
 	struct planner_fixture f;
 	uint32_t workers = 0;
@@ -351,15 +353,16 @@
 }
 
 /*
- * A guaranteed shape waits for the end of a quote that cannot be stopped.
- * The rack goes to an instance that learnt of its workers in another order;
- * what its former owner placed beside the guarantee lies on it there.
- * Cause: a worker's place in its rack was the order in which it became known.
+ * The homes of guaranteed shapes must not depend on the order in which workers
+ * become known. Otherwise, after the rack moves to another owner, a job that
+ * cannot be stopped occupies a home, and the guaranteed shape waits for its
+ * end.
  */
 static void test_homes_do_not_depend_on_the_order_of_discovery(void)
 {
-	g_assert_cmpuint(unguaranteed(false), !=, 0);
-	g_assert_cmpuint(unguaranteed(false), ==, unguaranteed(true));
+	g_assert_cmpuint(unstoppable_placement(false), !=, 0);
+	g_assert_cmpuint(unstoppable_placement(false), ==,
+			 unstoppable_placement(true));
 }
 
 int main(int argc, char **argv)
@@ -367,18 +370,18 @@
 	g_test_init(&argc, &argv, NULL);
 	PLANNER_TEST("guarantee/gangs", test_guarantee_occupied_by_gangs);
 	PLANNER_TEST("guarantee/unstoppable",
-		     test_unstoppable_work_stays_off_guarantees);
+		     test_unstoppable_jobs_stay_off_guarantees);
 	PLANNER_TEST("guarantee/own",
-		     test_unstoppable_work_runs_on_its_own_guarantee);
+		     test_unstoppable_jobs_run_on_their_own_guarantee);
 	PLANNER_TEST("guarantee/two", test_two_accounts_reclaim_at_once);
 	PLANNER_TEST("guarantee/sizes", test_mixed_sizes_share_a_guarantee);
 	PLANNER_TEST("guarantee/silent",
-		     test_silent_worker_gives_another_shape);
+		     test_reclaim_avoids_an_unresponsive_worker);
 	PLANNER_TEST("guarantee/dies", test_workers_die_during_reclaim);
 	PLANNER_TEST("guarantee/changes", test_guarantee_shrinks_and_grows);
-	PLANNER_TEST("guarantee/adopted", test_adopted_work_is_reclaimed);
+	PLANNER_TEST("guarantee/adopted", test_adopted_jobs_are_reclaimed);
 	PLANNER_TEST("guarantee/within",
-		     test_what_is_within_a_guarantee_is_not_stopped);
+		     test_jobs_within_a_guarantee_are_not_stopped);
 	PLANNER_TEST("guarantee/cancelled", test_cancelled_while_reclaiming);
 	PLANNER_TEST("place/broken", test_small_jobs_fill_broken_workers);
 	PLANNER_TEST("place/span", test_gangs_span_as_few_racks_as_will_do);
--- a/src/test_libradishjunction/test_tcp_peers.c
+++ b/src/test_libradishjunction/test_tcp_peers.c
@@ -13,9 +13,9 @@
 
 #define KEY "the key of all instances"
 
-/* An instance's side of the links, and what its sink was told. */
+/* One instance's links, and the events that its sink received. */
 struct node {
-	struct rj_sink sink; /* first member, always */
+	struct rj_sink sink; /* must be the first member */
 	struct rj_tcp_peers peers;
 	uint32_t ups;
 	uint32_t downs;
@@ -23,9 +23,9 @@
 	uint64_t last_value;
 };
 
-/* A peer that the test drives frame by frame. */
-struct raw {
-	struct rj_tcp_link link; /* first member, always */
+/* A peer that the test controls frame by frame. */
+struct raw_peer {
+	struct rj_tcp_link link; /* must be the first member */
 	struct rj_peer_session session;
 	uint32_t frames;
 	struct rj_bytes body; /* of the newest frame after the hello */
@@ -79,7 +79,7 @@
 	node->peers.base.ops->connect(&node->peers.base, name, &address);
 }
 
-/* Send a message that carries `value`. */
+/* Sends a message that carries `value`. */
 static void node_send(struct node *node, const char *name, uint64_t value)
 {
 	struct rj_peer_message message = { .kind = RJ_PEER_CANCEL };
@@ -90,23 +90,24 @@
 
 static void raw_frame(struct rj_tcp_link *link, struct rj_bytes frame)
 {
-	struct raw *raw = (struct raw *)link;
+	struct raw_peer *raw_peer = (struct raw_peer *)link;
 
-	if (raw->frames++ == 0) {
-		rj_peer_session_receive_hello(&raw->session, frame, NULL);
+	if (raw_peer->frames++ == 0) {
+		rj_peer_session_receive_hello(&raw_peer->session, frame, NULL);
 		return;
 	}
-	g_assert_cmpint(
-		rj_peer_session_open(&raw->session, frame, &raw->body, NULL),
-		==, 0);
-	raw->body.data = talloc_memdup(loop, raw->body.data, raw->body.length);
+	g_assert_cmpint(rj_peer_session_open(&raw_peer->session, frame,
+					     &raw_peer->body, NULL),
+			==, 0);
+	raw_peer->body.data =
+		talloc_memdup(loop, raw_peer->body.data, raw_peer->body.length);
 }
 
 static void raw_connected(struct rj_tcp_link *link)
 {
-	struct raw *raw = (struct raw *)link;
-	struct rj_bytes hello = { raw->session.local_hello,
-				  raw->session.local_hello_length };
+	struct raw_peer *raw_peer = (struct raw_peer *)link;
+	struct rj_bytes hello = { raw_peer->session.local_hello,
+				  raw_peer->session.local_hello_length };
 
 	rj_tcp_link_send(link, &hello, 1);
 }
@@ -114,27 +115,27 @@
 static void raw_closed(struct rj_tcp_link *link,
 		       enum rj_peer_close_reason reason)
 {
-	((struct raw *)link)->closed = true;
+	((struct raw_peer *)link)->closed = true;
 }
 
 static const struct rj_tcp_link_ops raw_ops = { raw_connected, raw_frame,
 						raw_closed };
 
-/* Connect to `node` and send `hello`. */
-static void raw_init_hello(struct raw *raw, const struct node *node,
+/* Connects to `node` and sends `hello`. */
+static void raw_init_hello(struct raw_peer *raw_peer, const struct node *node,
 			   const struct rj_peer_hello *hello)
 {
 	struct rj_address address = rj_tcp_peers_address(&node->peers);
 
-	memset(raw, 0, sizeof(*raw));
-	rj_peer_session_init(&raw->session, KEY, hello);
-	rj_tcp_link_init(&raw->link, loop, &raw_ops, loop,
+	memset(raw_peer, 0, sizeof(*raw_peer));
+	rj_peer_session_init(&raw_peer->session, KEY, hello);
+	rj_tcp_link_init(&raw_peer->link, loop, &raw_ops, loop,
 			 rj_tcp_connect(&address, NULL), true);
 }
 
-/* Connect to `node` with a hello of that one version. */
-static void raw_init(struct raw *raw, const struct node *node, const char *name,
-		     uint32_t version)
+/* Connects to `node` with a hello that offers this version only. */
+static void raw_init(struct raw_peer *raw_peer, const struct node *node,
+		     const char *name, uint32_t version)
 {
 	struct rj_peer_hello hello = { .version = version,
 				       .version_min = version };
@@ -142,29 +143,29 @@
 	rj_name_set(hello.name, name);
 	rj_name_set(hello.domain, "lhr-dha");
 	randombytes_buf(hello.nonce, sizeof(hello.nonce));
-	raw_init_hello(raw, node, &hello);
+	raw_init_hello(raw_peer, node, &hello);
 }
 
-/* Seal `body`; the whole frame is a talloc child of `loop`. */
-static struct rj_bytes raw_seal(struct raw *raw, struct rj_bytes body)
+/* Seals `body`; the whole frame is a talloc child of `loop`. */
+static struct rj_bytes raw_seal(struct raw_peer *raw_peer, struct rj_bytes body)
 {
 	uint8_t *data = talloc_size(loop, RJ_PEER_MAC_BYTES + body.length);
 
-	rj_peer_session_seal(&raw->session, data, body);
+	rj_peer_session_seal(&raw_peer->session, data, body);
 	if (body.length)
 		memcpy(data + RJ_PEER_MAC_BYTES, body.data, body.length);
 	return (struct rj_bytes){ data, RJ_PEER_MAC_BYTES + body.length };
 }
 
-/* Finish the handshake as a proper peer. */
-static void raw_prove(struct raw *raw, struct node *node)
+/* Completes the handshake with a valid proof. */
+static void raw_authenticate(struct raw_peer *raw_peer, struct node *node)
 {
 	struct rj_bytes proof;
 	uint32_t ups = node->ups;
 
-	RUN_UNTIL(loop, raw->frames >= 1);
-	proof = raw_seal(raw, (struct rj_bytes){ NULL, 0 });
-	rj_tcp_link_send(&raw->link, &proof, 1);
+	RUN_UNTIL(loop, raw_peer->frames >= 1);
+	proof = raw_seal(raw_peer, (struct rj_bytes){ NULL, 0 });
+	rj_tcp_link_send(&raw_peer->link, &proof, 1);
 	RUN_UNTIL(loop, node->ups == ups + 1);
 }
 
@@ -174,7 +175,7 @@
 	return rj_tcp_peers_close_count(&node->peers, reason);
 }
 
-/* Two linked instances, of which the first is then attacked. */
+/* Two linked instances; the test then attacks the first. */
 static void pair_init(struct node *node, struct node *other)
 {
 	node_init(node, "b", KEY, 0);
@@ -183,7 +184,7 @@
 	RUN_UNTIL(loop, node->ups == 1 && other->ups == 1);
 }
 
-/* The link of the pair still carries messages, and has never ended. */
+/* The link of the pair still carries messages and was never closed. */
 static void pair_finish(struct node *node, struct node *other)
 {
 	uint32_t messages = node->messages;
@@ -196,7 +197,7 @@
 	node_finish(other);
 }
 
-/* Both connect at the same time; one link stays and carries messages. */
+/* Both connect at the same time; one link remains and carries messages. */
 static void test_both_connect(void)
 {
 	struct node a;
@@ -218,7 +219,7 @@
 	node_finish(&b);
 }
 
-/* An instance that was replaced at its address is found again. */
+/* An instance that was replaced at its address is connected again. */
 static void test_reconnects(void)
 {
 	struct node a;
@@ -239,8 +240,8 @@
 }
 
 /*
- * A stranger reads and forges other teams' work.
- * It knows the addresses and the format of the frames, but not the key.
+ * A stranger that knows the addresses and the frame format but not the key must
+ * not be able to read or forge messages.
  */
 static void test_wrong_key(void)
 {
@@ -259,9 +260,8 @@
 }
 
 /*
- * A forwarded job arrives twice.
- * A device on the way repeats a whole frame, bit by bit.
- * Cause: the frame verified on its own, whatever its place.
+ * A replayed frame must be refused, or a forwarded job arrives twice. A frame
+ * must be verified with its position in the sequence.
  */
 static void test_replayed_frame(void)
 {
@@ -269,37 +269,37 @@
 	struct rj_bytes frame;
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 
 	pair_init(&node, &other);
-	raw_init(&raw, &node, "c", RJ_PEER_VERSION);
-	raw_prove(&raw, &node);
-	frame = raw_seal(&raw, rj_peer_encode(loop, &message));
-	rj_tcp_link_send(&raw.link, &frame, 1);
-	rj_tcp_link_send(&raw.link, &frame, 1);
+	raw_init(&raw_peer, &node, "c", RJ_PEER_VERSION);
+	raw_authenticate(&raw_peer, &node);
+	frame = raw_seal(&raw_peer, rj_peer_encode(loop, &message));
+	rj_tcp_link_send(&raw_peer.link, &frame, 1);
+	rj_tcp_link_send(&raw_peer.link, &frame, 1);
 	RUN_UNTIL(loop, closed(&node, RJ_PEER_CLOSE_AUTHENTICATION) == 1);
 	g_assert_cmpuint(node.messages, ==, 1);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
-/* A proven peer sends bytes that are no message. */
+/* An authenticated peer sends bytes that are no message. */
 static void test_malformed_message(void)
 {
 	struct rj_bytes garbage = { (const uint8_t *)"\xc1\xc1\xc1", 3 };
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 
 	pair_init(&node, &other);
-	raw_init(&raw, &node, "c", RJ_PEER_VERSION);
-	raw_prove(&raw, &node);
-	garbage = raw_seal(&raw, garbage);
-	rj_tcp_link_send(&raw.link, &garbage, 1);
-	RUN_UNTIL(loop,
-		  closed(&node, RJ_PEER_CLOSE_MALFORMED) == 1 && raw.closed);
+	raw_init(&raw_peer, &node, "c", RJ_PEER_VERSION);
+	raw_authenticate(&raw_peer, &node);
+	garbage = raw_seal(&raw_peer, garbage);
+	rj_tcp_link_send(&raw_peer.link, &garbage, 1);
+	RUN_UNTIL(loop, closed(&node, RJ_PEER_CLOSE_MALFORMED) == 1 &&
+				raw_peer.closed);
 	g_assert_cmpuint(node.downs, ==, 1);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
@@ -310,43 +310,43 @@
 	struct rj_bytes frame = { zeros, sizeof(zeros) };
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 
 	pair_init(&node, &other);
-	raw_init(&raw, &node, "c", RJ_PEER_VERSION);
-	rj_tcp_link_send(&raw.link, &frame, 1);
+	raw_init(&raw_peer, &node, "c", RJ_PEER_VERSION);
+	rj_tcp_link_send(&raw_peer.link, &frame, 1);
 	RUN_UNTIL(loop, closed(&node, RJ_PEER_CLOSE_OVERSIZED) == 1);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
-/* A peer of a version that is not spoken any more, or not yet. */
+/* A peer offers only a version that is no longer, or not yet, supported. */
 static void test_no_common_version(void)
 {
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 
 	pair_init(&node, &other);
-	raw_init(&raw, &node, "c", RJ_PEER_VERSION + 1);
+	raw_init(&raw_peer, &node, "c", RJ_PEER_VERSION + 1);
 	RUN_UNTIL(loop, closed(&node, RJ_PEER_CLOSE_VERSION) == 1);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
-/* Send a message of each kind, which must all arrive. */
-static void raw_send_all(struct raw *raw, struct node *node,
+/* Sends a message of each kind and waits until all have arrived. */
+static void raw_send_all(struct raw_peer *raw_peer, struct node *node,
 			 struct rj_bytes (*body_of)(enum rj_peer_message_kind))
 {
 	for (uint32_t kind = 0; kind < RJ_PEER_MESSAGE_KIND_COUNT; kind++) {
-		struct rj_bytes frame = raw_seal(raw, body_of(kind));
+		struct rj_bytes frame = raw_seal(raw_peer, body_of(kind));
 
-		rj_tcp_link_send(&raw->link, &frame, 1);
+		rj_tcp_link_send(&raw_peer->link, &frame, 1);
 	}
 	RUN_UNTIL(loop, node->messages == RJ_PEER_MESSAGE_KIND_COUNT);
 	g_assert_cmpuint(node->last_value, ==, 77);
 	g_assert_cmpuint(node->downs, ==, 0);
-	g_assert_false(raw->closed);
+	g_assert_false(raw_peer->closed);
 }
 
 /* What an instance of the oldest accepted version sends. */
@@ -356,10 +356,9 @@
 }
 
 /*
- * On the evening of a release nothing is handed on between instances.
- * The first instance is replaced; its links to old ones, which speak the
- * frames that were recorded from their version, are closed over and over.
- * Cause: the new one wants fields that old ones do not send.
+ * A new instance must accept the recorded frames of older versions. If it
+ * requires fields that they do not send, it closes the links again and again
+ * during a rolling replacement.
  */
 static void test_older_instance(void)
 {
@@ -368,28 +367,28 @@
 	struct rj_peer_message message;
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 	uint32_t frames;
 
 	pair_init(&node, &other);
-	raw_init_hello(&raw, &node, &hello);
-	g_assert_cmpmem(raw.session.local_hello, recorded.length, recorded.data,
-			recorded.length);
-	memcpy(raw.session.local_hello, recorded.data, recorded.length);
-	raw.session.local_hello_length = recorded.length;
-	raw_prove(&raw, &node);
-	raw_send_all(&raw, &node, recorded_body);
-
-	/* What comes back begins with what the old one knows. */
-	frames = raw.frames;
+	raw_init_hello(&raw_peer, &node, &hello);
+	g_assert_cmpmem(raw_peer.session.local_hello, recorded.length,
+			recorded.data, recorded.length);
+	memcpy(raw_peer.session.local_hello, recorded.data, recorded.length);
+	raw_peer.session.local_hello_length = recorded.length;
+	raw_authenticate(&raw_peer, &node);
+	raw_send_all(&raw_peer, &node, recorded_body);
+
+	/* The frame begins with the fields that the old instance knows. */
+	frames = raw_peer.frames;
 	peer_frames_fill(&message, RJ_PEER_HEARTBEAT);
 	node.peers.base.ops->send(&node.peers.base, "c", &message);
-	RUN_UNTIL(loop, raw.frames == frames + 1);
+	RUN_UNTIL(loop, raw_peer.frames == frames + 1);
 	recorded = peer_frames_recorded(loop, RJ_PEER_HEARTBEAT);
-	g_assert_cmpuint(raw.body.length, >=, recorded.length);
-	g_assert_cmpmem(raw.body.data, recorded.length, recorded.data,
+	g_assert_cmpuint(raw_peer.body.length, >=, recorded.length);
+	g_assert_cmpmem(raw_peer.body.data, recorded.length, recorded.data,
 			recorded.length);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
@@ -410,10 +409,9 @@
 }
 
 /*
- * On the evening of a release nothing is handed on between instances.
- * The last old instance has two new peers, which speak a version that it does
- * not know yet beside its own, and append fields to every message.
- * Cause: it refuses a hello of a higher version, or a frame that goes on.
+ * An old instance must accept peers that also offer an unknown newer version
+ * and append fields to every message. If it refuses the hello, or the longer
+ * frames, no messages pass between instances during a rolling replacement.
  */
 static void test_newer_instance(void)
 {
@@ -425,53 +423,52 @@
 				       { 1, 2 } };
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 
 	pair_init(&node, &other);
-	raw_init_hello(&raw, &node, &hello);
-	raw_prove(&raw, &node);
-	g_assert_cmpuint(raw.session.version, ==, RJ_PEER_VERSION);
-	raw_send_all(&raw, &node, longer_body);
-	rj_tcp_link_finish(&raw.link);
+	raw_init_hello(&raw_peer, &node, &hello);
+	raw_authenticate(&raw_peer, &node);
+	g_assert_cmpuint(raw_peer.session.version, ==, RJ_PEER_VERSION);
+	raw_send_all(&raw_peer, &node, longer_body);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
 /*
- * A stranger without the key is taken for a peer.
- * It sends back every frame that it gets, the proof among them.
- * Cause: both directions of a link used one key.
+ * A stranger without the key that sends back every frame it gets, the proof
+ * included, must not be taken for a peer. The two directions of a link
+ * therefore use different keys.
  */
 static void test_reflected_hello(void)
 {
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 
 	pair_init(&node, &other);
-	raw_init(&raw, &node, "b", RJ_PEER_VERSION);
+	raw_init(&raw_peer, &node, "b", RJ_PEER_VERSION);
 	RUN_UNTIL(loop, closed(&node, RJ_PEER_CLOSE_NAME) == 1);
 	g_assert_cmpuint(node.ups, ==, 1);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
 /*
- * An instance grows until it is killed.
- * A peer was paused: its connection stands, and it reads nothing.
- * Cause: what was to be sent to it was kept without a bound.
+ * The queue to a peer that does not read must be bounded. The peer is paused
+ * with its connection open, and the sender would grow until it is killed.
  */
 static void test_slow_reader(void)
 {
 	struct rj_peer_message message = { .kind = RJ_PEER_FORWARD };
 	struct node node;
 	struct node other;
-	struct raw raw;
+	struct raw_peer raw_peer;
 	uint32_t sent;
 
 	pair_init(&node, &other);
-	raw_init(&raw, &node, "c", RJ_PEER_VERSION);
-	raw_prove(&raw, &node);
-	TALLOC_FREE(raw.link.fd_event);
+	raw_init(&raw_peer, &node, "c", RJ_PEER_VERSION);
+	raw_authenticate(&raw_peer, &node);
+	TALLOC_FREE(raw_peer.link.fd_event);
 	message.u.forward.spec.body.data =
 		talloc_zero_size(loop, RJ_BODY_MAX_BYTES);
 	message.u.forward.spec.body.length = RJ_BODY_MAX_BYTES;
@@ -479,7 +476,7 @@
 	     sent++)
 		node.peers.base.ops->send(&node.peers.base, "c", &message);
 	RUN_UNTIL(loop, closed(&node, RJ_PEER_CLOSE_QUEUE_FULL) == 1);
-	rj_tcp_link_finish(&raw.link);
+	rj_tcp_link_finish(&raw_peer.link);
 	pair_finish(&node, &other);
 }
 
