--- a/scripts/users.bash
+++ b/scripts/users.bash
@@ -6,11 +6,11 @@
 
 # render NAME: the settings of one instance, from the template that is used on
 # the platform, with every port chosen by the system.
-render() {
+render_settings() {
 	sed -e "s/{{NodeName|json}}/\"$1\"/" -e 's/{{Zone|json}}/"z"/' \
 		-e 's/{{ListenAddrs[^}]*}}/"127.0.0.1:0"/' \
 		-e 's/{{Ip}}:{{PortRange.0}}/127.0.0.1:0/' \
-		-e "s/{{platform.Address|json}}/\"$log\"/" \
+		-e "s/{{platform.Address|json}}/\"$log_address\"/" \
 		-e 's/{{Limits.CpuShare}}/0.25/' -e 's/{{Limits.Cores}}/1/' \
 		-e 's/{{Commands|json}}/"rpc"/' -e 's/{{Hint}}//' \
 		-e 's/{{Bounds.GraceS}}/6/' \
@@ -24,54 +24,54 @@
 		-e 's/{{Limits.MaxFds}}/4096/' \
 		-e 's/{{Limits.LinkMbps}}/1000/' \
 		-e 's/{{HeartbeatMs}}/500/' \
-		deploy/settings.json >"$work/$1.json"
+		deploy/settings.json >"$work_dir/$1.json"
 }
 
 # port NAME WHICH: where an instance listens.
-port() { grep -m1 '"event":"start"' "$work/$1.out" |
+listen_port() { grep -m1 '"event":"start"' "$work_dir/$1.out" |
 	grep -o "\"$2_port\":[0-9]*" | cut -d: -f2; }
-is_started() { grep -qs '"event":"start"' "$work/$1.out"; }
-is_up() { curl -sf -o "$work/ready" "http://127.0.0.1:$(port "$1" ready)/-/ready"; }
-owns() { grep -qs '"event":"own"' "$work/$1.out"; }
+is_started() { grep -qs '"event":"start"' "$work_dir/$1.out"; }
+entry_is_ready() { curl -sf -o "$work_dir/ready" "http://127.0.0.1:$(listen_port "$1" ready)/-/ready"; }
+is_owner() { grep -qs '"event":"own"' "$work_dir/$1.out"; }
 
 start_entry() {
-	render "$1"
-	start "$1" "$bin/radishjunction-entry" --settings "$work/$1.json"
+	render_settings "$1"
+	start_process "$1" "$bin/radishjunction-entry" --settings "$work_dir/$1.json"
 	wait_for "$1" is_started "$1"
 }
 
 # job NUMBER: an id of 16 digits.
-job() { printf '%016x' "$1"; }
+job_id() { printf '%016x' "$1"; }
 
 # submit NUMBER NAME: until it is accepted, as clients do.
-submit() {
-	curl -sf -m 3 -o "$work/answer" -X POST -H "$HOST" -H "$KEY" \
+submit_job() {
+	curl -sf -m 3 -o "$work_dir/answer" -X POST -H "$HOST" -H "$KEY" \
 		-d '{"Spec":"1500","Steps":[{"Count":3,"Cpu":1000,"MemMb":1000,"Gpu":1,"EstimateMs":1500},{"Count":1,"Cpu":1000,"MemMb":1000,"Gpu":2,"EstimateMs":1500,"After":[0]}]}' \
-		"http://127.0.0.1:$(port "$2" callers)/p/$(job "$1")"
+		"http://127.0.0.1:$(listen_port "$2" callers)/p/$(job_id "$1")"
 }
 
 # is_completed NUMBER NAME
-is_completed() {
+job_is_completed() {
 	curl -sf -m 3 -H "$HOST" -H "$KEY" \
-		"http://127.0.0.1:$(port "$2" callers)/p/$(job "$1")" |
+		"http://127.0.0.1:$(listen_port "$2" callers)/p/$(job_id "$1")" |
 		grep -q '"State":"completed"'
 }
 
 # start_platform_of_users WORKERS: leaves `log` and `workers`.
-start_platform_of_users() {
-	start standin "$bin/rj-standin-users" --workers "$1"
+start_users_platform() {
+	start_process standin "$bin/rj-standin-users" --workers "$1"
 	wait_for "the stand-in" is_listening standin
-	log=$(grep -o '"log":"[^"]*"' "$work/standin.out" | cut -d'"' -f4)
-	workers=$(grep -o '"workers":\[.*\]' "$work/standin.out" |
+	log_address=$(grep -o '"log":"[^"]*"' "$work_dir/standin.out" | cut -d'"' -f4)
+	worker_addresses=$(grep -o '"workers":\[.*\]' "$work_dir/standin.out" |
 		grep -o '127.0.0.1:[0-9]*')
-	curl -sf -o "$work/answer" -X POST -d '{"Version":1,"Routes":[{"Name":"q","Host":"h.example","PathPrefix":"/p/","TimeoutMs":3000,"TargetLatencyMs":1000,"Priority":1,"Service":"render","MaxAttempts":4,"Stretch":3.0}],"Services":[{"Name":"render"}],"Limits":{},"Tenants":[{"Name":"t","ApiKeys":["k1"],"Guaranteed":{"Gpu":8}}]}' \
-		"http://$log/standin/config"
+	curl -sf -o "$work_dir/answer" -X POST -d '{"Version":1,"Routes":[{"Name":"q","Host":"h.example","PathPrefix":"/p/","TimeoutMs":3000,"TargetLatencyMs":1000,"Priority":1,"Service":"render","MaxAttempts":4,"Stretch":3.0}],"Services":[{"Name":"render"}],"Limits":{},"Tenants":[{"Name":"t","ApiKeys":["k1"],"Guaranteed":{"Gpu":8}}]}' \
+		"http://$log_address/standin/config"
 }
 
 # ended_well: a line for each task that has ended well, and how often.
-ended_well() {
+count_completed_runs() {
 	local worker
-	for worker in $workers; do
+	for worker in $worker_addresses; do
 		curl -sf -X POST -d '{}' "http://$worker/standin/done"
 		echo
 	done | grep -o '"[0-9a-f]*\.0\.[01]\.[0-9]":[0-9]*'
--- a/test/team/start.bash
+++ b/test/team/start.bash
@@ -4,7 +4,7 @@
 set -euo pipefail
 cd "$(dirname "${BASH_SOURCE[0]}")/../.."
 bin=$(cd "$1" && pwd)/bin
-work=$(mktemp -d)
+work_dir=$(mktemp -d)
 PATIENCE_S=20
 . scripts/processes.bash
 trap stop_all EXIT
@@ -22,16 +22,16 @@
 done
 
 # expect NAME FIELD VALUE: of a load's line.
-expect() {
+expect_result() {
 	local got
-	got=$(field "$work/$1.out" "$2")
+	got=$(result_field "$work_dir/$1.out" "$2")
 	[ "$got" = "$3" ] || die "$1: $2 is ${got:-missing} and not $3: $(
-		cat "$work/$1.out" "$work/$1.log")"
+		cat "$work_dir/$1.out" "$work_dir/$1.log")"
 }
 
 # expect_promises NAME: nothing lost, doubled or wrongly answered.
-expect_promises() {
-	expect "$1" lost 0
-	expect "$1" doubled 0
-	expect "$1" wrong_answer 0
+expect_consistent_results() {
+	expect_result "$1" lost 0
+	expect_result "$1" doubled 0
+	expect_result "$1" wrong_answer 0
 }
