--- a/scripts/processes.bash
+++ b/scripts/processes.bash
@@ -1,8 +1,9 @@
-# Processes of one team for the demo and the process tests: stand-ins, entry
-# instances, and the load. To be sourced by a bash script with `set -u`, after
-# `bin` (the programs) and `work` (a new folder) are set; the script traps EXIT
-# with `stop_all`. Every port is chosen by the system. Waiting is for
-# conditions; a condition that does not come true in PATIENCE_S ends the script.
+# Functions for the demo, the benchmarks and the process tests that run a team
+# as real processes: stand-ins, entry instances, and the load generator. To be
+# sourced by a bash script with `set -u` that has set `bin` (folder of the
+# programs) and `work_dir` (a new folder) and traps EXIT with `stop_all`. The
+# system assigns all ports. Scripts wait for conditions instead of sleeping; a
+# condition that does not hold within PATIENCE_S seconds ends the script.
 
 PATIENCE_S=${PATIENCE_S:-30}
 pids=()
@@ -11,17 +12,20 @@
 log_message() { echo "$*" >&2; }
 die() { log_message "$0: $*"; exit 1; }
 
-# wait_for WHAT COMMAND...: until the command succeeds.
+# wait_for CONDITION COMMAND...: repeats the command until it succeeds.
+# CONDITION names it in the error message.
 wait_for() {
 	local condition=$1 deadline_s=$((SECONDS + PATIENCE_S))
 	shift
 	until "$@"; do
-		[ "$SECONDS" -lt "$deadline_s" ] || die "waited in vain for $condition"
+		[ "$SECONDS" -lt "$deadline_s" ] ||
+			die "timed out after $PATIENCE_S s waiting for $condition"
 		sleep 0.05
 	done
 }
 
-# start NAME COMMAND...: in the background; output in $work/NAME.out and .log.
+# start_process NAME COMMAND...: runs the command in the background; standard
+# output goes to $work_dir/NAME.out, standard error to $work_dir/NAME.log.
 start_process() {
 	local name=$1
 	shift
@@ -32,17 +36,19 @@
 
 is_listening() { grep -qs '"listening"' "$work_dir/$1.out"; }
 
-# stop NAME SIGNAL: only what this script started, by its pid.
+# send_signal NAME SIGNAL: to a process that start_process started.
 send_signal() { kill -s "$2" "${pid_of[$1]}"; }
 
-# end_of NAME: wait for its end; the status is left in `status`.
+# wait_for_exit NAME: waits for the process and sets `status` to its exit
+# status.
 wait_for_exit() {
 	status=0
 	wait "${pid_of[$1]}" || status=$?
 	unset "pid_of[$1]"
 }
 
-# For EXIT: end what still runs, and keep the logs of a failure.
+# Trap for EXIT: kills the processes that still run; keeps `work_dir` with the
+# logs if the script failed.
 stop_all() {
 	local result=$? name
 	trap - EXIT
@@ -60,7 +66,8 @@
 	exit "$result"
 }
 
-# start_platform NAME [OPTIONS...]: address in `platform`.
+# start_platform NAME [OPTIONS...]: starts the platform stand-in and sets
+# `platform` to its address.
 start_platform() {
 	local name=$1
 	shift
@@ -70,7 +77,8 @@
 		"$work_dir/$name.out")
 }
 
-# start_workers NAME DOMAIN COUNT OPTIONS...: registered at `platform`.
+# start_workers NAME DOMAIN COUNT OPTIONS...: starts worker stand-ins that
+# register at `platform`.
 start_workers() {
 	local name=$1 domain=$2 count=$3
 	shift 3
@@ -80,16 +88,17 @@
 	wait_for "$name" is_listening "$name"
 }
 
-# generate TEAM ANSWERS: configuration and tokens in $work/TEAM.
+# generate TEAM ANSWERS: writes the configuration and tokens to $work_dir/TEAM.
 generate() {
 	mkdir -p "$work_dir/$1"
 	"$bin/radishjunction" generate "$2" -o "$work_dir/$1/config.json" \
 		--tokens "$work_dir/$1/tokens.json"
 }
 
-# The settings of an instance, with its own ports free and the peers left to
-# the platform's list, since nobody knows their ports yet. A script that wants
-# other settings sets SETTINGS_EDIT to a sed expression.
+# generate_settings TEAM ANSWERS INSTANCE: prints the settings of an instance
+# with ports assigned by the system and without peers, whose ports are not known
+# yet: the instance gets them from the platform's list. A script may set
+# SETTINGS_EDIT to a sed expression that changes the settings.
 generate_settings() {
 	"$bin/radishjunction" generate "$2" --settings-for "$3" \
 		--peer-key-file "$work_dir/$1/peer.key" |
@@ -99,7 +108,8 @@
 		-e "${SETTINGS_EDIT:-}"
 }
 
-# register NAME INSTANCE STATE: what the platform does for its instances.
+# register_instance NAME INSTANCE STATE: lists the instance at the platform
+# stand-in, as the real platform does itself.
 register_instance() {
 	local address=${peer_address_of[$1]}
 	curl -sf -X PUT "http://$platform/v1/instances/$2" -d "{
@@ -108,31 +118,37 @@
 		\"incarnation\":\"0000000000000000\",\"state\":\"$3\"}" >/dev/null
 }
 
-# start_instance TEAM ANSWERS INSTANCE: as process TEAM-INSTANCE.
+# start_instance TEAM ANSWERS INSTANCE: starts it as process TEAM-INSTANCE and
+# lists it as live.
 start_instance() {
 	local name=$1-$3 settings=$work_dir/$1/$3.json
 	generate_settings "$1" "$2" "$3" >"$settings"
 	domain_of[$name]=$(sed -nE 's/^  "domain": "([^"]+)".*/\1/p' "$settings")
 	start_process "$name" "$bin/radishjunctiond" --settings "$settings"
 	wait_for "$name" is_listening "$name"
-	caller_address_of[$name]=$(sed -E 's/.*"callers":"([^"]+)".*/\1/' "$work_dir/$name.out")
-	peer_address_of[$name]=$(sed -E 's/.*"peers":"([^"]+)".*/\1/' "$work_dir/$name.out")
+	caller_address_of[$name]=$(
+		sed -E 's/.*"callers":"([^"]+)".*/\1/' "$work_dir/$name.out")
+	peer_address_of[$name]=$(
+		sed -E 's/.*"peers":"([^"]+)".*/\1/' "$work_dir/$name.out")
 	register_instance "$name" "$3" live
 }
 
 is_ready() { curl -sf "http://${caller_address_of[$1]}/v1/ready" >/dev/null; }
 
-# The addresses of all instances of a team that still run.
+# running_caller_addresses TEAM: prints the address for callers of each running
+# instance of the team.
 running_caller_addresses() {
 	local name
 	for name in "${!caller_address_of[@]}"; do
 		case $name in "$1"-*)
-			[ -n "${pid_of[$name]:-}" ] && echo "${caller_address_of[$name]}" ;;
+			[ -n "${pid_of[$name]:-}" ] &&
+				echo "${caller_address_of[$name]}" ;;
 		esac
 	done
 }
 
-# pin TEAM INSTANCE: whoever follows it listens at its addresses.
+# pin_addresses TEAM INSTANCE: writes its current addresses to its settings, so
+# that the next process with these settings listens there.
 pin_addresses() {
 	local name=$1-$2 kind address
 	for kind in caller peer; do
@@ -143,33 +159,37 @@
 	done
 }
 
-# start_again TEAM INSTANCE PROGRAM: with the settings of before, listed live.
+# restart_instance TEAM INSTANCE PROGRAM: starts PROGRAM with the existing
+# settings of the instance and lists it as live.
 restart_instance() {
 	start_process "$1-$2" "$3" --settings "$work_dir/$1/$2.json"
 	wait_for "$2" is_listening "$1-$2"
 	register_instance "$1-$2" "$2" live
 }
 
-# replace TEAM INSTANCE PROGRAM: list it as leaving, stop it gracefully, and
-# start PROGRAM with the same settings at its addresses.
+# replace_instance TEAM INSTANCE PROGRAM: lists it as leaving, stops it
+# gracefully, and starts PROGRAM with the same settings and addresses.
 replace_instance() {
 	local name=$1-$2
 	register_instance "$name" "$2" leaving
 	send_signal "$name" TERM
 	wait_for_exit "$name"
-	[ "$status" -eq 0 ] || die "$2 ended with status $status"
+	[ "$status" -eq 0 ] || die "$2 exited with status $status"
 	pin_addresses "$1" "$2"
 	restart_instance "$1" "$2" "$3"
 	wait_for "$2 again" is_ready "$name"
 }
 
-# publish TEAM: wait until it is in force at every instance.
+# publish TEAM: publishes its configuration and waits until it is in force at
+# every running instance.
 publish() {
 	"$bin/radishjunction" publish "$work_dir/$1/config.json" \
-		--platform "$platform" -i "$(running_caller_addresses "$1" | paste -sd,)" >&2
+		--platform "$platform" \
+		-i "$(running_caller_addresses "$1" | paste -sd,)" >&2
 }
 
-# start_load NAME TEAM PLAN: its line will be in $work/NAME.out.
+# start_load NAME TEAM PLAN: starts the load generator, which prints its result
+# line to $work_dir/NAME.out when it exits.
 start_load() {
 	local name=$1 team=$2 plan=$3 target options=()
 	for target in $(running_caller_addresses "$team"); do
@@ -180,7 +200,7 @@
 		"${options[@]}"
 }
 
-# metric NAME METRIC: a value of an instance, 0 if it has none yet.
+# metric_value NAME METRIC: prints a metric of an instance, 0 if it is missing.
 metric_value() {
 	local value
 	value=$(curl -sf "http://${caller_address_of[$1]}/metrics" |
@@ -188,11 +208,13 @@
 	echo "${value:-0}"
 }
 
-# metric_reaches NAME METRIC VALUE
+# metric_reaches NAME METRIC VALUE: whether the metric is at least VALUE.
 metric_reaches() { [ "$(metric_value "$1" "$2")" -ge "$3" ]; }
 
-# fault JSON: at the platform stand-in.
-set_platform_fault() { curl -sf -X POST "http://$platform/v1/fault" -d "$1" >/dev/null; }
+# set_platform_fault JSON: changes the faults of the platform stand-in.
+set_platform_fault() {
+	curl -sf -X POST "http://$platform/v1/fault" -d "$1" >/dev/null
+}
 
-# field FILE NAME: a number of a load's line.
+# result_field FILE NAME: prints a numeric field of a load's result line.
 result_field() { sed -nE "s/.*\"$2\":([0-9]+).*/\1/p" "$1"; }
--- a/scripts/users.bash
+++ b/scripts/users.bash
@@ -1,11 +1,11 @@
-# Instances of the users' platform as real processes, over a stand-in of it.
-# To be sourced by a bash script after `bin` and `work` are set and
-# scripts/processes.bash has been sourced.
+# Functions that run instances for the users' platform as real processes with a
+# stand-in of that platform. To be sourced after scripts/processes.bash by a
+# bash script that has set `bin` and `work_dir`.
 HOST="Host: h.example"
 KEY="Authorization: Token k1"
 
-# render NAME: the settings of one instance, from the template that is used on
-# the platform, with every port chosen by the system.
+# render_settings NAME: writes the settings of an instance from the template
+# that the platform uses, with ports assigned by the system.
 render_settings() {
 	sed -e "s/{{NodeName|json}}/\"$1\"/" -e 's/{{Zone|json}}/"z"/' \
 		-e 's/{{ListenAddrs[^}]*}}/"127.0.0.1:0"/' \
@@ -27,11 +27,18 @@
 		deploy/settings.json >"$work_dir/$1.json"
 }
 
-# port NAME WHICH: where an instance listens.
-listen_port() { grep -m1 '"event":"start"' "$work_dir/$1.out" |
-	grep -o "\"$2_port\":[0-9]*" | cut -d: -f2; }
+# listen_port NAME KIND: prints the port for KIND (callers, ready or metrics)
+# from the instance's start event.
+listen_port() {
+	grep -m1 '"event":"start"' "$work_dir/$1.out" |
+		grep -o "\"$2_port\":[0-9]*" | cut -d: -f2
+}
 is_started() { grep -qs '"event":"start"' "$work_dir/$1.out"; }
-entry_is_ready() { curl -sf -o "$work_dir/ready" "http://127.0.0.1:$(listen_port "$1" ready)/-/ready"; }
+entry_is_ready() {
+	curl -sf -o "$work_dir/ready" \
+		"http://127.0.0.1:$(listen_port "$1" ready)/-/ready"
+}
+# Whether the instance has become owner since its start.
 is_owner() { grep -qs '"event":"own"' "$work_dir/$1.out"; }
 
 start_entry() {
@@ -40,24 +47,27 @@
 	wait_for "$1" is_started "$1"
 }
 
-# job NUMBER: an id of 16 digits.
+# job_id NUMBER: prints the number as a job id of 16 hexadecimal digits.
 job_id() { printf '%016x' "$1"; }
 
-# submit NUMBER NAME: until it is accepted, as clients do.
+# submit_job NUMBER NAME: submits a job with two steps at an instance; fails if
+# it is not accepted. Used with wait_for, so that it is retried as clients do.
 submit_job() {
 	curl -sf -m 3 -o "$work_dir/answer" -X POST -H "$HOST" -H "$KEY" \
 		-d '{"Spec":"1500","Steps":[{"Count":3,"Cpu":1000,"MemMb":1000,"Gpu":1,"EstimateMs":1500},{"Count":1,"Cpu":1000,"MemMb":1000,"Gpu":2,"EstimateMs":1500,"After":[0]}]}' \
 		"http://127.0.0.1:$(listen_port "$2" callers)/p/$(job_id "$1")"
 }
 
-# is_completed NUMBER NAME
+# job_is_completed NUMBER NAME: whether the instance reports the job as
+# completed.
 job_is_completed() {
 	curl -sf -m 3 -H "$HOST" -H "$KEY" \
 		"http://127.0.0.1:$(listen_port "$2" callers)/p/$(job_id "$1")" |
 		grep -q '"State":"completed"'
 }
 
-# start_platform_of_users WORKERS: leaves `log` and `workers`.
+# start_users_platform WORKERS: starts the stand-in with that many workers and
+# publishes a configuration; sets `log_address` and `worker_addresses`.
 start_users_platform() {
 	start_process standin "$bin/rj-standin-users" --workers "$1"
 	wait_for "the stand-in" is_listening standin
@@ -68,7 +78,8 @@
 		"http://$log_address/standin/config"
 }
 
-# ended_well: a line for each task that has ended well, and how often.
+# count_completed_runs: prints one line for each worker and task, with the
+# number of runs of the task that completed there.
 count_completed_runs() {
 	local worker
 	for worker in $worker_addresses; do
--- a/test/team/start.bash
+++ b/test/team/start.bash
@@ -1,6 +1,6 @@
-# A small team for a process test: one platform, one rack of four workers,
-# three instances with a configuration in force. To be sourced with the build
-# folder as $1.
+# Starts a small team for a process test: the platform stand-in, one rack of
+# four workers, and three instances with a configuration in force. To be
+# sourced with the build folder as $1.
 set -euo pipefail
 cd "$(dirname "${BASH_SOURCE[0]}")/../.."
 bin=$(cd "$1" && pwd)/bin
@@ -21,15 +21,16 @@
 	wait_for "entry-$i" is_ready "team-entry-$i"
 done
 
-# expect NAME FIELD VALUE: of a load's line.
+# expect_result NAME FIELD VALUE: checks a field of a load's result line.
 expect_result() {
 	local got
 	got=$(result_field "$work_dir/$1.out" "$2")
-	[ "$got" = "$3" ] || die "$1: $2 is ${got:-missing} and not $3: $(
+	[ "$got" = "$3" ] || die "$1: $2 is ${got:-missing}, expected $3: $(
 		cat "$work_dir/$1.out" "$work_dir/$1.log")"
 }
 
-# expect_promises NAME: nothing lost, doubled or wrongly answered.
+# expect_consistent_results NAME: no job was lost, duplicated or answered
+# wrongly.
 expect_consistent_results() {
 	expect_result "$1" lost 0
 	expect_result "$1" doubled 0
