--- a/scripts/processes.bash
+++ b/scripts/processes.bash
@@ -19,7 +19,7 @@
 	shift
 	until "$@"; do
 		[ "$SECONDS" -lt "$deadline_s" ] ||
-			die "timed out after $PATIENCE_S s waiting for $condition"
+			die "timed out ($PATIENCE_S s) waiting for $condition"
 		sleep 0.05
 	done
 }
