--- a/src/libradishjunction/cell/cell_completions.c
+++ b/src/libradishjunction/cell/cell_completions.c
@@ -22,17 +22,18 @@
 /*
  * Number of failures in a row after which a worker gets no work for a while. A
  * worker that fails everything it starts would otherwise use up the attempts of
- * every job. On a healthy worker three in a row are rare, as at most a
- * twentieth of tasks fail by themselves.
+ * every job. On a healthy worker even two in a row are rare, and three very
+ * rare, as at most a twentieth of tasks fail by themselves.
  */
 #define FAILURE_STREAK_MAX 2
 #define SUSPECT_PERIOD_US (6 * RJ_US_PER_S)
 /* A single early failure leads to this shorter pause. */
 #define SUSPECT_EARLY_PERIOD_US (2 * RJ_US_PER_S)
-/* How long a task avoids the worker of its last failure. Idle capacity has to
- * be used within 3 s once conditions are stable. */
+/* How long a task avoids the worker of its last failure: less than the 3 s
+ * within which idle capacity has to be used once conditions are stable. */
 #define AVOID_PERIOD_US (2 * RJ_US_PER_S)
-/* Covers the interval at which workers end runs. */
+/* Added to the time in which all members of a gang end, as workers end runs
+ * only at intervals. */
 #define GANG_END_SLACK_US (50 * RJ_US_PER_MS)
 
 /*
@@ -44,7 +45,6 @@
 {
 	if (run->state == RJ_CELL_RUN_STOPPING)
 		return;
-	/* No start has been sent, so there is nothing to stop. */
 	if (run->state == RJ_CELL_RUN_INTENDED) {
 		rj_cell_owner_mark_dirty(owner, run->task->occurrence->job);
 		rj_cell_run_free(run);
@@ -243,6 +243,7 @@
 		head->failures++;
 	head->failed_run = run->number;
 	rj_cell_completions_avoid_worker(owner, task, run->worker);
+	/* A gang starts again once this has passed for all of its members. */
 	task->not_before_us =
 		owner->now_us + FAILURE_BACKOFF_US * head->failures;
 	if (!step->perpetual && head->failures >= job->job_spec->attempts_max)
@@ -250,7 +251,7 @@
 }
 
 /* Updates the failure streak of a worker from the completion of a run there,
- * and suspends the worker if needed. */
+ * and marks the worker as suspect if needed. */
 static void update_worker_health(struct rj_cell_owner *owner,
 				 const struct rj_cell_run *run,
 				 enum rj_cell_completion end)
@@ -310,7 +311,8 @@
 /*
  * Whether a gang may start again although the completions of some members are
  * unknown. Each of them may be a failure, which counts as an attempt once it is
- * reported.
+ * reported. The 1 stands for the present run, whose members may count as one
+ * more unreported failure.
  */
 static bool has_attempts_left(const struct rj_cell_task *head)
 {
@@ -350,8 +352,8 @@
 	}
 }
 
-/* Ends a run on an unreachable worker whose gang has ended. Its completion
- * counts as unreported. */
+/* Ends a run on an unreachable worker after the run's gang has ended. The
+ * completion of the run counts as unreported. */
 static void lose_unreported_run(struct rj_cell_owner *owner,
 				struct rj_cell_run *run)
 {
@@ -369,10 +371,10 @@
 }
 
 /*
- * Ends the runs of an unreachable worker whose gangs have ended.
+ * Ends those runs of an unreachable worker whose gangs have ended.
  */
-void rj_cell_completions_expire_gangs(struct rj_cell_owner *owner,
-				      struct rj_cell_worker *worker)
+void rj_cell_completions_end_gang_runs(struct rj_cell_owner *owner,
+				       struct rj_cell_worker *worker)
 {
 	struct rj_list *at = worker->runs.next;
 
@@ -419,10 +421,11 @@
 		return;
 	}
 	/*
-	 * Prevents a double free. An owner that does not know yet that it was
-	 * fenced may see the completion of a run of its successor under the
-	 * number of a run that it only intended; when the job ends, all
-	 * intended runs are freed.
+	 * Prevents a double free: if the job ends below, all of its runs are
+	 * stopped, which frees those that are only intended. This run may be
+	 * one of these, as an owner that does not know yet that it was fenced
+	 * may see the completion of a run of its successor under the number of
+	 * a run that it only intended.
 	 */
 	run->state = RJ_CELL_RUN_STOPPING;
 	update_worker_health(owner, run, end);
@@ -442,6 +445,7 @@
 			record_failure(owner, task, run);
 		else
 			task->losses++;
+		/* The next plan for which the task is ready sets it again. */
 		task->waiting_us = 0;
 	}
 	rj_cell_run_free(run);
--- a/src/libradishjunction/cell/cell_orders.c
+++ b/src/libradishjunction/cell/cell_orders.c
@@ -359,7 +359,7 @@
 
 		check_lease_expiry(owner, worker);
 		if (!worker->answers)
-			rj_cell_completions_expire_gangs(owner, worker);
+			rj_cell_completions_end_gang_runs(owner, worker);
 		if (worker->departure_us)
 			rj_cell_evacuate(owner, worker);
 		rj_cell_polls_poll_busy(owner, worker);
--- a/src/libradishjunction/cell/cell_owner.c
+++ b/src/libradishjunction/cell/cell_owner.c
@@ -13,8 +13,8 @@
 /* Minimum time between plans, so that one plan handles runs that complete
  * together. */
 #define PLAN_INTERVAL_MIN_US (8 * RJ_US_PER_MS)
-/* The pause after a plan is at least this many times its duration, which leaves
- * most of the time for polls, orders and heartbeats. */
+/* The pause after a plan is at least this many times its estimated duration,
+ * which leaves most of the time for polls, orders and heartbeats. */
 #define PLAN_IDLE_FACTOR 2
 /* Time to evaluate one worker in a plan, on a whole core. */
 #define EFFORT_UNIT_NS 20
@@ -24,14 +24,15 @@
 /* Nothing starts while the last complete read of the log of jobs is older than
  * this. The owner's own heartbeats make its reads return every 0.4 s. */
 #define JOBS_READ_AGE_MAX_US (1500 * RJ_US_PER_MS)
-/* Nothing starts either while the logs of workers or operators were read longer
- * ago than this share of their limits (drain_ms, cordon_ms); the rest of the
- * limit is left for sending the order. */
+/* Nothing starts either while the last complete read of the log of workers is
+ * older than this share of drain_ms, or that of the log of operators older than
+ * this share of cordon_ms. The rest of the limit is left for sending the
+ * order. */
 #define READ_AGE_PERCENT 80
 /* Minimum time between log events about the backlog. */
 #define BACKLOG_LOG_INTERVAL_US RJ_US_PER_S
-/* Interval between checks for due occurrences of repeated jobs, and so the most
- * by which an occurrence starts late. */
+/* Interval between checks for due occurrences of repeated jobs, and so the
+ * maximum delay with which an occurrence begins. */
 #define OCCURRENCE_CHECK_INTERVAL_US (40 * RJ_US_PER_MS)
 
 /*
@@ -160,9 +161,9 @@
 		rj_cell_completions_begin_occurrences(owner, job);
 }
 
-/* Logs an accepted job with the figures that decide the placement of its first
- * step. */
-static void log_job_accepted(const struct rj_cell_view_entry *entry)
+/* Logs a job that this owner takes on, with the figures that decide the
+ * placement of its first step. */
+static void log_job_taken(const struct rj_cell_view_entry *entry)
 {
 	const struct rj_cell_job_spec *spec = entry->job_spec;
 	const struct rj_cell_step *step = &spec->steps[0];
@@ -206,7 +207,7 @@
 			rj_cell_forecast_record_urgent(&owner->forecast,
 						       entry->job_spec,
 						       owner->now_us);
-		log_job_accepted(entry);
+		log_job_taken(entry);
 	}
 	if (entry->cancelled && !entry->job->cancelled) {
 		entry->job->cancelled = true;
@@ -293,8 +294,9 @@
 	worker->listed = true;
 }
 
-/* Completions that the former owner did not see are waited for until
- * `expired_us` at most, when all leases that it granted have expired. */
+/* Limits how long the tasks of a job wait for completions that the former owner
+ * did not see: until `expired_us`, when all leases that it granted have
+ * expired. */
 static void bound_unreported_ends(const struct rj_cell_job *job,
 				  uint64_t expired_us)
 {
@@ -337,8 +339,9 @@
 /*
  * Begins to take the cell over under `token`, writing under `epoch`. The owner
  * writes heartbeats to the log, and decides nothing until
- * rj_cell_owner_complete_takeover. The progress writer starts with the fence
- * record that the takeover appends to its log.
+ * rj_cell_owner_complete_takeover. In the log of jobs the ownership record has
+ * sequence number 0; in the log of progress, the fence record that the takeover
+ * appends through the progress writer.
  */
 void rj_cell_owner_begin_takeover(struct rj_cell_owner *owner, uint64_t token,
 				  uint64_t epoch, uint64_t now_us,
@@ -430,6 +433,7 @@
 			RJ_CONTAINER(at, struct rj_cell_job, link);
 
 		((struct rj_cell_view_entry *)job->entry)->job = NULL;
+		/* Also removes the job from the list, and frees its runs. */
 		talloc_free(job);
 	}
 	rj_cell_fleet_finish(&owner->fleet);
@@ -458,7 +462,8 @@
 	owner->release_pending = true;
 }
 
-/* Estimates the duration of a plan from its effort. */
+/* Estimates the duration of a plan from its effort. An instance of unknown
+ * strength counts as a whole core. */
 static uint64_t plan_duration_us(const struct rj_cell_owner *owner,
 				 const struct rj_cell_plan *plan)
 {
@@ -467,7 +472,7 @@
 	return plan->effort * EFFORT_UNIT_NS * 100 / strength / 1000;
 }
 
-/* Stores the backlog after a plan for the metrics, and logs it at intervals. */
+/* Keeps the backlog after a plan for the metrics, and logs it at intervals. */
 static void record_backlog(struct rj_cell_owner *owner,
 			   const struct rj_cell_plan *plan)
 {
@@ -558,7 +563,9 @@
 			owner->limits.cordon_ms);
 }
 
-static void decide(struct rj_cell_owner *owner)
+/* Begins due occurrences, makes a plan if one is due and new work may start,
+ * and removes the keys of expired jobs. */
+static void begin_and_plan(struct rj_cell_owner *owner)
 {
 	begin_due_occurrences(owner);
 	if ((owner->plan_wanted || owner->now_us >= owner->plan_due_us) &&
@@ -582,7 +589,7 @@
 	if (rj_cell_fleet_apply_cordons(&owner->fleet))
 		owner->plan_wanted = true;
 	if (owner->active)
-		decide(owner);
+		begin_and_plan(owner);
 	rj_cell_flush(owner);
 	if (owner->active)
 		rj_cell_orders_tick(owner);
--- a/src/libradishjunction/cell/cell_place.c
+++ b/src/libradishjunction/cell/cell_place.c
@@ -7,15 +7,16 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Bits of a placement's cost, see placement_cost. */
-#define COST_MEMORY_BITS 32 /* memory left over, in MB */
-#define COST_INTERFERENCE_BIT 50 /* latency-bound runs beside others */
-#define COST_UNPROVEN_BIT 49 /* see is_unproven */
-#define COST_REMOTE_BIT 48 /* away from the task's data */
+/* Lowest bits of the parts of a placement's cost, see placement_cost. Bits 0 to
+ * 31 are the memory left over, in MB. */
+#define COST_ACCELERATORS_BIT 32 /* accelerators left over */
+#define COST_RESERVED_BIT 46 /* see wrong_reservation */
 #define COST_WARMUP_BIT 47 /* worker is slow after its start */
-#define COST_RESERVED_BIT 46 /* in the wrong partition */
+#define COST_REMOTE_BIT 48 /* away from the task's data */
+#define COST_UNPROVEN_BIT 49 /* see is_unproven */
+#define COST_INTERFERENCE_BIT 50 /* latency-bound runs beside others */
 
-/* Counts a run of the step being placed at its worker. */
+/* Counts a run of the step being placed in step_runs of its worker. */
 static void count_step_run(const struct rj_cell_run *run)
 {
 	if (run->worker->plan_worker)
@@ -23,8 +24,8 @@
 }
 
 /*
- * Counts the runs of a step at each worker, if the step limits them for each
- * worker.
+ * Sets step_runs of each of the plan's workers to the number of runs of a step
+ * there, if the step limits them for each worker.
  *
  * Guards against long plans with steps of hundreds of tasks that are to be kept
  * apart: counted for each task and worker, each task would visit all others.
@@ -88,7 +89,9 @@
 						task->waiting_us, plan->now_us);
 }
 
-/* Whether a worker is too likely to fail a task on its last attempt. */
+/* Whether a worker is too likely to fail a task on its last attempt, so that it
+ * is rejected. rj_cell_place_needs_healthy restricts a task to healthy workers;
+ * is_unproven only raises the cost of a worker. */
 static bool is_too_risky(const struct rj_cell_plan *plan,
 			 const struct rj_cell_worker *worker,
 			 struct rj_cell_task *task)
@@ -156,7 +159,8 @@
 		       &range->free_after_stops;
 }
 
-/* Whether a range is allowed, and may hold one task of this demand. */
+/* Whether the options and the bounds of a range's free capacity permit one task
+ * of this demand in it. */
 static bool may_fit_task(const struct rj_cell_worker_range *range,
 			 const struct rj_cell_placement_options *options,
 			 const struct rj_cell_demand *demand)
@@ -238,7 +242,7 @@
 			return true;
 		if (!may_fit_task(range, options, demand))
 			continue;
-		sum += available->accelerators;
+		sum += available->total_accelerators;
 		if (sum >= wanted)
 			return true;
 	}
@@ -247,8 +251,9 @@
 
 /*
  * Whether a worker may fail a task that should not fail again: a task that has
- * failed before, or a member of a gang while workers begin to fail. Then a
- * worker is proven once a run that started there since has not failed early.
+ * failed before, or a member of a gang while workers begin to fail. During such
+ * a burst of early failures a worker is proven once a run that started there
+ * after the first of them has not failed early.
  */
 static bool is_unproven(const struct rj_cell_plan *plan,
 			const struct rj_cell_worker *worker,
@@ -288,18 +293,18 @@
 	bool remote = step->rack[0] &&
 		      strcmp(step->rack, plan_worker->worker->heartbeat.rack);
 	bool unproven = is_unproven(plan, plan_worker->worker, task);
-	bool wrong_partition =
+	bool wrong_reservation =
 		plan_worker->reserved != !group->job->job_spec->priority;
 	bool warming_up = plan->now_us < plan_worker->worker->cold_until_us;
 	bool disturbs = step->target_ms ? plan_worker->other_runs :
-					  plan_worker->serving_runs;
+					  plan_worker->latency_runs;
 
 	return ((uint64_t)disturbs << COST_INTERFERENCE_BIT) |
 	       ((uint64_t)unproven << COST_UNPROVEN_BIT) |
 	       ((uint64_t)remote << COST_REMOTE_BIT) |
 	       ((uint64_t)warming_up << COST_WARMUP_BIT) |
-	       ((uint64_t)wrong_partition << COST_RESERVED_BIT) |
-	       (left_over << COST_MEMORY_BITS) |
+	       ((uint64_t)wrong_reservation << COST_RESERVED_BIT) |
+	       (left_over << COST_ACCELERATORS_BIT) |
 	       (available->memory_mb - step->each.memory_mb);
 }
 
@@ -365,7 +370,8 @@
 	     i++) {
 		const struct rj_cell_release *release = &releases->by_time[i];
 
-		/* The capacity of a victim is counted as free already. */
+		/* The capacity of victims and of runs that are being stopped is
+		 * counted as free already. */
 		if (release->run->victim || release->run->reason)
 			continue;
 		rj_cell_demand_add(&available, &release->run->allocated);
@@ -420,7 +426,7 @@
 	rj_cell_demand_subtract(&plan_worker->free_now, &demand);
 	plan_worker->step_runs++;
 	if (step->target_ms)
-		plan_worker->serving_runs++;
+		plan_worker->latency_runs++;
 	else
 		plan_worker->other_runs++;
 }
@@ -491,9 +497,9 @@
 	return true;
 }
 
-/* Returns the cost of placing one more of some tasks on a worker, or
- * RJ_NEVER_US if it can't be placed there. With RJ_CELL_HORIZON_COMPLETIONS the
- * cost is the delay in microseconds. */
+/* Returns the cost of placing one more of a group's uniform tasks on a worker,
+ * or RJ_NEVER_US if it can't be placed there. With RJ_CELL_HORIZON_COMPLETIONS
+ * the cost is the delay in microseconds. */
 static uint64_t candidate_cost(struct rj_cell_plan *plan,
 			       struct rj_cell_plan_worker *plan_worker,
 			       const struct rj_cell_task_group *group,
@@ -517,8 +523,8 @@
 
 /*
  * Places as many of some uniform tasks as have capacity, and returns how many.
- * They get the same workers as one by one: a placement only changes the cost of
- * its own worker.
+ * They get the same workers as if each were placed by itself, because the
+ * placement of one changes only the cost of its own worker.
  */
 uint32_t rj_cell_place_uniform(struct rj_cell_plan *plan,
 			       struct rj_cell_placement *placement,
--- a/src/libradishjunction/cell/cell_plan.c
+++ b/src/libradishjunction/cell/cell_plan.c
@@ -9,28 +9,27 @@
 #include "private/cell_shortage.h"
 #include "private/cell_task_groups.h"
 
-/* Gangs that are not urgent and hold a promise at a time. More promises would
- * leave too much capacity idle. */
+/* Maximum number of gangs that are not urgent and get a promise in one plan.
+ * More promises would leave too much capacity idle. */
 #define GANG_PROMISES_MAX 2
 /* Urgent jobs without a guarantee may discard up to this many times their own
- * work. A core-second of theirs is worth about ten times as much; half of that
- * is left for the delay of the preempted jobs. */
+ * work. A core-second of theirs is worth about ten times as much; more than
+ * half of that is left for the delay of the preempted jobs. */
 #define URGENT_LOSS_FACTOR 4
 /* Jobs that are not urgent may preempt lower priorities once they have waited
  * this long, if that discards at most one part in PREEMPTION_LOSS_DIVISOR of
  * their own work. */
 #define PREEMPTION_WAIT_US RJ_US_PER_S
 #define PREEMPTION_LOSS_DIVISOR 8
-/* Urgent groups that get a promise in one plan. Groups behind them have to wait
- * for more than the next completions. */
+/* Maximum number of urgent groups that get a promise in one plan. Later groups
+ * could only be promised capacity that is free after the next completions. */
 #define URGENT_PROMISES_MAX 16
-/*
- * Limit of failed searches in one plan, for capacity within a share or for runs
- * to preempt, and the delay before the same group searches for runs to preempt
- * again. A failed search changes nothing, so that skipping one only delays the
- * next.
- */
+/* Limit of failed searches in one plan: of those for capacity within a share,
+ * and of those for runs to preempt. Further searches are left to later plans,
+ * as each evaluates all workers. */
 #define FAILED_SEARCHES_MAX 8
+/* Delay before a group that found no runs to preempt searches again. A failed
+ * search changes nothing, so that skipping one only delays the next. */
 #define SEARCH_RETRY_US (100 * RJ_US_PER_MS)
 
 /*
@@ -88,8 +87,8 @@
 
 /* Whether one placement loses less than another, or is ready sooner at the same
  * loss. */
-static bool is_better(const struct rj_cell_placement *a,
-		      const struct rj_cell_placement *b)
+static bool is_cheaper_or_sooner(const struct rj_cell_placement *a,
+				 const struct rj_cell_placement *b)
 {
 	if (a->loss_milli != b->loss_milli)
 		return a->loss_milli < b->loss_milli;
@@ -117,7 +116,8 @@
 		rj_cell_placement_init(&placement, plan);
 		if (rj_cell_place_group(plan, &placement, group, tasks, count,
 					&candidate) &&
-		    (!best || is_better(&placement, &best_placement))) {
+		    (!best ||
+		     is_cheaper_or_sooner(&placement, &best_placement))) {
 			best = candidate.rack;
 			best_placement.loss_milli = placement.loss_milli;
 			best_placement.ready_us = placement.ready_us;
@@ -132,8 +132,8 @@
 	return best;
 }
 
-/* Places a group tentatively: within one rack if its step asks for that, else
- * anywhere once it has waited long enough. */
+/* Places a group tentatively. A group whose step prefers one rack is placed in
+ * one; only once remote_allowed is set may it be spread over several. */
 static bool place_tentatively(struct rj_cell_plan *plan,
 			      const struct rj_cell_task_group *group,
 			      struct rj_cell_task **tasks, uint32_t count,
@@ -179,8 +179,8 @@
 	return best;
 }
 
-/* Places a group and commits the placement; with RJ_CELL_HORIZON_NOW its tasks
- * start. */
+/* Places a group and commits the placement. With RJ_CELL_HORIZON_NOW its tasks
+ * start; those of urgent groups in the best_domain, if there is one. */
 static bool place_and_commit(struct rj_cell_plan *plan,
 			     const struct rj_cell_task_group *group,
 			     struct rj_cell_task **tasks, uint32_t count,
@@ -208,7 +208,7 @@
 }
 
 /* Returns the work that urgent tasks may discard, in core-milliseconds; no limit
- * for guaranteed tasks within reclaim_ms. */
+ * for guaranteed tasks within reclaim_ms of their job's acceptance. */
 static uint64_t loss_allowed(const struct rj_cell_plan *plan,
 			     const struct rj_cell_task_group *group,
 			     uint32_t count)
@@ -254,8 +254,8 @@
  * Places a group with preemption, at a loss of at most `max_loss_milli`.
  *
  * Guards against long plans with hundreds of urgent groups that wait on a full
- * site: each search evaluates the runs of all workers, and during a plan that
- * takes a second the owner is taken for failed.
+ * site: each search evaluates the runs of all workers, and a plan that takes a
+ * second delays the owner's heartbeat so that another instance takes over.
  */
 static bool place_with_preemption(struct rj_cell_plan *plan,
 				  const struct rj_cell_task_group *group,
@@ -311,9 +311,9 @@
 			 URGENT_PROMISES_MAX);
 }
 
-/* Finds capacity for other tasks that can't start now. Once they have waited:
- * from runs that are being stopped, or by preemption at a small loss. For gangs
- * also from the earliest completions. */
+/* Finds capacity for tasks that are not urgent and can't start now. Those that
+ * have waited get it from runs that are being stopped, or by preemption at a
+ * small loss. Gangs may also be promised that of the earliest completions. */
 static void find_capacity_other(struct rj_cell_plan *plan,
 				const struct rj_cell_task_group *group,
 				struct rj_cell_task **tasks, uint32_t count)
@@ -423,8 +423,9 @@
 		plan->waiting_tasks += count;
 }
 
-/* Places tasks one by one, until one that is representative of the others finds
- * no capacity. */
+/* Places tasks one by one. Tasks that are not urgent stop at the first one
+ * without capacity, unless it alone needs a healthy worker; urgent ones are all
+ * tried, as preemption may differ for each. */
 static void place_singly(struct rj_cell_plan *plan,
 			 struct rj_cell_task_group *group,
 			 struct rj_cell_task **tasks, uint32_t count)
@@ -547,8 +548,8 @@
 	}
 }
 
-/* Clears the marks of planned starts: from here on tasks with a start are told
- * from waiting ones by their runs. */
+/* Clears the marks of planned starts. The owner then records each start as a
+ * run, and a task with a run does not count as waiting. */
 static void clear_planned(struct rj_cell_plan *plan)
 {
 	for (guint i = 0; i < plan->starts->len; i++)
--- a/src/libradishjunction/cell/cell_plan_workers.c
+++ b/src/libradishjunction/cell/cell_plan_workers.c
@@ -7,15 +7,16 @@
 
 /*
  * Urgent jobs come in bursts and can't wait, so racks are reserved for them:
- * this many times their recent use, plus one gang. A median gang takes 12
- * accelerators.
+ * this many times their recent use, plus room for one gang. A median gang takes
+ * 12 accelerators.
  */
 #define RESERVED_FACTOR 1.8
 #define RESERVED_EXTRA_ACCELERATORS 16.0
 /*
- * This many times the recent use of urgent jobs is closed to all others. Urgent
- * tasks start there at once, while preemption takes some 0.4 s of the 1.5 s
- * that they can wait.
+ * Exclusive part of the reserved racks, as a multiple of the recent use of
+ * urgent jobs. Urgent tasks start there at once, while preemption takes some
+ * 0.4 s of the 1.5 s that they can wait. The rest is also open to some other
+ * tasks.
  */
 #define EXCLUSIVE_FACTOR 1.6
 /* Upper limit of the reserved racks; the rest serves all other jobs. */
@@ -55,7 +56,7 @@
 }
 
 /*
- * Counts a run as allocated again that was a victim of a placement.
+ * Counts a run that was a victim of a placement as allocated again.
  */
 void rj_cell_plan_restore_run(struct rj_cell_plan *plan,
 			      const struct rj_cell_run *run)
@@ -168,11 +169,11 @@
 /*
  * Reserves racks for urgent jobs.
  *
- * Guards against preemption by each burst of urgent gangs, of which half must
- * be in one rack, on a site filled with longer jobs: runs without checkpoints
- * would lose their work. Whole racks are reserved, as capacity spread over all
- * racks holds no such gang. While other jobs miss their objectives, no more is
- * reserved than urgent jobs use, plus one gang.
+ * Guards against preemption by each burst of urgent gangs on a site filled with
+ * longer jobs: runs without checkpoints would lose their work. Half of these
+ * gangs must be in one rack. Whole racks are reserved, as capacity spread over
+ * all racks holds no such gang. While other jobs miss their objectives, no more
+ * is reserved than urgent jobs use, plus one gang.
  */
 static void reserve_racks(struct rj_cell_plan *plan)
 {
@@ -202,7 +203,8 @@
 	}
 }
 
-/* Orders racks by their index within their failure domains. */
+/* Orders racks by their index within their failure domains: the first racks of
+ * all domains, then the second ones. */
 static gint by_domain_rank(gconstpointer a, gconstpointer b)
 {
 	const struct rj_cell_plan_rack *left = a;
@@ -253,9 +255,9 @@
 			    &plan_worker->free_now);
 		raise_bound(&range.free_after_stops.max_per_worker,
 			    &plan_worker->free_after_stops);
-		range.free_now.accelerators +=
+		range.free_now.total_accelerators +=
 			plan_worker->free_now.accelerators;
-		range.free_after_stops.accelerators +=
+		range.free_after_stops.total_accelerators +=
 			plan_worker->free_after_stops.accelerators;
 	}
 	g_array_append_val(plan->ranges, range);
@@ -263,7 +265,9 @@
 
 /*
  * Raises the bounds of a worker's rack after a placement has freed capacity of
- * the worker: they must not be too low.
+ * the worker. The sum of accelerators grows by all of the worker's: a bound
+ * that is too high only costs time, while one that is too low hides free
+ * capacity.
  */
 void rj_cell_plan_raise_bounds(struct rj_cell_plan *plan,
 			       const struct rj_cell_plan_worker *plan_worker)
@@ -273,7 +277,7 @@
 
 	raise_bound(&range->free_after_stops.max_per_worker,
 		    &plan_worker->free_after_stops);
-	range->free_after_stops.accelerators +=
+	range->free_after_stops.total_accelerators +=
 		plan_worker->worker->heartbeat.capacity.accelerators;
 }
 
@@ -290,7 +294,7 @@
 	worker->plan_worker = plan_worker;
 	plan_worker->worker = worker;
 	plan_worker->free_now = unallocated(worker);
-	plan_worker->serving_runs = worker->latency_runs;
+	plan_worker->latency_runs = worker->latency_runs;
 	plan_worker->other_runs = worker->other_runs;
 	plan_worker->free_after_stops = plan_worker->free_now;
 	if (worker->domain)
@@ -305,7 +309,8 @@
 }
 
 /*
- * Gathers all usable workers, rack by rack in a constant order.
+ * Gathers all usable workers, rack by rack in a constant order. Also updates
+ * the counts of racks and urgent accelerators in the fleet's failure domains.
  */
 void rj_cell_plan_gather_workers(struct rj_cell_plan *plan)
 {
--- a/src/libradishjunction/cell/cell_polls.c
+++ b/src/libradishjunction/cell/cell_polls.c
@@ -11,23 +11,24 @@
  * worker protocol allows at most 2,000 ms. Shorter polls detect an unreachable
  * worker sooner, but cost more calls. */
 #define POLL_WAIT_MS 1500
-/* A poll waits for at most this part of a lease, so that two polls may be lost
- * before the lease expires. */
-#define POLL_WAIT_LEASE_PART 4
+/* A poll waits for at most the lease divided by this, so that two polls may be
+ * lost before the lease expires. */
+#define POLL_WAIT_LEASE_DIVISOR 4
 /* Time for the answer beyond the wait that the poll requests. */
 #define POLL_TIMEOUT_MS 700
-/* Retries of polls at workers that do not answer; those at idle workers back
- * off. */
+/* Timeout of repeated polls at a worker that does not answer, and the delay
+ * between them. At idle workers the delay doubles up to the maximum. */
 #define POLL_RETRY_TIMEOUT_MS 300
 #define POLL_RETRY_US (150 * RJ_US_PER_MS)
 #define POLL_RETRY_MAX_US (1000 * RJ_US_PER_MS)
 /* Limit for the retries at all unreachable workers with runs together. */
 #define POLL_RETRIES_PER_S 200
 #define POLL_RETRY_BURST 200
-/* How long a worker whose lease has expired is still polled. */
-#define LOST_RUNS_POLL_US (15 * RJ_US_PER_S)
-/* While completions are not stored, polls return at once. Until they are
- * stored, polls are sent, and leases renewed, at this interval. */
+/* How long a worker is still polled after its runs were abandoned. */
+#define ABANDONED_RUNS_POLL_US (15 * RJ_US_PER_S)
+/* A poll returns at once while the worker lists completions that are not
+ * stored, so that continuous polling would send calls without a pause. Until
+ * they are stored, polls are sent, and leases renewed, at this interval. */
 #define POLL_UNSTORED_DELAY_US (700 * RJ_US_PER_MS)
 /* Limits for the polls at all idle workers together, per second and in a burst
  * after a takeover, so that their cost does not grow with the number of
@@ -112,8 +113,8 @@
 	if (!run->adopted || run->state != RJ_CELL_RUN_PLACED || !run->task ||
 	    !rj_cell_worker_schedulable(run->worker))
 		return false;
-	/* The end of a gang also covers members whose worker has been restarted
-	 * since. */
+	/* No run is needed if the gang is done or the job has ended; a worker
+	 * that has been restarted since does not list the run. */
 	if (run->task->done ||
 	    run->task->occurrence->job->state >= RJ_CELL_JOB_COMPLETED)
 		return false;
@@ -132,8 +133,8 @@
 /*
  * Ends the runs that the worker should list and does not.
  *
- * A run whose start is still pending must not be taken for lost, so only a list
- * counts that was requested after the order was answered. Adopted runs are
+ * A run whose start order has not been answered must not be taken for lost, so
+ * a list counts only if it was requested after the answer. Adopted runs are
  * settled from the beginning, as the fencing token keeps the former owner's
  * orders from being carried out.
  */
@@ -159,6 +160,7 @@
 						  RJ_CELL_COMPLETION_STOPPED :
 						  RJ_CELL_COMPLETION_LOST,
 					  NULL);
+		/* Other runs of the worker may have been freed too. */
 		next = worker->runs.next;
 	}
 }
@@ -210,8 +212,8 @@
 	worker->storing_position = 0;
 	worker->acknowledged_position = 0;
 	worker->bad_streak = 0;
-	/* From now on only this owner's orders extend leases, so no lease is
-	 * longer. */
+	/* From now on only this owner's orders extend leases, so no lease ends
+	 * later than one that starts now. */
 	worker->lease_ms = worker->clock_ms + owner->limits.lease_max_ms;
 	worker->lease_expired_us = 0;
 	rj_cell_worker_extend_lease(worker, worker->lease_ms);
@@ -222,11 +224,11 @@
  * Whether a worker may list completions of abandoned runs. It is then polled
  * like one that holds runs, as it may leave again soon after it is back.
  */
-static bool may_list_lost_runs(const struct rj_cell_owner *owner,
-			       const struct rj_cell_worker *worker)
+static bool may_list_abandoned_runs(const struct rj_cell_owner *owner,
+				    const struct rj_cell_worker *worker)
 {
 	return worker->abandoned_us &&
-	       owner->now_us < worker->abandoned_us + LOST_RUNS_POLL_US;
+	       owner->now_us < worker->abandoned_us + ABANDONED_RUNS_POLL_US;
 }
 
 /* Whether a worker is polled even while it is unreachable. */
@@ -234,7 +236,7 @@
 			  const struct rj_cell_worker *worker)
 {
 	return worker->runs.next != &worker->runs ||
-	       may_list_lost_runs(owner, worker);
+	       may_list_abandoned_runs(owner, worker);
 }
 
 /* Whether nothing runs on a worker, and it has been sent the acknowledgement of
@@ -347,8 +349,9 @@
 	if (worker->answers)
 		poll.stored_position = worker->stored_position;
 	if (worker->incarnation && worker->answers)
-		poll.wait_ms = MIN(POLL_WAIT_MS, owner->limits.lease_max_ms /
-							 POLL_WAIT_LEASE_PART);
+		poll.wait_ms =
+			MIN(POLL_WAIT_MS, owner->limits.lease_max_ms /
+						  POLL_WAIT_LEASE_DIVISOR);
 	/*
 	 * An unreachable worker may still carry out a poll late, so every
 	 * deadline that was sent delays the time at which its tasks may start
@@ -379,7 +382,7 @@
 	owner->retry_poll_limit.updated_us = owner->now_us;
 }
 
-/* Adds the calls that have become available since the last update. */
+/* Adds the tokens that have become available since the last update. */
 static void refill(struct rj_cell_rate_limit *limit, uint64_t now_us,
 		   uint32_t per_s, double burst)
 {
@@ -390,8 +393,8 @@
 	limit->available = MIN(limit->available, burst);
 }
 
-/* Takes one call from a rate limit. Returns whether there was one. */
-static bool take_call(struct rj_cell_rate_limit *limit)
+/* Takes one token from a rate limit. Returns whether there was one. */
+static bool take_token(struct rj_cell_rate_limit *limit)
 {
 	if (limit->available < 1)
 		return false;
@@ -466,18 +469,18 @@
 {
 	if (worker->poll_in_flight || owner->now_us < worker->poll_due_us)
 		return;
-	if (worker->poll_failures && !take_call(&owner->retry_poll_limit))
+	if (worker->poll_failures && !take_token(&owner->retry_poll_limit))
 		return;
 	if (worker->heartbeat.address.port &&
 	    (worker->listed || needs_polling(owner, worker)))
 		send_poll(owner, worker);
 	else if (!needs_polling(owner, worker))
-		/* poll_idle_workers drops it from there. */
+		/* poll_idle_workers drops it if it is not listed. */
 		rj_cell_worker_set_poll_state(worker, RJ_CELL_POLL_STATE_IDLE);
 }
 
-/* Polls the idle workers of a watch list in order, as far as the rate limit
- * allows, and drops workers without an entry. */
+/* Polls the workers in a poll state in order, as far as the rate limit allows,
+ * and drops workers without an entry. */
 static void poll_idle_workers(struct rj_cell_owner *owner,
 			      enum rj_cell_poll_state poll_state)
 {
@@ -494,7 +497,7 @@
 		}
 		if (owner->now_us < worker->poll_due_us)
 			break;
-		(void)take_call(&owner->idle_poll_limit);
+		(void)take_token(&owner->idle_poll_limit);
 		rj_cell_worker_set_poll_state(worker,
 					      RJ_CELL_POLL_STATE_POLLING);
 		send_poll(owner, worker);
--- a/src/libradishjunction/include/private/cell_owner.h
+++ b/src/libradishjunction/include/private/cell_owner.h
@@ -31,10 +31,10 @@
 	uint32_t reclaim_ms; /* guaranteed work starts within this */
 	uint32_t revoke_ms; /* a removed key stays valid for this long */
 	uint32_t entry_expiry_ms; /* worker's entry without heartbeats */
-	/* Time after publication from which nothing starts on a draining worker
-	 * or in a cordoned failure domain; 0: no limit. */
+	/* Time after publication from which nothing starts on a draining
+	 * worker; 0: no limit. */
 	uint32_t drain_ms;
-	uint32_t cordon_ms;
+	uint32_t cordon_ms; /* the same in a cordoned failure domain */
 	uint32_t stop_ms; /* a run ends within this after its stop */
 };
 
@@ -154,8 +154,8 @@
 void rj_cell_polls_fleet_loaded(struct rj_cell_owner *owner);
 void rj_cell_polls_schedule_now(struct rj_cell_owner *owner,
 				struct rj_cell_worker *worker);
-void rj_cell_completions_expire_gangs(struct rj_cell_owner *owner,
-				      struct rj_cell_worker *worker);
+void rj_cell_completions_end_gang_runs(struct rj_cell_owner *owner,
+				       struct rj_cell_worker *worker);
 void rj_cell_completions_apply(struct rj_cell_owner *owner,
 			       struct rj_cell_run *run,
 			       enum rj_cell_completion end, const char *saved);
--- a/src/libradishjunction/include/private/cell_place.h
+++ b/src/libradishjunction/include/private/cell_place.h
@@ -13,16 +13,17 @@
 	struct rj_cell_job *job;
 	struct rj_cell_occurrence *occurrence;
 	uint32_t step;
-	uint32_t tier; /* lower tiers go first */
+	/* 0: guaranteed, 1: normal, 2: expired; lower tiers go first. */
+	uint32_t tier;
 	uint32_t rank; /* within its priority; lower ranks go first */
-	bool expired; /* too late to be of use to its caller */
+	bool expired; /* too late to be of use to its client */
 	bool overdue; /* goes first while its priority is below its share */
 	uint64_t accepted_us;
 	uint64_t waiting_since_us; /* of the longest waiting task */
 	uint32_t waiting_tasks;
 	uint32_t started_tasks; /* by this plan */
 	bool remote_allowed; /* may run on other racks than its data */
-	bool advised; /* an advisor decides which workers may run it */
+	bool advised; /* the policy service decides on workers */
 	bool guaranteed; /* its account is guaranteed the capacity */
 	bool may_use_exclusive; /* see rj_cell_plan_worker */
 	bool may_use_reserved;
@@ -37,7 +38,7 @@
 	RJ_CELL_HORIZON_COMPLETIONS,
 };
 
-/* Constraints on the placement of a group. */
+/* Constraints and permissions for the placement of a group. */
 struct rj_cell_placement_options {
 	enum rj_cell_horizon horizon;
 	const struct rj_cell_domain *domain; /* NULL: anywhere */
@@ -49,7 +50,7 @@
 /*
  * A tentative placement of a group of tasks. It changes the plan's workers;
  * rj_cell_placement_finish restores them unless the placement was committed.
- * One at a time.
+ * Only one placement may exist at a time.
  */
 struct rj_cell_placement {
 	struct rj_cell_plan *plan;
@@ -57,7 +58,9 @@
 	GPtrArray *workers; /* one for each task */
 	GPtrArray *victims; /* struct rj_cell_run */
 	uint64_t loss_milli; /* core-milliseconds discarded by preemption */
-	uint64_t ready_us; /* COMPLETIONS horizon: delay until all fit */
+	/* Delay until all tasks fit, in microseconds; 0 unless the horizon is
+	 * RJ_CELL_HORIZON_COMPLETIONS. */
+	uint64_t ready_us;
 };
 
 void rj_cell_placement_init(struct rj_cell_placement *placement,
@@ -109,6 +112,8 @@
 			 const struct rj_cell_task_group *group,
 			 struct rj_cell_task **tasks, uint32_t count,
 			 const struct rj_cell_placement_options *options);
+
+/* Defined in cell_reclaim.c. */
 struct rj_cell_plan_worker *rj_cell_reclaim_find_worker(
 	struct rj_cell_plan *plan, struct rj_cell_placement *placement,
 	const struct rj_cell_task_group *group, struct rj_cell_task *task,
--- a/src/libradishjunction/include/private/cell_plan.h
+++ b/src/libradishjunction/include/private/cell_plan.h
@@ -28,18 +28,19 @@
 struct rj_cell_plan_worker {
 	struct rj_cell_worker *worker;
 	uint32_t range; /* index in the plan's ranges */
-	/* For urgent tasks, and for others that lose nothing if preempted. */
+	/* Closed to tasks that are not urgent and lose work if preempted; for
+	 * exceptions see rj_cell_task_group_set_reserved. */
 	bool reserved;
-	bool exclusive; /* for urgent tasks only */
+	bool exclusive; /* closed to all tasks that are not urgent; likewise */
 	struct rj_cell_demand free_now; /* not allocated */
 	/* Free once the runs that are being stopped have ended. */
 	struct rj_cell_demand free_after_stops;
-	/* To waiting groups, of capacity that is not free yet. */
+	/* Capacity that is not free yet and is promised to waiting groups. */
 	struct rj_cell_demand promised;
 	/* Runs on this worker of the step being placed, if the step limits
 	 * them. */
 	uint32_t step_runs;
-	uint32_t serving_runs; /* with a latency bound */
+	uint32_t latency_runs; /* runs with a latency target */
 	uint32_t other_runs;
 };
 
@@ -47,7 +48,7 @@
  * each resource by itself, and the accelerators of all its workers. */
 struct rj_cell_free_bounds {
 	struct rj_cell_demand max_per_worker;
-	uint32_t accelerators;
+	uint32_t total_accelerators;
 };
 
 /* The workers of one rack; they are adjacent in the plan's workers. */
@@ -76,7 +77,7 @@
 	uint64_t total;
 };
 
-/* Resources allocated to the runs of one priority. */
+/* Resources allocated to the runs of one priority class. */
 struct rj_cell_allocation {
 	uint64_t cpu_milli;
 	uint64_t memory_mb;
@@ -105,11 +106,12 @@
 	struct rj_cell_failure_burst failures;
 	uint32_t reclaim_ms; /* guaranteed jobs start within this time */
 	uint64_t now_us;
-	/* outputs; `why` is set in the runs to be stopped */
+	/* outputs; `reason` is set in the runs to be stopped */
 	GArray *starts; /* struct rj_cell_planned_start */
 	GPtrArray *stops; /* struct rj_cell_run */
 	uint32_t waiting_tasks; /* ready tasks that were not placed */
-	uint64_t next_retry_us; /* earliest end of a task's retry delay */
+	/* Earliest end of a task's retry delay; RJ_NEVER_US: none. */
+	uint64_t next_retry_us;
 	/* working state */
 	struct rj_cell_plan_worker *workers;
 	struct rj_cell_releases *releases; /* of each worker, on demand */
@@ -117,11 +119,11 @@
 	GArray *racks; /* struct rj_cell_plan_rack, domains interleaved */
 	GArray *ranges; /* struct rj_cell_worker_range, in worker order */
 	struct rj_cell_usage usage; /* includes the starts of this plan */
-	/* Of each priority on the plan's workers, with the starts of this plan
-	 * and without runs that are being stopped. */
+	/* Of each priority class on the plan's workers, with the starts of this
+	 * plan and without runs that are being stopped. */
 	struct rj_cell_allocation allocated[RJ_CELL_PRIORITY_CLASSES];
-	/* Some task that is not urgent, may run on any worker and has waited
-	 * for capacity can't meet its objective any more. */
+	/* A task that is not urgent has waited for capacity and can no longer
+	 * meet its objective, though any worker may run it. */
 	bool misses_objective;
 	GArray *task_groups; /* struct rj_cell_task_group */
 	uint32_t promise_count; /* promises to gangs that are not urgent */
@@ -130,7 +132,7 @@
 	GHashTable *urgent_needs;
 	GArray *shortages; /* struct rj_cell_shortage */
 	uint32_t failed_searches; /* for runs to preempt */
-	uint64_t effort; /* worker evaluations, weighted by their cost */
+	uint64_t effort; /* unit: the evaluation of one worker */
 };
 
 void rj_cell_plan_init(struct rj_cell_plan *plan);
