--- a/src/libradishjunction/cell/cell_fleet.c
+++ b/src/libradishjunction/cell/cell_fleet.c
@@ -29,7 +29,8 @@
 }
 
 /*
- * Frees all workers and their runs.
+ * Frees all workers and their runs. Does nothing if the fleet is not
+ * initialized.
  */
 void rj_cell_fleet_finish(struct rj_cell_fleet *fleet)
 {
@@ -48,6 +49,9 @@
 	TALLOC_FREE(fleet->mem);
 }
 
+/*
+ * Returns the worker with this id, or NULL.
+ */
 struct rj_cell_worker *rj_cell_fleet_find(const struct rj_cell_fleet *fleet,
 					  const char *id)
 {
@@ -55,7 +59,8 @@
 }
 
 /*
- * Returns the worker with this id, created without an address if it is unknown.
+ * Returns the worker with this id. One that is unknown is created with an empty
+ * heartbeat, so it has no address yet.
  */
 struct rj_cell_worker *rj_cell_fleet_obtain(struct rj_cell_fleet *fleet,
 					    const char *id)
@@ -99,7 +104,8 @@
 	talloc_free(worker);
 }
 
-/* Returns the rack, or NULL with `position` set to its index in sort order. */
+/* Returns the rack with this name. If there is none, returns NULL and sets
+ * `position` to where it belongs in sort order. */
 static struct rj_cell_rack *find_rack(const struct rj_cell_fleet *fleet,
 				      const char *name, guint *position)
 {
@@ -122,7 +128,8 @@
 	return NULL;
 }
 
-/* Racks are never removed; a site has a fixed number of them. */
+/* Returns the rack with this name, created if it is unknown. Racks are never
+ * removed; a site has a fixed number of them. */
 static struct rj_cell_rack *get_or_create_rack(struct rj_cell_fleet *fleet,
 					       const char *name)
 {
@@ -139,6 +146,7 @@
 	return rack;
 }
 
+/* Returns the failure domain with this name, created if it is unknown. */
 static struct rj_cell_domain *get_or_create_domain(struct rj_cell_fleet *fleet,
 						   const char *name)
 {
@@ -214,8 +222,8 @@
 		domain->lost_call_us = sent_us;
 }
 
-/* Whether no worker of a failure domain has answered since a call there was
- * lost. */
+/* Whether no worker of a failure domain has answered since the latest lost call
+ * there was sent. */
 static bool is_unreachable(const struct rj_cell_domain *domain)
 {
 	return domain && domain->lost_call_us > domain->answered_us;
@@ -258,8 +266,8 @@
 }
 
 /*
- * Estimate of the worker's clock now, in milliseconds. Never ahead of the real
- * one unless that runs slow.
+ * Estimates the worker's clock now, in milliseconds, from its last answer. The
+ * estimate is never ahead of the worker's clock unless that runs slow.
  */
 uint64_t rj_cell_worker_clock_ms(const struct rj_cell_worker *worker,
 				 uint64_t now_us)
@@ -268,7 +276,8 @@
 }
 
 /*
- * Longest duration by our clock of a lease of `lease_us` by a worker's clock.
+ * Longest duration, by the owner's clock, of a lease that lasts `lease_us` by a
+ * worker's clock.
  */
 uint64_t rj_cell_lease_max_us(uint64_t lease_us)
 {
@@ -276,9 +285,10 @@
 }
 
 /*
- * Records that an order with this deadline is sent. Runs on the worker may
- * continue until its clock reaches the deadline, which can be slightly later by
- * ours.
+ * Extends the worker's lease to the deadline of an order that is sent; an
+ * earlier deadline does not shorten it. Runs on the worker may continue until
+ * its clock reaches the deadline, which can be slightly later by the owner's
+ * clock.
  */
 void rj_cell_worker_extend_lease(struct rj_cell_worker *worker,
 				 uint64_t deadline_ms)
@@ -286,15 +296,18 @@
 	uint64_t left_us;
 	uint64_t lease_expired_us;
 
-	if (deadline_ms > worker->lease_ms)
-		worker->lease_ms = deadline_ms;
-	left_us = (worker->lease_ms - worker->clock_ms) * RJ_US_PER_MS;
+	if (deadline_ms > worker->lease_deadline_ms)
+		worker->lease_deadline_ms = deadline_ms;
+	left_us = (worker->lease_deadline_ms - worker->clock_ms) * RJ_US_PER_MS;
 	lease_expired_us = worker->clock_at_us + ANSWER_SLACK_US +
 			   rj_cell_lease_max_us(left_us);
 	if (lease_expired_us > worker->lease_expired_us)
 		worker->lease_expired_us = lease_expired_us;
 }
 
+/*
+ * Whether the worker's failure domain is known and cordoned.
+ */
 bool rj_cell_worker_cordoned(const struct rj_cell_worker *worker)
 {
 	return worker->domain && worker->domain->cordoned;
--- a/src/libradishjunction/cell/cell_frontend.c
+++ b/src/libradishjunction/cell/cell_frontend.c
@@ -11,7 +11,8 @@
 #define DEFAULT_WAIT_MS 3000
 /* The last answer is sent this long before the client times out. */
 #define ANSWER_MARGIN_MS 120
-/* Limits the margin to a quarter of a short wait: an append takes 10 ms. */
+/* Limits the margin to a quarter of a short wait, so that an append, which
+ * takes 10 ms, still fits. */
 #define ANSWER_MARGIN_DIVISOR 4
 /*
  * A state read from the log within this time is returned at once; otherwise the
@@ -125,6 +126,8 @@
 	frontend->open--;
 	rj_latency_add(&frontend->counters.answers[reply->verdict],
 		       frontend->now_us - request->received_us);
+	/* Successful queries are not logged; the verdicts from NO_QUEUE on are
+	 * failures. */
 	if (request->call->verb != RJ_CELL_VERB_QUERY ||
 	    reply->verdict >= RJ_CELL_VERDICT_NO_QUEUE)
 		rj_log_event(
@@ -251,6 +254,7 @@
 static void cancel_known(struct request *request,
 			 struct rj_cell_view_entry *entry)
 {
+	/* MessagePack nil; an empty value would delete the key. */
 	struct rj_bytes mark = { (const uint8_t *)"\xc0", 1 };
 
 	if (entry->cancelled || entry->summary.state >= RJ_CELL_JOB_COMPLETED) {
@@ -293,7 +297,8 @@
 		answer_unavailable(request, "log_unread");
 }
 
-/* The log has been read to its end: a job that is not in it does not exist. */
+/* Answers after a read of the log. If it `reached` the end, a job that has not
+ * been read does not exist. */
 static void sync_done(struct rj_cell_sync *sync, bool reached)
 {
 	struct request *request = RJ_CONTAINER(sync, struct request, sync);
@@ -306,7 +311,8 @@
 		return;
 	}
 	entry = find_accepted(request);
-	/* A read that ends this late shows an outdated state. */
+	/* A read that ends after the answer was due may show an outdated
+	 * state. */
 	if (!reached || request->frontend->now_us >= request->due_us)
 		answer_log_unread(request, entry);
 	else if (!entry)
@@ -330,7 +336,8 @@
 				request->frontend->now_us);
 }
 
-/* Copies the terms of the queue into a job spec. */
+/* Sets the id, account and acceptance time of a job spec, and copies the terms
+ * of the queue to it. */
 static void set_terms(struct rj_cell_job_spec *job_spec,
 		      const struct request *request,
 		      const struct rj_cell_queue *queue)
@@ -456,7 +463,8 @@
 		answer_state(request, entry);
 }
 
-/* Whether the call's key authorizes it; if not, the call has been answered. */
+/* Whether the call's key authorizes it; if so, sets the request's account to
+ * that of the key. If not, the call has been answered. */
 static bool check_key(struct request *request,
 		      const struct rj_cell_queue *queue)
 {
@@ -573,7 +581,8 @@
 }
 
 /*
- * Answers all open calls.
+ * Answers all open calls. A request that a write or a sync still refers to is
+ * freed by the callback of that.
  */
 void rj_cell_frontend_finish(struct rj_cell_frontend *frontend)
 {
--- a/src/libradishjunction/cell/cell_log_reader.c
+++ b/src/libradishjunction/cell/cell_log_reader.c
@@ -38,10 +38,10 @@
 	uint32_t generation;
 	uint64_t sent_us;
 	uint64_t from;
-	bool quick;
+	bool immediate;
 };
 
-static void send_read(struct rj_cell_log_reader *reader, bool quick);
+static void send_read(struct rj_cell_log_reader *reader, bool immediate);
 static void send_newest(struct rj_cell_log_reader *reader);
 
 /*
@@ -62,7 +62,7 @@
 	rj_list_init(&reader->syncs);
 }
 
-static struct call *call_new(struct rj_cell_log_reader *reader, bool quick)
+static struct call *call_new(struct rj_cell_log_reader *reader, bool immediate)
 {
 	struct call *call = talloc_zero(reader->mem, struct call);
 
@@ -71,11 +71,12 @@
 	call->generation = reader->generation;
 	call->sent_us = reader->now_us;
 	call->from = reader->next;
-	call->quick = quick;
+	call->immediate = immediate;
 	return call;
 }
 
-/* Ends the syncs that began no later than a read sent at `sent_us`. */
+/* Ends the syncs that a read sent at `sent_us` covers: those that began no
+ * later. */
 static void end_syncs(struct rj_cell_log_reader *reader, uint64_t sent_us,
 		      bool reached)
 {
@@ -93,8 +94,8 @@
 	}
 }
 
-/* Schedules a retry after a failed read; only the first failure in a row is
- * logged. */
+/* Delays the next read after a failed one; an immediate read that failed delays
+ * the next long poll. Only the first failure in a row is logged. */
 static void record_failure(struct rj_cell_log_reader *reader,
 			   enum rj_cell_store_status status)
 {
@@ -128,8 +129,8 @@
 	reader->answered_us = reader->now_us;
 }
 
-/* Passes on the records that are new; a long poll and a quick read may return
- * the same ones. */
+/* Passes on the records that are new; a long poll and an immediate read may
+ * return the same ones. */
 static void take_records(struct rj_cell_log_reader *reader,
 			 const struct rj_cell_store_reply *reply)
 {
@@ -152,6 +153,7 @@
 	rj_cell_log_reader_start(reader, reader->now_us);
 }
 
+/* Handles the answer to a read. */
 static void read_done(void *private_data,
 		      const struct rj_cell_store_reply *reply)
 {
@@ -164,8 +166,8 @@
 		return;
 	}
 	reader->now_us = reply->now_us;
-	if (call->quick)
-		reader->quick_in_flight = false;
+	if (call->immediate)
+		reader->immediate_in_flight = false;
 	else
 		reader->poll_in_flight = false;
 	if (reply->status == RJ_CELL_STORE_EXPIRED) {
@@ -181,7 +183,7 @@
 			reader->confirmed_us = call->sent_us;
 		if (reached)
 			reader->caught_up = true;
-		if (!call->quick)
+		if (!call->immediate)
 			reader->due_us =
 				reached ? reader->now_us + reader->pause_us :
 					  reader->now_us;
@@ -189,13 +191,16 @@
 			end_syncs(reader, call->sent_us, true);
 	}
 	reader->ops->progress(reader->private_data, reader);
-	/* Syncs added while the quick read was in flight need another one. */
-	if (call->quick && reader->state == RJ_CELL_LOG_READER_READING &&
-	    !reader->quick_in_flight && reader->syncs.next != &reader->syncs)
+	/* Syncs added while the immediate read was in flight need another
+	 * one. */
+	if (call->immediate && reader->state == RJ_CELL_LOG_READER_READING &&
+	    !reader->immediate_in_flight &&
+	    reader->syncs.next != &reader->syncs)
 		send_read(reader, true);
 	talloc_free(call);
 }
 
+/* Handles a page of newest records. */
 static void newest_done(void *private_data,
 			const struct rj_cell_store_reply *reply)
 {
@@ -217,9 +222,9 @@
 	record_success(reader);
 	/* Records may be appended between the pages of a load: reading
 	 * continues at the end offset that came with the first page. */
-	if (!reader->loaded_once)
+	if (!reader->first_page_loaded)
 		reader->next = reply->end;
-	reader->loaded_once = true;
+	reader->first_page_loaded = true;
 	for (uint32_t i = 0; i < reply->count; i++)
 		reader->ops->record(reader->private_data, &reply->records[i]);
 	talloc_free(reader->after);
@@ -249,14 +254,17 @@
 				   done);
 }
 
-/* Reads from the current offset; a quick read does not wait for records. */
-static void send_read(struct rj_cell_log_reader *reader, bool quick)
+/* Reads from the current offset; an immediate read does not wait for
+ * records. */
+static void send_read(struct rj_cell_log_reader *reader, bool immediate)
 {
-	struct rj_cell_store_done done = { read_done, call_new(reader, quick) };
-	uint32_t wait_ms = quick || !reader->caught_up ? 0 : reader->wait_ms;
+	struct rj_cell_store_done done = { read_done,
+					   call_new(reader, immediate) };
+	uint32_t wait_ms =
+		immediate || !reader->caught_up ? 0 : reader->wait_ms;
 
-	if (quick)
-		reader->quick_in_flight = true;
+	if (immediate)
+		reader->immediate_in_flight = true;
 	else
 		reader->poll_in_flight = true;
 	reader->store->ops->read(reader->store, reader->topic, reader->next,
@@ -284,9 +292,9 @@
 	reader->state = RJ_CELL_LOG_READER_IDLE;
 	reader->generation++;
 	reader->caught_up = false;
-	reader->loaded_once = false;
+	reader->first_page_loaded = false;
 	reader->poll_in_flight = false;
-	reader->quick_in_flight = false;
+	reader->immediate_in_flight = false;
 	reader->due_us = 0;
 	TALLOC_FREE(reader->after);
 	end_syncs(reader, RJ_NEVER_US, false);
@@ -305,15 +313,16 @@
 }
 
 /*
- * Reads records that are known to exist if the long poll does not return them.
+ * Reads records that exist according to rj_cell_log_reader_expect, if the long
+ * poll does not return them.
  *
  * The store may wake no long poll for up to a second while it discards expired
  * history.
  */
-static void catch_up(struct rj_cell_log_reader *reader)
+static void read_known_records(struct rj_cell_log_reader *reader)
 {
 	if (reader->state != RJ_CELL_LOG_READER_READING ||
-	    reader->quick_in_flight || reader->next >= reader->known_end ||
+	    reader->immediate_in_flight || reader->next >= reader->known_end ||
 	    reader->now_us < reader->known_us + POLL_LAG_US)
 		return;
 	reader->known_us = reader->now_us;
@@ -326,7 +335,7 @@
 void rj_cell_log_reader_tick(struct rj_cell_log_reader *reader, uint64_t now_us)
 {
 	reader->now_us = now_us;
-	catch_up(reader);
+	read_known_records(reader);
 	if (reader->state == RJ_CELL_LOG_READER_IDLE || now_us < reader->due_us)
 		return;
 	if (reader->poll_in_flight)
@@ -350,13 +359,13 @@
 	rj_list_init(&sync->link);
 	rj_list_append(&reader->syncs, &sync->link);
 	if (reader->state == RJ_CELL_LOG_READER_READING &&
-	    !reader->quick_in_flight)
+	    !reader->immediate_in_flight)
 		send_read(reader, true);
 }
 
 /*
- * Age of the reader's data: all records appended longer ago have been passed
- * on. Returns RJ_NEVER_US if nothing has been read.
+ * Upper bound of the age of the reader's data: all records appended longer ago
+ * have been passed on. Returns RJ_NEVER_US if the end has not been reached yet.
  */
 uint64_t rj_cell_log_reader_age_us(const struct rj_cell_log_reader *reader,
 				   uint64_t now_us)
--- a/src/libradishjunction/cell/cell_polls.c
+++ b/src/libradishjunction/cell/cell_polls.c
@@ -212,9 +212,10 @@
 	worker->bad_streak = 0;
 	/* From now on only this owner's orders extend leases, so no lease is
 	 * longer. */
-	worker->lease_ms = worker->clock_ms + owner->limits.lease_max_ms;
+	worker->lease_deadline_ms =
+		worker->clock_ms + owner->limits.lease_max_ms;
 	worker->lease_expired_us = 0;
-	rj_cell_worker_extend_lease(worker, worker->lease_ms);
+	rj_cell_worker_extend_lease(worker, worker->lease_deadline_ms);
 	owner->plan_wanted = true;
 }
 
--- a/src/libradishjunction/include/private/cell_active_job.h
+++ b/src/libradishjunction/include/private/cell_active_job.h
@@ -14,7 +14,8 @@
 #include "private/cell_job_spec.h"
 #include "private/list.h"
 
-/* Size of the longest checkpoint name that a worker reports, with its zero. */
+/* Buffer size for the longest checkpoint name that a worker reports, with the
+ * terminating zero byte. */
 #define RJ_CELL_CHECKPOINT_BYTES 40
 
 enum rj_cell_job_state {
@@ -37,13 +38,14 @@
 	RJ_CELL_RUN_STATE_COUNT
 };
 
-/* A job is late up to this multiple of its objective; a later result is of no
- * use to the caller. */
+/* A job that takes longer than its objective is late. A result later than this
+ * multiple of the objective is of no use to the client. */
 #define RJ_CELL_LATE_FACTOR 3
 
 extern const char *const rj_cell_run_state_string[RJ_CELL_RUN_STATE_COUNT];
 
-/* Priorities from the last class on are counted together. */
+/* Number of priority classes: one per priority, but the last one also includes
+ * all higher numbers. */
 #define RJ_CELL_PRIORITY_CLASSES 3
 
 struct rj_cell_worker;
@@ -71,12 +73,13 @@
 	uint64_t order_due_us;
 	uint64_t placed_us; /* when the worker accepted it */
 	uint32_t percent;
-	uint64_t listed_us; /* of the last progress report */
+	uint64_t listed_us; /* when the worker last reported it */
 	uint64_t progress_us; /* when `percent` last rose */
 	uint64_t slow_us; /* over its latency target since then; 0: it is not */
 	char checkpoint[RJ_CELL_CHECKPOINT_BYTES]; /* restored at its start */
 	char saved[RJ_CELL_CHECKPOINT_BYTES]; /* last one saved by this run */
-	/* After its gang ended: this run has ended by then; 0: not set. */
+	/* On an unreachable worker, it counts as ended from then on because its
+	 * gang has ended; 0: not set. */
 	uint64_t ended_by_us;
 	bool victim; /* preempted in the current tentative placement */
 	const char *reason; /* of its stop, for the log */
@@ -88,18 +91,21 @@
 	uint32_t step;
 	uint32_t index; /* within the step */
 	bool done;
-	uint32_t run; /* highest run number used */
+	uint32_t run; /* highest number of its runs, past ones included */
 	uint32_t failures; /* failed runs; for a gang, kept on its first task */
-	/* Gang: failed runs whose completions no worker has reported yet. */
+	/* Gang: run numbers with a member that counted as ended before its
+	 * worker reported its completion, which may be a failure. */
 	uint32_t unreported;
-	uint32_t unreported_run; /* last such run */
-	uint64_t unreported_until_us; /* not counted after this */
-	uint32_t failed_run; /* last failed run */
+	uint32_t unreported_run; /* last such run number */
+	/* Completions of these are waited for until then. */
+	uint64_t unreported_until_us;
+	uint32_t failed_run; /* number of the last failed run */
 	uint32_t losses; /* runs that ended for other reasons */
 	char checkpoint[RJ_CELL_CHECKPOINT_BYTES];
 	struct rj_list runs;
-	uint64_t waiting_us; /* ready to run, but not running, since then */
-	uint64_t not_before_us;
+	/* When it became ready to run; 0: not since its last run ended. */
+	uint64_t waiting_us;
+	uint64_t not_before_us; /* it is not started before this */
 	bool planned; /* the current plan starts it */
 	/* Next search for runs to preempt for it or its gang. */
 	uint64_t preemption_due_us;
@@ -120,7 +126,7 @@
 	bool closed; /* all tasks are done; runs may still be reported */
 };
 
-/* A job that has not ended. */
+/* A job, until its end is stored and it has no runs left. */
 struct rj_cell_job {
 	struct rj_list link; /* in the owner's list */
 	/* Owned by the job's view entry. */
@@ -142,7 +148,7 @@
 	uint64_t first_start_us; /* 0: none, or by an earlier owner */
 	uint32_t runs_lost; /* runs that ended without completing their task */
 	bool split; /* a gang that prefers one rack was placed on several */
-	void *entry; /* its view entry */
+	void *entry; /* its struct rj_cell_view_entry */
 };
 
 struct rj_cell_job *rj_cell_job_new(void *mem,
--- a/src/libradishjunction/include/private/cell_fleet.h
+++ b/src/libradishjunction/include/private/cell_fleet.h
@@ -2,9 +2,9 @@
  * Workers of a cell as its owner tracks them: identity, capacity, runs, and the
  * time until which they may run without contact to the owner.
  *
- * Workers are created from the workers' log or from the record of a run, and
- * stay until they are deregistered and have no runs. `rj_cell_fleet_finish`
- * frees all of them.
+ * Workers are created from the workers' log or from the record of a run. One
+ * that has no entry in that log is dropped once it is idle.
+ * `rj_cell_fleet_finish` frees all of them.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_FLEET_H
 #define RADISHJUNCTION_PRIVATE_CELL_FLEET_H
@@ -22,7 +22,7 @@
 	char domain[RJ_NAME_BYTES]; /* failure domain */
 	bool draining;
 	uint32_t drain_left_ms; /* minimum time until it leaves; 0: unknown */
-	/* It runs slowly for this long after its start. */
+	/* Remaining time for which it runs slowly after its start. */
 	uint32_t cold_left_ms;
 	struct rj_cell_demand capacity;
 	char kind[RJ_NAME_BYTES]; /* label that steps may require */
@@ -56,10 +56,12 @@
 	char name[RJ_NAME_BYTES];
 	bool cordoned; /* by operators: no task starts there */
 	uint64_t answered_us; /* last answer of any of its workers */
-	uint64_t lost_call_us; /* when the latest lost call was sent */
+	uint64_t lost_call_us; /* when the latest unanswered call was sent */
 	/* For the current plan: */
-	uint32_t urgent; /* accelerators of urgent jobs */
-	uint32_t racks; /* racks with workers that may get tasks */
+	/* Accelerators that urgent jobs use, or get by planned starts. */
+	uint32_t urgent;
+	/* Racks with usable workers, counted by their first such worker. */
+	uint32_t racks;
 };
 
 struct rj_cell_worker {
@@ -73,7 +75,8 @@
 	struct rj_list in_poll_state;
 	/* In the fleet's list, if an order is due. */
 	struct rj_list in_order_queue;
-	struct rj_list in_unstored; /* ... if completions are not stored */
+	/* In the fleet's list, if completions are not stored. */
+	struct rj_list in_unstored;
 	char id[RJ_NAME_BYTES];
 	struct rj_cell_heartbeat heartbeat;
 	const char *service; /* from its heartbeat, interned */
@@ -81,20 +84,20 @@
 	uint64_t written_us; /* the entry was written after this; 0: unknown */
 	uint64_t departure_us; /* it may leave from then on; 0: not announced */
 	uint64_t cold_until_us; /* it runs slowly until then */
-	/* It deregistered before this; 0: it has not. */
+	/* When the owner read that it deregistered; 0: it has not. */
 	uint64_t deregistered_us;
-	uint64_t incarnation; /* that answered last; 0: none yet */
+	uint64_t incarnation; /* as of its last answer; 0: none yet */
 	bool answers; /* the last call to it was answered */
 	uint64_t answered_us; /* last answer to any call */
 	struct rj_cell_domain *domain; /* NULL until it is reported */
-	/* A call that tests the network path is in flight. */
+	/* A probe of the network path to it is in flight. */
 	bool probe_in_flight;
 	/* The worker's clock, as of its last answer. */
 	uint64_t clock_ms;
 	uint64_t clock_at_us;
-	/* Latest deadline sent, by the worker's clock; its runs end then unless
-	 * the lease is renewed. */
-	uint64_t lease_ms;
+	/* Latest lease deadline sent, by the worker's clock; its runs end then
+	 * unless the lease is renewed. */
+	uint64_t lease_deadline_ms;
 	/* If unreachable, no run remains there after this. */
 	uint64_t lease_expired_us;
 	/* When its runs were abandoned after lease_expired_us; 0: never. */
@@ -104,9 +107,12 @@
 	uint32_t poll_failures;
 	/* Completions up to this position are stored. */
 	uint64_t stored_position;
-	uint64_t applied_position; /* ... are applied in memory */
-	uint64_t storing_position; /* ... are in the append in flight */
-	/* ... may have been discarded by the worker. */
+	/* Completions up to this position are applied in memory. */
+	uint64_t applied_position;
+	/* Completions up to this position are stored or being appended. */
+	uint64_t storing_position;
+	/* Completions up to this position may have been discarded by the
+	 * worker. */
 	uint64_t acknowledged_position;
 	struct rj_list runs;
 	struct rj_cell_demand allocated; /* by all runs */
@@ -114,12 +120,14 @@
 	struct rj_cell_demand allocated_by_class[RJ_CELL_PRIORITY_CLASSES];
 	uint32_t latency_runs; /* runs with a latency target */
 	uint32_t other_runs; /* all other runs */
-	/* No run is placed next to its latency-bound runs until then. */
+	/* Until then, no run without a latency target is placed on it, to
+	 * protect its runs that have one. */
 	uint64_t exclusive_until_us;
 	/* Health, derived from the runs on it. */
 	uint32_t bad_streak; /* consecutive runs that failed or stalled */
 	uint64_t suspect_until_us;
-	uint64_t healthy_us; /* a run started then did not fail early */
+	/* Latest start of a run that did not fail early. */
+	uint64_t healthy_us;
 };
 
 struct rj_cell_fleet {
@@ -138,7 +146,7 @@
 	/* Set by operators, or NULL; copied to the domains by
 	 * rj_cell_fleet_apply_cordons. */
 	const struct rj_cell_cordons *cordons;
-	/* Version of `cordons` that the domains have. */
+	/* `cordons->changes` when they were last copied to the domains. */
 	uint64_t cordon_changes;
 };
 
--- a/src/libradishjunction/include/private/cell_log_reader.h
+++ b/src/libradishjunction/include/private/cell_log_reader.h
@@ -51,11 +51,11 @@
 	uint32_t generation;
 	uint64_t next; /* offset of the next read */
 	char *after; /* loading: last key received, or NULL */
-	bool loaded_once; /* loading: the first page has been received */
+	bool first_page_loaded; /* loading: the first page has been received */
 	bool caught_up; /* has reached the end since its start */
 	bool poll_in_flight;
 	/* A read without waiting, for `syncs`, is in flight. */
-	bool quick_in_flight;
+	bool immediate_in_flight;
 	uint64_t due_us; /* time of the next read */
 	uint64_t confirmed_us; /* all records appended before this are known */
 	uint64_t answered_us; /* last answer of the store to a read */
--- a/src/test_libradishjunction/support/cell_fake_workers.c
+++ b/src/test_libradishjunction/support/cell_fake_workers.c
@@ -1,8 +1,8 @@
 /*
- * Workers as their contract describes them: leases on their own clock; a run
- * number that was stopped or has ended never runs again; completions are listed
- * until they are acknowledged; a gang makes progress only while all its members
- * run.
+ * Simulated workers that follow the platform's contract: leases by their own
+ * clock; a run number that was stopped or has ended never runs again;
+ * completions are listed until they are acknowledged; a gang makes progress
+ * only while all its members run.
  */
 #include <string.h>
 #include <talloc.h>
@@ -16,7 +16,7 @@
 #define DOMAINS 3
 
 /*
- * Returns what the checker needs of a worker's run.
+ * Returns the name and resources of a worker's run, for the checker.
  */
 struct cell_fake_run_info cell_fake_run_info_at(struct cell_fake_worker *worker,
 						guint index)
@@ -92,7 +92,8 @@
 	g_free(run);
 }
 
-/* Ends a run; its completion is listed until it is acknowledged. */
+/* Ends a run; its completion is listed until it is acknowledged. The name of a
+ * checkpoint is the progress in microseconds, in hexadecimal. */
 static void complete_run(struct cell_sim *sim, struct cell_fake_worker *worker,
 			 struct cell_fake_run *run,
 			 enum rj_cell_completion outcome)
@@ -132,7 +133,8 @@
 	return 0;
 }
 
-/* Returns the runs of a gang on all workers, and their workers. */
+/* Returns the runs of a gang on all workers, in an array that the caller frees.
+ * Appends their workers to `workers` unless that is NULL. */
 static GPtrArray *gang_of(struct cell_sim *sim, const char *gang,
 			  GPtrArray *workers)
 {
@@ -303,10 +305,12 @@
 	cell_sim_schedule(sim, TICK_US, advance_all, sim);
 }
 
-/* Writes a worker's heartbeat, or drops its entry after missed ones. */
+/* Writes a worker's heartbeat if it can; after CELL_SIM_ENTRY_HEARTBEATS missed
+ * ones in a row, removes its entry from the log. */
 static void write_heartbeat(void *data)
 {
 	struct cell_fake_worker *worker = data;
+	/* The simulation whose array of workers contains this one. */
 	struct cell_sim *sim =
 		(struct cell_sim *)(void *)((char *)(worker - worker->index) -
 					    offsetof(struct cell_sim, workers));
@@ -362,6 +366,7 @@
 		run->allocated = step->each;
 		run->checkpoints = step->checkpoints;
 		run->target_ms = step->target_ms;
+		/* Longer than any simulation. */
 		if (step->perpetual && !job->failing_runs)
 			run->duration_us = RJ_NEVER_US / 200;
 		if (start->number <= job->failing_runs)
@@ -370,6 +375,8 @@
 	if (worker->fails_all)
 		run->fails_at_us = 100 * MS;
 	if (step && step->gang) {
+		/* Members share the part of the name before the index, and the
+		 * run number. */
 		char *dot = strrchr(run->name, '.');
 
 		run->gang = g_strdup_printf("%.*s/%u", (int)(dot - run->name),
@@ -383,7 +390,8 @@
 }
 
 /*
- * Whether a start does not fit a worker that enforces its capacity.
+ * Whether a worker rejects a start because it exceeds the free capacity. False
+ * if workers do not enforce their capacity.
  */
 bool cell_fake_is_full(struct cell_sim *sim, struct cell_fake_worker *worker,
 		       const char *name)
@@ -416,8 +424,8 @@
 
 		if (completion->position > acknowledged)
 			break;
-		/* The owner need not have recorded a completion from before
-		 * a lease expired. */
+		/* Only completions after the worker's last lease expiry are
+		 * checked; the owner need not have recorded earlier ones. */
 		if (worker->lease_expired_us < completion->ended_us)
 			cell_check_acknowledged(sim, worker, completion->name,
 						completion->number,
@@ -473,7 +481,8 @@
 	cell_sim_schedule(sim, TICK_US, advance_all, sim);
 }
 
-/* Ends all runs of a worker without listing their completions. */
+/* Ends all runs of a worker without listing their completions, and clears the
+ * listed completions and the numbers of ended runs. */
 static void drop_runs(struct cell_sim *sim, struct cell_fake_worker *worker)
 {
 	while (worker->runs->len) {
@@ -530,8 +539,8 @@
 }
 
 /*
- * Removes a worker as planned: it reports that it drains, stops and
- * deregisters.
+ * Shuts down a worker: it reports that it drains, loses its runs, and removes
+ * its entry from the log.
  */
 void cell_sim_worker_deregister(struct cell_sim *sim, uint32_t index)
 {
--- a/src/test_libradishjunction/support/cell_sim.c
+++ b/src/test_libradishjunction/support/cell_sim.c
@@ -16,13 +16,14 @@
 #define LEASE_MAX_MS 6000
 /* A removed key is not served after this. */
 #define REVOKE_MS 5000
-/* Nothing starts on a draining worker after DRAIN_MS, nor in a cordoned failure
- * domain after CORDON_MS. */
+/* Nothing starts on a draining worker after this. */
 #define DRAIN_MS 2000
 /* Bound for a stop, and for the end of all members of a gang. */
 #define STOP_MS 200
+/* Nothing starts in a cordoned failure domain after this. */
 #define CORDON_MS 5000
-/* One call in this many still carries the key removed last. */
+/* A call still carries the key removed last if the time in milliseconds is a
+ * multiple of this. */
 #define REMOVED_KEY_ONE_IN 7
 
 struct cell_sim_event {
@@ -108,7 +109,8 @@
 }
 
 /*
- * Whether a node is paused; then `call` is called again when it resumes.
+ * Whether a node is paused. If so, schedules `call` with `data` for when it
+ * resumes.
  */
 bool cell_sim_defer_if_paused(struct cell_sim_node *node, void (*call)(void *),
 			      void *data)
@@ -154,7 +156,7 @@
 	{ "advised", "/a/", 1, 3000, 1000 },
 };
 
-/* Tells what a key of the operators' topic stands for. */
+/* Classifies a key of the operators' topic; see struct rj_cell_codec. */
 static enum rj_cell_published classify(const char *key, const char **name)
 {
 	if (!strcmp(key, CONFIG_KEY))
@@ -273,7 +275,8 @@
 	const struct cell_sim_node *node;
 } trace;
 
-/* Prints one log event. */
+/* Prints one log event, with the seconds since the simulation began at 3,600 s
+ * and the node; 99 stands for none. */
 static GLogWriterOutput print_log_event(GLogLevelFlags level,
 					const GLogField *fields, gsize count,
 					gpointer unused)
@@ -301,7 +304,7 @@
 
 /*
  * Prints the log events of this simulation from now on. Call it once in a
- * process.
+ * process, as GLib allows one log writer.
  */
 void cell_sim_trace(struct cell_sim *sim)
 {
@@ -408,7 +411,8 @@
 }
 
 /*
- * Returns the node that considers itself the owner, or -1.
+ * Returns the first node that considers itself the owner, or -1. There may be
+ * two such nodes for a time.
  */
 int cell_sim_owner(const struct cell_sim *sim)
 {
@@ -419,8 +423,8 @@
 }
 
 /*
- * Creates a site and starts all of it; it accepts jobs after one to two
- * seconds.
+ * Creates a site and starts its workers and nodes. Jobs are accepted after one
+ * to two seconds of simulated time.
  */
 void cell_sim_init(struct cell_sim *sim, const struct cell_sim_options *options)
 {
@@ -582,8 +586,8 @@
 		job->cancelled = true;
 		break;
 	case RJ_CELL_VERDICT_STATE:
-		/* A call made before the end was reported may still return the
-		 * earlier state; a later one must not. */
+		/* Once a client was told that its job has ended, only calls
+		 * made before that may return an earlier state. */
 		if (job->has_state && answer->state < job->state) {
 			if (base->now_us > job->state_us &&
 			    job->state >= RJ_CELL_JOB_COMPLETED)
--- a/src/test_libradishjunction/test_cell_reach.c
+++ b/src/test_libradishjunction/test_cell_reach.c
@@ -21,7 +21,8 @@
 /* The same site; a task may fail once. */
 static const struct cell_sim_options two_attempts = { SITE, .attempts_max = 2 };
 
-/* Partitions a failure domain from all nodes, or heals it. */
+/* Partitions the workers of a failure domain from all nodes and the log, or
+ * heals the partition. */
 static void partition_domain(struct cell_sim *sim, const char *domain,
 			     bool partitioned)
 {
@@ -157,8 +158,8 @@
 	g_assert_cmpuint(runs_in(&f->sim, "d2"), ==, 4);
 }
 
-/* Guards against clients that wait until they time out at an instance that
- * cannot reach the log, without a health check that redirects them. */
+/* Guards against an instance that cannot reach the log and still reports itself
+ * ready: clients are not redirected, and their calls time out. */
 static void test_instance_with_unreachable_log(struct cell_fixture *f,
 					       const void *data)
 {
@@ -227,8 +228,9 @@
 	g_assert_cmpuint(job->begun_us, !=, 0);
 }
 
-/* Guards against a site where nothing starts while the log is slow, because
- * each worker's answer is too old when the next plan may be made. */
+/* Guards against a site where nothing starts while the log is slow. Plans are
+ * made between appends, so a worker's answer must count for longer when an
+ * append takes longer. */
 static void test_reachability_proof_with_slow_appends(struct cell_fixture *f,
 						      const void *data)
 {
@@ -315,7 +317,7 @@
 }
 
 /* Guards against restarting a gang while a member still runs on a partitioned
- * worker: members end shortly after the first one. */
+ * worker. Members end as late as 190 ms after the first one. */
 static void test_gang_members_end_with_a_delay(struct cell_fixture *f,
 					       const void *data)
 {
@@ -344,8 +346,8 @@
 	cell_sim_run(&f->sim, 8 * S);
 }
 
-/* Guards against ending the other members of an incomplete gang when one member
- * was stopped: they run on where the worker is unreachable. */
+/* Guards against taking a gang member on an unreachable worker for ended when
+ * another member was stopped: it still runs if the gang was incomplete. */
 static void test_a_stopped_member_ends_no_other(struct cell_fixture *f,
 						const void *data)
 {
@@ -370,8 +372,8 @@
 	g_assert_true(tasks[0].runs.next == &runs[0]->in_task);
 }
 
-/* Guards against one attempt too many after a failure on a partitioned worker
- * that the owner learns of late. */
+/* Guards against one attempt too many: a gang fails on a partitioned worker,
+ * and the owner restarts it before it learns of the failure. */
 static void test_unacknowledged_failures_count(struct cell_fixture *f,
 					       const void *data)
 {
@@ -420,8 +422,9 @@
 	return worker;
 }
 
-/* Guards against one attempt too many after a failure on a partitioned worker
- * that the owner did not learn of, but its successor does. */
+/* Guards against one attempt too many: a gang fails on a partitioned worker,
+ * the owner is killed before it learns of the failure, and its successor does
+ * not count it. */
 static void
 test_unacknowledged_failures_survive_a_takeover(struct cell_fixture *f,
 						const void *data)
@@ -454,8 +457,8 @@
 	g_assert_cmpuint(job->starts, ==, 4);
 }
 
-/* Guards against replacing an owner that works because an append to the
- * progress topic gets no answer; its heartbeats are in the jobs topic. */
+/* Guards against replacing a working owner while its appends to the progress
+ * topic get no answer. Its heartbeats are in the jobs topic. */
 static void test_owner_heartbeat_without_progress_log(struct cell_fixture *f,
 						      const void *data)
 {
@@ -478,8 +481,8 @@
 	*(enum rj_cell_store_status *)private_data = reply->status;
 }
 
-/* Guards against an intent that a former owner stores after the takeover, and
- * that its successor never reads. */
+/* Guards against a former owner that stores the intent of a start after the
+ * takeover: its successor would never read it. */
 static void test_a_former_owner_stores_no_progress(struct cell_fixture *f,
 						   const void *data)
 {
@@ -509,8 +512,8 @@
 	g_assert_cmpint(status, ==, RJ_CELL_STORE_FENCED);
 }
 
-/* Guards against sending a start long after its worker reported that it drains:
- * it was planned before, and its intent took long to store. */
+/* Guards against sending a start long after its worker reported that it drains.
+ * The start was planned before the report, and storing its intent took long. */
 static void
 test_starts_on_draining_workers_are_cancelled(struct cell_fixture *f,
 					      const void *data)
