--- a/src/libradishjunction/cell/cell_log_reader.c
+++ b/src/libradishjunction/cell/cell_log_reader.c
@@ -38,7 +38,7 @@
 	uint32_t generation;
 	uint64_t sent_us;
 	uint64_t from;
-	bool immediate;
+	bool immediate; /* a read that does not wait for records */
 };
 
 static void send_read(struct rj_cell_log_reader *reader, bool immediate);
--- a/src/libradishjunction/include/private/cell_fleet.h
+++ b/src/libradishjunction/include/private/cell_fleet.h
@@ -95,8 +95,8 @@
 	/* The worker's clock, as of its last answer. */
 	uint64_t clock_ms;
 	uint64_t clock_at_us;
-	/* Latest lease deadline sent, by the worker's clock; its runs end then
-	 * unless the lease is renewed. */
+	/* Latest lease deadline that it may have, by its clock; its runs end
+	 * then unless the lease is renewed. */
 	uint64_t lease_deadline_ms;
 	/* If unreachable, no run remains there after this. */
 	uint64_t lease_expired_us;
--- a/src/libradishjunction/include/private/cell_log_reader.h
+++ b/src/libradishjunction/include/private/cell_log_reader.h
@@ -54,7 +54,7 @@
 	bool first_page_loaded; /* loading: the first page has been received */
 	bool caught_up; /* has reached the end since its start */
 	bool poll_in_flight;
-	/* A read without waiting, for `syncs`, is in flight. */
+	/* A read that does not wait for records is in flight. */
 	bool immediate_in_flight;
 	uint64_t due_us; /* time of the next read */
 	uint64_t confirmed_us; /* all records appended before this are known */
