--- a/src/libradishjunction/core/controllers/claims_controller.c
+++ b/src/libradishjunction/core/controllers/claims_controller.c
@@ -11,8 +11,8 @@
 
 #include "private/core_state.h"
 
-/* Time for an append with a lost answer to appear in the log, after which it is
- * no longer awaited. */
+/* Time for which a record whose append was not answered is awaited in the
+ * log. */
 #define LOST_APPEND_WAIT_US (3 * RJ_US_PER_S)
 #define OUTCOME_RETRY_US (2 * RJ_US_PER_S)
 #define PLATFORM_RETRY_US (2 * RJ_US_PER_S)
@@ -137,7 +137,8 @@
 
 /*
  * Handles the timeout of an append with a lost answer. A claim that appears in
- * the log later finds no job here; its attempt is fenced and voided.
+ * the log later is not of the current attempt: an accepted job, which has been
+ * requeued, watches it, any other has ended. Its attempt is fenced and voided.
  */
 void rj_claims_append_timeout(struct rj_job *job)
 {
@@ -183,9 +184,10 @@
 }
 
 /*
- * Handles the loss of the platform. Jobs that need a claim are forwarded to a
- * peer that has the log, or answered at once with a retry time, and do not wait
- * until their deadline. Accepted jobs wait.
+ * Handles the loss of the platform. Non-idempotent jobs that are not accepted
+ * and not claimed yet do not wait until their deadline: they are forwarded to a
+ * peer that has the log, or answered at once with a retry time. Accepted jobs
+ * wait for the log.
  */
 void rj_claims_platform_down(struct rj_core_state *core)
 {
@@ -201,7 +203,7 @@
 			continue;
 		rj_job_release_members(job);
 		rj_job_remove_from_plan(job, false);
-		job->hops = 0; /* the forwarding peer may have the log */
+		job->hops = 0; /* may go back: its sender may have the log */
 		rj_filters_resubmit(job);
 	}
 }
@@ -245,8 +247,8 @@
 }
 
 /*
- * Closes the job's own claim: nothing of this attempt started, or all of it was
- * stopped and may run again.
+ * Closes the job's own claim. Must be called only if nothing of this attempt
+ * can start any more, or all of it was stopped, so that the job may run again.
  */
 void rj_claims_append_void(struct rj_job *job)
 {
@@ -268,12 +270,13 @@
 }
 
 /*
- * Closes an older claim of the job.
+ * Closes a claim of an earlier attempt that is still open because its void
+ * record was lost on its way to the log.
  *
- * A void record may be lost on its way to the log. Readers ignore the job's
- * outcome while the older claim is open, so an accepted job would never end. A
- * claim of this instance is certainly over, since the job has ended here; a
- * peer's claim is closed only if the job is done and idempotent.
+ * Readers ignore the job's outcome while the older claim is open, so an
+ * accepted job would never end. A claim of this instance is certainly over,
+ * since the job has ended here; a peer's claim is closed only if the job is
+ * done and idempotent.
  */
 static void close_older_claim(const struct rj_job *job)
 {
@@ -397,9 +400,10 @@
 /*
  * Handles an open claim of the job in the log.
  *
- * A claim may come first only because older ones were trimmed early; the job
- * would then run twice. While the log has a gap the attempt is abandoned,
- * unless the claim was carried by a peer, which may know the older ones.
+ * If the log was trimmed early, the job's own claim may be the first in it only
+ * because an older one is missing, and starting the job would run it twice.
+ * While the log has a gap the attempt is therefore abandoned, unless the claim
+ * was carried by a peer, which may know the older ones.
  */
 static void on_claim_read(struct rj_job *job, const struct rj_job_entry *entry,
 			  bool carried)
@@ -421,8 +425,8 @@
 	}
 	if (job->state == RJ_JOB_ENDED &&
 	    job->final.kind == RJ_ANSWER_NOT_RUN) {
-		/* A peer's claim precedes this outcome: ask the peer to
-		 * cancel. */
+		/* A peer claimed the job before this outcome was in the log,
+		 * and may run it: ask the peer to cancel. */
 		rj_job_watch(job);
 		rj_claims_append_cancel(job);
 		return;
@@ -443,9 +447,9 @@
 }
 
 /*
- * Frees a job that is known only from its claim, without the request body: it
- * cannot be started here until it is submitted again. The waiters are told that
- * it may be in progress. Returns whether the job was freed.
+ * Frees the job if it is known only from its claim, which lacks the request
+ * body: it cannot be started here until it is submitted again. Its waiters are
+ * answered that it may be in progress. Returns whether the job was freed.
  */
 bool rj_job_drop_if_body_missing(struct rj_job *job)
 {
--- a/src/libradishjunction/core/controllers/membership_controller.c
+++ b/src/libradishjunction/core/controllers/membership_controller.c
@@ -16,8 +16,8 @@
 #define HEARTBEATS_LOST_MAX 3
 #define ALIVE_TIMEOUT_US \
 	(HEARTBEATS_LOST_MAX * HEARTBEAT_INTERVAL_US + 500 * RJ_US_PER_MS)
-/* Links to each other failure domain: one may fail, and the traffic stays
- * constant. */
+/* Number of links to each other failure domain: with two, one may fail; a fixed
+ * number keeps the traffic constant. */
 #define LINKS_PER_OTHER_DOMAIN 2
 #define LIST_INTERVAL_US (2 * RJ_US_PER_S)
 /* Nothing can be served until the first list has arrived. */
@@ -61,11 +61,11 @@
 }
 
 /*
- * Returns n such that every n-th heartbeat goes to other failure domains, of
- * `domains` in all. More domains each receive fewer heartbeats, so that the
- * total stays constant; with up to four domains each gets every heartbeat. A
- * dead instance is noticed at once by its closed link; only a partitioned one
- * is noticed later.
+ * Returns the n for which only every n-th heartbeat is sent to other failure
+ * domains, if there are `domains` in all. It is 1 for up to four domains and
+ * then grows with their number, so that the total rate stays constant. A dead
+ * instance is still detected at once, as its link closes; only one that is
+ * unreachable is detected later.
  */
 uint32_t rj_membership_cross_domain_interval(uint32_t domains)
 {
@@ -141,11 +141,13 @@
  * may open now: the share of an owner while it receives heartbeats from all
  * peers of the domain.
  *
- * Instances that cannot reach each other each believe that they own every rack:
- * eight of them would request 112 connections from a worker that allows 64, and
- * those it refuses could not renew their leases. Each of them knows the others
- * from the settings and the list, and leaves them their share, and the former
- * owner the connections it has open.
+ * Instances that cannot reach each other each believe that they own every rack.
+ * With an owner's share each, eight of them would request 112 connections from
+ * a worker that allows 64, and those it refuses could not renew their leases.
+ * Therefore an owner's share is left for what the former owner has open, and a
+ * smaller one for each listed peer that cannot be another owner; the rest is
+ * divided between this instance and the domain's listed peers that it does not
+ * believe alive.
  */
 uint32_t rj_membership_worker_connections(const struct rj_core_state *core)
 {
@@ -281,14 +283,16 @@
 	send_heartbeats(core, true);
 }
 
-/* The racks owned by this instance may have changed. */
+/* Updates what depends on the view: the racks that this instance owns, and jobs
+ * to hand over. */
 static void on_view_changed(struct rj_core_state *core)
 {
 	rj_racks_update_ownership(core);
 	rj_drain_hand_over_jobs(core);
 }
 
-/* A digest of who is alive and not draining, to detect changes. */
+/* A digest of which peers accept jobs, and of which of these and of this
+ * instance are cut off, to detect changes. */
 static uint64_t view_digest(const struct rj_core_state *core)
 {
 	uint64_t digest = core->stopping + 2 * rj_ownership_cut_off(core);
@@ -306,7 +310,8 @@
 	return digest;
 }
 
-/* Records since when only peers of this failure domain can use the log. */
+/* Updates the time since which this instance cannot use the log while a live
+ * peer of its failure domain can; 0: not so. */
 static void update_log_isolation(struct rj_core_state *core)
 {
 	bool isolated = false;
@@ -348,7 +353,7 @@
 		     core->now_us + HEARTBEAT_INTERVAL_US);
 }
 
-/* Reads the platform's list again. */
+/* Timer: requests the platform's list and schedules the next request. */
 static void list_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	rj_actions_add(core->actions, RJ_ACTION_LIST);
@@ -366,7 +371,7 @@
 			  const struct rj_member_view *member)
 {
 	uint64_t seed = rj_hash64_string(core->name, 0);
-	uint64_t own = rj_ownership_weight(member->name, seed, false);
+	uint64_t weight = rj_ownership_weight(member->name, seed, false);
 	uint32_t rank = 0;
 	struct rj_list *at;
 	struct rj_list *next;
@@ -377,7 +382,7 @@
 
 		if (other != member && other->listed &&
 		    !strcmp(other->domain, member->domain) &&
-		    rj_ownership_weight(other->name, seed, false) > own)
+		    rj_ownership_weight(other->name, seed, false) > weight)
 			rank++;
 	}
 	return rank;
@@ -470,9 +475,9 @@
 }
 
 /*
- * Applies the platform's list of entry instances. The list lags: an instance
- * that is not yet, or no longer, listed keeps its link while that is up, and a
- * peer in the settings is reconnected to without limit.
+ * Applies the platform's list of entry instances. As the list lags, an instance
+ * that it does not contain keeps its link while that is up, and a peer in the
+ * settings always counts as listed: it is reconnected to without limit.
  */
 void rj_membership_apply_list(struct rj_core_state *core,
 			      const struct rj_instance *list, uint32_t count)
@@ -615,15 +620,15 @@
 }
 
 /*
- * Handles a peer's summary of the free capacity in a rack that it owns. Only a
- * newer version from the same owner counts; late and duplicate ones are
- * dropped.
+ * Handles a peer's summary of the free capacity in a rack that it owns. It
+ * replaces the last one if its owner differs; from the same owner, late and
+ * duplicate versions are dropped.
  */
 void rj_membership_receive_summary(struct rj_core_state *core, const char *name,
 				   const struct rj_peer_summary *summary)
 {
 	struct rj_member_view *member = find_or_add_member(core, name);
-	struct rj_rack_summary *mine = NULL;
+	struct rj_rack_summary *stored = NULL;
 	struct rj_list *at;
 	struct rj_list *next;
 
@@ -634,20 +639,21 @@
 			RJ_CONTAINER(at, struct rj_rack_summary, link);
 
 		if (known->rack == summary->rack)
-			mine = known;
+			stored = known;
 	}
-	if (!mine) {
-		mine = talloc_zero(member, struct rj_rack_summary);
-		assert(mine);
-		mine->rack = summary->rack;
-		rj_list_append(&member->summaries, &mine->link);
+	if (!stored) {
+		stored = talloc_zero(member, struct rj_rack_summary);
+		assert(stored);
+		stored->rack = summary->rack;
+		rj_list_append(&member->summaries, &stored->link);
 	}
-	if (mine->owner == summary->owner && mine->version >= summary->version)
+	if (stored->owner == summary->owner &&
+	    stored->version >= summary->version)
 		return;
-	mine->owner = summary->owner;
-	mine->version = summary->version;
-	mine->worker_count = summary->worker_count;
-	memcpy(mine->free, summary->free, sizeof(mine->free));
+	stored->owner = summary->owner;
+	stored->version = summary->version;
+	stored->worker_count = summary->worker_count;
+	memcpy(stored->free, summary->free, sizeof(stored->free));
 	rj_racks_receive_summary(core, summary);
 }
 
--- a/src/libradishjunction/core/controllers/recovery_controller.c
+++ b/src/libradishjunction/core/controllers/recovery_controller.c
@@ -1,6 +1,7 @@
 /*
  * SETTLING: determines what became of an attempt whose owner died or whose
- * start was not answered. Also re-appends records before the log trims them.
+ * start was not answered. Also the periodic check of the log's entries, which
+ * starts settling and re-appends records before the log trims them.
  *
  * The workers are asked with a fence, after which an attempt that has not
  * started never will. Running tasks are adopted, finished ones keep their
@@ -85,7 +86,8 @@
 	rj_job_requeue(job, 0, RJ_REASON_LEASE_EXPIRED);
 }
 
-/* Whether the planner knows the workers of every member. */
+/* Whether the workers of all members are known and in this failure domain, as
+ * the planner requires. */
 static bool all_in_own_domain(const struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++) {
@@ -97,8 +99,8 @@
 	return true;
 }
 
-/* Adopts a running attempt: renews every lease and releases a gang whose owner
- * died before doing so. */
+/* Adopts a running attempt: renews every lease, sets a gang to full speed, in
+ * case its owner died before doing so, and adds the job to the planner. */
 static void adopt(struct rj_job *job)
 {
 	struct rj_core_state *core = job->core;
@@ -137,7 +139,9 @@
 	job->planned = true;
 }
 
-/* Handles an attempt that the workers cannot confirm or that ended early. */
+/* Stops the rest of an attempt that the workers cannot confirm or that ended
+ * early. An idempotent job then runs again, any other ends as unknown or
+ * failed. */
 static void settle_partial(struct rj_job *job, bool unknown)
 {
 	if (job->idempotent) {
@@ -176,7 +180,8 @@
 	settle_partial(job, results.unknown > 0);
 }
 
-/* A worker named in a claim may be listed only after the claim was read. */
+/* Attaches the member to its worker, if known: a worker named in a claim may be
+ * listed only after the claim was read. */
 static void attach_worker(struct rj_job *job, struct rj_member *member)
 {
 	struct rj_upstream *upstream =
@@ -352,7 +357,8 @@
 	if (!job || job->state == RJ_JOB_WATCHING ||
 	    job->state == RJ_JOB_FORWARDED)
 		return false;
-	/* A new attempt waits while its older claim is still open. */
+	/* This includes a new attempt that is still queued here while the claim
+	 * of an older one is open in the log. */
 	return true;
 }
 
@@ -393,7 +399,8 @@
 		rj_racks_job_key(core, entry->domain, entry->job_id));
 }
 
-/* Re-appends the records of an entry, well before they are trimmed. */
+/* Re-appends what an entry consists of: its outcome; or its accept record and
+ * its open claim; or a void record if it has none of these. */
 static void carry_forward(struct rj_core_state *core,
 			  struct rj_job_entry *entry)
 {
@@ -444,11 +451,11 @@
 {
 	if (entry->complete_from_offset >=
 	    core->streams[RJ_STREAM_JOBS].oldest) {
-		entry->trimmed_us = 0;
+		entry->restore_us = 0;
 		return false;
 	}
-	if (!entry->trimmed_us)
-		entry->trimmed_us =
+	if (!entry->restore_us)
+		entry->restore_us =
 			core->now_us +
 			(owned_here(core, entry) ?
 				 0 :
@@ -457,7 +464,7 @@
 	 * it. */
 	if (!rj_job_entry_has_state(entry) && entry->last_carried_us)
 		return false;
-	return core->now_us >= entry->trimmed_us &&
+	return core->now_us >= entry->restore_us &&
 	       core->now_us >= entry->last_carried_us + CARRY_RETRY_US;
 }
 
@@ -476,9 +483,9 @@
 
 /*
  * Re-appends an entry at half of the retention, counted from its oldest record,
- * since an outcome is meaningless without its claim; or removes it when the
- * lifetime of its key has passed. A key is refused shortly before the log may
- * trim it.
+ * since an outcome is meaningless without its claim, and when its records were
+ * trimmed early. Removes it when no work is open and the lifetime of its key
+ * has passed.
  */
 static void maintain_entry(struct rj_core_state *core,
 			   struct rj_job_entry *entry)
@@ -502,7 +509,7 @@
  * Periodic check of the log's entries: settles what dead instances left open,
  * serves accepted jobs, and re-appends entries that must not be trimmed.
  *
- * An author that only appears dead does no harm: its token is fenced at the
+ * An owner that only appears dead does no harm: its token is fenced at the
  * worker before its claim is voided, so a start that it sends late is refused.
  */
 void rj_claims_tick(struct rj_core_state *core)
--- a/src/libradishjunction/core/ledger.c
+++ b/src/libradishjunction/core/ledger.c
@@ -84,7 +84,8 @@
 }
 
 /*
- * Recomputes the committed capacity and removes empty usages.
+ * Recomputes `committed`, the sum in the invariant in ledger.h, and removes
+ * empty usages.
  */
 static void update_committed(struct rj_ledger *ledger)
 {
@@ -94,20 +95,20 @@
 	memset(&ledger->committed, 0, sizeof(ledger->committed));
 	for (uint32_t i = 0; i < ledger->usage_count; i++) {
 		const struct rj_worker_usage *usage = &ledger->usages[i];
-		struct rj_resources most = resources_max(
+		struct rj_resources committed = resources_max(
 			&usage->guaranteed, &usage->non_preemptible);
 
-		if (!rj_resources_exceed(&most, &none) &&
+		if (!rj_resources_exceed(&committed, &none) &&
 		    !rj_resources_exceed(&usage->used, &none))
 			continue;
-		rj_resources_add(&ledger->committed, &most, 1);
+		rj_resources_add(&ledger->committed, &committed, 1);
 		ledger->usages[remaining++] = *usage;
 	}
 	ledger->usage_count = remaining;
 }
 
 /*
- * Guarantees `tasks` times `each` of the worker to `account`.
+ * Adds `tasks` times `each` to what `account` is guaranteed on the worker.
  */
 void rj_ledger_guarantee(struct rj_capacity_worker *worker,
 			 struct rj_plan_account *account,
@@ -141,7 +142,8 @@
 }
 
 /*
- * Adds tasks of a job that were placed on the worker.
+ * Adds the tasks of a job that were placed on the worker as one run. A job must
+ * have at most one run on a worker.
  */
 void rj_ledger_add_run(struct rj_capacity_worker *worker,
 		       struct rj_plan_entry *entry, uint32_t tasks)
@@ -164,7 +166,8 @@
 }
 
 /*
- * Removes tasks of a job from the worker.
+ * Removes the run of a job from the worker. `tasks` must be the number that was
+ * added.
  */
 void rj_ledger_remove_run(struct rj_capacity_worker *worker,
 			  struct rj_plan_entry *entry, uint32_t tasks)
@@ -189,8 +192,7 @@
 }
 
 /*
- * Reserves capacity for `tasks` of the reservation's job on this worker.
- * Whether it is firm or soft is up to the reservation.
+ * Reserves capacity on this worker for `tasks` tasks of the reservation's job.
  */
 void rj_ledger_reserve(struct rj_capacity_worker *worker,
 		       struct rj_reservation *reservation, uint32_t tasks)
@@ -227,7 +229,8 @@
 
 /*
  * Returns how much non-preemptible tasks of `account` may still allocate on
- * this worker without violating the invariant in ledger.h.
+ * this worker without violating the invariant in ledger.h, where foreign use
+ * reduces the capacity.
  */
 struct rj_resources
 rj_ledger_non_preemptible_limit(const struct rj_capacity_worker *worker,
--- a/src/libradishjunction/core/topology_queue.c
+++ b/src/libradishjunction/core/topology_queue.c
@@ -18,8 +18,8 @@
 /*
  * Offset subtracted from the arrival time of a job larger than a worker, for
  * each worker that it fills: otherwise the free capacity it needs seldom comes
- * together, as smaller jobs use it up. A gang of six workers thus ranks with
- * urgent work.
+ * together, as smaller jobs use it up. A bulk gang of six workers thus ranks
+ * with urgent work.
  */
 #define SIZE_CREDIT_US (300 * RJ_US_PER_S)
 
@@ -32,7 +32,7 @@
 /* Maximum number of fair shares that are penalised. */
 #define FAIR_SHARE_PENALTY_MAX 4
 
-/* One part in this many of the queue is reserved for urgent jobs. */
+/* The last 1/URGENT_QUEUE_DIVISOR of the queue accepts urgent jobs only. */
 #define URGENT_QUEUE_DIVISOR 8
 
 /*
@@ -98,8 +98,8 @@
 }
 
 /*
- * Queues the job in its bucket. If it becomes the head, the bucket is tried
- * again, since it may fit where the former head did not.
+ * Queues the job in its bucket. If it becomes the head, the bucket is
+ * unblocked: only the former head is known not to fit.
  */
 static void insert_into_bucket(struct rj_topology_state *state,
 			       struct rj_plan_entry *entry)
@@ -161,7 +161,7 @@
 }
 
 /*
- * Removes the job from the queue.
+ * Removes the job from the queue, and frees its bucket if that is then empty.
  */
 void rj_topology_dequeue(struct rj_topology_state *state,
 			 struct rj_plan_entry *entry)
@@ -202,7 +202,8 @@
 }
 
 /*
- * Returns the offset of an account's jobs for use above its fair share.
+ * Returns the offset of an account's jobs for its use above its guarantee, in
+ * units of its fair share.
  */
 static uint64_t fair_penalty_us(const struct rj_topology_state *state,
 				const struct rj_plan_account *account)
@@ -217,8 +218,8 @@
 }
 
 /*
- * Returns the offset of a job for its priority. A gang's size reduces it, but
- * never below that of urgent work.
+ * Returns the offset of a job for its priority. For a job larger than the
+ * largest worker it is reduced by its size, but not below that of urgent work.
  */
 static uint64_t priority_penalty_us(const struct rj_topology_state *state,
 				    const struct rj_plan_entry *entry)
@@ -233,9 +234,9 @@
 }
 
 /*
- * Returns the bucket whose head is next, or NULL if all are blocked in this
- * state. Jobs are ordered by arrival, priority, size and the account's use
- * above its guarantee.
+ * Returns the bucket whose head is to be placed next, or NULL if all buckets
+ * are blocked at the present version of the state. Heads are ordered by arrival
+ * time plus the offsets for priority, size and use above the guarantee.
  */
 struct rj_plan_bucket *rj_topology_next_bucket(struct rj_topology_state *state,
 					       uint64_t now_us)
@@ -260,8 +261,9 @@
 }
 
 /*
- * Returns the expected wait of a new job of `priority`, from the recorded run
- * times of the jobs that are queued before it.
+ * Returns the expected wait of a new job of `priority`: the accelerator time
+ * that queued jobs of this and higher priorities need, by recorded run times,
+ * divided by the number of accelerators.
  */
 uint64_t rj_topology_expected_wait_us(const struct rj_topology_state *state,
 				      enum rj_priority priority)
@@ -274,9 +276,10 @@
 }
 
 /*
- * Returns the retry delay of a refused caller: the expected wait, plus or minus
- * half of it depending on the job id, so that callers refused at the same time
- * do not retry at the same time. The spread is stateless and deterministic.
+ * Returns the retry delay of a refused caller: the expected wait, at least 1 s,
+ * plus or minus half of it depending on the job id, so that callers refused at
+ * the same time do not retry at the same time. The spread is stateless and
+ * deterministic.
  */
 uint64_t rj_topology_retry_after_us(uint64_t wait_us, uint64_t job_id)
 {
@@ -288,8 +291,8 @@
 
 /*
  * Whether the queue is full for `entry`. The last part accepts urgent jobs
- * only, and from half full on no account may exceed its share, so that a burst
- * of one account does not exclude others.
+ * only, and from half full on no account may exceed its share by weight, so
+ * that a burst of one account does not exclude others.
  */
 bool rj_topology_queue_is_full(const struct rj_topology_state *state,
 			       const struct rj_plan_entry *entry)
--- a/src/libradishjunction/core/topology_reserve.c
+++ b/src/libradishjunction/core/topology_reserve.c
@@ -12,7 +12,9 @@
 #define END_PERCENTILE 50
 
 /*
- * Reserves `members` for `entry`, firm or soft. See `struct rj_reservation`.
+ * Reserves `members`, which are copied, for `entry`, which must not have a
+ * reservation yet; their workers must be known. See `struct rj_reservation`.
+ * Returns the reservation, valid until `rj_topology_unreserve`.
  */
 struct rj_reservation *rj_topology_reserve(struct rj_topology_state *state,
 					   struct rj_plan_entry *entry,
@@ -41,7 +43,8 @@
 }
 
 /*
- * Removes the reservation; blocked jobs are tried again.
+ * Removes and frees the reservation and increments the version, so that blocked
+ * jobs are tried again.
  */
 void rj_topology_unreserve(struct rj_topology_state *state,
 			   struct rj_reservation *reservation)
@@ -59,6 +62,9 @@
 	state->version++;
 }
 
+/*
+ * Whether the reservation has a member on the worker with this id.
+ */
 bool rj_reservation_includes(const struct rj_reservation *reservation,
 			     uint32_t worker)
 {
@@ -69,7 +75,8 @@
 }
 
 /*
- * Counts the job as covered by its account's guarantee on other workers.
+ * Counts the job towards its account's guarantees, although its workers do not
+ * hold them.
  */
 void rj_topology_grant(struct rj_plan_entry *entry)
 {
@@ -91,7 +98,8 @@
 }
 
 /*
- * Cancels the reservation. If it was firm, its job returns to its bucket.
+ * Cancels the reservation and reverts a grant of its job. If it was firm, the
+ * job is queued again without a back-off.
  */
 void rj_topology_cancel_reservation(struct rj_topology_state *state,
 				    struct rj_reservation *reservation,
@@ -129,8 +137,8 @@
 		    reservation->reason == RJ_REASON_GUARANTEE)
 			continue;
 		/*
-		 * Restart the wait, or it would preempt others again at once in
-		 * vain.
+		 * Restart the wait of the displaced job, which would otherwise
+		 * be due to preempt others again at once, in vain.
 		 */
 		reservation->entry->waiting_since_us = now_us;
 		rj_topology_cancel_reservation(state, reservation, now_us);
@@ -145,7 +153,8 @@
 };
 
 /*
- * Earliest first; the index in the set breaks ties.
+ * Earliest first; the index in the set, then the order of the worker's runs
+ * break ties.
  */
 static int compare_expected_ends(const void *a, const void *b)
 {
@@ -161,8 +170,9 @@
 
 /*
  * Returns the upper bound of what the job may use on the worker: nothing while
- * the worker is unusable or has reservations of other jobs, and for a
- * non-preemptible job not what others are guaranteed.
+ * the worker is unusable, is skipped after it did not respond to a reclaim, or
+ * has reservations of other jobs; for a non-preemptible job not what others are
+ * guaranteed.
  */
 static struct rj_resources
 max_available(const struct rj_capacity_worker *worker,
@@ -193,11 +203,11 @@
 /* Forecast of the free capacity in one set of workers. */
 struct forecast {
 	struct rj_worker_set set;
-	struct rj_resources *free;
-	struct rj_resources *limit;
-	uint32_t *fits;
-	uint32_t total;
-	struct expected_end *expected_ends;
+	struct rj_resources *free; /* by worker: free at the forecast time */
+	struct rj_resources *limit; /* by worker: see max_available() */
+	uint32_t *fits; /* by worker: tasks of the job that fit */
+	uint32_t total; /* sum of `fits` */
+	struct expected_end *expected_ends; /* earliest first */
 	uint32_t expected_end_count;
 };
 
--- a/src/libradishjunction/include/private/job_ledger.h
+++ b/src/libradishjunction/include/private/job_ledger.h
@@ -38,7 +38,7 @@
 	uint64_t newest_record_us; /* append time of its newest record */
 	uint64_t oldest_record_us; /* of the oldest record it depends on */
 	uint64_t last_carried_us; /* when last carried forward here */
-	uint64_t trimmed_us; /* when its records are trimmed */
+	uint64_t restore_us; /* when to re-append it; 0: not trimmed */
 	bool incomplete; /* records of attempts may be lost */
 	uint64_t accept_offset; /* offset of the newest accept */
 	uint64_t claim_offset; /* offset of the newest open claim */
