--- a/src/libradishjunction/caller/caller_request.c
+++ b/src/libradishjunction/caller/caller_request.c
@@ -18,7 +18,7 @@
 #define BUSY_RETRY_US (1 * RJ_US_PER_S)
 #define JSON_TYPE "application/json"
 
-/* Free the text that was not handed over to a response. */
+/* Free the text, unless a response has taken it over. */
 static int request_destructor(struct rj_caller_request *request)
 {
 	request->state->open--;
@@ -73,8 +73,8 @@
 }
 
 /*
- * Set the answer. For a request for an explanation, the answer to the lookup
- * only decides whether the caller may see the job.
+ * Set the answer. To a request for an explanation, the core's answer only tells
+ * whether the caller may see the job; if so, the explanation is sent instead.
  */
 void rj_caller_request_answer(struct rj_caller_request *request,
 			      const struct rj_answer *answer,
@@ -114,10 +114,10 @@
  * Refuse a request that was not delivered to the core. With `status` 0 the
  * HTTP status follows from the reason.
  *
- * When capacity is exhausted or the instance stops, a submission without a key
- * has certainly not run. A submission with a key may run on behalf of a
- * request at another instance, and a job that is looked up may have run:
- * answering `not_run` to these would be wrong.
+ * When capacity is exhausted or the instance stops, `not_run` is right only for
+ * a submission without a key. One with a key may run on behalf of a request at
+ * another instance, and a job that is looked up may have run: the answer is
+ * `unknown`.
  */
 void rj_caller_request_refuse(struct rj_caller_request *request,
 			      unsigned int status, enum rj_reason reason,
@@ -157,7 +157,7 @@
 	rj_caller_request_answer(request, &answer, NULL);
 }
 
-/* Add the length of one header to `*sum`. */
+/* MHD iterator: add the length of one header to `*sum`. */
 static enum MHD_Result add_header(void *sum, enum MHD_ValueKind kind,
 				  const char *name, const char *value)
 {
@@ -166,8 +166,9 @@
 }
 
 /*
- * Refuse a request by its headers, before the caller sends its body. Returns
- * whether it was refused.
+ * Refuse a request that is above the connection limit, has too long headers or
+ * announces too long a body, before the caller sends the body. Returns whether
+ * it was refused.
  */
 bool rj_caller_request_check_headers(struct rj_caller_request *request)
 {
@@ -197,8 +198,8 @@
 }
 
 /*
- * Append a piece of the body. Bytes above the body limit are counted and
- * discarded.
+ * Append a piece of the body. From the piece that exceeds the body limit on,
+ * pieces are counted and discarded.
  */
 void rj_caller_request_append_body(struct rj_caller_request *request,
 				   const char *data, size_t length)
@@ -208,7 +209,8 @@
 		rj_buffer_append(&request->body, request, data, length);
 }
 
-/* Copy the caller's token; without a valid one, refuses and returns -1. */
+/* Copy the caller's token. Returns 0; or -1 if there is no well-formed one and
+ * the request was refused. */
 static int read_token(struct rj_caller_request *request,
 		      char token[RJ_TOKEN_BYTES])
 {
@@ -231,7 +233,8 @@
 	return -1;
 }
 
-/* Copy the idempotency key, if any; if it is invalid, refuses, returns -1. */
+/* Copy the idempotency key, if any. Returns 0; or -1 if it is malformed and the
+ * request was refused. */
 static int read_key(struct rj_caller_request *request, char key[RJ_KEY_BYTES])
 {
 	const char *header = MHD_lookup_connection_value(
@@ -253,9 +256,10 @@
 	return -1;
 }
 
-/* Deliver the request to the core; refuses it if too many are open. */
-static void submit_to_core(struct rj_caller_request *request,
-			   struct rj_event *event)
+/* Deliver a submission, lookup or cancellation to the core; refuse it if too
+ * many requests are open or the instance has stopped. */
+static void deliver_to_core(struct rj_caller_request *request,
+			    struct rj_event *event)
 {
 	struct rj_http_callers_state *state = request->state;
 
@@ -309,10 +313,10 @@
 	if (read_key(request, core_request->spec.key))
 		return;
 	core_request->op = RJ_REQUEST_SUBMIT;
-	submit_to_core(request, &event);
+	deliver_to_core(request, &event);
 }
 
-/* GET or DELETE of one job. */
+/* Look up or cancel the job with this id. */
 static void request_job(struct rj_caller_request *request,
 			enum rj_request_op op, const char *id)
 {
@@ -333,7 +337,7 @@
 	core_request->job_id = request->job_id;
 	core_request->wait =
 		!request->explain && wait && strcmp(wait, "1") == 0;
-	submit_to_core(request, &event);
+	deliver_to_core(request, &event);
 }
 
 /* GET /metrics */
@@ -363,7 +367,8 @@
 		 json_pack("{s:b}", "ready", is_ready));
 }
 
-/* Answer a path that needs no core event; false if there is no such path. */
+/* Answer a path that the core is not asked for. Returns false if there is no
+ * such path. */
 static bool dispatch_view(struct rj_caller_request *request, const char *url)
 {
 	struct rj_caller_views *views = request->state->options.views;
--- a/src/libradishjunction/config_log.c
+++ b/src/libradishjunction/config_log.c
@@ -1,11 +1,17 @@
+/*
+ * The rules are in config_log.h. Terms: after a gap, records before `next` were
+ * missed; a reader that skipped ahead has made such a gap itself; a carried
+ * record repeats the active configuration; `as_of` is the offset up to which
+ * its author had read; the anchor is the newest record to start reading from.
+ */
 #include "radishjunction/config_log.h"
 
 #include <assert.h>
 #include <string.h>
 #include <talloc.h>
 
-/* Records at the end of a long stream that a new reader reads. The first half
- * of them holds a carried record, unless the configuration was carried late. */
+/* Number of newest records of a long stream that a new reader reads. The first
+ * half of them contains a carried record, unless it was appended late. */
 #define SKIP_WINDOW_RECORDS (2UL * RJ_CONFIG_CARRY_RECORDS)
 
 const char *const rj_config_verdict_string[RJ_CONFIG_VERDICT_COUNT] = {
@@ -101,7 +107,8 @@
 }
 
 /*
- * Activate the text as `revision`. Returns false if it has errors.
+ * Activate the text as `revision`, which must be newer than the active one.
+ * `id` must fit. Returns false if the text has errors.
  */
 static bool activate_text(struct rj_config_log *log, uint64_t revision,
 			  const char *id, const char *text,
@@ -163,7 +170,7 @@
 }
 
 /*
- * Record the time and offset of the newest record that a reader can start from.
+ * Set the anchor to `record`: its offset, and the time when it was written.
  */
 static void set_anchor(struct rj_config_log *log,
 		       const struct rj_record *record, uint64_t now_us)
@@ -199,14 +206,17 @@
 	bool same = record->revision == revision &&
 		    is_active(log, record->config_id);
 
+	/* Its author cannot have read beyond it. */
 	if (record->as_of > record->offset || !record->config_text)
 		return RJ_CONFIG_MALFORMED;
 	if (same)
 		set_anchor(log, record, now_us);
 	if (record->revision < revision || (same && !log->gap))
 		return RJ_CONFIG_REPEATED;
+	/* Another publication has become this revision. */
 	if (record->revision == revision && !same)
 		return RJ_CONFIG_STALE;
+	/* Records from `as_of` on are no longer in the log. */
 	if (record->as_of < log->oldest)
 		return RJ_CONFIG_UNDECIDED;
 	if (!same && !activate_text(log, record->revision, record->config_id,
@@ -308,7 +318,8 @@
 }
 
 /*
- * After activating a peer's configuration, continue where the peer had read.
+ * After activating a peer's configuration, continue at `as_of`, up to which the
+ * peer had read, unless the log no longer has that record.
  */
 static void finish_adoption(struct rj_config_log *log, uint64_t as_of)
 {
@@ -320,8 +331,8 @@
 /*
  * Adopt a newer configuration from a peer that had read the stream up to
  * `as_of`; the next read continues there. Returns whether the configuration
- * was activated. One that is not newer or has errors changes nothing, except
- * that the configuration that is already active ends a gap.
+ * was activated. One that is not newer or has errors is ignored, but if it is
+ * the active one, a gap ends.
  */
 bool rj_config_log_adopt(struct rj_config_log *log, uint64_t revision,
 			 const char *id, const char *text, uint64_t as_of,
--- a/src/libradishjunction/http_client.c
+++ b/src/libradishjunction/http_client.c
@@ -17,7 +17,7 @@
  * probe with a reset.
  */
 #define KEEPALIVE_S 5L
-/* An owner completes about this many calls at a time. */
+/* Handles kept for reuse: an owner completes about as many calls at a time. */
 #define IDLE_HANDLES_MAX 64
 
 const char *const rj_http_outcome_string[RJ_HTTP_OUTCOME_COUNT] = {
@@ -68,7 +68,7 @@
 	g_ptr_array_add(client->idle_handles, easy);
 }
 
-/* Detaches the handle from libcurl's multi handle before it is reused. */
+/* Detach the handle from libcurl's multi handle and keep it for reuse. */
 static int transfer_destructor(struct transfer *transfer)
 {
 	rj_list_remove(&transfer->link);
@@ -133,7 +133,8 @@
 			transfer->response.data ? transfer->response.data : "";
 		result.length = transfer->response.length;
 	} else if (transfer->has_body && !transfer->sent) {
-		/* A server does not act on a request without its body. */
+		/* None of the body was sent, and a server does not act on a
+		 * request without its body. */
 		result.outcome = RJ_HTTP_NOT_SENT;
 	}
 	result.too_long = transfer->too_long;
@@ -142,7 +143,7 @@
 	talloc_free(transfer);
 }
 
-/* Finish every transfer that libcurl has completed. */
+/* Report the transfers that libcurl has completed. */
 static void report_completed(struct rj_http_client *client)
 {
 	struct transfer *transfer;
@@ -160,6 +161,7 @@
 
 static void arm_deadlines(struct rj_http_client *client);
 
+/* Earliest first. */
 static gint compare_deadlines(gconstpointer a, gconstpointer b, gpointer unused)
 {
 	const struct transfer *left = a;
@@ -170,7 +172,7 @@
 							0;
 }
 
-/* Fail the transfers whose deadline has passed. */
+/* Report the transfers whose deadline has passed as failed. */
 static void deadline_due(struct tevent_context *ev, struct tevent_timer *timer,
 			 struct timeval now, void *private_data)
 {
@@ -383,7 +385,7 @@
 	return 0;
 }
 
-/* Combine the client's headers with those of one request. */
+/* Give the transfer the client's headers, then those of the request. */
 static void merge_headers(struct transfer *transfer,
 			  const struct rj_http_request *request)
 {
@@ -414,6 +416,7 @@
 	curl_easy_setopt(easy, CURLOPT_HTTP_VERSION,
 			 (long)CURL_HTTP_VERSION_1_1);
 	curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
+	/* Ignore the proxy settings of the environment. */
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
 	/* Never expire cached addresses: they are numeric, and libcurl would
@@ -431,12 +434,14 @@
 		curl_easy_setopt(easy, CURLOPT_READFUNCTION, read_body);
 		curl_easy_setopt(easy, CURLOPT_READDATA, transfer);
 	}
+	/* Replaces the method that CURLOPT_POST has set. */
 	curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request->method);
 }
 
 /*
  * Start one request. Everything `request` points to is copied, except
- * private_data, which is moved to the client with talloc_steal().
+ * private_data, which is moved to the client with talloc_steal(). `done` is
+ * called when it ends, unless the client is finished first.
  */
 void rj_http_client_send(struct rj_http_client *client,
 			 const struct rj_http_request *request)
@@ -479,8 +484,8 @@
 }
 
 /*
- * Cancel open requests without calling `done` and close all connections. A
- * client that was not initialised but zeroed is allowed.
+ * Cancel open requests without calling `done` and close all connections. Does
+ * nothing for a client that is zeroed, but not initialised.
  */
 void rj_http_client_finish(struct rj_http_client *client)
 {
--- a/src/libradishjunction/include/private/jobs.h
+++ b/src/libradishjunction/include/private/jobs.h
@@ -1,6 +1,6 @@
 /*
- * The jobs that this instance serves and the handling of each job state, in the
- * order of the states; docs/DESIGN.md has the state diagram.
+ * The jobs that this instance serves, and the functions that handle them, by
+ * file and job state; docs/DESIGN.md has the state diagram.
  */
 #ifndef RADISHJUNCTION_PRIVATE_JOBS_H
 #define RADISHJUNCTION_PRIVATE_JOBS_H
@@ -32,7 +32,7 @@
 
 extern const char *const rj_job_state_string[RJ_JOB_STATE_COUNT];
 
-/* The part of a gang that runs on one worker. */
+/* The part of a job that runs on one worker. */
 struct rj_member {
 	struct rj_list link; /* in the upstream's `members` */
 	struct rj_job *job;
@@ -46,8 +46,8 @@
 	uint64_t start_us; /* when the start was sent */
 	bool reported; /* listed in the report being processed */
 	uint64_t call_id; /* call in flight, or 0 */
-	uint32_t tries; /* calls made in the present state */
-	bool settled; /* its worker reported the outcome */
+	uint32_t tries; /* repeated calls, to stop or to throttle */
+	bool settled; /* SETTLING: its worker has answered or timed out */
 	uint8_t *result; /* talloc child of the job */
 	uint32_t result_length;
 	uint64_t ran_us;
@@ -79,21 +79,21 @@
 	bool accepted; /* its accept record is in the log */
 	bool claimed; /* its claim is in the log and valid */
 	bool started; /* a start was sent in this attempt */
-	bool ran_before; /* an earlier attempt was started */
+	bool ran_before; /* an earlier attempt may have been started */
 	bool ran; /* a worker reported progress of some attempt */
 	bool ran_elsewhere; /* a lost peer may have run it */
 	bool cancelled;
 	bool reclaimed; /* being stopped to reclaim its capacity */
-	bool ending; /* STOPPING ends with `final`, else requeues */
+	bool ending; /* after STOPPING: ends with `final`, else runs again */
 	struct rj_answer final;
 	uint64_t arrived_us;
 	uint64_t started_us;
 	uint64_t resume_us; /* progress saved by checkpoints */
 	uint64_t deadline_us;
 	uint64_t state_entered_us;
-	uint32_t failed_on[RJ_PLAN_AVOID_MAX]; /* workers on which it failed */
+	uint32_t failed_on[RJ_PLAN_AVOID_MAX]; /* upstream indices */
 	uint32_t failures;
-	uint32_t hops;
+	uint32_t hops; /* how often it was forwarded */
 	bool other_domain; /* received from another failure domain */
 	char peer[RJ_NAME_BYTES]; /* FORWARDED: the peer that serves it */
 	uint64_t forward_id;
@@ -123,7 +123,7 @@
 	uint32_t waiter_count;
 	GHashTable *open_by_name[2]; /* open jobs by account, by class */
 	struct rj_timer plan; /* the planner's next pass */
-	struct rj_timer tick; /* settles jobs of dead instances */
+	struct rj_timer tick; /* rj_claims_tick() and rj_log_tick() */
 	bool plan_wanted;
 	struct rj_decisions decisions;
 	double retry_tokens; /* tokens left in the retry budget */
@@ -190,6 +190,7 @@
 			const struct rj_worker_reply *reply);
 void rj_claims_tick(struct rj_core_state *core);
 
+/* controllers/claims_controller.c: records of the `jobs` stream */
 void rj_claims_apply_record(struct rj_core_state *core,
 			    const struct rj_record *record);
 void rj_claims_append_failed(struct rj_core_state *core,
--- a/src/libradishjunction/peer/tcp_peers.c
+++ b/src/libradishjunction/peer/tcp_peers.c
@@ -122,9 +122,9 @@
 }
 
 /*
- * The connection has ended: count the reason, deliver RJ_EVENT_PEER_DOWN for
- * an established link and schedule a reconnect if the peer is to be kept
- * connected.
+ * Handle the end of a connection: count the reason, deliver RJ_EVENT_PEER_DOWN
+ * for an established link, free the connection and, if the peer is to be kept
+ * connected, schedule a reconnect.
  */
 static void on_closed(struct rj_peer_link *base,
 		      enum rj_peer_close_reason reason)
@@ -142,7 +142,7 @@
 		peer->failures++;
 	} else if (peer && peer->link == link) {
 		peer->link = NULL;
-		peer->failures = 1;
+		peer->failures = 1; /* delays the reconnect */
 		deliver(state, RJ_EVENT_PEER_DOWN, name, NULL);
 		/* The sink may have dropped it. */
 		peer = g_hash_table_lookup(state->peers, name);
@@ -167,10 +167,10 @@
 /*
  * Whether the newer of two authenticated links to one peer replaces the older.
  *
- * When both sides connect at once and each keeps its own link, both links are
- * closed. Therefore the link opened by the lower name is kept, which both
- * sides decide alike. If both links have the same initiator, or the peer has
- * restarted, the older link is dead.
+ * If both sides connect at once and each keeps the link that it opened, each
+ * closes the link of the other and none remains. Therefore the link opened by
+ * the lower name is kept, which both sides decide alike. If both links have the
+ * same initiator, or the peer has restarted, the older link is dead.
  */
 static bool newer_link_stays(const struct rj_peer_link *older,
 			     const struct rj_peer_link *newer)
@@ -272,7 +272,8 @@
 /*
  * Connect after a delay: none at first, then exponential backoff up to
  * RETRY_DELAY_MAX_US. Half of the delay is random, so that instances do not
- * reconnect simultaneously.
+ * reconnect simultaneously. The side with the higher name always waits
+ * HIGHER_NAME_DELAY_US longer.
  */
 static void schedule_retry(struct peer *peer)
 {
@@ -300,7 +301,8 @@
 	assert(peer->retry_timer);
 }
 
-/* See rj_peers_ops: keep a link to `name`, at the latest given address. */
+/* See rj_peers_ops: keep a link to `name`; a new address is used from the next
+ * connect on. */
 static void peers_connect(struct rj_peers *base, const char *name,
 			  const struct rj_address *address)
 {
@@ -332,6 +334,7 @@
 		return;
 	peer->keep_connected = false;
 	TALLOC_FREE(peer->retry_timer);
+	/* on_closed() is called later, so `peer` stays valid. */
 	if (peer->link)
 		rj_peer_link_close(&peer->link->base, RJ_PEER_CLOSE_DROPPED);
 	if (peer->attempt)
@@ -423,7 +426,8 @@
 }
 
 /*
- * Listen for other instances. The state is a talloc child of `mem`.
+ * Start to listen for connections of other instances. The state is a talloc
+ * child of `mem`.
  *
  * Returns 0, or -1 with `err` of kind RJ_ERR_INVALID (the address) or
  * RJ_ERR_IO (the port is taken).
@@ -464,7 +468,7 @@
 }
 
 /*
- * The number of links that ended for `reason` since init.
+ * The number of connections that ended or failed for `reason` since init.
  */
 uint64_t rj_tcp_peers_close_count(const struct rj_tcp_peers *peers,
 				  enum rj_peer_close_reason reason)
--- a/src/libradishjunction/schema.c
+++ b/src/libradishjunction/schema.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Longer than the paths of all schemas; a longer path would be truncated. */
+/* Exceeds the longest path in any schema; a longer one would be truncated. */
 #define PATH_BYTES 160
 
 /*
@@ -54,8 +54,9 @@
 }
 
 /*
- * Format `value` for an error message as ASCII on one line, truncated with
- * "..." when it is long, so that external text cannot break a log line.
+ * Format `value`, which may be external text, for an error message: as ASCII on
+ * one line, so that it cannot break a log line, and with "..." for the end when
+ * it is long.
  */
 void rj_schema_format_value(char out[RJ_SCHEMA_VALUE_BYTES],
 			    const json_t *value)
@@ -93,7 +94,7 @@
 }
 
 /*
- * The field with that name, or NULL.
+ * Find the field with that name. Returns NULL if there is none.
  */
 static const struct rj_schema_field *find_field(const struct rj_schema *schema,
 						const char *name)
@@ -183,8 +184,8 @@
 }
 
 /*
- * Treat an absent object as an empty one: its fields get their fallbacks or
- * are reported as missing.
+ * Treat an absent object as an empty one: its optional fields get their default
+ * values, and the others are reported as missing.
  */
 static void object_fill(struct rj_schema_check *check,
 			const struct rj_schema_field *field,
@@ -380,8 +381,8 @@
 }
 
 /*
- * Like `rj_schema_decode_partly`, but on an error `out` is zeroed and the
- * memory it pointed to is freed.
+ * Like `rj_schema_decode_partly`, but on an error `out` is zeroed and what it
+ * points to is freed. Returns 0, or -1 with the errors in `errors`.
  */
 int rj_schema_decode(const struct rj_schema *schema, void *mem,
 		     const json_t *json, void *out,
@@ -396,6 +397,7 @@
 		memset(out, 0, schema->size);
 		return -1;
 	}
+	/* Nothing was allocated: the parent is not needed. */
 	if (talloc_total_blocks(children) == 1)
 		talloc_free(children);
 	return 0;
@@ -420,8 +422,8 @@
 }
 
 /*
- * Set the optional fields of the struct to their fallbacks and all others to
- * zero.
+ * Set the optional fields of the struct to their default values and all others
+ * to zero.
  */
 void rj_schema_defaults(const struct rj_schema *schema, void *out)
 {
--- a/src/libradishjunction/worker/worker_wire.c
+++ b/src/libradishjunction/worker/worker_wire.c
@@ -6,9 +6,10 @@
 
 #include "private/wire.h"
 
-/* JSON integers are signed. */
+/* JSON integers are signed 64-bit numbers. */
 #define NUMBER_MAX INT64_MAX
-/* Exceeds a worker's slots plus the completed tasks it keeps. */
+/* Maximum number of tasks in a report; exceeds a worker's slots plus the
+ * completed tasks it keeps. */
 #define REPORT_TASKS_MAX 4096
 
 static const struct rj_schema_field attempt_fields[] = {
@@ -179,7 +180,7 @@
 	{ REPLY_FIELD(object, attempt), .schema = &attempt_schema },
 	{ RJ_FIELD(u32, wire_reply, member), .max = UINT32_MAX },
 	{ REPLY_FIELD(choice, status), .choices = rj_reply_status_string,
-	  .max = RJ_REPLY_LOST },
+	  .max = RJ_REPLY_LOST }, /* which is never sent */
 	{ REPLY_FIELD(choice, reason), .choices = rj_reason_string,
 	  .max = RJ_REASON_COUNT },
 	{ REPLY_FIELD(bool, leaving) },
@@ -233,7 +234,7 @@
 
 /*
  * Encode a call as the body of POST /v1/OP. The worker's address and the
- * timeout are not encoded.
+ * timeout are not encoded. Returns the text, a talloc child of `mem`.
  */
 char *rj_worker_wire_encode_call(void *mem, const struct rj_worker_call *call)
 {
@@ -247,8 +248,8 @@
 }
 
 /*
- * Decode the body of a call. Returns 0, or -1 with `err` naming the first
- * invalid field.
+ * Decode the body of a call; its body is allocated on `mem`. Returns 0, or -1
+ * with `err` naming the first invalid field.
  */
 int rj_worker_wire_decode_call(void *mem, const char *text,
 			       struct rj_worker_call *call,
@@ -257,7 +258,7 @@
 	return rj_wire_decode(&call_schema, mem, text, call, err);
 }
 
-/* Fill a result with its length and digest. */
+/* Fill in a result, which is not copied, with its length and digest. */
 static void encode_result(struct wire_result *wire,
 			  const struct rj_bytes *result)
 {
@@ -288,7 +289,7 @@
 	return 0;
 }
 
-/* Convert a report; the tasks are a talloc child of `mem`. */
+/* Fill `wire` from a report to send; its tasks are a talloc child of `mem`. */
 static void encode_report(void *mem, struct wire_report *wire,
 			  const struct rj_worker_report *report)
 {
@@ -312,7 +313,8 @@
 	}
 }
 
-/* Convert a received report; rejects all of it if one result is invalid. */
+/* Fill `report` from a received one; its tasks are a talloc child of `mem`.
+ * Returns 0, or -1 with `err` if any result is invalid. */
 static int decode_report(void *mem, const struct wire_report *wire,
 			 struct rj_worker_report *report, struct rj_error *err)
 {
@@ -336,7 +338,8 @@
 
 /*
  * Encode the reply to `call`. It echoes the identity of the call, so that the
- * caller can detect an answer to another call.
+ * caller can detect an answer to another call. Returns the text, a talloc child
+ * of `mem`.
  */
 char *rj_worker_wire_encode_reply(void *mem, const struct rj_worker_call *call,
 				  const struct rj_worker_reply *reply)
@@ -357,8 +360,8 @@
 
 /*
  * Whether a reply belongs to `call`: the worker echoes the call id, operation,
- * worker, attempt and member. Without this check a crossed answer would
- * deliver the result of another caller's job.
+ * worker, attempt and member. Without this check the answer to another call
+ * would deliver the result of another caller's job.
  */
 static bool reply_matches_call(const struct wire_reply *wire,
 			       const struct rj_worker_call *call)
@@ -375,8 +378,9 @@
 }
 
 /*
- * Decode the reply to `call`. Returns 0 if it is complete and belongs to
- * `call`; otherwise -1 with `err`, and `reply` must not be used.
+ * Decode the reply to `call`; its data is allocated on `mem`. Returns 0 if it
+ * is complete and belongs to `call`; otherwise -1 with `err`, and `reply` must
+ * not be used.
  */
 int rj_worker_wire_decode_reply(void *mem, const char *text,
 				const struct rj_worker_call *call,
