--- a/src/radishjunction/descriptions.c
+++ b/src/radishjunction/descriptions.c
@@ -6,7 +6,8 @@
 #include "radishjunction/action.h"
 #include "radishjunction/types.h"
 
-/* Descriptions of events, for use alone and before the name of a target. */
+/* Descriptions of events: to be printed alone, or followed by the name of a
+ * target. */
 static const struct {
 	const char *alone;
 	const char *with_target;
@@ -152,7 +153,7 @@
 }
 
 /*
- * Returns a string of a decision, or "" if it is missing.
+ * Returns the string member `name` of a decision, or "" if it is missing.
  */
 static const char *get_text(const json_t *object, const char *name)
 {
@@ -162,7 +163,7 @@
 }
 
 /*
- * Returns a number of a decision, or 0 if it is missing.
+ * Returns the number member `name` of a decision, or 0 if it is missing.
  */
 static json_int_t get_number(const json_t *object, const char *name)
 {
@@ -179,7 +180,8 @@
 }
 
 /*
- * Prints the current state of a job and what it waits for.
+ * Prints the current state of a job and, if it is queued, what it needs and
+ * what is free.
  */
 static void print_state(FILE *out, const json_t *entry)
 {
@@ -212,8 +214,9 @@
 }
 
 /*
- * Prints one decision as a sentence. Names that a newer instance uses and this
- * version does not know are printed unchanged.
+ * Prints one decision, or the job's current state if the entry has a `state`,
+ * as a sentence. Names that this version does not know, as they come from a
+ * newer instance, are printed unchanged.
  */
 void print_decision(FILE *out, const json_t *decision)
 {
--- a/src/radishjunction/load.c
+++ b/src/radishjunction/load.c
@@ -16,7 +16,7 @@
 /* Interval at which due jobs are sent. */
 #define SEND_INTERVAL_US (5 * RJ_US_PER_MS)
 #define ANSWER_MAX_BYTES (512 * 1024)
-/* After a lost answer, and for answers without `retry_after_ms`. */
+/* Delay of a retry after a lost answer or one without `retry_after_ms`. */
 #define DEFAULT_RETRY_DELAY_US (200 * RJ_US_PER_MS)
 /* Connections to one instance, as held by many callers behind a balancer. */
 #define CONNECTIONS_MAX 256
@@ -36,8 +36,8 @@
 static void request_send(struct request *request);
 
 /*
- * Records the final answer of a request and frees it; RJ_ANSWER_UNKNOWN if the
- * request was abandoned.
+ * Records the final answer of a request and frees it. `answer` is
+ * RJ_ANSWER_UNKNOWN for a request that is abandoned.
  */
 static void request_finish(struct request *request, enum rj_answer_kind answer,
 			   enum rj_reason reason)
@@ -79,8 +79,8 @@
 }
 
 /*
- * Sends the request again to the next instance after `delay_us`, or abandons it
- * if the time limit of the run has passed.
+ * Schedules the request to be sent to the next instance after `delay_us`, or
+ * abandons it if the time limit of the run has passed.
  */
 static void request_retry(struct request *request, uint64_t delay_us,
 			  enum rj_reason reason)
@@ -110,7 +110,7 @@
 	return count;
 }
 
-/* Whether the answer holds the complete result of this job. */
+/* Whether the answer contains the result of this job, as its `echo` shows. */
 static bool is_own_result(const struct request *request, const json_t *json)
 {
 	const json_t *result = json_object_get(json, "result");
@@ -169,7 +169,8 @@
 		request_finish(request, answer, reason);
 		return;
 	case RJ_ANSWER_NOT_RUN:
-		/* Holds for this submission; the lost one may have run. */
+		/* The answer is about this submission only: an earlier one,
+		 * whose answer was lost, may have run. */
 		request_finish(request,
 			       request->in_doubt ? RJ_ANSWER_UNKNOWN : answer,
 			       reason);
@@ -258,7 +259,7 @@
 	rj_http_client_send(&load->client, &send);
 }
 
-/* Starts a request for the job by another caller. */
+/* Starts a request for the job, as one more caller. */
 static void request_start(struct load *load, struct load_job *job)
 {
 	struct request *request = talloc_zero(load, struct request);
--- a/src/radishjunction/prompt.c
+++ b/src/radishjunction/prompt.c
@@ -31,9 +31,9 @@
 }
 
 /*
- * Converts an answer to the JSON type that the field expects: "yes" to true,
- * digits to a number, anything else to a string. Returns a new reference, or
- * NULL if the answer is not UTF-8.
+ * Converts an answer to the JSON type that the field expects: "yes" or "no" to
+ * a boolean, digits to a number; anything else becomes a string. Returns a new
+ * reference, or NULL if the answer is not UTF-8.
  */
 static json_t *answer_to_json(const struct rj_schema_field *field,
 			      const char *text)
@@ -58,8 +58,8 @@
 }
 
 /*
- * Returns the field's current value as a person would type it, a talloc child
- * of `mem`, or NULL if it has no such form.
+ * Returns the field's current value in the form of an answer to its question, a
+ * talloc child of `mem`, or NULL if it has no such form.
  */
 static char *value_to_text(void *mem, const struct rj_schema_field *field,
 			   const void *member)
@@ -108,8 +108,9 @@
 }
 
 /*
- * Asks for one field until the answer is valid. Returns 0, or -1 if the input
- * ended before that.
+ * Asks for one field until the answer is valid. An empty answer stands for
+ * `default_text`, unless that is NULL. Returns 0, or -1 if the input ended
+ * before that.
  */
 static int prompt_field(struct prompter *prompter,
 			const struct rj_schema_field *field, const char *text,
@@ -198,6 +199,7 @@
 	assert(question && default_text);
 	if (prompt_field(prompter, &field, question, default_text, &new_count))
 		return -1;
+	/* `elements` points to a pointer of another type. */
 	memcpy(&earlier, elements, sizeof(earlier));
 	array = talloc_zero_size(prompter->mem, size * new_count + 1);
 	assert(array);
--- a/src/test_libradishjunction/support/checker_answers.c
+++ b/src/test_libradishjunction/support/checker_answers.c
@@ -4,7 +4,8 @@
 #include <string.h>
 
 /*
- * Records a request that a caller sends to an instance.
+ * Records a request that a caller sends to an instance, for the job that it
+ * wants, `intent`.
  */
 void checker_request(struct checker *checker, uint64_t now_us,
 		     uint64_t request_id, uint32_t node, uint32_t intent,
@@ -28,7 +29,7 @@
 }
 
 /*
- * Records that the caller has stopped waiting, or that its instance ended.
+ * Records that the caller no longer waits for an answer to the request.
  */
 void checker_request_abandoned(struct checker *checker, uint64_t request_id)
 {
@@ -68,7 +69,8 @@
 	g_hash_table_foreach(checker->requests, mark_abandoned, &node);
 }
 
-/* Returns whether `result` is one or more complete results of the intent. */
+/* Returns whether `result` consists of the intent's result, once or several
+ * times. */
 static bool result_is_complete(const struct checker_intent *intent,
 			       const struct rj_bytes *result)
 {
@@ -82,7 +84,8 @@
 	return true;
 }
 
-/* Returns whether the answer is final: a later lookup cannot return another. */
+/* Returns whether the answer is final: a later lookup cannot return another.
+ * For RJ_ANSWER_UNKNOWN this depends on the reason. */
 static bool is_final(const struct rj_answer *answer)
 {
 	if (answer->kind == RJ_ANSWER_ACCEPTED)
@@ -95,7 +98,8 @@
 	       answer->reason == RJ_REASON_KEY_EXPIRED;
 }
 
-/* Checks a not_run answer against everything that has run so far. */
+/* Checks a not_run answer: the intent must not have run so far, and must be
+ * known if it was accepted. */
 static void check_not_run(struct checker *checker, uint64_t now_us,
 			  const struct checker_request *request,
 			  struct checker_intent *intent,
@@ -118,7 +122,7 @@
 }
 
 /*
- * An instance answered a request.
+ * Records and checks an instance's answer to a request.
  */
 void checker_answer(struct checker *checker, uint64_t now_us, uint32_t node,
 		    uint64_t request_id, const struct rj_answer *answer)
--- a/src/test_libradishjunction/support/fault_injection.c
+++ b/src/test_libradishjunction/support/fault_injection.c
@@ -4,9 +4,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Extra duration of FAULT_LEAVING, so that jobs sent after the time limit
- * of the notification still reach the leaving worker and count as
- * violations. */
+/* Extra duration of FAULT_LEAVING, so that jobs sent after the time limit of
+ * the notification still reach the leaving worker, and count as violations. */
 #define LEAVING_DURATION_US (10 * RJ_US_PER_S)
 
 static void restart_node(struct simulation *simulation,
@@ -36,8 +35,8 @@
 	}
 }
 
-/* Publishes one or two configurations based on the same revision, at times
- * preceded by an invalid one and by one based on an old revision. */
+/* Publishes one or two configurations based on the same revision. Before them,
+ * an invalid one and one based on an old revision are sometimes published. */
 static void publish_concurrently(struct simulation *simulation)
 {
 	uint32_t publications = 1 + (uint32_t)simulation_random(simulation, 2);
@@ -63,7 +62,8 @@
 		(void)snprintf(id, sizeof(id), "p%" PRIu64 "-%u", base, i);
 		text = simulation_config_text(simulation, simulation,
 					      (uint32_t)base + i);
-		/* Changes race with complete configurations and follow them. */
+		/* Two thirds are changes, so that these compete with complete
+		 * configurations and follow them. */
 		if (base && (base + i) % 3)
 			fake_log_publish_change(simulation, base, id, text);
 		else
@@ -130,7 +130,8 @@
 }
 
 /*
- * Ends all faults of the platform: every instance reaches it, without delay.
+ * Ends all faults of the platform: every instance reaches it, without extra
+ * delay.
  */
 void fault_restore_platform(struct simulation *simulation,
 			    struct simulation_event *event)
@@ -145,7 +146,7 @@
 }
 
 /*
- * Ends all cuts of links.
+ * Heals every cut between instances and between failure domains.
  */
 void fault_restore_links(struct simulation *simulation,
 			 struct simulation_event *event)
@@ -238,7 +239,7 @@
 			simulation->links[a][b].cut = true;
 }
 
-/* Drops all records of the jobs stream, whatever their age. */
+/* Drops all records of the jobs stream before the end of their retention. */
 static void trim_jobs_log(struct simulation *simulation)
 {
 	simulation_trace(simulation, "the log is trimmed before its time");
@@ -247,8 +248,8 @@
 }
 
 /*
- * Injects a fault of kind `event->other` at a random target, for 1 s plus a
- * random duration below `event->epoch` microseconds.
+ * Injects a fault of kind `event->other` at a random target. It lasts 1 s plus
+ * a random duration of less than `event->epoch` microseconds.
  */
 void fault_inject(struct simulation *simulation, struct simulation_event *event)
 {
--- a/src/test_libradishjunction/support/simulation.c
+++ b/src/test_libradishjunction/support/simulation.c
@@ -8,6 +8,7 @@
 
 #include "support/transcript.h"
 
+/* Interval of the periodic checks. */
 #define TICK_US (250 * RJ_US_PER_MS)
 /* More events than this at one instant mean that an engine keeps waking itself
  * without making progress. */
@@ -60,8 +61,8 @@
 }
 
 /*
- * Schedules a call of `run` after `delay_us`. The event and its talloc children
- * are freed after the call.
+ * Schedules `run` to be called `delay_us` from now with the returned event,
+ * which is freed with its talloc children after the call.
  */
 struct simulation_event *
 simulation_schedule(struct simulation *simulation, uint64_t delay_us,
@@ -119,8 +120,8 @@
 }
 
 /*
- * Formats the configuration of the simulation as JSON. `variation` changes the
- * guarantee and nothing that requests depend on.
+ * Formats the configuration of the simulation as JSON. `variation` only changes
+ * how many gangs are guaranteed, on which no request depends.
  */
 char *simulation_config_text(const struct simulation *simulation, void *mem,
 			     uint32_t variation)
@@ -200,7 +201,7 @@
 	node_kill(simulation, node->index);
 }
 
-/* Passes an action to the fake that it addresses. */
+/* Executes an action by calling the fake of its target. */
 static void execute_action(struct simulation *simulation, struct node *node,
 			   const struct rj_action *action)
 {
@@ -262,7 +263,8 @@
 	return (uint64_t)at_us;
 }
 
-/* Arms the instance's only timer, unless it is armed for an earlier time. */
+/* Schedules the instance's next wake-up, at once if it is overdue, unless one
+ * is scheduled for that time or earlier. */
 static void arm_timer(struct simulation *simulation, struct node *node)
 {
 	uint64_t wake_us = node->engine->ops->wake_us(node->engine);
@@ -364,8 +366,8 @@
 }
 
 /*
- * Informs the checker which instances reach the platform. Call it after every
- * change.
+ * Tells the checker which instances run and reach the platform. Must be called
+ * after every change.
  */
 void simulation_reachability_changed(struct simulation *simulation)
 {
@@ -380,7 +382,8 @@
 }
 
 /*
- * Starts an instance without state, with a new incarnation.
+ * Starts an instance, which has no state of an earlier run, with a new
+ * incarnation.
  */
 void node_start(struct simulation *simulation, uint32_t index)
 {
@@ -500,8 +503,8 @@
 			   node_event(simulation, RJ_EVENT_STOP));
 }
 
-/* Returns the start of an instance's longest contact with a peer that reaches
- * the platform, RJ_NEVER_US if there is none. */
+/* Returns the time since which an instance has been in contact with a peer that
+ * reaches the platform, RJ_NEVER_US if there is none. */
 static uint64_t peer_contact_us(const struct simulation *simulation,
 				uint32_t index)
 {
--- a/src/test_soak/faults.c
+++ b/src/test_soak/faults.c
@@ -11,10 +11,12 @@
 
 #include "soak.h"
 
+/* A pause lasts the minimum plus a random part, below one to three times the
+ * spread. */
 #define PAUSE_MIN_MS 200
 #define PAUSE_SPREAD_MS 1400
-/* A graceful stop takes at least 2.6 s; the instance is killed after this
- * time. */
+/* Time after which an instance that was told to stop is killed; a graceful stop
+ * takes at least 2.6 s. */
 #define STOP_TIMEOUT_US (6 * RJ_US_PER_S)
 #define FAULT_MIN_MS 300
 #define FAULT_SPREAD_MS 4000
@@ -28,7 +30,7 @@
 	struct soak_proxy *proxy;
 };
 
-/* Timer: end a fault, unless `soak_cluster_recover` has ended all faults. */
+/* Timer callback: end a fault, unless `soak_cluster_recover` ends them all. */
 static void due(struct tevent_context *ev, struct tevent_timer *timer,
 		struct timeval now, void *private_data)
 {
@@ -73,6 +75,7 @@
 	return &soak->workers[soak_random(soak, soak->worker_count)];
 }
 
+/* Kill the instance if it still runs, and start it. */
 static void restart_instance(struct recovery *recovery)
 {
 	soak_journal_write(recovery->soak, "start %s",
@@ -135,7 +138,7 @@
 	soak_process_signal(&recovery->instance->process, SIGCONT);
 }
 
-/* Suspend an instance for a random time. */
+/* Suspend an instance by SIGSTOP for a random time. */
 static void inject_pause(struct soak *soak)
 {
 	struct soak_instance *instance = random_instance(soak);
@@ -172,8 +175,8 @@
 				      soak_random(soak, fault_modes));
 }
 
-/* Reset or blackhole the open connections of a proxy, or set a fault mode for a
- * random time. `connections` names them in the journal. */
+/* Reset the open connections of a proxy, stop passing data on them, or set a
+ * fault mode for a random time. `connections` names them in the journal. */
 static void inject_proxy_fault(struct soak *soak, struct soak_proxy *proxy,
 			       const char *connections)
 {
@@ -246,8 +249,8 @@
 			  "/standin/fault", "{}");
 }
 
-/* Make a worker fail its runs, stall them, reject starts, announce that it
- * drains, or crash. */
+/* Make a worker fail its runs, stall them, reject starts, announce that it is
+ * leaving, crash, or both of these. */
 static void inject_worker_fault(struct soak *soak)
 {
 	static const char *const bodies[] = {
--- a/src/test_soak/invariants.c
+++ b/src/test_soak/invariants.c
@@ -28,7 +28,8 @@
 
 /*
  * Report a violated invariant on standard error and in the journal, and count
- * it; the seed goes on. The message starts with the invariant's name.
+ * it; the run of the seed continues. The message starts with the invariant's
+ * name.
  */
 void soak_violation(struct soak *soak, const char *format, ...)
 {
@@ -70,7 +71,8 @@
 	return true;
 }
 
-/* The step index in a task's name; -1 when the job has no such step. */
+/* The step index in a task's name, JOB.0.STEP.TASK; -1 when the job has no such
+ * step. */
 static int parse_step(const struct soak_job *job, const char *name)
 {
 	unsigned int step;
@@ -152,6 +154,7 @@
 
 	if (!what || !name || !worker || !how)
 		return;
+	/* A task's name starts with the id of its job, of fixed length. */
 	g_strlcpy(id, name, sizeof(id));
 	job = g_hash_table_lookup(soak->jobs, id);
 	step = job ? parse_step(job, name) : -1;
--- a/src/test_soak/soak.h
+++ b/src/test_soak/soak.h
@@ -1,7 +1,7 @@
 /*
- * The fault soak: real processes of the entry daemon, over the stand-in of the
- * users' platform, under seeded fault injection from outside. Invariants are
- * checked during the run from what callers and workers observe.
+ * The fault soak runs real processes of the entry daemon against the stand-in
+ * of the users' platform, and injects faults from outside by a seed. Invariants
+ * are checked during the run from what callers and workers observe.
  *
  * Life cycle: `soak_cluster_start` starts all processes of a seed;
  * `soak_cluster_run` drives callers and fault injection through
@@ -24,8 +24,8 @@
 #define SOAK_WORKERS_MAX 256
 #define SOAK_ID_BYTES 17
 #define SOAK_STEPS_MAX 2
-/* Failed runs of a task that fail its job; `MaxAttempts` in the published
- * configuration. */
+/* Number of failed runs of a task after which its job fails; `MaxAttempts` in
+ * the published configuration. */
 #define SOAK_ATTEMPTS_MAX 4
 
 struct soak_options {
@@ -47,7 +47,7 @@
 	bool started; /* its start event was read */
 	bool stopping; /* was signalled to stop or killed */
 	bool exit_journaled; /* its exit is in the journal */
-	uint16_t ready_port;
+	uint16_t ready_port; /* from its start event */
 };
 
 /* A worker of the stand-in. */
@@ -70,7 +70,7 @@
 struct soak_job {
 	struct soak *soak;
 	char id[SOAK_ID_BYTES];
-	char spec[16]; /* run time, in ms */
+	char spec[16]; /* `Spec` of its tasks: run time in ms, as text */
 	struct soak_step steps[SOAK_STEPS_MAX];
 	uint32_t step_count;
 	uint32_t submissions;
@@ -94,7 +94,7 @@
 	uint32_t running; /* runs in progress */
 	uint32_t run; /* unused */
 	bool succeeded; /* a run has completed successfully */
-	bool acknowledged; /* ... and an instance has acknowledged it */
+	bool acknowledged; /* an instance has acknowledged that success */
 	uint32_t failures; /* failed runs */
 };
 
@@ -123,6 +123,7 @@
 void soak_journal_write(struct soak *soak, const char *format, ...)
 	G_GNUC_PRINTF(2, 3);
 
+/* Returns a random number from 0 to `below` - 1. */
 uint32_t soak_random(struct soak *soak, uint32_t below);
 
 /* The cluster of processes. */
