--- a/src/libradishjunction/include/private/jobs.h
+++ b/src/libradishjunction/include/private/jobs.h
@@ -94,7 +94,7 @@
 	uint32_t failed_on[RJ_PLAN_AVOID_MAX]; /* upstream indices */
 	uint32_t failures;
 	uint32_t hops; /* how often it was forwarded */
-	bool other_domain; /* received from another failure domain */
+	bool other_domain; /* has crossed failure domains on its way here */
 	char peer[RJ_NAME_BYTES]; /* FORWARDED: the peer that serves it */
 	uint64_t forward_id;
 	struct rj_list waiters;
--- a/src/radishjunction/prompt.c
+++ b/src/radishjunction/prompt.c
@@ -143,9 +143,9 @@
 }
 
 /*
- * Asks for the fields named by `questions`. If the struct is `prefilled` from
- * earlier answers, its values are the defaults. Returns 0, or -1 if the input
- * ended.
+ * Asks for the fields named by `questions` and stores them in the struct at
+ * `fields`. If that is `prefilled` from earlier answers, its values are the
+ * defaults. Returns 0, or -1 if the input ended.
  */
 int prompt_struct(struct prompter *prompter, const struct rj_schema *schema,
 		  const struct question *questions, uint32_t count,
--- a/src/test_soak/invariants.c
+++ b/src/test_soak/invariants.c
@@ -11,8 +11,9 @@
  * attempts  a task does not run again after SOAK_ATTEMPTS_MAX failed runs
  * capacity  the runs on a worker fit its resources
  * mixed     answers agree with each other and with the workers' events
- * lost      an accepted job is known and ends, and fails or is cancelled only
- *           for a cause; every instance starts
+ * lost      an accepted job is known and ends; it fails only after a task has
+ *           used up its attempts, and is cancelled only on request; every
+ *           instance starts
  */
 #include <stdarg.h>
 #include <stdio.h>
@@ -205,8 +206,8 @@
 	soak_process_drain(&soak->standin);
 
 	if (job->ended && strcmp(state, job->last_state) != 0) {
-		/* A query sent before the end was reported may be answered
-		 * with an older state. */
+		/* The answer to a query that was sent before the end was
+		 * reported may contain an older state. */
 		if (asked_us > job->last_state_us)
 			soak_violation(
 				soak, "mixed: %s was reported as %s, now as %s",
