--- a/src/test_libradishjunction/support/checker_answers.c
+++ b/src/test_libradishjunction/support/checker_answers.c
@@ -115,7 +115,7 @@
 		checker_violation(checker, now_us, INVARIANT_ACCEPTED,
 				  "accepted intent %u is no longer known",
 				  request->intent);
-	/* Without a key, the answer to a cancellation covers all submissions. */
+	/* Without a key, a cancellation answers for all submissions. */
 	if (request->op == RJ_REQUEST_SUBMIT)
 		intent->refused++;
 	else if (request->op == RJ_REQUEST_CANCEL && !intent->key)
