--- a/src/test_soak/invariants.c
+++ b/src/test_soak/invariants.c
@@ -11,8 +11,9 @@
  * attempts  a task does not run again after SOAK_ATTEMPTS_MAX failed runs
  * capacity  the runs on a worker fit its resources
  * mixed     answers agree with each other and with the workers' events
- * lost      an accepted job is known and ends, and fails or is cancelled only
- *           for a cause; every instance starts
+ * lost      an accepted job is known and ends; it fails only after a task has
+ *           used up its attempts, and is cancelled only on request; every
+ *           instance starts
  */
 #include <stdarg.h>
 #include <stdio.h>
@@ -28,7 +29,8 @@
 
 /*
  * Report a violated invariant on standard error and in the journal, and count
- * it; the seed goes on. The message starts with the invariant's name.
+ * it; the run of the seed continues. The message starts with the invariant's
+ * name.
  */
 void soak_violation(struct soak *soak, const char *format, ...)
 {
@@ -70,7 +72,8 @@
 	return true;
 }
 
-/* The step index in a task's name; -1 when the job has no such step. */
+/* The step index in a task's name, JOB.0.STEP.TASK; -1 when the job has no such
+ * step. */
 static int parse_step(const struct soak_job *job, const char *name)
 {
 	unsigned int step;
@@ -152,6 +155,7 @@
 
 	if (!what || !name || !worker || !how)
 		return;
+	/* A task's name starts with the id of its job, of fixed length. */
 	g_strlcpy(id, name, sizeof(id));
 	job = g_hash_table_lookup(soak->jobs, id);
 	step = job ? parse_step(job, name) : -1;
@@ -202,8 +206,8 @@
 	soak_process_drain(&soak->standin);
 
 	if (job->ended && strcmp(state, job->last_state) != 0) {
-		/* A query sent before the end was reported may be answered
-		 * with an older state. */
+		/* The answer to a query that was sent before the end was
+		 * reported may contain an older state. */
 		if (asked_us > job->last_state_us)
 			soak_violation(
 				soak, "mixed: %s was reported as %s, now as %s",
