--- a/src/libradishjunction/cell/cell_admit.c
+++ b/src/libradishjunction/cell/cell_admit.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 /*
- * Part of the capacity that a wait is computed from. Fragmentation by racks and
- * gangs leaves some capacity idle, so that forecasts are accurate to about a
- * fifth.
+ * Percentage of the capacity from which a wait is computed. Fragmentation by
+ * racks and gangs leaves some capacity idle, so that forecasts are accurate to
+ * about a fifth.
  */
 #define USABLE_CAPACITY_PERCENT 80
 /* With fewer usable workers than this the owner refuses nothing: after a
@@ -17,7 +17,7 @@
 /* Short, as a cordon may be lifted at any time. */
 #define CORDONED_RETRY_AFTER_MS 3000
 
-/* Resources multiplied by time. */
+/* Resources, or resources multiplied by milliseconds. */
 struct load {
 	double cpu_milli;
 	double memory_mb;
@@ -80,8 +80,8 @@
 struct capacity {
 	struct load total; /* resources of the usable workers */
 	uint32_t cordoned; /* workers cordoned by operators */
-	uint32_t staying;
-	uint32_t usable; /* of those that stay */
+	uint32_t schedulable; /* workers that may get new work */
+	uint32_t usable; /* of these, workers that can start runs now */
 };
 
 /* Sums up the workers of a service. */
@@ -102,7 +102,7 @@
 		capacity->cordoned += rj_cell_worker_cordoned(worker);
 		if (!rj_cell_worker_schedulable(worker))
 			continue;
-		capacity->staying++;
+		capacity->schedulable++;
 		if (!rj_cell_worker_usable(worker, owner->now_us))
 			continue;
 		capacity->usable++;
@@ -113,19 +113,21 @@
 /* Whether enough workers are usable for a forecast. */
 static bool has_enough_workers(const struct capacity *capacity)
 {
-	return capacity->staying &&
+	return capacity->schedulable &&
 	       capacity->usable * 100 >=
-		       capacity->staying * USABLE_WORKERS_MIN_PERCENT;
+		       capacity->schedulable * USABLE_WORKERS_MIN_PERCENT;
 }
 
 /* Refuses new jobs of a queue, with a retry delay. */
-static void refuse(struct rj_cell_queue_load *share, uint32_t retry_after_ms)
+static void refuse(struct rj_cell_queue_load *queue_load,
+		   uint32_t retry_after_ms)
 {
-	share->refuse = true;
-	share->retry_after_ms = retry_after_ms;
+	queue_load->refuse = true;
+	queue_load->retry_after_ms = retry_after_ms;
 }
 
-/* Returns the time in milliseconds in which `capacity` completes `load`. */
+/* Returns the time in milliseconds in which `capacity` completes `load`;
+ * without capacity, more than any retry delay. */
 static double drain_ms(double load, double capacity)
 {
 	if (load <= 0)
@@ -162,24 +164,26 @@
  */
 static void evaluate_queue(const struct rj_cell_owner *owner,
 			   const struct rj_cell_queue *queue,
-			   struct rj_cell_queue_load *share)
+			   struct rj_cell_queue_load *queue_load)
 {
 	struct capacity capacity;
-	double late_ms = RJ_CELL_LATE_FACTOR *
-			 ((double)share->mean_ms * queue->stretch_milli / 1000 +
-			  queue->latency_ms);
+	double late_ms =
+		RJ_CELL_LATE_FACTOR *
+		((double)queue_load->mean_ms * queue->stretch_milli / 1000 +
+		 queue->latency_ms);
 	double excess_ms;
 
 	sum_workers(owner, queue->service, &capacity);
-	if (capacity.cordoned && !capacity.staying)
-		refuse(share, CORDONED_RETRY_AFTER_MS);
+	if (capacity.cordoned && !capacity.schedulable)
+		refuse(queue_load, CORDONED_RETRY_AFTER_MS);
 	if (!has_enough_workers(&capacity))
 		return;
 	excess_ms = forecast_wait_ms(owner, queue, &capacity.total) +
-		    share->mean_ms - late_ms;
+		    queue_load->mean_ms - late_ms;
 	if (excess_ms > 0)
-		refuse(share, (uint32_t)CLAMP(excess_ms, RETRY_AFTER_MIN_MS,
-					      RETRY_AFTER_MAX_MS));
+		refuse(queue_load,
+		       (uint32_t)CLAMP(excess_ms, RETRY_AFTER_MIN_MS,
+				       RETRY_AFTER_MAX_MS));
 }
 
 /*
@@ -197,17 +201,17 @@
 	     config && i < config->queue_count &&
 	     heartbeat->queue_load_count < RJ_CELL_QUEUE_LOADS_MAX;
 	     i++) {
-		struct rj_cell_queue_load *share =
+		struct rj_cell_queue_load *queue_load =
 			&heartbeat->queue_loads[heartbeat->queue_load_count];
 
-		memset(share, 0, sizeof(*share));
-		share->mean_ms = rj_cell_forecast_mean_ms(
+		memset(queue_load, 0, sizeof(*queue_load));
+		queue_load->mean_ms = rj_cell_forecast_mean_ms(
 			&owner->forecast, config->queues[i].name);
-		if (!share->mean_ms)
+		if (!queue_load->mean_ms)
 			continue;
-		memcpy(share->queue, config->queues[i].name,
-		       sizeof(share->queue));
-		evaluate_queue(owner, &config->queues[i], share);
+		memcpy(queue_load->queue, config->queues[i].name,
+		       sizeof(queue_load->queue));
+		evaluate_queue(owner, &config->queues[i], queue_load);
 		heartbeat->queue_load_count++;
 	}
 }
--- a/src/libradishjunction/cell/cell_failure.c
+++ b/src/libradishjunction/cell/cell_failure.c
@@ -51,7 +51,7 @@
  * healthy workers, see rj_cell_failure_is_healthy.
  *
  * When some of the workers begin to fail what they start, each attempt of a
- * wide gang meets one of them, and the gang would use up its attempts before
+ * wide gang includes one of them, and the gang would use up its attempts before
  * these workers are known. Other work finds them within seconds.
  */
 bool rj_cell_failure_requires_healthy(const struct rj_cell_failure_burst *burst,
@@ -63,7 +63,7 @@
 
 /*
  * Whether a run that the worker started at `healthy_us`, and that did not fail
- * early, shows that it is not one of the workers that have begun to fail.
+ * early, shows that the worker is not one of those that have begun to fail.
  */
 bool rj_cell_failure_is_healthy(const struct rj_cell_failure_burst *burst,
 				uint64_t healthy_us)
--- a/src/libradishjunction/cell/cell_flush.c
+++ b/src/libradishjunction/cell/cell_flush.c
@@ -7,8 +7,8 @@
 #include "private/cell_admit.h"
 #include "private/log_event.h"
 
-/* Interval of the owner's heartbeats. Other instances take over after three
- * missed ones. */
+/* Interval of the owner's heartbeats. Other instances take over once they have
+ * read nothing from the owner for 0.9 s or more, see cell_node.c. */
 #define HEARTBEAT_INTERVAL_US (400 * RJ_US_PER_MS)
 /* Interval between checks for ended jobs whose retention has expired. */
 #define RETENTION_CHECK_INTERVAL_US (5 * RJ_US_PER_S)
@@ -154,7 +154,7 @@
 	run->recording = true;
 }
 
-/* Adds the owner's heartbeat, with the admission shares of the queues. */
+/* Adds the owner's heartbeat, with the load of the queues. */
 static void add_heartbeat(struct rj_cell_owner *owner)
 {
 	struct rj_cell_owner_heartbeat heartbeat = {
@@ -208,8 +208,8 @@
 }
 
 /*
- * Removes the progress and definitions of jobs that are known to have ended and
- * have no runs left. All instances start at the same time, and each loads
+ * Removes the progress and specs of jobs that are known to have ended and have
+ * no runs left. When all instances start at the same time, each of them loads
  * everything that is kept.
  */
 static void add_ended_job_removals(struct rj_cell_owner *owner)
--- a/src/libradishjunction/cell/cell_node.c
+++ b/src/libradishjunction/cell/cell_node.c
@@ -6,11 +6,11 @@
 
 #include "private/log_event.h"
 
-/* Long-poll durations. They keep the age of the data well below what API keys
- * allow, and reveal an unreachable owner soon enough. */
+/* Long-poll durations. They keep the age of the data well below the limit for
+ * API keys, and reveal an unreachable owner soon enough. */
 #define CONFIG_WAIT_MS 1000
-/* Divisor of the bounds promised to operators: data may be twice as old as a
- * poll lasts. */
+/* A poll lasts at most the limit on the age of its data (see struct
+ * rj_cell_limits) divided by this: data may be twice as old as a poll lasts. */
 #define WAIT_BOUND_DIVISOR 4
 #define JOBS_WAIT_MS 1000
 #define FLEET_WAIT_MS 1000
@@ -30,9 +30,9 @@
  * while the log is slow.
  */
 #define OWNER_TIMEOUT_US (900 * RJ_US_PER_MS)
-/* Candidates for ownership start one after the other. Each first reads the log
- * to its end, which takes about 6 ms, and then sees an earlier candidate's
- * record. */
+/* Instances try to acquire the cell one after the other, each with a delay that
+ * depends on its name. Each first reads the log to its end, which takes about
+ * 6 ms, and then sees an earlier candidate's record. */
 #define STAGGER_STEPS 32
 #define STAGGER_STEP_US (8 * RJ_US_PER_MS)
 /*
@@ -290,8 +290,8 @@
 	return node->owner.active || node->owner.taking_over;
 }
 
-/* Gives up ownership. Decisions that are not stored have not been shown to
- * clients. */
+/* Gives up ownership. Decisions that are not stored are dropped; clients have
+ * not seen them. */
 static void step_down(struct rj_cell_node *node, const char *reason)
 {
 	node->fenced_token = node->owner.token;
@@ -303,7 +303,7 @@
 }
 
 /*
- * For how long former owners may still renew leases.
+ * Returns for how long former owners may still renew leases, in microseconds.
  *
  * After a power loss of all instances, the tasks of a worker that disappeared
  * meanwhile wait until its lease must have expired. If the former owner was an
@@ -353,7 +353,8 @@
 	rj_cell_log_reader_start(&node->fleet, node->now_us);
 }
 
-/* Compares the ownership after each read of the jobs' log. */
+/* Handles the end of a read of the jobs' log: steps down if another instance
+ * has acquired the cell, or begins the takeover if this one has. */
 static void jobs_progress(void *private_data, struct rj_cell_log_reader *reader)
 {
 	struct rj_cell_node *node = private_data;
@@ -465,7 +466,8 @@
  * is higher than that of every owner whose record has been read, so the log
  * rejects their later appends. All their earlier records precede it and are
  * read before this instance owns the cell. An epoch that is too low is
- * rejected; one that another instance used at the same offset appends nothing.
+ * rejected. Instances that have read to the same offset use the same epoch, and
+ * only the first of their appends is stored.
  *
  * The log need not be idle: under load, clients append records faster than an
  * instance can read the log and append to it.
@@ -525,7 +527,7 @@
 	return timeout_us;
 }
 
-/* Whether the owner has timed out or is too weak. */
+/* Whether the owner has timed out or is too weak compared to this instance. */
 static bool should_acquire(const struct rj_cell_node *node)
 {
 	uint64_t since_seen_us = node->now_us - node->ownership.seen_us;
@@ -539,8 +541,8 @@
 	return since_seen_us >= owner_timeout_us(node);
 }
 
-/* The log has been read to its end: acquires the cell if the owner still
- * appears failed. */
+/* Acquires the cell if the end of the log has been reached and the owner still
+ * has to be replaced. */
 static void probe_done(struct rj_cell_sync *sync, bool reached)
 {
 	struct rj_cell_node *node =
@@ -565,7 +567,7 @@
 }
 
 /*
- * Acquires the cell from an owner that has failed.
+ * Begins to acquire the cell if its owner has failed or is too weak.
  *
  * An instance that is partitioned from the log would mistake its own lack of
  * data for a failed owner; it therefore reads the log to its end before it
@@ -611,8 +613,8 @@
 }
 
 /*
- * Whether new clients may connect here: the jobs are known, and the API keys
- * are recent enough.
+ * Whether new clients may connect here: the jobs are known, the log is
+ * available, and the API keys are recent enough.
  */
 bool rj_cell_node_ready(const struct rj_cell_node *node, uint64_t now_us)
 {
--- a/src/libradishjunction/cell/cell_orders.c
+++ b/src/libradishjunction/cell/cell_orders.c
@@ -11,8 +11,9 @@
 /* Number of attempts after which an unanswered start is stopped: the task may
  * have to run elsewhere, and the stop keeps a late start from running. */
 #define START_TRIES_MAX 2
-/* How long a worker that refused a start gets no new work. */
-#define SICK_PAUSE_US (1500 * RJ_US_PER_MS)
+/* How long a worker that refused a start, as it is unhealthy or full, gets no
+ * new work. */
+#define UNHEALTHY_PAUSE_US (1500 * RJ_US_PER_MS)
 #define FULL_PAUSE_US (300 * RJ_US_PER_MS)
 /* Delay before a task is sent again that its worker could not parse or whose
  * ticket it refused. */
@@ -69,7 +70,7 @@
 	uint64_t pause_us = 0;
 
 	if (status == RJ_CELL_ORDER_UNHEALTHY)
-		pause_us = SICK_PAUSE_US;
+		pause_us = UNHEALTHY_PAUSE_US;
 	if (status == RJ_CELL_ORDER_NO_CAPACITY ||
 	    status == RJ_CELL_ORDER_DEADLINE_PASSED)
 		pause_us = FULL_PAUSE_US;
@@ -224,7 +225,7 @@
 				  run->number, owner->token, done);
 }
 
-/* Whether a run has an order to be sent that is not pending. */
+/* Whether a run has an order to be sent that is not in flight. */
 static bool needs_order(const struct rj_cell_run *run)
 {
 	if (run->state == RJ_CELL_RUN_STARTING)
--- a/src/libradishjunction/cell/cell_reachability.c
+++ b/src/libradishjunction/cell/cell_reachability.c
@@ -6,7 +6,7 @@
 
 /*
  * How long an answer confirms the path to its worker. While the log is slow
- * this is as long as a few appends take, since plans are made between appends.
+ * this is as long as two appends take, since plans are made between appends.
  */
 #define CONFIRMATION_US (100 * RJ_US_PER_MS)
 #define CONFIRMATION_APPENDS 2
@@ -42,8 +42,8 @@
 	       owner->now_us <= worker->domain->answered_us + confirmation_us;
 }
 
-/* Handles the answer to a probe. Its lists are left to the polls, whose answers
- * are in order. */
+/* Handles the answer to a probe. The runs and completions that it lists are
+ * left to the polls, whose answers are in order. */
 static void probe_done(void *private_data,
 		       const struct rj_cell_order_reply *reply)
 {
--- a/src/libradishjunction/cell/cell_reclaim.c
+++ b/src/libradishjunction/cell/cell_reclaim.c
@@ -7,7 +7,8 @@
 
 /* Cores that an accelerator counts as in lost work, by the users' prices. */
 #define ACCELERATOR_CORES 8
-/* Work lost by stopping a task with checkpoints: the restart from one. */
+/* Work lost by stopping a task with checkpoints: the time of a restart from
+ * one. */
 #define CHECKPOINT_RESTORE_MS 300
 /* Urgent runs are preempted last: a core-second of theirs is worth this many
  * times as much. */
@@ -82,8 +83,8 @@
 
 /*
  * Returns the loss of stopping a run in core-milliseconds, over all members of
- * a gang, as they stop together. Each earlier loss raises it, so that a task
- * can't be preempted for ever.
+ * a gang, as they stop together. Each run of the task that was stopped or
+ * lost raises it, so that a task is not preempted again and again.
  */
 uint64_t rj_cell_reclaim_loss(const struct rj_cell_plan *plan,
 			      const struct rj_cell_run *run)
@@ -113,8 +114,9 @@
 
 /*
  * Chooses the runs of one worker whose stop frees `demand` at the least loss,
- * and adds them to `chosen` unless that is NULL. Returns the loss in
- * core-milliseconds, or UINT64_MAX if there are not enough.
+ * and adds them to `chosen` unless that is NULL. Runs about to complete are
+ * waited for at no loss. Returns the loss in core-milliseconds, or UINT64_MAX
+ * if there are not enough.
  */
 static uint64_t choose_victims(struct rj_cell_plan *plan,
 			       const struct rj_cell_task_group *group,
@@ -154,7 +156,7 @@
 }
 
 /* Marks a run as a victim and counts its capacity as free after stops. */
-static void free_victim(struct rj_cell_placement *placement,
+static void mark_victim(struct rj_cell_placement *placement,
 			struct rj_cell_run *run)
 {
 	struct rj_cell_plan_worker *plan_worker = run->worker->plan_worker;
@@ -193,7 +195,7 @@
 			if (!member->reason &&
 			    member->state != RJ_CELL_RUN_STOPPING &&
 			    !member->victim)
-				free_victim(placement, member);
+				mark_victim(placement, member);
 		}
 	}
 }
--- a/src/libradishjunction/cell/cell_record.c
+++ b/src/libradishjunction/cell/cell_record.c
@@ -40,7 +40,7 @@
 }
 
 /*
- * Parses a key. Returns 0, or -1 for a key that is not ours.
+ * Parses a key. Returns 0, or -1 for an unknown key.
  */
 int rj_cell_record_kind(const char *key, enum rj_cell_record_kind *kind,
 			const char **id)
--- a/src/libradishjunction/cell/cell_run_health.c
+++ b/src/libradishjunction/cell/cell_run_health.c
@@ -10,12 +10,13 @@
  * second. */
 #define STALL_TIMEOUT_US (3 * RJ_US_PER_S)
 /*
- * How long a serving run may exceed its latency bound before it gets its worker
- * for itself. A bound may be exceeded for 4 s at a time. Of these a stop takes
- * up to half a second, and the worker's figure covers its last half second.
+ * How long a run may exceed its latency target before the batch runs on its
+ * worker, those without a latency target, are stopped. A target may be exceeded
+ * for 4 s at a time. Of these a stop takes up to half a second, and the latency
+ * that the worker reports covers its last half second.
  */
 #define SLOW_TIMEOUT_US (1500 * RJ_US_PER_MS)
-/* After that no batch run is placed beside it for this long. */
+/* After that no batch run is placed on the worker for this long. */
 #define EXCLUSIVE_PERIOD_US (20 * RJ_US_PER_S)
 /* A worker on which a run stalled gets no new work for this long. */
 #define STALL_SUSPECT_PERIOD_US (6 * RJ_US_PER_S)
@@ -39,7 +40,7 @@
 
 /*
  * Updates a run from the row in which its worker lists it: state, progress,
- * checkpoint, and since when it has exceeded its latency bound.
+ * checkpoint, and since when it has exceeded its latency target.
  */
 void rj_cell_run_health_update(struct rj_cell_owner *owner,
 			       struct rj_cell_run *run,
@@ -104,8 +105,7 @@
 	}
 }
 
-/* Stops the batch runs of a worker beside a serving run, and keeps others
- * away. */
+/* Stops the batch runs of a worker, and keeps others away for a time. */
 static void stop_batch_runs(struct rj_cell_owner *owner,
 			    struct rj_cell_worker *worker)
 {
@@ -124,12 +124,12 @@
 }
 
 /*
- * Stops batch runs on a worker where a serving run exceeds its latency bound.
- * When the cell is full, both kinds share workers; batch work can run elsewhere
- * or later.
+ * Stops the batch runs of a worker where a run exceeds its latency target. When
+ * the cell is full, both kinds of run share workers; batch work can run
+ * elsewhere or later.
  */
-static void check_latency_bounds(struct rj_cell_owner *owner,
-				 struct rj_cell_worker *worker)
+static void check_latency_targets(struct rj_cell_owner *owner,
+				  struct rj_cell_worker *worker)
 {
 	struct rj_list *at;
 	struct rj_list *next;
@@ -152,12 +152,12 @@
 }
 
 /*
- * Stops runs of a worker that have stalled, and batch runs that slow down
- * serving ones.
+ * Stops runs of a worker that have stalled, and batch runs that slow down runs
+ * with a latency target.
  */
 void rj_cell_run_health_check(struct rj_cell_owner *owner,
 			      struct rj_cell_worker *worker)
 {
 	check_stalls(owner, worker);
-	check_latency_bounds(owner, worker);
+	check_latency_targets(owner, worker);
 }
--- a/src/libradishjunction/cell/cell_takeover.c
+++ b/src/libradishjunction/cell/cell_takeover.c
@@ -5,7 +5,7 @@
 /* Delay before a fence that the store has refused is sent again. */
 #define FENCE_RETRY_US (100 * RJ_US_PER_MS)
 
-/* Keeps a record of the progress log for its job. */
+/* Keeps a job's progress until the takeover is completed. */
 static void progress_record(void *private_data,
 			    const struct rj_cell_record *record)
 {
@@ -21,13 +21,13 @@
 
 /* Handles the end of a read of the progress log. After the fence no other
  * instance writes there, so its end needs to be reached only once. */
-static void progress_read(void *private_data, struct rj_cell_log_reader *follow)
+static void progress_read(void *private_data, struct rj_cell_log_reader *reader)
 {
 	struct rj_cell_takeover *takeover = private_data;
 
-	if (!follow->caught_up)
+	if (!reader->caught_up)
 		return;
-	rj_cell_log_reader_stop(follow);
+	rj_cell_log_reader_stop(reader);
 	takeover->state = RJ_CELL_TAKEOVER_LOADED;
 }
 
@@ -84,6 +84,7 @@
 static void send_fence(struct rj_cell_takeover *takeover, uint64_t now_us)
 {
 	struct rj_cell_owner *owner = takeover->owner;
+	/* Not empty, as that would delete the key. */
 	const struct rj_bytes mark = { (const uint8_t *)"\xc0", 1 };
 	char key[RJ_CELL_KEY_BYTES];
 
--- a/src/libradishjunction/cell/cell_task_groups.c
+++ b/src/libradishjunction/cell/cell_task_groups.c
@@ -23,14 +23,14 @@
  * goes ahead of other jobs of its priority. */
 #define LAST_START_PERCENT 60
 
-/* First order of task groups, ahead of priority. */
+/* First sort key of task groups, before their priority. */
 enum tier {
 	TIER_GUARANTEED, /* the account is guaranteed the capacity */
 	TIER_NORMAL, /* in time to be of use to its caller */
-	TIER_EXPIRED, /* too late; has to complete eventually */
+	TIER_EXPIRED, /* too late for that, but still has to complete */
 };
 
-/* Order of task groups that are not urgent, within a priority. */
+/* Sort key of task groups that are not urgent, within a priority. */
 enum rank {
 	RANK_FIRST, /* has started, or is too late unless it starts soon */
 	RANK_ON_TIME, /* can meet its objective */
@@ -143,8 +143,8 @@
 
 /*
  * Whether usage is low enough to open reserved workers to a step that has
- * waited. Starts of this plan count as used: much may complete at once and be
- * followed by the next tasks.
+ * waited. Starts of this plan count as used: many runs may complete at once,
+ * and this plan then starts the next tasks in their place.
  */
 static bool has_idle_capacity(const struct rj_cell_plan *plan,
 			      const struct rj_cell_task_group *group)
@@ -231,7 +231,8 @@
 }
 
 /*
- * Ranks tasks that are not urgent by their objectives, and marks overdue ones.
+ * Ranks tasks that are not urgent by their objectives, marks overdue ones, and
+ * sets the plan's `misses_objective`.
  *
  * Guards against a temporary overload of a priority: in the order of acceptance
  * all of its jobs would complete late.
@@ -282,8 +283,8 @@
 	if (!group.waiting_tasks ||
 	    may_have_used_all_attempts(plan, occurrence, step))
 		return;
-	/* After a queue has been removed its jobs stay with their last
-	 * service. */
+	/* After a queue has been removed, its jobs use the service in their
+	 * specs. */
 	group.service = g_intern_string(queue ? queue->service :
 						job->job_spec->service);
 	group.advised = queue && queue->advised;
--- a/src/libradishjunction/cell/cell_view.c
+++ b/src/libradishjunction/cell/cell_view.c
@@ -138,7 +138,7 @@
 }
 
 /*
- * Keeps a record of the progress log.
+ * Keeps a job's progress from the progress log, for a takeover.
  */
 void rj_cell_view_keep_progress(struct rj_cell_view *view, const char *id,
 				struct rj_bytes value)
--- a/src/libradishjunction/cell/cell_writer.c
+++ b/src/libradishjunction/cell/cell_writer.c
@@ -296,7 +296,8 @@
 }
 
 /*
- * Ends all open records: as unknown if they were sent, otherwise as not stored.
+ * Closes the writer. Reports pending records as unknown if they were sent,
+ * otherwise as not stored.
  */
 void rj_cell_writer_close(struct rj_cell_writer *writer)
 {
--- a/src/libradishjunction/include/private/cell_active_job.h
+++ b/src/libradishjunction/include/private/cell_active_job.h
@@ -80,7 +80,7 @@
 	uint64_t ended_by_us;
 	bool victim; /* preempted in the current tentative placement */
 	const char *reason; /* of its stop, for the log */
-	char *ticket; /* from the placement policy, or NULL */
+	char *ticket; /* from the policy service, or NULL */
 };
 
 struct rj_cell_task {
@@ -114,7 +114,7 @@
 	struct rj_cell_task *tasks; /* of all steps, in order */
 	uint32_t *left; /* per step: tasks that are not done */
 	uint32_t steps_left;
-	/* Per step, the placement policy's answers by worker; NULL if it was
+	/* Per step, the policy service's answers by worker; NULL if it was
 	 * not asked. See cell_advice.h. */
 	GHashTable **policy_decisions;
 	bool closed; /* all tasks are done; runs may still be reported */
--- a/src/libradishjunction/include/private/cell_config.h
+++ b/src/libradishjunction/include/private/cell_config.h
@@ -19,8 +19,8 @@
 	uint32_t stretch_milli;
 	uint32_t latency_ms;
 	uint32_t timeout_ms; /* upper limit for a caller's wait */
-	bool open; /* needs no key */
-	/* A placement policy decides which workers may run its jobs. */
+	bool open; /* calls need no API key */
+	/* The policy service decides which workers may run its jobs. */
 	bool advised;
 };
 
--- a/src/libradishjunction/include/private/cell_failure.h
+++ b/src/libradishjunction/include/private/cell_failure.h
@@ -3,7 +3,7 @@
  * themselves: such workers cause failures soon after the start, several of them
  * at the same time.
  *
- * All functions are pure; a zeroed burst is empty.
+ * No function reads a clock; a zeroed burst is empty.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_FAILURE_H
 #define RADISHJUNCTION_PRIVATE_CELL_FAILURE_H
--- a/src/libradishjunction/include/private/cell_forecast.h
+++ b/src/libradishjunction/include/private/cell_forecast.h
@@ -16,7 +16,7 @@
 
 struct rj_cell_forecast {
 	GHashTable *means; /* queue name -> struct mean */
-	double urgent_accelerators; /* recent demand, decayed */
+	double urgent_accelerators; /* used by urgent jobs, decaying average */
 	uint64_t urgent_updated_us; /* last update of urgent_accelerators */
 };
 
--- a/src/libradishjunction/include/private/cell_node.h
+++ b/src/libradishjunction/include/private/cell_node.h
@@ -21,7 +21,7 @@
 	struct rj_cell_limits limits;
 	struct rj_cell_store *store;
 	struct rj_cell_workers *workers;
-	struct rj_cell_advisor *advisor; /* NULL: no placement policy */
+	struct rj_cell_advisor *advisor; /* NULL: no policy service */
 	const struct rj_cell_codec *codec;
 };
 
@@ -30,7 +30,7 @@
 	bool known; /* an ownership record has been read */
 	struct rj_cell_owner_record record;
 	uint64_t token; /* offset of the record, plus one */
-	uint64_t seen_us; /* last record written by the owner */
+	uint64_t seen_us; /* when the owner's last record was read */
 };
 
 struct rj_cell_node {
@@ -49,7 +49,7 @@
 	struct rj_cell_takeover takeover;
 	struct rj_cell_ownership ownership;
 	struct rj_cell_owner_record former; /* previous ownership record */
-	uint64_t fenced_token; /* last token that this instance lost */
+	uint64_t fenced_token; /* of the last ownership that it gave up */
 	bool probing; /* reading the log to its end before acquiring the cell */
 	struct rj_cell_sync probe;
 	uint64_t started_us;
--- a/src/libradishjunction/include/private/cell_record.h
+++ b/src/libradishjunction/include/private/cell_record.h
@@ -4,7 +4,7 @@
  * of the cell. Each kind has its own key, so that a repeated submission cannot
  * reset the progress.
  *
- * All functions are pure. Decoded strings and bytes are copies.
+ * No function reads a clock or does I/O. Decoded strings and bytes are copies.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_RECORD_H
 #define RADISHJUNCTION_PRIVATE_CELL_RECORD_H
@@ -42,7 +42,7 @@
 struct rj_cell_queue_load {
 	char queue[RJ_NAME_BYTES];
 	uint32_t mean_ms; /* learned run time of its tasks; 0: unknown */
-	bool refuse; /* new jobs would not be served in time */
+	bool refuse; /* new jobs would be late or have no workers */
 	uint32_t retry_after_ms; /* when capacity is expected to be free */
 };
 
--- a/src/libradishjunction/include/private/cell_view.h
+++ b/src/libradishjunction/include/private/cell_view.h
@@ -19,11 +19,11 @@
 	struct rj_cell_job_spec *job_spec;
 	bool cancelled; /* a cancellation request is in the log */
 	struct rj_cell_summary summary; /* what callers may see */
-	struct rj_bytes progress; /* set only during a takeover */
+	struct rj_bytes progress; /* until a takeover has loaded it */
 	bool in_progress_log; /* its progress is in the progress log */
 	uint64_t seen_us; /* when its spec was read */
 	uint64_t ended_us; /* when its end was read, or 0 */
-	struct rj_cell_job *job; /* of the owner, or NULL */
+	struct rj_cell_job *job; /* the owner's state of it, or NULL */
 };
 
 struct rj_cell_view {
--- a/src/libradishjunction/include/private/cell_workers.h
+++ b/src/libradishjunction/include/private/cell_workers.h
@@ -86,7 +86,7 @@
 	uint32_t number;
 	const char *spec;
 	const char *checkpoint; /* or "" */
-	const char *ticket; /* from the placement policy, or "" */
+	const char *ticket; /* from the policy service, or "" */
 	uint64_t deadline_ms; /* by the worker's clock */
 	uint64_t token;
 };
--- a/src/libradishjunction/include/private/cell_writer.h
+++ b/src/libradishjunction/include/private/cell_writer.h
@@ -7,8 +7,8 @@
  *
  * `rj_cell_writer_open` sets the epoch; `rj_cell_writer_add` takes any number
  * of records, each of which ends in one call of `done`; call
- * `rj_cell_writer_tick` every few milliseconds; `rj_cell_writer_close` ends all
- * open records.
+ * `rj_cell_writer_tick` every few milliseconds; `rj_cell_writer_close`
+ * ends all pending records.
  */
 #ifndef RADISHJUNCTION_PRIVATE_CELL_WRITER_H
 #define RADISHJUNCTION_PRIVATE_CELL_WRITER_H
@@ -56,8 +56,8 @@
 	uint64_t sent_us;
 	uint64_t now_us;
 	struct rj_latency appends; /* latency of successful appends */
-	uint64_t lost;
-	uint64_t refused;
+	uint64_t lost; /* number of missing or malformed answers */
+	uint64_t refused; /* number of refusals by the store */
 };
 
 void rj_cell_writer_init(struct rj_cell_writer *writer, void *mem,
