--- a/src/libradishjunction/cell/cell_task_groups.c
+++ b/src/libradishjunction/cell/cell_task_groups.c
@@ -17,7 +17,8 @@
 #define RESERVED_WAIT_US (2 * RJ_US_PER_S)
 #define RESERVED_USAGE_MAX_PERCENT 55
 /* A task that is not urgent and has waited for this part of the time that its
- * objective allows is overdue: it may use the share of its priority. */
+ * objective allows is overdue: it may use the minimum share of its priority, see
+ * cell_share.h. */
 #define OVERDUE_PERCENT 50
 /* A job that has not started by this part of the time in which it is of use
  * goes ahead of other jobs of its priority. */
