--- a/src/libradishjunction/core/controllers/drain_controller.c
+++ b/src/libradishjunction/core/controllers/drain_controller.c
@@ -74,8 +74,9 @@
 }
 
 /*
- * Hands a waiting job over to a peer, or answers it with a retry time. An
- * accepted job is freed.
+ * Hands a waiting job over. An accepted job is freed after its waiters were
+ * answered; any other is resubmitted to the filters, which forward it to a peer
+ * or, if there is none, serve it here.
  */
 void rj_job_hand_over(struct rj_job *job)
 {
--- a/src/libradishjunction/core/controllers/foreign_controller.c
+++ b/src/libradishjunction/core/controllers/foreign_controller.c
@@ -219,8 +219,9 @@
 }
 
 /*
- * Takes from a full report of an owned worker which tasks of other instances
- * may be stopped for a guarantee.
+ * Applies a full report of an owned worker: tasks of other instances that may
+ * be stopped for a guarantee are added to the plan, and planned tasks that it
+ * no longer contains are removed.
  */
 void rj_foreign_apply_report(struct rj_core_state *core,
 			     struct rj_upstream *upstream,
--- a/src/libradishjunction/core/controllers/forward_controller.c
+++ b/src/libradishjunction/core/controllers/forward_controller.c
@@ -2,8 +2,10 @@
  * FORWARDED: jobs that a peer serves for a caller here, and jobs that are
  * served here for a peer.
  *
- * A job is forwarded at most once within its failure domain and once to another
- * one, so that two instances never pass it back and forth.
+ * A job received from a peer is forwarded again only if this instance cannot
+ * place it, a limited number of times, and not to another failure domain, so
+ * that instances do not pass it back and forth. The count of forwards starts
+ * anew when a waiting job is handed over.
  */
 #include <assert.h>
 #include <string.h>
@@ -76,7 +78,7 @@
 	if (answer->kind != RJ_ANSWER_UNKNOWN)
 		return false;
 	if (answer->reason == RJ_REASON_IN_PROGRESS)
-		return true; /* it came back: see the duplicate filter */
+		return true; /* forward loop: see the repeat filter */
 	return rj_log_usable(core) &&
 	       (answer->reason == RJ_REASON_PLATFORM_DOWN ||
 		answer->reason == RJ_REASON_LOG_GAP);
--- a/src/libradishjunction/core/controllers/jobs_controller.c
+++ b/src/libradishjunction/core/controllers/jobs_controller.c
@@ -21,7 +21,7 @@
 	[RJ_JOB_ENDED] = "ended",
 };
 
-/* Periodic check of what the log and dead instances left open. */
+/* Runs the periodic checks of the log and of its jobs. */
 static void tick_due(struct rj_core_state *core, struct rj_timer *timer)
 {
 	rj_log_tick(core);
--- a/src/libradishjunction/core/controllers/log_controller.c
+++ b/src/libradishjunction/core/controllers/log_controller.c
@@ -307,8 +307,8 @@
 }
 
 /*
- * Appends an empty record to a log without recent records, so that a new reader
- * can tell an idle log from one that was trimmed early.
+ * Appends a void record of no job to a log without recent records, so that a
+ * new reader can tell an idle log from one that was trimmed early.
  */
 static void append_keepalive(struct rj_core_state *core,
 			     struct rj_log_stream *stream)
--- a/src/libradishjunction/core/controllers/placement_controller.c
+++ b/src/libradishjunction/core/controllers/placement_controller.c
@@ -70,7 +70,8 @@
 }
 
 /*
- * Removes the job from the plan.
+ * Removes the job from the plan. `succeeded` tells the planner that its run
+ * time is representative.
  */
 void rj_job_remove_from_plan(struct rj_job *job, bool succeeded)
 {
@@ -205,8 +206,8 @@
 	}
 }
 
-/* Updates the offers to the peers: the job's capacity is reserved for a job
- * here. */
+/* Updates the offers of the job's workers to the peers: the capacity that it
+ * will free is reserved for a job here. */
 static void update_offers(const struct rj_job *job)
 {
 	for (uint32_t i = 0; i < job->member_count; i++)
--- a/src/libradishjunction/core/controllers/run_controller.c
+++ b/src/libradishjunction/core/controllers/run_controller.c
@@ -1,7 +1,7 @@
 /*
  * STARTING and RUNNING: from granted leases to the end of every member.
  *
- * The members of a gang start throttled to 0 % and are released once all have
+ * The members of a gang start throttled to 0 %, which is lifted once all have
  * started. A member that does not start, or ends early, stops the whole gang.
  */
 #include <assert.h>
@@ -13,8 +13,8 @@
 /* Timeout of a call that is answered at the end of the task; reports detect a
  * dead worker much earlier. */
 #define TASK_END_TIMEOUT_US (3600 * RJ_US_PER_S)
-/* After this many lost answers the next reports show whether the member
- * runs. */
+/* How often lifting a member's throttle is retried after a lost answer; then
+ * the next reports show whether the member runs. */
 #define THROTTLE_TRIES 4
 /* Failures on this many different workers are attributed to the job. */
 #define FAILURES_MAX 3
@@ -166,7 +166,7 @@
 	job->failures++;
 }
 
-/* A member in this state, or NULL. */
+/* Returns a member in this state, or NULL. */
 static struct rj_member *find_member_in(struct rj_job *job,
 					enum rj_task_state state)
 {
@@ -319,9 +319,9 @@
 }
 
 /*
- * Handles the answer to the release of a gang member. A lost answer is retried
- * up to THROTTLE_TRIES times; after that, and after a refusal, the next report
- * shows whether the member still runs.
+ * Handles the answer to lifting a gang member's throttle. A lost call is
+ * retried up to THROTTLE_TRIES times; after that, and after a refusal, the next
+ * report shows whether the member still runs.
  */
 void rj_job_throttle_reply(struct rj_job *job, struct rj_member *member,
 			   const struct rj_worker_reply *reply)
--- a/src/libradishjunction/core/filters/chain.c
+++ b/src/libradishjunction/core/filters/chain.c
@@ -182,7 +182,7 @@
 
 /*
  * Serves a job again after a peer failed to serve it, or after its claim
- * elsewhere was voided. Resumes the chain at the filter that checks the log.
+ * elsewhere was voided. Resumes the chain at the repeat filter.
  */
 void rj_filters_resubmit(struct rj_job *job)
 {
--- a/src/libradishjunction/core/filters/log.c
+++ b/src/libradishjunction/core/filters/log.c
@@ -105,7 +105,7 @@
  * others to a peer that can use it.
  *
  * Guards against refusals by an instance or failure domain that alone is cut
- * off from the platform: callers would retry charges and lesson packs in vain
+ * off from the platform: callers would retry jobs that need the log in vain
  * although a peer a few milliseconds away could claim or accept them. The
  * peer's claim and the order of the log decide as for any other request.
  */
--- a/src/libradishjunction/core/filters/route.c
+++ b/src/libradishjunction/core/filters/route.c
@@ -8,7 +8,8 @@
 
 /* Limit of forwards; views of rack ownership differ only for a short time. */
 #define HOPS_MAX 3
-/* Minimum gain in wait of another domain, as the link adds latency and cost. */
+/* Minimum reduction of the expected wait for which a job is forwarded to
+ * another domain, as the link adds latency and cost. */
 #define OTHER_DOMAIN_MARGIN_US (2 * RJ_US_PER_S)
 
 /*
@@ -203,7 +204,8 @@
 	return best->name;
 }
 
-/* Forwards the job to where it is best served, at most once each way. */
+/* Forwards the job to where it is best served. A job that a peer has forwarded
+ * is forwarded again only if this instance cannot place it. */
 static enum rj_filter_verdict route(struct rj_core_state *core,
 				    struct rj_submission *submission)
 {
--- a/src/libradishjunction/core/ownership.c
+++ b/src/libradishjunction/core/ownership.c
@@ -20,7 +20,8 @@
  * owns it. Instances that are cut off from the log rank after all others.
  *
  * Guards against an owner that alone is cut off from the platform: it would
- * refuse the charges of a whole rack although its peers could serve them.
+ * refuse all jobs of its racks that need the log although its peers could serve
+ * them.
  */
 uint64_t rj_ownership_weight(const char *name, uint64_t key, bool cut_off)
 {
--- a/src/libradishjunction/core/planner_topology.c
+++ b/src/libradishjunction/core/planner_topology.c
@@ -228,7 +228,9 @@
 }
 
 /*
- * Requeues the job in order of arrival, not to start before `not_before_us`.
+ * Requeues the job in order of arrival, not to start before `not_before_us`. If
+ * it was started on its account's guarantee and the back-off is short, its
+ * members stay reserved for it.
  */
 static void topology_requeue(struct rj_planner *planner, uint64_t job_id,
 			     uint64_t not_before_us, uint64_t now_us)
--- a/src/libradishjunction/core/topology_place.c
+++ b/src/libradishjunction/core/topology_place.c
@@ -9,9 +9,10 @@
 #define BACKFILL_PERCENTILE 90
 
 /*
- * Maximum accelerator time that a backfilled job may lose when it is stopped:
- * what a gang of a worker and a half loses with a checkpoint, or a preview of
- * ten seconds.
+ * Maximum accelerator time, in accelerator microseconds, that a backfilled job
+ * without checkpoints may lose when it is stopped. It admits a task of ten
+ * seconds on one accelerator, and equals what a gang of a worker and a half
+ * loses if it is stopped with a checkpoint.
  */
 #define BACKFILL_LOSS_MAX_US (12 * RJ_US_PER_S)
 
@@ -25,7 +26,10 @@
 #define SCORE_LEFTOVER_UNIT (1ULL << 24)
 #define SCORE_WORST UINT64_MAX
 
-/* Limit of the accelerators counted per rack. */
+/*
+ * Maximum of the accelerators counted per rack, so that this component stays
+ * below SCORE_EMPTY_WORKER.
+ */
 #define GANG_BLOCKING_MAX 4095
 
 /*
--- a/src/libradishjunction/core/topology_reclaim.c
+++ b/src/libradishjunction/core/topology_reclaim.c
@@ -17,10 +17,13 @@
  */
 #define SMALL_JOB_DIVISOR 2
 
-/* Work of others that a waiting gang may cost, relative to its own. */
+/*
+ * Maximum work that may be lost for a waiting gang, relative to the gang's
+ * expected work: its median run time on all its accelerators.
+ */
 #define WAITED_LOSS_MAX_PERCENT 5
 
-/* Run time lost by a checkpoint. */
+/* Maximum run time lost when a job with checkpoints is stopped. */
 #define CHECKPOINT_COST_US RJ_US_PER_S
 
 /* Weight of lost urgent work relative to other work. */
@@ -45,15 +48,15 @@
 enum policy {
 	POLICY_GUARANTEE, /* for its account's guarantee */
 	POLICY_GUARANTEE_OVER_RESERVATIONS, /* also over other reservations */
-	POLICY_URGENT, /* urgent: from borrowed capacity */
-	POLICY_BACKFILLED, /* from jobs backfilled on its reservation */
-	POLICY_WAITED, /* waiting gang: from cheap small jobs */
+	POLICY_URGENT, /* urgent job: jobs that borrow capacity */
+	POLICY_BACKFILLED, /* jobs backfilled on its reservation */
+	POLICY_WAITED, /* waiting gang: small or backfilled jobs */
 };
 
 struct victim {
 	struct rj_plan_entry *entry;
 	double cost; /* lost accelerator time per accelerator freed */
-	uint64_t lost;
+	uint64_t lost; /* accelerator microseconds, see lost_work */
 	bool chosen;
 };
 
@@ -64,16 +67,16 @@
 	enum policy policy;
 	struct rj_worker_set set;
 	uint64_t now_us;
-	uint32_t *fits;
-	uint32_t total;
+	uint32_t *fits; /* tasks that fit each worker of `set` */
+	uint32_t total; /* sum of `fits` */
 	struct victim *victims;
 	uint32_t victim_count;
-	uint64_t lost;
+	uint64_t lost; /* by the chosen victims */
 };
 
 /*
- * Returns the accelerator time lost if the job is stopped now. Urgent work is
- * weighted so that it is preempted last.
+ * Returns the work lost if the job is stopped now, in accelerator microseconds.
+ * Urgent work is weighted so that it is preempted last.
  */
 static uint64_t lost_work(const struct rj_plan_entry *entry, uint64_t now_us)
 {
@@ -298,7 +301,7 @@
 
 /*
  * Returns the accelerators of the job within the set, at most as many as are
- * needed: a gang stopped for a preview frees no more than the preview.
+ * needed: a gang stopped for a single task frees no more than that task uses.
  */
 static uint64_t freed_in_set(const struct search *search,
 			     const struct rj_plan_entry *entry)
--- a/src/libradishjunction/include/private/core_state.h
+++ b/src/libradishjunction/include/private/core_state.h
@@ -55,7 +55,7 @@
 	char name[RJ_NAME_BYTES];
 	char domain[RJ_NAME_BYTES];
 	uint64_t incarnation;
-	uint64_t random;
+	uint64_t random; /* state of the random number generator */
 	uint64_t next_id; /* for calls, appends and forwards */
 	uint32_t next_attempt; /* unique within an incarnation */
 	uint64_t retention_us;
@@ -68,7 +68,7 @@
 	uint64_t config_carried_us; /* when this instance last appended it */
 	struct rj_log_stream streams[RJ_STREAM_COUNT];
 	bool platform_up;
-	uint64_t paused_before_us; /* end of a pause; 0: log read since */
+	uint64_t paused_before_us; /* end of a pause; 0 once the log was read */
 	uint64_t gap_end_offset; /* reading resumed here after a gap */
 	struct rj_job_ledger ledger;
 	struct rj_membership membership;
@@ -77,8 +77,8 @@
 	GHashTable *foreign; /* &task->plan_id -> task of another instance */
 	bool stopping;
 	uint64_t stopping_us; /* when the drain started */
-	struct rj_timer drain;
-	struct rj_timer drain_watch;
+	struct rj_timer drain; /* end of the drain limit */
+	struct rj_timer drain_watch; /* redirects callers of watched jobs */
 	uint64_t drain_limit_us;
 	uint64_t drain_answered_us; /* when the last request was answered */
 	bool drain_expired; /* the drain limit has passed */
--- a/src/libradishjunction/include/private/ledger.h
+++ b/src/libradishjunction/include/private/ledger.h
@@ -46,7 +46,7 @@
 	uint32_t reservation_count;
 	struct rj_resources committed; /* the sum in the invariant above */
 	uint32_t gang_blocking; /* accelerators that no gang may preempt */
-	uint64_t skip_until_us; /* unresponsive to a reclaim until then */
+	uint64_t skip_until_us; /* reclaims skip the worker until then */
 	uint32_t set_index; /* scratch: index in the set searched last */
 	uint64_t set_stamp; /* scratch: number of that search */
 };
--- a/src/libradishjunction/include/private/membership.h
+++ b/src/libradishjunction/include/private/membership.h
@@ -59,7 +59,7 @@
 	uint32_t count;
 	struct rj_timer heartbeat;
 	uint64_t heartbeats_sent; /* rounds so far */
-	struct rj_timer list;
+	struct rj_timer list; /* next request of the instance list */
 	uint64_t view_digest;
 	uint64_t log_isolated_us; /* since when only peers have the log, or 0 */
 };
--- a/src/libradishjunction/include/private/topology.h
+++ b/src/libradishjunction/include/private/topology.h
@@ -21,7 +21,7 @@
 	uint32_t share;
 	uint64_t guaranteed; /* accelerators in this domain */
 	uint64_t used; /* accelerators of running jobs */
-	/* For its guarantees, on workers that do not hold them (yet). */
+	/* For its guarantees: reserved, or in use on other workers. */
 	struct rj_resources granted;
 	uint32_t queued;
 	bool active; /* has waiting or running jobs */
@@ -72,14 +72,14 @@
 	uint64_t accelerators; /* of usable workers */
 	uint64_t backlog[RJ_PRIORITY_COUNT]; /* accelerators * us */
 	uint64_t version; /* incremented when a blocked job may fit */
-	uint64_t stamp;
+	uint64_t stamp; /* number of the last search for victims */
 	uint32_t worker_accelerators; /* of the largest worker */
 	uint32_t queued;
 	bool workers_changed; /* any change of a worker */
 	bool guarantees_changed; /* set of workers, or guaranteed shapes */
 	GPtrArray *all_workers; /* scratch: owned racks first */
 	struct rj_plan_member members[RJ_GANG_MAX]; /* scratch */
-	uint32_t considered;
+	uint32_t considered; /* workers examined by the last placement */
 	void *mem;
 };
 
--- a/src/libradishjunction/include/private/upstreams.h
+++ b/src/libradishjunction/include/private/upstreams.h
@@ -59,7 +59,7 @@
 	uint64_t answered_us;
 	enum rj_upstream_health health;
 	struct rj_resources capacity;
-	struct rj_resources foreign;
+	struct rj_resources foreign; /* used by tasks not in the plan */
 	struct rj_resources free_now; /* for any instance, as last reported */
 	/* What the rack's owner offers to its peers: sent if owned here, else
 	 * received from the owner. */
@@ -71,7 +71,7 @@
 	uint32_t failed_count;
 	uint64_t quarantine_us; /* duration of the next quarantine */
 	struct rj_timer poll;
-	struct rj_timer probe;
+	struct rj_timer probe; /* end of the quarantine */
 	struct rj_core_state *core;
 };
 
--- a/src/radishjunctiond/core_runner.c
+++ b/src/radishjunctiond/core_runner.c
@@ -273,8 +273,8 @@
 }
 
 /*
- * Requests a graceful stop. From then on `exiting` is set while no job or
- * request is open.
+ * Requests a graceful stop. From then on `exiting` is set while no request is
+ * open and no outcome is awaited from the log any longer.
  */
 void core_runner_stop(struct core_runner *runner)
 {
--- a/src/radishjunctiond/main.c
+++ b/src/radishjunctiond/main.c
@@ -247,7 +247,7 @@
 	assert(daemon->timeout_timer);
 }
 
-/* Whether no job or request is open and all answers were sent in full. */
+/* Whether the core has finished the drain and all answers were sent in full. */
 static bool is_drained(const struct daemon *daemon)
 {
 	return daemon->runner.exiting &&
