--- a/src/libradishjunction/core/controllers/forward_controller.c
+++ b/src/libradishjunction/core/controllers/forward_controller.c
@@ -4,7 +4,7 @@
  *
  * A job received from a peer is forwarded again only if this instance cannot
  * place it, a limited number of times, and not to another failure domain, so
- * that instances do not pass it back and forth. The count of forwards starts
+ * that two instances do not pass it back and forth. The count of forwards starts
  * anew when a waiting job is handed over.
  */
 #include <assert.h>
--- a/src/libradishjunction/core/topology_guarantee.c
+++ b/src/libradishjunction/core/topology_guarantee.c
@@ -89,7 +89,7 @@
 /*
  * Returns the lowest rack connected to `rack` by guaranteed shapes that span
  * several racks. A single owner of the whole group can reclaim each of its
- * shapes; two owners would each see only part of what runs there.
+ * shapes; two owners would each see half of what runs there.
  */
 uint32_t rj_topology_rack_group(const struct rj_topology_state *state,
 				uint32_t rack)
