--- a/src/libradishjunction/core/controllers/jobs_controller.c
+++ b/src/libradishjunction/core/controllers/jobs_controller.c
@@ -134,7 +134,7 @@
 	job->state = RJ_JOB_QUEUED;
 	job->attempt.job_id = spec->job_id;
 	job->attempt.owner = core->incarnation;
-	job->attempt.number = ++core->next_attempt;
+	job->attempt.number = ++core->last_attempt;
 	job->arrived_us = core->now_us;
 	job->deadline_us = RJ_NEVER_US;
 	rj_list_init(&job->waiters);
--- a/src/libradishjunction/core/controllers/placement_controller.c
+++ b/src/libradishjunction/core/controllers/placement_controller.c
@@ -100,7 +100,7 @@
 	rj_job_free_members(job);
 	rj_job_enter_state(job, RJ_JOB_QUEUED);
 	job->attempt.owner = core->incarnation;
-	job->attempt.number = ++core->next_attempt;
+	job->attempt.number = ++core->last_attempt;
 	job->claimed = false;
 	job->ran_before = job->ran_before || job->started;
 	job->started = false;
--- a/src/libradishjunction/core/core.c
+++ b/src/libradishjunction/core/core.c
@@ -15,7 +15,7 @@
  */
 uint64_t rj_core_next_id(struct rj_core_state *core)
 {
-	return ++core->next_id;
+	return ++core->last_id;
 }
 
 /*
--- a/src/libradishjunction/core/filters/chain.c
+++ b/src/libradishjunction/core/filters/chain.c
@@ -196,7 +196,7 @@
 	}
 	rj_job_enter_state(job, RJ_JOB_QUEUED);
 	job->attempt.owner = core->incarnation;
-	job->attempt.number = ++core->next_attempt;
+	job->attempt.number = ++core->last_attempt;
 	memset(&submission, 0, sizeof(submission));
 	submission.op = RJ_REQUEST_SUBMIT;
 	submission.spec = job->spec;
--- a/src/libradishjunction/include/private/core_state.h
+++ b/src/libradishjunction/include/private/core_state.h
@@ -56,8 +56,8 @@
 	char domain[RJ_NAME_BYTES];
 	uint64_t incarnation;
 	uint64_t random; /* state of the random number generator */
-	uint64_t next_id; /* for calls, appends and forwards */
-	uint32_t next_attempt; /* unique within an incarnation */
+	uint64_t last_id; /* of calls, appends and forwards */
+	uint32_t last_attempt; /* number, unique within an incarnation */
 	uint64_t retention_us;
 	struct rj_planner *planner;
 	uint64_t now_us;
