--- a/src/libradishjunction/core/filters/chain.c
+++ b/src/libradishjunction/core/filters/chain.c
@@ -182,7 +182,7 @@
 
 /*
  * Serves a job again after a peer failed to serve it, or after its claim
- * elsewhere was voided. Resumes the chain at the filter that checks the log.
+ * elsewhere was voided. Resumes the chain at the repeat filter.
  */
 void rj_filters_resubmit(struct rj_job *job)
 {
@@ -196,7 +196,7 @@
 	}
 	rj_job_enter_state(job, RJ_JOB_QUEUED);
 	job->attempt.owner = core->incarnation;
-	job->attempt.number = ++core->next_attempt;
+	job->attempt.number = ++core->last_attempt;
 	memset(&submission, 0, sizeof(submission));
 	submission.op = RJ_REQUEST_SUBMIT;
 	submission.spec = job->spec;
