--- a/src/bench/control_site.c
+++ b/src/bench/control_site.c
@@ -10,14 +10,15 @@
 #include "private/worker_wire.h"
 #include "radishjunction/config_log.h"
 
-/* 33,000 tasks on 7,500 workers are 4.4 on each. */
+/* The target load, 33,000 tasks on 7,500 workers, is 4.4 on each. */
 #define TASKS_PER_WORKER 4
 /* Request line, status line and headers of one exchange in both directions, as
  * sent by curl and libmicrohttpd. */
 #define HTTP_HEADER_BYTES 330
 #define FRAME_BYTES 48 /* length, sequence number and MAC of a peer frame */
-/* Of another failure domain's instances without a link from this one, one in
- * this many has a link to this one: each instance links to 2 of 8. */
+/* Each instance links to 2 of the 8 instances of another failure domain. Of
+ * those that this instance has no link to, one in this many therefore has a
+ * link to this instance. */
 #define INBOUND_LINK_STRIDE 4
 #define PAGE_RECORDS 500
 
--- a/src/bench/cost.c
+++ b/src/bench/cost.c
@@ -14,7 +14,7 @@
 #define RACK_WORKERS 8
 #define WORKER_ACCELERATORS 8
 
-/* Tasks on each worker; 33,000 on 7,500 workers are 4.4. */
+/* Tasks on each worker; the target load, 33,000 on 7,500 workers, is 4.4. */
 #define TASKS_RUNNING 3
 
 #define GANG_TASKS 512
--- a/src/bench/faults.c
+++ b/src/bench/faults.c
@@ -14,7 +14,7 @@
 
 struct sweep {
 	const struct engine_ops *engine;
-	enum fault_setup_kind place;
+	enum fault_setup_kind setup;
 	enum invariant invariant;
 	GMutex lock;
 	struct faults_result sum;
@@ -24,7 +24,7 @@
 
 /* The run of this thread, for the report of a failed assertion. */
 static _Thread_local uint64_t running_seed;
-static _Thread_local enum invariant running_promise;
+static _Thread_local enum invariant running_invariant;
 
 /*
  * Signal handler: prints the seed of the run, so that it can be replayed. An
@@ -42,8 +42,8 @@
 		digits[--at] = (char)('0' + seed % 10);
 		seed /= 10;
 	} while (seed);
-	(void)!write(STDERR_FILENO, invariant_string[running_promise],
-		     strlen(invariant_string[running_promise]));
+	(void)!write(STDERR_FILENO, invariant_string[running_invariant],
+		     strlen(invariant_string[running_invariant]));
 	(void)!write(STDERR_FILENO, " seed ", 6);
 	(void)!write(STDERR_FILENO, digits + at, sizeof(digits) - at);
 	(void)signal(signal_number, SIG_DFL);
@@ -78,12 +78,12 @@
 	struct faults_result result;
 
 	running_seed = seed;
-	running_promise = sweep->invariant;
+	running_invariant = sweep->invariant;
 	faults_result_init(&result);
-	if (sweep->place == FAULT_SETUP_ISOLATED)
+	if (sweep->setup == FAULT_SETUP_ISOLATED)
 		faults_run_isolated_region(sweep->engine, seed, NULL, &result);
 	else
-		faults_run_at(sweep->engine, sweep->place, sweep->invariant,
+		faults_run_at(sweep->engine, sweep->setup, sweep->invariant,
 			      seed, NULL, &result);
 	merge_result(sweep, seed, &result);
 	faults_result_finish(&result);
@@ -169,12 +169,13 @@
 
 /* Runs the seeds of one invariant's profile. Returns whether this and all
  * other invariants held. */
-static bool sweep_promise(const struct engine_ops *engine,
-			  enum fault_setup_kind place, enum invariant invariant,
-			  uint64_t from, uint64_t seeds, int threads)
+static bool sweep_invariant(const struct engine_ops *engine,
+			    enum fault_setup_kind setup,
+			    enum invariant invariant, uint64_t from,
+			    uint64_t seeds, int threads)
 {
 	struct sweep sweep = { .engine = engine,
-			       .place = place,
+			       .setup = setup,
 			       .invariant = invariant };
 	GThreadPool *pool;
 	bool all_held = true;
@@ -217,22 +218,22 @@
 }
 
 /* Replays one seed and prints its violations. Returns the exit status. */
-static int run_one(const struct engine_ops *engine, enum fault_setup_kind place,
+static int run_one(const struct engine_ops *engine, enum fault_setup_kind setup,
 		   enum invariant invariant, uint64_t seed, bool transcript)
 {
 	struct faults_result result;
 	int status = 0;
 
 	running_seed = seed;
-	running_promise = invariant;
+	running_invariant = invariant;
 	/* Line buffered, so that a failed assertion loses no output. */
 	(void)setvbuf(stdout, NULL, _IOLBF, 0);
 	faults_result_init(&result);
-	if (place == FAULT_SETUP_ISOLATED)
+	if (setup == FAULT_SETUP_ISOLATED)
 		faults_run_isolated_region(engine, seed,
 					   transcript ? stdout : NULL, &result);
 	else
-		faults_run_at(engine, place, invariant, seed,
+		faults_run_at(engine, setup, invariant, seed,
 			      transcript ? stdout : NULL, &result);
 	for (uint32_t i = 0; i < INVARIANT_COUNT; i++) {
 		if (!result.violations[i])
@@ -249,7 +250,7 @@
 }
 
 /* Returns the invariant of that name, or INVARIANT_COUNT. */
-static enum invariant find_promise(const char *name)
+static enum invariant find_invariant(const char *name)
 {
 	uint32_t i = 0;
 
@@ -258,8 +259,8 @@
 	return i;
 }
 
-/* Returns the place of that name, or FAULT_SETUP_COUNT. */
-static enum fault_setup_kind find_place(const char *name)
+/* Returns the setup of that name, or FAULT_SETUP_COUNT. */
+static enum fault_setup_kind find_setup(const char *name)
 {
 	uint32_t i = 0;
 
@@ -281,9 +282,9 @@
 	return NULL;
 }
 
-/* Runs the seeds of one invariant, or of all with INVARIANT_COUNT, which in a
- * small place also prints the served shares. Returns the exit status. */
-static int run_all(const struct engine_ops *engine, enum fault_setup_kind place,
+/* Runs the seeds of one invariant, or of all with INVARIANT_COUNT, which in
+ * the small setup also prints the served shares. Returns the exit status. */
+static int run_all(const struct engine_ops *engine, enum fault_setup_kind setup,
 		   enum invariant only, uint64_t from, uint64_t seeds,
 		   int threads)
 {
@@ -292,9 +293,9 @@
 
 	for (uint32_t i = 0; i < INVARIANT_COUNT; i++)
 		if (only == INVARIANT_COUNT || only == i)
-			all_held &= sweep_promise(engine, place, i, from, seeds,
-						  threads);
-	if (only == INVARIANT_COUNT && place == FAULT_SETUP_SMALL)
+			all_held &= sweep_invariant(engine, setup, i, from,
+						    seeds, threads);
+	if (only == INVARIANT_COUNT && setup == FAULT_SETUP_SMALL)
 		for (uint32_t i = 0; i < FAULT_SCENARIO_COUNT; i++)
 			print_served(engine, i, from, served);
 	return all_held ? 0 : 1;
@@ -314,7 +315,7 @@
 		arg_str0(NULL, "promise", "P", "only this promise");
 	struct arg_str *engine = arg_str0(NULL, "engine", "NAME",
 					  "core, first_fit or naive; core");
-	struct arg_str *place = arg_str0(
+	struct arg_str *setup = arg_str0(
 		NULL, "place", "NAME", "small, large, trimmed or apart; small");
 	struct arg_int *threads =
 		arg_int0(NULL, "threads", "N", "runs side by side");
@@ -323,10 +324,10 @@
 	struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
 	struct arg_end *end = arg_end(4);
 	void *table[] = { seeds, from,	  seed,	      invariant, engine,
-			  place, threads, transcript, help,	 end };
+			  setup, threads, transcript, help,	 end };
 	const struct engine_ops *ops = &engine_core;
 	enum invariant only = INVARIANT_COUNT;
-	enum fault_setup_kind where = FAULT_SETUP_SMALL;
+	enum fault_setup_kind setup_kind = FAULT_SETUP_SMALL;
 	int status = 2;
 
 	seeds->ival[0] = 100;
@@ -348,15 +349,15 @@
 			    stderr);
 		goto out;
 	}
-	if (place->count)
-		where = find_place(place->sval[0]);
-	if (where == FAULT_SETUP_COUNT) {
+	if (setup->count)
+		setup_kind = find_setup(setup->sval[0]);
+	if (setup_kind == FAULT_SETUP_COUNT) {
 		(void)fputs("faults: --place: small, large, trimmed or apart\n",
 			    stderr);
 		goto out;
 	}
 	if (invariant->count)
-		only = find_promise(invariant->sval[0]);
+		only = find_invariant(invariant->sval[0]);
 	if ((invariant->count || seed->count) && only == INVARIANT_COUNT) {
 		(void)fputs("faults: --promise: name one, such as \"once\"\n",
 			    stderr);
@@ -366,10 +367,10 @@
 	(void)signal(SIGTRAP, print_failing_seed);
 	(void)signal(SIGSEGV, print_failing_seed);
 	if (seed->count)
-		status = run_one(ops, where, only, (uint64_t)seed->ival[0],
+		status = run_one(ops, setup_kind, only, (uint64_t)seed->ival[0],
 				 transcript->count);
 	else
-		status = run_all(ops, where, only, (uint64_t)from->ival[0],
+		status = run_all(ops, setup_kind, only, (uint64_t)from->ival[0],
 				 (uint64_t)seeds->ival[0],
 				 threads->ival[0] > 0 ? threads->ival[0] : 1);
 out:
--- a/src/libstandin/fault_injector.c
+++ b/src/libstandin/fault_injector.c
@@ -13,7 +13,7 @@
 	struct rj_http_exchange *request;
 };
 
-/* Removes a request that ends while it waits from the list. */
+/* Removes a waiting request from the list when it ends. */
 static int delayed_request_destructor(struct delayed_request *delayed_request)
 {
 	rj_list_remove(&delayed_request->link);
--- a/src/libstandin/fault_injector.h
+++ b/src/libstandin/fault_injector.h
@@ -5,8 +5,8 @@
  * Life cycle: `rj_fault_injector_init` on the caller's memory. A request
  * passed to `rj_fault_injector_submit` is forwarded at once, later or never.
  */
-#ifndef RADISHJUNCTION_STANDIN_GATE_H
-#define RADISHJUNCTION_STANDIN_GATE_H
+#ifndef RADISHJUNCTION_STANDIN_FAULT_INJECTOR_H
+#define RADISHJUNCTION_STANDIN_FAULT_INJECTOR_H
 
 #include <jansson.h>
 
--- a/src/libstandin/platform.c
+++ b/src/libstandin/platform.c
@@ -182,7 +182,7 @@
 	return value < max ? value : max;
 }
 
-/* Removes a long poll whose request ends from the list. */
+/* Removes a long poll from the list when its request ends. */
 static int reader_destructor(struct pending_read *pending_read)
 {
 	rj_list_remove(&pending_read->link);
--- a/src/libstandin/tasks.h
+++ b/src/libstandin/tasks.h
@@ -56,7 +56,7 @@
 	struct rj_resources unused;
 	uint64_t incarnation;
 	bool leaving;
-	bool fail_all;
+	bool fail_all; /* each task fails as it starts */
 	GHashTable *by_key; /* key -> struct rj_task, talloc */
 	struct rj_list active; /* leased or running */
 	struct rj_list ended; /* oldest end first */
--- a/src/libstandin/worker.c
+++ b/src/libstandin/worker.c
@@ -117,7 +117,7 @@
 	       (call->op == RJ_WORKER_START && call->wait);
 }
 
-/* Removes a call whose request ends from the list. */
+/* Removes a call from the list when its request ends. */
 static int waiter_destructor(struct waiter *waiter)
 {
 	rj_list_remove(&waiter->link);
--- a/src/libstandin/worker.h
+++ b/src/libstandin/worker.h
@@ -39,7 +39,7 @@
 	uint64_t cached_report_at_us;
 	uint64_t lose_answers; /* next answers to drop */
 	uint64_t cut_answers; /* next answers to truncate */
-	uint64_t cross_answers; /* next answers to swap for the last one */
+	uint64_t cross_answers; /* next answers to replace by the last */
 	char *last_answer;
 };
 
--- a/src/standin_users/log.c
+++ b/src/standin_users/log.c
@@ -13,12 +13,12 @@
 #define CONNECTIONS_MAX 256
 #define LENGTH_BYTES 4
 
-/* The appends of a producer. */
+/* The last append of a producer to one topic. */
 struct producer {
 	uint64_t epoch;
 	bool has_appended;
 	uint64_t sequence;
-	uint64_t end; /* after the last append */
+	uint64_t end; /* end offset of the topic after it */
 };
 
 /* A long poll that waits for a record. */
@@ -101,7 +101,7 @@
 	return 0;
 }
 
-/* The wait time of a read has passed. */
+/* Answers a read whose wait time has passed. */
 static void waited(struct tevent_context *ev, struct tevent_timer *timer,
 		   struct timeval now, void *private_data)
 {
@@ -237,7 +237,7 @@
 	}
 }
 
-/* Returns the producer of a name in one topic, and creates a new one. */
+/* Returns a producer of a topic, and creates it on its first use. */
 static struct producer *obtain_producer(struct standin_log *log,
 					const char *topic,
 					const char *producer_id)
@@ -310,7 +310,8 @@
 	rj_http_exchange_answer(exchange, 200, "{}", 2);
 }
 
-/* Injects the fault of the current mode. Returns whether the call is done. */
+/* Injects the fault of the current mode. Returns whether the call
+ * must not be handled. */
 static bool inject_fault(struct standin_log *log,
 			 struct rj_http_exchange *exchange)
 {
--- a/src/standin_users/standin.h
+++ b/src/standin_users/standin.h
@@ -30,7 +30,8 @@
 	STANDIN_MODE_OK,
 	STANDIN_MODE_REFUSE, /* does nothing and answers with an error */
 	STANDIN_MODE_NO_ANSWER, /* does nothing and does not answer */
-	STANDIN_MODE_LOSE_ANSWER, /* carries out appends without an answer */
+	STANDIN_MODE_LOSE_ANSWER, /* carries out appends without an answer,
+				   * and ignores a third of the other calls */
 };
 
 struct standin_log {
