--- a/src/bench/bench.h
+++ b/src/bench/bench.h
@@ -14,7 +14,7 @@
 	int (*run)(int argc, char **argv);
 };
 
-int bench_usage(const char *command, void **table, bool asked);
+int bench_usage(const char *command, void **table, bool help_requested);
 
 int bench_policy(int argc, char **argv);
 int bench_cost(int argc, char **argv);
--- a/src/bench/cell.c
+++ b/src/bench/cell.c
@@ -28,7 +28,7 @@
 struct load {
 	uint32_t workers;
 	uint32_t tasks_per_s;
-	bool gangs;
+	bool gangs; /* half of the jobs are gangs in one rack */
 	bool mixed; /* the three kinds of `job_kinds` */
 };
 
@@ -52,8 +52,8 @@
 
 /* A snapshot of the counters. */
 struct counters {
-	uint64_t owner_ns;
-	uint64_t all_ns;
+	uint64_t owner_ns; /* CPU time of the owner */
+	uint64_t all_ns; /* CPU time of all instances */
 	uint64_t polls;
 	uint64_t plans;
 	uint64_t appends;
@@ -171,7 +171,7 @@
 /* Runs one size and load and prints the result. */
 static void measure(const struct load *load)
 {
-	const struct cell_sim_options plan = {
+	const struct cell_sim_options options = {
 		.seed = 1,
 		.nodes = INSTANCES,
 		.workers = load->workers,
@@ -184,7 +184,7 @@
 	struct counters before;
 	struct counters after;
 
-	cell_sim_init(sim, &plan);
+	cell_sim_init(sim, &options);
 	cell_sim_run(sim, 3 * S);
 	run_load(sim, load, WARM_UP_US);
 	before = read_counters(sim);
--- a/src/bench/load.h
+++ b/src/bench/load.h
@@ -38,7 +38,7 @@
 	/* Of the daemon, set by the caller: */
 	uint64_t cpu_us;
 	uint64_t run_delay_us; /* runnable, waiting for a CPU */
-	uint32_t *latencies_us; /* latencies; sorted by load_run */
+	uint32_t *latencies_us; /* of ended requests; sorted by load_run */
 };
 
 int load_run(struct load *load, const struct load_options *options);
