--- a/src/bench/usage.c
+++ b/src/bench/usage.c
@@ -4,8 +4,8 @@
 #include "bench.h"
 
 /*
- * Prints the usage of a benchmark: to standard output if it was requested
- * (`asked`), else to standard error. Returns the exit status.
+ * Prints the usage of a benchmark, to standard output if it was requested,
+ * else to standard error. Returns the exit status.
  */
 int bench_usage(const char *command, void **table, bool help_requested)
 {
