--- a/src/test_libradishjunction/support/cell_check.c
+++ b/src/test_libradishjunction/support/cell_check.c
@@ -1,7 +1,9 @@
 /*
  * Checks the users' rules on what the fake workers and clients observe. A
  * message begins with the rule: capacity, twice, order, attempts, unasked,
- * refused, lost, mixed, key, route, cordon, drain.
+ * refused, lost, mixed, key, route, cordon, drain. "unasked" is a run that no
+ * client asked for or that its job no longer needs, "mixed" a completed job
+ * with unfinished tasks, "route" too many tasks of a step on one worker.
  */
 #include <stdarg.h>
 #include <stdio.h>
@@ -10,7 +12,8 @@
 
 #include "support/cell_sim.h"
 
-/* A start may be sent this long after a cancellation was acknowledged. */
+/* A start may be sent for up to this long after a cancellation was
+ * acknowledged. */
 #define CANCEL_GRACE_US (3 * S)
 /* ... and after the failure domain was cordoned. */
 #define CORDON_GRACE_US (5 * S)
@@ -91,8 +94,8 @@
 	return *job ? task_stats(*job, name) : NULL;
 }
 
-/* Whether all tasks of a step succeeded; for a gang one completion stands for
- * all. */
+/* Whether all tasks of a step succeeded; of a gang, whose members complete
+ * together, whether the first one did. */
 static bool step_done(struct cell_client_job *job, const char *name,
 		      uint32_t step)
 {
--- a/src/test_libradishjunction/support/cell_fake_log.c
+++ b/src/test_libradishjunction/support/cell_fake_log.c
@@ -7,7 +7,7 @@
 
 #include "support/cell_sim.h"
 
-/* The answers to this many last appends of a producer are kept for repeats. */
+/* Number of a producer's last appends whose answers are kept for repeats. */
 #define REPEATS_MAX 5
 #define PAGE_RECORDS 40
 /* A call without an answer times out after this, as in the adapters. */
@@ -26,9 +26,9 @@
 	uint32_t node_incarnation;
 	struct rj_cell_store_done done;
 	enum rj_cell_topic topic;
-	uint64_t from;
-	uint64_t until_us;
-	char *after;
+	uint64_t from; /* first offset to read */
+	uint64_t until_us; /* end of a long poll's wait; 0: no wait */
+	char *after; /* last key of the previous page, or NULL */
 	bool newest;
 	/* For appends. */
 	struct rj_cell_append append;
@@ -115,7 +115,7 @@
 	cell_sim_schedule(sim, sim->log.latency_us / 2, deliver, call);
 }
 
-/* Lets a call time out. */
+/* Lets a call time out, a long poll one second later than others. */
 static void drop_answer(struct call *call)
 {
 	call->reply.status = RJ_CELL_STORE_LOST;
@@ -312,7 +312,7 @@
 	return RJ_CELL_STORE_OK;
 }
 
-/* Applies an append that was not answered. */
+/* Applies an unanswered append after a delay. */
 static void apply_delayed(void *data)
 {
 	struct call *call = data;
--- a/src/test_libradishjunction/support/cell_fake_orders.c
+++ b/src/test_libradishjunction/support/cell_fake_orders.c
@@ -31,7 +31,7 @@
 	struct rj_cell_start start;
 	struct rj_cell_poll poll;
 	bool delayed; /* executed late, and not answered */
-	uint64_t until_us;
+	uint64_t until_us; /* end of a poll's wait */
 	struct rj_cell_order_reply reply;
 };
 
--- a/src/test_libradishjunction/support/cell_faults.c
+++ b/src/test_libradishjunction/support/cell_faults.c
@@ -11,13 +11,13 @@
 /* Operators cordon failure domains, reads of one topic may fail and gang
  * members end with a delay in one of this many seeds. */
 #define CORDON_SEED_MOD 2
-/* Delay after the first member's end. */
+/* Delay from a gang member's end without success to the end of the others. */
 #define GANG_BREAK_US (190 * MS)
 
 /* A fault in progress. */
 struct fault {
 	struct cell_sim *sim;
-	uint32_t target;
+	uint32_t target; /* index of a node, a worker or a topic */
 };
 
 /* Creates a fault, freed by the function that ends it. */
--- a/src/test_libradishjunction/support/cell_fixture.c
+++ b/src/test_libradishjunction/support/cell_fixture.c
@@ -1,6 +1,6 @@
 #include "support/cell_fixture.h"
 
-/* Until a site has an owner that has contacted its workers. */
+/* Time until a site has an owner that has contacted its workers. */
 #define STARTUP_US (3 * S)
 
 /*
--- a/src/test_libradishjunction/support/cell_sim.h
+++ b/src/test_libradishjunction/support/cell_sim.h
@@ -89,7 +89,7 @@
 	char id[RJ_NAME_BYTES];
 	struct rj_cell_heartbeat reported;
 	bool up;
-	bool listed;
+	bool listed; /* its entry is in the log */
 	bool partitioned[CELL_SIM_NODES_MAX]; /* calls get no answer */
 	bool partitioned_from_log; /* entry expires, runs go on */
 	bool requires_ticket; /* rejects all starts: no ticket */
@@ -99,7 +99,7 @@
 	bool never_completes; /* runs never report their completion */
 	uint32_t delayed_percent; /* orders executed late and not answered */
 	double speed;
-	double clock_rate;
+	double clock_rate; /* of its clock, relative to virtual time */
 	uint64_t started_us;
 	uint64_t incarnation;
 	uint64_t token;
@@ -116,7 +116,7 @@
 };
 
 struct cell_sim_node {
-	struct rj_cell_store store; /* first member: found from the vtable */
+	struct rj_cell_store store; /* first: its operations cast it back */
 	struct rj_cell_workers workers;
 	struct rj_cell_advisor advisor;
 	struct cell_sim *sim;
@@ -140,7 +140,7 @@
 	uint32_t lease_max_ms; /* 0: 6,000 */
 	uint32_t attempts_max; /* 0: 4 */
 	uint32_t revoke_ms; /* 0: 5,000 */
-	uint64_t gang_break_us; /* delay after the first member's end */
+	uint64_t gang_break_us; /* from a member's end to the others' */
 };
 
 struct cell_sim {
--- a/src/test_libradishjunction/test_cell_cordon.c
+++ b/src/test_libradishjunction/test_cell_cordon.c
@@ -20,7 +20,8 @@
 
 static const char *const domains[] = { "d0", "d1", "d2" };
 
-/* Nothing may start after this time from a cordon's publication. */
+/* No task may start in a domain later than this after its cordon was
+ * published. */
 #define CORDON_BOUND_US (5 * S)
 
 /* Counts the runs on the workers of a failure domain. */
@@ -214,8 +215,8 @@
 		&f->sim.nodes[owner].node.cordons, "d0"));
 }
 
-/* Guards against starts in a domain cordoned long ago by an owner that cannot
- * read the operators' topic. */
+/* Guards against an owner that cannot read the operators' topic and starts tasks
+ * in a domain that was cordoned long before. */
 static void test_unread_cordons_stop_all_starts(struct cell_fixture *f,
 						const void *data)
 {
@@ -426,8 +427,8 @@
 	g_assert_cmpuint(runs_in(&f->sim, "d0"), ==, 4);
 }
 
-/* Guards against a cordon that a reload no longer contains and that ends before
- * the reload has ended, or does not end then. */
+/* Guards against a cordon missing from a reload that is removed before the end
+ * of the reload, or is not removed at its end. */
 static void test_cordons_missing_from_a_reload(void)
 {
 	struct rj_cell_cordons cordons;
--- a/src/test_libradishjunction/test_cell_faults.c
+++ b/src/test_libradishjunction/test_cell_faults.c
@@ -42,7 +42,7 @@
 }
 
 /*
- * Seeds that once violated a rule:
+ * Seeds for which the checks once wrongly reported a violation:
  * 16012: a query made before a job's end was reported returned the earlier
  * state, which is allowed;
  * 72140: a worker executed a start 5.9 s late, after its job had been
--- a/src/test_libradishjunction/test_cell_path.c
+++ b/src/test_libradishjunction/test_cell_path.c
@@ -118,9 +118,9 @@
 }
 
 /*
- * Guards against two tasks on one worker that must not share one: both are
- * placed by one plan, and the rule is checked only against the runs already on
- * the worker.
+ * Guards against two tasks on one worker that must not share one, when one plan
+ * places both and the rule is checked only against the runs already on the
+ * worker.
  */
 static void test_tasks_kept_apart_in_one_plan(struct cell_fixture *f,
 					      const void *data)
@@ -199,8 +199,8 @@
 
 /*
  * Guards against a job that waits for ever although the only worker with its
- * label is idle: its first run failed there by the job's own fault, and a task
- * is never placed on the worker of its last failure.
+ * label is idle, because its first run failed there by the job's own fault and
+ * a task is never placed on the worker of its last failure.
  */
 static void test_only_matching_worker_is_retried(struct cell_fixture *f,
 						 const void *data)
@@ -222,9 +222,10 @@
 }
 
 /*
- * Guards against a deployment with short leases in which no task ends and no
- * call is served: the owner's polls wait longer than a lease lasts, and the
- * configuration is read less often than keys are valid.
+ * Guards against a deployment with a short lease and revocation bound in which
+ * no task ends and no call is served, because the owner's polls wait longer
+ * than a lease lasts and the configuration is read too rarely for keys to be
+ * accepted.
  */
 static void test_short_leases_and_bounds(void)
 {
--- a/src/test_libradishjunction/test_cell_starvation.c
+++ b/src/test_libradishjunction/test_cell_starvation.c
@@ -17,8 +17,8 @@
 
 /* Utility that batch jobs receive at least, in percent. */
 #define UTILITY_MIN_PERCENT 29
-/* Jobs submitted in this first part of a load are evaluated; later ones may not
- * have ended with it. */
+/* Only jobs submitted in this first part of a load are evaluated; later ones may
+ * still run at its end. */
 #define EVALUATED_PERCENT 60
 
 /* Returns a step that is a gang. */
--- a/src/test_soak/callers.c
+++ b/src/test_soak/callers.c
@@ -38,8 +38,8 @@
 	uint64_t sent_us;
 };
 
-/* Schedule a caller's next call in `in_ms` to twice that, so that callers
- * spread out. */
+/* Schedule a caller's next call after a random delay from `in_ms` to twice
+ * that, so that callers spread out. */
 static void schedule_call(struct soak_job *job, uint32_t in_ms)
 {
 	job->next_call_us =
@@ -190,8 +190,8 @@
 	schedule_call(job, 1);
 }
 
-/* Whether a caller has nothing left to do: its job has ended, or was not
- * accepted in all its submissions. */
+/* Whether a caller has nothing left to do: its job has ended, or none of its
+ * submissions was accepted. */
 static bool is_caller_done(const struct soak_job *job)
 {
 	if (job->open_submissions)
--- a/src/test_soak/process.c
+++ b/src/test_soak/process.c
@@ -69,7 +69,7 @@
 
 /*
  * The exit status of the program, or the negated number of the signal that
- * killed it. Also 0 while it runs. Does not reap the process.
+ * killed it; 0 while it runs. Does not reap the process.
  */
 int soak_process_exit_status(const struct soak_process *process)
 {
--- a/src/test_soak/proxy.c
+++ b/src/test_soak/proxy.c
@@ -91,7 +91,7 @@
 	}
 }
 
-/* Timer: a delay may be over. */
+/* Timer: resume sending once the delay is over. */
 static void delay_over(struct tevent_context *ev, struct tevent_timer *timer,
 		       struct timeval now, void *private_data)
 {
