--- a/src/libradishjunction/caller/http_callers.c
+++ b/src/libradishjunction/caller/http_callers.c
@@ -250,7 +250,7 @@
 	.finish = callers_finish,
 };
 
-/* Redirects the messages of libmicrohttpd to the log. */
+/* Redirect the messages of libmicrohttpd to the log. */
 static void on_library_log(void *private_data, const char *format, va_list args)
 	__attribute__((format(printf, 2, 0)));
 
--- a/src/libradishjunction/include/private/caller_metrics.h
+++ b/src/libradishjunction/include/private/caller_metrics.h
@@ -14,7 +14,7 @@
 struct rj_caller_metrics {
 	struct rj_latency answers[RJ_ANSWER_KIND_COUNT];
 	uint64_t reasons[RJ_REASON_COUNT];
-	uint64_t disconnected; /* callers lost before their answer */
+	uint64_t disconnected; /* callers that did not wait for the answer */
 };
 
 void rj_caller_metrics_add(struct rj_caller_metrics *metrics,
--- a/src/libradishjunction/include/private/peer_codec.h
+++ b/src/libradishjunction/include/private/peer_codec.h
@@ -4,8 +4,8 @@
  * A message is a flat sequence of msgpack scalars that starts with its kind.
  * A newer version may append fields; a reader ignores what follows the fields
  * it knows. Encoded bytes are a talloc child of the given context. A decoded
- * message points into the frame for bodies; its texts are talloc children of
- * the context.
+ * message points into the frame for bodies and results; the texts of a
+ * configuration are talloc children of the context.
  */
 #ifndef RADISHJUNCTION_PRIVATE_PEER_CODEC_H
 #define RADISHJUNCTION_PRIVATE_PEER_CODEC_H
--- a/src/libradishjunction/include/private/peer_link.h
+++ b/src/libradishjunction/include/private/peer_link.h
@@ -26,7 +26,7 @@
 };
 
 struct rj_peer_link {
-	struct rj_tcp_link tcp; /* first member, always */
+	struct rj_tcp_link tcp; /* first member, cast to the link */
 	const struct rj_peer_link_ops *ops;
 	struct rj_peer_session session;
 	const char *expected_name; /* remote instance; NULL if incoming */
--- a/src/libradishjunction/include/private/platform_wire.h
+++ b/src/libradishjunction/include/private/platform_wire.h
@@ -39,10 +39,10 @@
 
 /* The answer to a read. */
 struct rj_log_page {
-	uint64_t oldest;
-	uint64_t from;
-	uint64_t next;
-	uint64_t head;
+	uint64_t oldest; /* lowest offset that can be read */
+	uint64_t from; /* offset of the first record */
+	uint64_t next; /* one past the last record */
+	uint64_t head; /* one past the newest offset of the stream */
 	struct rj_log_entry *records;
 	uint32_t count;
 };
--- a/src/libradishjunction/include/private/tcp_link.h
+++ b/src/libradishjunction/include/private/tcp_link.h
@@ -45,7 +45,7 @@
 	bool connecting;
 	bool ended;
 	enum rj_peer_close_reason reason; /* valid once `ended` */
-	uint32_t frame_max; /* bytes; small until authenticated */
+	uint32_t frame_max; /* bytes; peer links start with a lower one */
 	struct rj_link_buffer in;
 	struct rj_link_buffer out;
 };
--- a/src/libradishjunction/peer/peer_codec.c
+++ b/src/libradishjunction/peer/peer_codec.c
@@ -10,7 +10,10 @@
 #define HELLO_MAGIC "radishjunction"
 /* A published configuration fits into one frame; see RJ_FRAME_MAX_BYTES. */
 #define CONFIG_TEXT_MAX_BYTES (480 * 1024)
-/* A higher limit would hide a forwarding loop between failure domains. */
+/*
+ * Maximum hops of a forwarded job. A higher limit would hide a forwarding loop
+ * between failure domains.
+ */
 #define HOPS_MAX 16
 
 static void encode_resources(struct rj_packer *writer,
@@ -93,7 +96,7 @@
 
 /*
  * Decode RJ_PEER_HEARTBEAT. The message of an older peer ends with `wait_us`;
- * its log offsets are then unreported and its message counts 0.
+ * `log_from` is then UINT64_MAX, not reported, and the later fields are 0.
  */
 static void decode_heartbeat(struct rj_unpacker *reader,
 			     struct rj_peer_heartbeat *heartbeat)
--- a/src/libradishjunction/peer/peer_link.c
+++ b/src/libradishjunction/peer/peer_link.c
@@ -41,7 +41,7 @@
 static int receive_hello(struct rj_peer_link *link, struct rj_bytes frame,
 			 struct rj_error *err)
 {
-	static const struct rj_bytes nothing = { NULL, 0 };
+	static const struct rj_bytes empty_body = { NULL, 0 };
 	const struct rj_peer_hello *remote = &link->session.remote;
 
 	if (rj_peer_session_receive_hello(&link->session, frame, err))
@@ -53,7 +53,7 @@
 				    "correct the peers of the settings",
 				    remote->name, link->expected_name);
 	link->hello_received = true;
-	send_sealed(link, nothing);
+	send_sealed(link, empty_body);
 	return 0;
 }
 
@@ -136,7 +136,7 @@
 	.closed = on_closed,
 };
 
-/* The remote side did not authenticate in time. */
+/* Close the link: the remote side did not authenticate in time. */
 static void on_deadline(struct tevent_context *loop, struct tevent_timer *timer,
 			struct timeval now, void *private_data)
 {
--- a/src/libradishjunction/platform/http_platform.c
+++ b/src/libradishjunction/platform/http_platform.c
@@ -51,23 +51,25 @@
 	platform->sink->deliver(platform->sink, event);
 }
 
-/* Send a request to a formatted path; `send` lacks only the URL. */
+/* Send a request to a formatted path; `request` lacks only the URL. */
 static void send_request(struct rj_http_platform *platform,
-			 struct rj_http_request *send, const char *format, ...)
-	__attribute__((format(printf, 3, 4)));
+			 struct rj_http_request *request, const char *format,
+			 ...) __attribute__((format(printf, 3, 4)));
 
 static void send_request(struct rj_http_platform *platform,
-			 struct rj_http_request *send, const char *format, ...)
+			 struct rj_http_request *request, const char *format,
+			 ...)
 {
 	char *path;
 	va_list args;
 
 	va_start(args, format);
-	path = talloc_vasprintf(send->private_data, format, args);
+	path = talloc_vasprintf(request->private_data, format, args);
 	va_end(args);
-	send->url = rj_http_url(send->private_data, &platform->address, path);
-	send->response_max_bytes = ANSWER_MAX_BYTES;
-	rj_http_client_send(platform->client, send);
+	request->url =
+		rj_http_url(request->private_data, &platform->address, path);
+	request->response_max_bytes = ANSWER_MAX_BYTES;
+	rj_http_client_send(platform->client, request);
 }
 
 /*
@@ -144,7 +146,7 @@
 {
 	struct rj_http_platform *platform = (struct rj_http_platform *)base;
 	struct pending *pending = pending_new(platform);
-	struct rj_http_request send = {
+	struct rj_http_request request = {
 		.method = "POST",
 		.timeout_us = APPEND_TIMEOUT_US,
 		.done = append_done,
@@ -152,8 +154,8 @@
 	};
 
 	pending->append_id = append->append_id;
-	send.body = append_body(pending, append);
-	if (!send.body) {
+	request.body = append_body(pending, append);
+	if (!request.body) {
 		talloc_steal(platform->client, pending);
 		if (!tevent_add_timer(platform->client->ev, pending,
 				      rj_clock_timeval_in(0), refuse_append,
@@ -161,8 +163,8 @@
 			assert(0);
 		return;
 	}
-	send.length = strlen(send.body);
-	send_request(platform, &send, "/v1/streams/%s/append",
+	request.length = strlen(request.body);
+	send_request(platform, &request, "/v1/streams/%s/append",
 		     rj_stream_string[append->stream]);
 }
 
@@ -197,7 +199,7 @@
  *
  * A page of many records of the largest size exceeds the limit of an answer.
  * Without this, the same read would fail forever and the instance would never
- * get past it. A single record always fits.
+ * read the later records. A single record always fits.
  */
 static bool retry_with_fewer_records(const struct pending *pending,
 				     const struct rj_http_result *result)
@@ -252,7 +254,7 @@
 {
 	struct rj_http_platform *platform = (struct rj_http_platform *)base;
 	struct pending *pending = pending_new(platform);
-	struct rj_http_request send = {
+	struct rj_http_request request = {
 		.method = "GET",
 		.timeout_us = read->wait_us + READ_TIMEOUT_US,
 		.done = read_done,
@@ -262,15 +264,15 @@
 	pending->stream = read->stream;
 	pending->from = read->from;
 	pending->wait_us = read->wait_us;
-	send_request(platform, &send,
+	send_request(platform, &request,
 		     "/v1/streams/%s?from=%" PRIu64 "&max=%u&wait_ms=%" PRIu64,
 		     rj_stream_string[read->stream], read->from,
 		     platform->read_max[read->stream],
 		     (uint64_t)(read->wait_us / RJ_US_PER_MS));
 }
 
-/* Deliver a changed list. An incomplete answer or an unchanged list delivers
- * no event; the core queries it again. */
+/* Deliver a changed list. A failed query or an unchanged list delivers no
+ * event; the core queries it again. */
 static void list_done(void *private_data, const struct rj_http_result *result)
 {
 	const struct pending *pending = private_data;
@@ -295,14 +297,14 @@
 static void http_list(struct rj_platform *base)
 {
 	struct rj_http_platform *platform = (struct rj_http_platform *)base;
-	struct rj_http_request send = {
+	struct rj_http_request request = {
 		.method = "GET",
 		.timeout_us = LIST_TIMEOUT_US,
 		.done = list_done,
 		.private_data = pending_new(platform),
 	};
 
-	send_request(platform, &send,
+	send_request(platform, &request,
 		     "/v1/instances?known=%016" PRIx64 "&changes=1",
 		     platform->list.version);
 }
--- a/src/libradishjunction/platform/instance_list.c
+++ b/src/libradishjunction/platform/instance_list.c
@@ -35,16 +35,16 @@
 
 /* Add an instance to the list, or replace its entry. */
 static void set_instance(struct rj_instance_list *list,
-			 const struct rj_instance *line)
+			 const struct rj_instance *instance)
 {
-	uint32_t index = index_of(list, line->name);
+	uint32_t index = index_of(list, instance->name);
 
 	if (index == list->count) {
 		list->lines = talloc_realloc(list->mem, list->lines,
 					     struct rj_instance, ++list->count);
 		assert(list->lines);
 	}
-	list->lines[index] = *line;
+	list->lines[index] = *instance;
 }
 
 /* Replace the whole list. */
--- a/src/libradishjunction/platform/platform_wire.c
+++ b/src/libradishjunction/platform/platform_wire.c
@@ -333,14 +333,14 @@
 	struct wire_instance wire;
 	struct rj_error_list errors;
 	uint32_t count = 0;
-	const json_t *line;
+	const json_t *entry;
 	size_t i;
 
 	rj_error_list_init(&errors, NULL);
-	json_array_foreach(list, i,
-			   line) if (!rj_schema_decode(&instance_schema, NULL,
-						       line, &wire, &errors) &&
-				     wire.name[0])
+	json_array_foreach(
+		list, i, entry) if (!rj_schema_decode(&instance_schema, NULL,
+						      entry, &wire, &errors) &&
+				    wire.name[0])
 		from_wire(&instances[count++], &wire);
 	rj_error_list_finish(&errors);
 	return count;
@@ -358,16 +358,16 @@
 static void decode_removed(void *mem, const json_t *list,
 			   struct rj_instances_answer *answer)
 {
-	const json_t *line;
+	const json_t *entry;
 	size_t i;
 
 	answer->gone = talloc_zero_array(mem, struct rj_instance_name,
 					 json_array_size(list));
 	assert(answer->gone);
-	json_array_foreach(list, i, line)
+	json_array_foreach(list, i, entry)
 	{
 		const char *name =
-			json_string_value(json_object_get(line, "name"));
+			json_string_value(json_object_get(entry, "name"));
 
 		if (name &&
 		    !rj_name_set(answer->gone[answer->gone_count].name, name))
--- a/src/libradishjunction/worker/http_workers.c
+++ b/src/libradishjunction/worker/http_workers.c
@@ -107,22 +107,22 @@
  * Divide the connections allowed to one worker among the pools. Each pool gets
  * at least one; the run pool gets what the others leave.
  */
-static void share_connections(struct rj_http_workers *workers, uint32_t most)
+static void share_connections(struct rj_http_workers *workers, uint32_t total)
 {
 	uint32_t share[RJ_WORKER_POOL_COUNT];
-	uint32_t control = most > RJ_WORKER_CONNECTIONS_MIN ?
+	uint32_t control = total > RJ_WORKER_CONNECTIONS_MIN ?
 				   RJ_WORKER_CONTROL_CONNECTIONS :
 				   1;
-	uint32_t checkpoint = (most - control) / 3;
+	uint32_t checkpoint = (total - control) / 3;
 
-	assert(most >= RJ_WORKER_CONNECTIONS_MIN &&
-	       most <= RJ_WORKER_CONNECTIONS_OWNER);
+	assert(total >= RJ_WORKER_CONNECTIONS_MIN &&
+	       total <= RJ_WORKER_CONNECTIONS_OWNER);
 	if (!checkpoint)
 		checkpoint = 1;
 	share[RJ_WORKER_POOL_CONTROL] = control;
 	share[RJ_WORKER_POOL_CHECKPOINT] = checkpoint;
-	share[RJ_WORKER_POOL_RUN] = most - control - checkpoint;
-	workers->connections_max = most;
+	share[RJ_WORKER_POOL_RUN] = total - control - checkpoint;
+	workers->connections_max = total;
 	for (uint32_t i = 0; i < RJ_WORKER_POOL_COUNT; i++)
 		rj_http_client_set_host_connections_max(workers->pools[i],
 							share[i]);
@@ -134,7 +134,7 @@
 {
 	struct rj_http_workers *workers = (struct rj_http_workers *)base;
 	struct pending *pending = talloc_zero(NULL, struct pending);
-	struct rj_http_request send = {
+	struct rj_http_request request = {
 		.method = "POST",
 		.timeout_us = call->timeout_us,
 		.response_max_bytes = ANSWER_MAX_BYTES,
@@ -152,10 +152,10 @@
 	memset(&pending->call.body, 0, sizeof(pending->call.body));
 	path = talloc_asprintf(pending, "/v1/%s",
 			       rj_worker_op_string[call->op]);
-	send.url = rj_http_url(pending, &call->address, path);
-	send.body = rj_worker_wire_encode_call(pending, call);
-	send.length = strlen(send.body);
-	rj_http_client_send(workers->pools[pool_for_call(call)], &send);
+	request.url = rj_http_url(pending, &call->address, path);
+	request.body = rj_worker_wire_encode_call(pending, call);
+	request.length = strlen(request.body);
+	rj_http_client_send(workers->pools[pool_for_call(call)], &request);
 }
 
 /* See rj_workers_ops: open calls deliver no event. */
--- a/src/libradishjunction/worker/worker_report.c
+++ b/src/libradishjunction/worker/worker_report.c
@@ -20,8 +20,8 @@
 }
 
 /*
- * Set the version of a report and omit its tasks if the caller already has
- * that version: an owner polls each of its workers every few seconds, while
+ * Set the version of a report and omit its tasks if the requester already
+ * has that version: an owner polls each of its workers every few seconds, and
  * most of them change hours apart. The version is a digest, which needs no
  * state in the worker, and is never 0.
  */
--- a/src/radishjunction/caller.h
+++ b/src/radishjunction/caller.h
@@ -13,7 +13,7 @@
 #include "http.h"
 #include "targets.h"
 
-/* An environment variable: an argument would show in the process list. */
+/* Holds the token; an argument would show in the process list. */
 #define TOKEN_VARIABLE "RADISHJUNCTION_TOKEN"
 
 struct caller_options {
--- a/src/radishjunction/load_verify.c
+++ b/src/radishjunction/load_verify.c
@@ -186,7 +186,7 @@
 	}
 }
 
-/* Prints the number of jobs by answer and reason, except those done. */
+/* Prints the number of jobs by answer and reason, without answer "done". */
 static void print_reason_counts(const struct load *load)
 {
 	uint32_t counts[RJ_ANSWER_KIND_COUNT][RJ_REASON_COUNT] = { { 0 } };
--- a/src/radishjunction/publish.c
+++ b/src/radishjunction/publish.c
@@ -53,8 +53,8 @@
 }
 
 /*
- * Sets the base revision: the one in force by the log, or by the instances if
- * the log no longer has its beginning.
+ * Sets the base revision: the one in force according to the log, or to the
+ * instances if the log no longer has its beginning.
  *
  * Returns 0, or -1 with `err` set: the platform gave no answer, or the log has
  * a gap, no configuration is known and `restart` is not set.
@@ -124,8 +124,8 @@
 }
 
 /*
- * Appends the publication to the config stream. Returns whether it may have
- * taken effect; `err` is set unless the outcome is HTTP_ANSWERED.
+ * Appends the publication to the config stream. Returns the outcome as
+ * `stream_append`; `err` is set unless it is HTTP_ANSWERED.
  */
 static enum http_outcome append(struct publication *publication,
 				struct rj_error *err)
@@ -258,7 +258,7 @@
 
 /*
  * Prints the remedy for a publication that is not in force everywhere by the
- * deadline. One that no reader can judge never comes into force: all instances
+ * deadline. One that no reader can check never comes into force: all instances
  * missed records of the log, so none can republish the configuration for the
  * others.
  */
--- a/src/radishjunction/status_display.c
+++ b/src/radishjunction/status_display.c
@@ -119,7 +119,7 @@
 
 /*
  * Prints one worker: a mark for each accelerator, '#' in use and '.' free, and
- * why it gets no new jobs, if so.
+ * the reason if it gets no new jobs.
  */
 static void print_worker(FILE *out, const json_t *worker)
 {
--- a/src/radishjunction/stream.c
+++ b/src/radishjunction/stream.c
@@ -116,8 +116,9 @@
 }
 
 /*
- * Appends one record. Only HTTP_UNREACHABLE guarantees that the append had no
- * effect. `err` is set unless the outcome is HTTP_ANSWERED.
+ * Appends one record. Only HTTP_UNREACHABLE, which includes a refusal by the
+ * platform, guarantees that the append had no effect. `err` is set unless the
+ * outcome is HTTP_ANSWERED.
  */
 enum http_outcome stream_append(const struct stream *stream,
 				const struct rj_record *record,
