--- a/src/libradishjunction/peer/peer_session.c
+++ b/src/libradishjunction/peer/peer_session.c
@@ -113,13 +113,13 @@
 		      struct rj_bytes body)
 {
 	crypto_generichash_state state;
-	uint8_t place[8];
+	uint8_t number_bytes[8];
 
-	for (uint32_t i = 0; i < sizeof(place); i++)
-		place[i] = (uint8_t)(number >> (8 * i));
+	for (uint32_t i = 0; i < sizeof(number_bytes); i++)
+		number_bytes[i] = (uint8_t)(number >> (8 * i));
 	crypto_generichash_init(&state, key, RJ_PEER_KEY_BYTES,
 				RJ_PEER_MAC_BYTES);
-	crypto_generichash_update(&state, place, sizeof(place));
+	crypto_generichash_update(&state, number_bytes, sizeof(number_bytes));
 	if (body.length)
 		crypto_generichash_update(&state, body.data, body.length);
 	crypto_generichash_final(&state, mac, RJ_PEER_MAC_BYTES);
--- a/src/libradishjunction/platform/platform_wire.c
+++ b/src/libradishjunction/platform/platform_wire.c
@@ -10,8 +10,8 @@
 /* JSON integers are signed. */
 #define NUMBER_MAX INT64_MAX
 /*
- * Longer than any record this project writes: an oversized record must not
- * invalidate its page, but be skipped as malformed by its reader.
+ * Longer than any record this project writes, so that a reader skips an
+ * oversized record as malformed instead of rejecting its whole page.
  */
 #define TEXT_MAX_BYTES (64 * 1024 * 1024)
 
--- a/src/radishjunction/load.h
+++ b/src/radishjunction/load.h
@@ -65,7 +65,7 @@
 
 struct load_totals {
 	uint32_t answers[RJ_ANSWER_KIND_COUNT];
-	uint32_t lost; /* accepted, and no final answer came */
+	uint32_t lost; /* accepted, but without a final answer */
 	uint32_t duplicated; /* jobs with a key that started more than once */
 	uint32_t wrong_answer;
 };
