--- a/include/radishjunction/action.h
+++ b/include/radishjunction/action.h
@@ -67,7 +67,7 @@
 	char account[RJ_NAME_BYTES];
 	char target[RJ_NAME_BYTES]; /* worker, peer or domain */
 	uint64_t waited_us;
-	uint32_t considered; /* number of candidates examined */
+	uint32_t considered; /* number of workers the job is placed on */
 	enum rj_answer_kind answer; /* RJ_LOG_END, RJ_LOG_REFUSE */
 };
 
--- a/include/radishjunction/adapter.h
+++ b/include/radishjunction/adapter.h
@@ -51,7 +51,8 @@
 	void (*connect)(struct rj_peers *peers, const char *name,
 			const struct rj_address *address);
 	void (*drop)(struct rj_peers *peers, const char *name);
-	/* Dropped when there is no link; closes a link whose queue is full. */
+	/* Discards the message if there is no link; closes a link whose send
+	   queue is full. */
 	void (*send)(struct rj_peers *peers, const char *name,
 		     const struct rj_peer_message *message);
 	void (*finish)(struct rj_peers *peers);
--- a/include/radishjunction/event.h
+++ b/include/radishjunction/event.h
@@ -109,7 +109,7 @@
 	} u;
 };
 
-/* A receiver of events: the daemon's shell or a test. */
+/* A receiver of events: the daemon or a test. */
 struct rj_sink {
 	void (*deliver)(struct rj_sink *sink, struct rj_event *event);
 };
--- a/include/radishjunction/worker.h
+++ b/include/radishjunction/worker.h
@@ -27,7 +27,7 @@
 	RJ_WORKER_RENEW,
 	/* Save the progress, then stop, within limit_us. */
 	RJ_WORKER_CHECKPOINT,
-	RJ_WORKER_THROTTLE,
+	RJ_WORKER_THROTTLE, /* set the speed of a started task */
 	RJ_WORKER_STOP,
 	/* Invalidate a token that was not started; forget a completed task. */
 	RJ_WORKER_RELEASE,
--- a/src/libradishjunction/core/plan_table.c
+++ b/src/libradishjunction/core/plan_table.c
@@ -94,8 +94,9 @@
 }
 
 /*
- * Inserts `entry` into a queue sorted by arrival time. A requeued job keeps its
- * arrival time, so the search starts at the tail.
+ * Inserts `entry` into a queue sorted by arrival time, after jobs with the same
+ * time. Searches from the tail, where new jobs belong; a requeued job keeps its
+ * arrival time and so is inserted further ahead.
  */
 void rj_plan_queue_insert(GQueue *queue, struct rj_plan_entry *entry)
 {
@@ -117,7 +118,7 @@
 }
 
 /*
- * Returns the first deadline or end of a back-off of a waiting job, or
+ * Returns the earliest deadline or `not_before_us` of a queued job, or
  * RJ_NEVER_US.
  */
 uint64_t rj_plan_queue_wake_us(const GQueue *queue)
--- a/src/libradishjunction/core/runtime.c
+++ b/src/libradishjunction/core/runtime.c
@@ -54,8 +54,9 @@
 
 /*
  * Returns the total run time that `percent` of the jobs that have run for
- * `elapsed_us` do not exceed. If there are no samples that long, assumes that
- * half of the run time has elapsed.
+ * `elapsed_us` do not exceed. With fewer than RJ_RUNTIME_SAMPLES_MIN samples,
+ * uses the fallback histogram or else `expected_us`. If the job has run for
+ * longer than all of these, assumes that half of the run time has elapsed.
  */
 uint64_t rj_runtime_quantile_us(const struct rj_runtime *runtime,
 				uint32_t percent, uint64_t elapsed_us)
--- a/src/libradishjunction/guarantee_layout.c
+++ b/src/libradishjunction/guarantee_layout.c
@@ -26,8 +26,10 @@
 }
 
 /*
- * Order shapes by decreasing difficulty: adjacent shapes by size, then large
- * tasks. The caller must keep equal shapes (0) in configuration order.
+ * Order shapes by decreasing difficulty of placement: adjacent shapes first, by
+ * the accelerators of the whole shape; then the others, by the accelerators of
+ * one task. Ties are ordered by the slots of one task. The caller must keep
+ * equal shapes (0) in configuration order.
  */
 int rj_layout_compare(const struct rj_shape *one, const struct rj_shape *two)
 {
--- a/src/libradishjunction/http_loop.c
+++ b/src/libradishjunction/http_loop.c
@@ -34,7 +34,7 @@
 	run_daemon(private_data);
 }
 
-/* Set the timer to the daemon's next timeout, unless it expires earlier. */
+/* Set the timer to the daemon's next timeout, unless it is set earlier. */
 static void arm_timer(struct rj_http_loop *loop)
 {
 	MHD_UNSIGNED_LONG_LONG timeout_ms;
--- a/src/libradishjunction/include/private/job_ledger.h
+++ b/src/libradishjunction/include/private/job_ledger.h
@@ -37,12 +37,13 @@
 	uint64_t first_record_us; /* append time of its first record */
 	uint64_t newest_record_us; /* append time of its newest record */
 	uint64_t oldest_record_us; /* of the oldest record it depends on */
-	uint64_t last_carried_us; /* when last carried forward here */
+	uint64_t last_carried_us; /* by this instance; 0: never */
 	uint64_t restore_us; /* when to re-append it; 0: not trimmed */
 	bool incomplete; /* records of attempts may be lost */
 	uint64_t accept_offset; /* offset of the newest accept */
 	uint64_t claim_offset; /* offset of the newest open claim */
-	uint64_t complete_from_offset; /* complete from here on */
+	/* The log describes the job completely from this offset on. */
+	uint64_t complete_from_offset;
 };
 
 struct rj_job_ledger {
--- a/src/libradishjunction/include/private/plan_table.h
+++ b/src/libradishjunction/include/private/plan_table.h
@@ -15,7 +15,7 @@
 	struct rj_plan_job job;
 	struct rj_plan_member *members; /* NULL while waiting */
 	uint32_t member_count;
-	uint64_t not_before_us;
+	uint64_t not_before_us; /* earliest start; 0: no limit */
 	uint64_t started_us;
 	GList link; /* in the planner's queue */
 	/* Used by the topology planner only. */
@@ -25,9 +25,9 @@
 	struct rj_reservation *reservation;
 	GSequenceIter *deadline;
 	uint64_t waiting_since_us; /* since arrival or its last stop */
-	uint64_t backlog; /* its contribution to the backlog */
+	uint64_t backlog; /* while queued: median run time x job size */
 	uint64_t stamp; /* number of the last search that visited it */
-	bool reclaiming;
+	bool reclaiming; /* asked to stop; has not stopped yet */
 	bool on_guarantee; /* placed on its account's guarantee */
 	bool backfilled; /* runs on softly reserved capacity */
 	bool granted; /* counted in its account's `granted` */
--- a/src/libradishjunction/include/private/schema.h
+++ b/src/libradishjunction/include/private/schema.h
@@ -69,7 +69,9 @@
 	/* Bounds of a number, a text or byte length, or an array count. */
 	uint64_t min;
 	uint64_t max;
-	uint64_t fallback; /* value of an absent number, bool or choice */
+	/* Value of an absent number, bool or choice. A u64 fallback is scaled,
+	 * a u32 fallback is not. */
+	uint64_t fallback;
 	uint64_t scale; /* member value = JSON value x scale; 0 means 1 */
 	const struct rj_schema *schema; /* object, array */
 	const char *const *choices; /* choice: strings by enum value */
--- a/src/libradishjunction/include/private/timer.h
+++ b/src/libradishjunction/include/private/timer.h
@@ -16,7 +16,7 @@
 
 struct rj_timer {
 	uint64_t at_us;
-	uint64_t order;
+	uint64_t order; /* of arming; breaks ties of `at_us` */
 	uint32_t index; /* in the heap, from 1; 0: not armed */
 	void (*fire)(struct rj_core_state *core, struct rj_timer *timer);
 };
@@ -25,7 +25,7 @@
 	struct rj_timer **heap; /* talloc array, slot 0 unused */
 	uint32_t count;
 	uint32_t capacity;
-	uint64_t order;
+	uint64_t order; /* of the next timer armed */
 	void *mem;
 };
 
--- a/src/libradishjunction/settings.c
+++ b/src/libradishjunction/settings.c
@@ -6,7 +6,7 @@
 
 #include "private/schemas.h"
 
-/* Guessing the key would allow anyone to act as a peer. */
+/* Whoever guesses a short key could act as a peer. */
 #define PEER_KEY_MIN_CHARS 32
 #define PEERS_MAX 1024
 #define WEEK_S (7 * 24 * 3600)
