--- a/include/radishjunction/planner.h
+++ b/include/radishjunction/planner.h
@@ -75,7 +75,7 @@
 	uint64_t limit_us; /* RECLAIM */
 	uint64_t for_job; /* RECLAIM: the job that capacity is reclaimed for */
 	uint64_t retry_after_us; /* REFUSE */
-	uint32_t considered; /* START: workers examined; RECLAIM: victims */
+	uint32_t considered; /* workers (START) or jobs (RECLAIM) examined */
 };
 
 struct rj_decisions {
