--- a/src/libradishjunction/cell/cell_plan_workers.c
+++ b/src/libradishjunction/cell/cell_plan_workers.c
@@ -15,8 +15,8 @@
 /*
  * Exclusive part of the reserved racks, as a multiple of the recent use of
  * urgent jobs. Urgent tasks start there at once, while preemption takes some
- * 0.4 s of the 1.5 s that they can wait. The rest is also open to some other
- * tasks.
+ * 0.4 s of the 1.5 s that they can wait. The rest is also open to tasks with
+ * checkpoints, which lose little when they are preempted.
  */
 #define EXCLUSIVE_FACTOR 1.6
 /* Upper limit of the reserved racks; the rest serves all other jobs. */
--- a/src/libradishjunction/platform/platform_wire.c
+++ b/src/libradishjunction/platform/platform_wire.c
@@ -7,7 +7,7 @@
 
 #include "private/wire.h"
 
-/* JSON integers are signed. */
+/* JSON integers are signed 64-bit numbers. */
 #define NUMBER_MAX INT64_MAX
 /*
  * Longer than any record this project writes, so that a reader skips an
--- a/src/test_libradishjunction/support/fake_peers.c
+++ b/src/test_libradishjunction/support/fake_peers.c
@@ -259,7 +259,7 @@
 }
 
 /*
- * Heals every cut between instances and between failure domains.
+ * Ends all partitions between instances and between failure domains.
  */
 void fake_peers_heal(struct simulation *simulation)
 {
--- a/src/test_libradishjunction/support/fault_injection.c
+++ b/src/test_libradishjunction/support/fault_injection.c
@@ -146,7 +146,7 @@
 }
 
 /*
- * Heals every cut between instances and between failure domains.
+ * Ends all partitions between instances and between failure domains.
  */
 void fault_restore_links(struct simulation *simulation,
 			 struct simulation_event *event)
